--- a/cmd/robinstack/audit.go
+++ b/cmd/robinstack/audit.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"robinstack/audit"
-	"robinstack/config"
+	"robinstack/internal/config"
+	"robinstack/tools/audit"
 )
 
 // mostProblems is how many unusable lines of a log are shown.
--- a/cmd/robinstack/dev.go
+++ b/cmd/robinstack/dev.go
@@ -8,13 +8,13 @@
 
 	"github.com/spf13/cobra"
 
-	"robinstack/dev"
+	"robinstack/tools/devcluster"
 )
 
 func devCommand() *cobra.Command {
-	var o dev.Options
+	var o devcluster.Options
 	var try bool
-	var load dev.Load
+	var load devcluster.Load
 	cmd := &cobra.Command{
 		Use: "dev", Short: "Run a whole service on this machine, with stand-ins for everything around it", Args: cobra.NoArgs,
 		Long: "dev starts a state service, a cloud and workers that run small commands, all stand-ins on loopback, and controllers as processes of their own. Interrupt it to end all of it.",
@@ -25,7 +25,7 @@
 				return fmt.Errorf("finding this program: %w", err)
 			}
 			o.Program = program
-			f, err := dev.Start(ctx, o)
+			f, err := devcluster.Start(ctx, o)
 			if err != nil {
 				return err
 			}
@@ -42,7 +42,7 @@
 				return f.Try(rctx, out)
 			}
 			fmt.Fprintf(out, "controllers answer users at %v; their logs are in %s\n", f.Listens(), f.Logs())
-			fmt.Fprintf(out, "submit a job of four commands:\n\n    curl -d '%s' http://%s/submissions\n    curl http://%[2]s/submissions/wk-1\n\n", dev.Example, f.Listen(0))
+			fmt.Fprintf(out, "submit a job of four commands:\n\n    curl -d '%s' http://%s/submissions\n    curl http://%[2]s/submissions/wk-1\n\n", devcluster.Example, f.Listen(0))
 			fmt.Fprintf(out, "see who holds what, and how a roll-out stands:\n\n    %s status %s\n    %[1]s rollout status %[2]s\n\n", os.Args[0], f.Listen(0))
 			for ctx.Err() == nil {
 				if err := f.Ended(); err != nil {
--- a/cmd/robinstack/main.go
+++ b/cmd/robinstack/main.go
@@ -18,10 +18,10 @@
 
 	"github.com/spf13/cobra"
 
-	"robinstack/config"
-	"robinstack/controller"
-	"robinstack/policy"
-	"robinstack/rollout"
+	"robinstack/internal/config"
+	"robinstack/internal/controller"
+	"robinstack/internal/policy"
+	"robinstack/internal/rollout"
 )
 
 // errUsage marks errors in what the operator gave.
--- a/cmd/robinstack/rollout.go
+++ b/cmd/robinstack/rollout.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
-	"robinstack/rollout"
-	"robinstack/statekv"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
 )
 
 func rolloutCommand() *cobra.Command {
--- a/cmd/robinstack/scale.go
+++ b/cmd/robinstack/scale.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"robinstack/scale"
+	"robinstack/tools/scaletest"
 )
 
 // scaleFlags are what the command is told.
@@ -38,14 +38,14 @@
 	cmd.Flags().StringVar(&flags.json, "json", "", "file to write what was measured to, as JSON")
 	cmd.Flags().BoolVar(&flags.sweep, "sweep", false, "run all sizes that the profile's sweep lists")
 	cmd.Flags().BoolVar(&flags.tables, "tables", false, "print the tables of docs/CAPACITY.md from what a sweep wrote with --json")
-	cmd.Flags().StringVar(&flags.workersOf, scale.WorkersFlag, "", "plan of the workers and users to run; scale itself uses it")
-	_ = cmd.Flags().MarkHidden(scale.WorkersFlag)
+	cmd.Flags().StringVar(&flags.workersOf, scaletest.WorkersFlag, "", "plan of the workers and users to run; scale itself uses it")
+	_ = cmd.Flags().MarkHidden(scaletest.WorkersFlag)
 	return cmd
 }
 
 // usage marks what the operator has to change.
 func usage(err error) error {
-	if errors.Is(err, scale.ErrProfile) || errors.Is(err, scale.ErrDoesNotFit) {
+	if errors.Is(err, scaletest.ErrProfile) || errors.Is(err, scaletest.ErrDoesNotFit) {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	return err
@@ -55,7 +55,7 @@
 	if flags.tables {
 		return printTables(path, out)
 	}
-	profile, err := scale.Load(path)
+	profile, err := scaletest.Load(path)
 	if err != nil {
 		return err
 	}
@@ -63,11 +63,11 @@
 	if err != nil {
 		return fmt.Errorf("finding this program: %w", err)
 	}
-	options := scale.Options{Program: program, Logs: flags.logs, Out: out}
+	options := scaletest.Options{Program: program, Logs: flags.logs, Out: out}
 	if flags.sweep {
-		return scale.DoSweep(ctx, profile, options, func(s *scale.SweepResult) error { return writeJSON(flags.json, s) })
+		return scaletest.DoSweep(ctx, profile, options, func(s *scaletest.SweepResult) error { return writeJSON(flags.json, s) })
 	}
-	result, err := scale.Do(ctx, profile, options)
+	result, err := scaletest.Do(ctx, profile, options)
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	var s scale.SweepResult
+	var s scaletest.SweepResult
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return fmt.Errorf("%w: %s is not what a sweep wrote: %w", errUsage, path, err)
 	}
@@ -116,9 +116,9 @@
 	if err != nil {
 		return fmt.Errorf("reading the plan: %w", err)
 	}
-	var plan scale.Plan
+	var plan scaletest.Plan
 	if err := json.Unmarshal(raw, &plan); err != nil {
 		return fmt.Errorf("reading the plan: %w", err)
 	}
-	return scale.RunLoad(ctx, &plan, in, out)
+	return scaletest.RunLoad(ctx, &plan, in, out)
 }
--- a/fakes/box.go
+++ b/emulator/box.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/worker"
+	"robinstack/internal/cloud"
+	"robinstack/internal/worker"
 )
 
 // Box is a machine of a farm with its worker.
--- a/fakes/cloudserver.go
+++ b/emulator/cloudserver.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"golang.org/x/time/rate"
 
-	"robinstack/cloud"
+	"robinstack/internal/cloud"
 )
 
 // CloudServer answers as the cloud does, by its published protocol, from a cloud in memory.
--- a/fakes/cloudserver_test.go
+++ b/emulator/cloudserver_test.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/statekv"
+	"robinstack/internal/cloud"
+	"robinstack/internal/statekv"
 )
 
 // listed is a cloud that only lists machines.
--- a/fakes/farm.go
+++ b/emulator/farm.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/job"
+	"robinstack/internal/cloud"
+	"robinstack/internal/job"
 )
 
 // Farm is a cloud on loopback whose machines have workers that run small commands, by
--- a/fakes/farm_test.go
+++ b/emulator/farm_test.go
@@ -1,9 +1,9 @@
-package fakes
+package emulator
 
 import (
 	"testing"
 
-	"robinstack/job"
+	"robinstack/internal/job"
 )
 
 // The farm's history finds a task that starts on one machine while it is on another,
--- a/fakes/fleet.go
+++ b/emulator/fleet.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/job"
-	"robinstack/worker"
+	"robinstack/internal/cloud"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // Fleet is a cloud whose machines have workers that keep leases, by the published
--- a/fakes/history.go
+++ b/emulator/history.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"robinstack/config"
-	"robinstack/job"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
 )
 
 // History is what happened on machines and what users were told, held against the rules of
--- a/fakes/history_test.go
+++ b/emulator/history_test.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"strings"
@@ -6,8 +6,8 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/config"
-	"robinstack/job"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
 )
 
 // Every rule of the protocol has a fault planted that the history must find, and a day
--- a/fakes/http.go
+++ b/emulator/http.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"net/http"
--- a/fakes/lease.go
+++ b/emulator/lease.go
@@ -1,11 +1,11 @@
-package fakes
+package emulator
 
 import (
 	"encoding/json"
 	"net/http"
 	"time"
 
-	"robinstack/worker"
+	"robinstack/internal/worker"
 )
 
 // lease is what a worker knows of who may command it, and until when.
--- a/fakes/loopback.go
+++ b/emulator/loopback.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"robinstack/netcount"
-	"robinstack/worker"
+	"robinstack/internal/netcount"
+	"robinstack/internal/worker"
 )
 
 // Traffic counts what passes between workers and controllers, HTTP headers included and
--- a/fakes/loopback_test.go
+++ b/emulator/loopback_test.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/job"
-	"robinstack/worker"
+	"robinstack/internal/cloud"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // A worker on the loopback network reports over a connection of its own, carries out direct
--- a/fakes/machine.go
+++ b/emulator/machine.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/worker"
+	"robinstack/internal/cloud"
+	"robinstack/internal/worker"
 )
 
 // Machine is a machine with its worker. The fleet's mutex guards it.
--- a/fakes/machinetasks.go
+++ b/emulator/machinetasks.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"robinstack/config"
-	"robinstack/job"
-	"robinstack/worker"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // piece is a task on a machine.
--- a/fakes/port.go
+++ b/emulator/port.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // Port is the state service as one controller reaches it: it may be refused alone, answered
--- a/fakes/state.go
+++ b/emulator/state.go
@@ -1,6 +1,6 @@
-// Package fakes holds in-memory stand-ins for the systems around a controller,
+// Package emulator holds in-memory stand-ins for the systems around a controller,
 // for tests.
-package fakes
+package emulator
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // State is a state service in memory.
--- a/fakes/stateserver.go
+++ b/emulator/stateserver.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 
 	"golang.org/x/time/rate"
 )
--- a/fakes/worker.go
+++ b/emulator/worker.go
@@ -1,4 +1,4 @@
-package fakes
+package emulator
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"robinstack/worker"
+	"robinstack/internal/worker"
 )
 
 // Workers is a set of workers that carry out commands.
--- a/steward/boots.go
+++ b/internal/autoscaler/boots.go
@@ -1,4 +1,4 @@
-package steward
+package autoscaler
 
 import (
 	"cmp"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/cloud"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // bootWatch knows how long machines of each pool took to come up lately, so that
--- a/steward/calls.go
+++ b/internal/autoscaler/calls.go
@@ -1,4 +1,4 @@
-package steward
+package autoscaler
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/cloud"
+	"robinstack/internal/cloud"
+	"robinstack/internal/clusteragent"
 )
 
 // rent asks the cloud for machines; what has no answer is asked for again under its name.
@@ -49,9 +49,9 @@
 		}
 	}
 	for host, names := range byHost {
-		var reply agent.MachinesReply
+		var reply clusteragent.MachinesReply
 		cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
-		err := s.call.Call(cctx, host, "Agent.Drain", agent.MachinesRequest{Names: names, On: true}, &reply)
+		err := s.call.Call(cctx, host, "Agent.Drain", clusteragent.MachinesRequest{Names: names, On: true}, &reply)
 		cancel()
 		if err != nil {
 			slog.Debug("draining machines", "host", host, "err", err)
@@ -92,7 +92,7 @@
 	}
 	for host, names := range byHost {
 		cctx, cancel := context.WithTimeout(ctx, 3*time.Second)
-		if err := s.call.Call(cctx, host, "Agent.Removed", agent.MachinesRequest{Names: names}, &agent.MachinesReply{}); err != nil {
+		if err := s.call.Call(cctx, host, "Agent.Removed", clusteragent.MachinesRequest{Names: names}, &clusteragent.MachinesReply{}); err != nil {
 			slog.Debug("telling an owner of deleted machines", "host", host, "err", err)
 		}
 		cancel()
--- a/steward/ledger.go
+++ b/internal/autoscaler/ledger.go
@@ -1,9 +1,9 @@
-package steward
+package autoscaler
 
 import (
-	"robinstack/agent"
-	"robinstack/job"
-	"robinstack/worker"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // account is what a task takes of its team's limit.
@@ -21,14 +21,14 @@
 // ledger counts what the teams hold and are permitted to start. Its sums follow
 // each change, so that a permit costs the same in a fleet of any size.
 type ledger struct {
-	permits map[agent.TaskRef]permit
-	held    map[string]map[agent.TaskRef]account // per machine
-	dark    map[string]bool                      // machines with tasks of unknown teams
-	sums    map[string]job.Need                  // per team: held and permitted
+	permits map[clusteragent.TaskRef]permit
+	held    map[string]map[clusteragent.TaskRef]account // per machine
+	dark    map[string]bool                             // machines with tasks of unknown teams
+	sums    map[string]job.Need                         // per team: held and permitted
 }
 
 func newLedger() ledger {
-	return ledger{permits: map[agent.TaskRef]permit{}, held: map[string]map[agent.TaskRef]account{}, dark: map[string]bool{}, sums: map[string]job.Need{}}
+	return ledger{permits: map[clusteragent.TaskRef]permit{}, held: map[string]map[clusteragent.TaskRef]account{}, dark: map[string]bool{}, sums: map[string]job.Need{}}
 }
 
 func (l *ledger) book(a account, k float64) { l.sums[a.team] = l.sums[a.team].Add(a.need, k) }
@@ -46,13 +46,13 @@
 	}
 }
 
-func (l *ledger) grant(ref agent.TaskRef, p permit) {
+func (l *ledger) grant(ref clusteragent.TaskRef, p permit) {
 	l.release(ref)
 	l.permits[ref] = p
 	l.book(p.account, 1)
 }
 
-func (l *ledger) release(ref agent.TaskRef) {
+func (l *ledger) release(ref clusteragent.TaskRef) {
 	if p, ok := l.permits[ref]; ok {
 		delete(l.permits, ref)
 		l.book(p.account, -1)
@@ -82,13 +82,13 @@
 	delete(l.dark, machine)
 }
 
-func (l *ledger) onEntry(e *agent.Entry) {
+func (l *ledger) onEntry(e *clusteragent.Entry) {
 	if e.Gone {
 		l.drop(e.Machine)
 		return
 	}
 	old := l.held[e.Machine]
-	now := map[agent.TaskRef]account{}
+	now := map[clusteragent.TaskRef]account{}
 	if !e.Settled {
 		// An earlier owner's starts may not have shown up yet.
 		for ref, a := range old {
--- a/steward/plan.go
+++ b/internal/autoscaler/plan.go
@@ -1,12 +1,12 @@
-package steward
+package autoscaler
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/job"
+	"robinstack/internal/cloud"
+	"robinstack/internal/job"
 )
 
 // bin is a machine as the plan sees it: there already, or booting.
--- a/steward/reserve_test.go
+++ b/internal/autoscaler/reserve_test.go
@@ -1,4 +1,4 @@
-package steward
+package autoscaler
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/job"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
 )
 
 // At a team's limit of 10 GPUs small jobs take each GPU that comes free. What comes free
@@ -18,10 +18,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
 		s.settled, s.cleared["m1"] = true, true
-		permit := func(id string, index, gpus int, release ...agent.TaskRef) bool {
+		permit := func(id string, index, gpus int, release ...clusteragent.TaskRef) bool {
 			t.Helper()
 			var reply PermitReply
-			want := Want{Ref: agent.TaskRef{Job: id, Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
+			want := Want{Ref: clusteragent.TaskRef{Job: id, Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
 			if err := NewService(s).Permit(PermitRequest{Slot: "s", Epoch: 1, Wants: []Want{want}, Release: release}, &reply); err != nil {
 				t.Fatal(err)
 			}
@@ -35,7 +35,9 @@
 			}
 			return reply.Reserved
 		}
-		small := func(k int) agent.TaskRef { return agent.TaskRef{Job: fmt.Sprintf("wk-%d", k), Attempt: 1} }
+		small := func(k int) clusteragent.TaskRef {
+			return clusteragent.TaskRef{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}
+		}
 		for k := range 10 {
 			if !permit(small(k).Job, 0, 1) {
 				t.Fatal(k)
@@ -53,7 +55,7 @@
 			t.Fatal("it has all it needs, and does not get it")
 		}
 		s.kept = map[string]reserved{}
-		s.ledger.release(agent.TaskRef{Job: "wk-90", Attempt: 1})
+		s.ledger.release(clusteragent.TaskRef{Job: "wk-90", Attempt: 1})
 		// Two at once: the one that could start earlier, whichever asks first.
 		reserve("wk-91", 3000)
 		if !reserve("wk-92", 1000) || reserve("wk-91", 3000) {
@@ -62,7 +64,7 @@
 		if permit("wk-91", 0, 8) || !permit("wk-92", 0, 8, small(8)) {
 			t.Fatal("the later one got it")
 		}
-		s.ledger.release(agent.TaskRef{Job: "wk-92", Attempt: 1})
+		s.ledger.release(clusteragent.TaskRef{Job: "wk-92", Attempt: 1})
 		time.Sleep(reserveFor / 2)
 		if permit("wk-60", 0, 5) {
 			t.Fatal("given back too early")
--- a/steward/spare.go
+++ b/internal/autoscaler/spare.go
@@ -1,4 +1,4 @@
-package steward
+package autoscaler
 
 import "time"
 
--- a/steward/steward.go
+++ b/internal/autoscaler/steward.go
@@ -1,7 +1,7 @@
-// Package steward decides how much each team may hold and how many machines
+// Package autoscaler decides how much each team may hold and how many machines
 // the fleet has. One controller at a time is steward; it never picks a machine
 // for a task.
-package steward
+package autoscaler
 
 import (
 	"context"
@@ -12,13 +12,13 @@
 	"sync"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/budget"
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/job"
-	"robinstack/policy"
-	"robinstack/statekv"
+	"robinstack/internal/budget"
+	"robinstack/internal/cloud"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
+	"robinstack/internal/policy"
+	"robinstack/internal/statekv"
 )
 
 // Steward is the role on this controller, whether it holds it or not.
@@ -27,10 +27,10 @@
 	policy    *policy.Policy
 	mirror    *statekv.Mirror
 	member    *statekv.Member
-	call      agent.Caller
+	call      clusteragent.Caller
 	cloud     cloud.API
 	catalogue *cloud.Catalogue
-	feed      *agent.Feed
+	feed      *clusteragent.Feed
 
 	mu      sync.Mutex
 	epoch   uint64 // 0: not steward
@@ -53,7 +53,7 @@
 }
 
 // New returns a steward that does not hold the role yet.
-func New(settings *config.Settings, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Member, call agent.Caller, api cloud.API, catalogue *cloud.Catalogue) *Steward {
+func New(settings *config.Settings, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Member, call clusteragent.Caller, api cloud.API, catalogue *cloud.Catalogue) *Steward {
 	return &Steward{settings: settings, policy: pol, mirror: mirror, member: member, call: call, cloud: api, catalogue: catalogue,
 		ledger: newLedger(), kept: map[string]reserved{}, demand: map[string]demandAt{}, fleet: newFleet(), retell: make(chan []string)}
 }
@@ -66,7 +66,7 @@
 }
 
 // Run takes the role when it is free and does its duties until ctx ends.
-func (s *Steward) Run(ctx context.Context, feed *agent.Feed) {
+func (s *Steward) Run(ctx context.Context, feed *clusteragent.Feed) {
 	s.mu.Lock()
 	s.feed = feed
 	s.mu.Unlock()
@@ -164,7 +164,7 @@
 }
 
 // OnEntries keeps the ledger of what is on the machines.
-func (s *Steward) OnEntries(entries []agent.Entry) {
+func (s *Steward) OnEntries(entries []clusteragent.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range entries {
@@ -184,7 +184,7 @@
 	for _, kv := range s.mirror.Dir(statekv.MachinePrefix) {
 		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
 		if s.ledger.dark[name] || !s.settled && !s.cleared[name] {
-			if key := agent.KeyOf(kv); key != nil {
+			if key := clusteragent.KeyOf(kv); key != nil {
 				blank = blank.Add(job.Capacity(types[key.Type]), 1)
 			}
 		}
--- a/steward/steward_test.go
+++ b/internal/autoscaler/steward_test.go
@@ -1,4 +1,4 @@
-package steward
+package autoscaler
 
 import (
 	"context"
@@ -7,14 +7,14 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/policy"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/emulator"
+	"robinstack/internal/cloud"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
+	"robinstack/internal/policy"
+	"robinstack/internal/statekv"
+	"robinstack/internal/worker"
 )
 
 func settings() *config.Settings {
@@ -24,10 +24,10 @@
 		State:   config.State{RPS: 100, WriteRPS: 50, ValueBytes: 8192, TxnOps: 24}}
 }
 
-func newSteward(t *testing.T, ctx context.Context) (*Steward, *fakes.State) {
+func newSteward(t *testing.T, ctx context.Context) (*Steward, *emulator.State) {
 	t.Helper()
-	state := fakes.NewState()
-	machine := agent.MachineKey{Shard: "host-9.1.0", Type: "box", Zone: "a"}
+	state := emulator.NewState()
+	machine := clusteragent.MachineKey{Shard: "host-9.1.0", Type: "box", Zone: "a"}
 	if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: statekv.MachinePrefix + "m1", Value: machine}}); err != nil {
 		t.Fatal(err)
 	}
@@ -42,15 +42,15 @@
 	types := &cloud.Catalogue{}
 	types.Set([]cloud.MachineType{{Name: "box", CPUs: 64, GPUs: 8, MemoryGB: 512, Price: 10, SpotPrice: 4, BootS: 30, Zones: []string{"a"}}})
 	s := New(settings(), policy.Default(), mirror, member, nil, nil, types)
-	s.feed = agent.NewFeed(nil, mirror, nil, nil, nil)
+	s.feed = clusteragent.NewFeed(nil, mirror, nil, nil, nil)
 	s.epoch, s.cleared = 99, map[string]bool{}
 	return s, state
 }
 
-func ask(t *testing.T, s *Steward, index, gpus int, release ...agent.TaskRef) bool {
+func ask(t *testing.T, s *Steward, index, gpus int, release ...clusteragent.TaskRef) bool {
 	t.Helper()
 	var reply PermitReply
-	want := Want{Ref: agent.TaskRef{Job: "wk-1", Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
+	want := Want{Ref: clusteragent.TaskRef{Job: "wk-1", Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
 	if err := NewService(s).Permit(PermitRequest{Slot: "s", Epoch: 1, Wants: []Want{want}, Release: release}, &reply); err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 		if !ask(t, s, 1, 8) || ask(t, s, 2, 1) {
 			t.Fatal("permits count until they show up or are given back")
 		}
-		if !ask(t, s, 2, 1, agent.TaskRef{Job: "wk-1", Index: 0, Attempt: 1}) {
+		if !ask(t, s, 2, 1, clusteragent.TaskRef{Job: "wk-1", Index: 0, Attempt: 1}) {
 			t.Fatal("given back, not used")
 		}
 	})
@@ -84,13 +84,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
 		s.settled = true
-		task := agent.TaskEntry{TaskRef: agent.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Need{GPUs: 8}, Known: true, State: worker.Running}
-		s.OnEntries([]agent.Entry{{Machine: "m1", Settled: true, Tasks: []agent.TaskEntry{task}}})
-		s.OnEntries([]agent.Entry{{Machine: "m1", Settled: false}})
+		task := clusteragent.TaskEntry{TaskRef: clusteragent.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Need{GPUs: 8}, Known: true, State: worker.Running}
+		s.OnEntries([]clusteragent.Entry{{Machine: "m1", Settled: true, Tasks: []clusteragent.TaskEntry{task}}})
+		s.OnEntries([]clusteragent.Entry{{Machine: "m1", Settled: false}})
 		if ask(t, s, 0, 3) {
 			t.Fatal("the task may still run")
 		}
-		s.OnEntries([]agent.Entry{{Machine: "m1", Settled: true}})
+		s.OnEntries([]clusteragent.Entry{{Machine: "m1", Settled: true}})
 		if !ask(t, s, 0, 3) {
 			t.Fatal("the task is proven gone")
 		}
@@ -103,7 +103,7 @@
 func TestNewStewardSeesThatASilentMachineIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
-		e := agent.Entry{Machine: "m1", Silent: true, Settled: true}
+		e := clusteragent.Entry{Machine: "m1", Silent: true, Settled: true}
 		s.onList(nil, time.Now())
 		if why := s.isLost(&e, time.Now()); why != "" {
 			t.Fatalf("at once: %s", why)
@@ -128,9 +128,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
 		s.settled = true
-		var entries []agent.Entry
+		var entries []clusteragent.Entry
 		for i := range 100 {
-			entries = append(entries, agent.Entry{Machine: fmt.Sprint("m", i), Rev: 1, Ver: 1, Type: "box", Settled: i >= 3, Silent: i < 3})
+			entries = append(entries, clusteragent.Entry{Machine: fmt.Sprint("m", i), Rev: 1, Ver: 1, Type: "box", Settled: i >= 3, Silent: i < 3})
 		}
 		s.OnEntries(entries)
 		s.fleet.mute = 2
--- a/steward/wire.go
+++ b/internal/autoscaler/wire.go
@@ -1,13 +1,13 @@
-package steward
+package autoscaler
 
 import (
-	"robinstack/agent"
-	"robinstack/job"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
 )
 
 // Want is a task for which a placer asks a permit.
 type Want struct {
-	Ref  agent.TaskRef
+	Ref  clusteragent.TaskRef
 	Team string
 	Need job.Need
 }
@@ -17,7 +17,7 @@
 	Slot    string
 	Epoch   uint64
 	Wants   []Want
-	Release []agent.TaskRef
+	Release []clusteragent.TaskRef
 	Probe   bool         // only say what would be granted
 	Reserve *Reservation // keep what comes free below the team's limit for a job
 	Settled bool         // the slot has settled: earlier epochs' unused permits are void
--- a/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/time/rate"
 
-	"robinstack/httpjson"
+	"robinstack/internal/httpjson"
 )
 
 // ErrNoCapacity says that the cloud has no such machine at the moment.
--- a/agent/agent.go
+++ b/internal/clusteragent/agent.go
@@ -1,7 +1,7 @@
-// Package agent looks after the machines that a controller owns: it answers
+// Package clusteragent looks after the machines that a controller owns: it answers
 // sampling requests, commits tasks with reserve-lock-check, passes commands to
 // the workers and keeps track of what their reports show.
-package agent
+package clusteragent
 
 import (
 	"container/list"
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/internal/cloud"
+	"robinstack/internal/config"
+	"robinstack/internal/statekv"
+	"robinstack/internal/worker"
 )
 
 // Agent owns machines. Its mutex guards all its state and is never held over I/O.
--- a/agent/agent_test.go
+++ b/internal/clusteragent/agent_test.go
@@ -1,4 +1,4 @@
-package agent_test
+package clusteragent_test
 
 import (
 	"context"
@@ -7,13 +7,13 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/emulator"
+	"robinstack/internal/cloud"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/worker"
 )
 
 var types = map[string]cloud.MachineType{"box": {Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64}}
@@ -29,20 +29,20 @@
 
 // node is one controller's agent with its view of the state service.
 type node struct {
-	agent   *agent.Agent
-	service *agent.Service
+	agent   *clusteragent.Agent
+	service *clusteragent.Service
 	member  *statekv.Member
 	mirror  *statekv.Mirror
 	stop    context.CancelFunc
 }
 
-func start(t *testing.T, ctx context.Context, host string, state *fakes.State, workers *fakes.Workers) *node {
+func start(t *testing.T, ctx context.Context, host string, state *emulator.State, workers *emulator.Workers) *node {
 	t.Helper()
 	return startWith(t, ctx, settings(), host, state, workers)
 }
 
 // startIn starts one of three controllers in two zones, host-1 in b.
-func startIn(t *testing.T, ctx context.Context, host, zone string, state *fakes.State, workers *fakes.Workers, setup ...func(*agent.Agent)) *node {
+func startIn(t *testing.T, ctx context.Context, host, zone string, state *emulator.State, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
 	t.Helper()
 	s := settings()
 	s.Host, s.Zone, s.Zones = host, zone, []string{"a", "b"}
@@ -54,7 +54,7 @@
 	return startWith(t, ctx, s, host, state, workers, setup...)
 }
 
-func startWith(t *testing.T, ctx context.Context, settings *config.Settings, host string, state statekv.Store, workers *fakes.Workers, setup ...func(*agent.Agent)) *node {
+func startWith(t *testing.T, ctx context.Context, settings *config.Settings, host string, state statekv.Store, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
 	t.Helper()
 	ctx, stop := context.WithCancel(ctx)
 	mirror := statekv.NewMirror(state, []string{statekv.FleetPrefix, job.OpenPrefix}, statekv.RootPrefix, settings.WatchTime(), 0, func([]statekv.Event) {})
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := agent.New(settings, state, mirror, member, workers, func() map[string]cloud.MachineType { return types })
+	a := clusteragent.New(settings, state, mirror, member, workers, func() map[string]cloud.MachineType { return types })
 	for _, f := range setup {
 		f(a)
 	}
@@ -76,11 +76,11 @@
 		t.Fatal(err)
 	}
 	time.Sleep(time.Second) // its shards are made
-	return &node{agent: a, service: agent.NewService(a), member: member, mirror: mirror, stop: stop}
+	return &node{agent: a, service: clusteragent.NewService(a), member: member, mirror: mirror, stop: stop}
 }
 
 // report has a worker report to n and take the answer.
-func (n *node) report(workers *fakes.Workers, w *fakes.Worker) agent.Reply {
+func (n *node) report(workers *emulator.Workers, w *emulator.Worker) clusteragent.Reply {
 	r := workers.Next(w)
 	reply := n.agent.Report(context.Background(), &r)
 	if reply.Owner {
@@ -89,8 +89,8 @@
 	return reply
 }
 
-func (n *node) entries() map[string]agent.Entry {
-	out := map[string]agent.Entry{}
+func (n *node) entries() map[string]clusteragent.Entry {
+	out := map[string]clusteragent.Entry{}
 	_, list := n.agent.Snapshot()
 	for _, e := range list {
 		out[e.Machine] = e
@@ -100,26 +100,26 @@
 
 func (n *node) commit(t *testing.T, machine string, slot string, epoch uint64, index int, attempt uint64) string {
 	t.Helper()
-	req := agent.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev, Refs: []agent.TaskRef{{Job: "wk-1", Index: index, Attempt: attempt}}}
+	req := clusteragent.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev, Refs: []clusteragent.TaskRef{{Job: "wk-1", Index: index, Attempt: attempt}}}
 	req.Spec = job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 9, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}
 	req.Slot, req.Epoch = slot, epoch
-	var reply agent.CommitReply
+	var reply clusteragent.CommitReply
 	if err := n.service.Commit(req, &reply); err != nil {
 		t.Fatal(err)
 	}
 	return reply.Verdicts[0]
 }
 
-func held(workers *fakes.Workers, w *fakes.Worker) (n int) {
+func held(workers *emulator.Workers, w *emulator.Worker) (n int) {
 	workers.Do(func() { n = len(w.Report.Tasks) })
 	return n
 }
 
-func story(t *testing.T, f func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers)) {
+func story(t *testing.T, f func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); synctest.Wait() }()
-		f(t, ctx, fakes.NewState(), fakes.NewWorkers())
+		f(t, ctx, emulator.NewState(), emulator.NewWorkers())
 	})
 }
 
@@ -139,14 +139,14 @@
 // the worker shows a token under which a late copy of it is dead. Guards
 // against ran_twice.
 func TestUnansweredStartIsFencedOff(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		workers.Do(func() { w.Deaf = true })
-		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agent.Unsettled {
+		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Unsettled {
 			t.Fatalf("verdict %q while the command is unanswered", got)
 		}
 		if len(n.entries()["m1"].Tasks) != 1 {
@@ -168,17 +168,17 @@
 
 // A commit under an epoch older than the slot's latest is refused.
 func TestStalePlacerIsRefused(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		old := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		latest := slot(t, n, "s", old)
-		if got := n.commit(t, "m1", "s", old, 0, 1); got != agent.Refused {
+		if got := n.commit(t, "m1", "s", old, 0, 1); got != clusteragent.Refused {
 			t.Fatalf("stale commit: %q", got)
 		}
-		if got := n.commit(t, "m1", "s", latest, 0, 2); got != agent.Started {
+		if got := n.commit(t, "m1", "s", latest, 0, 2); got != clusteragent.Started {
 			t.Fatalf("latest commit: %q", got)
 		}
 	})
@@ -187,7 +187,7 @@
 // When an owner's life ends, a survivor takes its machines, and the earlier
 // owner's commands no longer pass at the worker.
 func TestSurvivorTakesOverAndFences(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a, b := start(t, ctx, "host-0", state, workers), start(t, ctx, "host-1", state, workers)
 		epoch := slot(t, a, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -196,7 +196,7 @@
 		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.OpenKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, Slot: "s"}}}); err != nil {
 			t.Fatal(err)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		var oldToken uint64
@@ -220,7 +220,7 @@
 // The first command of a new owner is lost on the way. It was sent again only when the
 // machine counted as silent already, and was deleted with all that ran there.
 func TestALostCommandIsNoSilence(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a, b := start(t, ctx, "host-0", state, workers), start(t, ctx, "host-1", state, workers)
 		w := workers.Add("m1", "box", "a")
 		a.report(workers, w)
@@ -246,7 +246,7 @@
 // Tasks found on a machine whose job is over, or was never known, are stopped
 // and forgotten by the machine's new owner. Guards against ran_cancelled.
 func TestTasksOfEndedJobsAreStopped(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		workers.Do(func() {
@@ -263,14 +263,14 @@
 
 // Room that is reserved or may be taken by a start under way is not given twice.
 func TestNoRoomTwice(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		got := []string{n.commit(t, "m1", "s", epoch, 0, 1), n.commit(t, "m1", "s", epoch, 1, 2), n.commit(t, "m1", "s", epoch, 2, 3)}
-		if got[0] != agent.Started || got[1] != agent.Started || got[2] != agent.Refused {
+		if got[0] != clusteragent.Started || got[1] != clusteragent.Started || got[2] != clusteragent.Refused {
 			t.Fatalf("verdicts %v on a machine with room for two", got)
 		}
 	})
@@ -279,7 +279,7 @@
 // An ended task is forgotten only when that was asked for, which placers do
 // once its end is durable.
 func TestForgottenOnlyWhenAsked(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -292,7 +292,7 @@
 		if held(workers, w) != 1 {
 			t.Fatal("forgotten before anyone asked")
 		}
-		if err := n.service.Stop(agent.StopRequest{Items: []agent.StopItem{{Machine: "m1", TaskRef: agent.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
+		if err := n.service.Stop(clusteragent.StopRequest{Items: []clusteragent.StopItem{{Machine: "m1", TaskRef: clusteragent.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
 			t.Fatal(err)
 		}
 		n.report(workers, w) // the answer takes it along: forgetting has time
@@ -305,11 +305,11 @@
 // An agent without machines must not answer a watch at once again and again:
 // its own feed then asked in a loop that used up the processor.
 func TestWatchWithoutMachinesWaits(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		began := time.Now()
-		var reply agent.WatchReply
-		if err := n.service.Watch(agent.WatchRequest{Instance: n.member.Instance, Wait: 2 * time.Second}, &reply); err != nil {
+		var reply clusteragent.WatchReply
+		if err := n.service.Watch(clusteragent.WatchRequest{Instance: n.member.Instance, Wait: 2 * time.Second}, &reply); err != nil {
 			t.Fatal(err)
 		}
 		if time.Since(began) < 2*time.Second {
@@ -321,7 +321,7 @@
 // Claims that meet a conflict, because another controller was faster for some
 // of the machines, ended the process: the rest must be claimed.
 func TestClaimsThatMeetAConflict(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w1, w2 := workers.Add("m1", "box", "a"), workers.Add("m2", "box", "a")
 		state.Set(false, true) // claims are written, but their answers are lost
@@ -341,13 +341,13 @@
 // A machine that was deleted and whose late report another controller met is
 // given up once more: that must not end the process.
 func TestDeletedMachineClaimedAgain(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n, other := start(t, ctx, "host-0", state, workers), start(t, ctx, "host-1", state, workers)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
-		var reply agent.MachinesReply
-		if err := n.service.Removed(agent.MachinesRequest{Names: []string{"m1"}}, &reply); err != nil || len(reply.Names) != 1 {
+		var reply clusteragent.MachinesReply
+		if err := n.service.Removed(clusteragent.MachinesRequest{Names: []string{"m1"}}, &reply); err != nil || len(reply.Names) != 1 {
 			t.Fatal(err, reply)
 		}
 		time.Sleep(time.Second)
@@ -362,7 +362,7 @@
 // A worker that nobody can have answered for longer than its lease has ended
 // its tasks; before that they keep their places.
 func TestSilentMachineKeepsItsTasksForTheLease(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -387,7 +387,7 @@
 // processor time, no reports, counted from the last report of the session before:
 // they gave tasks up that went on running. Guards against ran_twice.
 func TestANewSessionHasItsLeaseFromItsBeginning(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -400,7 +400,7 @@
 		time.Sleep(14 * time.Second) // after 20 s without a report it would get nothing new
 		workers.Do(func() { w.Deaf, w.Report.Session, w.Report.Tasks = false, 2, nil })
 		time.Sleep(3 * time.Second)
-		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != agent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		time.Sleep(20 * time.Second) // beyond the lease of the first session, not of the second
@@ -417,14 +417,14 @@
 // Commands reach a machine, and its reports come no more: before its lease can be over it
 // gets nothing new, however well it answers. Its next report opens it again.
 func TestMachineWhoseReportsDoNotComeGetsNothingNew(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		for k := range 4 { // it is asked all the time, and answers
-			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != agent.Started {
+			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != clusteragent.Started {
 				t.Fatalf("verdict %q", got)
 			}
 			workers.Do(func() { w.Report.Tasks = nil })
@@ -433,11 +433,11 @@
 		if e := n.entries()["m1"]; !e.Silent {
 			t.Errorf("after 25 s without a report: %+v", e)
 		}
-		if got := n.commit(t, "m1", "s", epoch, 5, 6); got != agent.Refused {
+		if got := n.commit(t, "m1", "s", epoch, 5, 6); got != clusteragent.Refused {
 			t.Errorf("verdict %q", got)
 		}
 		n.report(workers, w)
-		if got := n.commit(t, "m1", "s", epoch, 6, 7); got != agent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 6, 7); got != clusteragent.Started {
 			t.Errorf("once it has reported: verdict %q", got)
 		}
 	})
@@ -446,34 +446,34 @@
 // Tasks of arrays are stopped for a gang of higher priority, never for one of
 // the same, and the machine is kept for that gang.
 func TestClearingStopsOnlyLowerPriority(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		n.commit(t, "m1", "s", epoch, 0, 1)
-		gang := agent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
+		gang := clusteragent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
 		gang.Slot, gang.Epoch = "s", epoch
 		gang.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "normal", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
-		var reply agent.CommitReply
-		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != agent.Refused {
+		var reply clusteragent.CommitReply
+		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != clusteragent.Refused {
 			t.Fatalf("equal priority: %+v %v", reply, err)
 		}
 		gang.Spec.Rank = "high"
-		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != agent.Held {
+		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != clusteragent.Held {
 			t.Fatalf("higher priority: %+v %v", reply, err)
 		}
 		time.Sleep(time.Second)
 		n.report(workers, w)
-		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != agent.Refused {
+		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Refused {
 			t.Fatalf("another job got the cleared machine: %q", got)
 		}
-		gang.Refs = []agent.TaskRef{{Job: "wk-2", Attempt: 9}}
-		if err := n.service.Stop(agent.StopRequest{Items: []agent.StopItem{{Machine: "m1", TaskRef: agent.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
+		gang.Refs = []clusteragent.TaskRef{{Job: "wk-2", Attempt: 9}}
+		if err := n.service.Stop(clusteragent.StopRequest{Items: []clusteragent.StopItem{{Machine: "m1", TaskRef: clusteragent.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
 			t.Fatal(err)
 		}
-		if err := n.service.Commit(gang, &reply); err != nil || reply.Verdicts[0] != agent.Started {
+		if err := n.service.Commit(gang, &reply); err != nil || reply.Verdicts[0] != clusteragent.Started {
 			t.Fatalf("the gang: %+v %v", reply, err)
 		}
 	})
@@ -482,28 +482,28 @@
 // Small tasks that are not in the gang's way go on: they were stopped first, being
 // the cheapest to stop, and those that do not save began anew again and again.
 func TestClearingSparesWhatIsNotInTheWay(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		for k, need := range []job.Need{{CPUs: 6, GPUs: 1}, {CPUs: 0.5}} {
-			req := agent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []agent.TaskRef{{Job: "wk-1", Index: k, Attempt: uint64(k + 1)}}}
+			req := clusteragent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []clusteragent.TaskRef{{Job: "wk-1", Index: k, Attempt: uint64(k + 1)}}}
 			req.Spec = job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 2, Need: need}
 			req.Slot, req.Epoch = "s", epoch
-			var reply agent.CommitReply
-			if err := n.service.Commit(req, &reply); err != nil || reply.Verdicts[0] != agent.Started {
+			var reply clusteragent.CommitReply
+			if err := n.service.Commit(req, &reply); err != nil || reply.Verdicts[0] != clusteragent.Started {
 				t.Fatalf("%+v %v", reply, err)
 			}
 			time.Sleep(5 * time.Second)
 			n.report(workers, w)
 		}
-		gang := agent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
+		gang := clusteragent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
 		gang.Slot, gang.Epoch = "s", epoch
 		gang.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 7, GPUs: 2}}
-		var reply agent.CommitReply
-		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != agent.Held {
+		var reply clusteragent.CommitReply
+		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != clusteragent.Held {
 			t.Fatalf("%+v %v", reply, err)
 		}
 		time.Sleep(time.Second)
@@ -520,7 +520,7 @@
 // worker never reports again: until somebody looks after the machine, no slot
 // that is adopted can settle.
 func TestLostClaimIsTakenUp(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		state.Set(false, true)
@@ -541,7 +541,7 @@
 func TestOwnerAnswersWithLittleHoldTime(t *testing.T) {
 	cancelGone = 33 * time.Second
 	defer func() { cancelGone = 60 * time.Second }()
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
@@ -558,11 +558,11 @@
 // time those were made, workers' leases had run out and slots had waited for
 // minutes. Their work goes on, and every machine is settled within seconds.
 func TestThousandMachinesChangeHandsWithFewWrites(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, a, "s", 0)
 		before := state.Changes()
-		var all []*fakes.Worker
+		var all []*emulator.Worker
 		for i := range 1000 {
 			all = append(all, workers.Add(fmt.Sprintf("m%d", i), "box", "a"))
 			go a.report(workers, all[i])
@@ -586,7 +586,7 @@
 		for _, w := range all {
 			a.report(workers, w)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		b := start(t, ctx, "host-1", state, workers)
@@ -606,8 +606,8 @@
 		// The answers of a watch are bounded, and together complete.
 		seen, since := map[string]bool{}, uint64(0)
 		for more := true; more; {
-			var reply agent.WatchReply
-			if err := b.service.Watch(agent.WatchRequest{Instance: b.member.Instance, Since: since, Wait: time.Second}, &reply); err != nil {
+			var reply clusteragent.WatchReply
+			if err := b.service.Watch(clusteragent.WatchRequest{Instance: b.member.Instance, Since: since, Wait: time.Second}, &reply); err != nil {
 				t.Fatal(err)
 			}
 			if since, more = reply.Ver, reply.More; len(reply.Entries) > 300 {
@@ -630,18 +630,18 @@
 // started: asked to void a commit, it must not say that the task never came.
 // That had the task started a second time elsewhere (ran_twice).
 func TestVoidIsForTheOwnerThatWasAsked(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		rev := n.entries()["m1"].Rev
-		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
 			t.Fatalf("verdict %q", got)
 		}
-		void := func(n *node) (reply agent.VoidReply, err error) {
-			err = n.service.Void(agent.VoidRequest{Machine: "m1", Rev: rev, Refs: []agent.TaskRef{{Job: "wk-1", Attempt: 1}}}, &reply)
+		void := func(n *node) (reply clusteragent.VoidReply, err error) {
+			err = n.service.Void(clusteragent.VoidRequest{Machine: "m1", Rev: rev, Refs: []clusteragent.TaskRef{{Job: "wk-1", Attempt: 1}}}, &reply)
 			return reply, err
 		}
 		if reply, err := void(n); err != nil || !reply.Present[0] {
@@ -663,15 +663,15 @@
 // came back under a later revision; the entry under the earlier one was taken
 // for unsettled for ever, and no slot that was adopted settled any more.
 func TestMachineThatCameBackIsTakenUpAnew(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		other := statekv.Holder{Host: "host-9", Instance: 1} // dead by the time it is seen
 		if _, err := state.Txn(ctx, nil, []statekv.Op{
-			{Set: statekv.ShardPrefix + "host-9.1.0", Value: agent.ShardKey{Holder: other}},
-			{Set: statekv.MachinePrefix + "m1", Value: agent.MachineKey{Shard: "host-9.1.0", Address: "m1", Type: "box", Zone: "a"}},
+			{Set: statekv.ShardPrefix + "host-9.1.0", Value: clusteragent.ShardKey{Holder: other}},
+			{Set: statekv.MachinePrefix + "m1", Value: clusteragent.MachineKey{Shard: "host-9.1.0", Address: "m1", Type: "box", Zone: "a"}},
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -679,7 +679,7 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		kv, _ := n.mirror.Get(statekv.MachinePrefix + "m1")
-		_, rev := agent.Owner(n.mirror, kv)
+		_, rev := clusteragent.Owner(n.mirror, kv)
 		if e := n.entries()["m1"]; e.Rev != rev || !e.Settled {
 			t.Fatalf("owned under revision %d: %+v", rev, e)
 		}
@@ -689,35 +689,35 @@
 // A machine that a gang has just left is kept for the next gang for a moment:
 // arrays filled it at once and were stopped for that gang, their work lost.
 func TestMachineThatAGangLeftIsKeptForGangs(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		gang := func(attempt uint64) string {
-			req := agent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []agent.TaskRef{{Job: "wk-2", Attempt: attempt}}}
+			req := clusteragent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []clusteragent.TaskRef{{Job: "wk-2", Attempt: attempt}}}
 			req.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 1, GPUs: 2, MemoryGB: 1}}
 			req.Slot, req.Epoch = "s", epoch
-			var reply agent.CommitReply
+			var reply clusteragent.CommitReply
 			if err := n.service.Commit(req, &reply); err != nil {
 				t.Fatal(err)
 			}
 			return reply.Verdicts[0]
 		}
 		for attempt := uint64(1); attempt <= 2; attempt++ {
-			if got := gang(attempt); got != agent.Started {
+			if got := gang(attempt); got != clusteragent.Started {
 				t.Fatalf("gang, attempt %d: %q", attempt, got)
 			}
 			workers.End(w, "wk-2/0", worker.Done)
 			n.report(workers, w)
-			if got := n.commit(t, "m1", "s", epoch, 0, 10+attempt); got != agent.Refused {
+			if got := n.commit(t, "m1", "s", epoch, 0, 10+attempt); got != clusteragent.Refused {
 				t.Fatalf("array at once: %q", got)
 			}
 		}
 		time.Sleep(9 * time.Second)
 		n.report(workers, w)
-		if got := n.commit(t, "m1", "s", epoch, 0, 20); got != agent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 0, 20); got != clusteragent.Started {
 			t.Fatalf("array later: %q", got)
 		}
 	})
@@ -727,13 +727,13 @@
 // show yet. Its machine, once given up, was taken up again under the same
 // revision, without its tasks, and they were started elsewhere (ran_twice).
 func TestMachineGivenUpIsNotTakenUpUnderTheSameRevision(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
-		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		before := n.entries()["m1"].Rev
--- a/agent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -1,4 +1,4 @@
-package agent
+package clusteragent
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/internal/statekv"
+	"robinstack/internal/worker"
 )
 
 // Machines change hands also while their owner lives: when their workers
--- a/agent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -1,4 +1,4 @@
-package agent_test
+package clusteragent_test
 
 import (
 	"context"
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // fleet puts up n workers that report to a, and waits until it owns them.
-func fleet(workers *fakes.Workers, a *node, n int) []*fakes.Worker {
-	var all []*fakes.Worker
+func fleet(workers *emulator.Workers, a *node, n int) []*emulator.Worker {
+	var all []*emulator.Worker
 	for i := range n {
 		all = append(all, workers.Add(fmt.Sprintf("m%d", i), "box", "a"))
 	}
@@ -32,14 +32,14 @@
 // them until their leases run out: those come to the others, which take whole
 // shards. Machine by machine that took longer than the leases of hundreds.
 func TestOwnerThatLostItsWorkersLosesTheirShards(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, a, "s", 0)
 		all := fleet(workers, a, 200)
 		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.OpenKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, Slot: "s"}}}); err != nil {
 			t.Fatal(err)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		b := start(t, ctx, "host-1", state, workers)
@@ -73,7 +73,7 @@
 // A controller that is back owns part of the fleet again after a while, but not
 // machines that it cannot reach.
 func TestMachinesAreEvenedOut(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a := start(t, ctx, "host-0", state, workers)
 		all := fleet(workers, a, 40)
 		workers.Do(func() {
@@ -101,26 +101,26 @@
 // A machine whose shard has vanished is claimed anew, also by the controller that
 // still looks after it: the jobs of a dead placer waited for such machines for ever.
 func TestMachineWithoutShardIsClaimedAnew(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a := start(t, ctx, "host-0", state, workers)
 		fleet(workers, a, 1)
 		kv, ok := a.mirror.Get(statekv.MachinePrefix + "m0")
 		if !ok {
 			t.Fatal("the machine has no key")
 		}
-		if _, err := state.Txn(ctx, nil, []statekv.Op{{Delete: statekv.ShardPrefix + agent.KeyOf(kv).Shard}}); err != nil {
+		if _, err := state.Txn(ctx, nil, []statekv.Op{{Delete: statekv.ShardPrefix + clusteragent.KeyOf(kv).Shard}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
 		kv, _ = a.mirror.Get(statekv.MachinePrefix + "m0")
-		if holder, _ := agent.Owner(a.mirror, kv); holder != a.member.Holder || !a.entries()["m0"].Settled {
+		if holder, _ := clusteragent.Owner(a.mirror, kv); holder != a.member.Holder || !a.entries()["m0"].Settled {
 			t.Fatalf("the machine's owner is %v, its entry %+v", holder, a.entries()["m0"])
 		}
 	})
 }
 
 // stingy is a state service that makes no new shards for now.
-type stingy struct{ *fakes.State }
+type stingy struct{ *emulator.State }
 
 func (s stingy) Txn(ctx context.Context, when []statekv.Cond, then []statekv.Op) (uint64, error) {
 	for _, c := range when {
@@ -135,7 +135,7 @@
 // from making shards for new machines for a second or two. The machines that it
 // took over had to wait for that: all slots settled 3 s later.
 func TestMachinesTakenOverDoNotWaitForNewShards(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a := start(t, ctx, "host-0", state, workers)
 		fleet(workers, a, 1)
 		a.stop()
--- a/agent/buried.go
+++ b/internal/clusteragent/buried.go
@@ -1,9 +1,9 @@
-package agent
+package clusteragent
 
 import (
 	"time"
 
-	"robinstack/worker"
+	"robinstack/internal/worker"
 )
 
 // The keys of machines are removed only once the cloud has deleted them, and their
--- a/agent/clear.go
+++ b/internal/clusteragent/clear.go
@@ -1,4 +1,4 @@
-package agent
+package clusteragent
 
 import (
 	"cmp"
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/job"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/internal/cloud"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/worker"
 )
 
 // claimTime is how long a cleared machine stays reserved for the job it was
--- a/agent/feed.go
+++ b/internal/clusteragent/feed.go
@@ -1,4 +1,4 @@
-package agent
+package clusteragent
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // Caller reaches the services of all controllers.
--- a/agent/fetches.go
+++ b/internal/clusteragent/fetches.go
@@ -1,12 +1,12 @@
-package agent
+package clusteragent
 
 import (
 	"log/slog"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/job"
-	"robinstack/worker"
+	"robinstack/internal/cloud"
+	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // Images that a machine fetches at the same time may share its rate, and whether they
--- a/agent/fetches_test.go
+++ b/internal/clusteragent/fetches_test.go
@@ -1,4 +1,4 @@
-package agent
+package clusteragent
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/job"
-	"robinstack/worker"
+	"robinstack/internal/cloud"
+	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // On a day on which fetches share their machine's rate, up to eight images were on their
--- a/agent/gather.go
+++ b/internal/clusteragent/gather.go
@@ -1,12 +1,12 @@
-package agent
+package clusteragent
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"robinstack/job"
-	"robinstack/worker"
+	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // Every job has to begin within a time that users were promised, the largest too. In a
--- a/agent/late_test.go
+++ b/internal/clusteragent/late_test.go
@@ -1,4 +1,4 @@
-package agent_test
+package clusteragent_test
 
 import (
 	"context"
@@ -6,15 +6,15 @@
 	"testing"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/config"
-	"robinstack/fakes"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/emulator"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
+	"robinstack/internal/statekv"
+	"robinstack/internal/worker"
 )
 
 // pair starts two controllers; the first owns machine m1, on which task wk-1/0 runs.
-func pair(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) (a, b *node, w *fakes.Worker, epoch uint64) {
+func pair(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) (a, b *node, w *emulator.Worker, epoch uint64) {
 	t.Helper()
 	with := func(host, peer string) *node {
 		s := settings()
@@ -27,7 +27,7 @@
 	a.report(workers, w)
 	time.Sleep(time.Second)
 	a.report(workers, w)
-	if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agent.Started {
+	if got := a.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
 		t.Fatalf("verdict %q", got)
 	}
 	a.report(workers, w)
@@ -35,7 +35,7 @@
 }
 
 // copyOf is the report that the worker sent last, once more.
-func copyOf(workers *fakes.Workers, w *fakes.Worker) (r worker.Report) {
+func copyOf(workers *emulator.Workers, w *emulator.Worker) (r worker.Report) {
 	workers.Do(func() {
 		r = w.Report
 		r.Tasks = append([]worker.Task(nil), w.Report.Tasks...)
@@ -48,7 +48,7 @@
 // them, and it does not count as heard. Guards against a lease counted from whatever
 // comes in.
 func TestLateCopiesRenewNothing(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a, _, w, _ := pair(t, ctx, state, workers)
 		last := copyOf(workers, w)
 		workers.Do(func() { w.Deaf = true })
@@ -72,11 +72,11 @@
 // Copies of an earlier session, and of an earlier moment of this one, prove nothing: what
 // came since stays, and what has gone does not come back.
 func TestLateCopiesProveNothing(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a, _, w, epoch := pair(t, ctx, state, workers)
 		before := copyOf(workers, w) // with the first task only
 		overtaken := workers.Next(w) // a report that the answer to a command overtakes
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		a.agent.Report(ctx, &overtaken)
@@ -104,7 +104,7 @@
 // Copies that reach another controller are no workers that cannot reach their owner: it
 // takes nothing, however many come; one whose reports do come is taken.
 func TestLateCopiesElsewhereTakeNothing(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a, b, w, _ := pair(t, ctx, state, workers)
 		rev := a.entries()["m1"].Rev
 		last := copyOf(workers, w)
@@ -130,10 +130,10 @@
 // Copies for a machine that was deleted revive nothing: no key is written for it, by
 // whichever controller they reach.
 func TestLateCopiesOfADeletedMachine(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a, b, w, _ := pair(t, ctx, state, workers)
 		last := copyOf(workers, w)
-		if err := a.service.Removed(agent.MachinesRequest{Names: []string{"m1"}}, &agent.MachinesReply{}); err != nil {
+		if err := a.service.Removed(clusteragent.MachinesRequest{Names: []string{"m1"}}, &clusteragent.MachinesReply{}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
@@ -160,7 +160,7 @@
 // next session proves it gone and not before. It is used again once commands get
 // through.
 func TestOneWayMachine(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a, _, w, epoch := pair(t, ctx, state, workers)
 		workers.Do(func() { w.Deaf = true })
 		began := time.Now()
@@ -169,11 +169,11 @@
 			a.agent.Report(ctx, &r)
 			time.Sleep(3 * time.Second)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agent.Unsettled {
+		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Unsettled {
 			t.Fatalf("verdict %q without an answer", got)
 		}
 		hear()
-		if got := a.commit(t, "m1", "s", epoch, 2, 3); got != agent.Refused {
+		if got := a.commit(t, "m1", "s", epoch, 2, 3); got != clusteragent.Refused {
 			t.Fatalf("it got another task: %q", got)
 		}
 		for time.Since(began) < 12*time.Second {
@@ -202,7 +202,7 @@
 		if a.entries()["m1"].Silent {
 			t.Fatal("it answers, and counts as silent")
 		}
-		if got := a.commit(t, "m1", "s", epoch, 2, 4); got != agent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 2, 4); got != clusteragent.Started {
 			t.Fatalf("it is not used again: %q", got)
 		}
 		workers.DeliverLate(w)
@@ -215,7 +215,7 @@
 // Reports that cannot be a machine's change nothing, and its own go on to count: numbers
 // that leap out of range would make all later ones old.
 func TestReportsThatCannotBe(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a, _, w, epoch := pair(t, ctx, state, workers)
 		for what, change := range map[string]func(*worker.Report){
 			"a huge serial":             func(r *worker.Report) { r.Seq = 1 << 63 },
@@ -236,7 +236,7 @@
 		back.Seq, back.Session, back.Tasks = 1, 0, nil
 		a.agent.Report(ctx, &back)
 		a.report(workers, w)
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agent.Started || held(workers, w) != 2 {
+		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Started || held(workers, w) != 2 {
 			t.Errorf("its own reports do not count any more: %q", got)
 		}
 	})
@@ -246,7 +246,7 @@
 // nothing, answers them for its hold time and no longer, and its successor counts that
 // in.
 func TestOwnerWithWorkersOnly(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		cut := &cutOff{State: state}
 		a := startWith(t, ctx, settings(), "host-0", cut, workers)
 		b := start(t, ctx, "host-1", state, workers)
@@ -254,7 +254,7 @@
 		w := workers.Add("m1", "box", "")
 		a.report(workers, w)
 		time.Sleep(time.Second)
-		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		cut.off.Store(true)
@@ -264,7 +264,7 @@
 		if err := state.Revoke(ctx, 1); err != nil { // its state lease is over
 			t.Fatal(err)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agent.Refused {
+		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Refused {
 			t.Fatalf("an owner that may be none any more started a task: %q", got)
 		}
 		last := time.Now()
@@ -289,7 +289,7 @@
 
 // cutOff is a state service that one controller does not reach any more.
 type cutOff struct {
-	*fakes.State
+	*emulator.State
 	off atomic.Bool
 }
 
--- a/agent/learn.go
+++ b/internal/clusteragent/learn.go
@@ -1,4 +1,4 @@
-package agent
+package clusteragent
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // wantLearning has the records read of jobs whose tasks m turned out to have.
--- a/agent/learn_test.go
+++ b/internal/clusteragent/learn_test.go
@@ -1,21 +1,21 @@
-package agent_test
+package clusteragent_test
 
 import (
 	"context"
 	"testing"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/emulator"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/worker"
 )
 
 // A record that cannot be read kept an agent from reading all others, again and again,
 // so that the tasks of every job that it had taken over stayed unknown to it. It is
 // listed and left, and its task goes on.
 func TestUnreadableRecordDoesNotKeepOthersFromBeingRead(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		good := job.Record{Slot: "s", Spec: job.Spec{ID: "wk-2", Team: "t", Shape: job.Array, Rank: "normal", Tasks: 1, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
 		for key, v := range map[string]any{job.OpenKey("wk-1"): "mangled", job.OpenKey("wk-2"): good} {
 			if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: key, Value: v}}); err != nil {
--- a/agent/machine.go
+++ b/internal/clusteragent/machine.go
@@ -1,12 +1,12 @@
-package agent
+package clusteragent
 
 import (
 	"container/list"
 	"log/slog"
 	"time"
 
-	"robinstack/job"
-	"robinstack/worker"
+	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // tokenBits is the part of a token that an owner may raise by itself; the
--- a/agent/machine_test.go
+++ b/internal/clusteragent/machine_test.go
@@ -1,4 +1,4 @@
-package agent
+package clusteragent
 
 import (
 	"testing"
--- a/agent/over.go
+++ b/internal/clusteragent/over.go
@@ -1,12 +1,12 @@
-package agent
+package clusteragent
 
 import (
 	"log/slog"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // A job that its user was told is cancelled must be on no machine cancel_s later, whatever
@@ -47,7 +47,7 @@
 	now := time.Now()
 	cancelled, unclear := map[string]bool{}, map[string]bool{}
 	for _, e := range events {
-		c, ok := ended.ChangeOf(e)
+		c, ok := tombstone.ChangeOf(e)
 		switch {
 		case !ok:
 		case c.Err != nil:
@@ -107,7 +107,7 @@
 
 // Cancels reports whether a change tells of a cancellation, or may do so.
 func Cancels(e statekv.Event) bool {
-	c, ok := ended.ChangeOf(e)
+	c, ok := tombstone.ChangeOf(e)
 	return ok && (c.Err != nil || c.Status == job.Cancelled)
 }
 
--- a/agent/owner.go
+++ b/internal/clusteragent/owner.go
@@ -1,4 +1,4 @@
-package agent
+package clusteragent
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // Ownership goes by shards: a machine's key names its shard, and the shard's key
--- a/agent/parts.go
+++ b/internal/clusteragent/parts.go
@@ -1,9 +1,9 @@
-package agent
+package clusteragent
 
 import (
 	"time"
 
-	"robinstack/job"
+	"robinstack/internal/job"
 )
 
 // Ranks say who goes first, and gangs of a higher rank have room made by stopping what
--- a/agent/parts_test.go
+++ b/internal/clusteragent/parts_test.go
@@ -1,4 +1,4 @@
-package agent_test
+package clusteragent_test
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/config"
-	"robinstack/fakes"
-	"robinstack/job"
+	"robinstack/emulator"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
 )
 
 // A class that waits with less than its part is not stopped by one that has more than
@@ -17,37 +17,37 @@
 // having arrays stopped that held a fifth of it and could not get on. It is where the
 // class does not wait, and by one that has less than its part as well.
 func TestWaitingClassWithLessThanItsPartIsNotStopped(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		set := settings()
 		set.Objectives = []config.Objective{{Kind: "wait", Class: "gangs", Within: 30 * time.Second}, {Kind: "wait", Class: "gangs", Within: 200 * time.Second}}
 		n := startWith(t, ctx, set, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
-		request := func(class, shape, rank string, gpus float64, tasks int) agent.Request {
-			r := agent.Request{Slot: "s", Epoch: epoch, Tasks: tasks, Least: 9, Spare: 5, Parts: true}
+		request := func(class, shape, rank string, gpus float64, tasks int) clusteragent.Request {
+			r := clusteragent.Request{Slot: "s", Epoch: epoch, Tasks: tasks, Least: 9, Spare: 5, Parts: true}
 			r.Spec = job.Spec{ID: "wk-9", Class: class, Team: "t", Shape: shape, Rank: rank, Tasks: tasks, Need: job.Need{CPUs: 1, GPUs: gpus, MemoryGB: 1}, CheckpointS: 10, SaveS: 6}
 			return r
 		}
-		var boxes []*fakes.Worker
+		var boxes []*emulator.Worker
 		for k := range 4 { // three machines of a gang's class, one of an array's
 			w := workers.Add(fmt.Sprintf("m%d", k), "box", "a")
 			boxes = append(boxes, w)
 			n.report(workers, w)
 			time.Sleep(time.Second)
-			req := agent.CommitRequest{Request: request("gangs", job.Gang, "high", 2, 1), Machine: w.Report.Machine, Rev: n.entries()[w.Report.Machine].Rev,
-				Refs: []agent.TaskRef{{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}}}
+			req := clusteragent.CommitRequest{Request: request("gangs", job.Gang, "high", 2, 1), Machine: w.Report.Machine, Rev: n.entries()[w.Report.Machine].Rev,
+				Refs: []clusteragent.TaskRef{{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}}}
 			if k == 3 {
 				req.Request = request("arrays", job.Array, "normal", 2, 1)
 			}
 			req.Spec.ID = fmt.Sprintf("wk-%d", k)
-			var reply agent.CommitReply
-			if err := n.service.Commit(req, &reply); err != nil || reply.Verdicts[0] != agent.Started {
+			var reply clusteragent.CommitReply
+			if err := n.service.Commit(req, &reply); err != nil || reply.Verdicts[0] != clusteragent.Started {
 				t.Fatal(reply, err)
 			}
 		}
 		clearable := func(class string) int {
 			t.Helper()
 			time.Sleep(time.Second)
-			var found agent.Sample
+			var found clusteragent.Sample
 			if err := n.service.Clearable(request(class, job.Gang, "high", 2, 1), &found); err != nil {
 				t.Fatal(err)
 			}
@@ -56,7 +56,7 @@
 		if got := clearable("gangs"); got != 1 {
 			t.Errorf("nobody of the arrays waits: %d machines can be cleared", got)
 		}
-		var found agent.Sample
+		var found clusteragent.Sample
 		if err := n.service.Sample(request("arrays", job.Array, "normal", 2, 3), &found); err != nil || len(found.Candidates) != 0 {
 			t.Fatal(found, err)
 		}
--- a/agent/register_test.go
+++ b/internal/clusteragent/register_test.go
@@ -1,4 +1,4 @@
-package agent_test
+package clusteragent_test
 
 import (
 	"context"
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // A machine whose claim took longer than its worker waits is owned, and no report of it was
@@ -18,7 +18,7 @@
 // killed with it. It gets tasks from its next answered report on. At 3,000 machines 150 to
 // 400 tasks were killed so in four minutes.
 func TestNewMachineServesFromItsFirstAnsweredReport(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -31,13 +31,13 @@
 		if _, owned := n.entries()["m1"]; !owned {
 			t.Fatal("it is not owned: this shows nothing")
 		}
-		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agent.Refused {
+		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Refused {
 			t.Errorf("before any answered report: %q", got)
 		}
 		if reply := n.report(workers, w); !reply.Owner {
 			t.Fatal("its report is not answered")
 		}
-		if got := n.commit(t, "m1", "s", epoch, 0, 2); got != agent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 0, 2); got != clusteragent.Started {
 			t.Errorf("after its report was answered: %q", got)
 		}
 	})
@@ -45,7 +45,7 @@
 
 // closing is a state service with room for changes that can wait, or not.
 type closing struct {
-	*fakes.State
+	*emulator.State
 	closed atomic.Bool
 }
 
@@ -55,7 +55,7 @@
 // room, and what is stopped is placed again on the few machines that are registered. At 3,000
 // machines and 16 controllers 7,890 tasks were stopped in 94 s, and 10 done.
 func TestNothingIsStoppedWhileMachinesWaitForRegistration(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		store := &closing{State: state}
 		n := startWith(t, ctx, settings(), "host-0", store, workers)
 		epoch := slot(t, n, "s", 0)
@@ -63,15 +63,15 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		for k := range 2 {
-			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != agent.Started {
+			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != clusteragent.Started {
 				t.Fatalf("verdict %q", got)
 			}
 		}
-		gang := agent.Request{Slot: "s", Epoch: epoch, Tasks: 1, Least: 9, Spare: 5}
+		gang := clusteragent.Request{Slot: "s", Epoch: epoch, Tasks: 1, Least: 9, Spare: 5}
 		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
 		clearable := func() int {
 			n.report(workers, w)
-			var found agent.Sample
+			var found clusteragent.Sample
 			if err := n.service.Clearable(gang, &found); err != nil {
 				t.Fatal(err)
 			}
--- a/agent/rooms.go
+++ b/internal/clusteragent/rooms.go
@@ -1,10 +1,10 @@
-package agent
+package clusteragent
 
 import (
 	"math/rand/v2"
 
-	"robinstack/cloud"
-	"robinstack/job"
+	"robinstack/internal/cloud"
+	"robinstack/internal/job"
 )
 
 // rooms keeps an agent's machines by the GPUs that are free on them. In a full
--- a/agent/rooms_test.go
+++ b/internal/clusteragent/rooms_test.go
@@ -1,4 +1,4 @@
-package agent
+package clusteragent
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
-	"robinstack/cloud"
-	"robinstack/job"
+	"robinstack/internal/cloud"
+	"robinstack/internal/job"
 )
 
 // Whatever comes to machines, goes from them or is given up, a draw sees exactly
--- a/agent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -1,4 +1,4 @@
-package agent
+package clusteragent
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/job"
+	"robinstack/internal/cloud"
+	"robinstack/internal/job"
 )
 
 // unfit says why tasks like these cannot be placed on m, or nothing. It is the
--- a/agent/service.go
+++ b/internal/clusteragent/service.go
@@ -1,4 +1,4 @@
-package agent
+package clusteragent
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"robinstack/job"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/worker"
 )
 
 // Service is what other controllers, and this one's placer and steward, call.
--- a/agent/wire.go
+++ b/internal/clusteragent/wire.go
@@ -1,9 +1,9 @@
-package agent
+package clusteragent
 
 import (
 	"time"
 
-	"robinstack/job"
+	"robinstack/internal/job"
 )
 
 // Request describes what a placer looks for.
--- a/agent/zone.go
+++ b/internal/clusteragent/zone.go
@@ -1,10 +1,10 @@
-package agent
+package clusteragent
 
 import (
 	"time"
 
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/internal/statekv"
+	"robinstack/internal/worker"
 )
 
 // A zone may be cut off from everything for a minute. The machines in it go on
--- a/agent/zone_test.go
+++ b/internal/clusteragent/zone_test.go
@@ -1,4 +1,4 @@
-package agent_test
+package clusteragent_test
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/fakes"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/statekv"
 )
 
 // The hold time at its bound: an owner that has lost the state service keeps its
@@ -17,7 +17,7 @@
 // With a margin of 4 s, and workers that reported when they pleased, 277 machines
 // were given up a second before their zone came back.
 func TestHoldTimeGoesToItsBoundAndNoFurther(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		for range 3 {
@@ -55,7 +55,7 @@
 // machine's worker is sent to a controller of its zone, and taken by whoever it
 // comes to if it is not taken there.
 func TestNewMachinesGoToOwnersInTheirZone(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a := startIn(t, ctx, "host-0", "a", state, workers)
 		b := startIn(t, ctx, "host-1", "b", state, workers)
 		time.Sleep(2 * time.Second)
@@ -84,9 +84,9 @@
 // machines that are silent or not confirmed stay where they are: with another owner
 // the wait for their leases would begin anew, and slots wait for it.
 func TestShardsStayInTheirZoneAndWithTheirDoubts(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *fakes.State, workers *fakes.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a := startIn(t, ctx, "host-0", "a", state, workers)
-		var all []*fakes.Worker
+		var all []*emulator.Worker
 		for i := range 40 {
 			w := workers.Add(fmt.Sprint("m", i), "box", "a")
 			all = append(all, w)
@@ -96,8 +96,8 @@
 		for _, w := range all {
 			go a.report(workers, w)
 		}
-		doubt := func(a *agent.Agent) {
-			a.Known = func(m string) agent.Entry { return agent.Entry{Machine: m, Settled: false} }
+		doubt := func(a *clusteragent.Agent) {
+			a.Known = func(m string) clusteragent.Entry { return clusteragent.Entry{Machine: m, Settled: false} }
 		}
 		c := startIn(t, ctx, "host-2", "a", state, workers, doubt)
 		b := startIn(t, ctx, "host-1", "b", state, workers, doubt)
@@ -113,7 +113,7 @@
 		if nb, nc := len(b.entries()), len(c.entries()); nb != 0 || nc != 40 {
 			t.Fatalf("the other zone's controller took %d machines, their own zone's %d", nb, nc)
 		}
-		if kv, _ := c.mirror.Get(statekv.MachinePrefix + "m0"); agent.KeyOf(kv) == nil {
+		if kv, _ := c.mirror.Get(statekv.MachinePrefix + "m0"); clusteragent.KeyOf(kv) == nil {
 			t.Fatal("a machine's key is gone")
 		}
 	})
--- a/controller/controller.go
+++ b/internal/controller/controller.go
@@ -13,22 +13,22 @@
 	"sync"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/budget"
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/ended"
-	"robinstack/gateway"
-	"robinstack/job"
-	"robinstack/peer"
-	"robinstack/pipeline"
-	"robinstack/placer"
-	"robinstack/policy"
-	"robinstack/rollout"
-	"robinstack/serving"
-	"robinstack/statekv"
-	"robinstack/steward"
-	"robinstack/worker"
+	"robinstack/internal/autoscaler"
+	"robinstack/internal/budget"
+	"robinstack/internal/cloud"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
+	"robinstack/internal/dag"
+	"robinstack/internal/gateway"
+	"robinstack/internal/job"
+	"robinstack/internal/peer"
+	"robinstack/internal/policy"
+	"robinstack/internal/recovery"
+	"robinstack/internal/rollout"
+	"robinstack/internal/scheduler"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
+	"robinstack/internal/worker"
 )
 
 // nodeTTL is how long the state service keeps a controller that does not renew.
@@ -56,7 +56,7 @@
 
 // Network carries calls between the controllers for one life.
 type Network interface {
-	agent.Caller
+	clusteragent.Caller
 	// Listen begins to listen to the others; serve answers them until ctx ends.
 	Listen() (serve func(ctx context.Context), err error)
 	Close()
@@ -133,7 +133,7 @@
 func (c *Controller) Live(ctx context.Context) {
 	told := ""
 	for ctx.Err() == nil {
-		err := c.live(ctx, serving.NewClock(time.Now()))
+		err := c.live(ctx, recovery.NewClock(time.Now()))
 		c.gateway.SetLife(nil)
 		pause := 300 * time.Millisecond
 		if err != nil && ctx.Err() == nil {
@@ -155,13 +155,13 @@
 }
 
 // live runs one life: from registration until the state lease is lost.
-func (c *Controller) live(parent context.Context, clock *serving.Clock) error {
+func (c *Controller) live(parent context.Context, clock *recovery.Clock) error {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	var (
-		ag *agent.Agent
-		pl *placer.Placer
-		st *steward.Steward
+		ag *clusteragent.Agent
+		pl *scheduler.Placer
+		st *autoscaler.Steward
 	)
 	mirror := statekv.NewMirror(c.store, []string{statekv.FleetPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, c.settings.WatchTime(), c.settings.WatchPause(), func(events []statekv.Event) {
 		if events == nil {
@@ -180,8 +180,8 @@
 			}
 		}
 	})
-	mirror.Parse, mirror.Marks = parseKey, agent.Cancels
-	pipes := pipeline.NewTracker(mirror, c.takes, c.gateway.Tombstone)
+	mirror.Parse, mirror.Marks = parseKey, clusteragent.Cancels
+	pipes := dag.NewTracker(mirror, c.takes, c.gateway.Tombstone)
 	mirror.First = func(events []statekv.Event) {
 		pipes.OnEvents(events)
 		if ag != nil { // what is read before there are machines is in the mirror
@@ -207,30 +207,30 @@
 		return err
 	}
 	c.gateway.SetWaiting("")
-	clock.Mark(serving.Life)
+	clock.Mark(recovery.Life)
 	slog.Info("life begun", "host", member.Host, "instance", member.Instance)
 
 	server := rpc.NewServer()
-	greeter := peer.NewService(c.settings.Host, rollout.Build, map[string]any{"Agent": (*agent.Service)(nil), "Placer": (*placer.Service)(nil), "Steward": (*steward.Service)(nil)})
+	greeter := peer.NewService(c.settings.Host, rollout.Build, map[string]any{"Agent": (*clusteragent.Service)(nil), "Placer": (*scheduler.Service)(nil), "Steward": (*autoscaler.Service)(nil)})
 	network := c.connect(server, greeter)
 	defer network.Close()
-	ag = agent.New(c.settings, c.store, mirror, member, c.workers, c.catalogue.Types)
-	pl = placer.New(c.settings, c.policy, c.store, mirror, member, network, c.catalogue.Types, pipes)
+	ag = clusteragent.New(c.settings, c.store, mirror, member, c.workers, c.catalogue.Types)
+	pl = scheduler.New(c.settings, c.policy, c.store, mirror, member, network, c.catalogue.Types, pipes)
 	pl.Clock = clock
-	st = steward.New(c.settings, c.policy, mirror, member, network, c.cloud, c.catalogue)
-	for name, service := range map[string]any{"Agent": agent.NewService(ag), "Placer": placer.NewService(pl), "Steward": steward.NewService(st), "Peer": greeter} {
+	st = autoscaler.New(c.settings, c.policy, mirror, member, network, c.cloud, c.catalogue)
+	for name, service := range map[string]any{"Agent": clusteragent.NewService(ag), "Placer": scheduler.NewService(pl), "Steward": autoscaler.NewService(st), "Peer": greeter} {
 		if err := server.RegisterName(name, service); err != nil {
 			return fmt.Errorf("registering %s: %w", name, err)
 		}
 	}
 	gate := rollout.NewGate(c.settings.Hosts(), c.policy, mirror, member, c.store, st.Epoch)
 	mover := rollout.NewMover(c.moves, mirror, member, st.Epoch, c.settings.State.TxnOps, rollout.MoveShare*c.settings.State.WriteRPS)
-	feed := agent.NewFeed(network, mirror, c.settings.Hosts(), func() uint64 { return max(pl.Epoch(), st.Epoch()) }, func(entries []agent.Entry) {
+	feed := clusteragent.NewFeed(network, mirror, c.settings.Hosts(), func() uint64 { return max(pl.Epoch(), st.Epoch()) }, func(entries []clusteragent.Entry) {
 		pl.OnEntries(entries)
 		st.OnEntries(entries)
 	})
 	ag.Known, ag.ToldUpTo = feed.Known, feed.ToldUpTo
-	sweeper := &ended.Sweeper{Store: c.store, Mirror: mirror, Member: member, Steward: st.Epoch, Ops: c.settings.State.TxnOps, Every: sweepEvery}
+	sweeper := &tombstone.Sweeper{Store: c.store, Mirror: mirror, Member: member, Steward: st.Epoch, Ops: c.settings.State.TxnOps, Every: sweepEvery}
 	serve, err := network.Listen()
 	if err != nil {
 		return err
@@ -267,10 +267,10 @@
 
 // parseKey reads what the mirror keeps and follows, once for all who look at it.
 func parseKey(key string, value json.RawMessage) any {
-	if change := ended.ParseKey(key, value); change != nil {
+	if change := tombstone.ParseKey(key, value); change != nil {
 		return change
 	}
-	return agent.ParseKey(key, value)
+	return clusteragent.ParseKey(key, value)
 }
 
 // sweepEvery is how often the steward looks for keys that jobs have left behind.
@@ -299,7 +299,7 @@
 
 // runBudget tells the steward what this session needs of the changes that the state service
 // takes, and takes what is lent.
-func (c *Controller) runBudget(ctx context.Context, member *statekv.Member, network agent.Caller, stewardHost func() string) {
+func (c *Controller) runBudget(ctx context.Context, member *statekv.Member, network clusteragent.Caller, stewardHost func() string) {
 	store, ok := c.store.(paced)
 	if !ok {
 		return
--- a/pipeline/pipeline.go
+++ b/internal/dag/pipeline.go
@@ -1,4 +1,4 @@
-// Package pipeline decides what becomes of jobs that wait for others.
+// Package dag decides what becomes of jobs that wait for others.
 //
 // Nothing is pushed from job to job. What a waiting job is follows from final records
 // alone: it is ready when every job that it names has a durable final record that says
@@ -14,14 +14,14 @@
 // anything is written of it.
 //
 // This file is pure; Tracker keeps the snapshot that it goes by up to date.
-package pipeline
+package dag
 
 import (
 	"slices"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/job"
+	"robinstack/internal/job"
+	"robinstack/internal/tombstone"
 )
 
 // Node is an open job as far as pipelines are concerned.
@@ -39,7 +39,7 @@
 	// than its id.
 	Open(id string) (*Node, bool)
 	// Ended returns the final record of a job, if it was read.
-	Ended(id string) (ended.Tombstone, bool)
+	Ended(id string) (tombstone.Tombstone, bool)
 }
 
 // State is what a waiting job has come to.
--- a/pipeline/pipeline_test.go
+++ b/internal/dag/pipeline_test.go
@@ -1,18 +1,18 @@
-package pipeline
+package dag
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/job"
+	"robinstack/internal/job"
+	"robinstack/internal/tombstone"
 )
 
 // records is a snapshot by hand.
 type records struct {
 	open  map[string]*Node
-	final map[string]ended.Tombstone
+	final map[string]tombstone.Tombstone
 }
 
 func (r *records) Open(id string) (*Node, bool) {
@@ -20,7 +20,7 @@
 	return n, ok
 }
 
-func (r *records) Ended(id string) (ended.Tombstone, bool) {
+func (r *records) Ended(id string) (tombstone.Tombstone, bool) {
 	f, ok := r.final[id]
 	return f, ok
 }
@@ -32,10 +32,10 @@
 
 func (r *records) end(id, status string, at int64) {
 	delete(r.open, id)
-	r.final[id] = ended.Tombstone{Status: status, Tasks: 1, AtMS: at}
+	r.final[id] = tombstone.Tombstone{Status: status, Tasks: 1, AtMS: at}
 }
 
-func none() *records { return &records{map[string]*Node{}, map[string]ended.Tombstone{}} }
+func none() *records { return &records{map[string]*Node{}, map[string]tombstone.Tombstone{}} }
 
 // What a waiting job is follows from the records alone.
 func TestVerdicts(t *testing.T) {
--- a/pipeline/tracker.go
+++ b/internal/dag/tracker.go
@@ -1,4 +1,4 @@
-package pipeline
+package dag
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // Keys are the mirrored keys.
@@ -27,12 +27,12 @@
 type Tracker struct {
 	keys  Keys
 	takes func(*job.Spec) time.Duration
-	known func(id string) (ended.Tombstone, bool) // final records that somebody here has read
+	known func(id string) (tombstone.Tombstone, bool) // final records that somebody here has read
 
 	mu         sync.Mutex
 	nodes      map[string]*Node
 	after      map[string]int // how many nodes name a job
-	tombstones map[string]ended.Tombstone
+	tombstones map[string]tombstone.Tombstone
 	unread     map[string]bool      // named jobs whose final records are wanted
 	bad        map[string]time.Time // since when their final records are known to be damaged
 	changes    uint64
@@ -43,7 +43,7 @@
 
 // NewTracker returns a tracker; takes tells about how long a job takes once it is ready,
 // known looks up final records that have been read anyway.
-func NewTracker(keys Keys, takes func(*job.Spec) time.Duration, known func(string) (ended.Tombstone, bool)) *Tracker {
+func NewTracker(keys Keys, takes func(*job.Spec) time.Duration, known func(string) (tombstone.Tombstone, bool)) *Tracker {
 	t := &Tracker{keys: keys, takes: takes, known: known, wake: make(chan struct{}, 1)}
 	t.reset()
 	return t
@@ -51,7 +51,7 @@
 
 func (t *Tracker) reset() {
 	if t.tombstones == nil {
-		t.tombstones = map[string]ended.Tombstone{}
+		t.tombstones = map[string]tombstone.Tombstone{}
 	}
 	t.nodes, t.after, t.unread, t.bad = map[string]*Node{}, map[string]int{}, map[string]bool{}, map[string]time.Time{}
 }
@@ -84,13 +84,13 @@
 	}
 	// A job's end and its final record come with one revision, in either order.
 	for _, e := range events {
-		if c, ok := ended.ChangeOf(e); ok && c.Err == nil && t.after[c.ID] > 0 {
+		if c, ok := tombstone.ChangeOf(e); ok && c.Err == nil && t.after[c.ID] > 0 {
 			t.settle(c.ID, c.Tombstone)
 		}
 	}
 }
 
-func (t *Tracker) settle(id string, r ended.Tombstone) {
+func (t *Tracker) settle(id string, r tombstone.Tombstone) {
 	t.tombstones[id] = r
 	delete(t.unread, id)
 	delete(t.bad, id)
@@ -160,7 +160,7 @@
 	return &Node{ID: id}, ok
 }
 
-func (s snapshot) Ended(id string) (ended.Tombstone, bool) {
+func (s snapshot) Ended(id string) (tombstone.Tombstone, bool) {
 	if r, ok := s.tombstones[id]; ok {
 		return r, true
 	}
@@ -168,7 +168,7 @@
 		s.settle(id, r)
 		return r, true
 	}
-	return ended.Tombstone{}, false
+	return tombstone.Tombstone{}, false
 }
 
 // Judge tells what an open job has come to; ok is false for one that names no others.
@@ -234,7 +234,7 @@
 
 // Run reads the final records that are wanted until ctx ends, one after the other.
 // What is read is kept for as long as anybody open names the job.
-func (t *Tracker) Run(ctx context.Context, read func(context.Context, string) (ended.Tombstone, error)) {
+func (t *Tracker) Run(ctx context.Context, read func(context.Context, string) (tombstone.Tombstone, error)) {
 	for ctx.Err() == nil {
 		t.mu.Lock()
 		id := ""
@@ -270,7 +270,7 @@
 			slog.Debug("reading the record of a job that others wait for", "job", id, "err", err)
 		default:
 			// What waits for it goes on waiting, until a person has seen to it.
-			t.keys.Unreadable(ended.Key(id), err)
+			t.keys.Unreadable(tombstone.Key(id), err)
 			t.mu.Lock()
 			if t.after[id] > 0 {
 				t.bad[id] = time.Now()
--- a/pipeline/tracker_test.go
+++ b/internal/dag/tracker_test.go
@@ -1,4 +1,4 @@
-package pipeline_test
+package dag_test
 
 import (
 	"context"
@@ -7,21 +7,21 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/pipeline"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/dag"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // world is a tracker beside a mirror of a state service.
 type world struct {
 	t     *testing.T
 	ctx   context.Context
-	state *fakes.State
+	state *emulator.State
 	keys  *statekv.Mirror
-	pipes *pipeline.Tracker
-	known map[string]ended.Tombstone
+	pipes *dag.Tracker
+	known map[string]tombstone.Tombstone
 	reads int
 }
 
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
-		tell(&world{t: t, ctx: ctx, state: fakes.NewState(), known: map[string]ended.Tombstone{}})
+		tell(&world{t: t, ctx: ctx, state: emulator.NewState(), known: map[string]tombstone.Tombstone{}})
 	})
 }
 
@@ -37,7 +37,7 @@
 func (w *world) begin() {
 	w.t.Helper()
 	w.keys = statekv.NewMirror(w.state, []string{job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
-	w.pipes = pipeline.NewTracker(w.keys, func(*job.Spec) time.Duration { return 10 * time.Second }, func(id string) (ended.Tombstone, bool) {
+	w.pipes = dag.NewTracker(w.keys, func(*job.Spec) time.Duration { return 10 * time.Second }, func(id string) (tombstone.Tombstone, bool) {
 		r, ok := w.known[id]
 		return r, ok
 	})
@@ -46,9 +46,9 @@
 		w.t.Fatal(err)
 	}
 	go w.keys.Run(w.ctx)
-	go w.pipes.Run(w.ctx, func(ctx context.Context, id string) (ended.Tombstone, error) {
+	go w.pipes.Run(w.ctx, func(ctx context.Context, id string) (tombstone.Tombstone, error) {
 		w.reads++
-		return ended.Read(ctx, w.state, nil, id)
+		return tombstone.Read(ctx, w.state, nil, id)
 	})
 }
 
@@ -74,12 +74,12 @@
 	w.write(statekv.Op{Set: job.OpenKey(id), Value: record(id, needs...)})
 }
 
-func (w *world) end(id, status string, form ended.Writing) {
+func (w *world) end(id, status string, form tombstone.Writing) {
 	w.t.Helper()
-	w.write(append(ended.Ops(id, ended.Tombstone{Status: status, Tasks: 1, AtMS: time.Now().UnixMilli()}, form), statekv.Op{Delete: job.OpenKey(id)})...)
+	w.write(append(tombstone.Ops(id, tombstone.Tombstone{Status: status, Tasks: 1, AtMS: time.Now().UnixMilli()}, form), statekv.Op{Delete: job.OpenKey(id)})...)
 }
 
-func (w *world) is(id string, state pipeline.State) pipeline.Verdict {
+func (w *world) is(id string, state dag.State) dag.Verdict {
 	w.t.Helper()
 	v, ok := w.pipes.Judge(id)
 	if !ok || v.State != state {
@@ -98,12 +98,12 @@
 		w.open("wk-1")
 		w.open("wk-2", "wk-1")
 		w.open("wk-3", "wk-2")
-		w.is("wk-3", pipeline.Waiting)
-		w.end("wk-1", job.Cancelled, ended.Compact)
-		w.is("wk-2", pipeline.Withdrawn)
-		w.is("wk-3", pipeline.Withdrawn)
-		w.end("wk-2", job.Cancelled, ended.Both)
-		if v := w.is("wk-3", pipeline.Withdrawn); v.Cause != "wk-2" {
+		w.is("wk-3", dag.Waiting)
+		w.end("wk-1", job.Cancelled, tombstone.Compact)
+		w.is("wk-2", dag.Withdrawn)
+		w.is("wk-3", dag.Withdrawn)
+		w.end("wk-2", job.Cancelled, tombstone.Both)
+		if v := w.is("wk-3", dag.Withdrawn); v.Cause != "wk-2" {
 			t.Error(v)
 		}
 		if w.reads > 0 {
@@ -117,37 +117,37 @@
 // have been cancelled.
 func TestRecordsOfLongAgoAreRead(t *testing.T) {
 	story(t, func(w *world) {
-		w.end("wk-1", job.Done, ended.Former)
-		w.end("wk-2", job.Done, ended.Compact)
+		w.end("wk-1", job.Done, tombstone.Former)
+		w.end("wk-2", job.Done, tombstone.Compact)
 		w.write(statekv.Op{Set: "robin/final/wk-3", Value: map[string]any{"status": "done", "tasks": 1}}) // production's
-		w.end("wk-4", job.Cancelled, ended.Compact)
-		w.end("wk-9", job.Done, ended.Both)
+		w.end("wk-4", job.Cancelled, tombstone.Compact)
+		w.end("wk-9", job.Done, tombstone.Both)
 		w.open("wk-5", "wk-1", "wk-2")
 		w.open("wk-6", "wk-2", "wk-3")
 		w.open("wk-7", "wk-4")
 		w.open("wk-8", "wk-7")
-		w.known["wk-9"] = ended.Tombstone{Status: job.Done, Tasks: 1, AtMS: 5}
+		w.known["wk-9"] = tombstone.Tombstone{Status: job.Done, Tasks: 1, AtMS: 5}
 		w.open("wk-10", "wk-9")
 		time.Sleep(time.Hour)
 		w.begin()
-		if v := w.is("wk-5", pipeline.Unread); len(v.Unread) != 2 {
+		if v := w.is("wk-5", dag.Unread); len(v.Unread) != 2 {
 			t.Error(v)
 		}
-		w.is("wk-6", pipeline.Unread)
-		w.is("wk-7", pipeline.Unread)
-		w.is("wk-10", pipeline.Ready)
-		if v := w.is("wk-8", pipeline.Waiting); len(v.Unread) != 1 || v.Unread[0] != "wk-4" {
+		w.is("wk-6", dag.Unread)
+		w.is("wk-7", dag.Unread)
+		w.is("wk-10", dag.Ready)
+		if v := w.is("wk-8", dag.Waiting); len(v.Unread) != 1 || v.Unread[0] != "wk-4" {
 			t.Error(v)
 		}
 		time.Sleep(time.Second)
-		if v := w.is("wk-5", pipeline.Ready); v.Since.IsZero() {
+		if v := w.is("wk-5", dag.Ready); v.Since.IsZero() {
 			t.Error("when it was ready is lost")
 		}
-		if v := w.is("wk-6", pipeline.Ready); !v.Since.IsZero() {
+		if v := w.is("wk-6", dag.Ready); !v.Since.IsZero() {
 			t.Errorf("production does not tell when: %v", v.Since)
 		}
-		w.is("wk-7", pipeline.Withdrawn)
-		w.is("wk-8", pipeline.Withdrawn)
+		w.is("wk-7", dag.Withdrawn)
+		w.is("wk-8", dag.Withdrawn)
 		if w.reads != 4 {
 			t.Errorf("%d reads of 4 records", w.reads)
 		}
@@ -158,8 +158,8 @@
 // out once it is back. A damaged record keeps what waits for it waiting, and is named.
 func TestOutageAndDamage(t *testing.T) {
 	story(t, func(w *world) {
-		w.end("wk-1", job.Done, ended.Compact)
-		w.write(statekv.Op{Set: ended.Key("wk-2"), Value: "mangled"})
+		w.end("wk-1", job.Done, tombstone.Compact)
+		w.write(statekv.Op{Set: tombstone.Key("wk-2"), Value: "mangled"})
 		w.open("wk-5", "wk-1")
 		w.open("wk-6", "wk-2")
 		w.open("wk-7", "wk-6")
@@ -168,8 +168,8 @@
 		w.begin()
 		w.state.Set(true, false)
 		for range 60 {
-			w.is("wk-5", pipeline.Unread)
-			w.is("wk-6", pipeline.Unread)
+			w.is("wk-5", dag.Unread)
+			w.is("wk-6", dag.Unread)
 			time.Sleep(time.Second)
 		}
 		w.state.Set(false, false)
@@ -178,16 +178,16 @@
 			w.pipes.Judge("wk-6")
 			time.Sleep(time.Second)
 		}
-		w.is("wk-5", pipeline.Ready)
-		w.is("wk-6", pipeline.Unread)
-		w.is("wk-9", pipeline.Waiting)
+		w.is("wk-5", dag.Ready)
+		w.is("wk-6", dag.Unread)
+		w.is("wk-9", dag.Waiting)
 		bad := w.keys.Bad()
-		if bad[ended.Key("wk-2")] == "" {
+		if bad[tombstone.Key("wk-2")] == "" {
 			t.Error(bad)
 		}
 		// Their users are told that they wait, or the jobs would count as forgotten; and it is
 		// read again seldom, until a person has written it back.
-		if v := w.is("wk-7", pipeline.Waiting); len(v.Unread) > 0 || len(v.Bad) != 1 {
+		if v := w.is("wk-7", dag.Waiting); len(v.Unread) > 0 || len(v.Bad) != 1 {
 			t.Errorf("%+v", v)
 		}
 		before := w.reads
@@ -198,8 +198,8 @@
 		if n := w.reads - before; n < 2 || n > 4 {
 			t.Errorf("read %d times in a minute", n)
 		}
-		w.write(statekv.Op{Set: ended.Key("wk-2"), Value: []any{1, "d", 1}})
-		w.is("wk-6", pipeline.Ready)
+		w.write(statekv.Op{Set: tombstone.Key("wk-2"), Value: []any{1, "d", 1}})
+		w.is("wk-6", dag.Ready)
 	})
 }
 
@@ -224,7 +224,7 @@
 		w.write(append(ops, statekv.Op{Set: job.OpenKey("wk-1"), Value: rec})...)
 		for again := range 2 {
 			v, _ := w.pipes.Judge("wk-1")
-			if v.State != pipeline.Waiting || len(v.On) != 1 || v.On[0] != names[799] || len(v.Unread) != 799 {
+			if v.State != dag.Waiting || len(v.On) != 1 || v.On[0] != names[799] || len(v.Unread) != 799 {
 				t.Fatal(again, v.State, v.On, len(v.Unread))
 			}
 			if err := w.keys.Load(w.ctx); err != nil {
--- a/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,34 +15,34 @@
 	"github.com/gofiber/fiber/v2"
 	"github.com/segmentio/encoding/json"
 
-	"robinstack/agent"
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/peer"
-	"robinstack/pipeline"
-	"robinstack/placer"
-	"robinstack/rollout"
-	"robinstack/serving"
-	"robinstack/statekv"
-	"robinstack/steward"
-	"robinstack/worker"
+	"robinstack/internal/autoscaler"
+	"robinstack/internal/cloud"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
+	"robinstack/internal/dag"
+	"robinstack/internal/job"
+	"robinstack/internal/peer"
+	"robinstack/internal/recovery"
+	"robinstack/internal/rollout"
+	"robinstack/internal/scheduler"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
+	"robinstack/internal/worker"
 )
 
 // Life is the parts of the controller that end with its state lease.
 type Life struct {
 	Member  *statekv.Member
 	Mirror  *statekv.Mirror
-	Agent   *agent.Agent
-	Placer  *placer.Placer
-	Steward *steward.Steward
-	Feed    *agent.Feed
+	Agent   *clusteragent.Agent
+	Placer  *scheduler.Placer
+	Steward *autoscaler.Steward
+	Feed    *clusteragent.Feed
 	Gate    *rollout.Gate
 	Levels  *rollout.Reader
-	Pipes   *pipeline.Tracker
-	Call    agent.Caller
-	Clock   *serving.Clock
+	Pipes   *dag.Tracker
+	Call    clusteragent.Caller
+	Clock   *recovery.Clock
 	Traffic func() peer.Traffic // with other controllers; nil: nobody counts it
 }
 
@@ -86,10 +86,10 @@
 	pauses    func() (count int, longest time.Duration)
 
 	turns      turns
-	finder     *ended.Finder
+	finder     *tombstone.Finder
 	refused    atomic.Int64 // queries refused because too many came
 	mu         sync.Mutex
-	tombstones map[string]ended.Tombstone // answers that never change any more
+	tombstones map[string]tombstone.Tombstone // answers that never change any more
 }
 
 // maxTombstones bounds the cache of final answers.
@@ -103,8 +103,8 @@
 
 // New returns a gateway that has no life to serve yet.
 func New(settings *config.Settings, store statekv.Store, catalogue *cloud.Catalogue, pauses func() (int, time.Duration)) *Gateway {
-	g := &Gateway{settings: settings, store: store, catalogue: catalogue, latencies: newLatencies(), pauses: pauses, tombstones: map[string]ended.Tombstone{},
-		finder: ended.NewFinder(store, 4*settings.State.TxnOps, statekv.LookupShare*settings.State.RPS/float64(max(1, settings.Controllers)))}
+	g := &Gateway{settings: settings, store: store, catalogue: catalogue, latencies: newLatencies(), pauses: pauses, tombstones: map[string]tombstone.Tombstone{},
+		finder: tombstone.NewFinder(store, 4*settings.State.TxnOps, statekv.LookupShare*settings.State.RPS/float64(max(1, settings.Controllers)))}
 	g.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		JSONEncoder:           json.Marshal,
@@ -220,7 +220,7 @@
 			return fail(c, fiber.StatusServiceUnavailable, "cut off from the state service")
 		}
 	}
-	l.Clock.Mark(serving.Ready)
+	l.Clock.Mark(recovery.Ready)
 	return c.JSON(fiber.Map{"status": "ready"})
 }
 
@@ -232,14 +232,14 @@
 }
 
 // Tombstone returns the record of a job that is over, if it was read here lately.
-func (g *Gateway) Tombstone(id string) (ended.Tombstone, bool) {
+func (g *Gateway) Tombstone(id string) (tombstone.Tombstone, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f, ok := g.tombstones[id]
 	return f, ok
 }
 
-func (g *Gateway) keepTombstone(id string, f ended.Tombstone) {
+func (g *Gateway) keepTombstone(id string, f tombstone.Tombstone) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for old := range g.tombstones {
@@ -251,7 +251,7 @@
 	g.tombstones[id] = f
 }
 
-func statusOf(id string, f ended.Tombstone) jobStatus {
+func statusOf(id string, f tombstone.Tombstone) jobStatus {
 	s := jobStatus{ID: id, Status: f.Status}
 	if f.Status == job.Done {
 		s.Done = f.Tasks
@@ -262,7 +262,7 @@
 // OnEnded keeps the answer for a job that is over, if an event is the writing of its
 // tombstone.
 func (g *Gateway) OnEnded(e statekv.Event) {
-	c, ok := ended.ChangeOf(e)
+	c, ok := tombstone.ChangeOf(e)
 	switch {
 	case !ok:
 	case c.Err != nil:
@@ -274,12 +274,12 @@
 
 // ReadEnded reads the record of a job that is over. Only a controller whose life goes
 // on can tell that there is none: see ended.Read.
-func (g *Gateway) ReadEnded(ctx context.Context, id string) (ended.Tombstone, error) {
+func (g *Gateway) ReadEnded(ctx context.Context, id string) (tombstone.Tombstone, error) {
 	l := g.life.Load()
 	if l == nil {
-		return ended.Tombstone{}, fmt.Errorf("%w: starting", statekv.ErrRefused)
+		return tombstone.Tombstone{}, fmt.Errorf("%w: starting", statekv.ErrRefused)
 	}
-	return ended.Read(ctx, g.store, []statekv.Cond{l.Member.Cond()}, id)
+	return tombstone.Read(ctx, g.store, []statekv.Cond{l.Member.Cond()}, id)
 }
 
 // fence is the condition of this controller's life, if it has one.
@@ -373,7 +373,7 @@
 	}
 	cctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
-	var reply placer.CountsReply
+	var reply scheduler.CountsReply
 	if err := l.Call.Call(cctx, h.Host, "Placer.Counts", id, &reply); err != nil {
 		return 0, 0
 	}
@@ -385,7 +385,7 @@
 
 // waits tells whether an open job waits for others, or which answer it has for good
 // because one before it was cancelled: nothing need be written for that to be so.
-func (g *Gateway) waits(id string, open statekv.KV) (f ended.Tombstone, waits bool, err error) {
+func (g *Gateway) waits(id string, open statekv.KV) (f tombstone.Tombstone, waits bool, err error) {
 	if !job.NeedsPipelines(open.Value) {
 		return f, false, nil
 	}
@@ -403,17 +403,17 @@
 		return f, false, nil // it cannot be read, or came a moment ago
 	}
 	switch {
-	case v.State == pipeline.Withdrawn:
+	case v.State == dag.Withdrawn:
 		rec, err := job.ParseRecord(open.Value)
 		if err != nil {
 			return f, false, err
 		}
-		return ended.Tombstone{Status: job.Cancelled, Tasks: rec.Spec.Tasks}, true, nil
+		return tombstone.Tombstone{Status: job.Cancelled, Tasks: rec.Spec.Tasks}, true, nil
 	case len(v.Unread) > 0:
 		// One of them may have been cancelled long ago.
 		return f, true, fmt.Errorf("%w: the records of jobs before it are being read", statekv.ErrRefused)
 	}
-	return f, v.State != pipeline.Ready, nil
+	return f, v.State != dag.Ready, nil
 }
 
 func (g *Gateway) submit(c *fiber.Ctx) error {
@@ -447,7 +447,7 @@
 		return later(c, "starting")
 	}
 	rec := &job.Record{Spec: *spec, Slot: slot, Submitted: time.Now().UnixMilli()}
-	when := append(ended.Absent(spec.ID), statekv.Cond{Key: job.OpenKey(spec.ID)}, statekv.Cond{Key: statekv.SlotPrefix + slot, Rev: epoch})
+	when := append(tombstone.Absent(spec.ID), statekv.Cond{Key: job.OpenKey(spec.ID)}, statekv.Cond{Key: statekv.SlotPrefix + slot, Rev: epoch})
 	var then []statekv.Op
 	if large := rec.Large(g.settings.State.ValueBytes); large || len(spec.WaitsOn) > 0 {
 		// Whoever does not know of these would start it at once, or not read it: none
@@ -472,7 +472,7 @@
 	rev, err := writeOnce(ctx, l.Member, when, append(then, statekv.Op{Set: job.OpenKey(spec.ID), Value: rec}))
 	if err == nil {
 		l.Placer.Accepted(rec, rev)
-		l.Clock.Mark(serving.Accepted)
+		l.Clock.Mark(recovery.Accepted)
 		slog.Info("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "gpus", spec.GPUs, "due_s", spec.Due().Seconds(), "slot", slot, "waits_on", len(spec.WaitsOn))
 		return c.Status(fiber.StatusCreated).JSON(jobStatus{ID: spec.ID, Status: job.Queued})
 	}
@@ -550,7 +550,7 @@
 	ctx, cancel := context.WithTimeout(c.Context(), 3500*time.Millisecond)
 	defer cancel()
 	began := time.Now()
-	answer := func(f ended.Tombstone) error {
+	answer := func(f tombstone.Tombstone) error {
 		g.keepTombstone(id, f)
 		return c.JSON(fiber.Map{"id": id, "status": f.Status})
 	}
@@ -588,9 +588,9 @@
 			l.Mirror.Unreadable(kv.Key, err)
 			break
 		}
-		f := ended.Tombstone{Status: job.Cancelled, Tasks: rec.Spec.Tasks}
+		f := tombstone.Tombstone{Status: job.Cancelled, Tasks: rec.Spec.Tasks}
 		level, unchanged := l.Levels.Now()
-		then := append([]statekv.Op{{Delete: job.OpenKey(id)}}, ended.Ops(id, f, level.Writes())...)
+		then := append([]statekv.Op{{Delete: job.OpenKey(id)}}, tombstone.Ops(id, f, level.Writes())...)
 		then = append(then, job.DropExtras(id, rec.Spec.Tasks, rec.Pieces, g.store.Most(g.settings.State.TxnOps)-len(then))...)
 		rev, err := writeOnce(ctx, l.Member, []statekv.Cond{{Key: job.OpenKey(id), Rev: kv.Rev}, unchanged}, then)
 		if err == nil {
--- a/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -5,16 +5,16 @@
 	"testing"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/ended"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/cloud"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // tight is a state service whose share for lookups is used up.
-type tight struct{ *fakes.State }
+type tight struct{ *emulator.State }
 
 func (tight) Room(kind statekv.Kind, _ int) bool { return kind != statekv.Lookups }
 
@@ -22,7 +22,7 @@
 // the time to come back, and neither they nor questions about jobs that nobody
 // submitted use up what submissions need. What is known for ever is answered.
 func TestSurplusQueriesAreRefusedEarly(t *testing.T) {
-	g := New(&config.Settings{Host: "host-0"}, tight{fakes.NewState()}, &cloud.Catalogue{}, func() (int, time.Duration) { return 0, 0 })
+	g := New(&config.Settings{Host: "host-0"}, tight{emulator.NewState()}, &cloud.Catalogue{}, func() (int, time.Duration) { return 0, 0 })
 	ask := func(id string) (status int, retryAfter string) {
 		resp, err := g.app.Test(httptest.NewRequest("GET", "/submissions/"+id, nil), -1)
 		if err != nil {
@@ -34,7 +34,7 @@
 	if code, again := ask("wk-1"); code != 503 || again == "" {
 		t.Fatalf("a question beyond the share for lookups: %d, Retry-After %q", code, again)
 	}
-	g.keepTombstone("wk-2", ended.Tombstone{Status: job.Done, Tasks: 1})
+	g.keepTombstone("wk-2", tombstone.Tombstone{Status: job.Done, Tasks: 1})
 	g.turns.busy = mostAsking
 	if code, again := ask("wk-1"); code != 503 || again == "" || g.refused.Load() != 1 {
 		t.Fatalf("a surplus question: %d, Retry-After %q, %d refused", code, again, g.refused.Load())
--- a/gateway/main_test.go
+++ b/internal/gateway/main_test.go
@@ -4,10 +4,10 @@
 	"os"
 	"testing"
 
-	"robinstack/fakes"
+	"robinstack/emulator"
 )
 
 func TestMain(m *testing.M) {
-	fakes.WarmHTTP()
+	emulator.WarmHTTP()
 	os.Exit(m.Run())
 }
--- a/gateway/once.go
+++ b/internal/gateway/once.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // again is how long a submission or cancellation waits for the state service, once it has
--- a/gateway/once_test.go
+++ b/internal/gateway/once_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // silent is a state service that answers the nth copy of a write, and no other.
--- a/gateway/pipelines.go
+++ b/internal/gateway/pipelines.go
@@ -4,9 +4,9 @@
 	"context"
 	"encoding/json"
 
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // unfit says why a submission may not name the jobs that it waits for, or "". An error
@@ -60,8 +60,8 @@
 	for len(ids) > 0 {
 		group := ids[:min(most, len(ids))]
 		ids = ids[len(group):]
-		_, never, err := ended.Split(ctx, g.store, l.Member.Cond(), group, func(id string) []statekv.Cond {
-			return append(ended.Absent(id), statekv.Cond{Key: job.OpenKey(id)})
+		_, never, err := tombstone.Split(ctx, g.store, l.Member.Cond(), group, func(id string) []statekv.Cond {
+			return append(tombstone.Absent(id), statekv.Cond{Key: job.OpenKey(id)})
 		})
 		if err != nil {
 			return "", err
--- a/gateway/pipelines_test.go
+++ b/internal/gateway/pipelines_test.go
@@ -13,18 +13,18 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/ended"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/pipeline"
-	"robinstack/placer"
-	"robinstack/policy"
-	"robinstack/rollout"
-	"robinstack/serving"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/cloud"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
+	"robinstack/internal/dag"
+	"robinstack/internal/job"
+	"robinstack/internal/policy"
+	"robinstack/internal/recovery"
+	"robinstack/internal/rollout"
+	"robinstack/internal/scheduler"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // door is a gateway with a life to serve: a placer without machines.
@@ -38,7 +38,7 @@
 
 // learning is a state service whose client learns how many changes it takes.
 type learning struct {
-	*fakes.State
+	*emulator.State
 	most   int
 	refuse atomic.Bool // every transaction
 }
@@ -76,17 +76,17 @@
 			State:   config.State{RPS: 100, WriteRPS: 50, ValueBytes: 2048, TxnOps: 8}}
 		catalogue := &cloud.Catalogue{}
 		catalogue.Set([]cloud.MachineType{{Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []string{"a"}}})
-		state := &learning{State: fakes.NewState()}
+		state := &learning{State: emulator.NewState()}
 		state.Limit(2048, 8)
 		d := &door{t: t, ctx: ctx, state: state, g: New(settings, state, catalogue, func() (int, time.Duration) { return 0, 0 })}
-		l := &Life{Call: alone{}, Clock: serving.NewClock(time.Now())}
+		l := &Life{Call: alone{}, Clock: recovery.NewClock(time.Now())}
 		l.Mirror = statekv.NewMirror(state, []string{statekv.FleetPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
 			for _, e := range events {
 				l.Placer.OnJobEvent(e)
 				d.g.OnEnded(e)
 			}
 		})
-		l.Pipes = pipeline.NewTracker(l.Mirror, func(*job.Spec) time.Duration { return time.Second }, d.g.Tombstone)
+		l.Pipes = dag.NewTracker(l.Mirror, func(*job.Spec) time.Duration { return time.Second }, d.g.Tombstone)
 		l.Mirror.First = l.Pipes.OnEvents
 		if err := l.Mirror.Load(ctx); err != nil {
 			t.Fatal(err)
@@ -96,8 +96,8 @@
 			t.Fatal(err)
 		}
 		l.Levels = rollout.NewReader(l.Mirror)
-		l.Placer = placer.New(settings, policy.Default(), state, l.Mirror, l.Member, alone{}, catalogue.Types, l.Pipes)
-		feed := agent.NewFeed(alone{}, l.Mirror, []string{"host-0"}, l.Placer.Epoch, l.Placer.OnEntries)
+		l.Placer = scheduler.New(settings, policy.Default(), state, l.Mirror, l.Member, alone{}, catalogue.Types, l.Pipes)
+		feed := clusteragent.NewFeed(alone{}, l.Mirror, []string{"host-0"}, l.Placer.Epoch, l.Placer.OnEntries)
 		l.Feed = feed
 		go l.Mirror.Run(ctx)
 		go func() { _ = l.Member.Keep(ctx) }()
@@ -211,9 +211,9 @@
 		// Another controller has accepted it a moment ago; it ended long ago, in three forms.
 		d.state.Delay(0)
 		d.put(statekv.Op{Set: job.OpenKey("wk-11"), Value: job.Record{Spec: job.Spec{ID: "wk-11", Tasks: 1}, Slot: "host-9.1"}})
-		d.put(statekv.Op{Set: ended.FormerKey("wk-12"), Value: map[string]any{"status": "done", "tasks": 1}})
-		d.put(ended.Ops("wk-13", ended.Tombstone{Status: job.Done, Tasks: 1}, ended.Compact)...)
-		d.put(ended.Ops("wk-14", ended.Tombstone{Status: job.Done, Tasks: 1}, ended.Both)...)
+		d.put(statekv.Op{Set: tombstone.FormerKey("wk-12"), Value: map[string]any{"status": "done", "tasks": 1}})
+		d.put(tombstone.Ops("wk-13", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Compact)...)
+		d.put(tombstone.Ops("wk-14", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Both)...)
 		d.submit(201, "wk-3", "wk-11", "wk-12", "wk-13", "wk-14", "wk-1", "wk-1")
 		d.put(statekv.Op{Set: job.OpenKey("wk-15"), Value: job.Record{Spec: job.Spec{ID: "wk-15", Tasks: 1, Shape: job.Service}, Slot: "host-9.1"}})
 		time.Sleep(time.Second)
@@ -229,7 +229,7 @@
 		var many []string
 		for k := range 400 {
 			many = append(many, fmt.Sprintf("wk-9%05d", k*211%100000))
-			d.put(ended.Ops(many[k], ended.Tombstone{Status: job.Done, Tasks: 1}, []ended.Writing{ended.Former, ended.Compact}[k%2])...)
+			d.put(tombstone.Ops(many[k], tombstone.Tombstone{Status: job.Done, Tasks: 1}, []tombstone.Writing{tombstone.Former, tombstone.Compact}[k%2])...)
 		}
 		d.submit(201, "wk-6", many...)
 		d.submit(200, "wk-6", many...)
@@ -291,7 +291,7 @@
 		d.submit(201, "wk-2", "wk-1")
 		// Its placer's record comes first.
 		kv, _ := d.state.Get(d.ctx, job.OpenKey("wk-1"))
-		if _, err := d.state.Txn(d.ctx, []statekv.Cond{{Key: kv.Key, Rev: kv.Rev}}, append(ended.Ops("wk-1", ended.Tombstone{Status: job.Done, Tasks: 1}, ended.Former), statekv.Op{Delete: kv.Key})); err != nil {
+		if _, err := d.state.Txn(d.ctx, []statekv.Cond{{Key: kv.Key, Rev: kv.Rev}}, append(tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Former), statekv.Op{Delete: kv.Key})); err != nil {
 			t.Fatal(err)
 		}
 		if code, answer, _ := d.ask("POST", "/submissions/wk-1/abort", ""); code != 200 || answer["status"] != job.Done {
@@ -306,7 +306,7 @@
 func TestNobodyIsToldAnOlderAnswer(t *testing.T) {
 	open(t, func(d *door) {
 		d.upgraded()
-		d.put(ended.Ops("wk-1", ended.Tombstone{Status: job.Cancelled, Tasks: 1}, ended.Former)...)
+		d.put(tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former)...)
 		for id, needs := range map[string]string{"wk-2": "wk-1", "wk-3": "wk-2"} { // another controller's
 			d.put(statekv.Op{Set: job.OpenKey(id), Value: job.Record{Spec: job.Spec{ID: id, Tasks: 1, WaitsOn: []string{needs}}, Slot: "host-9.1"}})
 		}
@@ -314,7 +314,7 @@
 		d.g.mu.Lock()
 		clear(d.g.tombstones)
 		d.g.mu.Unlock()
-		fresh := pipeline.NewTracker(d.life.Mirror, func(*job.Spec) time.Duration { return 0 }, d.g.Tombstone)
+		fresh := dag.NewTracker(d.life.Mirror, func(*job.Spec) time.Duration { return 0 }, d.g.Tombstone)
 		fresh.OnEvents(nil)
 		l := *d.life
 		l.Pipes = fresh
@@ -334,7 +334,7 @@
 func TestDamagedNeighbour(t *testing.T) {
 	open(t, func(d *door) {
 		d.upgraded()
-		d.put(statekv.Op{Set: ended.Key("wk-1"), Value: "mangled"})
+		d.put(statekv.Op{Set: tombstone.Key("wk-1"), Value: "mangled"})
 		d.put(statekv.Op{Set: job.OpenKey("wk-2"), Value: "mangled"})
 		time.Sleep(time.Second)
 		d.submit(201, "wk-3", "wk-1")
@@ -354,7 +354,7 @@
 func TestCutOffFromAllButWorkers(t *testing.T) {
 	open(t, func(d *door) {
 		d.submit(201, "wk-1")
-		d.put(ended.Ops("wk-2", ended.Tombstone{Status: job.Done, Tasks: 1}, ended.Former)...)
+		d.put(tombstone.Ops("wk-2", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Former)...)
 		time.Sleep(time.Second)
 		d.is("wk-2", job.Done)
 		if code, _, _ := d.ask("GET", "/ready", ""); code != 200 {
@@ -423,9 +423,9 @@
 		if !ok {
 			d.t.Fatal("its record is not there")
 		}
-		gone := ended.Tombstone{Status: job.Cancelled, Tasks: 1}
+		gone := tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}
 		for _, id := range []string{"wk-1", "wk-2"} {
-			d.put(append(ended.Ops(id, gone, ended.Former), statekv.Op{Delete: job.OpenKey(id)})...)
+			d.put(append(tombstone.Ops(id, gone, tombstone.Former), statekv.Op{Delete: job.OpenKey(id)})...)
 		}
 		time.Sleep(time.Second)
 		if f, waits, err := d.g.waits("wk-2", seen); !errors.Is(err, errMoved) {
--- a/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -7,7 +7,7 @@
 
 	"github.com/gofiber/fiber/v2"
 
-	"robinstack/rollout"
+	"robinstack/internal/rollout"
 )
 
 // rollout tells how the roll-out stands.
--- a/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -9,19 +9,19 @@
 	"testing"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/fakes"
-	"robinstack/policy"
-	"robinstack/rollout"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/cloud"
+	"robinstack/internal/config"
+	"robinstack/internal/policy"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
 )
 
 // A person's commands are answered at once: with the status once they are carried out,
 // with what stands in their way if they cannot be, and with the reason where this
 // controller has no life, for instance because it must not join.
 func TestRolloutCommands(t *testing.T) {
-	state := fakes.NewState()
+	state := emulator.NewState()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	mirror := statekv.NewMirror(state, []string{statekv.FleetPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
--- a/gateway/status.go
+++ b/internal/gateway/status.go
@@ -10,27 +10,27 @@
 
 	"github.com/gofiber/fiber/v2"
 
-	"robinstack/agent"
-	"robinstack/job"
-	"robinstack/peer"
-	"robinstack/placer"
-	"robinstack/rollout"
-	"robinstack/steward"
-	"robinstack/worker"
+	"robinstack/internal/autoscaler"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
+	"robinstack/internal/peer"
+	"robinstack/internal/rollout"
+	"robinstack/internal/scheduler"
+	"robinstack/internal/worker"
 )
 
 // Status is the read-only page that shows who holds what.
 type Status struct {
-	Host    string         `json:"host"`
-	Ready   bool           `json:"state_service_reached"`
-	Steward string         `json:"steward"`
-	Teams   []TeamStatus   `json:"teams"`
-	Health  []agent.Health `json:"controllers"`
-	Overdue []steward.Late `json:"boots_overdue"`
-	Latency []Latency      `json:"answer_times_here"`
-	Refused int64          `json:"queries_refused_here"`
-	Pauses  int            `json:"pauses_here"`
-	PauseS  float64        `json:"longest_pause_s"`
+	Host    string                `json:"host"`
+	Ready   bool                  `json:"state_service_reached"`
+	Steward string                `json:"steward"`
+	Teams   []TeamStatus          `json:"teams"`
+	Health  []clusteragent.Health `json:"controllers"`
+	Overdue []autoscaler.Late     `json:"boots_overdue"`
+	Latency []Latency             `json:"answer_times_here"`
+	Refused int64                 `json:"queries_refused_here"`
+	Pauses  int                   `json:"pauses_here"`
+	PauseS  float64               `json:"longest_pause_s"`
 
 	Serving map[string]float64 `json:"serving_again_here_s"` // steps since the start or the last lease lost
 
@@ -38,12 +38,12 @@
 
 	Peers peer.Traffic `json:"calls_from_here"` // to controllers
 
-	Fleet      []PoolStatus     `json:"fleet"`
-	Machines   []MachineStatus  `json:"machines,omitempty"`
-	Waiting    []placer.Waiting `json:"waiting"`
-	Placer     placer.Counters  `json:"placer_counters"`
-	Agent      agent.Counters   `json:"agent_counters"`
-	Unreadable []string         `json:"controllers_without_answer"`
+	Fleet      []PoolStatus          `json:"fleet"`
+	Machines   []MachineStatus       `json:"machines,omitempty"`
+	Waiting    []scheduler.Waiting   `json:"waiting"`
+	Placer     scheduler.Counters    `json:"placer_counters"`
+	Agent      clusteragent.Counters `json:"agent_counters"`
+	Unreadable []string              `json:"controllers_without_answer"`
 }
 
 // TeamStatus is what a team holds against what it is due.
@@ -117,7 +117,7 @@
 }
 
 // pools sums up the machines by type, zone and kind.
-func (g *Gateway) pools(entries []agent.Entry) []PoolStatus {
+func (g *Gateway) pools(entries []clusteragent.Entry) []PoolStatus {
 	types := g.catalogue.Types()
 	type key struct {
 		typeName, zone string
@@ -166,7 +166,7 @@
 }
 
 // machineList lists all machines, or one, or none.
-func machineList(entries []agent.Entry, which string) []MachineStatus {
+func machineList(entries []clusteragent.Entry, which string) []MachineStatus {
 	var out []MachineStatus
 	for _, e := range entries {
 		if which != "all" && which != e.Machine || which == "" {
@@ -188,9 +188,9 @@
 func (g *Gateway) troubles(ctx context.Context, l *Life, s *Status) {
 	cctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer cancel()
-	s.Health, s.Overdue = []agent.Health{}, []steward.Late{}
+	s.Health, s.Overdue = []clusteragent.Health{}, []autoscaler.Late{}
 	for _, h := range g.hosts() {
-		var health agent.Health
+		var health clusteragent.Health
 		if !slices.Contains(s.Unreadable, h) && l.Call.Call(cctx, h, "Agent.Health", struct{}{}, &health) == nil {
 			s.Health = append(s.Health, health)
 		}
@@ -219,10 +219,10 @@
 // waiting gathers the jobs that wait, from all placers.
 func (g *Gateway) waiting(ctx context.Context, l *Life, s *Status) map[string]int {
 	byTeam := map[string]int{}
-	s.Waiting, s.Unreadable = []placer.Waiting{}, []string{}
+	s.Waiting, s.Unreadable = []scheduler.Waiting{}, []string{}
 	for _, h := range g.hosts() {
 		cctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
-		var reply []placer.Waiting
+		var reply []scheduler.Waiting
 		if err := l.Call.Call(cctx, h, "Placer.Queue", 100, &reply); err != nil {
 			s.Unreadable = append(s.Unreadable, h)
 		}
@@ -235,7 +235,7 @@
 	return byTeam
 }
 
-func machineState(e *agent.Entry) string {
+func machineState(e *clusteragent.Entry) string {
 	switch {
 	case !e.Settled:
 		return "changing owner"
--- a/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"testing"
 
-	"robinstack/agent"
-	"robinstack/cloud"
-	"robinstack/job"
-	"robinstack/worker"
+	"robinstack/internal/cloud"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // The page of a fleet of 1,500 machines gives totals, and machines one by one
@@ -15,11 +15,11 @@
 func TestStatusSumsUpALargeFleet(t *testing.T) {
 	g := &Gateway{catalogue: &cloud.Catalogue{}}
 	g.catalogue.Set([]cloud.MachineType{{Name: "box", GPUs: 8}})
-	var entries []agent.Entry
+	var entries []clusteragent.Entry
 	for i := range 1500 {
-		e := agent.Entry{Machine: fmt.Sprintf("vm-%06d", i), Host: fmt.Sprint("host-", i%3), Type: "box", Zone: "a", Spot: i%2 == 1, Settled: true, Silent: i == 4}
+		e := clusteragent.Entry{Machine: fmt.Sprintf("vm-%06d", i), Host: fmt.Sprint("host-", i%3), Type: "box", Zone: "a", Spot: i%2 == 1, Settled: true, Silent: i == 4}
 		if i < 100 {
-			e.Tasks = []agent.TaskEntry{{TaskRef: agent.TaskRef{Job: "wk-1", Index: i}, Need: job.Need{GPUs: 3}, State: worker.Running}, {State: worker.Ended}}
+			e.Tasks = []clusteragent.TaskEntry{{TaskRef: clusteragent.TaskRef{Job: "wk-1", Index: i}, Need: job.Need{GPUs: 3}, State: worker.Running}, {State: worker.Ended}}
 		}
 		entries = append(entries, e)
 	}
--- a/job/job.go
+++ b/internal/job/job.go
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/config"
+	"robinstack/internal/cloud"
+	"robinstack/internal/config"
 )
 
 // Shapes of jobs.
--- a/job/pieces.go
+++ b/internal/job/pieces.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"io"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // A record whose spec is too large for one value, because it names many jobs or machine
--- a/job/record.go
+++ b/internal/job/record.go
@@ -7,7 +7,7 @@
 	"math/bits"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // Keys of the state service. Open jobs and ended ones (package ended) are kept
--- a/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -2,7 +2,7 @@
 
 import (
 	"maps"
-	"robinstack/netcount"
+	"robinstack/internal/netcount"
 	"sync"
 )
 
--- a/policy/policy.go
+++ b/internal/policy/policy.go
@@ -15,7 +15,7 @@
 	"github.com/expr-lang/expr/file"
 	"github.com/expr-lang/expr/vm"
 
-	"robinstack/job"
+	"robinstack/internal/job"
 )
 
 // Policy is the operators' settings, with defaults that serve any deployment.
--- a/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"robinstack/job"
+	"robinstack/internal/job"
 )
 
 func TestPolicyIsCheckedBeforeItIsUsed(t *testing.T) {
--- a/serving/serving.go
+++ b/internal/recovery/serving.go
@@ -1,7 +1,7 @@
-// Package serving measures how long a controller takes to serve again after its
+// Package recovery measures how long a controller takes to serve again after its
 // start, or after it lost its state lease: what users notice of a failure is that
 // time, and where it goes.
-package serving
+package recovery
 
 import (
 	"log/slog"
--- a/serving/serving_test.go
+++ b/internal/recovery/serving_test.go
@@ -1,4 +1,4 @@
-package serving
+package recovery
 
 import (
 	"testing"
--- a/rollout/against.go
+++ b/internal/rollout/against.go
@@ -10,10 +10,10 @@
 	"strings"
 	"text/tabwriter"
 
-	"robinstack/agent"
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // kind is a kind of stored value, by the prefix of its keys, and how this build reads
@@ -35,12 +35,12 @@
 }
 
 func parsed(key string, value json.RawMessage) error {
-	err, _ := agent.ParseKey(key, value).(error)
+	err, _ := clusteragent.ParseKey(key, value).(error)
 	return err
 }
 
 func endedJob(key string, value json.RawMessage) error {
-	_, _, _, err := ended.Parse(key, value)
+	_, _, _, err := tombstone.Parse(key, value)
 	return err
 }
 
@@ -56,8 +56,8 @@
 	{statekv.MachinePrefix, "machine", parsed},
 	{statekv.ShardPrefix, "shard", parsed},
 	{job.OpenPrefix, RecordKind, func(_ string, v json.RawMessage) error { _, err := job.ParseRecord(v); return err }},
-	{ended.FormerPrefix, "ended, former", endedJob},
-	{ended.Prefix, EndedKind, endedJob},
+	{tombstone.FormerPrefix, "ended, former", endedJob},
+	{tombstone.Prefix, EndedKind, endedJob},
 	{job.PiecePrefix, "piece", func(_ string, v json.RawMessage) error { var piece string; return json.Unmarshal(v, &piece) }},
 	{job.PartPrefix, "part", func(_ string, v json.RawMessage) error { var chunk string; return json.Unmarshal(v, &chunk) }},
 }
--- a/rollout/against_test.go
+++ b/internal/rollout/against_test.go
@@ -6,9 +6,9 @@
 	"strings"
 	"testing"
 
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 func recorded(t *testing.T) *Reading {
@@ -39,8 +39,8 @@
 	for key, c := range map[string]struct{ value, why string }{
 		job.OpenKey("wk-1"):              {`{"form":7,"spec":{}}`, "form 7"},
 		job.OpenKey("wk-2"):              {`{"spec":{"id":"wk-2"}}`, "damaged"},
-		ended.Key("wk-1"):                {`[3,"d",4]`, "form 3"},
-		ended.FormerKey("wk-1"):          {`"mangled"`, "cannot unmarshal"},
+		tombstone.Key("wk-1"):            {`[3,"d",4]`, "form 3"},
+		tombstone.FormerKey("wk-1"):      {`"mangled"`, "cannot unmarshal"},
 		statekv.MachinePrefix + "vm-1":   {`{"form":1}`, "form 1"},
 		statekv.ShardPrefix + "s":        {`[]`, "cannot unmarshal"},
 		statekv.SlotPrefix + "s":         {`{"form":1}`, "form 1"},
--- a/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // Node is a controller as the deciding one sees it.
--- a/rollout/decide_test.go
+++ b/internal/rollout/decide_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // asUpgraded are the features of a fleet that stood at the former version's highest
--- a/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"robinstack/job"
-	"robinstack/policy"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/policy"
+	"robinstack/internal/statekv"
 )
 
 // Gate takes part in the fleet's roll-out for one life of a controller: it looks at
--- a/rollout/level.go
+++ b/internal/rollout/level.go
@@ -21,9 +21,9 @@
 	"maps"
 	"slices"
 
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // Build names this version, for operators.
@@ -77,7 +77,7 @@
 var Ladder = []Step{
 	{Adds: Gated, Prompt: true, For: "controllers join and rise only under conditions"},
 	{Adds: Failures, Needs: Gated, For: "a job's failures are known to its next placer"},
-	{Adds: Ended, Needs: Failures, Forms: map[string]int{EndedKind: ended.Form}, Move: MoveCopy, Back: MoveBack, For: "ended jobs have small records, beside the former ones"},
+	{Adds: Ended, Needs: Failures, Forms: map[string]int{EndedKind: tombstone.Form}, Move: MoveCopy, Back: MoveBack, For: "ended jobs have small records, beside the former ones"},
 	{Adds: EndedOnly, Needs: Ended, Closes: true, Move: MoveDrop, For: "the former records of ended jobs go"},
 	{Adds: Pipelines, Needs: Gated, Prompt: true, For: "jobs may wait for others"},
 }
@@ -190,7 +190,7 @@
 // OurCaps is what this build knows.
 func OurCaps() Caps {
 	return Caps{Build: Build, Features: FeaturesAt(Top()), Forms: map[string][2]int{
-		RecordKind: {0, job.RecordForm}, EndedKind: {0, ended.Form}, LevelKind: {levelForm, levelForm},
+		RecordKind: {0, job.RecordForm}, EndedKind: {0, tombstone.Form}, LevelKind: {levelForm, levelForm},
 	}}
 }
 
--- a/rollout/lifecycle_test.go
+++ b/internal/rollout/lifecycle_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // The life cycle of three controllers, searched through exhaustively up to a number of
--- a/rollout/move.go
+++ b/internal/rollout/move.go
@@ -12,8 +12,8 @@
 
 	"golang.org/x/time/rate"
 
-	"robinstack/ended"
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // Moves of stored values.
@@ -145,9 +145,9 @@
 	if err != nil || level.N != at.Level {
 		return false, nil // it was made at another level
 	}
-	from := ended.FormerPrefix
+	from := tombstone.FormerPrefix
 	if at.Name == MoveBack {
-		from = ended.Prefix
+		from = tombstone.Prefix
 	}
 	after := ""
 	if at.After != "" {
@@ -159,7 +159,7 @@
 	}
 	var others map[string]uint64
 	if at.Name == MoveDrop && len(list.Items) > 0 {
-		if others, err = m.revisions(ctx, ended.Prefix, at.After, list.Items[len(list.Items)-1].Key[len(from):]); err != nil {
+		if others, err = m.revisions(ctx, tombstone.Prefix, at.After, list.Items[len(list.Items)-1].Key[len(from):]); err != nil {
 			return true, err
 		}
 	}
@@ -222,7 +222,7 @@
 	var changes []change
 	noted := *at
 	for _, kv := range items {
-		id, r, _, err := ended.Parse(kv.Key, kv.Value)
+		id, r, _, err := tombstone.Parse(kv.Key, kv.Value)
 		if err != nil {
 			noted.unreadable(kv.Key, err)
 			continue
@@ -230,17 +230,17 @@
 		c := change{when: []statekv.Cond{{Key: kv.Key, Rev: kv.Rev}}}
 		switch at.Name {
 		case MoveCopy:
-			c.when = append(c.when, statekv.Cond{Key: ended.Key(id)})
-			c.ops = ended.Ops(id, r, ended.Compact)
+			c.when = append(c.when, statekv.Cond{Key: tombstone.Key(id)})
+			c.ops = tombstone.Ops(id, r, tombstone.Compact)
 		case MoveBack:
-			c.when = append(c.when, statekv.Cond{Key: ended.FormerKey(id)})
-			c.ops = ended.Ops(id, r, ended.Former)
+			c.when = append(c.when, statekv.Cond{Key: tombstone.FormerKey(id)})
+			c.ops = tombstone.Ops(id, r, tombstone.Former)
 		case MoveDrop:
-			c.when = append(c.when, statekv.Cond{Key: ended.Key(id), Rev: others[id]})
+			c.when = append(c.when, statekv.Cond{Key: tombstone.Key(id), Rev: others[id]})
 			if others[id] == 0 {
 				// Controllers of the former version that were started all together
 				// since have nobody who refuses them, and write only this form.
-				c.ops = ended.Ops(id, r, ended.Compact)
+				c.ops = tombstone.Ops(id, r, tombstone.Compact)
 			}
 			c.ops = append(c.ops, statekv.Op{Delete: kv.Key})
 		default:
@@ -250,7 +250,7 @@
 	}
 	for {
 		next := noted
-		next.After = strings.TrimPrefix(strings.TrimPrefix(items[len(items)-1].Key, ended.FormerPrefix), ended.Prefix)
+		next.After = strings.TrimPrefix(strings.TrimPrefix(items[len(items)-1].Key, tombstone.FormerPrefix), tombstone.Prefix)
 		next.Looked += len(items)
 		next.Moved += len(changes)
 		var when []statekv.Cond
--- a/rollout/pipelines_test.go
+++ b/internal/rollout/pipelines_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"robinstack/job"
-	"robinstack/rollout"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
 )
 
 // ladder is what the version in production climbs, one by one: its levels 0 to 4.
--- a/rollout/reader.go
+++ b/internal/rollout/reader.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"sync"
 
-	"robinstack/ended"
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // Reader tells what the fleet does by the level's key, as last seen in a mirror.
@@ -73,12 +73,12 @@
 }
 
 // Writes says in which forms jobs that are over are recorded at a level.
-func (l Level) Writes() ended.Writing {
+func (l Level) Writes() tombstone.Writing {
 	switch {
 	case l.Has(EndedOnly):
-		return ended.Compact
+		return tombstone.Compact
 	case l.Has(Ended):
-		return ended.Both
+		return tombstone.Both
 	}
-	return ended.Former
+	return tombstone.Former
 }
--- a/rollout/status.go
+++ b/internal/rollout/status.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // Status is what operators see of a roll-out.
--- a/rollout/story_test.go
+++ b/internal/rollout/story_test.go
@@ -10,12 +10,12 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/policy"
-	"robinstack/rollout"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/job"
+	"robinstack/internal/policy"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 const soak = 30 * time.Second
@@ -24,7 +24,7 @@
 type fleet struct {
 	t     *testing.T
 	ctx   context.Context
-	state *fakes.State
+	state *emulator.State
 	lives map[string]*life
 	pace  float64 // changes a second of a move
 
@@ -109,7 +109,7 @@
 
 // learning is the state service as a client sees it that learns how many changes it takes.
 type learning struct {
-	*fakes.State
+	*emulator.State
 	most *atomic.Int64
 }
 
@@ -159,7 +159,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		tell(&fleet{t: t, ctx: ctx, state: fakes.NewState(), lives: map[string]*life{}, pace: 8})
+		tell(&fleet{t: t, ctx: ctx, state: emulator.NewState(), lives: map[string]*life{}, pace: 8})
 	})
 }
 
@@ -374,8 +374,8 @@
 	})
 }
 
-func recordOf(k int) ended.Tombstone {
-	return ended.Tombstone{Status: []string{job.Done, job.Cancelled}[k%7/6], Tasks: 1 + k%300}
+func recordOf(k int) tombstone.Tombstone {
+	return tombstone.Tombstone{Status: []string{job.Done, job.Cancelled}[k%7/6], Tasks: 1 + k%300}
 }
 
 // Tens of thousands of ended jobs are moved, through an outage, a change of the steward
@@ -385,16 +385,16 @@
 	const jobs = 5000
 	story(t, func(f *fleet) {
 		for k := range jobs {
-			f.write(ended.Ops(fmt.Sprintf("wk-%06d", k), recordOf(k), ended.Former)...)
+			f.write(tombstone.Ops(fmt.Sprintf("wk-%06d", k), recordOf(k), tombstone.Former)...)
 		}
-		damaged := ended.FormerKey("wk-000555")
+		damaged := tombstone.FormerKey("wk-000555")
 		f.write(statekv.Op{Set: damaged, Value: "mangled"})
 		f.startAll()
 		reads := 0
 		find := func() {
 			t.Helper()
 			for k := reads % 97; k < jobs; k += 997 {
-				if r, err := ended.Read(f.ctx, f.state, nil, fmt.Sprintf("wk-%06d", k)); k != 555 && (err != nil || r != recordOf(k)) {
+				if r, err := tombstone.Read(f.ctx, f.state, nil, fmt.Sprintf("wk-%06d", k)); k != 555 && (err != nil || r != recordOf(k)) {
 					t.Fatal(k, r, err)
 				}
 			}
@@ -416,7 +416,7 @@
 		wait("the rise", func() bool { return f.level() == 4 })
 		count := func(prefix string) int { return len(f.state.Dir(prefix)) }
 
-		wait("half of the move", func() bool { return count(ended.Prefix) > jobs/2 })
+		wait("half of the move", func() bool { return count(tombstone.Prefix) > jobs/2 })
 		f.state.Set(true, false)
 		time.Sleep(20 * time.Second)
 		f.state.Set(false, true) // answers are lost: what was sent is carried out
@@ -426,7 +426,7 @@
 			t.Fatal(err)
 		}
 		f.lower(5) // the limits, in the middle of it
-		took, rate := wait("the move", func() bool { return count(ended.Prefix) == jobs-1 })
+		took, rate := wait("the move", func() bool { return count(tombstone.Prefix) == jobs-1 })
 		if t.Logf("the second half of %d records took %v, %.1f changes a second", jobs, took, rate); rate > 9 {
 			t.Errorf("%.1f changes a second", rate)
 		}
@@ -439,7 +439,7 @@
 			t.Fatal(err)
 		}
 		wait("the rise that closes", func() bool { return f.level() == 5 })
-		wait("the end of the former records", func() bool { return count(ended.FormerPrefix) == 1 }) // the damaged one
+		wait("the end of the former records", func() bool { return count(tombstone.FormerPrefix) == 1 }) // the damaged one
 		if err := f.lives["host-2"].gate.Do(f.ctx, rollout.LowerVerb, "", ""); err != nil {
 			t.Fatal(err)
 		}
@@ -448,14 +448,14 @@
 		if err := f.lives["host-2"].gate.Do(f.ctx, rollout.LowerVerb, "", ""); err == nil || !strings.Contains(err.Error(), "being brought back") {
 			t.Errorf("the level was left while former records are missing: %v", err)
 		}
-		wait("bringing them back", func() bool { return count(ended.FormerPrefix) == jobs })
+		wait("bringing them back", func() bool { return count(tombstone.FormerPrefix) == jobs })
 		time.Sleep(5 * time.Second)
 		if err := f.lives["host-2"].gate.Do(f.ctx, rollout.LowerVerb, "", ""); err != nil {
 			t.Error(err)
 		}
 		f.is(3, "lowered once more")
 		for k := range jobs {
-			kv, err := f.state.Get(f.ctx, ended.FormerKey(fmt.Sprintf("wk-%06d", k)))
+			kv, err := f.state.Get(f.ctx, tombstone.FormerKey(fmt.Sprintf("wk-%06d", k)))
 			var was struct {
 				Status string `json:"status"`
 				Tasks  int    `json:"tasks"`
@@ -476,7 +476,7 @@
 		for _, ends := range []bool{true, false} {
 			story(t, func(f *fleet) {
 				for k := range jobs {
-					f.write(ended.Ops(fmt.Sprintf("wk-%03d", k), recordOf(k), ended.Former)...)
+					f.write(tombstone.Ops(fmt.Sprintf("wk-%03d", k), recordOf(k), tombstone.Former)...)
 				}
 				three := rollout.Level{Form: 1, N: 3, Features: rollout.FeaturesAt(3)}
 				f.write(statekv.Op{Set: statekv.LevelKey, Value: three}, statekv.Op{Set: statekv.MoveKey, Value: rollout.Move{Name: rollout.MoveCopy, Level: 3}})
@@ -498,12 +498,12 @@
 				}
 				for k := range jobs {
 					id := fmt.Sprintf("wk-%03d", k)
-					for _, key := range []string{ended.Key(id), ended.FormerKey(id)} {
+					for _, key := range []string{tombstone.Key(id), tombstone.FormerKey(id)} {
 						kv, err := f.state.Get(f.ctx, key)
 						if err != nil {
 							t.Fatal(key, err)
 						}
-						if _, r, _, err := ended.Parse(key, kv.Value); err != nil || r != recordOf(k) {
+						if _, r, _, err := tombstone.Parse(key, kv.Value); err != nil || r != recordOf(k) {
 							t.Fatal(key, r, err)
 						}
 					}
@@ -519,10 +519,10 @@
 	story(t, func(f *fleet) {
 		const bad = 40
 		for k := range bad {
-			key := ended.FormerPrefix + fmt.Sprintf("%03d", k)
+			key := tombstone.FormerPrefix + fmt.Sprintf("%03d", k)
 			f.write(statekv.Op{Set: key + strings.Repeat("x", 200-len(key)), Value: "mangled"})
 		}
-		f.write(ended.Ops("wk-1", recordOf(1), ended.Former)...)
+		f.write(tombstone.Ops("wk-1", recordOf(1), tombstone.Former)...)
 		f.write(statekv.Op{Set: statekv.LevelKey, Value: rollout.Level{Form: 1, N: 3, Features: rollout.FeaturesAt(3)}}, statekv.Op{Set: statekv.MoveKey, Value: rollout.Move{Name: rollout.MoveCopy, Level: 3}})
 		if err := f.start("host-0", true); err != nil {
 			t.Fatal(err)
@@ -533,7 +533,7 @@
 		if err != nil || json.Unmarshal(kv.Value, &m) != nil || !m.Done || m.Bad != bad || len(kv.Value) > 4096 {
 			t.Errorf("%d bytes: %s %v", len(kv.Value), kv.Value, err)
 		}
-		if _, err := f.state.Get(f.ctx, ended.Key("wk-1")); err != nil {
+		if _, err := f.state.Get(f.ctx, tombstone.Key("wk-1")); err != nil {
 			t.Error(err)
 		}
 	})
--- a/placer/begin_test.go
+++ b/internal/scheduler/begin_test.go
@@ -1,13 +1,13 @@
-package placer_test
+package scheduler_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/worker"
+	"robinstack/emulator"
+	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // busy is a fleet of boxes that are never without work: jobs of one small task each come
@@ -32,7 +32,7 @@
 		}
 		b.run(3 * time.Second)
 		type on struct {
-			box *fakes.Worker
+			box *emulator.Worker
 			id  string
 		}
 		var over []on
--- a/placer/choose.go
+++ b/internal/scheduler/choose.go
@@ -1,19 +1,19 @@
-package placer
+package scheduler
 
 import (
 	"cmp"
 	"math/rand/v2"
 	"slices"
 
-	"robinstack/agent"
-	"robinstack/job"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
 )
 
 // The decision phase: pure functions over the sampled candidates.
 
 // rank orders candidates by summed score, best first.
-func rank(candidates []agent.Candidate) {
-	slices.SortStableFunc(candidates, func(a, b agent.Candidate) int {
+func rank(candidates []clusteragent.Candidate) {
+	slices.SortStableFunc(candidates, func(a, b clusteragent.Candidate) int {
 		return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Machine, b.Machine))
 	})
 }
@@ -21,12 +21,12 @@
 // plan gives each of n tasks its own list of at most m candidates, best first.
 // The first of each list is chosen so that all tasks fit together, as far as
 // the samples go; the others are what MultiBind falls back to.
-func plan(candidates []agent.Candidate, n, m int) [][]agent.Candidate {
+func plan(candidates []clusteragent.Candidate, n, m int) [][]clusteragent.Candidate {
 	left := make([]int, len(candidates))
 	for i, c := range candidates {
 		left[i] = c.Fits
 	}
-	var lists [][]agent.Candidate
+	var lists [][]clusteragent.Candidate
 	first := 0
 	for len(lists) < n {
 		for first < len(candidates) && left[first] == 0 {
@@ -36,7 +36,7 @@
 			break
 		}
 		left[first]--
-		list := []agent.Candidate{candidates[first]}
+		list := []clusteragent.Candidate{candidates[first]}
 		for k := 1; k < len(candidates) && len(list) < m; k++ {
 			list = append(list, candidates[(first+k)%len(candidates)])
 		}
@@ -46,7 +46,7 @@
 }
 
 // gangZone picks the zone in which a one-zone gang fits best, or "".
-func gangZone(candidates []agent.Candidate, n int) string {
+func gangZone(candidates []clusteragent.Candidate, n int) string {
 	fits, scores := map[string]int{}, map[string]float64{}
 	for _, c := range candidates {
 		if fits[c.Zone] < n {
@@ -65,7 +65,7 @@
 
 // chooseCleared picks the machines to clear so that, with the room found
 // already, a gang of n fits: in the zone where that loses least.
-func chooseCleared(oneZone bool, found, options []agent.Candidate, n int) []agent.Candidate {
+func chooseCleared(oneZone bool, found, options []clusteragent.Candidate, n int) []clusteragent.Candidate {
 	zones := map[string]bool{"": true}
 	if oneZone {
 		clear(zones)
@@ -73,7 +73,7 @@
 			zones[c.Zone] = true
 		}
 	}
-	var best []agent.Candidate
+	var best []clusteragent.Candidate
 	bestCost := 0.0
 	for z := range zones {
 		have := map[string]bool{}
@@ -84,7 +84,7 @@
 				have[c.Machine] = true
 			}
 		}
-		var chosen []agent.Candidate
+		var chosen []clusteragent.Candidate
 		cost := 0.0
 		for _, c := range options {
 			if len(chosen) < left && (z == "" || c.Zone == z) && !have[c.Machine] {
@@ -100,14 +100,14 @@
 }
 
 // inZone keeps the candidates of one zone.
-func inZone(candidates []agent.Candidate, zone string) []agent.Candidate {
-	return slices.DeleteFunc(slices.Clone(candidates), func(c agent.Candidate) bool { return c.Zone != zone })
+func inZone(candidates []clusteragent.Candidate, zone string) []clusteragent.Candidate {
+	return slices.DeleteFunc(slices.Clone(candidates), func(c clusteragent.Candidate) bool { return c.Zone != zone })
 }
 
 // withImage keeps the candidates that have the image; for tasks of arrays also
 // those on which another task fetches it.
-func withImage(candidates []agent.Candidate, shape string) []agent.Candidate {
-	return slices.DeleteFunc(slices.Clone(candidates), func(c agent.Candidate) bool {
+func withImage(candidates []clusteragent.Candidate, shape string) []clusteragent.Candidate {
+	return slices.DeleteFunc(slices.Clone(candidates), func(c clusteragent.Candidate) bool {
 		return c.Image == 0 || c.Image < 1 && shape == job.Gang
 	})
 }
--- a/placer/drawn_test.go
+++ b/internal/scheduler/drawn_test.go
@@ -1,4 +1,4 @@
-package placer_test
+package scheduler_test
 
 import (
 	"errors"
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
+	"robinstack/internal/worker"
 )
 
 // checker holds what is on the machines and in the records against the rules.
@@ -89,8 +89,8 @@
 }
 
 func (c *checker) stored(id string) string {
-	for _, kv := range append(c.state.Dir(ended.FormerKey(id)), c.state.Dir(ended.Key(id))...) {
-		if of, r, ok, err := ended.Parse(kv.Key, kv.Value); ok && err == nil && of == id {
+	for _, kv := range append(c.state.Dir(tombstone.FormerKey(id)), c.state.Dir(tombstone.Key(id))...) {
+		if of, r, ok, err := tombstone.Parse(kv.Key, kv.Value); ok && err == nil && of == id {
 			return r.Status
 		}
 	}
@@ -235,7 +235,7 @@
 func (w *world) offer(n *node, s job.Spec) bool {
 	slot, epoch, _ := n.placer.Home()
 	rec := &job.Record{Spec: s, Slot: slot, Submitted: time.Now().UnixMilli()}
-	when := append(ended.Absent(s.ID), statekv.Cond{Key: job.OpenKey(s.ID)}, statekv.Cond{Key: statekv.SlotPrefix + slot, Rev: epoch})
+	when := append(tombstone.Absent(s.ID), statekv.Cond{Key: job.OpenKey(s.ID)}, statekv.Cond{Key: statekv.SlotPrefix + slot, Rev: epoch})
 	rev, err := n.member.Write(w.ctx, when, []statekv.Op{{Set: job.OpenKey(s.ID), Value: rec}})
 	if err == nil {
 		n.placer.Accepted(rec, rev)
@@ -250,7 +250,7 @@
 	if err != nil {
 		return false
 	}
-	_, err = w.state.Txn(w.ctx, []statekv.Cond{{Key: kv.Key, Rev: kv.Rev}}, append(ended.Ops(id, ended.Tombstone{Status: job.Cancelled, Tasks: 1}, ended.Former), statekv.Op{Delete: kv.Key}))
+	_, err = w.state.Txn(w.ctx, []statekv.Cond{{Key: kv.Key, Rev: kv.Rev}}, append(tombstone.Ops(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former), statekv.Op{Delete: kv.Key}))
 	return err == nil || errors.Is(err, statekv.ErrUnknown)
 }
 
@@ -280,7 +280,7 @@
 			for id, s := range c.jobs {
 				for _, p := range s.WaitsOn {
 					if c.openStill(p) && !c.began[id] && c.cancelled[p].IsZero() {
-						c.put(ended.Ops(p, ended.Tombstone{Status: job.Done, Tasks: 1}, ended.Former)...)
+						c.put(tombstone.Ops(p, tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Former)...)
 						c.workers.Do(func() {
 							c.boxes[0].Report.Tasks = append(c.boxes[0].Report.Tasks, worker.Task{ID: id + "/0", Attempt: 1 << 50, State: worker.Running})
 						})
@@ -314,7 +314,7 @@
 		},
 		"went_back": func(c *checker) bool {
 			if id := c.unharmed(); id != "" {
-				c.put(append(lose(id), ended.Ops(id, ended.Tombstone{Status: job.Cancelled, Tasks: 1}, ended.Former)...)...)
+				c.put(append(lose(id), tombstone.Ops(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former)...)...)
 				return true
 			}
 			return false
--- a/placer/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -1,4 +1,4 @@
-package placer_test
+package scheduler_test
 
 import (
 	"encoding/json"
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/rollout"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/internal/job"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
+	"robinstack/internal/worker"
 )
 
 // at puts the fleet on a level.
@@ -83,7 +83,7 @@
 		if w.final("wk-1") != job.Done {
 			t.Fatal("not recorded")
 		}
-		for _, key := range []string{ended.FormerKey("wk-1"), ended.Key("wk-1")} {
+		for _, key := range []string{tombstone.FormerKey("wk-1"), tombstone.Key("wk-1")} {
 			if _, err := w.state.Get(w.ctx, key); err != nil {
 				t.Errorf("%s: %v", key, err)
 			}
@@ -93,7 +93,7 @@
 		w.run(4 * time.Second)
 		w.endAll(worker.Done)
 		w.run(5 * time.Second)
-		if _, err := w.state.Get(w.ctx, ended.FormerKey("wk-2")); w.final("wk-2") != job.Done || err == nil {
+		if _, err := w.state.Get(w.ctx, tombstone.FormerKey("wk-2")); w.final("wk-2") != job.Done || err == nil {
 			t.Error("the former form is written still")
 		}
 	})
--- a/placer/flush.go
+++ b/internal/scheduler/flush.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"context"
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/rollout"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // foldEvery is how long finished tasks of an unfinished job may wait to be
@@ -79,12 +79,12 @@
 	over := len(j.ended)
 	pieces := j.rest.Pieces
 	if final {
-		r := ended.Tombstone{Status: j.over, Tasks: len(j.tasks)}
+		r := tombstone.Tombstone{Status: j.over, Tasks: len(j.tasks)}
 		if j.over == job.Done {
 			r.AtMS = j.overAt.UnixMilli()
 		}
 		then = append(then, statekv.Op{Delete: job.OpenKey(id)})
-		then = append(then, ended.Ops(id, r, level.Writes())...)
+		then = append(then, tombstone.Ops(id, r, level.Writes())...)
 		then = append(then, job.DropExtras(id, len(j.tasks), pieces, p.store.Most(p.settings.State.TxnOps)-len(then))...)
 	} else {
 		rec := p.record(j, level.Has(rollout.Failures))
@@ -197,7 +197,7 @@
 	if !errors.Is(err, statekv.ErrNotFound) {
 		return "", 0, err
 	}
-	r, err := ended.Read(ctx, p.store, []statekv.Cond{p.member.Cond()}, id)
+	r, err := tombstone.Read(ctx, p.store, []statekv.Cond{p.member.Cond()}, id)
 	if err != nil {
 		return "", 0, err
 	}
--- a/placer/form0_test.go
+++ b/internal/scheduler/form0_test.go
@@ -1,4 +1,4 @@
-package placer_test
+package scheduler_test
 
 import (
 	"encoding/json"
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/rollout"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/internal/job"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
+	"robinstack/internal/worker"
 )
 
 // All controllers of the version before there were levels end at once, and this one is
@@ -39,7 +39,7 @@
 			if id, ok := strings.CutPrefix(kv.Key, job.OpenPrefix); ok {
 				open = append(open, id)
 			}
-			if id, r, ok, _ := ended.Parse(kv.Key, kv.Value); ok {
+			if id, r, ok, _ := tombstone.Parse(kv.Key, kv.Value); ok {
 				before[id] = r.Status
 			}
 		}
@@ -54,7 +54,7 @@
 			}
 		}
 		for _, id := range open {
-			kv, err := w.state.Get(w.ctx, ended.FormerKey(id))
+			kv, err := w.state.Get(w.ctx, tombstone.FormerKey(id))
 			if err != nil || w.final(id) != job.Done {
 				t.Errorf("%s: %s %v", id, kv.Value, err)
 			}
--- a/placer/patience.go
+++ b/internal/scheduler/patience.go
@@ -1,9 +1,9 @@
-package placer
+package scheduler
 
 import (
 	"time"
 
-	"robinstack/job"
+	"robinstack/internal/job"
 )
 
 // Where the fleet is full, tasks end all over it many times a second, and the room
--- a/placer/patience_test.go
+++ b/internal/scheduler/patience_test.go
@@ -1,12 +1,12 @@
-package placer_test
+package scheduler_test
 
 import (
 	"testing"
 	"time"
 
-	"robinstack/config"
-	"robinstack/job"
-	"robinstack/worker"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // withImageOn has m1 run a job with image "x" to its end, and fills it with
--- a/placer/pipelines_test.go
+++ b/internal/scheduler/pipelines_test.go
@@ -1,15 +1,15 @@
-package placer_test
+package scheduler_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/job"
-	"robinstack/rollout"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/internal/job"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
+	"robinstack/internal/worker"
 )
 
 // after is a job of one small task that waits for others.
@@ -38,7 +38,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if _, err := w.state.Txn(w.ctx, []statekv.Cond{{Key: job.OpenKey(id), Rev: kv.Rev}}, append(ended.Ops(id, ended.Tombstone{Status: job.Cancelled, Tasks: 1}, ended.Former), statekv.Op{Delete: job.OpenKey(id)})); err != nil {
+	if _, err := w.state.Txn(w.ctx, []statekv.Cond{{Key: job.OpenKey(id), Rev: kv.Rev}}, append(tombstone.Ops(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former), statekv.Op{Delete: job.OpenKey(id)})); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -195,7 +195,7 @@
 // starts at once; one that names a cancelled one is withdrawn at once.
 func TestNamesOfLongAgo(t *testing.T) {
 	story(t, func(w *world) {
-		w.put(ended.Ops("wk-1", ended.Tombstone{Status: job.Done, Tasks: 3}, ended.Compact)...)
+		w.put(tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 3}, tombstone.Compact)...)
 		w.put(statekv.Op{Set: "robin/final/wk-2", Value: map[string]any{"status": "done", "tasks": 2}})
 		w.put(statekv.Op{Set: "robin/ended/wk-3", Value: []any{1, "w", 2}})
 		time.Sleep(1000 * time.Hour)
--- a/placer/placer.go
+++ b/internal/scheduler/placer.go
@@ -1,7 +1,7 @@
-// Package placer looks after the jobs of the slots that this controller
+// Package scheduler looks after the jobs of the slots that this controller
 // holds: it finds places for their tasks by sampling and MultiBind, follows
 // the attempts and records what has finished.
-package placer
+package scheduler
 
 import (
 	"context"
@@ -13,16 +13,16 @@
 	"sync"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/job"
-	"robinstack/pipeline"
-	"robinstack/policy"
-	"robinstack/rollout"
-	"robinstack/serving"
-	"robinstack/statekv"
-	"robinstack/steward"
+	"robinstack/internal/autoscaler"
+	"robinstack/internal/cloud"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
+	"robinstack/internal/dag"
+	"robinstack/internal/job"
+	"robinstack/internal/policy"
+	"robinstack/internal/recovery"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
 )
 
 type status uint8
@@ -58,11 +58,11 @@
 	submitted time.Time
 	from      time.Time // when it could start: its submission, or the end of the last job that it needs
 	waits     bool      // for other jobs: nothing is done for it
-	verdict   pipeline.Verdict
-	urgency   pipeline.Urgency // from those that need it
-	as        *job.Spec        // spec with the rank and deadline that it is treated as having
-	limits    []time.Duration  // what the queue's order goes by
-	aims      []time.Duration  // and the users' aims for when its tasks should have started
+	verdict   dag.Verdict
+	urgency   dag.Urgency     // from those that need it
+	as        *job.Spec       // spec with the rank and deadline that it is treated as having
+	limits    []time.Duration // what the queue's order goes by
+	aims      []time.Duration // and the users' aims for when its tasks should have started
 	tasks     []taskState
 	done      job.Set
 	doneCount int
@@ -75,7 +75,7 @@
 	rest      *job.Record // as it was read: what a later version wrote in it is kept
 	dirty     map[int]bool
 	dirtyAt   time.Time
-	ended     []agent.StopItem // finished tasks to be forgotten once recorded
+	ended     []clusteragent.StopItem // finished tasks to be forgotten once recorded
 	flushing  bool
 	busy      bool
 	nextTry   time.Time
@@ -120,26 +120,26 @@
 	store    statekv.Store
 	mirror   *statekv.Mirror
 	member   *statekv.Member
-	call     agent.Caller
+	call     clusteragent.Caller
 	types    func() map[string]cloud.MachineType
 	levels   *rollout.Reader
-	pipes    *pipeline.Tracker
-	feed     *agent.Feed
+	pipes    *dag.Tracker
+	feed     *clusteragent.Feed
 	ctx      context.Context
 
 	// Clock takes notes of the first start and of settled slots. Set it before Run.
-	Clock *serving.Clock
+	Clock *recovery.Clock
 
 	mu       sync.Mutex
 	jobs     map[string]*jobState
 	slots    map[string]*slotState
 	home     string // slot that takes new jobs
-	on       map[string]map[agent.TaskRef]bool
-	stops    map[agent.TaskRef]bool // tasks that are being stopped
-	others   map[string]bool        // open jobs that other slots look after
-	forgets  []agent.StopItem
-	verdicts []agent.Verdict // on machines, to be told to their owners
-	releases []agent.TaskRef
+	on       map[string]map[clusteragent.TaskRef]bool
+	stops    map[clusteragent.TaskRef]bool // tasks that are being stopped
+	others   map[string]bool               // open jobs that other slots look after
+	forgets  []clusteragent.StopItem
+	verdicts []clusteragent.Verdict // on machines, to be told to their owners
+	releases []clusteragent.TaskRef
 	shapes   map[shapeKey]*shape
 	gone     map[string]deleted // records deleted lately, which a slower read may still show
 	workers  int
@@ -160,10 +160,10 @@
 }
 
 // New returns a placer without slots.
-func New(settings *config.Settings, pol *policy.Policy, store statekv.Store, mirror *statekv.Mirror, member *statekv.Member, call agent.Caller, types func() map[string]cloud.MachineType, pipes *pipeline.Tracker) *Placer {
+func New(settings *config.Settings, pol *policy.Policy, store statekv.Store, mirror *statekv.Mirror, member *statekv.Member, call clusteragent.Caller, types func() map[string]cloud.MachineType, pipes *dag.Tracker) *Placer {
 	return &Placer{settings: settings, policy: pol, store: store, mirror: mirror, member: member, call: call, types: types, levels: rollout.NewReader(mirror), pipes: pipes,
-		jobs: map[string]*jobState{}, slots: map[string]*slotState{}, on: map[string]map[agent.TaskRef]bool{},
-		stops: map[agent.TaskRef]bool{}, others: map[string]bool{},
+		jobs: map[string]*jobState{}, slots: map[string]*slotState{}, on: map[string]map[clusteragent.TaskRef]bool{},
+		stops: map[clusteragent.TaskRef]bool{}, others: map[string]bool{},
 		shapes: map[shapeKey]*shape{}, gone: map[string]deleted{}, kick: make(chan struct{}, 1)}
 }
 
@@ -179,7 +179,7 @@
 }
 
 // Run places jobs until ctx ends.
-func (p *Placer) Run(ctx context.Context, feed *agent.Feed) {
+func (p *Placer) Run(ctx context.Context, feed *clusteragent.Feed) {
 	p.mu.Lock()
 	p.ctx, p.feed = ctx, feed
 	p.mu.Unlock()
@@ -402,13 +402,13 @@
 	if !ok {
 		return
 	}
-	req := steward.DemandRequest{Host: p.member.Host}
+	req := autoscaler.DemandRequest{Host: p.member.Host}
 	p.mu.Lock()
 	for _, j := range p.jobs {
 		if j.over != "" || j.waits {
 			continue // nothing is rented or kept for what cannot start
 		}
-		d := steward.Demand{Spec: *j.as, AgeS: time.Since(j.from).Seconds()}
+		d := autoscaler.Demand{Spec: *j.as, AgeS: time.Since(j.from).Seconds()}
 		for i := range j.tasks {
 			switch {
 			case j.done.Has(i):
@@ -443,12 +443,12 @@
 	return h.Host, true
 }
 
-func (p *Placer) permits(ctx context.Context, req steward.PermitRequest) (*steward.PermitReply, error) {
+func (p *Placer) permits(ctx context.Context, req autoscaler.PermitRequest) (*autoscaler.PermitReply, error) {
 	host, ok := p.stewardHost()
 	if !ok {
 		return nil, errors.New("no steward")
 	}
-	var reply steward.PermitReply
+	var reply autoscaler.PermitReply
 	if err := p.call.Call(ctx, host, "Steward.Permit", req, &reply); err != nil {
 		return nil, err
 	}
--- a/placer/service.go
+++ b/internal/scheduler/service.go
@@ -1,11 +1,11 @@
-package placer
+package scheduler
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"robinstack/job"
+	"robinstack/internal/job"
 )
 
 // Service is what other controllers ask a placer.
--- a/placer/slots.go
+++ b/internal/scheduler/slots.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/job"
-	"robinstack/serving"
-	"robinstack/statekv"
-	"robinstack/steward"
+	"robinstack/internal/autoscaler"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
+	"robinstack/internal/recovery"
+	"robinstack/internal/statekv"
 )
 
 // slotState is a slot that this controller holds. One that was another's has jobs
@@ -170,7 +170,7 @@
 	for _, kv := range p.mirror.Dir(statekv.MachinePrefix) {
 		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
 		var k kind
-		if key := agent.KeyOf(kv); key != nil {
+		if key := clusteragent.KeyOf(kv); key != nil {
 			k = kind{key.Type, key.Zone, key.Spot}
 		}
 		for _, s := range slots {
@@ -249,7 +249,7 @@
 		kv, ok := p.mirror.Get(statekv.MachinePrefix + name)
 		if !ok {
 			// Its key is removed only when its tasks are proven gone.
-			upTo[name] = agent.Gone
+			upTo[name] = clusteragent.Gone
 			continue
 		}
 		upTo[name], why[name] = p.feed.ConfirmedUpTo(kv)
@@ -291,7 +291,7 @@
 		slog.Info("slot settled", "slot", id, "after", now.Sub(s.takenAt).Round(time.Millisecond))
 		p.tellSettled(ctx, id, s.epoch)
 	}
-	p.Clock.Mark(serving.Settled)
+	p.Clock.Mark(recovery.Settled)
 	p.wake()
 }
 
@@ -300,7 +300,7 @@
 func (p *Placer) tellSettled(ctx context.Context, id string, epoch uint64) {
 	cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	if _, err := p.permits(cctx, steward.PermitRequest{Slot: id, Epoch: epoch, Settled: true}); err != nil {
+	if _, err := p.permits(cctx, autoscaler.PermitRequest{Slot: id, Epoch: epoch, Settled: true}); err != nil {
 		slog.Debug("telling the steward of a settled slot", "err", err)
 	}
 }
--- a/placer/slots_test.go
+++ b/internal/scheduler/slots_test.go
@@ -1,4 +1,4 @@
-package placer_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
-	"robinstack/worker"
+	"robinstack/emulator"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/worker"
 )
 
 // startsOf counts how many starts of a job's tasks were carried out.
@@ -25,7 +25,7 @@
 
 // crashWithSilent has host-0 place a job of zone a and one of any zone, makes the
 // machine of zone b silent and crashes host-0.
-func crashWithSilent(w *world) (survivor *node, silent *fakes.Worker) {
+func crashWithSilent(w *world) (survivor *node, silent *emulator.Worker) {
 	a := w.start("host-0")
 	w.run(3 * time.Second)
 	survivor = w.start("host-1")
@@ -197,7 +197,7 @@
 	})
 }
 
-func entriesOf(w *world) (all []agent.Entry) {
+func entriesOf(w *world) (all []clusteragent.Entry) {
 	for _, host := range []string{"host-0", "host-1"} {
 		if n := w.node(host); n != nil {
 			_, entries := n.agent.Snapshot()
--- a/placer/story_test.go
+++ b/internal/scheduler/story_test.go
@@ -1,4 +1,4 @@
-package placer_test
+package scheduler_test
 
 import (
 	"context"
@@ -9,18 +9,18 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/ended"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/pipeline"
-	"robinstack/placer"
-	"robinstack/policy"
-	"robinstack/statekv"
-	"robinstack/steward"
-	"robinstack/worker"
+	"robinstack/emulator"
+	"robinstack/internal/autoscaler"
+	"robinstack/internal/cloud"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
+	"robinstack/internal/dag"
+	"robinstack/internal/job"
+	"robinstack/internal/policy"
+	"robinstack/internal/scheduler"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
+	"robinstack/internal/worker"
 )
 
 // world is a service of two controllers without a network: calls go straight
@@ -28,12 +28,12 @@
 type world struct {
 	t       *testing.T
 	ctx     context.Context
-	state   *fakes.State
-	workers *fakes.Workers
+	state   *emulator.State
+	workers *emulator.Workers
 	mu      sync.Mutex
 	nodes   map[string]*node
-	boxes   []*fakes.Worker
-	homes   map[*fakes.Worker]string // the node that each reports to
+	boxes   []*emulator.Worker
+	homes   map[*emulator.Worker]string // the node that each reports to
 
 	objectives []config.Objective
 	full       int    // tasks that the limit of team full leaves room for
@@ -43,9 +43,9 @@
 
 type node struct {
 	host   string
-	agent  *agent.Agent
-	svc    *agent.Service
-	placer *placer.Placer
+	agent  *clusteragent.Agent
+	svc    *clusteragent.Service
+	placer *scheduler.Placer
 	member *statekv.Member
 	mirror *statekv.Mirror
 	stop   context.CancelFunc
@@ -81,14 +81,14 @@
 	}
 	switch method {
 	case "Agent.Sample":
-		return n.svc.Sample(args.(agent.Request), reply.(*agent.Sample))
+		return n.svc.Sample(args.(clusteragent.Request), reply.(*clusteragent.Sample))
 	case "Agent.Clearable":
-		return n.svc.Clearable(args.(agent.Request), reply.(*agent.Sample))
+		return n.svc.Clearable(args.(clusteragent.Request), reply.(*clusteragent.Sample))
 	case "Agent.Clear":
-		return n.svc.Clear(args.(agent.CommitRequest), reply.(*agent.CommitReply))
+		return n.svc.Clear(args.(clusteragent.CommitRequest), reply.(*clusteragent.CommitReply))
 	case "Steward.Permit":
 		// A steward with one limit: team full may have so many tasks on machines.
-		r, out := args.(steward.PermitRequest), reply.(*steward.PermitReply)
+		r, out := args.(autoscaler.PermitRequest), reply.(*autoscaler.PermitReply)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, want := range r.Wants {
@@ -102,22 +102,22 @@
 		out.Epoch = kv.Rev
 		return nil
 	case "Agent.Gatherable":
-		return n.svc.Gatherable(args.(agent.Request), reply.(*agent.Sample))
+		return n.svc.Gatherable(args.(clusteragent.Request), reply.(*clusteragent.Sample))
 	case "Agent.Gather":
-		return n.svc.Gather(args.(agent.CommitRequest), reply.(*agent.CommitReply))
+		return n.svc.Gather(args.(clusteragent.CommitRequest), reply.(*clusteragent.CommitReply))
 	case "Agent.Commit":
-		return n.svc.Commit(args.(agent.CommitRequest), reply.(*agent.CommitReply))
+		return n.svc.Commit(args.(clusteragent.CommitRequest), reply.(*clusteragent.CommitReply))
 	case "Agent.Stop":
 		if w.forgetful {
 			return nil // it went to an owner that was about to end
 		}
-		return n.svc.Stop(args.(agent.StopRequest), &struct{}{})
+		return n.svc.Stop(args.(clusteragent.StopRequest), &struct{}{})
 	case "Agent.Judge":
-		return n.svc.Judge(args.([]agent.Verdict), &struct{}{})
+		return n.svc.Judge(args.([]clusteragent.Verdict), &struct{}{})
 	case "Agent.Void":
-		return n.svc.Void(args.(agent.VoidRequest), reply.(*agent.VoidReply))
+		return n.svc.Void(args.(clusteragent.VoidRequest), reply.(*clusteragent.VoidReply))
 	case "Agent.Watch":
-		return n.svc.Watch(args.(agent.WatchRequest), reply.(*agent.WatchReply))
+		return n.svc.Watch(args.(clusteragent.WatchRequest), reply.(*clusteragent.WatchReply))
 	}
 	return fmt.Errorf("no method %s", method)
 }
@@ -145,7 +145,7 @@
 		}
 	})
 	n.mirror = mirror
-	pipes := pipeline.NewTracker(mirror, func(*job.Spec) time.Duration { return 10 * time.Second }, func(string) (ended.Tombstone, bool) { return ended.Tombstone{}, false })
+	pipes := dag.NewTracker(mirror, func(*job.Spec) time.Duration { return 10 * time.Second }, func(string) (tombstone.Tombstone, bool) { return tombstone.Tombstone{}, false })
 	mirror.First = pipes.OnEvents
 	if err := mirror.Load(ctx); err != nil {
 		w.t.Fatal(err)
@@ -155,10 +155,10 @@
 		w.t.Fatal(err)
 	}
 	types := map[string]cloud.MachineType{"box": {Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, FetchGBPerS: 0.1}}
-	n.agent = agent.New(settings, w.state, mirror, n.member, w.workers, func() map[string]cloud.MachineType { return types })
-	n.svc = agent.NewService(n.agent)
-	n.placer = placer.New(settings, policy.Default(), w.state, mirror, n.member, w, func() map[string]cloud.MachineType { return types }, pipes)
-	feed := agent.NewFeed(w, mirror, []string{"host-0", "host-1"}, n.placer.Epoch, n.placer.OnEntries)
+	n.agent = clusteragent.New(settings, w.state, mirror, n.member, w.workers, func() map[string]cloud.MachineType { return types })
+	n.svc = clusteragent.NewService(n.agent)
+	n.placer = scheduler.New(settings, policy.Default(), w.state, mirror, n.member, w, func() map[string]cloud.MachineType { return types }, pipes)
+	feed := clusteragent.NewFeed(w, mirror, []string{"host-0", "host-1"}, n.placer.Epoch, n.placer.OnEntries)
 	w.mu.Lock()
 	w.nodes[host] = n
 	w.mu.Unlock()
@@ -167,8 +167,8 @@
 	go n.agent.Run(ctx)
 	go feed.Run(ctx)
 	go n.placer.Run(ctx, feed)
-	go pipes.Run(ctx, func(ctx context.Context, id string) (ended.Tombstone, error) {
-		return ended.Read(ctx, w.state, []statekv.Cond{n.member.Cond()}, id)
+	go pipes.Run(ctx, func(ctx context.Context, id string) (tombstone.Tombstone, error) {
+		return tombstone.Read(ctx, w.state, []statekv.Cond{n.member.Cond()}, id)
 	})
 	return n
 }
@@ -211,13 +211,13 @@
 }
 
 // queue lists the jobs of a node that wait, as its status does.
-func (n *node) queue(w *world) map[string]placer.Waiting {
+func (n *node) queue(w *world) map[string]scheduler.Waiting {
 	w.t.Helper()
-	var list []placer.Waiting
-	if err := placer.NewService(n.placer).Queue(10_000, &list); err != nil {
+	var list []scheduler.Waiting
+	if err := scheduler.NewService(n.placer).Queue(10_000, &list); err != nil {
 		w.t.Fatal(err)
 	}
-	out := map[string]placer.Waiting{}
+	out := map[string]scheduler.Waiting{}
 	for _, q := range list {
 		out[q.Job] = q
 	}
@@ -239,7 +239,7 @@
 }
 
 func (w *world) final(id string) string {
-	f, err := ended.Read(w.ctx, w.state, nil, id)
+	f, err := tombstone.Read(w.ctx, w.state, nil, id)
 	if err != nil {
 		return ""
 	}
@@ -292,9 +292,9 @@
 func story(t *testing.T, f func(w *world)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &world{t: t, ctx: ctx, state: fakes.NewState(), workers: fakes.NewWorkers(), nodes: map[string]*node{}, homes: map[*fakes.Worker]string{}}
+		w := &world{t: t, ctx: ctx, state: emulator.NewState(), workers: emulator.NewWorkers(), nodes: map[string]*node{}, homes: map[*emulator.Worker]string{}}
 		defer func() { cancel(); time.Sleep(10 * time.Second); synctest.Wait() }()
-		w.boxes = []*fakes.Worker{w.workers.Add("m1", "box", "a"), w.workers.Add("m2", "box", "b")}
+		w.boxes = []*emulator.Worker{w.workers.Add("m1", "box", "a"), w.workers.Add("m2", "box", "b")}
 		f(w)
 	})
 }
@@ -339,7 +339,7 @@
 		w.run(3 * time.Second)
 		w.submit(n, spec("wk-1", job.Array, 6, 1))
 		w.run(4 * time.Second)
-		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: job.OpenKey("wk-1")}, ended.Ops("wk-1", ended.Tombstone{Status: job.Cancelled, Tasks: 6}, ended.Former)[0]}); err != nil {
+		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: job.OpenKey("wk-1")}, tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Cancelled, Tasks: 6}, tombstone.Former)[0]}); err != nil {
 			t.Fatal(err)
 		}
 		w.run(6 * time.Second)
@@ -392,7 +392,7 @@
 			}
 			lost.Deaf = true
 		})
-		w.boxes = []*fakes.Worker{other}
+		w.boxes = []*emulator.Worker{other}
 		w.run(25 * time.Second)
 		if len(w.starts()) != 0 {
 			t.Fatal("started elsewhere while it may still run")
@@ -531,15 +531,15 @@
 		before := w.tasks()
 
 		_, entries := n.agent.Snapshot()
-		commit := agent.CommitRequest{Machine: "m1", Refs: []agent.TaskRef{{Job: "wk-1", Index: 1, Attempt: epoch<<20 + 99}}}
+		commit := clusteragent.CommitRequest{Machine: "m1", Refs: []clusteragent.TaskRef{{Job: "wk-1", Index: 1, Attempt: epoch<<20 + 99}}}
 		for _, e := range entries {
 			if e.Machine == "m1" {
 				commit.Rev = e.Rev
 			}
 		}
 		commit.Spec, commit.Slot, commit.Epoch = spec("wk-1", job.Array, 2, 0), slot, epoch
-		var reply agent.CommitReply
-		if err := n.svc.Commit(commit, &reply); err != nil || commit.Rev == 0 || reply.Verdicts[0] != agent.Refused {
+		var reply clusteragent.CommitReply
+		if err := n.svc.Commit(commit, &reply); err != nil || commit.Rev == 0 || reply.Verdicts[0] != clusteragent.Refused {
 			t.Errorf("a commit under the old epoch: %+v %v", reply, err)
 		}
 		if _, done, _ := w.workers.Command(w.ctx, "m1", token, 1, []worker.Order{worker.Start("wk-1/1", 7)}); done {
@@ -573,7 +573,7 @@
 		if len(gone.Starts) != 1 {
 			t.Fatal("not started")
 		}
-		w.boxes = []*fakes.Worker{left}
+		w.boxes = []*emulator.Worker{left}
 		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: statekv.MachinePrefix + gone.Report.Machine}}); err != nil {
 			t.Fatal(err)
 		}
@@ -617,7 +617,7 @@
 		w.run(2 * time.Second)
 		_, entries := n.agent.Snapshot()
 		for _, e := range entries {
-			n.placer.OnEntries([]agent.Entry{{Machine: e.Machine, Host: e.Host, Rev: e.Rev, Ver: e.Ver + 1000, Type: "box", Zone: e.Zone}})
+			n.placer.OnEntries([]clusteragent.Entry{{Machine: e.Machine, Host: e.Host, Rev: e.Rev, Ver: e.Ver + 1000, Type: "box", Zone: e.Zone}})
 		}
 		w.run(4 * time.Second)
 		if got := w.starts()["wk-1/0"]; got != 1 {
--- a/placer/turn_test.go
+++ b/internal/scheduler/turn_test.go
@@ -1,11 +1,11 @@
-package placer
+package scheduler
 
 import (
 	"testing"
 	"time"
 
-	"robinstack/job"
-	"robinstack/policy"
+	"robinstack/internal/job"
+	"robinstack/internal/policy"
 )
 
 // The queue's order by age: a job that has not begun goes before all others of its rank
--- a/placer/waits.go
+++ b/internal/scheduler/waits.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"robinstack/job"
-	"robinstack/pipeline"
+	"robinstack/internal/dag"
+	"robinstack/internal/job"
 )
 
 // lookAgain is how often the jobs that wait for others are looked at although nothing
@@ -45,7 +45,7 @@
 	}
 	j.verdict = v
 	switch v.State {
-	case pipeline.Ready:
+	case dag.Ready:
 		j.waits = false
 		if j.from = v.Since; j.from.IsZero() || j.from.After(now) {
 			j.from = now
@@ -55,7 +55,7 @@
 		}
 		p.treatAs(j, j.urgency)
 		slog.Info("job ready", "job", id, "after", j.from.Sub(j.submitted).Round(time.Millisecond))
-	case pipeline.Withdrawn:
+	case dag.Withdrawn:
 		// Nothing of it has ever run: what it waits for cannot become done any more.
 		j.over = job.Cancelled
 		slog.Info("job withdrawn", "job", id, "because", v.Cause)
@@ -65,7 +65,7 @@
 // treatAs sets the rank and the deadline that the job is treated as having: its own or,
 // where that is more urgent, what those that need it hand to it. Its deadline counts
 // from when it could start, as its age does.
-func (p *Placer) treatAs(j *jobState, u pipeline.Urgency) {
+func (p *Placer) treatAs(j *jobState, u dag.Urgency) {
 	j.urgency = u
 	as := *j.spec
 	if job.RankOf(u.Rank) > as.Priority() {
--- a/statekv/client.go
+++ b/internal/statekv/client.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/time/rate"
 
-	"robinstack/httpjson"
+	"robinstack/internal/httpjson"
 )
 
 // Errors a caller has to tell apart.
--- a/statekv/limits_test.go
+++ b/internal/statekv/limits_test.go
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/statekv"
 )
 
 // The service lowers its limits without notice in the middle of a taking: what is refused
 // as too large is written in smaller transactions, and nothing is left out. What is
 // refused for another reason teaches nothing.
 func TestLimitsLoweredWithoutNotice(t *testing.T) {
-	state := fakes.NewState()
+	state := emulator.NewState()
 	server := httptest.NewServer(state)
 	defer server.Close()
 	client := statekv.NewClient(strings.TrimPrefix(server.URL, "http://"), 1e4, 1e5, 1)
--- a/statekv/mirror_test.go
+++ b/internal/statekv/mirror_test.go
@@ -7,15 +7,15 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/statekv"
 )
 
 const jobs = statekv.RootPrefix + "job/"
 
 // between does something once, after the first page has been read.
 type between struct {
-	*fakes.State
+	*emulator.State
 	then func()
 }
 
@@ -35,7 +35,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
-		state := fakes.NewEmptyState()
+		state := emulator.NewEmptyState()
 		store := &between{State: state}
 		mirror := statekv.NewMirror(store, []string{statekv.FleetPrefix, jobs}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		var other *statekv.Member
@@ -66,7 +66,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
-		state := fakes.NewState()
+		state := emulator.NewState()
 		blind := statekv.NewMirror(state, nil, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		holder, err := statekv.Join(ctx, state, blind, "host-1", time.Hour, statekv.Registration{})
 		if err != nil {
@@ -102,7 +102,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); synctest.Wait() }()
-		state := fakes.NewState()
+		state := emulator.NewState()
 		mirror := statekv.NewMirror(state, []string{statekv.FleetPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		join := func(host string) *statekv.Member {
 			m, err := statekv.Join(ctx, state, mirror, host, time.Hour, statekv.Registration{})
@@ -137,7 +137,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
-		state := fakes.NewState()
+		state := emulator.NewState()
 		mirror := statekv.NewMirror(state, []string{jobs}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		heard := 0
 		mirror.First = func(events []statekv.Event) {
--- a/statekv/rest_test.go
+++ b/internal/statekv/rest_test.go
@@ -11,8 +11,8 @@
 
 	"pgregory.net/rapid"
 
-	"robinstack/fakes"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/statekv"
 )
 
 type inner struct {
@@ -59,7 +59,7 @@
 // Roles are taken over with the unknown fields of their keys; one of a form that this
 // build does not know is told from a damaged one.
 func TestRolesKeepWhatTheyDoNotKnow(t *testing.T) {
-	state, ctx := fakes.NewState(), context.Background()
+	state, ctx := emulator.NewState(), context.Background()
 	for k := range 3 {
 		key := fmt.Sprintf("%ss%d", statekv.SlotPrefix, k)
 		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: key, Value: map[string]any{"host": "host-9", "instance": 1, "colour": "blue"}}}); err != nil {
--- a/statekv/writebudget.go
+++ b/internal/statekv/writebudget.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"robinstack/budget"
+	"robinstack/internal/budget"
 )
 
 // WriteBudget paces a controller's changes by its part of what the state service takes, and
--- a/statekv/writebudget_test.go
+++ b/internal/statekv/writebudget_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/budget"
+	"robinstack/internal/budget"
 )
 
 func always() bool { return true }
--- a/ended/ended.go
+++ b/internal/tombstone/ended.go
@@ -1,4 +1,4 @@
-// Package ended owns the tombstones: the final records of jobs that are over. They are kept for ever, so
+// Package tombstone owns the tombstones: the final records of jobs that are over. They are kept for ever, so
 // they are small and nobody mirrors them: a job's final answer never changes, so
 // what was read once may be told at any time.
 //
@@ -7,7 +7,7 @@
 // them are written goes by the level of the fleet; both are always read. A job has at
 // most one final record, whatever its form: whoever writes one has the condition that
 // its open record is as it was seen, and that goes with it.
-package ended
+package tombstone
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"strings"
 	"time"
 
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // Keys of the state service.
--- a/ended/ended_test.go
+++ b/internal/tombstone/ended_test.go
@@ -1,4 +1,4 @@
-package ended_test
+package tombstone_test
 
 import (
 	"context"
@@ -11,24 +11,24 @@
 
 	"pgregory.net/rapid"
 
-	"robinstack/ended"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // Every record reads as what it was, in both forms, and the new form is the smaller.
 func TestForms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := ended.Tombstone{Status: rapid.SampledFrom([]string{job.Done, job.Cancelled}).Draw(t, "status"), Tasks: rapid.IntRange(1, job.MaxTasks).Draw(t, "tasks"),
+		r := tombstone.Tombstone{Status: rapid.SampledFrom([]string{job.Done, job.Cancelled}).Draw(t, "status"), Tasks: rapid.IntRange(1, job.MaxTasks).Draw(t, "tasks"),
 			AtMS: rapid.SampledFrom([]int64{0, 1, 1764633600000}).Draw(t, "at")}
 		sizes := []int{}
-		for _, op := range ended.Ops("wk-7", r, ended.Both) {
+		for _, op := range tombstone.Ops("wk-7", r, tombstone.Both) {
 			raw, err := json.Marshal(op.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
-			id, back, ok, err := ended.Parse(op.Set, raw)
+			id, back, ok, err := tombstone.Parse(op.Set, raw)
 			if id != "wk-7" || back != r || !ok || err != nil {
 				t.Fatal(op.Set, string(raw), id, back, ok, err)
 			}
@@ -43,27 +43,27 @@
 // What is damaged or of another form is an error that names the key, and never a record.
 func TestUnreadableRecords(t *testing.T) {
 	for key, values := range map[string][]string{
-		ended.FormerKey("wk-1"): {`"x"`, `{}`, `{"status":"running","tasks":3}`, `{"form":1,"status":"done","tasks":3}`, `{"status":"done","tasks":0}`},
-		ended.Key("wk-1"):       {`{}`, `[]`, `[2,"d",3]`, `[1,"x",3]`, `[1,"d"]`, `[1,"d",0]`, `["1","d",3]`, `null`},
+		tombstone.FormerKey("wk-1"): {`"x"`, `{}`, `{"status":"running","tasks":3}`, `{"form":1,"status":"done","tasks":3}`, `{"status":"done","tasks":0}`},
+		tombstone.Key("wk-1"):       {`{}`, `[]`, `[2,"d",3]`, `[1,"x",3]`, `[1,"d"]`, `[1,"d",0]`, `["1","d",3]`, `null`},
 	} {
 		for _, v := range values {
-			if _, r, ok, err := ended.Parse(key, json.RawMessage(v)); !ok || err == nil {
+			if _, r, ok, err := tombstone.Parse(key, json.RawMessage(v)); !ok || err == nil {
 				t.Errorf("%s %s: %+v", key, v, r)
 			}
 		}
 	}
 	var form *statekv.FormError
-	if _, _, _, err := ended.Parse(ended.Key("wk-1"), json.RawMessage(`[2,"d",3]`)); !errors.As(err, &form) || form.Form != 2 {
+	if _, _, _, err := tombstone.Parse(tombstone.Key("wk-1"), json.RawMessage(`[2,"d",3]`)); !errors.As(err, &form) || form.Form != 2 {
 		t.Error(err)
 	}
-	if _, _, ok, _ := ended.Parse("robin/job/wk-1", nil); ok {
+	if _, _, ok, _ := tombstone.Parse("robin/job/wk-1", nil); ok {
 		t.Error("an open job was taken for an ended one")
 	}
 }
 
 // moving has a record change its form right before it is read.
 type moving struct {
-	*fakes.State
+	*emulator.State
 	before func()
 }
 
@@ -78,7 +78,7 @@
 // A record is found whichever form it has, also if that changes between two reads; that
 // there is none is said only by one whose life goes on.
 func TestRead(t *testing.T) {
-	state := &moving{State: fakes.NewState()}
+	state := &moving{State: emulator.NewState()}
 	ctx := t.Context()
 	write := func(ops ...statekv.Op) {
 		t.Helper()
@@ -88,24 +88,26 @@
 	}
 	write(statekv.Op{Set: "node", Value: 1})
 	alive := []statekv.Cond{{Key: "node", Rev: 2}}
-	r := ended.Tombstone{Status: job.Done, Tasks: 5}
-	write(ended.Ops("wk-1", r, ended.Former)...)
+	r := tombstone.Tombstone{Status: job.Done, Tasks: 5}
+	write(tombstone.Ops("wk-1", r, tombstone.Former)...)
 	toNew := func() {
-		write(append(ended.Ops("wk-1", r, ended.Compact), statekv.Op{Delete: ended.FormerKey("wk-1")})...)
+		write(append(tombstone.Ops("wk-1", r, tombstone.Compact), statekv.Op{Delete: tombstone.FormerKey("wk-1")})...)
+	}
+	toFormer := func() {
+		write(append(tombstone.Ops("wk-1", r, tombstone.Former), statekv.Op{Delete: tombstone.Key("wk-1")})...)
 	}
-	toFormer := func() { write(append(ended.Ops("wk-1", r, ended.Former), statekv.Op{Delete: ended.Key("wk-1")})...) }
 	for _, change := range []func(){nil, toNew, toFormer, toNew} {
 		state.before = change
-		if got, err := ended.Read(ctx, state, alive, "wk-1"); err != nil || got != r {
+		if got, err := tombstone.Read(ctx, state, alive, "wk-1"); err != nil || got != r {
 			t.Fatal(got, err)
 		}
 	}
-	if _, err := ended.Read(ctx, state, alive, "wk-2"); !errors.Is(err, statekv.ErrNotFound) {
+	if _, err := tombstone.Read(ctx, state, alive, "wk-2"); !errors.Is(err, statekv.ErrNotFound) {
 		t.Error(err)
 	}
 	// One that stood still while the fleet went on to forms that it does not know.
 	write(statekv.Op{Delete: "node"})
-	if _, err := ended.Read(ctx, state, alive, "wk-2"); err == nil || errors.Is(err, statekv.ErrNotFound) {
+	if _, err := tombstone.Read(ctx, state, alive, "wk-2"); err == nil || errors.Is(err, statekv.ErrNotFound) {
 		t.Errorf("a life that is over said of a job that it is unknown: %v", err)
 	}
 }
@@ -113,7 +115,7 @@
 // The version in production reads a record that tells when the job ended: it takes the
 // first three entries of the list, and the fields that it knows.
 func TestProductionReadsTheTime(t *testing.T) {
-	ops := ended.Ops("wk-7", ended.Tombstone{Status: job.Done, Tasks: 5, AtMS: 1764633600000}, ended.Both)
+	ops := tombstone.Ops("wk-7", tombstone.Tombstone{Status: job.Done, Tasks: 5, AtMS: 1764633600000}, tombstone.Both)
 	var was struct {
 		Status string `json:"status"`
 		Tasks  int    `json:"tasks"`
@@ -135,7 +137,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
-		state := fakes.NewState()
+		state := emulator.NewState()
 		put := func(ops ...statekv.Op) {
 			if _, err := state.Txn(ctx, nil, ops); err != nil {
 				t.Fatal(err)
@@ -158,7 +160,7 @@
 		}
 		go mirror.Run(ctx)
 		var steward atomic.Uint64
-		s := &ended.Sweeper{Store: state, Mirror: mirror, Member: member, Steward: steward.Load, Ops: 8, Every: time.Minute}
+		s := &tombstone.Sweeper{Store: state, Mirror: mirror, Member: member, Steward: steward.Load, Ops: 8, Every: time.Minute}
 		go s.Run(ctx)
 		left := func() int { return len(state.Dir(job.PartPrefix)) + len(state.Dir(job.PiecePrefix)) }
 		all := left()
@@ -182,12 +184,12 @@
 // A mirror reads each tombstone once, for all who follow it.
 func TestChangeIsReadOnce(t *testing.T) {
 	read := 0
-	state := fakes.NewState()
-	var got []ended.Change
+	state := emulator.NewState()
+	var got []tombstone.Change
 	mirror := statekv.NewMirror(state, nil, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
 		for _, e := range events {
 			for range 3 {
-				if c, ok := ended.ChangeOf(e); ok {
+				if c, ok := tombstone.ChangeOf(e); ok {
 					got = append(got, c)
 				}
 			}
@@ -195,14 +197,14 @@
 	})
 	mirror.Parse = func(key string, raw json.RawMessage) any {
 		read++
-		return ended.ParseKey(key, raw)
+		return tombstone.ParseKey(key, raw)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
-	ops := append(ended.Ops("wk-7", ended.Tombstone{Status: job.Done, Tasks: 5}, ended.Former), statekv.Op{Set: "robin/job/wk-8", Value: 1})
+	ops := append(tombstone.Ops("wk-7", tombstone.Tombstone{Status: job.Done, Tasks: 5}, tombstone.Former), statekv.Op{Set: "robin/job/wk-8", Value: 1})
 	rev, err := state.Txn(ctx, nil, ops)
 	if err != nil {
 		t.Fatal(err)
--- a/ended/finder.go
+++ b/internal/tombstone/finder.go
@@ -1,4 +1,4 @@
-package ended
+package tombstone
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"robinstack/statekv"
+	"robinstack/internal/statekv"
 )
 
 // Finder answers questions about jobs that have no open record: they are over, or nobody
