--- a/ended/finder_test.go
+++ b/internal/tombstone/finder_test.go
@@ -1,4 +1,4 @@
-package ended_test
+package tombstone_test
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/ended"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
 )
 
 // slow is a state service that allows so many lookups a second, and counts requests.
 type slow struct {
-	*fakes.State
+	*emulator.State
 	every    time.Duration
 	mu       sync.Mutex
 	next     time.Time
@@ -49,14 +49,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		s := &slow{State: fakes.NewState(), every: 150 * time.Millisecond}
-		if _, err := s.State.Txn(ctx, nil, ended.Ops("wk-1", ended.Tombstone{Status: job.Done, Tasks: 1}, ended.Compact)); err != nil {
+		s := &slow{State: emulator.NewState(), every: 150 * time.Millisecond}
+		if _, err := s.State.Txn(ctx, nil, tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Compact)); err != nil {
 			t.Fatal(err)
 		}
-		f := ended.NewFinder(s, 32, 6.7)
+		f := tombstone.NewFinder(s, 32, 6.7)
 		fence := func() (statekv.Cond, bool) { return statekv.Cond{Key: "life"}, true }
 		var cached atomic.Bool
-		found := func(id string, _ ended.Tombstone) { cached.Store(cached.Load() || id == "wk-1") }
+		found := func(id string, _ tombstone.Tombstone) { cached.Store(cached.Load() || id == "wk-1") }
 		stop := make(chan struct{})
 		go func() {
 			for k := 0; ; k++ {
@@ -93,26 +93,26 @@
 func TestFinderTellsThemApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
-		state := fakes.NewState()
-		for k, form := range []ended.Writing{ended.Former, ended.Both, ended.Compact} {
-			if _, err := state.Txn(ctx, nil, ended.Ops(fmt.Sprintf("wk-%d", k), ended.Tombstone{Status: job.Done, Tasks: k + 1}, form)); err != nil {
+		state := emulator.NewState()
+		for k, form := range []tombstone.Writing{tombstone.Former, tombstone.Both, tombstone.Compact} {
+			if _, err := state.Txn(ctx, nil, tombstone.Ops(fmt.Sprintf("wk-%d", k), tombstone.Tombstone{Status: job.Done, Tasks: k + 1}, form)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		f := ended.NewFinder(state, 96, 1000)
+		f := tombstone.NewFinder(state, 96, 1000)
 		lives, own := true, statekv.Cond{Key: "life"}
 		fence := func() (statekv.Cond, bool) { return own, lives }
 		ask := func() map[string]error {
 			type answer struct {
 				id  string
-				r   ended.Tombstone
+				r   tombstone.Tombstone
 				err error
 			}
 			answers := make(chan answer)
 			for k := range 40 {
 				go func() {
 					id := fmt.Sprintf("wk-%d", k)
-					r, err := f.Find(ctx, fence, id, func(string, ended.Tombstone) {})
+					r, err := f.Find(ctx, fence, id, func(string, tombstone.Tombstone) {})
 					answers <- answer{id, r, err}
 				}()
 			}
--- a/ended/sweep.go
+++ b/internal/tombstone/sweep.go
@@ -1,4 +1,4 @@
-package ended
+package tombstone
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // Sweeper removes what is left beside the record of a job that is over: one transaction
--- a/worker/worker.go
+++ b/internal/worker/worker.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"robinstack/httpjson"
+	"robinstack/internal/httpjson"
 )
 
 // States of a task on its machine.
--- a/meetings/chains_test.go
+++ b/test/integration/chains_test.go
@@ -1,11 +1,11 @@
-package meetings
+package integration
 
 import (
 	"net/http"
 	"testing"
 	"time"
 
-	"robinstack/job"
+	"robinstack/internal/job"
 )
 
 // A chain of jobs lies with three controllers, one job with each. Each controller in turn
--- a/meetings/close_test.go
+++ b/test/integration/close_test.go
@@ -1,4 +1,4 @@
-package meetings
+package integration
 
 import (
 	"net/http"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/cloud"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // Users ask all controllers every few milliseconds, and submit again, right after a job was
--- a/meetings/drawn_test.go
+++ b/test/integration/drawn_test.go
@@ -1,4 +1,4 @@
-package meetings
+package integration
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // trouble is one kind of failure: begin causes it and returns what ends it.
@@ -26,17 +26,17 @@
 func anyHost(w *world, rng *rand.Rand) string { return w.hosts[rng.IntN(len(w.hosts))] }
 
 // machines has some of the machines changed, and changed back.
-func machines(share float64, set func(u *fakes.Machine, on bool)) func(w *world, rng *rand.Rand) func() {
+func machines(share float64, set func(u *emulator.Machine, on bool)) func(w *world, rng *rand.Rand) func() {
 	return func(w *world, rng *rand.Rand) func() {
-		hit := map[*fakes.Machine]bool{}
-		w.fleet.Each(func(_ string, u *fakes.Machine) {
+		hit := map[*emulator.Machine]bool{}
+		w.fleet.Each(func(_ string, u *emulator.Machine) {
 			if rng.Float64() < share {
 				hit[u] = true
 				set(u, true)
 			}
 		})
 		return func() {
-			w.fleet.Each(func(_ string, u *fakes.Machine) {
+			w.fleet.Each(func(_ string, u *emulator.Machine) {
 				if hit[u] {
 					set(u, false)
 				}
@@ -121,22 +121,22 @@
 		w.cutWork(h, true)
 		return func() { w.cutWork(h, false) }
 	}, 1},
-	{"machines hear nothing", [2]int{3, 60}, machines(0.4, func(u *fakes.Machine, on bool) { u.Deaf = on }), 2},
-	{"commands are lost", [2]int{3, 60}, machines(0.4, func(u *fakes.Machine, on bool) { u.Lost = on }), 2},
-	{"machines hang", [2]int{2, 60}, machines(0.3, func(u *fakes.Machine, on bool) { u.Hung = on }), 2},
-	{"commands are held up", [2]int{5, 30}, machines(0.5, func(u *fakes.Machine, on bool) {
+	{"machines hear nothing", [2]int{3, 60}, machines(0.4, func(u *emulator.Machine, on bool) { u.Deaf = on }), 2},
+	{"commands are lost", [2]int{3, 60}, machines(0.4, func(u *emulator.Machine, on bool) { u.Lost = on }), 2},
+	{"machines hang", [2]int{2, 60}, machines(0.3, func(u *emulator.Machine, on bool) { u.Hung = on }), 2},
+	{"commands are held up", [2]int{5, 30}, machines(0.5, func(u *emulator.Machine, on bool) {
 		if u.Hold = 0; on {
 			u.Hold = 3500 * time.Millisecond
 		}
 	}), 2},
-	{"answers are held up", [2]int{5, 30}, machines(0.5, func(u *fakes.Machine, on bool) {
+	{"answers are held up", [2]int{5, 30}, machines(0.5, func(u *emulator.Machine, on bool) {
 		if u.HoldAnswers = 0; on {
 			u.HoldAnswers = 3 * time.Second
 		}
 	}), 2},
 	{"copies of reports come late", [2]int{0, 0}, func(w *world, rng *rand.Rand) func() {
 		h := anyHost(w, rng)
-		w.fleet.Each(func(_ string, u *fakes.Machine) {
+		w.fleet.Each(func(_ string, u *emulator.Machine) {
 			if rng.IntN(2) == 0 {
 				u.Again(h)
 			}
@@ -156,9 +156,9 @@
 			}
 		}
 	}, 3},
-	{"machines are mute", [2]int{3, 70}, machines(0.4, func(u *fakes.Machine, on bool) { u.Mute = on }), 2},
+	{"machines are mute", [2]int{3, 70}, machines(0.4, func(u *emulator.Machine, on bool) { u.Mute = on }), 2},
 	{"reports are kept for the next leader", [2]int{5, 50}, func(w *world, rng *rand.Rand) func() {
-		w.fleet.Each(func(_ string, u *fakes.Machine) { u.Keep() })
+		w.fleet.Each(func(_ string, u *emulator.Machine) { u.Keep() })
 		return func() {
 			if h := anyHost(w, rng); w.isUp(h) {
 				w.crash(h)
@@ -180,13 +180,13 @@
 		for _, id := range w.history.Jobs() {
 			if m := w.history.Where(id); m != "" && len(hung) < 4 && rng.IntN(2) == 0 {
 				hung[m] = true
-				w.unitOf(m, func(u *fakes.Machine) { u.Hung = true })
+				w.unitOf(m, func(u *emulator.Machine) { u.Hung = true })
 				go w.cancel("", id)
 			}
 		}
 		return func() {
 			for m := range hung {
-				w.unitOf(m, func(u *fakes.Machine) { u.Hung = false })
+				w.unitOf(m, func(u *emulator.Machine) { u.Hung = false })
 			}
 		}
 	}, 2},
@@ -255,7 +255,7 @@
 	}, 1},
 	{"a machine stops with all that is on it", [2]int{0, 0}, func(w *world, rng *rand.Rand) func() {
 		at := rng.IntN(8)
-		w.fleet.Each(func(_ string, u *fakes.Machine) {
+		w.fleet.Each(func(_ string, u *emulator.Machine) {
 			if at--; at == 0 {
 				u.Kill()
 			}
--- a/meetings/ends_test.go
+++ b/test/integration/ends_test.go
@@ -1,4 +1,4 @@
-package meetings
+package integration
 
 import (
 	"net/http"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"robinstack/job"
+	"robinstack/internal/job"
 )
 
 // The end of a job's last task meets a cancellation, a question or a repeated submission, at
--- a/meetings/handover_test.go
+++ b/test/integration/handover_test.go
@@ -1,4 +1,4 @@
-package meetings
+package integration
 
 import (
 	"fmt"
@@ -6,19 +6,19 @@
 	"testing"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // Every team is at its limit. Jobs are cancelled whose machines are cut off or hang, and the
 // leader ends: what they held is given out when it is proven gone, by nobody sooner, and it
 // is given out then.
 func TestTeamsAtTheirLimitsWhileTheCancelledCannotBeReached(t *testing.T) {
-	for what, set := range map[string]func(u *fakes.Machine, on bool){
-		"cut off": func(u *fakes.Machine, on bool) { u.Mute, u.Lost = on, on },
-		"hung":    func(u *fakes.Machine, on bool) { u.Hung = on },
+	for what, set := range map[string]func(u *emulator.Machine, on bool){
+		"cut off": func(u *emulator.Machine, on bool) { u.Mute, u.Lost = on, on },
+		"hung":    func(u *emulator.Machine, on bool) { u.Hung = on },
 	} {
 		for _, for_ := range []time.Duration{28 * time.Second, 45 * time.Second} { // within a lease, and beyond it
 			for _, role := range leaders {
@@ -61,9 +61,9 @@
 							time.Sleep(10 * time.Second)
 							cancelled := first[:2]
 							hit := map[string]bool{}
-							w.fleet.Each(func(name string, _ *fakes.Machine) { hit[name] = true })
+							w.fleet.Each(func(name string, _ *emulator.Machine) { hit[name] = true })
 							for name := range hit {
-								w.unitOf(name, func(u *fakes.Machine) { set(u, true) })
+								w.unitOf(name, func(u *emulator.Machine) { set(u, true) })
 							}
 							roles, lives := w.leading(role, first[0].ID), w.lives()
 							bring := w.end(roles, back)
@@ -76,7 +76,7 @@
 							}
 							time.Sleep(for_)
 							for name := range hit {
-								w.unitOf(name, func(u *fakes.Machine) { set(u, false) })
+								w.unitOf(name, func(u *emulator.Machine) { set(u, false) })
 							}
 							for _, s := range cancelled {
 								if back < workersAway && w.history.ToldAt(s.ID).IsZero() {
@@ -196,7 +196,7 @@
 						}
 						w.until("some run", 2*time.Minute, func() bool { return w.on(jobs) >= 2 })
 						up := 0
-						w.fleet.Each(func(string, *fakes.Machine) { up++ })
+						w.fleet.Each(func(string, *emulator.Machine) { up++ })
 						on := ""
 						for _, s := range jobs {
 							if on == "" && w.history.On(s.ID) > 0 {
@@ -226,7 +226,7 @@
 							w.port(h).Trouble(0, 0)
 						}
 						more := 0
-						w.fleet.Each(func(string, *fakes.Machine) { more++ })
+						w.fleet.Each(func(string, *emulator.Machine) { more++ })
 						w.t.Logf("%d machines when it ended, %d later", up, more)
 						bring()
 						w.history.Calm()
@@ -252,7 +252,7 @@
 		go w.submit("", s, 5*time.Second)
 		name := ""
 		w.until("a machine is up", 30*time.Second, func() bool {
-			w.fleet.Each(func(n string, u *fakes.Machine) {
+			w.fleet.Each(func(n string, u *emulator.Machine) {
 				if name == "" && u.Session() > 0 {
 					name = n
 				}
@@ -291,7 +291,7 @@
 			}
 			return name != ""
 		})
-		key := *agent.KeyOf(w.state.Dir(statekv.MachinePrefix + name)[0])
+		key := *clusteragent.KeyOf(w.state.Dir(statekv.MachinePrefix + name)[0])
 		w.until("its key is removed", 3*time.Minute, func() bool { return w.rev(statekv.MachinePrefix+name) == 0 })
 		steward := w.holder(statekv.StewardKey)
 		for _, kv := range w.state.Dir(statekv.ShardPrefix) {
@@ -330,7 +330,7 @@
 						w.until("both run", time.Minute, func() bool { return w.history.On(short.ID) == 2 && w.history.On(long.ID) == 2 })
 						w.until("the first is over", time.Minute, func() bool { return w.history.Completed(job.TaskID(first.ID, 5)) && w.history.On(first.ID) == 0 })
 						time.Sleep(4 * time.Second)
-						w.fleet.Each(func(_ string, u *fakes.Machine) { u.Keep() })
+						w.fleet.Each(func(_ string, u *emulator.Machine) { u.Keep() })
 						if session == "before its work began" {
 							// What has begun since is in no kept report, and a new owner gets
 							// those before it hears from anybody else.
@@ -340,9 +340,9 @@
 							time.Sleep(4 * time.Second)
 						} else if session == "an ended session" {
 							// Answers come too late for the workers: their leases run out.
-							w.fleet.Each(func(_ string, u *fakes.Machine) { u.HoldAnswers = 4500 * time.Millisecond })
+							w.fleet.Each(func(_ string, u *emulator.Machine) { u.HoldAnswers = 4500 * time.Millisecond })
 							time.Sleep(workers.Lease + 6*time.Second)
-							w.fleet.Each(func(_ string, u *fakes.Machine) { u.HoldAnswers = 0 })
+							w.fleet.Each(func(_ string, u *emulator.Machine) { u.HoldAnswers = 0 })
 							w.until("they run again", 3*time.Minute, func() bool { return w.history.On(short.ID)+w.history.On(long.ID) > 1 })
 						} else {
 							w.until("the short one has run", 3*time.Minute, func() bool {
@@ -355,10 +355,10 @@
 							if n := w.keptWithout(long.ID); n == 0 {
 								w.t.Fatal("no kept report was made before its machine's work began: this shows nothing")
 							}
-							w.fleet.Each(func(_ string, u *fakes.Machine) { u.Mute, u.Lost = true, true })
+							w.fleet.Each(func(_ string, u *emulator.Machine) { u.Mute, u.Lost = true, true })
 							go func() {
 								time.Sleep(max(0, back) + 10*time.Second)
-								w.fleet.Each(func(_ string, u *fakes.Machine) { u.Mute, u.Lost = false, false })
+								w.fleet.Each(func(_ string, u *emulator.Machine) { u.Mute, u.Lost = false, false })
 							}()
 						} else if n := w.kept(short.ID, session == "an ended session"); n == 0 {
 							w.t.Fatal("no kept report lists a task that is over: this shows nothing")
@@ -404,7 +404,7 @@
 // kept counts the machines that are there and whose kept report lists a task of a job: of
 // an earlier session, or of this one and the task is not listed any more.
 func (w *world) kept(id string, earlier bool) (n int) {
-	w.fleet.Each(func(_ string, u *fakes.Machine) {
+	w.fleet.Each(func(_ string, u *emulator.Machine) {
 		for _, task := range []string{job.TaskID(id, 0), job.TaskID(id, 1)} {
 			if u.Lists(task) && (earlier && u.Session() > 1 || !earlier && !u.Has(task)) {
 				n++
@@ -417,7 +417,7 @@
 // keptWithout counts the machines that have a task of a job and whose kept report does not
 // list it.
 func (w *world) keptWithout(id string) (n int) {
-	w.fleet.Each(func(_ string, u *fakes.Machine) {
+	w.fleet.Each(func(_ string, u *emulator.Machine) {
 		for k := range 6 {
 			if task := job.TaskID(id, k); u.Kept() && u.Has(task) && !u.Lists(task) {
 				n++
@@ -430,8 +430,8 @@
 // sendKept sends the kept reports of all machines to all controllers at once, and returns
 // how many reached one that answered.
 func (w *world) sendKept() (arrived int) {
-	var machines []*fakes.Machine
-	w.fleet.Each(func(_ string, u *fakes.Machine) { machines = append(machines, u) })
+	var machines []*emulator.Machine
+	w.fleet.Each(func(_ string, u *emulator.Machine) { machines = append(machines, u) })
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for _, u := range machines {
--- a/meetings/input_test.go
+++ b/test/integration/input_test.go
@@ -1,11 +1,11 @@
-package meetings
+package integration
 
 import (
 	"testing"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/job"
+	"robinstack/emulator"
+	"robinstack/internal/job"
 )
 
 // Reports list tasks of a job that nobody submitted, and of ids that are no job's. The first
@@ -14,13 +14,13 @@
 func TestTasksThatNobodySubmitted(t *testing.T) {
 	story(t, 31, func(w *world) {
 		w.running("host-0", "a", job.Array)
-		w.fleet.Each(func(_ string, u *fakes.Machine) {
+		w.fleet.Each(func(_ string, u *emulator.Machine) {
 			u.Plant("wk-777777/0", 3)
 			u.Plant("nobody's", 1)
 			u.Plant("wk-000001/99999999999999999999", 1)
 		})
 		left := func(task string) (n int) {
-			w.fleet.Each(func(_ string, u *fakes.Machine) {
+			w.fleet.Each(func(_ string, u *emulator.Machine) {
 				if u.Has(task) {
 					n++
 				}
--- a/meetings/late_test.go
+++ b/test/integration/late_test.go
@@ -1,12 +1,12 @@
-package meetings
+package integration
 
 import (
 	"encoding/json"
 	"testing"
 	"time"
 
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 func (w *world) rev(key string) uint64 {
--- a/meetings/lost_test.go
+++ b/test/integration/lost_test.go
@@ -1,4 +1,4 @@
-package meetings
+package integration
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // Transactions are carried out at once and only their answers are lost, for a while, while
--- a/meetings/main_test.go
+++ b/test/integration/main_test.go
@@ -1,4 +1,4 @@
-package meetings
+package integration
 
 import (
 	"io"
@@ -6,11 +6,11 @@
 	"os"
 	"testing"
 
-	"robinstack/fakes"
+	"robinstack/emulator"
 )
 
 func TestMain(m *testing.M) {
-	fakes.WarmHTTP()
+	emulator.WarmHTTP()
 	if os.Getenv("LOG_LEVEL") == "" {
 		slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
--- a/meetings/meetings_test.go
+++ b/test/integration/meetings_test.go
@@ -1,13 +1,13 @@
-package meetings
+package integration
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // Meeting 1. A controller is cut from the state service and the others, not from its workers
@@ -63,10 +63,10 @@
 // hear what its successor answers. Nothing starts elsewhere before it is proven gone, and
 // machines that are back within their lease lose nothing.
 func TestOwnerEndsWhileMachinesCannotBeReached(t *testing.T) {
-	for name, set := range map[string]func(u *fakes.Machine, on bool){
-		"hear nothing":      func(u *fakes.Machine, on bool) { u.Deaf = on },
-		"commands are lost": func(u *fakes.Machine, on bool) { u.Lost = on },
-		"hang":              func(u *fakes.Machine, on bool) { u.Hung = on },
+	for name, set := range map[string]func(u *emulator.Machine, on bool){
+		"hear nothing":      func(u *emulator.Machine, on bool) { u.Deaf = on },
+		"commands are lost": func(u *emulator.Machine, on bool) { u.Lost = on },
+		"hang":              func(u *emulator.Machine, on bool) { u.Hung = on },
 	} {
 		for _, away := range []time.Duration{15 * time.Second, 45 * time.Second} {
 			for _, back := range []bool{false, true} {
@@ -82,14 +82,14 @@
 						w.until("they run", time.Minute, func() bool { return w.history.On(a.ID) == 2 && w.history.On(g.ID) == 2 })
 						time.Sleep(10 * time.Second)
 						before := w.history.Starts()
-						w.fleet.Each(func(_ string, u *fakes.Machine) { set(u, true) })
+						w.fleet.Each(func(_ string, u *emulator.Machine) { set(u, true) })
 						w.crash("host-0")
 						if back {
 							time.Sleep(200 * time.Millisecond)
 							w.start("host-0")
 						}
 						time.Sleep(away)
-						w.fleet.Each(func(_ string, u *fakes.Machine) { set(u, false) })
+						w.fleet.Each(func(_ string, u *emulator.Machine) { set(u, false) })
 						if !back {
 							w.start("host-0")
 						}
@@ -118,9 +118,9 @@
 		"owner": func(w *world) { w.crash("host-0"); time.Sleep(10 * time.Second); w.start("host-0") },
 		"life":  func(w *world) { w.crash("host-0"); time.Sleep(200 * time.Millisecond); w.start("host-0") },
 		"session": func(w *world) {
-			w.fleet.Each(func(_ string, u *fakes.Machine) { u.Deaf = true })
+			w.fleet.Each(func(_ string, u *emulator.Machine) { u.Deaf = true })
 			time.Sleep(35 * time.Second)
-			w.fleet.Each(func(_ string, u *fakes.Machine) { u.Deaf = false })
+			w.fleet.Each(func(_ string, u *emulator.Machine) { u.Deaf = false })
 		},
 	} {
 		for _, hold := range []time.Duration{2500 * time.Millisecond, 6 * time.Second, 20 * time.Second} {
@@ -128,7 +128,7 @@
 				t.Parallel()
 				story(t, 13, func(w *world) {
 					w.running("host-0", "a", job.Array) // machines are up
-					w.fleet.Each(func(_ string, u *fakes.Machine) { u.Hold, u.HoldAnswers = hold, min(hold, 3*time.Second) })
+					w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hold, u.HoldAnswers = hold, min(hold, 3*time.Second) })
 					var ids []string
 					for k := range 6 {
 						s := in("a", array(w.id(), 1+k%2))
@@ -142,7 +142,7 @@
 					change(w)
 					go w.cancel("", ids[0])
 					time.Sleep(25 * time.Second)
-					w.fleet.Each(func(_ string, u *fakes.Machine) { u.Hold, u.HoldAnswers = 0, 0 })
+					w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hold, u.HoldAnswers = 0, 0 })
 					w.cancel("", "wk-000001")
 					time.Sleep(6 * time.Minute)
 					w.history.End()
@@ -293,7 +293,7 @@
 		}
 		for step := range 100 {
 			time.Sleep(1500 * time.Millisecond)
-			w.fleet.Each(func(_ string, u *fakes.Machine) {
+			w.fleet.Each(func(_ string, u *emulator.Machine) {
 				u.Again(w.hosts[step%3])
 				u.Deaf = step >= 30 && step < 54 // their sessions end
 			})
--- a/meetings/more_test.go
+++ b/test/integration/more_test.go
@@ -1,4 +1,4 @@
-package meetings
+package integration
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/job"
+	"robinstack/emulator"
+	"robinstack/internal/job"
 )
 
 // A zone with its workers and a controller is cut off from everything else for longer than a
@@ -35,7 +35,7 @@
 					w.hub.set("host-1", on)
 					w.port("host-1").Refuse(on)
 					w.cutUsers("host-1", on)
-					w.fleet.Each(func(_ string, u *fakes.Machine) {
+					w.fleet.Each(func(_ string, u *emulator.Machine) {
 						switch {
 						case u.Zone() != "b":
 							u.Cut = map[bool]string{true: "host-1"}[on]
@@ -93,8 +93,8 @@
 					if !w.cancelSoon("host-1", jobs[2].ID) {
 						w.t.Fatal("not told as cancelled")
 					}
-					var machines []*fakes.Machine
-					w.fleet.Each(func(_ string, u *fakes.Machine) { machines = append(machines, u) })
+					var machines []*emulator.Machine
+					w.fleet.Each(func(_ string, u *emulator.Machine) { machines = append(machines, u) })
 					bring := w.end(w.hosts, never)
 					time.Sleep(away)
 					if away > workers.Lease+2*time.Second && machines[0].Session() == 1 {
@@ -177,7 +177,7 @@
 			w.port(h).Trouble(300*time.Millisecond, 0)
 		}
 		slow := func(on bool) {
-			w.fleet.Each(func(_ string, u *fakes.Machine) {
+			w.fleet.Each(func(_ string, u *emulator.Machine) {
 				u.Hold, u.HoldAnswers = 0, 0
 				if on {
 					u.Hold, u.HoldAnswers = time.Second, 700*time.Millisecond
@@ -257,14 +257,14 @@
 				})
 				killed := 0
 				for _, s := range jobs {
-					w.unitOf(w.history.Where(s.ID), func(u *fakes.Machine) { u.Kill(); killed++ })
+					w.unitOf(w.history.Where(s.ID), func(u *emulator.Machine) { u.Kill(); killed++ })
 					if s.ID == bound.ID && role != "nobody" {
 						w.end(w.leading(role, one.ID), 400*time.Millisecond)
 					}
 					time.Sleep(7 * time.Second)
 				}
 				time.Sleep(20 * time.Second)
-				w.fleet.Each(func(_ string, u *fakes.Machine) {
+				w.fleet.Each(func(_ string, u *emulator.Machine) {
 					if u.Zone() == "b" {
 						u.Kill()
 						killed++
@@ -300,7 +300,7 @@
 			tasks[w.history.Machine(job.TaskID(one.ID, index))]++
 		}
 		for machine, n := range tasks {
-			w.unitOf(machine, func(u *fakes.Machine) { zone = u.Zone() })
+			w.unitOf(machine, func(u *emulator.Machine) { zone = u.Zone() })
 			if n == 2 {
 				lost = machine
 			}
@@ -318,7 +318,7 @@
 		elsewhere.CPUs, elsewhere.GPUs = 5, 0 // its machine has room for two of the others all the time
 		w.submit("", elsewhere, 10*time.Minute)
 		w.until("a machine of another zone has room", time.Minute, func() bool { return w.history.On(elsewhere.ID) == 1 && w.fleet.Fits(in(other, array("", 2)), 2) })
-		w.unitOf(lost, func(u *fakes.Machine) { u.Kill() })
+		w.unitOf(lost, func(u *emulator.Machine) { u.Kill() })
 		w.until("it has lost two tasks", 90*time.Second, func() bool { return w.history.On(one.ID) == 1 })
 		w.until("it runs whole again", 90*time.Second, func() bool { return w.history.On(one.ID) == 3 })
 		w.check()
@@ -339,13 +339,13 @@
 				}
 				w.submit("host-0", short, 20*time.Second)
 				w.until("they run", time.Minute, func() bool { return w.history.On(long.ID) == 2 && w.history.On(short.ID) == 2 })
-				w.fleet.Each(func(_ string, u *fakes.Machine) { u.Mute, u.Lost = true, true })
+				w.fleet.Each(func(_ string, u *emulator.Machine) { u.Mute, u.Lost = true, true })
 				time.Sleep(4 * time.Second)
-				w.fleet.Each(func(_ string, u *fakes.Machine) { u.Keep() })
+				w.fleet.Each(func(_ string, u *emulator.Machine) { u.Keep() })
 				lives := w.lives()
 				w.end(w.leading(role, long.ID), 400*time.Millisecond)
 				w.until("the short one has run", 30*time.Second, func() bool { return w.history.Completed(job.TaskID(short.ID, 1)) })
-				w.fleet.Each(func(_ string, u *fakes.Machine) { u.Mute, u.Lost = false, false })
+				w.fleet.Each(func(_ string, u *emulator.Machine) { u.Mute, u.Lost = false, false })
 				time.Sleep(6 * time.Second)
 				if w.lives() == lives {
 					w.t.Error("no leader changed: this shows nothing")
--- a/meetings/outage_test.go
+++ b/test/integration/outage_test.go
@@ -1,4 +1,4 @@
-package meetings
+package integration
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // owners are the shards' holders, with the revisions of their keys.
@@ -143,11 +143,11 @@
 			w.t.Fatal("not accepted")
 		}
 		w.until("it runs", 3*time.Minute, func() bool { return w.history.On(s.ID) == 10 })
-		w.fleet.Each(func(_ string, u *fakes.Machine) { u.Lost = true })
+		w.fleet.Each(func(_ string, u *emulator.Machine) { u.Lost = true })
 		w.port("host-0").NoRenewals(true)
 		time.Sleep(3 * time.Minute)
 		w.port("host-0").NoRenewals(false)
-		w.fleet.Each(func(_ string, u *fakes.Machine) { u.Lost = false })
+		w.fleet.Each(func(_ string, u *emulator.Machine) { u.Lost = false })
 		time.Sleep(15 * time.Minute)
 		w.history.End()
 		w.check()
--- a/meetings/refused_test.go
+++ b/test/integration/refused_test.go
@@ -1,4 +1,4 @@
-package meetings
+package integration
 
 import (
 	"encoding/json"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // A calm day: jobs of all shapes come to their ends, and a cancelled one is gone at once.
@@ -113,9 +113,9 @@
 	hang := func(w *world, for_ time.Duration) func() {
 		return func() {
 			time.Sleep(50 * time.Millisecond)
-			w.fleet.Each(func(_ string, u *fakes.Machine) { u.Hung = true })
+			w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hung = true })
 			time.Sleep(for_)
-			w.fleet.Each(func(_ string, u *fakes.Machine) { u.Hung = false })
+			w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hung = false })
 		}
 	}
 	twists := map[string]func(w *world, c refusal) (before, twist func()){
@@ -130,7 +130,7 @@
 			return func() { w.hub.set(c.refused, true) }, func() { time.Sleep(80 * time.Second); w.hub.set(c.refused, false) }
 		},
 		"commands are lost": func(w *world, _ refusal) (func(), func()) {
-			return func() { w.fleet.Each(func(_ string, u *fakes.Machine) { u.Lost = true }) }, nil
+			return func() { w.fleet.Each(func(_ string, u *emulator.Machine) { u.Lost = true }) }, nil
 		},
 	}
 	for name, c := range refusals {
@@ -153,7 +153,7 @@
 func TestSavingGangIsCancelled(t *testing.T) {
 	story(t, 5, func(w *world) {
 		s := w.running("host-0", "b", job.Gang)
-		w.fleet.Each(func(_ string, u *fakes.Machine) { u.Save(time.Minute) })
+		w.fleet.Each(func(_ string, u *emulator.Machine) { u.Save(time.Minute) })
 		if !w.cancel("host-2", s.ID) {
 			w.t.Fatal("not told as cancelled")
 		}
--- a/meetings/roles_test.go
+++ b/test/integration/roles_test.go
@@ -1,14 +1,14 @@
-package meetings
+package integration
 
 import (
 	"net/http"
 	"sync"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // leaders are those that a story may have end: a job's placer, the owner of the machine
@@ -47,7 +47,7 @@
 // ownerOf is the host that owns a machine by its key, or "".
 func (w *world) ownerOf(machine string) string {
 	for _, kv := range w.state.Dir(statekv.MachinePrefix + machine) {
-		if key := agent.KeyOf(kv); key != nil && kv.Key == statekv.MachinePrefix+machine {
+		if key := clusteragent.KeyOf(kv); key != nil && kv.Key == statekv.MachinePrefix+machine {
 			return w.holder(statekv.ShardPrefix + key.Shard)
 		}
 	}
@@ -92,8 +92,8 @@
 }
 
 // unitOf calls do for the machine of that name, with the fleet held still.
-func (w *world) unitOf(machine string, do func(u *fakes.Machine)) {
-	w.fleet.Each(func(name string, u *fakes.Machine) {
+func (w *world) unitOf(machine string, do func(u *emulator.Machine)) {
+	w.fleet.Each(func(name string, u *emulator.Machine) {
 		if name == machine {
 			do(u)
 		}
--- a/meetings/small_test.go
+++ b/test/integration/small_test.go
@@ -1,4 +1,4 @@
-package meetings
+package integration
 
 import (
 	"net/http"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"robinstack/fakes"
+	"robinstack/emulator"
 )
 
 // Jobs of one task come four a second for minutes, and a quarter are cancelled, alone and
@@ -50,14 +50,14 @@
 			return func() { w.state.Set(false, false) }
 		},
 		"machines hang": func(w *world) func() {
-			hung := map[*fakes.Machine]bool{}
-			w.fleet.Each(func(_ string, u *fakes.Machine) {
+			hung := map[*emulator.Machine]bool{}
+			w.fleet.Each(func(_ string, u *emulator.Machine) {
 				if len(hung) < 5 {
 					u.Hung, hung[u] = true, true
 				}
 			})
 			return func() {
-				w.fleet.Each(func(_ string, u *fakes.Machine) {
+				w.fleet.Each(func(_ string, u *emulator.Machine) {
 					if hung[u] {
 						u.Hung = false
 					}
--- a/meetings/told_test.go
+++ b/test/integration/told_test.go
@@ -1,11 +1,11 @@
-package meetings
+package integration
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"robinstack/job"
+	"robinstack/internal/job"
 )
 
 // A user is told that a job is cancelled while no watch has shown it yet, not even that of
--- a/meetings/unreachable_test.go
+++ b/test/integration/unreachable_test.go
@@ -1,12 +1,12 @@
-package meetings
+package integration
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/job"
+	"robinstack/emulator"
+	"robinstack/internal/job"
 )
 
 // The reports of machines reach nobody, while commands are carried out. Their leases run out
@@ -23,8 +23,8 @@
 				}
 				w.until("it runs", time.Minute, func() bool { return w.history.On(long.ID) == 2 })
 				time.Sleep(5 * time.Second)
-				var mute []*fakes.Machine
-				w.fleet.Each(func(_ string, u *fakes.Machine) {
+				var mute []*emulator.Machine
+				w.fleet.Each(func(_ string, u *emulator.Machine) {
 					u.Mute = true
 					mute = append(mute, u)
 				})
@@ -53,7 +53,7 @@
 				if n := w.history.Starts() - starts; n > 12 {
 					w.t.Errorf("%d starts for eight tasks: they are placed where they are killed", n)
 				}
-				w.fleet.Each(func(_ string, u *fakes.Machine) {
+				w.fleet.Each(func(_ string, u *emulator.Machine) {
 					if u == mute[0] && (u.Session() == session || u.Carried == carried) {
 						w.t.Errorf("session %d, %d commands carried out: this shows nothing", u.Session(), u.Carried)
 					}
@@ -93,7 +93,7 @@
 					for _, s := range []job.Spec{array, gang} {
 						go func() { told <- w.cancel("host-2", s.ID) }()
 					}
-					w.fleet.Each(func(_ string, u *fakes.Machine) { u.Hung = true })
+					w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hung = true })
 					bring := trouble(w, array.ID)
 					for range cap(told) {
 						if !<-told {
@@ -104,7 +104,7 @@
 						w.t.Fatal("nothing was on machines: this shows nothing")
 					}
 					time.Sleep(hang)
-					w.fleet.Each(func(_ string, u *fakes.Machine) { u.Hung = false })
+					w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hung = false })
 					bring()
 					time.Sleep(workers.CancelGone + 10*time.Second)
 					w.t.Logf("tasks stayed for %v", w.history.Stayed())
--- a/meetings/world_test.go
+++ b/test/integration/world_test.go
@@ -1,4 +1,4 @@
-package meetings
+package integration
 
 import (
 	"bytes"
@@ -19,29 +19,29 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/controller"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/peer"
-	"robinstack/policy"
+	"robinstack/emulator"
+	"robinstack/internal/cloud"
+	"robinstack/internal/config"
+	"robinstack/internal/controller"
+	"robinstack/internal/job"
+	"robinstack/internal/peer"
+	"robinstack/internal/policy"
 )
 
 // world is a service of three controllers, one in each zone, with its users and machines.
 type world struct {
 	t       *testing.T
 	ctx     context.Context
-	state   *fakes.State
-	fleet   *fakes.Fleet
-	history *fakes.History
+	state   *emulator.State
+	fleet   *emulator.Fleet
+	history *emulator.History
 	hub     *hub
 	hosts   []string
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	nodes   map[string]*node
-	ports   map[string]*fakes.Port
+	ports   map[string]*emulator.Port
 	ready   map[string]bool
 	noUsers map[string]bool // controllers that users do not reach
 	noWork  map[string]bool // and workers
@@ -88,16 +88,16 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &world{t: t, ctx: ctx, state: fakes.NewState(), hosts: []string{"host-0", "host-1", "host-2"}, rng: rand.New(rand.NewPCG(seed, 3)),
-			nodes: map[string]*node{}, ports: map[string]*fakes.Port{}, ready: map[string]bool{}, noUsers: map[string]bool{}, noWork: map[string]bool{},
+		w := &world{t: t, ctx: ctx, state: emulator.NewState(), hosts: []string{"host-0", "host-1", "host-2"}, rng: rand.New(rand.NewPCG(seed, 3)),
+			nodes: map[string]*node{}, ports: map[string]*emulator.Port{}, ready: map[string]bool{}, noUsers: map[string]bool{}, noWork: map[string]bool{},
 			hub: &hub{lives: map[string]*wire{}, cut: map[string]bool{}, deaf: map[string]bool{}}}
 		stop := make(chan struct{})
 		go w.state.Watch(stop)
 		defer func() { cancel(); close(stop); time.Sleep(30 * time.Second); synctest.Wait() }()
 		s := w.settings("host-0")
-		w.history = fakes.NewHistory(s)
+		w.history = emulator.NewHistory(s)
 		types := []cloud.MachineType{{Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 1, Price: 2, SpotPrice: 1, BootS: bootS, Zones: zones}}
-		w.fleet = fakes.NewFleet(ctx, s, types, most, seed, w.history, w.work)
+		w.fleet = emulator.NewFleet(ctx, s, types, most, seed, w.history, w.work)
 		for _, h := range w.hosts {
 			w.start(h)
 		}
@@ -117,7 +117,7 @@
 		return
 	}
 	if w.ports[host] == nil {
-		w.ports[host] = fakes.NewPort(w.state, w.rng.Uint64())
+		w.ports[host] = emulator.NewPort(w.state, w.rng.Uint64())
 	}
 	ctx, stop := context.WithCancel(w.ctx)
 	c := controller.Assemble(w.settings(host), policy.Default(), controller.Outside{Store: w.ports[host], Moves: w.ports[host], Cloud: w.fleet, Workers: w.fleet.Commander(host),
@@ -289,7 +289,7 @@
 	return false
 }
 
-func (w *world) port(host string) *fakes.Port {
+func (w *world) port(host string) *emulator.Port {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.ports[host]
--- a/dev/dev.go
+++ b/tools/devcluster/dev.go
@@ -1,8 +1,8 @@
-// Package dev runs a whole service on one machine for those who want to see it or work on
+// Package devcluster runs a whole service on one machine for those who want to see it or work on
 // it: a state service, a cloud and workers that are stand-ins over the published
 // protocols, and controllers as processes of their own. It owns those processes and the
 // ports, and leaves nothing behind.
-package dev
+package devcluster
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"net/http"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/fakes"
-	"robinstack/job"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/cloud"
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
 )
 
 // Options say what to run.
@@ -33,8 +33,8 @@
 // Fleet is a running service.
 type Fleet struct {
 	*Controllers
-	State *fakes.State
-	Farm  *fakes.Farm
+	State *emulator.State
+	Farm  *emulator.Farm
 
 	opts    Options
 	servers []io.Closer // and their listeners
@@ -84,9 +84,9 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Controllers: controllers, State: fakes.NewState(), opts: o, stop: make(chan struct{})}
+	f := &Fleet{Controllers: controllers, State: emulator.NewState(), opts: o, stop: make(chan struct{})}
 	types := []cloud.MachineType{{Name: "box", CPUs: 16, GPUs: o.GPUs, MemoryGB: 128, CacheGB: 100, FetchGBPerS: 10, Price: 10, SpotPrice: 4, BootS: 0.5, Zones: zones}}
-	f.Farm = fakes.NewFarm(ctx, fakes.FarmConfig{Types: types, Most: max(1, o.Machines/pools), Controllers: addresses, Report: time.Second, Lease: 8 * time.Second, Spec: f.spec})
+	f.Farm = emulator.NewFarm(ctx, emulator.FarmConfig{Types: types, Most: max(1, o.Machines/pools), Controllers: addresses, Report: time.Second, Lease: 8 * time.Second, Spec: f.spec})
 	if err := f.start(); err != nil {
 		f.Stop()
 		return nil, err
@@ -98,7 +98,7 @@
 	if err := f.CheckPorts(); err != nil {
 		return err
 	}
-	for k, handler := range []http.Handler{f.State, fakes.NewCloudServer(f.Farm, 0, 0)} {
+	for k, handler := range []http.Handler{f.State, emulator.NewCloudServer(f.Farm, 0, 0)} {
 		ln, err := net.Listen("tcp4", f.opts.address(k))
 		if err != nil {
 			return fmt.Errorf("a port for the %s: %w", [...]string{"state service", "cloud"}[k], err)
--- a/dev/own_linux.go
+++ b/tools/devcluster/own_linux.go
@@ -1,4 +1,4 @@
-package dev
+package devcluster
 
 import "syscall"
 
--- a/dev/rolls.go
+++ b/tools/devcluster/rolls.go
@@ -1,4 +1,4 @@
-package dev
+package devcluster
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"robinstack/rollout"
-	"robinstack/statekv"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
 )
 
 // Example is a submission to try by hand.
--- a/scale/facts.go
+++ b/tools/scaletest/facts.go
@@ -1,9 +1,9 @@
-package scale
+package scaletest
 
 import (
 	"fmt"
 
-	"robinstack/config"
+	"robinstack/internal/config"
 )
 
 // facts are what the controllers' settings say of the deployment.
--- a/scale/load.go
+++ b/tools/scaletest/load.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"robinstack/cloud"
-	"robinstack/config"
-	"robinstack/fakes"
-	"robinstack/job"
+	"robinstack/emulator"
+	"robinstack/internal/cloud"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
 )
 
 // Plan is what the process of the workers and users is told.
@@ -79,10 +79,10 @@
 type load struct {
 	plan     *Plan
 	settings *config.Settings
-	fleet    *fakes.Fleet
-	history  *fakes.History
-	loopback *fakes.Loopback
-	cloud    *fakes.CloudServer
+	fleet    *emulator.Fleet
+	history  *emulator.History
+	loopback *emulator.Loopback
+	cloud    *emulator.CloudServer
 	users    *users
 	begun    time.Time
 
@@ -135,17 +135,17 @@
 
 func newLoad(ctx context.Context, plan *Plan, settings *config.Settings) *load {
 	p := &plan.Profile
-	l := &load{plan: plan, settings: settings, history: fakes.NewHistory(settings), loopback: &fakes.Loopback{Addresses: plan.Controllers},
+	l := &load{plan: plan, settings: settings, history: emulator.NewHistory(settings), loopback: &emulator.Loopback{Addresses: plan.Controllers},
 		steps: newHistogram(), waits: map[string]*histogram{}}
 	var types []cloud.MachineType
 	for _, t := range p.Types {
 		types = append(types, cloud.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: 1000, FetchGBPerS: 1, Price: t.Price, BootS: t.Boot, Zones: p.Zones()})
 	}
 	// As many again may be rented as fail.
-	l.fleet = fakes.NewFleet(ctx, settings, types, p.Machines()+p.Machines()/4, p.Seed, l.history, nil)
+	l.fleet = emulator.NewFleet(ctx, settings, types, p.Machines()+p.Machines()/4, p.Seed, l.history, nil)
 	l.fleet.Connect(l.loopback)
-	l.fleet.SetTiming(fakes.Timing{Fetch: seconds(p.Workers.Fetch), SpreadBoot: true, OnStep: l.steps.add})
-	l.cloud = fakes.NewCloudServer(l.fleet, p.Cloud.RPS, seconds(p.Cloud.ListLag))
+	l.fleet.SetTiming(emulator.Timing{Fetch: seconds(p.Workers.Fetch), SpreadBoot: true, OnStep: l.steps.add})
+	l.cloud = emulator.NewCloudServer(l.fleet, p.Cloud.RPS, seconds(p.Cloud.ListLag))
 	l.users = newUsers(p, plan.Controllers, l.history, l.fleet)
 	urgent := map[string]bool{}
 	for _, c := range p.Jobs {
@@ -203,7 +203,7 @@
 		l.most = max(l.most, running)
 		l.mu.Unlock()
 		p := Progress{Second: second, Running: running, Starts: starts - last, Open: l.users.open()}
-		l.fleet.Each(func(_ string, u *fakes.Machine) {
+		l.fleet.Each(func(_ string, u *emulator.Machine) {
 			if u.Session() > 0 && u.Heard() {
 				p.Up++
 			}
@@ -264,8 +264,8 @@
 // strike has a fault's machines fail: drawn ones, those rented one after the other from a
 // drawn one on, or all of a zone.
 func (l *load) strike(f Fault) {
-	var machines []*fakes.Machine
-	l.fleet.Each(func(_ string, u *fakes.Machine) {
+	var machines []*emulator.Machine
+	l.fleet.Each(func(_ string, u *emulator.Machine) {
 		if u.Heard() && (f.Zone == "" || u.Zone() == f.Zone) {
 			machines = append(machines, u)
 		}
@@ -279,23 +279,23 @@
 	if f.Kind != ZoneFails {
 		machines = machines[:min(len(machines), f.Count)]
 	}
-	hit := map[*fakes.Machine]bool{}
+	hit := map[*emulator.Machine]bool{}
 	for _, u := range machines {
 		hit[u] = true
 	}
-	change := func(do func(u *fakes.Machine)) {
-		l.fleet.Each(func(_ string, u *fakes.Machine) {
+	change := func(do func(u *emulator.Machine)) {
+		l.fleet.Each(func(_ string, u *emulator.Machine) {
 			if hit[u] {
 				do(u)
 			}
 		})
 	}
 	if f.Kind != WorkerHangs {
-		change(func(u *fakes.Machine) { u.Kill() })
+		change(func(u *emulator.Machine) { u.Kill() })
 		return
 	}
-	change(func(u *fakes.Machine) { u.Hung = true })
-	time.AfterFunc(seconds(f.For), func() { change(func(u *fakes.Machine) { u.Hung = false }) })
+	change(func(u *emulator.Machine) { u.Hung = true })
+	time.AfterFunc(seconds(f.For), func() { change(func(u *emulator.Machine) { u.Hung = false }) })
 }
 
 func seconds(s float64) time.Duration { return config.Seconds(s) }
--- a/scale/profile.go
+++ b/tools/scaletest/profile.go
@@ -1,13 +1,13 @@
-// Package scale runs real controllers as processes against stand-ins at a size that a
+// Package scaletest runs real controllers as processes against stand-ins at a size that a
 // profile states, measures what each role costs, and fits how that grows.
-package scale
+package scaletest
 
 import (
 	"bytes"
 	"errors"
 	"fmt"
 	"os"
-	"robinstack/policy"
+	"robinstack/internal/policy"
 	"slices"
 	"strings"
 
--- a/scale/profile_test.go
+++ b/tools/scaletest/profile_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"errors"
@@ -19,7 +19,7 @@
 // The profiles of the repository are valid, and are of the sizes that they are named for.
 func TestProfilesOfTheRepository(t *testing.T) {
 	for path, machines := range map[string]int{"small": 40, "today": 1354, "planned": 3000} {
-		p, err := Load("../deploy/scale/" + path + ".toml")
+		p, err := Load("../../deploy/scale/" + path + ".toml")
 		if err != nil {
 			t.Error(err)
 			continue
@@ -32,7 +32,7 @@
 
 // What is wrong in a profile is said with file, line and field.
 func TestFaultsInAProfileNameLineAndField(t *testing.T) {
-	small := read(t, "../deploy/scale/small.toml")
+	small := read(t, "../../deploy/scale/small.toml")
 	for _, c := range []struct{ was, is, says string }{
 		{"count = 3", "count = 17", ":8: controllers.count: must be 1 to 16"},
 		{"rps = 200.0", "rsp = 200.0", ":14: state.rsp: unknown field"},
@@ -63,7 +63,7 @@
 
 // What does not fit is refused with the figure.
 func TestWhatDoesNotFitIsRefused(t *testing.T) {
-	p, err := Load("../deploy/scale/planned.toml")
+	p, err := Load("../../deploy/scale/planned.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 // A profile at another size has as many jobs for each machine, and draws the same arrivals
 // each time, at the rates that it states.
 func TestProfileAtAnotherSize(t *testing.T) {
-	p, err := Load("../deploy/scale/planned.toml")
+	p, err := Load("../../deploy/scale/planned.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/scale/report.go
+++ b/tools/scaletest/report.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"robinstack/gateway"
+	"robinstack/internal/gateway"
 )
 
 // Result is what a run measured.
--- a/scale/run.go
+++ b/tools/scaletest/run.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 	"sync"
 	"time"
 
-	"robinstack/agent"
-	"robinstack/dev"
-	"robinstack/fakes"
-	"robinstack/statekv"
+	"robinstack/emulator"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/statekv"
+	"robinstack/tools/devcluster"
 )
 
 // Options say how to run a profile.
@@ -34,11 +34,11 @@
 	options Options
 	room    Room
 
-	state       *fakes.State
-	rates       *fakes.Rates
+	state       *emulator.State
+	rates       *emulator.Rates
 	server      *http.Server
-	controllers *dev.Controllers
-	nodes       []dev.Node
+	controllers *devcluster.Controllers
+	nodes       []devcluster.Node
 	dir         string
 	begun       time.Time
 
@@ -69,7 +69,7 @@
 	if err := p.Fits(room); err != nil {
 		return nil, err
 	}
-	r := &Run{profile: p, options: o, room: room, state: fakes.NewState(), rates: fakes.NewRates(p.State.RPS, p.State.WriteRPS),
+	r := &Run{profile: p, options: o, room: room, state: emulator.NewState(), rates: emulator.NewRates(p.State.RPS, p.State.WriteRPS),
 		result: make(chan *LoadResult, 1), down: map[int]bool{}, loadMeter: &meter{}, selfMeter: &meter{}}
 	defer r.stop()
 	if err := r.start(ctx); err != nil {
@@ -107,7 +107,7 @@
 	stateAddress, cloudAddress := addresses[0], addresses[1]
 	zones, listens := p.Zones(), map[string]string{}
 	for k := range p.Controllers.Count {
-		n := dev.Node{Host: fmt.Sprintf("host-%d", k), Zone: zones[k%len(zones)], Listen: addresses[2+2*k], PeerListen: addresses[3+2*k]}
+		n := devcluster.Node{Host: fmt.Sprintf("host-%d", k), Zone: zones[k%len(zones)], Listen: addresses[2+2*k], PeerListen: addresses[3+2*k]}
 		r.nodes, r.meters = append(r.nodes, n), append(r.meters, &meter{})
 		listens[n.Host] = n.Listen
 	}
@@ -119,7 +119,7 @@
 	if err := os.WriteFile(policyFile, []byte(p.Controllers.Policy), 0o600); err != nil {
 		return fmt.Errorf("writing the policy: %w", err)
 	}
-	r.controllers, err = dev.NewControllers(dev.Setup{Nodes: r.nodes, State: stateAddress, Cloud: cloudAddress, Facts: p.facts(), Policy: policyFile, Program: r.options.Program, Logs: logs, LogLevel: "error"})
+	r.controllers, err = devcluster.NewControllers(devcluster.Setup{Nodes: r.nodes, State: stateAddress, Cloud: cloudAddress, Facts: p.facts(), Policy: policyFile, Program: r.options.Program, Logs: logs, LogLevel: "error"})
 	if err != nil {
 		return err
 	}
@@ -171,7 +171,7 @@
 	}
 	defer log.Close()
 	r.workers = exec.CommandContext(ctx, r.options.Program, "scale", "--"+WorkersFlag, file)
-	r.workers.Stderr, r.workers.SysProcAttr = log, dev.ChildAttributes()
+	r.workers.Stderr, r.workers.SysProcAttr = log, devcluster.ChildAttributes()
 	if r.stdin, err = r.workers.StdinPipe(); err != nil {
 		return err
 	}
@@ -385,7 +385,7 @@
 		}
 	}
 	for _, kv := range r.state.Dir(statekv.MachinePrefix) {
-		if key := agent.KeyOf(kv); key != nil {
+		if key := clusteragent.KeyOf(kv); key != nil {
 			out[owners[key.Shard]]++
 		}
 	}
--- a/scale/tables.go
+++ b/tools/scaletest/tables.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"fmt"
--- a/scale/users.go
+++ b/tools/scaletest/users.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"robinstack/fakes"
-	"robinstack/job"
+	"robinstack/emulator"
+	"robinstack/internal/job"
 )
 
 // users submit jobs at a profile's rates, however the service fares, ask about them as the
@@ -22,8 +22,8 @@
 type users struct {
 	profile   *Profile
 	addresses []string
-	history   *fakes.History
-	fleet     *fakes.Fleet
+	history   *emulator.History
+	fleet     *emulator.Fleet
 	begun     time.Time
 	http      *http.Client
 	lateness  *histogram // of submissions against their times
@@ -49,7 +49,7 @@
 	mostOpenJobs = 20_000 // users of a run; more do not fit
 )
 
-func newUsers(p *Profile, controllers map[string]string, history *fakes.History, fleet *fakes.Fleet) *users {
+func newUsers(p *Profile, controllers map[string]string, history *emulator.History, fleet *emulator.Fleet) *users {
 	return &users{profile: p, addresses: slices.Sorted(maps.Values(controllers)), history: history, fleet: fleet,
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}, lateness: newHistogram(), answers: newHistogram(), submitted: map[string]int{}}
 }
