--- a/internal/clusteragent/wire.go
+++ b/internal/agentapi/messages.go
@@ -1,4 +1,7 @@
-package clusteragent
+// Package agentapi holds the net/rpc messages of the service "Agent": what schedulers,
+// the elected leader and change feeds ask the owner of a machine, and its answers. Field
+// names and kinds are the wire format (gob) and must not change. It owns no state.
+package agentapi
 
 import (
 	"time"
@@ -6,6 +9,22 @@
 	"robinstack/internal/job"
 )
 
+// Health tells which paths of a controller work.
+type Health struct {
+	Host    string   `json:"host"`
+	StateOK bool     `json:"state_service_reached"`
+	Owned   int      `json:"machines_owned"`
+	Heard   int      `json:"machines_heard_lately"`
+	Marked  []Marked `json:"machines_marked"`
+}
+
+// Marked is a machine that gets no tasks because tasks failed there.
+type Marked struct {
+	Machine string   `json:"machine"`
+	Why     string   `json:"why"`
+	Jobs    []string `json:"jobs"`
+}
+
 // Request describes what a placer looks for.
 type Request struct {
 	Spec  job.Spec
@@ -129,9 +148,6 @@
 	Entries  []Entry
 }
 
-// mostEntries bounds the entries of one answer.
-const mostEntries = 300
-
 // Entry is what an agent knows about one of its machines.
 type Entry struct {
 	Machine  string
--- a/internal/autoscaler/calls.go
+++ b/internal/autoscaler/calls.go
@@ -7,8 +7,9 @@
 	"slices"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/cloud"
-	"robinstack/internal/clusteragent"
 )
 
 // rent asks the cloud for machines; what has no answer is asked for again under its name.
@@ -49,9 +50,9 @@
 		}
 	}
 	for host, names := range byHost {
-		var reply clusteragent.MachinesReply
+		var reply agentapi.MachinesReply
 		cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
-		err := s.call.Call(cctx, host, "Agent.Drain", clusteragent.MachinesRequest{Names: names, On: true}, &reply)
+		err := s.call.Call(cctx, host, "Agent.Drain", agentapi.MachinesRequest{Names: names, On: true}, &reply)
 		cancel()
 		if err != nil {
 			slog.Debug("draining machines", "host", host, "err", err)
@@ -92,7 +93,7 @@
 	}
 	for host, names := range byHost {
 		cctx, cancel := context.WithTimeout(ctx, 3*time.Second)
-		if err := s.call.Call(cctx, host, "Agent.Removed", clusteragent.MachinesRequest{Names: names}, &clusteragent.MachinesReply{}); err != nil {
+		if err := s.call.Call(cctx, host, "Agent.Removed", agentapi.MachinesRequest{Names: names}, &agentapi.MachinesReply{}); err != nil {
 			slog.Debug("telling an owner of deleted machines", "host", host, "err", err)
 		}
 		cancel()
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -11,8 +11,9 @@
 	"sync"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/cloud"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
@@ -259,7 +260,7 @@
 }
 
 // takeStock goes through all machines that have owners. The mutex is held.
-func (s *Steward) takeStock(entries []clusteragent.Entry, types map[string]cloud.MachineType, now time.Time) *stock {
+func (s *Steward) takeStock(entries []agentapi.Entry, types map[string]cloud.MachineType, now time.Time) *stock {
 	f := &s.fleet
 	out := &stock{idle: map[string]time.Duration{}, present: map[string]bool{}}
 	f.mute, f.untold = 0, nil
@@ -289,7 +290,7 @@
 }
 
 // add takes a machine that is neither deleted nor lost.
-func (k *stock) add(e *clusteragent.Entry, types map[string]cloud.MachineType, now time.Time) {
+func (k *stock) add(e *agentapi.Entry, types map[string]cloud.MachineType, now time.Time) {
 	t, ok := types[e.Type]
 	if !ok || e.Silent || e.Notice {
 		return
@@ -562,7 +563,7 @@
 const muteDoubt = 3 * time.Second
 
 // isLost says why a machine will not come back, or nothing.
-func (s *Steward) isLost(e *clusteragent.Entry, now time.Time) string {
+func (s *Steward) isLost(e *agentapi.Entry, now time.Time) string {
 	f := &s.fleet
 	if !e.Silent {
 		delete(f.silent, e.Machine)
--- a/internal/autoscaler/ledger.go
+++ b/internal/autoscaler/ledger.go
@@ -1,7 +1,7 @@
 package autoscaler
 
 import (
-	"robinstack/internal/clusteragent"
+	"robinstack/internal/agentapi"
 	"robinstack/internal/job"
 	"robinstack/internal/worker"
 )
@@ -21,14 +21,14 @@
 // ledger counts what the teams hold and are permitted to start. Its sums follow
 // each change, so that a permit costs the same in a fleet of any size.
 type ledger struct {
-	permits map[clusteragent.TaskRef]permit
-	held    map[string]map[clusteragent.TaskRef]account // per machine
-	dark    map[string]bool                             // machines with tasks of unknown teams
-	sums    map[string]job.Need                         // per team: held and permitted
+	permits map[agentapi.TaskRef]permit
+	held    map[string]map[agentapi.TaskRef]account // per machine
+	dark    map[string]bool                         // machines with tasks of unknown teams
+	sums    map[string]job.Need                     // per team: held and permitted
 }
 
 func newLedger() ledger {
-	return ledger{permits: map[clusteragent.TaskRef]permit{}, held: map[string]map[clusteragent.TaskRef]account{}, dark: map[string]bool{}, sums: map[string]job.Need{}}
+	return ledger{permits: map[agentapi.TaskRef]permit{}, held: map[string]map[agentapi.TaskRef]account{}, dark: map[string]bool{}, sums: map[string]job.Need{}}
 }
 
 func (l *ledger) book(a account, k float64) { l.sums[a.team] = l.sums[a.team].Add(a.need, k) }
@@ -46,13 +46,13 @@
 	}
 }
 
-func (l *ledger) grant(ref clusteragent.TaskRef, p permit) {
+func (l *ledger) grant(ref agentapi.TaskRef, p permit) {
 	l.release(ref)
 	l.permits[ref] = p
 	l.book(p.account, 1)
 }
 
-func (l *ledger) release(ref clusteragent.TaskRef) {
+func (l *ledger) release(ref agentapi.TaskRef) {
 	if p, ok := l.permits[ref]; ok {
 		delete(l.permits, ref)
 		l.book(p.account, -1)
@@ -82,13 +82,13 @@
 	delete(l.dark, machine)
 }
 
-func (l *ledger) onEntry(e *clusteragent.Entry) {
+func (l *ledger) onEntry(e *agentapi.Entry) {
 	if e.Gone {
 		l.drop(e.Machine)
 		return
 	}
 	old := l.held[e.Machine]
-	now := map[clusteragent.TaskRef]account{}
+	now := map[agentapi.TaskRef]account{}
 	if !e.Settled {
 		// An earlier owner's starts may not have shown up yet.
 		for ref, a := range old {
--- a/internal/autoscaler/reserve_test.go
+++ b/internal/autoscaler/reserve_test.go
@@ -6,7 +6,10 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/internal/clusteragent"
+	"robinstack/internal/quota"
+
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/job"
 )
 
@@ -18,25 +21,25 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
 		s.settled, s.cleared["m1"] = true, true
-		permit := func(id string, index, gpus int, release ...clusteragent.TaskRef) bool {
+		permit := func(id string, index, gpus int, release ...agentapi.TaskRef) bool {
 			t.Helper()
-			var reply PermitReply
-			want := Want{Ref: clusteragent.TaskRef{Job: id, Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
-			if err := NewService(s).Permit(PermitRequest{Slot: "s", Epoch: 1, Wants: []Want{want}, Release: release}, &reply); err != nil {
+			var reply quota.PermitReply
+			want := quota.Want{Ref: agentapi.TaskRef{Job: id, Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
+			if err := NewService(s).Permit(quota.PermitRequest{Slot: "s", Epoch: 1, Wants: []quota.Want{want}, Release: release}, &reply); err != nil {
 				t.Fatal(err)
 			}
 			return reply.Granted[0]
 		}
 		reserve := func(id string, since int64) bool {
 			t.Helper()
-			var reply PermitReply
-			if err := NewService(s).Permit(PermitRequest{Slot: "s", Epoch: 1, Reserve: &Reservation{Job: id, Team: "t", Need: job.Need{GPUs: 8}, Since: since}}, &reply); err != nil {
+			var reply quota.PermitReply
+			if err := NewService(s).Permit(quota.PermitRequest{Slot: "s", Epoch: 1, Reserve: &quota.Reservation{Job: id, Team: "t", Need: job.Need{GPUs: 8}, Since: since}}, &reply); err != nil {
 				t.Fatal(err)
 			}
 			return reply.Reserved
 		}
-		small := func(k int) clusteragent.TaskRef {
-			return clusteragent.TaskRef{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}
+		small := func(k int) agentapi.TaskRef {
+			return agentapi.TaskRef{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}
 		}
 		for k := range 10 {
 			if !permit(small(k).Job, 0, 1) {
@@ -55,7 +58,7 @@
 			t.Fatal("it has all it needs, and does not get it")
 		}
 		s.kept = map[string]reserved{}
-		s.ledger.release(clusteragent.TaskRef{Job: "wk-90", Attempt: 1})
+		s.ledger.release(agentapi.TaskRef{Job: "wk-90", Attempt: 1})
 		// Two at once: the one that could start earlier, whichever asks first.
 		reserve("wk-91", 3000)
 		if !reserve("wk-92", 1000) || reserve("wk-91", 3000) {
@@ -64,7 +67,7 @@
 		if permit("wk-91", 0, 8) || !permit("wk-92", 0, 8, small(8)) {
 			t.Fatal("the later one got it")
 		}
-		s.ledger.release(clusteragent.TaskRef{Job: "wk-92", Attempt: 1})
+		s.ledger.release(agentapi.TaskRef{Job: "wk-92", Attempt: 1})
 		time.Sleep(reserveFor / 2)
 		if permit("wk-60", 0, 5) {
 			t.Fatal("given back too early")
--- a/internal/autoscaler/steward.go
+++ b/internal/autoscaler/steward.go
@@ -12,9 +12,18 @@
 	"sync"
 	"time"
 
+	"robinstack/internal/quota"
+
+	"robinstack/internal/changefeed"
+
+	"robinstack/internal/agentapi"
+
+	"robinstack/internal/shard"
+
+	"robinstack/internal/peer"
+
 	"robinstack/internal/budget"
 	"robinstack/internal/cloud"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/config"
 	"robinstack/internal/job"
 	"robinstack/internal/policy"
@@ -27,10 +36,10 @@
 	policy    *policy.Policy
 	mirror    *statekv.Mirror
 	member    *statekv.Member
-	call      clusteragent.Caller
+	call      peer.Caller
 	cloud     cloud.API
 	catalogue *cloud.Catalogue
-	feed      *clusteragent.Feed
+	feed      *changefeed.Feed
 
 	mu      sync.Mutex
 	epoch   uint64 // 0: not steward
@@ -53,7 +62,7 @@
 }
 
 // New returns a steward that does not hold the role yet.
-func New(settings *config.Settings, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Member, call clusteragent.Caller, api cloud.API, catalogue *cloud.Catalogue) *Steward {
+func New(settings *config.Settings, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Member, call peer.Caller, api cloud.API, catalogue *cloud.Catalogue) *Steward {
 	return &Steward{settings: settings, policy: pol, mirror: mirror, member: member, call: call, cloud: api, catalogue: catalogue,
 		ledger: newLedger(), kept: map[string]reserved{}, demand: map[string]demandAt{}, fleet: newFleet(), retell: make(chan []string)}
 }
@@ -66,7 +75,7 @@
 }
 
 // Run takes the role when it is free and does its duties until ctx ends.
-func (s *Steward) Run(ctx context.Context, feed *clusteragent.Feed) {
+func (s *Steward) Run(ctx context.Context, feed *changefeed.Feed) {
 	s.mu.Lock()
 	s.feed = feed
 	s.mu.Unlock()
@@ -164,7 +173,7 @@
 }
 
 // OnEntries keeps the ledger of what is on the machines.
-func (s *Steward) OnEntries(entries []clusteragent.Entry) {
+func (s *Steward) OnEntries(entries []agentapi.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range entries {
@@ -184,7 +193,7 @@
 	for _, kv := range s.mirror.Dir(statekv.MachinePrefix) {
 		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
 		if s.ledger.dark[name] || !s.settled && !s.cleared[name] {
-			if key := clusteragent.KeyOf(kv); key != nil {
+			if key := shard.ParseMachineKey(kv); key != nil {
 				blank = blank.Add(job.Capacity(types[key.Type]), 1)
 			}
 		}
@@ -198,13 +207,13 @@
 
 // reserved is the job of a team for which room is kept.
 type reserved struct {
-	Reservation
+	quota.Reservation
 	until time.Time
 }
 
 // reserve keeps a team's room for the job that could start earliest of those that asked
 // lately: one at a time, so that none waits for another.
-func (s *Steward) reserve(r Reservation, now time.Time) {
+func (s *Steward) reserve(r quota.Reservation, now time.Time) {
 	if was, ok := s.kept[r.Team]; ok && was.Job != r.Job && now.Before(was.until) && was.Since <= r.Since {
 		return
 	}
@@ -212,7 +221,7 @@
 }
 
 // reservedFor is what is kept from a task of another job of the team.
-func (s *Steward) reservedFor(w Want, now time.Time) job.Need {
+func (s *Steward) reservedFor(w quota.Want, now time.Time) job.Need {
 	was, ok := s.kept[w.Team]
 	if !ok || was.Job == w.Ref.Job || !now.Before(was.until) {
 		return job.Need{}
@@ -236,7 +245,7 @@
 
 // Permit grants what the teams' limits leave room for. A permit stands until
 // the task has shown up on a machine or the placer gives it back.
-func (v *Service) Permit(r PermitRequest, reply *PermitReply) error {
+func (v *Service) Permit(r quota.PermitRequest, reply *quota.PermitReply) error {
 	s := v.steward
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/autoscaler/steward_test.go
+++ b/internal/autoscaler/steward_test.go
@@ -7,9 +7,16 @@
 	"testing/synctest"
 	"time"
 
+	"robinstack/internal/quota"
+
+	"robinstack/internal/changefeed"
+
+	"robinstack/internal/agentapi"
+
+	"robinstack/internal/shard"
+
 	"robinstack/emulator"
 	"robinstack/internal/cloud"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/config"
 	"robinstack/internal/job"
 	"robinstack/internal/policy"
@@ -27,7 +34,7 @@
 func newSteward(t *testing.T, ctx context.Context) (*Steward, *emulator.State) {
 	t.Helper()
 	state := emulator.NewState()
-	machine := clusteragent.MachineKey{Shard: "host-9.1.0", Type: "box", Zone: "a"}
+	machine := shard.MachineKey{Shard: "host-9.1.0", Type: "box", Zone: "a"}
 	if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: statekv.MachinePrefix + "m1", Value: machine}}); err != nil {
 		t.Fatal(err)
 	}
@@ -42,16 +49,16 @@
 	types := &cloud.Catalogue{}
 	types.Set([]cloud.MachineType{{Name: "box", CPUs: 64, GPUs: 8, MemoryGB: 512, Price: 10, SpotPrice: 4, BootS: 30, Zones: []string{"a"}}})
 	s := New(settings(), policy.Default(), mirror, member, nil, nil, types)
-	s.feed = clusteragent.NewFeed(nil, mirror, nil, nil, nil)
+	s.feed = changefeed.NewFeed(nil, mirror, nil, nil, nil)
 	s.epoch, s.cleared = 99, map[string]bool{}
 	return s, state
 }
 
-func ask(t *testing.T, s *Steward, index, gpus int, release ...clusteragent.TaskRef) bool {
+func ask(t *testing.T, s *Steward, index, gpus int, release ...agentapi.TaskRef) bool {
 	t.Helper()
-	var reply PermitReply
-	want := Want{Ref: clusteragent.TaskRef{Job: "wk-1", Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
-	if err := NewService(s).Permit(PermitRequest{Slot: "s", Epoch: 1, Wants: []Want{want}, Release: release}, &reply); err != nil {
+	var reply quota.PermitReply
+	want := quota.Want{Ref: agentapi.TaskRef{Job: "wk-1", Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
+	if err := NewService(s).Permit(quota.PermitRequest{Slot: "s", Epoch: 1, Wants: []quota.Want{want}, Release: release}, &reply); err != nil {
 		t.Fatal(err)
 	}
 	return reply.Granted[0]
@@ -73,7 +80,7 @@
 		if !ask(t, s, 1, 8) || ask(t, s, 2, 1) {
 			t.Fatal("permits count until they show up or are given back")
 		}
-		if !ask(t, s, 2, 1, clusteragent.TaskRef{Job: "wk-1", Index: 0, Attempt: 1}) {
+		if !ask(t, s, 2, 1, agentapi.TaskRef{Job: "wk-1", Index: 0, Attempt: 1}) {
 			t.Fatal("given back, not used")
 		}
 	})
@@ -84,13 +91,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
 		s.settled = true
-		task := clusteragent.TaskEntry{TaskRef: clusteragent.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Need{GPUs: 8}, Known: true, State: worker.Running}
-		s.OnEntries([]clusteragent.Entry{{Machine: "m1", Settled: true, Tasks: []clusteragent.TaskEntry{task}}})
-		s.OnEntries([]clusteragent.Entry{{Machine: "m1", Settled: false}})
+		task := agentapi.TaskEntry{TaskRef: agentapi.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Need{GPUs: 8}, Known: true, State: worker.Running}
+		s.OnEntries([]agentapi.Entry{{Machine: "m1", Settled: true, Tasks: []agentapi.TaskEntry{task}}})
+		s.OnEntries([]agentapi.Entry{{Machine: "m1", Settled: false}})
 		if ask(t, s, 0, 3) {
 			t.Fatal("the task may still run")
 		}
-		s.OnEntries([]clusteragent.Entry{{Machine: "m1", Settled: true}})
+		s.OnEntries([]agentapi.Entry{{Machine: "m1", Settled: true}})
 		if !ask(t, s, 0, 3) {
 			t.Fatal("the task is proven gone")
 		}
@@ -103,7 +110,7 @@
 func TestNewStewardSeesThatASilentMachineIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
-		e := clusteragent.Entry{Machine: "m1", Silent: true, Settled: true}
+		e := agentapi.Entry{Machine: "m1", Silent: true, Settled: true}
 		s.onList(nil, time.Now())
 		if why := s.isLost(&e, time.Now()); why != "" {
 			t.Fatalf("at once: %s", why)
@@ -128,9 +135,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
 		s.settled = true
-		var entries []clusteragent.Entry
+		var entries []agentapi.Entry
 		for i := range 100 {
-			entries = append(entries, clusteragent.Entry{Machine: fmt.Sprint("m", i), Rev: 1, Ver: 1, Type: "box", Settled: i >= 3, Silent: i < 3})
+			entries = append(entries, agentapi.Entry{Machine: fmt.Sprint("m", i), Rev: 1, Ver: 1, Type: "box", Settled: i >= 3, Silent: i < 3})
 		}
 		s.OnEntries(entries)
 		s.fleet.mute = 2
--- a/internal/clusteragent/feed.go
+++ b/internal/changefeed/feed.go
@@ -1,4 +1,7 @@
-package clusteragent
+// Package changefeed follows what the agents of all controllers know about their machines.
+// It owns the latest entry of every machine and how far each agent is known to have caught
+// up, both guarded by the mutex of Feed.
+package changefeed
 
 import (
 	"context"
@@ -7,25 +10,23 @@
 	"sync"
 	"time"
 
+	"robinstack/internal/agentapi"
+	"robinstack/internal/peer"
+	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 )
 
-// Caller reaches the services of all controllers.
-type Caller interface {
-	Call(ctx context.Context, host, method string, args, reply any) error
-}
-
 // Feed follows what all agents know about their machines. It serves to track
 // tasks that were placed, not to place them: that goes by sampling.
 type Feed struct {
-	call   Caller
+	call   peer.Caller
 	mirror *statekv.Mirror
 	hosts  []string
 	minRev func() uint64
-	onNews func([]Entry)
+	onNews func([]agentapi.Entry)
 
 	mu      sync.Mutex
-	entries map[string]Entry
+	entries map[string]agentapi.Entry
 	acks    map[string]ack
 	hurry   chan struct{} // closed and replaced to have all agents asked anew
 }
@@ -42,8 +43,8 @@
 
 // NewFeed returns a feed; minRev is the highest epoch that the agents must
 // know of before they answer, onNews gets every change.
-func NewFeed(call Caller, mirror *statekv.Mirror, hosts []string, minRev func() uint64, onNews func([]Entry)) *Feed {
-	return &Feed{call: call, mirror: mirror, hosts: hosts, minRev: minRev, onNews: onNews, entries: map[string]Entry{}, acks: map[string]ack{}, hurry: make(chan struct{})}
+func NewFeed(call peer.Caller, mirror *statekv.Mirror, hosts []string, minRev func() uint64, onNews func([]agentapi.Entry)) *Feed {
+	return &Feed{call: call, mirror: mirror, hosts: hosts, minRev: minRev, onNews: onNews, entries: map[string]agentapi.Entry{}, acks: map[string]ack{}, hurry: make(chan struct{})}
 }
 
 // Run follows all agents until ctx ends.
@@ -74,11 +75,11 @@
 		f.mu.Lock()
 		hurry := f.hurry
 		f.mu.Unlock()
-		req := WatchRequest{Instance: instance, Since: since, MinRev: f.minRev(), Wait: 2 * time.Second}
+		req := agentapi.WatchRequest{Instance: instance, Since: since, MinRev: f.minRev(), Wait: 2 * time.Second}
 		if req.MinRev > asked {
 			req.Wait, asked = soon, req.MinRev
 		}
-		var reply WatchReply
+		var reply agentapi.WatchReply
 		sent := time.Now()
 		cctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 		go func() {
@@ -111,7 +112,7 @@
 			continue
 		}
 		instance, since = reply.Instance, reply.Ver
-		var news []Entry
+		var news []agentapi.Entry
 		f.mu.Lock()
 		known := ack{instance: reply.Instance, rev: req.MinRev, stateOK: reply.StateOK, at: time.Now(), seen: reply.Seen, asked: sent}
 		if reply.More {
@@ -138,11 +139,11 @@
 
 // Entries returns all machines that are not gone, as last heard of. Machines
 // whose key has been removed are dropped: their tasks are proven gone.
-func (f *Feed) Entries() []Entry {
+func (f *Feed) Entries() []agentapi.Entry {
 	rev := f.mirror.Rev()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([]Entry, 0, len(f.entries))
+	out := make([]agentapi.Entry, 0, len(f.entries))
 	for name, e := range f.entries {
 		if _, ok := f.mirror.Get(statekv.MachinePrefix + name); e.Gone || !ok && rev > e.Rev {
 			delete(f.entries, name)
@@ -153,7 +154,7 @@
 	return out
 }
 
-// Owner returns the host that a machine's latest entry came from.
+// OwnerOf returns the host that a machine's latest entry came from.
 func (f *Feed) Owner(machine string) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,7 +164,7 @@
 
 // Known returns a machine's latest entry, so that what is known of a machine
 // survives its owner.
-func (f *Feed) Known(machine string) Entry {
+func (f *Feed) Known(machine string) agentapi.Entry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.entries[machine]
@@ -176,7 +177,7 @@
 // it is not: everything that may run on it, according to its key, is in the latest
 // entry, and its owner refuses commits that were sent under earlier epochs.
 func (f *Feed) ConfirmedUpTo(kv statekv.KV) (epoch uint64, why string) {
-	holder, rev := Owner(f.mirror, kv)
+	holder, rev := shard.OwnerOf(f.mirror, kv)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, known := f.entries[kv.Key[len(statekv.MachinePrefix):]]
--- a/internal/clusteragent/agent.go
+++ b/internal/clusteragent/agent.go
@@ -10,6 +10,10 @@
 	"sync"
 	"time"
 
+	"robinstack/internal/agentapi"
+
+	"robinstack/internal/shard"
+
 	"robinstack/internal/cloud"
 	"robinstack/internal/config"
 	"robinstack/internal/statekv"
@@ -26,7 +30,7 @@
 	types    func() map[string]cloud.MachineType
 
 	// Known tells what an earlier owner showed of a machine.
-	Known func(machine string) Entry
+	Known func(machine string) agentapi.Entry
 
 	// ToldUpTo is Feed.ToldUpTo, nil: nobody can tell.
 	ToldUpTo func(rev uint64) time.Time
@@ -37,7 +41,7 @@
 	mu       sync.Mutex
 	ctx      context.Context
 	machines map[string]*machine
-	voided   map[TaskRef]time.Time
+	voided   map[agentapi.TaskRef]time.Time
 	unread   map[string]bool      // jobs whose records have to be read
 	learnt   chan struct{}        // closed and replaced when some were
 	over     map[string]time.Time // jobs whose cancellation was seen
@@ -75,7 +79,7 @@
 	return &Agent{
 		settings: settings, store: store, mirror: mirror, member: member, workers: workers, types: types,
 		claims: make(chan claim, 256), learns: make(chan struct{}, 1),
-		machines: map[string]*machine{}, voided: map[TaskRef]time.Time{}, unread: map[string]bool{}, learnt: make(chan struct{}), over: map[string]time.Time{}, odd: map[string]bool{}, buried: map[string]time.Time{}, claiming: map[string]bool{}, released: map[string]uint64{}, visits: map[string]visit{}, shardsAt: map[string]sight{}, gens: map[int]int{}, homeless: map[int]bool{}, sent: map[string]time.Time{}, rooms: newRooms(), changed: make(chan struct{}),
+		machines: map[string]*machine{}, voided: map[agentapi.TaskRef]time.Time{}, unread: map[string]bool{}, learnt: make(chan struct{}), over: map[string]time.Time{}, odd: map[string]bool{}, buried: map[string]time.Time{}, claiming: map[string]bool{}, released: map[string]uint64{}, visits: map[string]visit{}, shardsAt: map[string]sight{}, gens: map[int]int{}, homeless: map[int]bool{}, sent: map[string]time.Time{}, rooms: newRooms(), changed: make(chan struct{}),
 	}
 }
 
@@ -189,7 +193,7 @@
 	for wait := time.Now().Add(ownerWait); ; {
 		rev := a.mirror.Rev()
 		kv, exists := a.mirror.Get(statekv.MachinePrefix + r.Machine)
-		holder, owned := Owner(a.mirror, kv)
+		holder, owned := shard.OwnerOf(a.mirror, kv)
 		switch {
 		case !exists && a.isBuried(r, now):
 			return Reply{} // a late copy: nobody answers for it any more
@@ -228,7 +232,7 @@
 
 // claimFor claims the machine that reported and answers once it is owned.
 func (a *Agent) claimFor(ctx context.Context, r *worker.Report, seen uint64) Reply {
-	done := a.claim(r.Machine, MachineKey{Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, seen)
+	done := a.claim(r.Machine, shard.MachineKey{Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, seen)
 	if done == nil {
 		return Reply{}
 	}
@@ -325,7 +329,7 @@
 
 func (a *Agent) homeOf(name string) string {
 	kv, ok := a.mirror.Get(statekv.MachinePrefix + name)
-	holder, _ := Owner(a.mirror, kv)
+	holder, _ := shard.OwnerOf(a.mirror, kv)
 	if !ok || holder.Host == a.member.Host || !a.member.Alive(holder) {
 		return ""
 	}
@@ -339,7 +343,7 @@
 	}
 	slog.Info("machine has a new owner", "machine", m.name)
 	for _, t := range m.tasks {
-		t.settle(Unsettled)
+		t.settle(agentapi.Unsettled)
 		if t.seen && t.state != worker.Ended {
 			m.over(t, time.Now(), "handed over")
 		}
@@ -431,7 +435,7 @@
 				a.learnSoon()
 			}
 			if t.state == stateHeld && now.After(t.holdUntil) || expired {
-				t.settle(Refused)
+				t.settle(agentapi.Refused)
 				m.drop(k)
 				changed = true
 			}
@@ -518,7 +522,7 @@
 			if t.sent && t.sentToken == token {
 				t.fence = m.token()
 				if !t.seen {
-					t.settle(Unsettled)
+					t.settle(agentapi.Unsettled)
 				}
 			}
 		}
--- a/internal/clusteragent/agent_test.go
+++ b/internal/clusteragent/agent_test.go
@@ -7,6 +7,10 @@
 	"testing/synctest"
 	"time"
 
+	"robinstack/internal/agentapi"
+
+	"robinstack/internal/shard"
+
 	"robinstack/emulator"
 	"robinstack/internal/cloud"
 	"robinstack/internal/clusteragent"
@@ -89,8 +93,8 @@
 	return reply
 }
 
-func (n *node) entries() map[string]clusteragent.Entry {
-	out := map[string]clusteragent.Entry{}
+func (n *node) entries() map[string]agentapi.Entry {
+	out := map[string]agentapi.Entry{}
 	_, list := n.agent.Snapshot()
 	for _, e := range list {
 		out[e.Machine] = e
@@ -100,10 +104,10 @@
 
 func (n *node) commit(t *testing.T, machine string, slot string, epoch uint64, index int, attempt uint64) string {
 	t.Helper()
-	req := clusteragent.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev, Refs: []clusteragent.TaskRef{{Job: "wk-1", Index: index, Attempt: attempt}}}
+	req := agentapi.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Index: index, Attempt: attempt}}}
 	req.Spec = job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 9, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}
 	req.Slot, req.Epoch = slot, epoch
-	var reply clusteragent.CommitReply
+	var reply agentapi.CommitReply
 	if err := n.service.Commit(req, &reply); err != nil {
 		t.Fatal(err)
 	}
@@ -146,7 +150,7 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		workers.Do(func() { w.Deaf = true })
-		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Unsettled {
+		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Unsettled {
 			t.Fatalf("verdict %q while the command is unanswered", got)
 		}
 		if len(n.entries()["m1"].Tasks) != 1 {
@@ -175,10 +179,10 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		latest := slot(t, n, "s", old)
-		if got := n.commit(t, "m1", "s", old, 0, 1); got != clusteragent.Refused {
+		if got := n.commit(t, "m1", "s", old, 0, 1); got != agentapi.Refused {
 			t.Fatalf("stale commit: %q", got)
 		}
-		if got := n.commit(t, "m1", "s", latest, 0, 2); got != clusteragent.Started {
+		if got := n.commit(t, "m1", "s", latest, 0, 2); got != agentapi.Started {
 			t.Fatalf("latest commit: %q", got)
 		}
 	})
@@ -196,7 +200,7 @@
 		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.OpenKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, Slot: "s"}}}); err != nil {
 			t.Fatal(err)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		var oldToken uint64
@@ -270,7 +274,7 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		got := []string{n.commit(t, "m1", "s", epoch, 0, 1), n.commit(t, "m1", "s", epoch, 1, 2), n.commit(t, "m1", "s", epoch, 2, 3)}
-		if got[0] != clusteragent.Started || got[1] != clusteragent.Started || got[2] != clusteragent.Refused {
+		if got[0] != agentapi.Started || got[1] != agentapi.Started || got[2] != agentapi.Refused {
 			t.Fatalf("verdicts %v on a machine with room for two", got)
 		}
 	})
@@ -292,7 +296,7 @@
 		if held(workers, w) != 1 {
 			t.Fatal("forgotten before anyone asked")
 		}
-		if err := n.service.Stop(clusteragent.StopRequest{Items: []clusteragent.StopItem{{Machine: "m1", TaskRef: clusteragent.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
+		if err := n.service.Stop(agentapi.StopRequest{Items: []agentapi.StopItem{{Machine: "m1", TaskRef: agentapi.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
 			t.Fatal(err)
 		}
 		n.report(workers, w) // the answer takes it along: forgetting has time
@@ -308,8 +312,8 @@
 	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		began := time.Now()
-		var reply clusteragent.WatchReply
-		if err := n.service.Watch(clusteragent.WatchRequest{Instance: n.member.Instance, Wait: 2 * time.Second}, &reply); err != nil {
+		var reply agentapi.WatchReply
+		if err := n.service.Watch(agentapi.WatchRequest{Instance: n.member.Instance, Wait: 2 * time.Second}, &reply); err != nil {
 			t.Fatal(err)
 		}
 		if time.Since(began) < 2*time.Second {
@@ -346,8 +350,8 @@
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
-		var reply clusteragent.MachinesReply
-		if err := n.service.Removed(clusteragent.MachinesRequest{Names: []string{"m1"}}, &reply); err != nil || len(reply.Names) != 1 {
+		var reply agentapi.MachinesReply
+		if err := n.service.Removed(agentapi.MachinesRequest{Names: []string{"m1"}}, &reply); err != nil || len(reply.Names) != 1 {
 			t.Fatal(err, reply)
 		}
 		time.Sleep(time.Second)
@@ -400,7 +404,7 @@
 		time.Sleep(14 * time.Second) // after 20 s without a report it would get nothing new
 		workers.Do(func() { w.Deaf, w.Report.Session, w.Report.Tasks = false, 2, nil })
 		time.Sleep(3 * time.Second)
-		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		time.Sleep(20 * time.Second) // beyond the lease of the first session, not of the second
@@ -424,7 +428,7 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		for k := range 4 { // it is asked all the time, and answers
-			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != clusteragent.Started {
+			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != agentapi.Started {
 				t.Fatalf("verdict %q", got)
 			}
 			workers.Do(func() { w.Report.Tasks = nil })
@@ -433,11 +437,11 @@
 		if e := n.entries()["m1"]; !e.Silent {
 			t.Errorf("after 25 s without a report: %+v", e)
 		}
-		if got := n.commit(t, "m1", "s", epoch, 5, 6); got != clusteragent.Refused {
+		if got := n.commit(t, "m1", "s", epoch, 5, 6); got != agentapi.Refused {
 			t.Errorf("verdict %q", got)
 		}
 		n.report(workers, w)
-		if got := n.commit(t, "m1", "s", epoch, 6, 7); got != clusteragent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 6, 7); got != agentapi.Started {
 			t.Errorf("once it has reported: verdict %q", got)
 		}
 	})
@@ -453,27 +457,27 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		n.commit(t, "m1", "s", epoch, 0, 1)
-		gang := clusteragent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
+		gang := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
 		gang.Slot, gang.Epoch = "s", epoch
 		gang.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "normal", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
-		var reply clusteragent.CommitReply
-		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != clusteragent.Refused {
+		var reply agentapi.CommitReply
+		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != agentapi.Refused {
 			t.Fatalf("equal priority: %+v %v", reply, err)
 		}
 		gang.Spec.Rank = "high"
-		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != clusteragent.Held {
+		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != agentapi.Held {
 			t.Fatalf("higher priority: %+v %v", reply, err)
 		}
 		time.Sleep(time.Second)
 		n.report(workers, w)
-		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Refused {
+		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Refused {
 			t.Fatalf("another job got the cleared machine: %q", got)
 		}
-		gang.Refs = []clusteragent.TaskRef{{Job: "wk-2", Attempt: 9}}
-		if err := n.service.Stop(clusteragent.StopRequest{Items: []clusteragent.StopItem{{Machine: "m1", TaskRef: clusteragent.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
+		gang.Refs = []agentapi.TaskRef{{Job: "wk-2", Attempt: 9}}
+		if err := n.service.Stop(agentapi.StopRequest{Items: []agentapi.StopItem{{Machine: "m1", TaskRef: agentapi.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
 			t.Fatal(err)
 		}
-		if err := n.service.Commit(gang, &reply); err != nil || reply.Verdicts[0] != clusteragent.Started {
+		if err := n.service.Commit(gang, &reply); err != nil || reply.Verdicts[0] != agentapi.Started {
 			t.Fatalf("the gang: %+v %v", reply, err)
 		}
 	})
@@ -489,21 +493,21 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		for k, need := range []job.Need{{CPUs: 6, GPUs: 1}, {CPUs: 0.5}} {
-			req := clusteragent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []clusteragent.TaskRef{{Job: "wk-1", Index: k, Attempt: uint64(k + 1)}}}
+			req := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Index: k, Attempt: uint64(k + 1)}}}
 			req.Spec = job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 2, Need: need}
 			req.Slot, req.Epoch = "s", epoch
-			var reply clusteragent.CommitReply
-			if err := n.service.Commit(req, &reply); err != nil || reply.Verdicts[0] != clusteragent.Started {
+			var reply agentapi.CommitReply
+			if err := n.service.Commit(req, &reply); err != nil || reply.Verdicts[0] != agentapi.Started {
 				t.Fatalf("%+v %v", reply, err)
 			}
 			time.Sleep(5 * time.Second)
 			n.report(workers, w)
 		}
-		gang := clusteragent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
+		gang := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
 		gang.Slot, gang.Epoch = "s", epoch
 		gang.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 7, GPUs: 2}}
-		var reply clusteragent.CommitReply
-		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != clusteragent.Held {
+		var reply agentapi.CommitReply
+		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != agentapi.Held {
 			t.Fatalf("%+v %v", reply, err)
 		}
 		time.Sleep(time.Second)
@@ -586,7 +590,7 @@
 		for _, w := range all {
 			a.report(workers, w)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		b := start(t, ctx, "host-1", state, workers)
@@ -606,8 +610,8 @@
 		// The answers of a watch are bounded, and together complete.
 		seen, since := map[string]bool{}, uint64(0)
 		for more := true; more; {
-			var reply clusteragent.WatchReply
-			if err := b.service.Watch(clusteragent.WatchRequest{Instance: b.member.Instance, Since: since, Wait: time.Second}, &reply); err != nil {
+			var reply agentapi.WatchReply
+			if err := b.service.Watch(agentapi.WatchRequest{Instance: b.member.Instance, Since: since, Wait: time.Second}, &reply); err != nil {
 				t.Fatal(err)
 			}
 			if since, more = reply.Ver, reply.More; len(reply.Entries) > 300 {
@@ -637,11 +641,11 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		rev := n.entries()["m1"].Rev
-		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
-		void := func(n *node) (reply clusteragent.VoidReply, err error) {
-			err = n.service.Void(clusteragent.VoidRequest{Machine: "m1", Rev: rev, Refs: []clusteragent.TaskRef{{Job: "wk-1", Attempt: 1}}}, &reply)
+		void := func(n *node) (reply agentapi.VoidReply, err error) {
+			err = n.service.Void(agentapi.VoidRequest{Machine: "m1", Rev: rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Attempt: 1}}}, &reply)
 			return reply, err
 		}
 		if reply, err := void(n); err != nil || !reply.Present[0] {
@@ -670,8 +674,8 @@
 		time.Sleep(time.Second)
 		other := statekv.Holder{Host: "host-9", Instance: 1} // dead by the time it is seen
 		if _, err := state.Txn(ctx, nil, []statekv.Op{
-			{Set: statekv.ShardPrefix + "host-9.1.0", Value: clusteragent.ShardKey{Holder: other}},
-			{Set: statekv.MachinePrefix + "m1", Value: clusteragent.MachineKey{Shard: "host-9.1.0", Address: "m1", Type: "box", Zone: "a"}},
+			{Set: statekv.ShardPrefix + "host-9.1.0", Value: shard.ShardKey{Holder: other}},
+			{Set: statekv.MachinePrefix + "m1", Value: shard.MachineKey{Shard: "host-9.1.0", Address: "m1", Type: "box", Zone: "a"}},
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -679,7 +683,7 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		kv, _ := n.mirror.Get(statekv.MachinePrefix + "m1")
-		_, rev := clusteragent.Owner(n.mirror, kv)
+		_, rev := shard.OwnerOf(n.mirror, kv)
 		if e := n.entries()["m1"]; e.Rev != rev || !e.Settled {
 			t.Fatalf("owned under revision %d: %+v", rev, e)
 		}
@@ -696,28 +700,28 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		gang := func(attempt uint64) string {
-			req := clusteragent.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []clusteragent.TaskRef{{Job: "wk-2", Attempt: attempt}}}
+			req := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []agentapi.TaskRef{{Job: "wk-2", Attempt: attempt}}}
 			req.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 1, GPUs: 2, MemoryGB: 1}}
 			req.Slot, req.Epoch = "s", epoch
-			var reply clusteragent.CommitReply
+			var reply agentapi.CommitReply
 			if err := n.service.Commit(req, &reply); err != nil {
 				t.Fatal(err)
 			}
 			return reply.Verdicts[0]
 		}
 		for attempt := uint64(1); attempt <= 2; attempt++ {
-			if got := gang(attempt); got != clusteragent.Started {
+			if got := gang(attempt); got != agentapi.Started {
 				t.Fatalf("gang, attempt %d: %q", attempt, got)
 			}
 			workers.End(w, "wk-2/0", worker.Done)
 			n.report(workers, w)
-			if got := n.commit(t, "m1", "s", epoch, 0, 10+attempt); got != clusteragent.Refused {
+			if got := n.commit(t, "m1", "s", epoch, 0, 10+attempt); got != agentapi.Refused {
 				t.Fatalf("array at once: %q", got)
 			}
 		}
 		time.Sleep(9 * time.Second)
 		n.report(workers, w)
-		if got := n.commit(t, "m1", "s", epoch, 0, 20); got != clusteragent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 0, 20); got != agentapi.Started {
 			t.Fatalf("array later: %q", got)
 		}
 	})
@@ -733,7 +737,7 @@
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
-		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		before := n.entries()["m1"].Rev
--- a/internal/clusteragent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -7,6 +7,8 @@
 	"slices"
 	"time"
 
+	"robinstack/internal/shard"
+
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
 )
@@ -111,11 +113,11 @@
 			continue
 		}
 		kv, _ := a.mirror.Get(statekv.MachinePrefix + name)
-		key := KeyOf(kv)
+		key := shard.ParseMachineKey(kv)
 		if key == nil {
 			continue
 		}
-		if _, rev := Owner(a.mirror, kv); v.rev != rev {
+		if _, rev := shard.OwnerOf(a.mirror, kv); v.rev != rev {
 			continue
 		}
 		came[key.Shard]++
@@ -129,7 +131,7 @@
 	}
 	var out map[string]string
 	for _, kv := range shards {
-		key := parsed[ShardKey](kv)
+		key := shard.ParseShardKey(kv)
 		if key == nil || key.Holder == a.member.Holder || !a.member.Alive(key.Holder) || now.Sub(a.shardsAt[kv.Key].since) < calm {
 			continue
 		}
@@ -170,7 +172,7 @@
 	}
 	owned := map[string]int{}
 	for _, kv := range shards {
-		if key := parsed[ShardKey](kv); key != nil && a.member.Alive(key.Holder) {
+		if key := shard.ParseShardKey(kv); key != nil && a.member.Alive(key.Holder) {
 			owned[key.Host] += size[kv.Key[len(statekv.ShardPrefix):]]
 		}
 	}
@@ -190,7 +192,7 @@
 	}
 	inShard := map[string][]statekv.KV{}
 	for _, kv := range machines {
-		if key := KeyOf(kv); key != nil {
+		if key := shard.ParseMachineKey(kv); key != nil {
 			inShard[statekv.ShardPrefix+key.Shard] = append(inShard[statekv.ShardPrefix+key.Shard], kv)
 		}
 	}
@@ -202,7 +204,7 @@
 	})
 	for _, kv := range shards {
 		n := len(inShard[kv.Key])
-		if key := parsed[ShardKey](kv); key == nil || key.Host != richest || n == 0 || mine+n > theirs-n || a.anyDoubt(inShard[kv.Key]) {
+		if key := shard.ParseShardKey(kv); key == nil || key.Host != richest || n == 0 || mine+n > theirs-n || a.anyDoubt(inShard[kv.Key]) {
 			continue
 		}
 		out[kv.Key] = "machines are evened out"
@@ -228,8 +230,8 @@
 }
 
 // foreign is 1 for a shard of another zone than this controller's.
-func (a *Agent) foreign(shard statekv.KV) int {
-	if key := parsed[ShardKey](shard); key != nil && a.shardZone(key.Index) == a.settings.Zone {
+func (a *Agent) foreign(kv statekv.KV) int {
+	if key := shard.ParseShardKey(kv); key != nil && a.shardZone(key.Index) == a.settings.Zone {
 		return 0
 	}
 	return 1
@@ -240,7 +242,7 @@
 func (a *Agent) reaches(ctx context.Context, machines []statekv.KV) bool {
 	for range min(probes, len(machines)) {
 		cctx, cancel := context.WithTimeout(ctx, time.Second)
-		_, _, err := a.workers.Command(cctx, KeyOf(machines[rand.IntN(len(machines))]).Address, 0, 1, nil)
+		_, _, err := a.workers.Command(cctx, shard.ParseMachineKey(machines[rand.IntN(len(machines))]).Address, 0, 1, nil)
 		cancel()
 		if err != nil {
 			return false
--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -7,8 +7,11 @@
 	"testing"
 	"time"
 
+	"robinstack/internal/agentapi"
+
+	"robinstack/internal/shard"
+
 	"robinstack/emulator"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 )
@@ -39,7 +42,7 @@
 		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.OpenKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, Slot: "s"}}}); err != nil {
 			t.Fatal(err)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		b := start(t, ctx, "host-1", state, workers)
@@ -108,12 +111,12 @@
 		if !ok {
 			t.Fatal("the machine has no key")
 		}
-		if _, err := state.Txn(ctx, nil, []statekv.Op{{Delete: statekv.ShardPrefix + clusteragent.KeyOf(kv).Shard}}); err != nil {
+		if _, err := state.Txn(ctx, nil, []statekv.Op{{Delete: statekv.ShardPrefix + shard.ParseMachineKey(kv).Shard}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
 		kv, _ = a.mirror.Get(statekv.MachinePrefix + "m0")
-		if holder, _ := clusteragent.Owner(a.mirror, kv); holder != a.member.Holder || !a.entries()["m0"].Settled {
+		if holder, _ := shard.OwnerOf(a.mirror, kv); holder != a.member.Holder || !a.entries()["m0"].Settled {
 			t.Fatalf("the machine's owner is %v, its entry %+v", holder, a.entries()["m0"])
 		}
 	})
--- a/internal/clusteragent/clear.go
+++ b/internal/clusteragent/clear.go
@@ -6,6 +6,8 @@
 	"slices"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/cloud"
 	"robinstack/internal/config"
 	"robinstack/internal/job"
@@ -21,7 +23,7 @@
 // of arrays of lower priority, those first that lose least. ok is false where
 // that does not make room. The cost is in GPU-seconds:
 // of work lost, and of fetching the image where the machine does not have it.
-func (a *Agent) victims(m *machine, r *Request, now time.Time) (stop []*task, cost float64, ok bool) {
+func (a *Agent) victims(m *machine, r *agentapi.Request, now time.Time) (stop []*task, cost float64, ok bool) {
 	t, known := a.types()[m.typeName]
 	if _, has := m.images[r.Spec.Image]; !known || r.Near && !has || !a.hurries(r, t) || a.registering() || a.unfit(m, r, now) != "" {
 		return nil, 0, false
@@ -37,7 +39,7 @@
 	var options []option
 	for _, t := range m.tasks {
 		switch {
-		case !t.uses() || t.state == stateHeld || t.state == Starting:
+		case !t.uses() || t.state == stateHeld || t.state == agentapi.Starting:
 		case t.stop:
 			free = free.Add(t.spec.Need, 1)
 		case t.spec.Shape == job.Array && t.spec.Priority() < r.Spec.Priority() && !a.spared(t, r, m, now):
@@ -91,11 +93,13 @@
 
 // hurries reports whether a job that waits for room needs it made now to start
 // by the users' aim: with time left, gangs that end make room for nothing.
-func (a *Agent) hurries(r *Request, t cloud.MachineType) bool { return r.Left <= r.clearing(t) }
+func (a *Agent) hurries(r *agentapi.Request, t cloud.MachineType) bool {
+	return r.Left <= preemptionTime(r, t)
+}
 
-// clearing is about how long it takes from room being made on a machine until the
+// preemptionTime is about how long it takes from room being made on a machine until the
 // job's tasks run there.
-func (r *Request) clearing(t cloud.MachineType) time.Duration {
+func preemptionTime(r *agentapi.Request, t cloud.MachineType) time.Duration {
 	fetch := time.Duration(0)
 	if t.FetchGBPerS > 0 {
 		fetch = time.Duration(1.5 * r.Spec.ImageGB / t.FetchGBPerS * float64(time.Second))
@@ -154,7 +158,7 @@
 
 // Clearable lists the machines on which stopping tasks of lower priority would
 // make room; the less that loses, the higher the score.
-func (s *Service) Clearable(r Request, reply *Sample) error {
+func (s *Service) Clearable(r agentapi.Request, reply *agentapi.Sample) error {
 	a := s.agent
 	now := time.Now()
 	hurries := false
@@ -167,16 +171,16 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	pool := a.shuffled()
-	wanted := r.wanted(len(pool))
+	wanted := sampleTarget(&r, len(pool))
 	room := newRoomCount(&r)
-	var found []Candidate
+	var found []agentapi.Candidate
 	for _, m := range pool {
 		if len(found) >= wanted && room.enough() {
 			break
 		}
 		if _, cost, ok := a.victims(m, &r, now); ok {
 			room.add(m.zone, 1)
-			found = append(found, Candidate{Machine: m.name, Host: a.member.Host, Rev: m.rev, Zone: m.zone, Fits: 1, Score: -cost})
+			found = append(found, agentapi.Candidate{Machine: m.name, Host: a.member.Host, Rev: m.rev, Zone: m.zone, Fits: 1, Score: -cost})
 		}
 	}
 	reply.Candidates = best(found, &r)
@@ -185,7 +189,7 @@
 
 // keepable returns the machine that a placer asks to have kept for a job, or nil where it
 // or this owner is not the latest. The mutex is held.
-func (a *Agent) keepable(r *CommitRequest) *machine {
+func (a *Agent) keepable(r *agentapi.CommitRequest) *machine {
 	m := a.machines[r.Machine]
 	if m == nil || m.rev != r.Rev || !a.member.Certain() || !a.current(statekv.SlotPrefix+r.Slot, r.Epoch) {
 		return nil
@@ -194,12 +198,12 @@
 }
 
 // Clear stops tasks of lower priority on a machine and keeps it for the job.
-func (s *Service) Clear(r CommitRequest, reply *CommitReply) error {
+func (s *Service) Clear(r agentapi.CommitRequest, reply *agentapi.CommitReply) error {
 	a := s.agent
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	reply.Verdicts = []string{Refused}
+	reply.Verdicts = []string{agentapi.Refused}
 	m := a.keepable(&r)
 	if m == nil {
 		return nil
@@ -218,7 +222,7 @@
 	}
 	m.claim(&r.Request, now, longest+claimTime)
 	m.wake()
-	reply.Verdicts[0] = Held
+	reply.Verdicts[0] = agentapi.Held
 	if len(stop) == 0 {
 		return nil // only kept
 	}
--- a/internal/clusteragent/clear_test.go
+++ b/internal/clusteragent/clear_test.go
@@ -5,8 +5,9 @@
 	"testing"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/emulator"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/job"
 )
 
@@ -22,14 +23,14 @@
 			w := workers.Add(machine, "box", "a")
 			n.report(workers, w)
 			time.Sleep(time.Second)
-			req := clusteragent.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev}
+			req := agentapi.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev}
 			req.Slot, req.Epoch, req.Age = "s", epoch, age
 			req.Spec = job.Spec{ID: id, Shape: job.Array, Rank: "normal", Tasks: tasks, Need: job.Need{CPUs: 4, GPUs: 1, MemoryGB: 1}, EstimateS: 60, DeadlineS: &due, CheckpointS: 10, SaveS: 6}
 			for _, i := range indices {
-				req.Refs = append(req.Refs, clusteragent.TaskRef{Job: id, Index: i, Attempt: uint64(i + 1)})
+				req.Refs = append(req.Refs, agentapi.TaskRef{Job: id, Index: i, Attempt: uint64(i + 1)})
 			}
-			var reply clusteragent.CommitReply
-			if err := n.service.Commit(req, &reply); err != nil || reply.Verdicts[0] != clusteragent.Started {
+			var reply agentapi.CommitReply
+			if err := n.service.Commit(req, &reply); err != nil || reply.Verdicts[0] != agentapi.Started {
 				t.Fatal(reply, err)
 			}
 		}
@@ -38,9 +39,9 @@
 		put("late", "wk-2", 8, 200*time.Second, 0, 1)   // beyond its deadline
 		put("risk", "wk-5", 8, -60*time.Second, 0, 1)   // 100 s to spare: it may wait for longer
 		put("early", "wk-3", 8, -150*time.Second, 0, 1) // time enough to run again
-		gang := clusteragent.Request{Slot: "s", Epoch: epoch, Tasks: 5, Least: 9, Spare: 5}
+		gang := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: 5, Least: 9, Spare: 5}
 		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 5, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
-		var found clusteragent.Sample
+		var found agentapi.Sample
 		if err := n.service.Clearable(gang, &found); err != nil || len(found.Candidates) != 5 {
 			t.Fatal(found, err)
 		}
--- a/internal/clusteragent/fetches.go
+++ b/internal/clusteragent/fetches.go
@@ -4,6 +4,8 @@
 	"log/slog"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/cloud"
 	"robinstack/internal/job"
 	"robinstack/internal/worker"
@@ -104,14 +106,14 @@
 
 // crowded reports whether a task of the request would have to fetch its image beside so
 // many others that it is better off elsewhere, or later.
-func (a *Agent) crowded(m *machine, r *Request) bool {
+func (a *Agent) crowded(m *machine, r *agentapi.Request) bool {
 	shared := a.sharing.factor()
 	if r.Spec.Shape == job.Gang || shared == 0 || m.imageState(r.Spec.Image) > 0 {
 		return false
 	}
 	others := map[string]bool{}
 	for _, t := range m.tasks {
-		if t.spec == nil || t.state != worker.Fetching && t.state != Starting {
+		if t.spec == nil || t.state != worker.Fetching && t.state != agentapi.Starting {
 			continue
 		}
 		if _, has := m.images[t.spec.Image]; !has {
--- a/internal/clusteragent/fetches_test.go
+++ b/internal/clusteragent/fetches_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/cloud"
 	"robinstack/internal/job"
 	"robinstack/internal/worker"
@@ -56,7 +58,7 @@
 			m.tasks[taskKey{id: fmt.Sprint(k)}] = &task{state: worker.Fetching, spec: &job.Spec{Image: fmt.Sprint("i", k)}}
 		}
 		for image, want := range map[string]bool{"here": false, "i1": false, "one more": share} {
-			if got := a.crowded(m, &Request{Spec: job.Spec{Shape: job.Array, Image: image}}); got != want {
+			if got := a.crowded(m, &agentapi.Request{Spec: job.Spec{Shape: job.Array, Image: image}}); got != want {
 				t.Fatalf("share: %v, image %s: crowded %v", share, image, got)
 			}
 		}
--- a/internal/clusteragent/gather.go
+++ b/internal/clusteragent/gather.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/job"
 	"robinstack/internal/worker"
 )
@@ -24,19 +26,19 @@
 const gatherFor = 6 * time.Second
 
 // claim keeps the machine for a job.
-func (m *machine) claim(r *Request, now time.Time, d time.Duration) {
+func (m *machine) claim(r *agentapi.Request, now time.Time, d time.Duration) {
 	m.claimedBy, m.claimedUntil, m.claimedSince = r.Spec.ID, now.Add(d), now.Add(-r.Age)
 }
 
 // outranks reports whether a job that gathers may have a machine that is kept for
 // another: that one could start later.
-func (m *machine) outranks(r *Request, now time.Time) bool {
+func (m *machine) outranks(r *agentapi.Request, now time.Time) bool {
 	return now.Add(-r.Age).Before(m.claimedSince)
 }
 
 // freeIn is about how many seconds it takes until tasks that run to their ends leave room
 // for one of the request's; ok is false where they never do.
-func (a *Agent) freeIn(m *machine, r *Request, now time.Time) (wait float64, ok bool) {
+func (a *Agent) freeIn(m *machine, r *agentapi.Request, now time.Time) (wait float64, ok bool) {
 	t, known := a.types()[m.typeName]
 	if !known || !r.Spec.Fits(job.Capacity(t)) {
 		return 0, false
@@ -70,7 +72,7 @@
 }
 
 // gatherable says why a machine cannot be kept for a job that gathers, or nothing.
-func (a *Agent) gatherable(m *machine, r *Request, now time.Time) string {
+func (a *Agent) gatherable(m *machine, r *agentapi.Request, now time.Time) string {
 	why := a.unfit(m, r, now)
 	if why == keptForOther && m.outranks(r, now) || why == keptForGangs {
 		return ""
@@ -80,12 +82,12 @@
 
 // Gatherable lists machines that will have room for a task of the request, those first
 // that are kept for it already and then those that will have it soonest.
-func (s *Service) Gatherable(r Request, reply *Sample) error {
+func (s *Service) Gatherable(r agentapi.Request, reply *agentapi.Sample) error {
 	a := s.agent
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var found []Candidate
+	var found []agentapi.Candidate
 	for _, m := range a.machines {
 		if m.gone || a.gatherable(m, &r, now) != "" {
 			continue
@@ -98,24 +100,24 @@
 		if m.claimedBy == r.Spec.ID && now.Before(m.claimedUntil) {
 			score += keptScore
 		}
-		found = append(found, Candidate{Machine: m.name, Host: a.member.Host, Rev: m.rev, Zone: m.zone, Fits: 1, Score: score})
+		found = append(found, agentapi.Candidate{Machine: m.name, Host: a.member.Host, Rev: m.rev, Zone: m.zone, Fits: 1, Score: score})
 	}
 	reply.Candidates = best(found, &r)
 	return nil
 }
 
 // Gather keeps a machine for a job as its room comes free.
-func (s *Service) Gather(r CommitRequest, reply *CommitReply) error {
+func (s *Service) Gather(r agentapi.CommitRequest, reply *agentapi.CommitReply) error {
 	a := s.agent
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	reply.Verdicts = []string{Refused}
+	reply.Verdicts = []string{agentapi.Refused}
 	m := a.keepable(&r)
 	if m == nil || a.gatherable(m, &r.Request, now) != "" {
 		return nil
 	}
 	m.claim(&r.Request, now, gatherFor)
-	reply.Verdicts[0] = Held
+	reply.Verdicts[0] = agentapi.Held
 	return nil
 }
--- a/internal/clusteragent/health.go
+++ b/internal/clusteragent/health.go
@@ -1,30 +1,18 @@
 package clusteragent
 
-import "time"
+import (
+	"time"
 
-// Health tells which paths of a controller work.
-type Health struct {
-	Host    string   `json:"host"`
-	StateOK bool     `json:"state_service_reached"`
-	Owned   int      `json:"machines_owned"`
-	Heard   int      `json:"machines_heard_lately"`
-	Marked  []Marked `json:"machines_marked"`
-}
-
-// Marked is a machine that gets no tasks because tasks failed there.
-type Marked struct {
-	Machine string   `json:"machine"`
-	Why     string   `json:"why"`
-	Jobs    []string `json:"jobs"`
-}
+	"robinstack/internal/agentapi"
+)
 
 // Health returns the state of this controller's paths and its marked machines.
-func (s *Service) Health(_ struct{}, reply *Health) error {
+func (s *Service) Health(_ struct{}, reply *agentapi.Health) error {
 	a := s.agent
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	reply.Host, reply.StateOK, reply.Marked = a.member.Host, a.member.Certain(), []Marked{}
+	reply.Host, reply.StateOK, reply.Marked = a.member.Host, a.member.Certain(), []agentapi.Marked{}
 	for _, m := range a.machines {
 		if m.gone || m.removing {
 			continue
@@ -33,7 +21,7 @@
 		if now.Sub(m.heard) < 2*a.settings.Workers.Report {
 			reply.Heard++
 		}
-		mark := Marked{Machine: m.name}
+		mark := agentapi.Marked{Machine: m.name}
 		switch {
 		case m.faulty:
 			mark.Why = "faulty: jobs failed here that run well elsewhere"
--- a/internal/clusteragent/late_test.go
+++ b/internal/clusteragent/late_test.go
@@ -6,8 +6,9 @@
 	"testing"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/emulator"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/config"
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
@@ -27,7 +28,7 @@
 	a.report(workers, w)
 	time.Sleep(time.Second)
 	a.report(workers, w)
-	if got := a.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
+	if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 		t.Fatalf("verdict %q", got)
 	}
 	a.report(workers, w)
@@ -76,7 +77,7 @@
 		a, _, w, epoch := pair(t, ctx, state, workers)
 		before := copyOf(workers, w) // with the first task only
 		overtaken := workers.Next(w) // a report that the answer to a command overtakes
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		a.agent.Report(ctx, &overtaken)
@@ -133,7 +134,7 @@
 	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a, b, w, _ := pair(t, ctx, state, workers)
 		last := copyOf(workers, w)
-		if err := a.service.Removed(clusteragent.MachinesRequest{Names: []string{"m1"}}, &clusteragent.MachinesReply{}); err != nil {
+		if err := a.service.Removed(agentapi.MachinesRequest{Names: []string{"m1"}}, &agentapi.MachinesReply{}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
@@ -169,11 +170,11 @@
 			a.agent.Report(ctx, &r)
 			time.Sleep(3 * time.Second)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Unsettled {
+		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Unsettled {
 			t.Fatalf("verdict %q without an answer", got)
 		}
 		hear()
-		if got := a.commit(t, "m1", "s", epoch, 2, 3); got != clusteragent.Refused {
+		if got := a.commit(t, "m1", "s", epoch, 2, 3); got != agentapi.Refused {
 			t.Fatalf("it got another task: %q", got)
 		}
 		for time.Since(began) < 12*time.Second {
@@ -202,7 +203,7 @@
 		if a.entries()["m1"].Silent {
 			t.Fatal("it answers, and counts as silent")
 		}
-		if got := a.commit(t, "m1", "s", epoch, 2, 4); got != clusteragent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 2, 4); got != agentapi.Started {
 			t.Fatalf("it is not used again: %q", got)
 		}
 		workers.DeliverLate(w)
@@ -236,7 +237,7 @@
 		back.Seq, back.Session, back.Tasks = 1, 0, nil
 		a.agent.Report(ctx, &back)
 		a.report(workers, w)
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Started || held(workers, w) != 2 {
+		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started || held(workers, w) != 2 {
 			t.Errorf("its own reports do not count any more: %q", got)
 		}
 	})
@@ -254,7 +255,7 @@
 		w := workers.Add("m1", "box", "")
 		a.report(workers, w)
 		time.Sleep(time.Second)
-		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Started {
+		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		cut.off.Store(true)
@@ -264,7 +265,7 @@
 		if err := state.Revoke(ctx, 1); err != nil { // its state lease is over
 			t.Fatal(err)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != clusteragent.Refused {
+		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Refused {
 			t.Fatalf("an owner that may be none any more started a task: %q", got)
 		}
 		last := time.Now()
--- a/internal/clusteragent/machine.go
+++ b/internal/clusteragent/machine.go
@@ -5,6 +5,8 @@
 	"log/slog"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/job"
 	"robinstack/internal/worker"
 )
@@ -20,7 +22,7 @@
 
 // task is a task that is on a machine, or may be, or has room reserved there.
 type task struct {
-	ref       TaskRef
+	ref       agentapi.TaskRef
 	id        string
 	slot      string
 	spec      *job.Spec       // nil until the job's record has been read
@@ -227,7 +229,7 @@
 	t.passed = now
 }
 
-var phases = map[string]int{Starting: 0, worker.Fetching: 0, worker.Gathering: 1, worker.Running: 2, worker.Saving: 3}
+var phases = map[string]int{agentapi.Starting: 0, worker.Fetching: 0, worker.Gathering: 1, worker.Running: 2, worker.Saving: 3}
 
 // over logs what a task did on the machine, once it is not there any more or is
 // another owner's to follow. The audit adds it up.
@@ -286,7 +288,7 @@
 		// commands for the earlier session are refused from now on.
 		for k, t := range m.tasks {
 			if t.seen || t.sent {
-				t.settle(Refused)
+				t.settle(agentapi.Refused)
 				m.drop(k)
 			}
 		}
@@ -315,7 +317,7 @@
 			if !ok {
 				continue
 			}
-			t = &task{ref: TaskRef{Job: jobID, Index: index, Attempt: w.Attempt}, id: w.ID, verify: true}
+			t = &task{ref: agentapi.TaskRef{Job: jobID, Index: index, Attempt: w.Attempt}, id: w.ID, verify: true}
 			m.put(key, t)
 		}
 		if t.state != w.State || t.cause != w.Cause || t.saved != w.Saved || !t.seen {
@@ -335,7 +337,7 @@
 		// or have seen a token under which the command is dead.
 		neverStarted := t.sent && !t.seen && (r.Token > t.sentToken || executed != 0 && executed == t.sentToken)
 		if t.seen || neverStarted {
-			t.settle(Refused)
+			t.settle(agentapi.Refused)
 			m.drop(k)
 			changed = true
 		}
@@ -375,7 +377,7 @@
 		return 1
 	}
 	for _, t := range m.tasks {
-		if t.spec != nil && t.spec.Image == image && (t.state == worker.Fetching || t.state == Starting) {
+		if t.spec != nil && t.spec.Image == image && (t.state == worker.Fetching || t.state == agentapi.Starting) {
 			return 0.5
 		}
 	}
@@ -393,7 +395,7 @@
 		switch t.cause {
 		case worker.NoRoom, worker.Busy, worker.NoSuch:
 			// Refused by the worker: it never ran, so there is nothing to record.
-			t.settle(Refused)
+			t.settle(agentapi.Refused)
 			t.forget = true
 			return
 		case worker.Failed:
@@ -418,7 +420,7 @@
 			m.images[t.spec.Image] = now
 		}
 	}
-	t.settle(Started)
+	t.settle(agentapi.Started)
 }
 
 // doubtFor is how long a machine on which two jobs failed gets no others while it
@@ -443,7 +445,7 @@
 
 // judge takes in whose fault a failure was. Where tasks completed lately, one
 // failure of a job that is well is not enough to call the machine faulty.
-func (m *machine) judge(v *Verdict, now time.Time) {
+func (m *machine) judge(v *agentapi.Verdict, now time.Time) {
 	if !v.AtFault {
 		delete(m.failures, v.Job)
 		return
@@ -466,7 +468,7 @@
 		return true
 	}
 	for _, t := range m.tasks {
-		if t.state == Starting && !t.sent || t.stop && t.uses() && (t.seen || t.sent) && now.Sub(t.stopSent) > repeatStop {
+		if t.state == agentapi.Starting && !t.sent || t.stop && t.uses() && (t.seen || t.sent) && now.Sub(t.stopSent) > repeatStop {
 			return true
 		}
 	}
@@ -495,7 +497,7 @@
 			}
 			t.stopSent = now
 			stops = append(stops, worker.Stop(t.id, t.ref.Attempt, grace))
-		case direct && t.state == Starting && !t.sent && m.settled && !m.unfenced():
+		case direct && t.state == agentapi.Starting && !t.sent && m.settled && !m.unfenced():
 			t.sent, t.sentToken = true, m.token()
 			starts = append(starts, worker.Start(t.id, t.ref.Attempt))
 		}
--- a/internal/clusteragent/over.go
+++ b/internal/clusteragent/over.go
@@ -4,6 +4,10 @@
 	"log/slog"
 	"time"
 
+	"robinstack/internal/agentapi"
+
+	"robinstack/internal/shard"
+
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 	"robinstack/internal/tombstone"
@@ -132,7 +136,7 @@
 		return true
 	}
 	kv, ok := a.mirror.Get(statekv.MachinePrefix + m.name)
-	holder, rev := Owner(a.mirror, kv)
+	holder, rev := shard.OwnerOf(a.mirror, kv)
 	return ok && holder == a.member.Holder && rev <= m.rev
 }
 
@@ -167,8 +171,8 @@
 // of no use to anybody.
 func (m *machine) cancel(key taskKey, t *task) {
 	switch {
-	case t.state == stateHeld || t.state == Starting && !t.sent:
-		t.settle(Refused)
+	case t.state == stateHeld || t.state == agentapi.Starting && !t.sent:
+		t.settle(agentapi.Refused)
 		m.drop(key)
 	default:
 		t.forget = true
--- a/internal/clusteragent/owner.go
+++ b/internal/clusteragent/owner.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"hash/fnv"
@@ -13,6 +12,8 @@
 	"strings"
 	"time"
 
+	"robinstack/internal/shard"
+
 	"robinstack/internal/statekv"
 )
 
@@ -20,101 +21,11 @@
 // names the owner. When an owner dies, its hundreds of machines change hands
 // with one write for each of a few shards, while all their work goes on.
 
-// MachineKey is what a machine's key in the state service holds.
-type MachineKey struct {
-	Shard   string `json:"shard"`
-	Address string `json:"address"`
-	Type    string `json:"type"`
-	Zone    string `json:"zone"`
-	Spot    bool   `json:"spot"`
-}
-
-// ShardKey is what a shard's key holds. Index spreads the shards of a dead
-// owner among the survivors.
-type ShardKey struct {
-	statekv.Holder
-	Index int `json:"index"`
-}
-
 // ownShards is how many shards for each zone an owner starts with: machines that
 // share a fate share a shard, so that it can change hands when a zone's workers
 // cannot reach their owner.
 const ownShards = 2
 
-// KeyForm is the form of the keys of machines and shards that this build writes and
-// reads.
-const KeyForm = 0
-
-// ParseKey reads a key for the mirror, once for all who look at it. An error says why
-// a machine's or a shard's key cannot be read.
-func ParseKey(key string, value json.RawMessage) any {
-	switch {
-	case strings.HasPrefix(key, statekv.MachinePrefix):
-		return parseAs[MachineKey]("a machine's key", value)
-	case strings.HasPrefix(key, statekv.ShardPrefix):
-		return parseAs[ShardKey]("a shard's key", value)
-	}
-	return nil
-}
-
-func parseAs[T any](kind string, value json.RawMessage) any {
-	v := new(T)
-	if err := json.Unmarshal(value, v); err != nil {
-		return fmt.Errorf("%s: %w", kind, err)
-	}
-	if err := statekv.CheckForm(kind, value, KeyForm); err != nil {
-		return err
-	}
-	return v
-}
-
-func parsed[T any](kv statekv.KV) *T {
-	if k, ok := kv.Parsed.(*T); ok {
-		return k
-	}
-	k, _ := ParseKey(kv.Key, kv.Value).(*T)
-	return k
-}
-
-// KeyOf returns what a machine's key holds, or nil if it cannot be read.
-func KeyOf(kv statekv.KV) *MachineKey { return parsed[MachineKey](kv) }
-
-// Owner returns who owns the machine of a key, if its shard has an owner, and
-// the revision that this ownership has: that of the later of the two keys.
-func Owner(mirror *statekv.Mirror, kv statekv.KV) (holder statekv.Holder, rev uint64) {
-	key := KeyOf(kv)
-	if key == nil {
-		return holder, kv.Rev
-	}
-	shard, ok := mirror.Get(statekv.ShardPrefix + key.Shard)
-	if !ok {
-		return holder, kv.Rev
-	}
-	return holderOf(shard), max(kv.Rev, shard.Rev)
-}
-
-// owners are the shards' holders by id, for those who look through all machines.
-type owners map[string]ownership
-
-type ownership struct {
-	holder statekv.Holder
-	rev    uint64
-}
-
-func ownersOf(shards []statekv.KV) owners {
-	o := make(owners, len(shards))
-	for _, kv := range shards {
-		o[kv.Key[len(statekv.ShardPrefix):]] = ownership{holderOf(kv), kv.Rev}
-	}
-	return o
-}
-
-// of is Owner for a machine's key that has been read.
-func (o owners) of(key *MachineKey, rev uint64) (statekv.Holder, uint64) {
-	shard := o[key.Shard]
-	return shard.holder, max(rev, shard.rev)
-}
-
 func hashOf(name string) int {
 	h := fnv.New32a()
 	h.Write([]byte(name))
@@ -124,7 +35,7 @@
 // heir is who takes over a shard whose owner's life has ended: the same
 // controller if it is back, or one of the others, each a few, of the shard's zone
 // if there are any.
-func (a *Agent) heir(key *ShardKey, hosts []string) string {
+func (a *Agent) heir(key *shard.ShardKey, hosts []string) string {
 	if slices.Contains(hosts, key.Host) {
 		return key.Host
 	}
@@ -182,7 +93,7 @@
 	a.dropEmpty(ctx, held, home, size, empty)
 	// Machines first: whoever is in a shard that came since belongs to its owner.
 	machines = a.mirror.Dir(statekv.MachinePrefix)
-	a.sortOut(hosts, machines, ownersOf(a.mirror.Dir(statekv.ShardPrefix)))
+	a.sortOut(hosts, machines, shard.OwnersOf(a.mirror.Dir(statekv.ShardPrefix)))
 }
 
 // takeShards takes the shards that fall to this controller, and those wanted from
@@ -192,10 +103,10 @@
 func (a *Agent) takeShards(ctx context.Context, shards []statekv.KV, size map[string]int, wanted map[string]string) (held map[string]holding, empty []statekv.Role) {
 	heirs := a.member.Heirs(a.settings.Hosts())
 	held = map[string]holding{}
-	keys := map[string]*ShardKey{}
+	keys := map[string]*shard.ShardKey{}
 	var roles []statekv.Role
 	for _, kv := range shards {
-		key := parsed[ShardKey](kv)
+		key := shard.ParseShardKey(kv)
 		if key == nil {
 			continue
 		}
@@ -209,7 +120,7 @@
 		} else if a.member.Alive(key.Holder) || a.heir(key, heirs) != a.member.Host {
 			continue
 		}
-		role := statekv.Role{Key: kv.Key, Seen: kv.Rev, From: from, Value: ShardKey{Holder: a.member.Holder, Index: key.Index}}
+		role := statekv.Role{Key: kv.Key, Seen: kv.Rev, From: from, Value: shard.ShardKey{Holder: a.member.Holder, Index: key.Index}}
 		if size[kv.Key[len(statekv.ShardPrefix):]] == 0 && wanted[kv.Key] == "" {
 			empty = append(empty, role)
 			continue
@@ -268,7 +179,7 @@
 		// Once only: a copy applied late must not raise the revision of a
 		// shard that has machines by then.
 		when = append(when, statekv.Cond{Key: statekv.ShardPrefix + home[k]})
-		then = append(then, statekv.Op{Set: statekv.ShardPrefix + home[k], Value: ShardKey{Holder: a.member.Holder, Index: k}})
+		then = append(then, statekv.Op{Set: statekv.ShardPrefix + home[k], Value: shard.ShardKey{Holder: a.member.Holder, Index: k}})
 	}
 	if len(made) > 0 {
 		tctx, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -315,13 +226,6 @@
 	}
 }
 
-func holderOf(shard statekv.KV) statekv.Holder {
-	if key := parsed[ShardKey](shard); key != nil {
-		return key.Holder
-	}
-	return statekv.Holder{}
-}
-
 // homeFor is the place in the list of home shards for a machine.
 func (a *Agent) homeFor(name, zone string) int {
 	z := max(0, slices.Index(a.settings.Zones, zone))
@@ -365,7 +269,7 @@
 
 // sortOut takes up the machines that are ours by their keys, gives up those that
 // are not any more, and claims those whose shard has been lost.
-func (a *Agent) sortOut(hosts []string, keys []statekv.KV, shards owners) {
+func (a *Agent) sortOut(hosts []string, keys []statekv.KV, shards shard.Owners) {
 	a.mu.Lock()
 	for name := range a.released {
 		if _, ok := a.mirror.Get(statekv.MachinePrefix + name); !ok {
@@ -374,12 +278,12 @@
 	}
 	var ours, ownerless []statekv.KV
 	for _, kv := range keys {
-		key := KeyOf(kv)
+		key := shard.ParseMachineKey(kv)
 		if key == nil {
 			ownerless = append(ownerless, kv)
 			continue
 		}
-		holder, rev := shards.of(key, kv.Rev)
+		holder, rev := shards.Of(key, kv.Rev)
 		m := a.machines[kv.Key[len(statekv.MachinePrefix):]]
 		switch {
 		case holder == (statekv.Holder{}):
@@ -397,13 +301,13 @@
 	a.mu.Unlock()
 	for _, kv := range ownerless {
 		name := kv.Key[len(statekv.MachinePrefix):]
-		if key := KeyOf(kv); key != nil && hosts[hashOf(name)%len(hosts)] == a.member.Host {
+		if key := shard.ParseMachineKey(kv); key != nil && hosts[hashOf(name)%len(hosts)] == a.member.Host {
 			a.claim(name, *key, kv.Rev)
 		}
 	}
 	for _, kv := range ours {
 		if !a.takeUp(kv) {
-			a.claim(kv.Key[len(statekv.MachinePrefix):], *KeyOf(kv), kv.Rev)
+			a.claim(kv.Key[len(statekv.MachinePrefix):], *shard.ParseMachineKey(kv), kv.Rev)
 		}
 	}
 }
@@ -411,14 +315,14 @@
 // claim is a machine that is to be written into one of our shards.
 type claim struct {
 	name string
-	key  MachineKey
+	key  shard.MachineKey
 	seen uint64 // revision of the key that the claim replaces
 	done chan struct{}
 }
 
 // claim queues a claim, at most one for each machine at a time. The channel is
 // closed once it was tried; nil means that it cannot be queued.
-func (a *Agent) claim(name string, key MachineKey, seen uint64) chan struct{} {
+func (a *Agent) claim(name string, key shard.MachineKey, seen uint64) chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.claiming[name] || len(a.home) == 0 {
@@ -521,8 +425,8 @@
 // successor that the mirror does not show yet, or nobody knows what runs there,
 // and only a claim, a write under a condition, can make it ours again.
 func (a *Agent) takeUp(kv statekv.KV) bool {
-	key := KeyOf(kv)
-	holder, rev := Owner(a.mirror, kv)
+	key := shard.ParseMachineKey(kv)
+	holder, rev := shard.OwnerOf(a.mirror, kv)
 	if key == nil || holder != a.member.Holder {
 		return true
 	}
@@ -539,7 +443,7 @@
 
 // own begins to look after a machine. keyRev is its key's revision, rev that of
 // our ownership.
-func (a *Agent) own(name string, key *MachineKey, keyRev, rev uint64, takenOver bool) {
+func (a *Agent) own(name string, key *shard.MachineKey, keyRev, rev uint64, takenOver bool) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/clusteragent/parts.go
+++ b/internal/clusteragent/parts.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/job"
 )
 
@@ -81,7 +83,7 @@
 }
 
 // waits notes that a request found too little room.
-func (a *Agent) waits(r *Request, now time.Time) {
+func (a *Agent) waits(r *agentapi.Request, now time.Time) {
 	if !a.hasPart(&r.Spec) {
 		return
 	}
@@ -94,11 +96,11 @@
 // spared reports whether a task on m may not be stopped for the request: its class waits
 // with less than its part, and the request's has more than its own and does not miss the
 // users' longest aim for its wait by that.
-func (a *Agent) spared(t *task, r *Request, m *machine, now time.Time) bool {
+func (a *Agent) spared(t *task, r *agentapi.Request, m *machine, now time.Time) bool {
 	if !r.Parts || !a.hasPart(t.spec) {
 		return false
 	}
-	if waits := a.settings.Waits(r.Spec.Class); len(waits) > 0 && waits[len(waits)-1]-r.Age <= r.clearing(a.types()[m.typeName]) {
+	if waits := a.settings.Waits(r.Spec.Class); len(waits) > 0 && waits[len(waits)-1]-r.Age <= preemptionTime(r, a.types()[m.typeName]) {
 		return false
 	}
 	p := a.partsNow(now)
--- a/internal/clusteragent/parts_test.go
+++ b/internal/clusteragent/parts_test.go
@@ -6,8 +6,9 @@
 	"testing"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/emulator"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/config"
 	"robinstack/internal/job"
 )
@@ -22,8 +23,8 @@
 		set.Objectives = []config.Objective{{Kind: "wait", Class: "gangs", Within: 30 * time.Second}, {Kind: "wait", Class: "gangs", Within: 200 * time.Second}}
 		n := startWith(t, ctx, set, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
-		request := func(class, shape, rank string, gpus float64, tasks int) clusteragent.Request {
-			r := clusteragent.Request{Slot: "s", Epoch: epoch, Tasks: tasks, Least: 9, Spare: 5, Parts: true}
+		request := func(class, shape, rank string, gpus float64, tasks int) agentapi.Request {
+			r := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: tasks, Least: 9, Spare: 5, Parts: true}
 			r.Spec = job.Spec{ID: "wk-9", Class: class, Team: "t", Shape: shape, Rank: rank, Tasks: tasks, Need: job.Need{CPUs: 1, GPUs: gpus, MemoryGB: 1}, CheckpointS: 10, SaveS: 6}
 			return r
 		}
@@ -33,21 +34,21 @@
 			boxes = append(boxes, w)
 			n.report(workers, w)
 			time.Sleep(time.Second)
-			req := clusteragent.CommitRequest{Request: request("gangs", job.Gang, "high", 2, 1), Machine: w.Report.Machine, Rev: n.entries()[w.Report.Machine].Rev,
-				Refs: []clusteragent.TaskRef{{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}}}
+			req := agentapi.CommitRequest{Request: request("gangs", job.Gang, "high", 2, 1), Machine: w.Report.Machine, Rev: n.entries()[w.Report.Machine].Rev,
+				Refs: []agentapi.TaskRef{{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}}}
 			if k == 3 {
 				req.Request = request("arrays", job.Array, "normal", 2, 1)
 			}
 			req.Spec.ID = fmt.Sprintf("wk-%d", k)
-			var reply clusteragent.CommitReply
-			if err := n.service.Commit(req, &reply); err != nil || reply.Verdicts[0] != clusteragent.Started {
+			var reply agentapi.CommitReply
+			if err := n.service.Commit(req, &reply); err != nil || reply.Verdicts[0] != agentapi.Started {
 				t.Fatal(reply, err)
 			}
 		}
 		clearable := func(class string) int {
 			t.Helper()
 			time.Sleep(time.Second)
-			var found clusteragent.Sample
+			var found agentapi.Sample
 			if err := n.service.Clearable(request(class, job.Gang, "high", 2, 1), &found); err != nil {
 				t.Fatal(err)
 			}
@@ -56,7 +57,7 @@
 		if got := clearable("gangs"); got != 1 {
 			t.Errorf("nobody of the arrays waits: %d machines can be cleared", got)
 		}
-		var found clusteragent.Sample
+		var found agentapi.Sample
 		if err := n.service.Sample(request("arrays", job.Array, "normal", 2, 3), &found); err != nil || len(found.Candidates) != 0 {
 			t.Fatal(found, err)
 		}
--- a/internal/clusteragent/register_test.go
+++ b/internal/clusteragent/register_test.go
@@ -7,8 +7,9 @@
 	"testing"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/emulator"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 )
@@ -31,13 +32,13 @@
 		if _, owned := n.entries()["m1"]; !owned {
 			t.Fatal("it is not owned: this shows nothing")
 		}
-		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != clusteragent.Refused {
+		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Refused {
 			t.Errorf("before any answered report: %q", got)
 		}
 		if reply := n.report(workers, w); !reply.Owner {
 			t.Fatal("its report is not answered")
 		}
-		if got := n.commit(t, "m1", "s", epoch, 0, 2); got != clusteragent.Started {
+		if got := n.commit(t, "m1", "s", epoch, 0, 2); got != agentapi.Started {
 			t.Errorf("after its report was answered: %q", got)
 		}
 	})
@@ -63,15 +64,15 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		for k := range 2 {
-			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != clusteragent.Started {
+			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != agentapi.Started {
 				t.Fatalf("verdict %q", got)
 			}
 		}
-		gang := clusteragent.Request{Slot: "s", Epoch: epoch, Tasks: 1, Least: 9, Spare: 5}
+		gang := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: 1, Least: 9, Spare: 5}
 		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
 		clearable := func() int {
 			n.report(workers, w)
-			var found clusteragent.Sample
+			var found agentapi.Sample
 			if err := n.service.Clearable(gang, &found); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -7,13 +7,15 @@
 	"slices"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/cloud"
 	"robinstack/internal/job"
 )
 
 // unfit says why tasks like these cannot be placed on m, or nothing. It is the
 // Filter stage of sampling and the conflict check of the commit.
-func (a *Agent) unfit(m *machine, r *Request, now time.Time) string {
+func (a *Agent) unfit(m *machine, r *agentapi.Request, now time.Time) string {
 	switch {
 	case m.gone || m.removing || !m.settled:
 		return "machine is not settled"
@@ -70,15 +72,15 @@
 // Sample draws owned machines without replacement until the share wanted has
 // passed the filters, and scores them (the paper's second sampling step). The
 // best of those go back, as many as the request can use.
-func (s *Service) Sample(r Request, reply *Sample) error {
+func (s *Service) Sample(r agentapi.Request, reply *agentapi.Sample) error {
 	a := s.agent
 	now := time.Now()
 	types := a.types()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	wanted := r.wanted(len(a.machines))
+	wanted := sampleTarget(&r, len(a.machines))
 	room := newRoomCount(&r)
-	var found []Candidate
+	var found []agentapi.Candidate
 	for _, m := range a.withRoom(r.Spec.Need) {
 		if len(found) >= wanted && room.enough() {
 			break
@@ -98,7 +100,7 @@
 		if m.claimedBy == r.Spec.ID && now.Before(m.claimedUntil) {
 			kept = keptScore
 		}
-		found = append(found, Candidate{
+		found = append(found, agentapi.Candidate{
 			Machine: m.name, Host: a.member.Host, Rev: m.rev, Zone: m.zone, Fits: n, Image: image,
 			Score: kept + score(job.Capacity(types[m.typeName]), free, r.Spec.Need, image, cheapness(types, &r.Spec, m.typeName, m.spot)),
 		})
@@ -128,9 +130,9 @@
 	return pool
 }
 
-// wanted is how many of n machines have to pass the filters before the draw may
+// sampleTarget is how many of n machines have to pass the filters before the draw may
 // end: the share N_p, and in any case some to choose from.
-func (r *Request) wanted(n int) int {
+func sampleTarget(r *agentapi.Request, n int) int {
 	return min(n, max(1, r.Least, int(math.Ceil(r.Share*float64(n)))))
 }
 
@@ -143,7 +145,7 @@
 	most   int
 }
 
-func newRoomCount(r *Request) *roomCount {
+func newRoomCount(r *agentapi.Request) *roomCount {
 	return &roomCount{tasks: r.Tasks, byZone: r.Spec.OneZone || r.Spec.Spread, zones: map[string]int{}}
 }
 
@@ -162,13 +164,13 @@
 
 // best keeps the candidates of the highest scores that have room for all the
 // tasks, and some more for MultiBind to fall back to.
-func best(found []Candidate, r *Request) []Candidate {
-	slices.SortFunc(found, func(a, b Candidate) int {
+func best(found []agentapi.Candidate, r *agentapi.Request) []agentapi.Candidate {
+	slices.SortFunc(found, func(a, b agentapi.Candidate) int {
 		return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Machine, b.Machine))
 	})
 	room := newRoomCount(r)
 	spare := map[string]int{}
-	return slices.DeleteFunc(found, func(c Candidate) bool {
+	return slices.DeleteFunc(found, func(c agentapi.Candidate) bool {
 		if room.add(c.Zone, c.Fits) < r.Tasks {
 			return false
 		}
--- a/internal/clusteragent/service.go
+++ b/internal/clusteragent/service.go
@@ -7,6 +7,8 @@
 	"slices"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
@@ -20,12 +22,12 @@
 
 // Commit reserves room for tasks on a machine, checks the latest report and
 // the reservations, and sends the starts (the paper's commit pipeline).
-func (s *Service) Commit(r CommitRequest, reply *CommitReply) error {
+func (s *Service) Commit(r agentapi.CommitRequest, reply *agentapi.CommitReply) error {
 	a := s.agent
 	now := time.Now()
 	reply.Verdicts = make([]string, len(r.Refs))
 	for i := range reply.Verdicts {
-		reply.Verdicts[i] = Refused
+		reply.Verdicts[i] = agentapi.Refused
 	}
 	waits := make([]chan string, len(r.Refs))
 
@@ -76,16 +78,16 @@
 		}
 		if t.state != stateHeld {
 			// A repeated request: the entry shows what became of it.
-			reply.Verdicts[i] = Unsettled
+			reply.Verdicts[i] = agentapi.Unsettled
 			continue
 		}
 		if r.Hold {
 			t.holdUntil = now.Add(10 * time.Second)
-			reply.Verdicts[i] = Held
+			reply.Verdicts[i] = agentapi.Held
 			continue
 		}
 		m.claimedUntil = time.Time{}
-		t.state, t.passed = Starting, now
+		t.state, t.passed = agentapi.Starting, now
 		t.result = make(chan string, 1)
 		waits[i] = t.result
 		sending = true
@@ -116,7 +118,7 @@
 			}
 			expired = true
 		}
-		reply.Verdicts[i] = Unsettled
+		reply.Verdicts[i] = agentapi.Unsettled
 		select {
 		case reply.Verdicts[i] = <-w:
 		default:
@@ -134,7 +136,7 @@
 }
 
 // Stop asks for tasks to be stopped, or forgotten once they have ended.
-func (s *Service) Stop(r StopRequest, _ *struct{}) error {
+func (s *Service) Stop(r agentapi.StopRequest, _ *struct{}) error {
 	a := s.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -152,8 +154,8 @@
 		case t.state == stateHeld:
 			m.drop(key)
 			a.touch(m)
-		case t.state == Starting && !t.sent:
-			t.settle(Refused)
+		case t.state == agentapi.Starting && !t.sent:
+			t.settle(agentapi.Refused)
 			m.drop(key)
 			a.touch(m)
 		case item.Forget:
@@ -167,7 +169,7 @@
 }
 
 // Judge takes what placers found out about tasks that failed.
-func (s *Service) Judge(verdicts []Verdict, _ *struct{}) error {
+func (s *Service) Judge(verdicts []agentapi.Verdict, _ *struct{}) error {
 	a := s.agent
 	now := time.Now()
 	a.mu.Lock()
@@ -184,7 +186,7 @@
 // Void makes commits harmless that were sent but not answered, unless the task
 // is on the machine already. Only the owner that the commit went to can say so:
 // to a later life of the same controller the task is unknown although it may run.
-func (s *Service) Void(r VoidRequest, reply *VoidReply) error {
+func (s *Service) Void(r agentapi.VoidRequest, reply *agentapi.VoidReply) error {
 	a := s.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -211,7 +213,7 @@
 }
 
 // Watch returns the machines that changed, at once or as soon as some do.
-func (s *Service) Watch(r WatchRequest, reply *WatchReply) error {
+func (s *Service) Watch(r agentapi.WatchRequest, reply *agentapi.WatchReply) error {
 	a := s.agent
 	ctx, cancel := context.WithTimeout(a.runContext(), r.Wait)
 	defer cancel()
@@ -232,10 +234,10 @@
 			reply.Host, reply.Instance, reply.Ver = a.member.Host, a.member.Instance, a.ver
 			reply.StateOK, reply.Seen = a.member.Certain(), a.seen()
 			moved := a.changedSince(since)
-			if len(moved) > mostEntries {
+			if len(moved) > maxWatchEntries {
 				// The next answer goes on from the last of these.
-				moved = moved[:mostEntries]
-				reply.Ver, reply.More = moved[mostEntries-1].ver, true
+				moved = moved[:maxWatchEntries]
+				reply.Ver, reply.More = moved[maxWatchEntries-1].ver, true
 			}
 			for _, m := range moved {
 				reply.Entries = append(reply.Entries, m.entry(a.member.Host, now))
@@ -253,6 +255,9 @@
 	}
 }
 
+// maxWatchEntries bounds the entries of one answer.
+const maxWatchEntries = 300
+
 // watchPause gathers changes: a machine that changes several times goes out once.
 const watchPause = 60 * time.Millisecond
 
@@ -284,8 +289,8 @@
 	return a.ctx
 }
 
-func (m *machine) entry(host string, now time.Time) Entry {
-	e := Entry{Machine: m.name, Host: host, Rev: m.rev, Ver: m.ver, Type: m.typeName, Zone: m.zone, Spot: m.spot,
+func (m *machine) entry(host string, now time.Time) agentapi.Entry {
+	e := agentapi.Entry{Machine: m.name, Host: host, Rev: m.rev, Ver: m.ver, Type: m.typeName, Zone: m.zone, Spot: m.spot,
 		Settled: m.settled, Draining: m.draining || m.removing, Silent: !m.serves() || m.deaf(now), Faulty: m.faulty, Gone: m.gone, Notice: !m.noticeAt.IsZero()}
 	if !m.idleSince.IsZero() {
 		e.Idle = max(time.Millisecond, now.Sub(m.idleSince))
@@ -300,7 +305,7 @@
 		if t.state == stateHeld {
 			continue
 		}
-		te := TaskEntry{TaskRef: t.ref, Slot: t.slot, State: t.state, Cause: t.cause, Saved: t.saved}
+		te := agentapi.TaskEntry{TaskRef: t.ref, Slot: t.slot, State: t.state, Cause: t.cause, Saved: t.saved}
 		if t.spec != nil {
 			te.Known, te.Team, te.Need = true, t.spec.Team, t.spec.Need
 		}
@@ -310,7 +315,7 @@
 }
 
 // Drain closes machines without tasks to new ones, or opens them again.
-func (s *Service) Drain(r MachinesRequest, reply *MachinesReply) error {
+func (s *Service) Drain(r agentapi.MachinesRequest, reply *agentapi.MachinesReply) error {
 	a := s.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -335,7 +340,7 @@
 
 // Removed tells the agent that the cloud has deleted machines: their tasks are
 // gone. Their keys follow when the state service has room for it.
-func (s *Service) Removed(r MachinesRequest, reply *MachinesReply) error {
+func (s *Service) Removed(r agentapi.MachinesRequest, reply *agentapi.MachinesReply) error {
 	a := s.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -346,7 +351,7 @@
 		}
 		m.removing, m.settled = true, true
 		for k, t := range m.tasks {
-			t.settle(Refused)
+			t.settle(agentapi.Refused)
 			m.drop(k)
 		}
 		a.touch(m)
@@ -421,11 +426,11 @@
 }
 
 // Snapshot returns the agent's counters and machines.
-func (a *Agent) Snapshot() (Counters, []Entry) {
+func (a *Agent) Snapshot() (Counters, []agentapi.Entry) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var entries []Entry
+	var entries []agentapi.Entry
 	for _, m := range a.machines {
 		if !m.gone {
 			entries = append(entries, m.entry(a.member.Host, now))
--- a/internal/clusteragent/zone.go
+++ b/internal/clusteragent/zone.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"robinstack/internal/shard"
+
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
 )
@@ -64,7 +66,7 @@
 	zones := map[string]int{}
 	size = map[string]int{}
 	for _, kv := range machines {
-		if key := KeyOf(kv); key != nil {
+		if key := shard.ParseMachineKey(kv); key != nil {
 			zones[key.Zone]++
 			size[key.Shard]++
 		}
--- a/internal/clusteragent/zone_test.go
+++ b/internal/clusteragent/zone_test.go
@@ -6,6 +6,10 @@
 	"testing"
 	"time"
 
+	"robinstack/internal/agentapi"
+
+	"robinstack/internal/shard"
+
 	"robinstack/emulator"
 	"robinstack/internal/clusteragent"
 	"robinstack/internal/statekv"
@@ -97,7 +101,7 @@
 			go a.report(workers, w)
 		}
 		doubt := func(a *clusteragent.Agent) {
-			a.Known = func(m string) clusteragent.Entry { return clusteragent.Entry{Machine: m, Settled: false} }
+			a.Known = func(m string) agentapi.Entry { return agentapi.Entry{Machine: m, Settled: false} }
 		}
 		c := startIn(t, ctx, "host-2", "a", state, workers, doubt)
 		b := startIn(t, ctx, "host-1", "b", state, workers, doubt)
@@ -113,7 +117,7 @@
 		if nb, nc := len(b.entries()), len(c.entries()); nb != 0 || nc != 40 {
 			t.Fatalf("the other zone's controller took %d machines, their own zone's %d", nb, nc)
 		}
-		if kv, _ := c.mirror.Get(statekv.MachinePrefix + "m0"); clusteragent.KeyOf(kv) == nil {
+		if kv, _ := c.mirror.Get(statekv.MachinePrefix + "m0"); shard.ParseMachineKey(kv) == nil {
 			t.Fatal("a machine's key is gone")
 		}
 	})
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -13,6 +13,12 @@
 	"sync"
 	"time"
 
+	"robinstack/internal/changefeed"
+
+	"robinstack/internal/agentapi"
+
+	"robinstack/internal/shard"
+
 	"robinstack/internal/autoscaler"
 	"robinstack/internal/budget"
 	"robinstack/internal/cloud"
@@ -56,7 +62,7 @@
 
 // Network carries calls between the controllers for one life.
 type Network interface {
-	clusteragent.Caller
+	peer.Caller
 	// Listen begins to listen to the others; serve answers them until ctx ends.
 	Listen() (serve func(ctx context.Context), err error)
 	Close()
@@ -225,7 +231,7 @@
 	}
 	gate := rollout.NewGate(c.settings.Hosts(), c.policy, mirror, member, c.store, st.Epoch)
 	mover := rollout.NewMover(c.moves, mirror, member, st.Epoch, c.settings.State.TxnOps, rollout.MoveShare*c.settings.State.WriteRPS)
-	feed := clusteragent.NewFeed(network, mirror, c.settings.Hosts(), func() uint64 { return max(pl.Epoch(), st.Epoch()) }, func(entries []clusteragent.Entry) {
+	feed := changefeed.NewFeed(network, mirror, c.settings.Hosts(), func() uint64 { return max(pl.Epoch(), st.Epoch()) }, func(entries []agentapi.Entry) {
 		pl.OnEntries(entries)
 		st.OnEntries(entries)
 	})
@@ -270,7 +276,7 @@
 	if change := tombstone.ParseKey(key, value); change != nil {
 		return change
 	}
-	return clusteragent.ParseKey(key, value)
+	return shard.ParseKey(key, value)
 }
 
 // sweepEvery is how often the steward looks for keys that jobs have left behind.
@@ -299,7 +305,7 @@
 
 // runBudget tells the steward what this session needs of the changes that the state service
 // takes, and takes what is lent.
-func (c *Controller) runBudget(ctx context.Context, member *statekv.Member, network clusteragent.Caller, stewardHost func() string) {
+func (c *Controller) runBudget(ctx context.Context, member *statekv.Member, network peer.Caller, stewardHost func() string) {
 	store, ok := c.store.(paced)
 	if !ok {
 		return
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,6 +12,8 @@
 	"sync/atomic"
 	"time"
 
+	"robinstack/internal/changefeed"
+
 	"github.com/gofiber/fiber/v2"
 	"github.com/segmentio/encoding/json"
 
@@ -37,11 +39,11 @@
 	Agent   *clusteragent.Agent
 	Placer  *scheduler.Placer
 	Steward *autoscaler.Steward
-	Feed    *clusteragent.Feed
+	Feed    *changefeed.Feed
 	Gate    *rollout.Gate
 	Levels  *rollout.Reader
 	Pipes   *dag.Tracker
-	Call    clusteragent.Caller
+	Call    peer.Caller
 	Clock   *recovery.Clock
 	Traffic func() peer.Traffic // with other controllers; nil: nobody counts it
 }
--- a/internal/gateway/pipelines_test.go
+++ b/internal/gateway/pipelines_test.go
@@ -13,9 +13,10 @@
 	"testing/synctest"
 	"time"
 
+	"robinstack/internal/changefeed"
+
 	"robinstack/emulator"
 	"robinstack/internal/cloud"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/config"
 	"robinstack/internal/dag"
 	"robinstack/internal/job"
@@ -97,7 +98,7 @@
 		}
 		l.Levels = rollout.NewReader(l.Mirror)
 		l.Placer = scheduler.New(settings, policy.Default(), state, l.Mirror, l.Member, alone{}, catalogue.Types, l.Pipes)
-		feed := clusteragent.NewFeed(alone{}, l.Mirror, []string{"host-0"}, l.Placer.Epoch, l.Placer.OnEntries)
+		feed := changefeed.NewFeed(alone{}, l.Mirror, []string{"host-0"}, l.Placer.Epoch, l.Placer.OnEntries)
 		l.Feed = feed
 		go l.Mirror.Run(ctx)
 		go func() { _ = l.Member.Keep(ctx) }()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -8,6 +8,8 @@
 	"strings"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"github.com/gofiber/fiber/v2"
 
 	"robinstack/internal/autoscaler"
@@ -21,16 +23,16 @@
 
 // Status is the read-only page that shows who holds what.
 type Status struct {
-	Host    string                `json:"host"`
-	Ready   bool                  `json:"state_service_reached"`
-	Steward string                `json:"steward"`
-	Teams   []TeamStatus          `json:"teams"`
-	Health  []clusteragent.Health `json:"controllers"`
-	Overdue []autoscaler.Late     `json:"boots_overdue"`
-	Latency []Latency             `json:"answer_times_here"`
-	Refused int64                 `json:"queries_refused_here"`
-	Pauses  int                   `json:"pauses_here"`
-	PauseS  float64               `json:"longest_pause_s"`
+	Host    string            `json:"host"`
+	Ready   bool              `json:"state_service_reached"`
+	Steward string            `json:"steward"`
+	Teams   []TeamStatus      `json:"teams"`
+	Health  []agentapi.Health `json:"controllers"`
+	Overdue []autoscaler.Late `json:"boots_overdue"`
+	Latency []Latency         `json:"answer_times_here"`
+	Refused int64             `json:"queries_refused_here"`
+	Pauses  int               `json:"pauses_here"`
+	PauseS  float64           `json:"longest_pause_s"`
 
 	Serving map[string]float64 `json:"serving_again_here_s"` // steps since the start or the last lease lost
 
@@ -117,7 +119,7 @@
 }
 
 // pools sums up the machines by type, zone and kind.
-func (g *Gateway) pools(entries []clusteragent.Entry) []PoolStatus {
+func (g *Gateway) pools(entries []agentapi.Entry) []PoolStatus {
 	types := g.catalogue.Types()
 	type key struct {
 		typeName, zone string
@@ -166,7 +168,7 @@
 }
 
 // machineList lists all machines, or one, or none.
-func machineList(entries []clusteragent.Entry, which string) []MachineStatus {
+func machineList(entries []agentapi.Entry, which string) []MachineStatus {
 	var out []MachineStatus
 	for _, e := range entries {
 		if which != "all" && which != e.Machine || which == "" {
@@ -188,9 +190,9 @@
 func (g *Gateway) troubles(ctx context.Context, l *Life, s *Status) {
 	cctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer cancel()
-	s.Health, s.Overdue = []clusteragent.Health{}, []autoscaler.Late{}
+	s.Health, s.Overdue = []agentapi.Health{}, []autoscaler.Late{}
 	for _, h := range g.hosts() {
-		var health clusteragent.Health
+		var health agentapi.Health
 		if !slices.Contains(s.Unreadable, h) && l.Call.Call(cctx, h, "Agent.Health", struct{}{}, &health) == nil {
 			s.Health = append(s.Health, health)
 		}
@@ -235,7 +237,7 @@
 	return byTeam
 }
 
-func machineState(e *clusteragent.Entry) string {
+func machineState(e *agentapi.Entry) string {
 	switch {
 	case !e.Settled:
 		return "changing owner"
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -4,8 +4,9 @@
 	"fmt"
 	"testing"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/cloud"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/job"
 	"robinstack/internal/worker"
 )
@@ -15,11 +16,11 @@
 func TestStatusSumsUpALargeFleet(t *testing.T) {
 	g := &Gateway{catalogue: &cloud.Catalogue{}}
 	g.catalogue.Set([]cloud.MachineType{{Name: "box", GPUs: 8}})
-	var entries []clusteragent.Entry
+	var entries []agentapi.Entry
 	for i := range 1500 {
-		e := clusteragent.Entry{Machine: fmt.Sprintf("vm-%06d", i), Host: fmt.Sprint("host-", i%3), Type: "box", Zone: "a", Spot: i%2 == 1, Settled: true, Silent: i == 4}
+		e := agentapi.Entry{Machine: fmt.Sprintf("vm-%06d", i), Host: fmt.Sprint("host-", i%3), Type: "box", Zone: "a", Spot: i%2 == 1, Settled: true, Silent: i == 4}
 		if i < 100 {
-			e.Tasks = []clusteragent.TaskEntry{{TaskRef: clusteragent.TaskRef{Job: "wk-1", Index: i}, Need: job.Need{GPUs: 3}, State: worker.Running}, {State: worker.Ended}}
+			e.Tasks = []agentapi.TaskEntry{{TaskRef: agentapi.TaskRef{Job: "wk-1", Index: i}, Need: job.Need{GPUs: 3}, State: worker.Running}, {State: worker.Ended}}
 		}
 		entries = append(entries, e)
 	}
--- a/internal/rollout/against.go
+++ b/internal/rollout/against.go
@@ -10,7 +10,8 @@
 	"strings"
 	"text/tabwriter"
 
-	"robinstack/internal/clusteragent"
+	"robinstack/internal/shard"
+
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 	"robinstack/internal/tombstone"
@@ -35,7 +36,7 @@
 }
 
 func parsed(key string, value json.RawMessage) error {
-	err, _ := clusteragent.ParseKey(key, value).(error)
+	err, _ := shard.ParseKey(key, value).(error)
 	return err
 }
 
--- a/internal/scheduler/begin.go
+++ b/internal/scheduler/begin.go
@@ -7,8 +7,10 @@
 	"sync"
 	"time"
 
-	"robinstack/internal/autoscaler"
-	"robinstack/internal/clusteragent"
+	"robinstack/internal/quota"
+
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/job"
 )
 
@@ -59,7 +61,7 @@
 
 // gather has room kept for a job that starves, on the machines that will have it
 // soonest; candidates are those that have room now. It returns whether some is kept.
-func (p *Placer) gather(ctx context.Context, j *jobState, req clusteragent.Request, candidates []clusteragent.Candidate, n int) bool {
+func (p *Placer) gather(ctx context.Context, j *jobState, req agentapi.Request, candidates []agentapi.Candidate, n int) bool {
 	p.mu.Lock()
 	starves := j.starves(time.Now())
 	p.mu.Unlock()
@@ -96,7 +98,7 @@
 
 // keep has owners keep machines for a job, and what room was found for it already:
 // others would take that, and more would have to be kept.
-func (p *Placer) keep(ctx context.Context, method string, j *jobState, req clusteragent.Request, chosen, found []clusteragent.Candidate, n int) (kept int) {
+func (p *Placer) keep(ctx context.Context, method string, j *jobState, req agentapi.Request, chosen, found []agentapi.Candidate, n int) (kept int) {
 	chosen = slices.Clone(chosen)
 	zone := ""
 	switch {
@@ -116,16 +118,16 @@
 	var calls sync.WaitGroup
 	for _, c := range chosen {
 		calls.Go(func() {
-			var reply clusteragent.CommitReply
+			var reply agentapi.CommitReply
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
 			defer cancel()
-			if err := p.call.Call(cctx, c.Host, method, clusteragent.CommitRequest{Request: req, Machine: c.Machine, Rev: c.Rev}, &reply); err != nil {
+			if err := p.call.Call(cctx, c.Host, method, agentapi.CommitRequest{Request: req, Machine: c.Machine, Rev: c.Rev}, &reply); err != nil {
 				slog.Debug("keeping a machine", "method", method, "machine", c.Machine, "err", err)
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if len(reply.Verdicts) > 0 && reply.Verdicts[0] == clusteragent.Held {
+			if len(reply.Verdicts) > 0 && reply.Verdicts[0] == agentapi.Held {
 				kept++
 			}
 		})
@@ -143,7 +145,7 @@
 	}
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	reply, err := p.permits(cctx, autoscaler.PermitRequest{Slot: j.slot, Epoch: epoch,
-		Reserve: &autoscaler.Reservation{Job: j.spec.ID, Team: j.spec.Team, Need: job.Need{}.Add(j.spec.Need, float64(n)), Since: j.from.UnixMilli()}})
+	reply, err := p.permits(cctx, quota.PermitRequest{Slot: j.slot, Epoch: epoch,
+		Reserve: &quota.Reservation{Job: j.spec.ID, Team: j.spec.Team, Need: job.Need{}.Add(j.spec.Need, float64(n)), Since: j.from.UnixMilli()}})
 	return err == nil && reply.Reserved
 }
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -5,15 +5,16 @@
 	"math/rand/v2"
 	"slices"
 
-	"robinstack/internal/clusteragent"
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/job"
 )
 
 // The decision phase: pure functions over the sampled candidates.
 
 // rank orders candidates by summed score, best first.
-func rank(candidates []clusteragent.Candidate) {
-	slices.SortStableFunc(candidates, func(a, b clusteragent.Candidate) int {
+func rank(candidates []agentapi.Candidate) {
+	slices.SortStableFunc(candidates, func(a, b agentapi.Candidate) int {
 		return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Machine, b.Machine))
 	})
 }
@@ -21,12 +22,12 @@
 // plan gives each of n tasks its own list of at most m candidates, best first.
 // The first of each list is chosen so that all tasks fit together, as far as
 // the samples go; the others are what MultiBind falls back to.
-func plan(candidates []clusteragent.Candidate, n, m int) [][]clusteragent.Candidate {
+func plan(candidates []agentapi.Candidate, n, m int) [][]agentapi.Candidate {
 	left := make([]int, len(candidates))
 	for i, c := range candidates {
 		left[i] = c.Fits
 	}
-	var lists [][]clusteragent.Candidate
+	var lists [][]agentapi.Candidate
 	first := 0
 	for len(lists) < n {
 		for first < len(candidates) && left[first] == 0 {
@@ -36,7 +37,7 @@
 			break
 		}
 		left[first]--
-		list := []clusteragent.Candidate{candidates[first]}
+		list := []agentapi.Candidate{candidates[first]}
 		for k := 1; k < len(candidates) && len(list) < m; k++ {
 			list = append(list, candidates[(first+k)%len(candidates)])
 		}
@@ -46,7 +47,7 @@
 }
 
 // gangZone picks the zone in which a one-zone gang fits best, or "".
-func gangZone(candidates []clusteragent.Candidate, n int) string {
+func gangZone(candidates []agentapi.Candidate, n int) string {
 	fits, scores := map[string]int{}, map[string]float64{}
 	for _, c := range candidates {
 		if fits[c.Zone] < n {
@@ -65,7 +66,7 @@
 
 // chooseCleared picks the machines to clear so that, with the room found
 // already, a gang of n fits: in the zone where that loses least.
-func chooseCleared(oneZone bool, found, options []clusteragent.Candidate, n int) []clusteragent.Candidate {
+func chooseCleared(oneZone bool, found, options []agentapi.Candidate, n int) []agentapi.Candidate {
 	zones := map[string]bool{"": true}
 	if oneZone {
 		clear(zones)
@@ -73,7 +74,7 @@
 			zones[c.Zone] = true
 		}
 	}
-	var best []clusteragent.Candidate
+	var best []agentapi.Candidate
 	bestCost := 0.0
 	for z := range zones {
 		have := map[string]bool{}
@@ -84,7 +85,7 @@
 				have[c.Machine] = true
 			}
 		}
-		var chosen []clusteragent.Candidate
+		var chosen []agentapi.Candidate
 		cost := 0.0
 		for _, c := range options {
 			if len(chosen) < left && (z == "" || c.Zone == z) && !have[c.Machine] {
@@ -100,14 +101,14 @@
 }
 
 // inZone keeps the candidates of one zone.
-func inZone(candidates []clusteragent.Candidate, zone string) []clusteragent.Candidate {
-	return slices.DeleteFunc(slices.Clone(candidates), func(c clusteragent.Candidate) bool { return c.Zone != zone })
+func inZone(candidates []agentapi.Candidate, zone string) []agentapi.Candidate {
+	return slices.DeleteFunc(slices.Clone(candidates), func(c agentapi.Candidate) bool { return c.Zone != zone })
 }
 
 // withImage keeps the candidates that have the image; for tasks of arrays also
 // those on which another task fetches it.
-func withImage(candidates []clusteragent.Candidate, shape string) []clusteragent.Candidate {
-	return slices.DeleteFunc(slices.Clone(candidates), func(c clusteragent.Candidate) bool {
+func withImage(candidates []agentapi.Candidate, shape string) []agentapi.Candidate {
+	return slices.DeleteFunc(slices.Clone(candidates), func(c agentapi.Candidate) bool {
 		return c.Image == 0 || c.Image < 1 && shape == job.Gang
 	})
 }
--- a/internal/scheduler/choose_test.go
+++ b/internal/scheduler/choose_test.go
@@ -4,12 +4,13 @@
 	"slices"
 	"testing"
 
-	"robinstack/internal/clusteragent"
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/job"
 )
 
 func TestPlanRanksAndFallsBack(t *testing.T) {
-	cs := []clusteragent.Candidate{{Machine: "m1", Fits: 1, Score: 10}, {Machine: "m2", Fits: 2, Score: 90}, {Machine: "m3", Fits: 1, Score: 50}}
+	cs := []agentapi.Candidate{{Machine: "m1", Fits: 1, Score: 10}, {Machine: "m2", Fits: 2, Score: 90}, {Machine: "m3", Fits: 1, Score: 50}}
 	rank(cs)
 	lists := plan(cs, 5, 2)
 	var first []string
@@ -25,7 +26,7 @@
 }
 
 func TestGangZoneHoldsTheWholeGang(t *testing.T) {
-	cs := []clusteragent.Candidate{{Machine: "m1", Zone: "a", Fits: 1, Score: 99}, {Machine: "m2", Zone: "b", Fits: 1}, {Machine: "m3", Zone: "b", Fits: 1}}
+	cs := []agentapi.Candidate{{Machine: "m1", Zone: "a", Fits: 1, Score: 99}, {Machine: "m2", Zone: "b", Fits: 1}, {Machine: "m3", Zone: "b", Fits: 1}}
 	if z := gangZone(cs, 2); z != "b" {
 		t.Fatalf("zone %q", z)
 	}
@@ -44,7 +45,7 @@
 	if z := openZones(spread, map[string]int{"a": 3, "b": 1}, zones); !slices.Equal(z, []string{"b", "c"}) {
 		t.Fatalf("spread: %v", z)
 	}
-	lists := [][]clusteragent.Candidate{{{Zone: "a"}}, {{Zone: "b"}, {Zone: "a"}}}
+	lists := [][]agentapi.Candidate{{{Zone: "a"}}, {{Zone: "b"}, {Zone: "a"}}}
 	if out := spreadOut(lists, map[string]int{"a": 3}, 3); len(out) != 1 || len(out[0]) != 1 || out[0][0].Zone != "b" {
 		t.Fatalf("spread out: %v", out)
 	}
@@ -53,8 +54,8 @@
 // A gang has machines cleared where that loses least, all in one zone if it
 // must be, and nothing is stopped when it would still not fit.
 func TestClearingChoosesTheCheapestZoneThatHoldsTheGang(t *testing.T) {
-	options := []clusteragent.Candidate{{Machine: "m1", Zone: "a", Score: -5}, {Machine: "m2", Zone: "b", Score: -20}, {Machine: "m3", Zone: "b", Score: -30}}
-	found := []clusteragent.Candidate{{Machine: "m4", Zone: "b", Fits: 1}}
+	options := []agentapi.Candidate{{Machine: "m1", Zone: "a", Score: -5}, {Machine: "m2", Zone: "b", Score: -20}, {Machine: "m3", Zone: "b", Score: -30}}
+	found := []agentapi.Candidate{{Machine: "m4", Zone: "b", Fits: 1}}
 	if got := chooseCleared(true, found, options, 2); len(got) != 1 || got[0].Machine != "m2" {
 		t.Fatalf("one zone: %v", got)
 	}
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -5,14 +5,15 @@
 	"log/slog"
 	"time"
 
-	"robinstack/internal/clusteragent"
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
 )
 
 // OnEntries takes what an agent's machines have become.
-func (p *Placer) OnEntries(entries []clusteragent.Entry) {
+func (p *Placer) OnEntries(entries []agentapi.Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range entries {
@@ -20,8 +21,8 @@
 	}
 }
 
-func (p *Placer) onEntry(e *clusteragent.Entry) {
-	listed := make(map[clusteragent.TaskRef]bool, len(e.Tasks))
+func (p *Placer) onEntry(e *agentapi.Entry) {
+	listed := make(map[agentapi.TaskRef]bool, len(e.Tasks))
 	for i := range e.Tasks {
 		te := &e.Tasks[i]
 		listed[te.TaskRef] = true
@@ -52,10 +53,10 @@
 	}
 }
 
-func (p *Placer) onTask(e *clusteragent.Entry, te *clusteragent.TaskEntry, j *jobState) {
+func (p *Placer) onTask(e *agentapi.Entry, te *agentapi.TaskEntry, j *jobState) {
 	ts := &j.tasks[te.Index]
 	over := te.State == worker.Ended
-	item := clusteragent.StopItem{Machine: e.Machine, TaskRef: te.TaskRef, Forget: over}
+	item := agentapi.StopItem{Machine: e.Machine, TaskRef: te.TaskRef, Forget: over}
 	switch {
 	case j.over != "" && j.recorded:
 		p.forgets = append(p.forgets, item)
@@ -124,9 +125,9 @@
 	}
 }
 
-func (p *Placer) noteOn(machine string, ref clusteragent.TaskRef) {
+func (p *Placer) noteOn(machine string, ref agentapi.TaskRef) {
 	if p.on[machine] == nil {
-		p.on[machine] = map[clusteragent.TaskRef]bool{}
+		p.on[machine] = map[agentapi.TaskRef]bool{}
 	}
 	p.on[machine][ref] = true
 }
@@ -134,7 +135,7 @@
 // clear takes a task off its machine in our books.
 func (p *Placer) clear(j *jobState, i int) {
 	ts := &j.tasks[i]
-	delete(p.on[ts.machine], clusteragent.TaskRef{Job: j.spec.ID, Index: i, Attempt: ts.attempt})
+	delete(p.on[ts.machine], agentapi.TaskRef{Job: j.spec.ID, Index: i, Attempt: ts.attempt})
 	*ts = taskState{}
 }
 
@@ -193,7 +194,7 @@
 		return
 	}
 	ts.stopping, ts.grace, ts.stopSent = true, grace, time.Time{}
-	p.stops[clusteragent.TaskRef{Job: j.spec.ID, Index: i, Attempt: ts.attempt}] = true
+	p.stops[agentapi.TaskRef{Job: j.spec.ID, Index: i, Attempt: ts.attempt}] = true
 }
 
 // stopJobTask stops a task in good order: of a gang, all together.
@@ -235,7 +236,7 @@
 	for ref, ts := range p.stopping() {
 		if now.Sub(ts.stopSent) > 2*time.Second {
 			ts.stopSent = now
-			items = append(items, clusteragent.StopItem{Machine: ts.machine, TaskRef: ref, Grace: ts.grace})
+			items = append(items, agentapi.StopItem{Machine: ts.machine, TaskRef: ref, Grace: ts.grace})
 		}
 	}
 	releases := p.releases
@@ -245,7 +246,7 @@
 	p.mu.Unlock()
 	p.sendVerdicts(ctx, verdicts)
 
-	byHost := map[string][]clusteragent.StopItem{}
+	byHost := map[string][]agentapi.StopItem{}
 	for _, item := range items {
 		if host, ok := p.feed.Owner(item.Machine); ok {
 			byHost[host] = append(byHost[host], item)
@@ -255,7 +256,7 @@
 		go func() {
 			cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 			defer cancel()
-			if err := p.call.Call(cctx, host, "Agent.Stop", clusteragent.StopRequest{Items: items}, &struct{}{}); err != nil {
+			if err := p.call.Call(cctx, host, "Agent.Stop", agentapi.StopRequest{Items: items}, &struct{}{}); err != nil {
 				slog.Debug("stopping tasks", "host", host, "err", err)
 				p.mu.Lock()
 				for _, item := range items {
@@ -273,8 +274,8 @@
 }
 
 // stopping lists the tasks that are being stopped.
-func (p *Placer) stopping() map[clusteragent.TaskRef]*taskState {
-	out := map[clusteragent.TaskRef]*taskState{}
+func (p *Placer) stopping() map[agentapi.TaskRef]*taskState {
+	out := map[agentapi.TaskRef]*taskState{}
 	for ref := range p.stops {
 		if j := p.jobs[ref.Job]; j != nil {
 			if ts := &j.tasks[ref.Index]; ts.status == placed && ts.stopping && ts.attempt == ref.Attempt {
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -8,7 +8,8 @@
 	"slices"
 	"time"
 
-	"robinstack/internal/clusteragent"
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/job"
 	"robinstack/internal/rollout"
 	"robinstack/internal/worker"
@@ -67,7 +68,7 @@
 		}
 		for k := range j.tasks {
 			// What has not begun to run would fail as well.
-			if ts := &j.tasks[k]; ts.state == clusteragent.Starting || ts.state == worker.Fetching {
+			if ts := &j.tasks[k]; ts.state == agentapi.Starting || ts.state == worker.Fetching {
 				p.stopTask(j, k, 0)
 			}
 		}
@@ -139,7 +140,7 @@
 }
 
 func (p *Placer) judge(j *jobState, machine string, atFault bool) {
-	p.verdicts = append(p.verdicts, clusteragent.Verdict{Machine: machine, Job: j.spec.ID, AtFault: atFault})
+	p.verdicts = append(p.verdicts, agentapi.Verdict{Machine: machine, Job: j.spec.ID, AtFault: atFault})
 }
 
 // batch is how many of the job's tasks one placement looks for.
@@ -157,8 +158,8 @@
 
 // sendVerdicts tells owners what is known of their machines. One that is lost
 // does no harm: doubt about a machine passes by itself.
-func (p *Placer) sendVerdicts(ctx context.Context, verdicts []clusteragent.Verdict) {
-	byHost := map[string][]clusteragent.Verdict{}
+func (p *Placer) sendVerdicts(ctx context.Context, verdicts []agentapi.Verdict) {
+	byHost := map[string][]agentapi.Verdict{}
 	for _, v := range verdicts {
 		if host, ok := p.feed.Owner(v.Machine); ok {
 			byHost[host] = append(byHost[host], v)
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -10,8 +10,10 @@
 	"sync"
 	"time"
 
-	"robinstack/internal/autoscaler"
-	"robinstack/internal/clusteragent"
+	"robinstack/internal/quota"
+
+	"robinstack/internal/agentapi"
+
 	"robinstack/internal/job"
 	"robinstack/internal/peer"
 	"robinstack/internal/recovery"
@@ -137,8 +139,8 @@
 
 // binding is one task on its way to a machine.
 type binding struct {
-	ref        clusteragent.TaskRef
-	candidates []clusteragent.Candidate
+	ref        agentapi.TaskRef
+	candidates []agentapi.Candidate
 	verdict    string
 }
 
@@ -188,7 +190,7 @@
 	if time.Now().After(j.avoidTill) {
 		j.avoid = nil
 	}
-	req := clusteragent.Request{Spec: *spec, Slot: j.slot, Epoch: s.epoch, Age: time.Since(j.from), Avoid: slices.Clone(j.avoid), Tasks: len(indices),
+	req := agentapi.Request{Spec: *spec, Slot: j.slot, Epoch: s.epoch, Age: time.Since(j.from), Avoid: slices.Clone(j.avoid), Tasks: len(indices),
 		Share: p.policy.SampleMachines, Least: p.policy.SampleLeast, Spare: p.policy.MultiBind, Parts: p.policy.ClassParts, Zones: openZones(spec, others, p.settings.Zones)}
 	p.mu.Unlock()
 
@@ -204,7 +206,7 @@
 	if near := withImage(candidates, spec.Shape); len(near) < len(candidates) && p.patient(j, len(indices), scarce) {
 		patient, candidates = true, near
 	}
-	var lists [][]clusteragent.Candidate
+	var lists [][]agentapi.Candidate
 	zone, apart := "", false
 	if spec.OneZone && req.Zones == nil && len(candidates) > 0 {
 		zone = candidates[0].Zone
@@ -271,14 +273,14 @@
 	p.abandon(j, refused, false)
 	full = len(refused) > 0 || len(lists) < len(indices) && !patient
 	p.mu.Lock()
-	commit := clusteragent.CommitRequest{Request: req, StewardEpoch: stewardEpoch, JobRev: j.rev}
+	commit := agentapi.CommitRequest{Request: req, StewardEpoch: stewardEpoch, JobRev: j.rev}
 	p.mu.Unlock()
 	if spec.Shape == job.Gang && len(granted) > 1 {
 		return !p.assemble(ctx, j, commit, granted)
 	}
 	p.multiBind(ctx, j, commit, granted)
 	for _, b := range granted {
-		full = full || b.verdict == clusteragent.Refused
+		full = full || b.verdict == agentapi.Refused
 	}
 	return full
 }
@@ -290,7 +292,7 @@
 // clearRoom has owners stop tasks of lower priority where a gang would then
 // fit, if near is set only on machines that have its image. It returns whether room
 // is being made, so that the gang tries again soon.
-func (p *Placer) clearRoom(ctx context.Context, j *jobState, req clusteragent.Request, candidates []clusteragent.Candidate, n int, near bool) bool {
+func (p *Placer) clearRoom(ctx context.Context, j *jobState, req agentapi.Request, candidates []agentapi.Candidate, n int, near bool) bool {
 	p.mu.Lock()
 	suspect := j.suspect
 	p.mu.Unlock()
@@ -316,7 +318,7 @@
 	if near {
 		// Where tasks do not save, stopping them may lose more than a fetch takes.
 		fetch := p.fetchTime(j.spec).Seconds() * max(1, j.spec.GPUs)
-		options = slices.DeleteFunc(options, func(c clusteragent.Candidate) bool { return -c.Score > fetch })
+		options = slices.DeleteFunc(options, func(c agentapi.Candidate) bool { return -c.Score > fetch })
 	}
 	rank(options)
 	chosen := chooseCleared(j.spec.OneZone, candidates, options, n)
@@ -344,9 +346,9 @@
 	if !p.settings.Limited(j.spec.Team) {
 		return true
 	}
-	req := autoscaler.PermitRequest{Slot: j.slot, Epoch: epoch, Probe: true}
+	req := quota.PermitRequest{Slot: j.slot, Epoch: epoch, Probe: true}
 	for range n {
-		req.Wants = append(req.Wants, autoscaler.Want{Ref: clusteragent.TaskRef{Job: j.spec.ID}, Team: j.spec.Team, Need: j.spec.Need})
+		req.Wants = append(req.Wants, quota.Want{Ref: agentapi.TaskRef{Job: j.spec.ID}, Team: j.spec.Team, Need: j.spec.Need})
 	}
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -355,8 +357,8 @@
 }
 
 // spreadOut keeps every task to zones that stay within the limit.
-func spreadOut(lists [][]clusteragent.Candidate, others map[string]int, limit int) [][]clusteragent.Candidate {
-	var out [][]clusteragent.Candidate
+func spreadOut(lists [][]agentapi.Candidate, others map[string]int, limit int) [][]agentapi.Candidate {
+	var out [][]agentapi.Candidate
 	for _, list := range lists {
 		z := list[0].Zone
 		if others[z] >= limit {
@@ -370,17 +372,17 @@
 
 // drawn is what the controllers that were asked have found.
 type drawn struct {
-	candidates []clusteragent.Candidate
+	candidates []agentapi.Candidate
 	scarce     bool // all of them looked at every machine they own
 	crowded    bool // there is room on machines that fetch other images
 }
 
 // sample asks a random share of the controllers for eligible machines.
-func (p *Placer) sample(ctx context.Context, req clusteragent.Request) drawn {
+func (p *Placer) sample(ctx context.Context, req agentapi.Request) drawn {
 	return p.ask(ctx, "Agent.Sample", req)
 }
 
-func (p *Placer) ask(ctx context.Context, method string, req clusteragent.Request) drawn {
+func (p *Placer) ask(ctx context.Context, method string, req agentapi.Request) drawn {
 	hosts := pickHosts(p.member.AliveHosts(), p.policy.SampleControllers, shuffle)
 	var mu sync.Mutex
 	var asks sync.WaitGroup
@@ -389,7 +391,7 @@
 	defer cancel()
 	for _, h := range hosts {
 		asks.Go(func() {
-			var reply clusteragent.Sample
+			var reply agentapi.Sample
 			if err := p.call.Call(cctx, h, method, req, &reply); err != nil {
 				slog.Debug("sampling", "host", h, "err", err)
 				return
@@ -409,7 +411,7 @@
 }
 
 // begin numbers new attempts, never used before for the job.
-func (p *Placer) begin(j *jobState, indices []int, lists [][]clusteragent.Candidate) []*binding {
+func (p *Placer) begin(j *jobState, indices []int, lists [][]agentapi.Candidate) []*binding {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.slots[j.slot]
@@ -438,7 +440,7 @@
 			j.attempts++
 		}
 		*ts = taskState{status: committing, attempt: j.attempts, zone: lists[k][0].Zone}
-		out = append(out, &binding{ref: clusteragent.TaskRef{Job: j.spec.ID, Index: i, Attempt: j.attempts}, candidates: lists[k]})
+		out = append(out, &binding{ref: agentapi.TaskRef{Job: j.spec.ID, Index: i, Attempt: j.attempts}, candidates: lists[k]})
 	}
 	return out
 }
@@ -462,9 +464,9 @@
 	if !p.settings.Limited(j.spec.Team) {
 		return bindings, 0
 	}
-	req := autoscaler.PermitRequest{Slot: j.slot, Epoch: epoch}
+	req := quota.PermitRequest{Slot: j.slot, Epoch: epoch}
 	for _, b := range bindings {
-		req.Wants = append(req.Wants, autoscaler.Want{Ref: b.ref, Team: j.spec.Team, Need: j.spec.Need})
+		req.Wants = append(req.Wants, quota.Want{Ref: b.ref, Team: j.spec.Team, Need: j.spec.Need})
 	}
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -487,10 +489,10 @@
 	return granted, reply.Epoch
 }
 
-func (p *Placer) giveBack(ctx context.Context, refs []clusteragent.TaskRef) {
+func (p *Placer) giveBack(ctx context.Context, refs []agentapi.TaskRef) {
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	if _, err := p.permits(cctx, autoscaler.PermitRequest{Release: refs}); err != nil {
+	if _, err := p.permits(cctx, quota.PermitRequest{Release: refs}); err != nil {
 		p.mu.Lock()
 		if len(p.releases) < 10_000 {
 			p.releases = append(p.releases, refs...)
@@ -501,7 +503,7 @@
 
 // multiBind commits each task to the first of its candidates that takes it:
 // in each round one request per machine, and on refusal the next candidate.
-func (p *Placer) multiBind(ctx context.Context, j *jobState, commit clusteragent.CommitRequest, bindings []*binding) {
+func (p *Placer) multiBind(ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding) {
 	left := bindings
 	for round := 0; len(left) > 0; round++ {
 		groups := map[string][]*binding{}
@@ -509,7 +511,7 @@
 			if round < len(b.candidates) {
 				groups[b.candidates[round].Machine] = append(groups[b.candidates[round].Machine], b)
 			} else {
-				b.verdict = clusteragent.Refused
+				b.verdict = agentapi.Refused
 				p.abandon(j, []*binding{b}, true)
 			}
 		}
@@ -521,7 +523,7 @@
 		var next []*binding
 		for _, group := range groups {
 			for _, b := range group {
-				if b.verdict == clusteragent.Refused {
+				if b.verdict == agentapi.Refused {
 					next = append(next, b)
 				}
 			}
@@ -537,24 +539,24 @@
 }
 
 // commit sends one commit and books the verdicts.
-func (p *Placer) commit(ctx context.Context, j *jobState, commit clusteragent.CommitRequest, group []*binding, c clusteragent.Candidate, hold bool) {
+func (p *Placer) commit(ctx context.Context, j *jobState, commit agentapi.CommitRequest, group []*binding, c agentapi.Candidate, hold bool) {
 	commit.Machine, commit.Rev, commit.Hold, commit.Refs = c.Machine, c.Rev, hold, nil
 	for _, b := range group {
 		commit.Refs = append(commit.Refs, b.ref)
 	}
-	var reply clusteragent.CommitReply
+	var reply agentapi.CommitReply
 	cctx, cancel := context.WithTimeout(ctx, 4500*time.Millisecond)
 	err := p.call.Call(cctx, c.Host, "Agent.Commit", commit, &reply)
 	cancel()
 	unknown := errors.Is(err, peer.ErrNoAnswer)
-	if err == nil && slices.Contains(reply.Verdicts, clusteragent.Started) {
+	if err == nil && slices.Contains(reply.Verdicts, agentapi.Started) {
 		p.Clock.Mark(recovery.Placed)
 	}
-	var open []clusteragent.TaskRef
+	var open []agentapi.TaskRef
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, b := range group {
-		b.verdict = clusteragent.Refused
+		b.verdict = agentapi.Refused
 		if err == nil && i < len(reply.Verdicts) {
 			b.verdict = reply.Verdicts[i]
 		}
@@ -562,25 +564,25 @@
 		mine := ts.attempt == b.ref.Attempt && ts.status != pending
 		switch {
 		case unknown:
-			b.verdict = clusteragent.Unsettled
+			b.verdict = agentapi.Unsettled
 			open = append(open, b.ref)
 			p.counters.Unanswered++
 			if mine && ts.status == committing {
 				ts.status, ts.machine, ts.zone, ts.rev, ts.ver = placed, c.Machine, c.Zone, c.Rev, unresolved
 				p.noteOn(c.Machine, b.ref)
 			}
-		case b.verdict == clusteragent.Started || b.verdict == clusteragent.Unsettled:
+		case b.verdict == agentapi.Started || b.verdict == agentapi.Unsettled:
 			if mine && ts.status == committing {
-				ts.status, ts.machine, ts.zone, ts.rev, ts.ver, ts.state = placed, c.Machine, c.Zone, reply.Rev, reply.Ver, clusteragent.Starting
+				ts.status, ts.machine, ts.zone, ts.rev, ts.ver, ts.state = placed, c.Machine, c.Zone, reply.Rev, reply.Ver, agentapi.Starting
 				p.noteOn(c.Machine, b.ref)
 				if j.over != "" {
 					p.stopTask(j, b.ref.Index, 0)
 				}
 				slog.Info("task committed", "task", job.TaskID(b.ref.Job, b.ref.Index), "attempt", b.ref.Attempt, "machine", c.Machine, "verdict", b.verdict, "image", c.Image, "age", time.Since(j.submitted).Round(time.Millisecond))
 			}
-		case b.verdict == clusteragent.Refused && mine && ts.status == placed:
+		case b.verdict == agentapi.Refused && mine && ts.status == placed:
 			// The feed was faster: it has shown the task; it will show its end.
-			b.verdict = clusteragent.Unsettled
+			b.verdict = agentapi.Unsettled
 		}
 	}
 	if len(open) > 0 {
@@ -591,11 +593,11 @@
 // resolve finds out what became of a commit without an answer: its owner has
 // the tasks, or promises that they never start. If the owner's life ends, the
 // next owner's confirmed entry tells.
-func (p *Placer) resolve(ctx context.Context, j *jobState, refs []clusteragent.TaskRef, c clusteragent.Candidate) {
+func (p *Placer) resolve(ctx context.Context, j *jobState, refs []agentapi.TaskRef, c agentapi.Candidate) {
 	for ctx.Err() == nil {
-		var reply clusteragent.VoidReply
+		var reply agentapi.VoidReply
 		cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
-		err := p.call.Call(cctx, c.Host, "Agent.Void", clusteragent.VoidRequest{Machine: c.Machine, Rev: c.Rev, Refs: refs}, &reply)
+		err := p.call.Call(cctx, c.Host, "Agent.Void", agentapi.VoidRequest{Machine: c.Machine, Rev: c.Rev, Refs: refs}, &reply)
 		cancel()
 		p.mu.Lock()
 		waiting := false
@@ -630,9 +632,9 @@
 
 // assemble places a gang: room is reserved for all of it, machine by machine
 // in one fixed order, before anything is started.
-func (p *Placer) assemble(ctx context.Context, j *jobState, commit clusteragent.CommitRequest, bindings []*binding) bool {
+func (p *Placer) assemble(ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding) bool {
 	spare := bindings[0].candidates
-	chosen := make([]clusteragent.Candidate, len(bindings))
+	chosen := make([]agentapi.Candidate, len(bindings))
 	used := map[string]int{}
 	order := slices.Clone(bindings)
 	slices.SortFunc(order, func(a, b *binding) int {
@@ -645,21 +647,21 @@
 				continue
 			}
 			p.commit(ctx, j, commit, []*binding{b}, c, true)
-			if b.verdict == clusteragent.Held {
+			if b.verdict == agentapi.Held {
 				chosen[k] = c
 				used[c.Machine]++
 				held = append(held, k)
 				break
 			}
-			if b.verdict == clusteragent.Unsettled {
+			if b.verdict == agentapi.Unsettled {
 				break
 			}
 		}
-		if b.verdict != clusteragent.Held {
+		if b.verdict != agentapi.Held {
 			// Not all of it can be held: release what is.
 			p.mu.Lock()
 			for _, h := range held {
-				p.forgets = append(p.forgets, clusteragent.StopItem{Machine: chosen[h].Machine, TaskRef: order[h].ref})
+				p.forgets = append(p.forgets, agentapi.StopItem{Machine: chosen[h].Machine, TaskRef: order[h].ref})
 			}
 			p.mu.Unlock()
 			p.abandon(j, bindings, true)
@@ -667,7 +669,7 @@
 		}
 	}
 	groups := map[string][]*binding{}
-	at := map[string]clusteragent.Candidate{}
+	at := map[string]agentapi.Candidate{}
 	for k, b := range order {
 		groups[chosen[k].Machine] = append(groups[chosen[k].Machine], b)
 		at[chosen[k].Machine] = chosen[k]
@@ -679,7 +681,7 @@
 	calls.Wait()
 	ok := true
 	for _, b := range bindings {
-		if b.verdict == clusteragent.Refused {
+		if b.verdict == agentapi.Refused {
 			ok = false
 			p.abandon(j, []*binding{b}, true)
 		}
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/placer.go
@@ -13,9 +13,16 @@
 	"sync"
 	"time"
 
+	"robinstack/internal/quota"
+
+	"robinstack/internal/changefeed"
+
+	"robinstack/internal/agentapi"
+
+	"robinstack/internal/peer"
+
 	"robinstack/internal/autoscaler"
 	"robinstack/internal/cloud"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/config"
 	"robinstack/internal/dag"
 	"robinstack/internal/job"
@@ -75,7 +82,7 @@
 	rest      *job.Record // as it was read: what a later version wrote in it is kept
 	dirty     map[int]bool
 	dirtyAt   time.Time
-	ended     []clusteragent.StopItem // finished tasks to be forgotten once recorded
+	ended     []agentapi.StopItem // finished tasks to be forgotten once recorded
 	flushing  bool
 	busy      bool
 	nextTry   time.Time
@@ -120,11 +127,11 @@
 	store    statekv.Store
 	mirror   *statekv.Mirror
 	member   *statekv.Member
-	call     clusteragent.Caller
+	call     peer.Caller
 	types    func() map[string]cloud.MachineType
 	levels   *rollout.Reader
 	pipes    *dag.Tracker
-	feed     *clusteragent.Feed
+	feed     *changefeed.Feed
 	ctx      context.Context
 
 	// Clock takes notes of the first start and of settled slots. Set it before Run.
@@ -134,12 +141,12 @@
 	jobs     map[string]*jobState
 	slots    map[string]*slotState
 	home     string // slot that takes new jobs
-	on       map[string]map[clusteragent.TaskRef]bool
-	stops    map[clusteragent.TaskRef]bool // tasks that are being stopped
-	others   map[string]bool               // open jobs that other slots look after
-	forgets  []clusteragent.StopItem
-	verdicts []clusteragent.Verdict // on machines, to be told to their owners
-	releases []clusteragent.TaskRef
+	on       map[string]map[agentapi.TaskRef]bool
+	stops    map[agentapi.TaskRef]bool // tasks that are being stopped
+	others   map[string]bool           // open jobs that other slots look after
+	forgets  []agentapi.StopItem
+	verdicts []agentapi.Verdict // on machines, to be told to their owners
+	releases []agentapi.TaskRef
 	shapes   map[shapeKey]*shape
 	gone     map[string]deleted // records deleted lately, which a slower read may still show
 	workers  int
@@ -160,10 +167,10 @@
 }
 
 // New returns a placer without slots.
-func New(settings *config.Settings, pol *policy.Policy, store statekv.Store, mirror *statekv.Mirror, member *statekv.Member, call clusteragent.Caller, types func() map[string]cloud.MachineType, pipes *dag.Tracker) *Placer {
+func New(settings *config.Settings, pol *policy.Policy, store statekv.Store, mirror *statekv.Mirror, member *statekv.Member, call peer.Caller, types func() map[string]cloud.MachineType, pipes *dag.Tracker) *Placer {
 	return &Placer{settings: settings, policy: pol, store: store, mirror: mirror, member: member, call: call, types: types, levels: rollout.NewReader(mirror), pipes: pipes,
-		jobs: map[string]*jobState{}, slots: map[string]*slotState{}, on: map[string]map[clusteragent.TaskRef]bool{},
-		stops: map[clusteragent.TaskRef]bool{}, others: map[string]bool{},
+		jobs: map[string]*jobState{}, slots: map[string]*slotState{}, on: map[string]map[agentapi.TaskRef]bool{},
+		stops: map[agentapi.TaskRef]bool{}, others: map[string]bool{},
 		shapes: map[shapeKey]*shape{}, gone: map[string]deleted{}, kick: make(chan struct{}, 1)}
 }
 
@@ -179,7 +186,7 @@
 }
 
 // Run places jobs until ctx ends.
-func (p *Placer) Run(ctx context.Context, feed *clusteragent.Feed) {
+func (p *Placer) Run(ctx context.Context, feed *changefeed.Feed) {
 	p.mu.Lock()
 	p.ctx, p.feed = ctx, feed
 	p.mu.Unlock()
@@ -443,12 +450,12 @@
 	return h.Host, true
 }
 
-func (p *Placer) permits(ctx context.Context, req autoscaler.PermitRequest) (*autoscaler.PermitReply, error) {
+func (p *Placer) permits(ctx context.Context, req quota.PermitRequest) (*quota.PermitReply, error) {
 	host, ok := p.stewardHost()
 	if !ok {
 		return nil, errors.New("no steward")
 	}
-	var reply autoscaler.PermitReply
+	var reply quota.PermitReply
 	if err := p.call.Call(ctx, host, "Steward.Permit", req, &reply); err != nil {
 		return nil, err
 	}
--- a/internal/scheduler/slots.go
+++ b/internal/scheduler/slots.go
@@ -10,8 +10,12 @@
 	"strings"
 	"time"
 
-	"robinstack/internal/autoscaler"
-	"robinstack/internal/clusteragent"
+	"robinstack/internal/quota"
+
+	"robinstack/internal/changefeed"
+
+	"robinstack/internal/shard"
+
 	"robinstack/internal/job"
 	"robinstack/internal/recovery"
 	"robinstack/internal/statekv"
@@ -170,7 +174,7 @@
 	for _, kv := range p.mirror.Dir(statekv.MachinePrefix) {
 		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
 		var k kind
-		if key := clusteragent.KeyOf(kv); key != nil {
+		if key := shard.ParseMachineKey(kv); key != nil {
 			k = kind{key.Type, key.Zone, key.Spot}
 		}
 		for _, s := range slots {
@@ -249,7 +253,7 @@
 		kv, ok := p.mirror.Get(statekv.MachinePrefix + name)
 		if !ok {
 			// Its key is removed only when its tasks are proven gone.
-			upTo[name] = clusteragent.Gone
+			upTo[name] = changefeed.Gone
 			continue
 		}
 		upTo[name], why[name] = p.feed.ConfirmedUpTo(kv)
@@ -300,7 +304,7 @@
 func (p *Placer) tellSettled(ctx context.Context, id string, epoch uint64) {
 	cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	if _, err := p.permits(cctx, autoscaler.PermitRequest{Slot: id, Epoch: epoch, Settled: true}); err != nil {
+	if _, err := p.permits(cctx, quota.PermitRequest{Slot: id, Epoch: epoch, Settled: true}); err != nil {
 		slog.Debug("telling the steward of a settled slot", "err", err)
 	}
 }
--- a/internal/scheduler/slots_test.go
+++ b/internal/scheduler/slots_test.go
@@ -6,8 +6,9 @@
 	"testing"
 	"time"
 
+	"robinstack/internal/agentapi"
+
 	"robinstack/emulator"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
@@ -197,7 +198,7 @@
 	})
 }
 
-func entriesOf(w *world) (all []clusteragent.Entry) {
+func entriesOf(w *world) (all []agentapi.Entry) {
 	for _, host := range []string{"host-0", "host-1"} {
 		if n := w.node(host); n != nil {
 			_, entries := n.agent.Snapshot()
--- a/internal/scheduler/story_test.go
+++ b/internal/scheduler/story_test.go
@@ -9,8 +9,13 @@
 	"testing/synctest"
 	"time"
 
+	"robinstack/internal/quota"
+
+	"robinstack/internal/changefeed"
+
+	"robinstack/internal/agentapi"
+
 	"robinstack/emulator"
-	"robinstack/internal/autoscaler"
 	"robinstack/internal/cloud"
 	"robinstack/internal/clusteragent"
 	"robinstack/internal/config"
@@ -81,14 +86,14 @@
 	}
 	switch method {
 	case "Agent.Sample":
-		return n.svc.Sample(args.(clusteragent.Request), reply.(*clusteragent.Sample))
+		return n.svc.Sample(args.(agentapi.Request), reply.(*agentapi.Sample))
 	case "Agent.Clearable":
-		return n.svc.Clearable(args.(clusteragent.Request), reply.(*clusteragent.Sample))
+		return n.svc.Clearable(args.(agentapi.Request), reply.(*agentapi.Sample))
 	case "Agent.Clear":
-		return n.svc.Clear(args.(clusteragent.CommitRequest), reply.(*clusteragent.CommitReply))
+		return n.svc.Clear(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
 	case "Steward.Permit":
 		// A steward with one limit: team full may have so many tasks on machines.
-		r, out := args.(autoscaler.PermitRequest), reply.(*autoscaler.PermitReply)
+		r, out := args.(quota.PermitRequest), reply.(*quota.PermitReply)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, want := range r.Wants {
@@ -102,22 +107,22 @@
 		out.Epoch = kv.Rev
 		return nil
 	case "Agent.Gatherable":
-		return n.svc.Gatherable(args.(clusteragent.Request), reply.(*clusteragent.Sample))
+		return n.svc.Gatherable(args.(agentapi.Request), reply.(*agentapi.Sample))
 	case "Agent.Gather":
-		return n.svc.Gather(args.(clusteragent.CommitRequest), reply.(*clusteragent.CommitReply))
+		return n.svc.Gather(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
 	case "Agent.Commit":
-		return n.svc.Commit(args.(clusteragent.CommitRequest), reply.(*clusteragent.CommitReply))
+		return n.svc.Commit(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
 	case "Agent.Stop":
 		if w.forgetful {
 			return nil // it went to an owner that was about to end
 		}
-		return n.svc.Stop(args.(clusteragent.StopRequest), &struct{}{})
+		return n.svc.Stop(args.(agentapi.StopRequest), &struct{}{})
 	case "Agent.Judge":
-		return n.svc.Judge(args.([]clusteragent.Verdict), &struct{}{})
+		return n.svc.Judge(args.([]agentapi.Verdict), &struct{}{})
 	case "Agent.Void":
-		return n.svc.Void(args.(clusteragent.VoidRequest), reply.(*clusteragent.VoidReply))
+		return n.svc.Void(args.(agentapi.VoidRequest), reply.(*agentapi.VoidReply))
 	case "Agent.Watch":
-		return n.svc.Watch(args.(clusteragent.WatchRequest), reply.(*clusteragent.WatchReply))
+		return n.svc.Watch(args.(agentapi.WatchRequest), reply.(*agentapi.WatchReply))
 	}
 	return fmt.Errorf("no method %s", method)
 }
@@ -158,7 +163,7 @@
 	n.agent = clusteragent.New(settings, w.state, mirror, n.member, w.workers, func() map[string]cloud.MachineType { return types })
 	n.svc = clusteragent.NewService(n.agent)
 	n.placer = scheduler.New(settings, policy.Default(), w.state, mirror, n.member, w, func() map[string]cloud.MachineType { return types }, pipes)
-	feed := clusteragent.NewFeed(w, mirror, []string{"host-0", "host-1"}, n.placer.Epoch, n.placer.OnEntries)
+	feed := changefeed.NewFeed(w, mirror, []string{"host-0", "host-1"}, n.placer.Epoch, n.placer.OnEntries)
 	w.mu.Lock()
 	w.nodes[host] = n
 	w.mu.Unlock()
@@ -531,15 +536,15 @@
 		before := w.tasks()
 
 		_, entries := n.agent.Snapshot()
-		commit := clusteragent.CommitRequest{Machine: "m1", Refs: []clusteragent.TaskRef{{Job: "wk-1", Index: 1, Attempt: epoch<<20 + 99}}}
+		commit := agentapi.CommitRequest{Machine: "m1", Refs: []agentapi.TaskRef{{Job: "wk-1", Index: 1, Attempt: epoch<<20 + 99}}}
 		for _, e := range entries {
 			if e.Machine == "m1" {
 				commit.Rev = e.Rev
 			}
 		}
 		commit.Spec, commit.Slot, commit.Epoch = spec("wk-1", job.Array, 2, 0), slot, epoch
-		var reply clusteragent.CommitReply
-		if err := n.svc.Commit(commit, &reply); err != nil || commit.Rev == 0 || reply.Verdicts[0] != clusteragent.Refused {
+		var reply agentapi.CommitReply
+		if err := n.svc.Commit(commit, &reply); err != nil || commit.Rev == 0 || reply.Verdicts[0] != agentapi.Refused {
 			t.Errorf("a commit under the old epoch: %+v %v", reply, err)
 		}
 		if _, done, _ := w.workers.Command(w.ctx, "m1", token, 1, []worker.Order{worker.Start("wk-1/1", 7)}); done {
@@ -617,7 +622,7 @@
 		w.run(2 * time.Second)
 		_, entries := n.agent.Snapshot()
 		for _, e := range entries {
-			n.placer.OnEntries([]clusteragent.Entry{{Machine: e.Machine, Host: e.Host, Rev: e.Rev, Ver: e.Ver + 1000, Type: "box", Zone: e.Zone}})
+			n.placer.OnEntries([]agentapi.Entry{{Machine: e.Machine, Host: e.Host, Rev: e.Rev, Ver: e.Ver + 1000, Type: "box", Zone: e.Zone}})
 		}
 		w.run(4 * time.Second)
 		if got := w.starts()["wk-1/0"]; got != 1 {
--- /dev/null
+++ b/internal/shard/keys.go
@@ -0,0 +1,111 @@
+// Package shard reads the keys of machines and of machine shards: a machine's key names its
+// shard, and the shard's key names the controller that owns it. It owns no state.
+package shard
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"robinstack/internal/statekv"
+)
+
+// MachineKey is what a machine's key in the state service holds.
+type MachineKey struct {
+	Shard   string `json:"shard"`
+	Address string `json:"address"`
+	Type    string `json:"type"`
+	Zone    string `json:"zone"`
+	Spot    bool   `json:"spot"`
+}
+
+// ShardKey is what a shard's key holds. Index spreads the shards of a dead
+// owner among the survivors.
+type ShardKey struct {
+	statekv.Holder
+	Index int `json:"index"`
+}
+
+// KeySchema is the form of the keys of machines and shards that this build writes and
+// reads.
+const KeySchema = 0
+
+// ParseKey reads a key for the mirror, once for all who look at it. An error says why
+// a machine's or a shard's key cannot be read.
+func ParseKey(key string, value json.RawMessage) any {
+	switch {
+	case strings.HasPrefix(key, statekv.MachinePrefix):
+		return parseAs[MachineKey]("a machine's key", value)
+	case strings.HasPrefix(key, statekv.ShardPrefix):
+		return parseAs[ShardKey]("a shard's key", value)
+	}
+	return nil
+}
+
+func parseAs[T any](kind string, value json.RawMessage) any {
+	v := new(T)
+	if err := json.Unmarshal(value, v); err != nil {
+		return fmt.Errorf("%s: %w", kind, err)
+	}
+	if err := statekv.CheckForm(kind, value, KeySchema); err != nil {
+		return err
+	}
+	return v
+}
+
+func parsedAs[T any](kv statekv.KV) *T {
+	if k, ok := kv.Parsed.(*T); ok {
+		return k
+	}
+	k, _ := ParseKey(kv.Key, kv.Value).(*T)
+	return k
+}
+
+// ParseMachineKey returns what a machine's key holds, or nil if it cannot be read.
+func ParseMachineKey(kv statekv.KV) *MachineKey { return parsedAs[MachineKey](kv) }
+
+// ParseShardKey returns what a shard's key holds, or nil if it cannot be read.
+func ParseShardKey(kv statekv.KV) *ShardKey { return parsedAs[ShardKey](kv) }
+
+// OwnerOf returns who owns the machine of a key, if its shard has an owner, and
+// the revision that this ownership has: that of the later of the two keys.
+func OwnerOf(mirror *statekv.Mirror, kv statekv.KV) (holder statekv.Holder, rev uint64) {
+	key := ParseMachineKey(kv)
+	if key == nil {
+		return holder, kv.Rev
+	}
+	shard, ok := mirror.Get(statekv.ShardPrefix + key.Shard)
+	if !ok {
+		return holder, kv.Rev
+	}
+	return HolderOf(shard), max(kv.Rev, shard.Rev)
+}
+
+// owners are the shards' holders by id, for those who look through all machines.
+type Owners map[string]Ownership
+
+type Ownership struct {
+	Holder statekv.Holder
+	Rev    uint64
+}
+
+func OwnersOf(shards []statekv.KV) Owners {
+	o := make(Owners, len(shards))
+	for _, kv := range shards {
+		o[kv.Key[len(statekv.ShardPrefix):]] = Ownership{HolderOf(kv), kv.Rev}
+	}
+	return o
+}
+
+// of is OwnerOf for a machine's key that has been read.
+func (o Owners) Of(key *MachineKey, rev uint64) (statekv.Holder, uint64) {
+	shard := o[key.Shard]
+	return shard.Holder, max(rev, shard.Rev)
+}
+
+func HolderOf(shard statekv.KV) statekv.Holder {
+	if key := ParseShardKey(shard); key != nil {
+		return key.Holder
+	}
+	return statekv.Holder{}
+}
--- a/test/integration/handover_test.go
+++ b/test/integration/handover_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"robinstack/emulator"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/job"
+	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 )
 
@@ -284,25 +284,25 @@
 func TestSecondLateClaimOfADrainedMachine(t *testing.T) {
 	storyWithBoots(t, 66, 1, func(w *world) {
 		w.submit("", array(w.id(), 2), 5*time.Second)
-		name, shard := "", ""
+		name, shardID := "", ""
 		w.until("a machine is owned", 30*time.Second, func() bool {
 			for _, kv := range w.state.Dir(statekv.MachinePrefix) {
 				name = kv.Key[len(statekv.MachinePrefix):]
 			}
 			return name != ""
 		})
-		key := *clusteragent.KeyOf(w.state.Dir(statekv.MachinePrefix + name)[0])
+		key := *shard.ParseMachineKey(w.state.Dir(statekv.MachinePrefix + name)[0])
 		w.until("its key is removed", 3*time.Minute, func() bool { return w.rev(statekv.MachinePrefix+name) == 0 })
 		steward := w.holder(statekv.StewardKey)
 		for _, kv := range w.state.Dir(statekv.ShardPrefix) {
 			if h := w.holder(kv.Key); h != steward && h != "" {
-				shard = kv.Key[len(statekv.ShardPrefix):]
+				shardID = kv.Key[len(statekv.ShardPrefix):]
 			}
 		}
-		if shard == "" {
+		if shardID == "" {
 			w.t.Fatal("no controller but the steward has a shard: this shows nothing")
 		}
-		key.Shard = shard
+		key.Shard = shardID
 		if _, err := w.state.Txn(w.ctx, []statekv.Cond{{Key: statekv.MachinePrefix + name}}, []statekv.Op{{Set: statekv.MachinePrefix + name, Value: key}}); err != nil {
 			w.t.Fatal(err)
 		}
--- a/test/integration/roles_test.go
+++ b/test/integration/roles_test.go
@@ -5,8 +5,9 @@
 	"sync"
 	"time"
 
+	"robinstack/internal/shard"
+
 	"robinstack/emulator"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 )
@@ -47,7 +48,7 @@
 // ownerOf is the host that owns a machine by its key, or "".
 func (w *world) ownerOf(machine string) string {
 	for _, kv := range w.state.Dir(statekv.MachinePrefix + machine) {
-		if key := clusteragent.KeyOf(kv); key != nil && kv.Key == statekv.MachinePrefix+machine {
+		if key := shard.ParseMachineKey(kv); key != nil && kv.Key == statekv.MachinePrefix+machine {
 			return w.holder(statekv.ShardPrefix + key.Shard)
 		}
 	}
--- a/tools/scaletest/run.go
+++ b/tools/scaletest/run.go
@@ -15,8 +15,9 @@
 	"sync"
 	"time"
 
+	"robinstack/internal/shard"
+
 	"robinstack/emulator"
-	"robinstack/internal/clusteragent"
 	"robinstack/internal/statekv"
 	"robinstack/tools/devcluster"
 )
@@ -385,7 +386,7 @@
 		}
 	}
 	for _, kv := range r.state.Dir(statekv.MachinePrefix) {
-		if key := clusteragent.KeyOf(kv); key != nil {
+		if key := shard.ParseMachineKey(kv); key != nil {
 			out[owners[key.Shard]]++
 		}
 	}
