--- a/agent/agent.go
+++ b/agent/agent.go
@@ -12,6 +12,7 @@
 
 	"robinstack/cloud"
 	"robinstack/config"
+	"robinstack/logline"
 	"robinstack/statekv"
 	"robinstack/worker"
 )
@@ -168,7 +169,7 @@
 			n++
 		}
 	}
-	slog.Info("workers are called in", "machines", n)
+	slog.Info("heartbeats solicited", "machines", n)
 }
 
 // Reply is the answer to a worker's report: orders, or where to report instead.
@@ -320,7 +321,7 @@
 		clear(a.odd)
 	}
 	a.odd[r.Machine] = true
-	slog.Warn("a report is refused", "machine", r.Machine, "why", why, "address", r.Address, "tenure", r.Session, "serial", r.Seq)
+	slog.Warn("heartbeat rejected", "machine", r.Machine, "reason", why, "address", r.Address, "epoch", r.Session, "sequence", r.Seq)
 }
 
 func (a *Agent) homeOf(name string) string {
@@ -337,7 +338,7 @@
 	if a.machines[m.name] != m {
 		return
 	}
-	slog.Info("machine has a new owner", "machine", m.name)
+	slog.Info("machine ownership lost", "machine", m.name)
 	for _, t := range m.tasks {
 		t.settle(Unsettled)
 		if t.seen && t.state != worker.Ended {
@@ -414,12 +415,12 @@
 		if !m.mute && m.settled && now.Sub(m.toldAt) > a.settings.Workers.Lease*2/3 {
 			m.mute, changed = true, true
 			if !m.silent && now.Sub(m.heard) <= quiet {
-				slog.Info("machine answers commands, and its reports do not come", "machine", m.name, "for_s", seconds(now.Sub(m.toldAt)))
+				slog.Info("machine heartbeats missing", "machine", m.name, "duration_s", seconds(now.Sub(m.toldAt)))
 			}
 		}
 		if !m.silent && now.Sub(m.heard) > quiet {
 			m.silent, changed = true, true
-			slog.Info("machine is silent", "machine", m.name, "for_s", seconds(now.Sub(m.heard)))
+			slog.Info(logline.MachineUnresponsive, "machine", m.name, "duration_s", seconds(now.Sub(m.heard)))
 		}
 		expired := now.Sub(m.answerEnd) > a.settings.GoneAfter()
 		for k, t := range m.tasks {
@@ -507,11 +508,11 @@
 	if err != nil {
 		// The commands may still arrive. A raised token makes them harmless
 		// as soon as a report shows it.
-		slog.Debug("command unanswered", "machine", m.name, "err", err)
+		slog.Debug("command outcome unknown", "machine", m.name, "err", err)
 		m.counter++
 		was := m.deaf(now)
 		if m.unheard(now); !was && m.deaf(time.Now()) && !m.silent {
-			slog.Info("machine reports, and commands do not reach it", "machine", m.name, "commands", m.lost)
+			slog.Info("machine commands undeliverable", "machine", m.name, "failed_commands", m.lost)
 			a.touch(m)
 		}
 		for _, t := range m.tasks {
--- a/agent/clear.go
+++ b/agent/clear.go
@@ -222,6 +222,6 @@
 	if len(stop) == 0 {
 		return nil // only kept
 	}
-	slog.Info("machine is being cleared", "machine", m.name, "for", r.Spec.ID, "stopped", len(stop), "cost", cost)
+	slog.Info("preempting tasks for gang", "machine", m.name, "job", r.Spec.ID, "preempted", len(stop), "cost", cost)
 	return nil
 }
--- a/agent/feed.go
+++ b/agent/feed.go
@@ -98,7 +98,7 @@
 		default:
 		}
 		if err != nil {
-			slog.Debug("following an agent", "host", host, "err", err)
+			slog.Debug("machine state watch failed", "host", host, "err", err)
 			f.mu.Lock()
 			a := f.acks[host]
 			a.stateOK = false
--- a/agent/fetches.go
+++ b/agent/fetches.go
@@ -49,7 +49,7 @@
 // on average.
 func (s *sharing) saw(ratio, others float64) {
 	if s.seen++; s.seen%200 == 0 {
-		slog.Info("fetches seen", "fetches", s.seen, "sharing", s.factor())
+		slog.Info("image fetch contention estimated", "fetches", s.seen, "contention", s.factor())
 	}
 	if others < 0.2 {
 		s.alone, s.aloneSum = s.alone*sharingFades+1, s.aloneSum*sharingFades+ratio
--- a/agent/learn.go
+++ b/agent/learn.go
@@ -46,7 +46,7 @@
 		err := a.learn(ctx, ids)
 		pause := 100 * time.Millisecond // reports come in groups
 		if err != nil {
-			slog.Debug("reading jobs' records", "jobs", len(ids), "err", err)
+			slog.Debug("job records read failed", "jobs", len(ids), "err", err)
 			pause = time.Second
 		}
 		select {
--- a/agent/machine.go
+++ b/agent/machine.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"robinstack/job"
+	"robinstack/logline"
 	"robinstack/worker"
 )
 
@@ -237,8 +238,8 @@
 		return
 	}
 	s := t.spec
-	slog.Info("task over", "task", t.id, "attempt", t.ref.Attempt, "machine", m.name, "cause", cause, "saved", t.saved, "cpus", s.CPUs, "gpus", s.GPUs, "mem_gb", s.MemoryGB,
-		"fetch_s", seconds(t.spent[0]), "wait_s", seconds(t.spent[1]), "run_s", seconds(t.spent[2]), "save_s", seconds(t.spent[3]), "saves_every_s", s.CheckpointS)
+	slog.Info(logline.TaskFinished, "task", t.id, "attempt", t.ref.Attempt, "machine", m.name, "cause", cause, "checkpointed", t.saved, "cpus", s.CPUs, "gpus", s.GPUs, "mem_gb", s.MemoryGB,
+		"fetch_s", seconds(t.spent[0]), "gang_wait_s", seconds(t.spent[1]), "run_s", seconds(t.spent[2]), "checkpoint_s", seconds(t.spent[3]), "checkpoint_interval_s", s.CheckpointS)
 }
 
 // seconds rounds to milliseconds, for the log.
@@ -451,7 +452,7 @@
 	m.blamed[v.Job] = true
 	m.faulty = len(m.blamed) >= 2 || m.doneAt.IsZero() || now.Sub(m.doneAt) > time.Minute
 	if m.faulty {
-		slog.Info("machine is faulty", "machine", m.name, "jobs_that_run_well_elsewhere", len(m.blamed))
+		slog.Info("machine quarantined", "machine", m.name, "jobs_succeeding_elsewhere", len(m.blamed))
 	}
 }
 
--- a/agent/over.go
+++ b/agent/over.go
@@ -220,7 +220,7 @@
 		}
 	}
 	for _, t := range a.doubtful(m) {
-		slog.Info("task stopped, for nobody can tell whether its job goes on", "task", t.id, "machine", m.name)
+		slog.Info("orphaned task stopped", "task", t.id, "machine", m.name)
 		t.kill()
 		a.touch(m)
 	}
--- a/agent/owner.go
+++ b/agent/owner.go
@@ -13,6 +13,7 @@
 	"strings"
 	"time"
 
+	"robinstack/logline"
 	"robinstack/statekv"
 )
 
@@ -224,12 +225,12 @@
 	defer cancel()
 	taken, err := a.member.TakeAll(tctx, roles, a.settings.State.TxnOps)
 	if err != nil {
-		slog.Debug("taking shards", "err", err)
+		slog.Debug("machine shard acquisition failed", "err", err)
 	}
 	for key, rev := range taken {
 		id, was := key[len(statekv.ShardPrefix):], keys[key]
 		held[id] = holding{rev, was.Index}
-		slog.Info("shard taken", "shard", id, "from", was.Host, "rev", rev, "why", wanted[key])
+		slog.Info("machine shard acquired", "machine_shard", id, "previous_owner", was.Host, "revision", rev, "reason", wanted[key])
 	}
 	return held, empty
 }
@@ -283,7 +284,7 @@
 		}
 		if err != nil {
 			// What was taken over must not wait for this.
-			slog.Debug("making shards", "err", err)
+			slog.Debug("machine shard creation failed", "err", err)
 		}
 	}
 	for _, h := range held {
@@ -357,7 +358,7 @@
 	tctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	_, err := a.member.Write(tctx, when, then)
-	slog.Debug("empty shards removed", "shards", len(then), "err", err)
+	slog.Debug("empty machine shards removed", "machine_shards", len(then), "err", err)
 }
 
 // mostDropped bounds the empty shards that are removed with one transaction.
@@ -496,7 +497,7 @@
 			}
 			return
 		}
-		slog.Debug("claiming machines", "machines", len(batch), "err", err)
+		slog.Debug("machine claim failed", "machines", len(batch), "err", err)
 		if errors.Is(err, statekv.ErrTooLarge) && len(batch) > 1 {
 			a.claimBatch(ctx, batch[:len(batch)/2], shards)
 			batch = batch[len(batch)/2:]
@@ -574,7 +575,7 @@
 	go a.runMachine(a.ctx, m)
 	m.wake()
 	if !takenOver {
-		slog.Info("machine up", "machine", name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
+		slog.Info(logline.MachineRegistered, "machine", name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
 	}
-	slog.Debug("machine owned", "machine", name, "type", m.typeName, "zone", m.zone, "spot", m.spot, "rev", strconv.FormatUint(rev, 10), "taken_over", takenOver)
+	slog.Debug("machine ownership acquired", "machine", name, "type", m.typeName, "zone", m.zone, "spot", m.spot, "revision", strconv.FormatUint(rev, 10), "taken_over", takenOver)
 }
--- a/agent/service.go
+++ b/agent/service.go
@@ -386,7 +386,7 @@
 			}
 		}
 		if err != nil && !statekv.IsConflict(err) {
-			slog.Debug("removing keys of machines", "machines", len(batch), "err", err)
+			slog.Debug("machine key removal failed", "machines", len(batch), "err", err)
 		}
 	}
 }
@@ -417,7 +417,7 @@
 			a.touch(m)
 		}
 	}
-	slog.Info("machines gone", "machines", len(batch), "first", batch[0].name)
+	slog.Info("machines deregistered", "machines", len(batch), "first", batch[0].name)
 }
 
 // Snapshot returns the agent's counters and machines.
--- a/audit/order.go
+++ b/audit/order.go
@@ -159,16 +159,16 @@
 
 // accepted takes a job from the line of its acceptance.
 func (l *Log) accepted(at time.Time, f map[string]string) error {
-	if _, ok := f["due_s"]; !ok {
+	if _, ok := f["deadline_s"]; !ok {
 		return nil // written before deadlines were logged
 	}
 	v := &values{f: f}
 	s := &submission{id: f["job"], class: f["class"], team: f["team"], tasks: int(v.number("tasks")), gpus: v.number("gpus"), at: at}
-	if due := v.seconds("due_s"); due > 0 {
+	if due := v.seconds("deadline_s"); due > 0 {
 		s.due = at.Add(due)
 	}
-	if _, ok := f["waits_on"]; ok { // since there are pipelines
-		s.waits = int(v.number("waits_on"))
+	if _, ok := f["dependencies"]; ok { // since there are pipelines
+		s.waits = int(v.number("dependencies"))
 	}
 	if v.err == nil {
 		l.jobs[s.id] = s
--- a/audit/read.go
+++ b/audit/read.go
@@ -2,10 +2,11 @@
 // their time, from the logs of the controllers alone. It owns no state of the
 // service and may touch none: it reads lines and adds up.
 //
-// The lines that it goes by are written by the steward (msg=rented, msg=returned,
-// msg=price) and by the owners of machines (msg="machine up", msg="machine is
-// silent", msg="task over"), each with the time of day of its controller, which
-// may be off by the bound in the settings; so a part is as exact as that.
+// The messages that it goes by are the constants of package logline, which the
+// writers of the lines use too. Lines of the former version are read as well: each
+// line gets its current names once, when it is read. A line has the time of day of
+// its controller, which may be off by the bound in the settings; so a part is as
+// exact as that.
 package audit
 
 import (
@@ -18,6 +19,8 @@
 	"time"
 
 	"github.com/go-logfmt/logfmt"
+
+	"robinstack/logline"
 )
 
 // Phases of a task on its machine, in their order.
@@ -137,8 +140,9 @@
 	if at.After(l.last) {
 		l.last = at
 	}
-	if err := l.take(at, f); err != nil {
-		l.problem(n, "msg=%q: %v", f["msg"], err)
+	message, attributes := logline.Current(f["msg"], f)
+	if err := l.take(at, message, attributes); err != nil {
+		l.problem(n, "msg=%q: %v", f["msg"], err) // as the line has it, to be found there
 	}
 }
 
@@ -190,10 +194,11 @@
 // names reads a list as slog writes it: [a b c].
 func names(list string) []string { return strings.Fields(strings.Trim(list, "[]")) }
 
-func (l *Log) take(at time.Time, f map[string]string) error {
+// take books a line, given under its current names.
+func (l *Log) take(at time.Time, message string, f map[string]string) error {
 	v := &values{f: f}
-	switch f["msg"] {
-	case "price":
+	switch message {
+	case logline.MachineTypePrice:
 		p := price{at, v.number("hourly"), v.number("spot")}
 		room := map[string]float64{"cpus": v.number("cpus"), "gpus": v.number("gpus"), "mem_gb": v.number("mem_gb")}
 		if v.err != nil {
@@ -201,37 +206,37 @@
 		}
 		l.capacity[f["type"]] = room
 		l.prices[f["type"]] = append(l.prices[f["type"]], p)
-	case "rented":
+	case logline.ScaledOut:
 		for _, name := range names(f["machines"]) {
 			m := l.machine(name)
 			m.typeName, m.zone, m.spot = f["type"], f["zone"], f["spot"] == "true"
 			m.rented = at
 		}
-	case "machine up":
+	case logline.MachineRegistered:
 		m := l.machine(f["machine"])
 		m.typeName, m.zone, m.spot = f["type"], f["zone"], f["spot"] == "true"
 		if m.up.IsZero() || at.Before(m.up) {
 			m.up = at
 		}
-	case "returned":
+	case logline.ScaledIn:
 		for _, name := range names(f["machines"]) {
 			if m := l.machine(name); m.gone.IsZero() {
 				m.gone = at
 			}
 		}
-	case "job accepted":
+	case logline.JobAccepted:
 		return l.accepted(at, f)
-	case "task committed", "job complete", "job cancelled", "job ready", "job withdrawn":
-		l.follow(at, f)
-	case "machine is silent":
-		l.machine(f["machine"]).silent = at.Add(-v.seconds("for_s"))
+	case logline.TaskCommitted, logline.JobCompleted, logline.JobCancelled, logline.JobReady, logline.JobWithdrawn:
+		l.follow(at, message, f)
+	case logline.MachineUnresponsive:
+		l.machine(f["machine"]).silent = at.Add(-v.seconds("duration_s"))
 		return v.err
-	case "task over":
+	case logline.TaskFinished:
 		s := span{job: jobOf(f["task"]), end: at, need: map[string]float64{"cpus": v.number("cpus"), "gpus": v.number("gpus"), "mem_gb": v.number("mem_gb")}}
-		for k, key := range [phases]string{"fetch_s", "wait_s", "run_s", "save_s"} {
+		for k, key := range [phases]string{"fetch_s", "gang_wait_s", "run_s", "checkpoint_s"} {
 			s.spent[k] = v.seconds(key)
 		}
-		s.useful = useful(s.spent[running], f["cause"], f["saved"] == "true", v.seconds("saves_every_s"))
+		s.useful = useful(s.spent[running], f["cause"], f["checkpointed"] == "true", v.seconds("checkpoint_interval_s"))
 		if v.err != nil {
 			return v.err
 		}
--- a/audit/served.go
+++ b/audit/served.go
@@ -8,6 +8,8 @@
 	"slices"
 	"text/tabwriter"
 	"time"
+
+	"robinstack/logline"
 )
 
 // Times are the multiples of what its aims ask by which a job is looked for.
@@ -186,7 +188,7 @@
 }
 
 // follow takes what a line says of a job's course.
-func (l *Log) follow(at time.Time, f map[string]string) {
+func (l *Log) follow(at time.Time, message string, f map[string]string) {
 	id := f["job"]
 	if id == "" {
 		id = jobOf(f["task"])
@@ -195,14 +197,14 @@
 	if s == nil {
 		return
 	}
-	switch f["msg"] {
-	case "task committed":
+	switch message {
+	case logline.TaskCommitted:
 		first(&s.started, at)
-	case "job complete":
+	case logline.JobCompleted:
 		first(&s.complete, at)
-	case "job cancelled", "job withdrawn":
+	case logline.JobCancelled, logline.JobWithdrawn:
 		first(&s.cancelled, at)
-	case "job ready":
+	case logline.JobReady:
 		first(&s.ready, at)
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -138,7 +138,7 @@
 		pause := 300 * time.Millisecond
 		if err != nil && ctx.Err() == nil {
 			if told != err.Error() || !rollout.IsRefused(err) {
-				slog.Info("life ended", "err", err)
+				slog.Info("controller session ended", "err", err)
 			}
 			told = err.Error()
 		}
@@ -208,7 +208,7 @@
 	}
 	c.gateway.SetWaiting("")
 	clock.Mark(serving.Life)
-	slog.Info("life begun", "host", member.Host, "instance", member.Instance)
+	slog.Info("controller session started", "host", member.Host, "instance", member.Instance)
 
 	server := rpc.NewServer()
 	greeter := peer.NewService(c.settings.Host, rollout.Build, map[string]any{"Agent": (*agent.Service)(nil), "Placer": (*placer.Service)(nil), "Steward": (*steward.Service)(nil)})
@@ -320,7 +320,7 @@
 			if err := network.Call(cctx, host, "Steward.Budget", report, &grant); err == nil {
 				writes.Granted(grant, sent)
 			} else {
-				slog.Debug("asking for a part of the changes", "err", err)
+				slog.Debug("write budget request failed", "err", err)
 			}
 			cancel()
 		}
--- a/controller/pauses.go
+++ b/controller/pauses.go
@@ -40,7 +40,7 @@
 	if late < lateTick {
 		return
 	}
-	slog.Warn("stood still while the clocks ran on", "for", late.Round(10*time.Millisecond))
+	slog.Warn("process paused", "duration", late.Round(10*time.Millisecond))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.count++
--- a/ended/sweep.go
+++ b/ended/sweep.go
@@ -43,7 +43,7 @@
 		}
 		for _, prefix := range []string{job.PartPrefix, job.PiecePrefix} {
 			if err := s.sweep(ctx, prefix); err != nil {
-				slog.Debug("sweeping what jobs left", "prefix", prefix, "err", err)
+				slog.Debug("garbage collection of job state failed", "prefix", prefix, "err", err)
 			}
 		}
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -20,6 +20,7 @@
 	"robinstack/config"
 	"robinstack/ended"
 	"robinstack/job"
+	"robinstack/logline"
 	"robinstack/peer"
 	"robinstack/pipeline"
 	"robinstack/placer"
@@ -63,7 +64,7 @@
 		if host != l.Member.Host {
 			calls.Go(func() {
 				if err := l.Call.Call(ctx, host, "Agent.Cancelled", id, &struct{}{}); err != nil {
-					slog.Debug("telling an owner of a cancellation", "host", host, "job", id, "err", err)
+					slog.Debug("cancellation delivery to machine owner failed", "host", host, "job", id, "err", err)
 				}
 			})
 		}
@@ -266,7 +267,7 @@
 	switch {
 	case !ok:
 	case c.Err != nil:
-		slog.Error("a value cannot be read; it is left as it is", "key", e.Set, "err", c.Err)
+		slog.Error("stored value undecodable, kept unchanged", "key", e.Set, "err", c.Err)
 	default:
 		g.keepTombstone(c.ID, c.Tombstone)
 	}
@@ -464,7 +465,7 @@
 		}
 	}
 	if reason, err := g.unfit(ctx, l, spec); err != nil {
-		slog.Debug("submission undecided", "job", spec.ID, "err", err)
+		slog.Debug("submission outcome unknown", "job", spec.ID, "err", err)
 		return later(c, "undecided")
 	} else if reason != "" {
 		return g.refuse(c, ctx, spec.ID, fiber.StatusUnprocessableEntity, reason)
@@ -473,7 +474,7 @@
 	if err == nil {
 		l.Placer.Accepted(rec, rev)
 		l.Clock.Mark(serving.Accepted)
-		slog.Info("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "gpus", spec.GPUs, "due_s", spec.Due().Seconds(), "slot", slot, "waits_on", len(spec.WaitsOn))
+		slog.Info(logline.JobAccepted, "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "gpus", spec.GPUs, "deadline_s", spec.Due().Seconds(), "job_shard", slot, "dependencies", len(spec.WaitsOn))
 		return c.Status(fiber.StatusCreated).JSON(jobStatus{ID: spec.ID, Status: job.Queued})
 	}
 	if errors.Is(err, statekv.ErrRefused) {
@@ -493,7 +494,7 @@
 	case errors.Is(err, statekv.ErrNotFound):
 		return fail(c, code, reason)
 	case err != nil:
-		slog.Debug("submission undecided", "job", id, "err", err)
+		slog.Debug("submission outcome unknown", "job", id, "err", err)
 		return later(c, "undecided")
 	}
 	return c.JSON(s)
@@ -503,7 +504,7 @@
 func (g *Gateway) known(c *fiber.Ctx, ctx context.Context, id string) error {
 	s, err := g.lookup(ctx, id)
 	if err != nil {
-		slog.Debug("submission undecided", "job", id, "err", err)
+		slog.Debug("submission outcome unknown", "job", id, "err", err)
 		return later(c, "undecided")
 	}
 	return c.JSON(s)
@@ -536,7 +537,7 @@
 	case errors.Is(err, statekv.ErrNotFound):
 		return fail(c, fiber.StatusNotFound, "no such job")
 	case err != nil:
-		slog.Debug("query undecided", "job", id, "err", err)
+		slog.Debug("job query outcome unknown", "job", id, "err", err)
 		return later(c, "cannot be read now")
 	}
 	return c.JSON(s)
@@ -595,7 +596,7 @@
 		rev, err := writeOnce(ctx, l.Member, []statekv.Cond{{Key: job.OpenKey(id), Rev: kv.Rev}, unchanged}, then)
 		if err == nil {
 			l.tellOwners(ctx, id, rev)
-			slog.Info("cancellation told", "job", id, "after_ms", time.Since(began).Milliseconds())
+			slog.Info("cancellation acknowledged", "job", id, "latency_ms", time.Since(began).Milliseconds())
 			return answer(f)
 		}
 		if !statekv.IsConflict(err) && !errors.Is(err, statekv.ErrUnknown) {
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -197,7 +197,7 @@
 	}
 	if s.Steward != "" {
 		if err := l.Call.Call(cctx, s.Steward, "Steward.Overdue", struct{}{}, &s.Overdue); err != nil {
-			slog.Debug("asking for late boots", "err", err)
+			slog.Debug("overdue provisioning query failed", "err", err)
 		}
 	}
 	if l.Traffic != nil {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -148,7 +148,7 @@
 			if ctx.Err() != nil {
 				break
 			}
-			slog.Warn("accepting a peer", "err", err)
+			slog.Warn("peer connection accept failed", "err", err)
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
--- a/pipeline/tracker.go
+++ b/pipeline/tracker.go
@@ -265,9 +265,9 @@
 		case errors.Is(err, statekv.ErrNotFound):
 			// It was open until a moment ago, or its record is being written: the
 			// mirror will show it.
-			slog.Debug("a job that others wait for has no record yet", "job", id)
+			slog.Debug("dependency record missing", "job", id)
 		case errors.Is(err, statekv.ErrRefused) || errors.Is(err, statekv.ErrUnknown) || rctx.Err() != nil:
-			slog.Debug("reading the record of a job that others wait for", "job", id, "err", err)
+			slog.Debug("dependency record read failed", "job", id, "err", err)
 		default:
 			// What waits for it goes on waiting, until a person has seen to it.
 			t.keys.Unreadable(ended.Key(id), err)
--- a/placer/begin.go
+++ b/placer/begin.go
@@ -86,7 +86,7 @@
 	j.nextTry = time.Now().Add(gatherPause)
 	if !j.gathers {
 		j.gathers = true
-		slog.Info("room is gathered", "job", j.spec.ID, "class", j.spec.Class, "tasks", len(j.tasks), "age", time.Since(j.from).Round(time.Second), "machines", kept)
+		slog.Info("backfill reservation complete", "job", j.spec.ID, "class", j.spec.Class, "tasks", len(j.tasks), "age", time.Since(j.from).Round(time.Second), "machines", kept)
 	}
 	return kept > 0
 }
@@ -120,7 +120,7 @@
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
 			defer cancel()
 			if err := p.call.Call(cctx, c.Host, method, agent.CommitRequest{Request: req, Machine: c.Machine, Rev: c.Rev}, &reply); err != nil {
-				slog.Debug("keeping a machine", "method", method, "machine", c.Machine, "err", err)
+				slog.Debug("machine reservation failed", "method", method, "machine", c.Machine, "err", err)
 				return
 			}
 			mu.Lock()
--- a/placer/events.go
+++ b/placer/events.go
@@ -7,6 +7,7 @@
 
 	"robinstack/agent"
 	"robinstack/job"
+	"robinstack/logline"
 	"robinstack/statekv"
 	"robinstack/worker"
 )
@@ -159,14 +160,14 @@
 	}
 	if j.doneCount == len(j.tasks) && j.over == "" {
 		j.over, j.overAt = job.Done, time.Now()
-		slog.Info("job complete", "job", j.spec.ID, "age", time.Since(j.submitted).Round(time.Millisecond))
+		slog.Info(logline.JobCompleted, "job", j.spec.ID, "age", time.Since(j.submitted).Round(time.Millisecond))
 	}
 	p.wake()
 }
 
 // ended notes that a task ended without completing.
 func (p *Placer) ended(j *jobState, i int, cause, machine string) {
-	slog.Info("task ended", "task", job.TaskID(j.spec.ID, i), "cause", cause, "machine", machine)
+	slog.Info("task attempt ended", "task", job.TaskID(j.spec.ID, i), "cause", cause, "machine", machine)
 	if cause == worker.Failed {
 		p.failed(j, machine)
 	}
@@ -256,7 +257,7 @@
 			cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 			defer cancel()
 			if err := p.call.Call(cctx, host, "Agent.Stop", agent.StopRequest{Items: items}, &struct{}{}); err != nil {
-				slog.Debug("stopping tasks", "host", host, "err", err)
+				slog.Debug("task stop request failed", "host", host, "err", err)
 				p.mu.Lock()
 				for _, item := range items {
 					if item.Forget && len(p.forgets) < 10_000 {
--- a/placer/failures.go
+++ b/placer/failures.go
@@ -61,7 +61,7 @@
 	case len(j.failedOn) >= suspectAfter || len(j.failedOn) > 1 && again:
 		j.suspect = true
 		p.counters.Suspects++
-		slog.Info("job fails on every machine", "job", j.spec.ID, "class", j.spec.Class, "machines", len(j.failedOn))
+		slog.Info("job failing on all machines", "job", j.spec.ID, "class", j.spec.Class, "machines", len(j.failedOn))
 		for m := range j.failedOn {
 			p.judge(j, m, false)
 		}
@@ -132,7 +132,7 @@
 		p.judge(j, m, true)
 	}
 	if j.suspect {
-		slog.Info("job is well after all", "job", j.spec.ID)
+		slog.Info("job failure cleared", "job", j.spec.ID)
 		j.nextTry = time.Time{}
 	}
 	j.failedOn, j.failures, j.suspect = nil, 0, false
@@ -169,7 +169,7 @@
 			cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 			defer cancel()
 			if err := p.call.Call(cctx, host, "Agent.Judge", list, &struct{}{}); err != nil {
-				slog.Debug("judging machines", "host", host, "err", err)
+				slog.Debug("machine health report to owner failed", "host", host, "err", err)
 			}
 		}()
 	}
--- a/placer/flush.go
+++ b/placer/flush.go
@@ -106,7 +106,7 @@
 	cancel()
 
 	if err != nil {
-		slog.Debug("recording finished tasks", "job", id, "chunks", chunks, "err", err)
+		slog.Debug("completed tasks write failed", "job", id, "chunks", chunks, "err", err)
 		time.Sleep(200 * time.Millisecond)
 	}
 	p.mu.Lock()
@@ -166,7 +166,7 @@
 		}
 		ops, err := rec.Split(limit, most-1)
 		if err != nil {
-			slog.Error("job record", "job", rec.Spec.ID, "err", err)
+			slog.Error("job record unusable", "job", rec.Spec.ID, "err", err)
 			return nil
 		}
 		then = ops
--- a/placer/place.go
+++ b/placer/place.go
@@ -12,6 +12,7 @@
 
 	"robinstack/agent"
 	"robinstack/job"
+	"robinstack/logline"
 	"robinstack/peer"
 	"robinstack/serving"
 	"robinstack/steward"
@@ -391,7 +392,7 @@
 		asks.Go(func() {
 			var reply agent.Sample
 			if err := p.call.Call(cctx, h, method, req, &reply); err != nil {
-				slog.Debug("sampling", "host", h, "err", err)
+				slog.Debug("sampling request failed", "host", h, "err", err)
 				return
 			}
 			mu.Lock()
@@ -470,7 +471,7 @@
 	defer cancel()
 	reply, err := p.permits(cctx, req)
 	if err != nil || len(reply.Granted) != len(bindings) {
-		slog.Debug("asking for permits", "job", j.spec.ID, "err", err)
+		slog.Debug("quota request failed", "job", j.spec.ID, "err", err)
 		p.mu.Lock()
 		for _, b := range bindings {
 			p.releases = append(p.releases, b.ref)
@@ -576,7 +577,7 @@
 				if j.over != "" {
 					p.stopTask(j, b.ref.Index, 0)
 				}
-				slog.Info("task committed", "task", job.TaskID(b.ref.Job, b.ref.Index), "attempt", b.ref.Attempt, "machine", c.Machine, "verdict", b.verdict, "image", c.Image, "age", time.Since(j.submitted).Round(time.Millisecond))
+				slog.Info(logline.TaskCommitted, "task", job.TaskID(b.ref.Job, b.ref.Index), "attempt", b.ref.Attempt, "machine", c.Machine, "result", b.verdict, "image_cached", c.Image, "age", time.Since(j.submitted).Round(time.Millisecond))
 			}
 		case b.verdict == agent.Refused && mine && ts.status == placed:
 			// The feed was faster: it has shown the task; it will show its end.
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -17,6 +17,7 @@
 	"robinstack/cloud"
 	"robinstack/config"
 	"robinstack/job"
+	"robinstack/logline"
 	"robinstack/pipeline"
 	"robinstack/policy"
 	"robinstack/rollout"
@@ -239,7 +240,7 @@
 	j := &jobState{spec: &rec.Spec, slot: rec.Slot, rev: rev, submitted: rec.SubmittedAt(), tasks: make([]taskState, rec.Spec.Tasks),
 		done: job.NewSet(rec.Spec.Tasks), fresh: fresh, rest: rec, dirty: map[int]bool{}}
 	if err := j.done.Load(0, rec.Done); err != nil {
-		slog.Error("job record", "job", rec.Spec.ID, "err", err)
+		slog.Error("job record unusable", "job", rec.Spec.ID, "err", err)
 	}
 	for k := 1; k < job.Chunks(rec.Spec.Tasks) && !fresh; k++ {
 		kv, err := p.store.Get(ctx, job.PartKey(rec.Spec.ID, k))
@@ -290,7 +291,7 @@
 // Accepted takes up a job whose record this controller has just written.
 func (p *Placer) Accepted(rec *job.Record, rev uint64) {
 	if err := p.load(context.Background(), rec, rev, true); err != nil {
-		slog.Error("taking up a job", "job", rec.Spec.ID, "err", err)
+		slog.Error("job load failed", "job", rec.Spec.ID, "err", err)
 	}
 }
 
@@ -352,7 +353,7 @@
 		return
 	}
 	if j.over == "" {
-		slog.Info("job cancelled", "job", id)
+		slog.Info(logline.JobCancelled, "job", id)
 		j.over = job.Cancelled
 	}
 	j.recorded = true
@@ -430,7 +431,7 @@
 	cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	if err := p.call.Call(cctx, host, "Steward.Demand", req, &struct{}{}); err != nil {
-		slog.Debug("telling the steward the demand", "err", err)
+		slog.Debug("demand report to leader failed", "err", err)
 	}
 }
 
--- a/placer/slots.go
+++ b/placer/slots.go
@@ -100,14 +100,14 @@
 	id := fmt.Sprintf("%s.%d", p.member.Host, p.member.Instance)
 	epoch, err := p.member.Take(tctx, statekv.Role{Key: statekv.SlotPrefix + id, Value: p.member.Holder})
 	if err != nil || p.mirror.Wait(tctx, epoch) != nil {
-		slog.Debug("making a slot", "slot", id, "err", err)
+		slog.Debug("job shard creation failed", "job_shard", id, "err", err)
 		return
 	}
 	p.mu.Lock()
 	p.slots[id] = &slotState{epoch: epoch, takenAt: time.Now(), settled: true}
 	p.home = id
 	p.mu.Unlock()
-	slog.Info("slot taken", "slot", id, "epoch", epoch)
+	slog.Info("job shard acquired", "job_shard", id, "epoch", epoch)
 }
 
 // takeSlots takes, all together, the slots that fall to this controller.
@@ -135,7 +135,7 @@
 	defer cancel()
 	taken, err := p.member.TakeAll(tctx, roles, p.settings.State.TxnOps)
 	if err != nil {
-		slog.Debug("taking slots", "err", err)
+		slog.Debug("job shard acquisition failed", "err", err)
 	}
 	maps.Copy(taken, ours)
 	if len(taken) > 0 {
@@ -182,7 +182,7 @@
 		}
 	}
 	for err := p.loadSlots(ctx, slots); err != nil; err = p.loadSlots(ctx, slots) {
-		slog.Warn("loading the jobs of slots", "err", err)
+		slog.Warn("job shard load failed", "err", err)
 		select {
 		case <-ctx.Done():
 			return
@@ -199,7 +199,7 @@
 	}
 	p.mu.Unlock()
 	for id, s := range slots {
-		slog.Info("slot taken", "slot", id, "epoch", s.epoch, "jobs", jobs[id], "machines", len(s.open))
+		slog.Info("job shard acquired", "job_shard", id, "epoch", s.epoch, "jobs", jobs[id], "machines", len(s.open))
 	}
 	// Tasks that the feed has shown already are located now.
 	if p.feed != nil {
@@ -273,7 +273,7 @@
 			confirmed[id] = s
 		} else if now.Sub(s.toldAt) > 5*time.Second && now.Sub(s.takenAt) > time.Second {
 			s.toldAt = now
-			slog.Info("slot waits for machines to be checked", "slot", id, "machines", len(s.open), "one", one, "why", why[one])
+			slog.Info("job shard reconciliation pending", "job_shard", id, "machines", len(s.open), "machine", one, "reason", why[one])
 		}
 	}
 	p.mu.Unlock()
@@ -288,7 +288,7 @@
 		p.mu.Lock()
 		s.settled, s.open, s.kinds = true, nil, nil
 		p.mu.Unlock()
-		slog.Info("slot settled", "slot", id, "after", now.Sub(s.takenAt).Round(time.Millisecond))
+		slog.Info("job shard reconciled", "job_shard", id, "elapsed", now.Sub(s.takenAt).Round(time.Millisecond))
 		p.tellSettled(ctx, id, s.epoch)
 	}
 	p.Clock.Mark(serving.Settled)
@@ -301,7 +301,7 @@
 	cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	if _, err := p.permits(cctx, steward.PermitRequest{Slot: id, Epoch: epoch, Settled: true}); err != nil {
-		slog.Debug("telling the steward of a settled slot", "err", err)
+		slog.Debug("job shard reconciliation report to leader failed", "err", err)
 	}
 }
 
@@ -338,7 +338,7 @@
 	rev, err := p.member.Write(tctx, when, then)
 	if err != nil || p.mirror.Wait(tctx, rev) != nil {
 		// If they were removed after all, the mirror will show it.
-		slog.Debug("removing slots without jobs", "slots", ids, "err", err)
+		slog.Debug("empty job shard removal failed", "job_shards", ids, "err", err)
 		return
 	}
 	p.forgetSlots()
--- a/placer/waits.go
+++ b/placer/waits.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"robinstack/job"
+	"robinstack/logline"
 	"robinstack/pipeline"
 )
 
@@ -54,11 +55,11 @@
 			j.from = j.submitted
 		}
 		p.treatAs(j, j.urgency)
-		slog.Info("job ready", "job", id, "after", j.from.Sub(j.submitted).Round(time.Millisecond))
+		slog.Info(logline.JobReady, "job", id, "elapsed", j.from.Sub(j.submitted).Round(time.Millisecond))
 	case pipeline.Withdrawn:
 		// Nothing of it has ever run: what it waits for cannot become done any more.
 		j.over = job.Cancelled
-		slog.Info("job withdrawn", "job", id, "because", v.Cause)
+		slog.Info(logline.JobWithdrawn, "job", id, "dependency", v.Cause)
 	}
 }
 
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -78,10 +78,10 @@
 		return
 	}
 	if err := g.write(ctx, change.When, change.Then); err != nil {
-		slog.Info("level not raised", "to", change.To.N, "err", err)
+		slog.Info("cluster version raise failed", "cluster_version", change.To.N, "err", err)
 		return
 	}
-	slog.Info("level changed", "to", change.To.N, "features", change.To.Features)
+	slog.Info("cluster version changed", "cluster_version", change.To.N, "features", change.To.Features)
 }
 
 // tell logs what a rise waits for, when that becomes something else than time passing.
@@ -93,7 +93,7 @@
 		kind = why[:at]
 	}
 	if kind != g.told && why != "" {
-		slog.Debug("level does not rise", "why", why)
+		slog.Debug("cluster version raise blocked", "reason", why)
 	}
 	g.told = kind
 }
@@ -163,7 +163,7 @@
 		}
 		err := g.end(ctx, v, n)
 		if err != nil {
-			slog.Debug("refusing a life", "host", n.Host, "err", err)
+			slog.Debug("controller rejection failed", "host", n.Host, "err", err)
 			continue
 		}
 		g.mu.Lock()
@@ -172,7 +172,7 @@
 		}
 		g.refused[n.Rev] = true
 		g.mu.Unlock()
-		slog.Warn("a controller that must not join is refused", "host", n.Host, "build", n.Caps.Build, "level", v.Level.N, "lacks", n.Caps.Lacks(v.Level))
+		slog.Warn("controller rejected", "host", n.Host, "build", n.Caps.Build, "cluster_version", v.Level.N, "missing_features", n.Caps.Lacks(v.Level))
 	}
 }
 
@@ -233,7 +233,7 @@
 			return &Stuck{stuck}
 		}
 		if err = g.write(ctx, change.When, change.Then); err == nil {
-			slog.Info("roll-out", "verb", verb, "level", change.To.N, "why", why)
+			slog.Info("rollout command applied", "command", verb, "cluster_version", change.To.N, "reason", why)
 			return nil
 		}
 		if !statekv.IsConflict(err) {
--- a/rollout/move.go
+++ b/rollout/move.go
@@ -58,7 +58,7 @@
 
 // unreadable notes a value that is left as it is.
 func (m *Move) unreadable(key string, err error) {
-	slog.Error("a value cannot be read; it is left as it is", "key", key, "err", err)
+	slog.Error("stored value undecodable, kept unchanged", "key", key, "err", err)
 	m.Bad++
 	if len(m.Listed) < mostBad {
 		why := strings.ToValidUTF8(err.Error()[:min(len(err.Error()), mostWhy)], "")
@@ -109,7 +109,7 @@
 			more, err := m.page(ctx)
 			if err != nil {
 				// The service has more to do than this: it comes after everything.
-				slog.Debug("moving stored values", "err", err)
+				slog.Debug("stored value migration failed", "err", err)
 				select {
 				case <-ctx.Done():
 				case <-time.After(2 * time.Second):
@@ -180,7 +180,7 @@
 		if err := m.note(ctx, &at, nil, nil); err != nil {
 			return true, err
 		}
-		slog.Info("stored values moved", "move", at.Name, "looked", at.Looked, "moved", at.Moved, "bad", at.Bad)
+		slog.Info("stored values migrated", "migration", at.Name, "scanned", at.Looked, "migrated", at.Moved, "undecodable", at.Bad)
 		return false, nil
 	}
 	return true, nil
--- a/rollout/reader.go
+++ b/rollout/reader.go
@@ -48,7 +48,7 @@
 		switch lacks := r.caps.Lacks(level); {
 		case err != nil:
 			r.bad, r.under = err.Error(), kv.Rev
-			slog.Error("the fleet's level cannot be read; going on at the former one", "key", statekv.LevelKey, "level", r.level.N, "err", err)
+			slog.Error("cluster version undecodable, keeping the previous one", "key", statekv.LevelKey, "cluster_version", r.level.N, "err", err)
 		case lacks != "":
 			r.bad = "this build lacks " + lacks
 		default:
--- a/serving/serving.go
+++ b/serving/serving.go
@@ -45,7 +45,7 @@
 	d := time.Since(c.began)
 	c.steps[step] = d
 	c.mu.Unlock()
-	slog.Info("serving again", "step", step, "after", d.Round(time.Millisecond))
+	slog.Info("recovery step completed", "step", step, "elapsed", d.Round(time.Millisecond))
 }
 
 // Seconds returns the steps reached, each with the seconds since the start.
--- a/statekv/client.go
+++ b/statekv/client.go
@@ -158,7 +158,7 @@
 // refusedLarge takes note of a transaction of n changes that was too large: limits can be
 // lowered without notice. Who writes many at once splits them and goes on.
 func (c *Client) refusedLarge(n int) {
-	slog.Warn("the state service takes no transaction as large", "changes", n)
+	slog.Warn("state transaction size limit lowered", "operations", n)
 	c.most.Store(int64(max(1, n/2)))
 }
 
@@ -251,7 +251,7 @@
 		if r.Status == http.StatusTooManyRequests && path == "/txn" {
 			c.writes.refused(time.Now())
 		}
-		slog.Debug("state service refused", "method", method, "path", path, "status", r.Status)
+		slog.Debug("state request rejected", "method", method, "path", path, "status", r.Status)
 		return r, fmt.Errorf("%w: %s %s: status %d", ErrRefused, method, path, r.Status)
 	}
 	return r, fmt.Errorf("%w: %s %s: status %d", ErrUnknown, method, path, r.Status)
--- a/statekv/member.go
+++ b/statekv/member.go
@@ -130,7 +130,7 @@
 			return errors.New("state lease has ended")
 		}
 		if err != nil {
-			slog.Debug("renewing the state lease", "err", err)
+			slog.Debug("state lease renewal failed", "err", err)
 			continue
 		}
 		if kv, ok := m.mirror.Get(NodePrefix + m.Host); ok && kv.Rev > m.Instance {
--- a/statekv/mirror.go
+++ b/statekv/mirror.go
@@ -77,7 +77,7 @@
 		return
 	}
 	m.bad[key] = err.Error()
-	slog.Error("a value cannot be read; it is left as it is", "key", key, "err", err)
+	slog.Error("stored value undecodable, kept unchanged", "key", key, "err", err)
 }
 
 // Bad lists the keys whose values cannot be read, with the reason.
@@ -171,7 +171,7 @@
 			}
 		}
 		if err != nil {
-			slog.Debug("watch failed", "err", err)
+			slog.Debug("state watch failed", "err", err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(300 * time.Millisecond):
--- a/steward/boots.go
+++ b/steward/boots.go
@@ -104,7 +104,7 @@
 		slow := troubled(inBoot[b.pool], came[b.pool], overdue[b.pool])
 		switch {
 		case age > f.boots.giveUp(b.pool, t.Boot(), slow):
-			slog.Info("boot is too late", "machine", name, "age", age.Round(time.Second))
+			slog.Info("provisioning overdue", "machine", name, "age", age.Round(time.Second))
 			*deletes = append(*deletes, name)
 		case age > patience[b.pool] && !slow:
 			// Used if it comes, but made up for.
@@ -115,7 +115,7 @@
 	for p, n := range overdue {
 		if troubled(inBoot[p], came[p], n) && now.After(f.shut[p]) {
 			f.refuse(p, now)
-			slog.Info("machines do not come up", "type", p.typeName, "zone", p.zone, "spot", p.spot, "booting", inBoot[p], "overdue", n)
+			slog.Info("machine provisioning stalled", "type", p.typeName, "zone", p.zone, "spot", p.spot, "provisioning", inBoot[p], "overdue", n)
 		}
 	}
 	return bins
--- a/steward/calls.go
+++ b/steward/calls.go
@@ -9,6 +9,7 @@
 
 	"robinstack/agent"
 	"robinstack/cloud"
+	"robinstack/logline"
 )
 
 // rent asks the cloud for machines; what has no answer is asked for again under its name.
@@ -25,7 +26,7 @@
 	case errors.Is(err, cloud.ErrNoCapacity):
 		f.refuse(p, now)
 	case err != nil:
-		slog.Info("rental unanswered", "request", r.Request, "err", err)
+		slog.Info("scale-out outcome unknown", "request", r.Request, "err", err)
 		f.retry = append(f.retry, r)
 		return
 	case len(names) < r.Count:
@@ -36,7 +37,7 @@
 	for _, name := range names {
 		f.booting[name] = boot{pool: p, since: now, ours: true}
 	}
-	slog.Info("rented", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "wanted", r.Count, "got", len(names), "machines", names)
+	slog.Info(logline.ScaledOut, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "requested", r.Count, "granted", len(names), "machines", names)
 }
 
 // giveBack drains idle machines, which their owners refuse if a task has come
@@ -54,7 +55,7 @@
 		err := s.call.Call(cctx, host, "Agent.Drain", agent.MachinesRequest{Names: names, On: true}, &reply)
 		cancel()
 		if err != nil {
-			slog.Debug("draining machines", "host", host, "err", err)
+			slog.Debug("machine drain failed", "host", host, "err", err)
 			continue
 		}
 		s.remove(ctx, reply.Names)
@@ -68,10 +69,10 @@
 		err := s.cloud.Delete(cctx, chunk)
 		cancel()
 		if err != nil {
-			slog.Info("deleting machines", "names", chunk, "err", err)
+			slog.Info("scale-in failed", "machines", chunk, "err", err)
 			return
 		}
-		slog.Info("returned", "machines", chunk)
+		slog.Info(logline.ScaledIn, "machines", chunk)
 		s.mu.Lock()
 		for _, name := range chunk {
 			delete(s.fleet.booting, name)
@@ -93,7 +94,7 @@
 	for host, names := range byHost {
 		cctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		if err := s.call.Call(cctx, host, "Agent.Removed", agent.MachinesRequest{Names: names}, &agent.MachinesReply{}); err != nil {
-			slog.Debug("telling an owner of deleted machines", "host", host, "err", err)
+			slog.Debug("machine deletion report to owner failed", "host", host, "err", err)
 		}
 		cancel()
 	}
--- a/steward/fleet.go
+++ b/steward/fleet.go
@@ -14,6 +14,7 @@
 	"robinstack/agent"
 	"robinstack/cloud"
 	"robinstack/job"
+	"robinstack/logline"
 	"robinstack/statekv"
 	"robinstack/worker"
 )
@@ -70,7 +71,7 @@
 	for ctx.Err() == nil {
 		if len(s.catalogue.Types()) == 0 || s.Epoch() != 0 && time.Since(typesAt) > 20*time.Second {
 			if types, err := s.cloud.MachineTypes(ctx); err != nil {
-				slog.Debug("reading machine types", "err", err)
+				slog.Debug("machine types read failed", "err", err)
 			} else if len(types) > 0 {
 				typesAt = time.Now()
 				s.catalogue.Set(types)
@@ -80,7 +81,7 @@
 		}
 		if s.Epoch() != 0 {
 			if machines, err := s.cloud.Machines(ctx); err != nil {
-				slog.Debug("listing machines", "err", err)
+				slog.Debug("machine list read failed", "err", err)
 			} else {
 				s.onList(machines, time.Now())
 			}
@@ -102,7 +103,7 @@
 		}
 		s.mu.Unlock()
 		if !told {
-			slog.Info("price", "type", t.Name, "hourly", t.Price, "spot", t.SpotPrice, "cpus", t.CPUs, "gpus", t.GPUs, "mem_gb", t.MemoryGB)
+			slog.Info(logline.MachineTypePrice, "type", t.Name, "hourly", t.Price, "spot", t.SpotPrice, "cpus", t.CPUs, "gpus", t.GPUs, "mem_gb", t.MemoryGB)
 		}
 	}
 }
@@ -118,7 +119,7 @@
 	}
 	// Once: a copy that is carried out late must not bring back what was then.
 	if _, err := s.member.Write(ctx, []statekv.Cond{{Key: statekv.TypesKey}}, []statekv.Op{{Set: statekv.TypesKey, Value: types}}); err != nil {
-		slog.Debug("storing machine types", "err", err)
+		slog.Debug("machine types write failed", "err", err)
 	}
 }
 
@@ -279,7 +280,7 @@
 			continue
 		}
 		if lost := s.isLost(e, now); lost != "" {
-			slog.Info("machine lost", "machine", e.Machine, "why", lost)
+			slog.Info("machine lost", "machine", e.Machine, "reason", lost)
 			out.lost = append(out.lost, e.Machine)
 			continue
 		}
@@ -430,7 +431,7 @@
 	for _, d := range demands {
 		waiting += d.Waiting
 	}
-	slog.Info("fleet", "machines", machines, "booting", booting, "empty", empty, "empty_planned_for", planned, "gpus_left", free, "tasks_waiting", waiting)
+	slog.Info("cluster summary", "machines", machines, "provisioning", booting, "idle", empty, "idle_reserved", planned, "free_gpus", free, "tasks_pending", waiting)
 }
 
 // spare names the machines to return. In a large fleet each machine gets a task
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -128,7 +128,7 @@
 	s.budget, s.budgetBegan = budget.NewAllocator(epoch, s.settings.State.SharedChanges(), s.settings.Hosts()), time.Now()
 	s.mu.Unlock()
 	s.feed.Hurry()
-	slog.Info("steward", "epoch", epoch)
+	slog.Info("leader elected", "epoch", epoch)
 }
 
 // settle checks which machines have shown all that was started under earlier
@@ -160,7 +160,7 @@
 	s.mu.Lock()
 	s.settled = true
 	s.mu.Unlock()
-	slog.Info("steward's ledger settled")
+	slog.Info("quota ledger reconciled")
 }
 
 // OnEntries keeps the ledger of what is on the machines.
