--- a/logline/logline_test.go
+++ b/logline/logline_test.go
@@ -6,7 +6,9 @@
 	"go/token"
 	"io/fs"
 	"maps"
+	"os"
 	"path/filepath"
+	"regexp"
 	"slices"
 	"strconv"
 	"strings"
@@ -199,6 +201,33 @@
 	}
 }
 
+var namedInPage = regexp.MustCompile(`msg=("[^"]*"|\w+)`)
+
+// The pages name messages as they are written now; incidents are history and keep
+// the names of their day.
+func TestPagesNameCurrentMessages(t *testing.T) {
+	current := map[string]bool{}
+	for _, rename := range Renames {
+		current[rename.New] = true
+	}
+	pages, err := filepath.Glob(filepath.Join(moduleRoot, "docs", "*.md"))
+	if err != nil || len(pages) == 0 {
+		t.Fatal("no pages", err)
+	}
+	for _, page := range pages {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, found := range namedInPage.FindAllSubmatch(text, -1) {
+			message := strings.Trim(string(found[1]), `"`)
+			if !current[message] {
+				t.Errorf("%s names the message %q, which is not written", page, message)
+			}
+		}
+	}
+}
+
 // A line of either version has one reading: no name is both old and new, and no
 // two names became one.
 func TestTableIsUnambiguous(t *testing.T) {
