--- a/emulator/stateserver.go
+++ b/emulator/stateserver.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"robinstack/internal/statekv"
-
 	"golang.org/x/time/rate"
+
+	"robinstack/internal/statekv"
 )
 
 // Rates are limits of the state service, in effect for what comes over HTTP, and what was
--- a/internal/autoscaler/reserve_test.go
+++ b/internal/autoscaler/reserve_test.go
@@ -6,11 +6,9 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/internal/quota"
-
 	"robinstack/internal/agentapi"
-
 	"robinstack/internal/job"
+	"robinstack/internal/quota"
 )
 
 // At a team's limit of 10 GPUs small jobs take each GPU that comes free. What comes free
--- a/internal/autoscaler/steward_test.go
+++ b/internal/autoscaler/steward_test.go
@@ -7,19 +7,15 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/internal/quota"
-
-	"robinstack/internal/changefeed"
-
-	"robinstack/internal/agentapi"
-
-	"robinstack/internal/shard"
-
 	"robinstack/emulator"
+	"robinstack/internal/agentapi"
+	"robinstack/internal/changefeed"
 	"robinstack/internal/cloud"
 	"robinstack/internal/config"
 	"robinstack/internal/job"
 	"robinstack/internal/policy"
+	"robinstack/internal/quota"
+	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
 )
--- a/internal/clusteragent/agent_test.go
+++ b/internal/clusteragent/agent_test.go
@@ -7,15 +7,13 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/internal/agentapi"
-
-	"robinstack/internal/shard"
-
 	"robinstack/emulator"
+	"robinstack/internal/agentapi"
 	"robinstack/internal/cloud"
 	"robinstack/internal/clusteragent"
 	"robinstack/internal/config"
 	"robinstack/internal/job"
+	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
 )
--- a/internal/clusteragent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"robinstack/internal/shard"
-
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
 )
--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -7,12 +7,10 @@
 	"testing"
 	"time"
 
-	"robinstack/internal/agentapi"
-
-	"robinstack/internal/shard"
-
 	"robinstack/emulator"
+	"robinstack/internal/agentapi"
 	"robinstack/internal/job"
+	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 )
 
--- a/internal/clusteragent/clear.go
+++ b/internal/clusteragent/clear.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"robinstack/internal/agentapi"
-
 	"robinstack/internal/cloud"
 	"robinstack/internal/config"
 	"robinstack/internal/job"
@@ -226,6 +225,6 @@
 	if len(stop) == 0 {
 		return nil // only kept
 	}
-	slog.Info("machine is being cleared", "machine", m.name, "for", r.Spec.ID, "stopped", len(stop), "cost", cost)
+	slog.Info("preempting tasks for gang", "machine", m.name, "job", r.Spec.ID, "preempted", len(stop), "cost", cost)
 	return nil
 }
--- a/internal/clusteragent/clear_test.go
+++ b/internal/clusteragent/clear_test.go
@@ -5,9 +5,8 @@
 	"testing"
 	"time"
 
-	"robinstack/internal/agentapi"
-
 	"robinstack/emulator"
+	"robinstack/internal/agentapi"
 	"robinstack/internal/job"
 )
 
--- a/internal/clusteragent/fetches_test.go
+++ b/internal/clusteragent/fetches_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"robinstack/internal/agentapi"
-
 	"robinstack/internal/cloud"
 	"robinstack/internal/job"
 	"robinstack/internal/worker"
--- a/internal/clusteragent/gather.go
+++ b/internal/clusteragent/gather.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"robinstack/internal/agentapi"
-
 	"robinstack/internal/job"
 	"robinstack/internal/worker"
 )
--- a/internal/clusteragent/over.go
+++ b/internal/clusteragent/over.go
@@ -5,10 +5,8 @@
 	"time"
 
 	"robinstack/internal/agentapi"
-
-	"robinstack/internal/shard"
-
 	"robinstack/internal/job"
+	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 	"robinstack/internal/tombstone"
 )
@@ -224,7 +222,7 @@
 		}
 	}
 	for _, t := range a.doubtful(m) {
-		slog.Info("task stopped, for nobody can tell whether its job goes on", "task", t.id, "machine", m.name)
+		slog.Info("orphaned task stopped", "task", t.id, "machine", m.name)
 		t.kill()
 		a.touch(m)
 	}
--- a/internal/clusteragent/parts.go
+++ b/internal/clusteragent/parts.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"robinstack/internal/agentapi"
-
 	"robinstack/internal/job"
 )
 
--- a/internal/clusteragent/register_test.go
+++ b/internal/clusteragent/register_test.go
@@ -7,9 +7,8 @@
 	"testing"
 	"time"
 
-	"robinstack/internal/agentapi"
-
 	"robinstack/emulator"
+	"robinstack/internal/agentapi"
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 )
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"robinstack/internal/agentapi"
-
 	"robinstack/internal/cloud"
 	"robinstack/internal/job"
 )
--- a/internal/clusteragent/zone.go
+++ b/internal/clusteragent/zone.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"robinstack/internal/shard"
-
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
 )
--- a/internal/clusteragent/zone_test.go
+++ b/internal/clusteragent/zone_test.go
@@ -6,12 +6,10 @@
 	"testing"
 	"time"
 
-	"robinstack/internal/agentapi"
-
-	"robinstack/internal/shard"
-
 	"robinstack/emulator"
+	"robinstack/internal/agentapi"
 	"robinstack/internal/clusteragent"
+	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 )
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -13,14 +13,10 @@
 	"sync"
 	"time"
 
-	"robinstack/internal/changefeed"
-
 	"robinstack/internal/agentapi"
-
-	"robinstack/internal/shard"
-
 	"robinstack/internal/autoscaler"
 	"robinstack/internal/budget"
+	"robinstack/internal/changefeed"
 	"robinstack/internal/cloud"
 	"robinstack/internal/clusteragent"
 	"robinstack/internal/config"
@@ -32,6 +28,7 @@
 	"robinstack/internal/recovery"
 	"robinstack/internal/rollout"
 	"robinstack/internal/scheduler"
+	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 	"robinstack/internal/tombstone"
 	"robinstack/internal/worker"
@@ -144,7 +141,7 @@
 		pause := 300 * time.Millisecond
 		if err != nil && ctx.Err() == nil {
 			if told != err.Error() || !rollout.IsRefused(err) {
-				slog.Info("life ended", "err", err)
+				slog.Info("controller session ended", "err", err)
 			}
 			told = err.Error()
 		}
@@ -214,7 +211,7 @@
 	}
 	c.gateway.SetWaiting("")
 	clock.Mark(recovery.Life)
-	slog.Info("life begun", "host", member.Host, "instance", member.Instance)
+	slog.Info("controller session started", "host", member.Host, "instance", member.Instance)
 
 	server := rpc.NewServer()
 	greeter := peer.NewService(c.settings.Host, rollout.Build, map[string]any{"Agent": (*clusteragent.Service)(nil), "Placer": (*scheduler.Service)(nil), "Steward": (*autoscaler.Service)(nil)})
@@ -326,7 +323,7 @@
 			if err := network.Call(cctx, host, "Steward.Budget", report, &grant); err == nil {
 				writes.Granted(grant, sent)
 			} else {
-				slog.Debug("asking for a part of the changes", "err", err)
+				slog.Debug("write budget request failed", "err", err)
 			}
 			cancel()
 		}
--- a/internal/gateway/pipelines_test.go
+++ b/internal/gateway/pipelines_test.go
@@ -13,9 +13,8 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/internal/changefeed"
-
 	"robinstack/emulator"
+	"robinstack/internal/changefeed"
 	"robinstack/internal/cloud"
 	"robinstack/internal/config"
 	"robinstack/internal/dag"
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -5,7 +5,6 @@
 	"testing"
 
 	"robinstack/internal/agentapi"
-
 	"robinstack/internal/cloud"
 	"robinstack/internal/job"
 	"robinstack/internal/worker"
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -2,8 +2,9 @@
 
 import (
 	"maps"
-	"robinstack/internal/netcount"
 	"sync"
+
+	"robinstack/internal/netcount"
 )
 
 // Traffic is what a controller has asked others since its process or its last session began.
--- a/internal/rollout/against.go
+++ b/internal/rollout/against.go
@@ -10,9 +10,8 @@
 	"strings"
 	"text/tabwriter"
 
-	"robinstack/internal/shard"
-
 	"robinstack/internal/job"
+	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 	"robinstack/internal/tombstone"
 )
--- a/internal/scheduler/begin.go
+++ b/internal/scheduler/begin.go
@@ -7,11 +7,9 @@
 	"sync"
 	"time"
 
-	"robinstack/internal/quota"
-
 	"robinstack/internal/agentapi"
-
 	"robinstack/internal/job"
+	"robinstack/internal/quota"
 )
 
 // beginWithin is the time within which every job has to begin, the largest too, once it
@@ -88,7 +86,7 @@
 	j.nextTry = time.Now().Add(gatherPause)
 	if !j.gathers {
 		j.gathers = true
-		slog.Info("room is gathered", "job", j.spec.ID, "class", j.spec.Class, "tasks", len(j.tasks), "age", time.Since(j.from).Round(time.Second), "machines", kept)
+		slog.Info("backfill reservation complete", "job", j.spec.ID, "class", j.spec.Class, "tasks", len(j.tasks), "age", time.Since(j.from).Round(time.Second), "machines", kept)
 	}
 	return kept > 0
 }
@@ -122,7 +120,7 @@
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
 			defer cancel()
 			if err := p.call.Call(cctx, c.Host, method, agentapi.CommitRequest{Request: req, Machine: c.Machine, Rev: c.Rev}, &reply); err != nil {
-				slog.Debug("keeping a machine", "method", method, "machine", c.Machine, "err", err)
+				slog.Debug("machine reservation failed", "method", method, "machine", c.Machine, "err", err)
 				return
 			}
 			mu.Lock()
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/choose.go
@@ -6,7 +6,6 @@
 	"slices"
 
 	"robinstack/internal/agentapi"
-
 	"robinstack/internal/job"
 )
 
--- a/internal/scheduler/slots_test.go
+++ b/internal/scheduler/slots_test.go
@@ -6,9 +6,8 @@
 	"testing"
 	"time"
 
-	"robinstack/internal/agentapi"
-
 	"robinstack/emulator"
+	"robinstack/internal/agentapi"
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 	"robinstack/internal/worker"
--- a/internal/scheduler/story_test.go
+++ b/internal/scheduler/story_test.go
@@ -9,19 +9,16 @@
 	"testing/synctest"
 	"time"
 
-	"robinstack/internal/quota"
-
-	"robinstack/internal/changefeed"
-
-	"robinstack/internal/agentapi"
-
 	"robinstack/emulator"
+	"robinstack/internal/agentapi"
+	"robinstack/internal/changefeed"
 	"robinstack/internal/cloud"
 	"robinstack/internal/clusteragent"
 	"robinstack/internal/config"
 	"robinstack/internal/dag"
 	"robinstack/internal/job"
 	"robinstack/internal/policy"
+	"robinstack/internal/quota"
 	"robinstack/internal/scheduler"
 	"robinstack/internal/statekv"
 	"robinstack/internal/tombstone"
--- a/test/integration/roles_test.go
+++ b/test/integration/roles_test.go
@@ -5,10 +5,9 @@
 	"sync"
 	"time"
 
-	"robinstack/internal/shard"
-
 	"robinstack/emulator"
 	"robinstack/internal/job"
+	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 )
 
--- a/tools/scaletest/profile.go
+++ b/tools/scaletest/profile.go
@@ -7,11 +7,12 @@
 	"errors"
 	"fmt"
 	"os"
-	"robinstack/internal/policy"
 	"slices"
 	"strings"
 
 	"github.com/pelletier/go-toml/v2"
+
+	"robinstack/internal/policy"
 )
 
 // ErrProfile marks errors in a profile, and ErrDoesNotFit a run that this machine has no
--- a/tools/scaletest/run.go
+++ b/tools/scaletest/run.go
@@ -15,9 +15,8 @@
 	"sync"
 	"time"
 
-	"robinstack/internal/shard"
-
 	"robinstack/emulator"
+	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 	"robinstack/tools/devcluster"
 )
