--- /dev/null
+++ b/config/wire_test.go
@@ -0,0 +1,59 @@
+package config
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"robinstack/wireformat"
+)
+
+func TestWireForms(t *testing.T) {
+	wireformat.JSON[wireSettings](t, "settings")
+	var filled wireSettings
+	wireformat.Fill(&filled)
+	filled.Listen, filled.PeerListen, filled.External.Cloud, filled.External.State = "l:1", "p:2", "c:3", "s:4"
+	for i := range filled.Peers {
+		filled.Peers[i].Address = "a:5"
+	}
+	facts := &filled.Facts
+	facts.Workers.LeaseS, facts.Workers.CancelS = 100, 200
+	facts.State.Next.RPS, facts.State.Next.WriteRPS = 0, 0
+	raw, err := json.Marshal(filled)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := Parse(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	peer, objective := s.Peers[0], s.Objectives[0]
+	got := []any{
+		s.Host, s.Zone, s.Listen, s.PeerListen, s.CloudAddress, s.StateAddress, s.Controllers, s.Zones,
+		peer.Host, peer.Zone, peer.Address,
+		s.Workers.Report, s.Workers.Lease, s.Workers.GangWait, s.Workers.GangPeer, s.Workers.CancelGone,
+		s.State.RPS, s.State.WriteRPS, s.State.ValueBytes, s.State.TxnOps,
+		s.CloudRPS, s.CloudListLag, s.MemoryBytes, s.MaxConnections, s.ClockOff, len(s.Teams),
+		objective.Kind, objective.Class, objective.Within, objective.Share, objective.Times,
+	}
+	wireformat.Golden(t, "read", wireformat.Indent(t, got))
+}
+
+// The platform builds and runs the program by this file.
+func TestWireDeployment(t *testing.T) {
+	raw, err := os.ReadFile("../deploy/service.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var deployment map[string]string
+	if err := toml.Unmarshal(raw, &deployment); err != nil {
+		t.Fatal(err)
+	}
+	if deployment["production"] == "" {
+		t.Error("no production version")
+	}
+	deployment["production"] = "a version" // it moves with each release
+	wireformat.Golden(t, "deployment", wireformat.Indent(t, deployment))
+}
--- /dev/null
+++ b/controller/wire_test.go
@@ -0,0 +1,70 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/rpc"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"robinstack/cloud"
+	"robinstack/config"
+	"robinstack/fakes"
+	"robinstack/peer"
+	"robinstack/policy"
+	"robinstack/serving"
+	"robinstack/wireformat"
+)
+
+var errNoPeers = errors.New("there are no peers")
+
+// unconnected is the network of a life that ends when it begins to listen.
+type unconnected struct{}
+
+func (unconnected) Call(context.Context, string, string, any, any) error { return errNoPeers }
+func (unconnected) Listen() (func(context.Context), error)               { return nil, errNoPeers }
+func (unconnected) Close()                                               {}
+
+// The names under which services are registered and announced are those on the wire.
+func TestWireServices(t *testing.T) {
+	var server *rpc.Server
+	var greeter *peer.Service
+	settings := &config.Settings{Host: "host-0", Controllers: 1, Zones: []string{"a"}, Zone: "a",
+		Workers: config.Workers{Report: 3 * time.Second, Lease: 30 * time.Second, CancelGone: time.Minute},
+		State:   config.State{RPS: 100, WriteRPS: 50, ValueBytes: 8192, TxnOps: 24}}
+	store := fakes.NewPort(fakes.NewState(), 1)
+	c := Assemble(settings, policy.Default(), Outside{Store: store, Moves: store,
+		Connect: func(s *rpc.Server, g *peer.Service) Network {
+			server, greeter = s, g
+			return unconnected{}
+		}})
+	c.catalogue.Set([]cloud.MachineType{{Name: "box"}})
+	if err := c.live(t.Context(), serving.NewClock(time.Now())); !errors.Is(err, errNoPeers) {
+		t.Fatal(err)
+	}
+
+	var greeting peer.Greeting
+	if err := greeter.Hello(peer.Greeting{}, &greeting); err != nil {
+		t.Fatal(err)
+	}
+	methods := append(slices.Clone(greeting.Calls), "Peer.Hello")
+	wireformat.Golden(t, "methods", strings.Join(methods, "\n")+"\n")
+
+	ours, theirs := net.Pipe()
+	go server.ServeConn(theirs)
+	client := rpc.NewClient(ours)
+	defer client.Close()
+	const unknown = "rpc: can't find"
+	for _, method := range methods {
+		// No method takes a bool: it is found and refuses the argument, without a call.
+		if err := client.Call(method, true, &struct{}{}); err == nil || strings.HasPrefix(err.Error(), unknown) {
+			t.Errorf("%s: %v", method, err)
+		}
+	}
+	if err := client.Call("Agent.NoSuch", true, &struct{}{}); err == nil || !strings.HasPrefix(err.Error(), unknown) {
+		t.Errorf("a method that is not there: %v", err)
+	}
+}
--- /dev/null
+++ b/gateway/wire_test.go
@@ -0,0 +1,78 @@
+package gateway
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"robinstack/agent"
+	"robinstack/job"
+	"robinstack/statekv"
+	"robinstack/wireformat"
+)
+
+func TestWireForms(t *testing.T) {
+	wireformat.JSON[jobStatus](t, "job")
+	wireformat.JSON[Status](t, "status")
+	var routes []string
+	open(t, func(d *door) {
+		for _, route := range d.g.app.GetRoutes(true) {
+			if route.Method != http.MethodHead {
+				routes = append(routes, route.Method+" "+route.Path)
+			}
+		}
+	})
+	slices.Sort(routes)
+	wireformat.Golden(t, "routes", strings.Join(routes, "\n")+"\n")
+}
+
+// Answers to users and workers; the texts of errors are for people and may change.
+func TestWireAnswers(t *testing.T) {
+	const spec = `{"id":"wk-%d","job_class":"c","owner":%q,"shape":"sweep","rank":"normal","pieces":4,` +
+		`"cpus":1,"gpus":0,"mem_gb":1,"bundle":"i","pull_gb":1,"host_kinds":["box"],"site":"a",` +
+		`"one_zone":true,"spread":false,"loaners":true,` +
+		`"guess_s":5,"snapshot_every_s":3,"snapshot_s":1,"due_s":9}`
+	const report = `{"host":"vm-1","addr":"10.1.0.2:9000","host_kind":"box","site":"a","loaners":true,` +
+		`"tenure":1,"serial":1,"baton":0,"recall_s":null,"pieces":[]}`
+	var b strings.Builder
+	open(t, func(d *door) {
+		l := d.life
+		l.Agent = agent.New(d.g.settings, d.state, l.Mirror, l.Member, nil, d.g.catalogue.Types)
+		rev, err := d.state.Txn(d.ctx, nil, []statekv.Op{{Set: statekv.NodePrefix + "host-1", Value: struct{}{}}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		shard := agent.ShardKey{Holder: statekv.Holder{Host: "host-1", Instance: rev}}
+		machine := agent.MachineKey{Shard: "s", Address: "10.1.0.2:9000", Type: "box", Zone: "a", Spot: true}
+		d.put(statekv.Op{Set: statekv.ShardPrefix + "s", Value: shard},
+			statekv.Op{Set: statekv.MachinePrefix + "vm-1", Value: machine})
+		time.Sleep(time.Second)
+		for _, request := range [][3]string{
+			{"POST", "/submissions", fmt.Sprintf(spec, 1, "t")},
+			{"POST", "/submissions", fmt.Sprintf(spec, 1, "t")},
+			{"POST", "/submissions", fmt.Sprintf(spec, 2, "nobody")},
+			{"POST", "/submissions", "{}"},
+			{"GET", "/submissions/wk-1", ""},
+			{"GET", "/submissions/wk-9", ""},
+			{"POST", "/submissions/wk-1/abort", ""},
+			{"POST", "/submissions/wk-9/abort", ""},
+			{"GET", "/submissions/wk-1", ""},
+			{"POST", "/v1/report", report},
+			{"POST", "/v1/report", "{}"},
+			{"GET", "/ready", ""},
+		} {
+			code, answer, _ := d.ask(request[0], request[1], request[2])
+			if _, ok := answer["error"]; ok {
+				answer["error"] = "(a reason)"
+			}
+			fmt.Fprintf(&b, "%s\n  %d %s\n", strings.Join(request[:], " "), code, wireformat.Indent(t, answer))
+			if stored, err := d.state.Get(d.ctx, job.OpenKey("wk-1")); err == nil && code == http.StatusCreated {
+				fmt.Fprintf(&b, "  stored %s\n", stored.Value)
+			}
+		}
+	})
+	wireformat.Golden(t, "answers", b.String())
+}
--- /dev/null
+++ b/job/wire_test.go
@@ -0,0 +1,93 @@
+package job
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+
+	"robinstack/statekv"
+	"robinstack/wireformat"
+)
+
+func TestWireForms(t *testing.T) {
+	wireformat.JSON[Spec](t, "spec")
+	wireformat.JSON[Record](t, "record")
+	wireformat.Golden(t, "keys", OpenKey("wk-1")+"\n"+PartKey("wk-1", 2)+"\n"+PieceKey("wk-1", 3)+"\n")
+	wireformat.Golden(t, "words", strings.Join([]string{Array, Gang, Service, Queued, Running, Done, Cancelled,
+		"production", "high", "normal", "best_effort"}, "\n")+"\n")
+	wireformat.Golden(t, "required", strings.Join(required, "\n")+"\n")
+	for name, rank := range map[string]int{"production": 3, "high": 2, "normal": 1, "best_effort": 0} {
+		if RankOf(name) != rank {
+			t.Errorf("rank %s is %d, want %d", name, RankOf(name), rank)
+		}
+	}
+}
+
+// A record is written with what a later version wrote beside its fields and in its spec.
+func TestWireRecordOfALaterVersion(t *testing.T) {
+	var r Record
+	wireformat.Fill(&r)
+	r.Form, r.Pieces, r.Spec.ID, r.Spec.Tasks = RecordForm, 0, "wk-1", 9000
+	finished := NewSet(r.Spec.Tasks)
+	finished.Add(0)
+	finished.Add(70)
+	r.Done = finished.Chunk(0)
+	r.Rest = statekv.Rest{"later": json.RawMessage(`[1]`)}
+	r.SpecRest = statekv.Rest{"later_too": json.RawMessage(`{"a":2}`)}
+	wireformat.Golden(t, "record-later", wireformat.Indent(t, r))
+
+	raw := json.RawMessage(wireformat.Recorded(t, "record-later"))
+	got, err := ParseRecord(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got.Keep(raw)
+	if wireformat.Indent(t, got) != wireformat.Indent(t, r) {
+		t.Errorf("the recorded record reads as %+v, want %+v", got, r)
+	}
+	read := NewSet(r.Spec.Tasks)
+	if err := read.Load(0, got.Done); err != nil || !reflect.DeepEqual(read, finished) {
+		t.Errorf("the finished tasks read as %v, %v; want %v", read, err, finished)
+	}
+}
+
+// Pieces are recorded to be read; what packs them may pack them otherwise.
+func TestWirePieces(t *testing.T) {
+	var r Record
+	wireformat.Fill(&r)
+	r.Form, r.Spec.ID, r.Spec.Tasks = RecordForm, "wk-1", 9000
+	want := r.Spec
+	const limit, most = 200, 8
+	ops, err := r.Split(limit, most)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if wireformat.Updating() {
+		wireformat.Golden(t, "pieces", wireformat.Indent(t, ops))
+	}
+	var recorded []statekv.Event
+	if err := json.Unmarshal([]byte(wireformat.Recorded(t, "pieces")), &recorded); err != nil {
+		t.Fatal(err)
+	}
+	r.Pieces = len(recorded)
+	raw, err := json.Marshal(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := ParseRecord(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = got.Join(func(key string) (statekv.KV, bool) {
+		for _, e := range recorded {
+			if e.Set == key {
+				return statekv.KV{Key: key, Value: e.Value}, true
+			}
+		}
+		return statekv.KV{}, false
+	})
+	if err != nil || !reflect.DeepEqual(got.Spec, want) {
+		t.Errorf("the recorded pieces read as %+v, %v; want %+v", got.Spec, err, want)
+	}
+}
--- /dev/null
+++ b/scale/wire_test.go
@@ -0,0 +1,28 @@
+package scale
+
+import (
+	"reflect"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"robinstack/wireformat"
+)
+
+func TestWireForms(t *testing.T) {
+	var want, got Profile
+	wireformat.Fill(&want)
+	raw, err := toml.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wireformat.Golden(t, "profile", string(raw))
+	err = toml.Unmarshal([]byte(wireformat.Recorded(t, "profile")), &got)
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("the recorded profile reads as %+v, %v; want %+v", got, err, want)
+	}
+	wireformat.JSON[Result](t, "result")
+	wireformat.JSON[SweepResult](t, "sweep")
+	wireformat.JSON[Progress](t, "progress")
+	wireformat.JSON[LoadResult](t, "load")
+}
--- /dev/null
+++ b/statekv/wire_test.go
@@ -0,0 +1,90 @@
+package statekv
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"robinstack/wireformat"
+)
+
+func TestWireForms(t *testing.T) {
+	wireformat.JSON[KV](t, "kv")
+	wireformat.JSON[Cond](t, "condition")
+	wireformat.JSON[Op](t, "operation")
+	wireformat.JSON[Event](t, "event")
+	wireformat.JSON[Page](t, "page")
+	wireformat.JSON[News](t, "news")
+	wireformat.JSON[Holder](t, "role-key")
+	wireformat.JSON[Refusal](t, "refusal")
+	wireformat.Golden(t, "keys", strings.Join([]string{
+		RootPrefix, FleetPrefix, NodePrefix, SlotPrefix, MachinePrefix, ShardPrefix,
+		StewardKey, TypesKey, LevelKey, JoinsKey, MoveKey,
+	}, "\n")+"\n")
+}
+
+func TestWireStoredForms(t *testing.T) {
+	if got := FormOf(json.RawMessage(`{"form":7}`)); got != 7 {
+		t.Errorf("the form of an object reads as %d, want 7", got)
+	}
+	raw, err := json.Marshal(Keep(json.RawMessage(`{"host":"h","later":[1]}`), Holder{Host: "g", Instance: 2}))
+	if want := `{"host":"g","instance":2,"later":[1]}`; err != nil || string(raw) != want {
+		t.Errorf("a kept object is %s, %v; want %s", raw, err, want)
+	}
+}
+
+// kindOf names an error by what callers tell apart.
+func kindOf(err error) string {
+	var conflict *Conflict
+	switch {
+	case err == nil:
+		return "ok"
+	case errors.As(err, &conflict):
+		return fmt.Sprintf("conflict %v", conflict.Failed)
+	case errors.Is(err, ErrNotFound):
+		return "not found"
+	case errors.Is(err, ErrCompacted):
+		return "compacted"
+	case errors.Is(err, ErrTooLarge):
+		return "too large"
+	case errors.Is(err, ErrRefused):
+		return "refused"
+	}
+	return "unknown"
+}
+
+func TestWireRequests(t *testing.T) {
+	p := wireformat.NewPeer(t,
+		`200 {"path":"a/b","data":{"x":1},"key_rev":412,"grant":7}`,
+		`200 {"items":[{"path":"c/8","data":2,"key_rev":9}],"truncated":true,"ledger_rev":431}`,
+		`200 {"ledger_rev":432}`, `409 {"failed":["a/b"],"ledger_rev":431}`,
+		`400 {"error":"no such lease"}`, `400 {"error":"too large"}`,
+		`200 {"grant":7}`, `200 {}`, `200 {}`,
+		`200 {"ledger_rev":433,"news":[{"set":"c/9","data":{},"key_rev":433},{"delete":"c/d","key_rev":432}]}`,
+		`404 {}`, `410 {}`, `429 {}`, `503 {}`)
+	c := NewClient(p.Address(), 1000, 1000, 1)
+	ctx := context.Background()
+	note := func(v any, err error) { p.Notef("  %s %s", wireformat.Indent(t, v), kindOf(err)) }
+
+	note(c.Get(ctx, "a/b"))
+	note(c.List(ctx, "c/", "c/7"))
+	conditions := []Cond{{Key: "a/b", Rev: 3}}
+	changes := []Op{{Set: "a/b", Value: map[string]int{"x": 1}, Lease: 7}, {Delete: "c/d"}}
+	for range 4 {
+		note(c.Txn(ctx, conditions, changes))
+	}
+	note(c.Grant(ctx, 5*time.Second))
+	note(nil, c.Renew(ctx, 7))
+	note(nil, c.Revoke(ctx, 7))
+	for range 2 {
+		note(c.Follow(ctx, "c/", 431, 10*time.Second))
+	}
+	for range 3 {
+		note(c.Get(ctx, "a/b"))
+	}
+	wireformat.Golden(t, "requests", p.Notes())
+}
--- /dev/null
+++ b/steward/wire_test.go
@@ -0,0 +1,9 @@
+package steward
+
+import (
+	"testing"
+
+	"robinstack/wireformat"
+)
+
+func TestWireForms(t *testing.T) { wireformat.Service(t, (*Service)(nil)) }
