--- a/controller/wire_test.go
+++ b/controller/wire_test.go
@@ -56,7 +56,7 @@
 	ours, theirs := net.Pipe()
 	go server.ServeConn(theirs)
 	client := rpc.NewClient(ours)
-	defer client.Close()
+	defer func() { _ = client.Close() }() // nothing is left to be sent
 	const unknown = "rpc: can't find"
 	for _, method := range methods {
 		// No method takes a bool: it is found and refuses the argument, without a call.
--- a/gateway/wire_test.go
+++ b/gateway/wire_test.go
@@ -76,3 +76,24 @@
 	})
 	wireformat.Golden(t, "answers", b.String())
 }
+
+// Words that the status page has as values.
+func TestWireStatusWords(t *testing.T) {
+	var words []string
+	for _, e := range []agent.Entry{{}, {Settled: true}, {Settled: true, Silent: true}, {Settled: true, Notice: true},
+		{Settled: true, Faulty: true}, {Settled: true, Draining: true}} {
+		words = append(words, machineState(&e))
+	}
+	open(t, func(d *door) {
+		for _, request := range [][2]string{{"POST", "/v1/report"}, {"POST", "/submissions"},
+			{"GET", "/submissions/wk-9"}, {"POST", "/submissions/wk-9/abort"}} {
+			d.ask(request[0], request[1], "{}")
+		}
+		var requests []string
+		for _, latency := range d.g.latencies.show() {
+			requests = append(requests, latency.Request)
+		}
+		words = append(words, slices.Sorted(slices.Values(requests))...)
+	})
+	wireformat.Golden(t, "status-words", strings.Join(words, "\n")+"\n")
+}
--- /dev/null
+++ b/serving/wire_test.go
@@ -0,0 +1,13 @@
+package serving
+
+import (
+	"strings"
+	"testing"
+
+	"robinstack/wireformat"
+)
+
+// The steps are keys of the status page.
+func TestWireForms(t *testing.T) {
+	wireformat.Golden(t, "steps", strings.Join([]string{Life, Ready, Accepted, Placed, Settled}, "\n")+"\n")
+}
