--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -54,7 +54,7 @@
 	return startWith(t, ctx, s, host, state, workers, setup...)
 }
 
-func startWith(t *testing.T, ctx context.Context, settings *config.Settings, host string, state statekv.Store, workers *fakes.Workers, setup ...func(*agent.Agent)) *node {
+func startWith(t testing.TB, ctx context.Context, settings *config.Settings, host string, state statekv.Store, workers *fakes.Workers, setup ...func(*agent.Agent)) *node {
 	t.Helper()
 	ctx, stop := context.WithCancel(ctx)
 	mirror := statekv.NewMirror(state, []string{statekv.FleetPrefix, job.OpenPrefix}, statekv.RootPrefix, settings.WatchTime(), 0, func([]statekv.Event) {})
@@ -123,7 +123,7 @@
 	})
 }
 
-func slot(t *testing.T, n *node, name string, seen uint64) uint64 {
+func slot(t testing.TB, n *node, name string, seen uint64) uint64 {
 	t.Helper()
 	rev, err := n.member.Take(context.Background(), statekv.Role{Key: statekv.SlotPrefix + name, Seen: seen, Value: n.member.Holder})
 	if err != nil {
--- /dev/null
+++ b/agent/bench_test.go
@@ -0,0 +1,91 @@
+package agent_test
+
+import (
+	"fmt"
+	"log/slog"
+	"sync"
+	"testing"
+
+	"robinstack/agent"
+	"robinstack/fakes"
+	"robinstack/job"
+)
+
+// benchMachines is how many machines an owner has in benchmarks, about those of one of
+// three controllers in a fleet of 600.
+const benchMachines = 200
+
+// benchNode returns an owner of benchMachines machines, their workers and a slot's epoch.
+func benchNode(b *testing.B) (n *node, workers *fakes.Workers, machines []*fakes.Worker, epoch uint64) {
+	b.Helper()
+	level := slog.SetLogLoggerLevel(slog.LevelError)
+	b.Cleanup(func() { slog.SetLogLoggerLevel(level) })
+	workers = fakes.NewWorkers()
+	n = startWith(b, b.Context(), settings(), "host-0", fakes.NewState(), workers)
+	var claims sync.WaitGroup
+	for k := range benchMachines {
+		w := workers.Add(fmt.Sprintf("vm-%06d", k), "box", "a")
+		machines = append(machines, w)
+		claims.Go(func() { n.report(workers, w) })
+	}
+	claims.Wait()
+	for _, w := range machines {
+		if reply := n.report(workers, w); !reply.Owner {
+			b.Fatalf("%s is not owned: %+v", w.Report.Machine, reply)
+		}
+	}
+	return n, workers, machines, slot(b, n, "s", 0)
+}
+
+func benchRequest(epoch uint64) agent.Request {
+	return agent.Request{Slot: "s", Epoch: epoch, Tasks: 8, Share: 0.04, Least: 48, Spare: 3,
+		Spec: job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 9, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
+}
+
+// BenchmarkReport is the taking of a worker's report by the owner of its machine.
+func BenchmarkReport(b *testing.B) {
+	n, workers, machines, _ := benchNode(b)
+	b.ReportAllocs()
+	for k := 0; b.Loop(); k++ {
+		if reply := n.report(workers, machines[k%len(machines)]); !reply.Owner {
+			b.Fatalf("%+v", reply)
+		}
+	}
+}
+
+// BenchmarkSample is one sampling step over the machines of an owner.
+func BenchmarkSample(b *testing.B) {
+	n, _, _, epoch := benchNode(b)
+	b.ReportAllocs()
+	for b.Loop() {
+		var reply agent.Sample
+		if err := n.service.Sample(benchRequest(epoch), &reply); err != nil || len(reply.Candidates) == 0 {
+			b.Fatalf("%+v %v", reply, err)
+		}
+	}
+}
+
+// BenchmarkCommit reserves room for a task and gives it back, without a command.
+func BenchmarkCommit(b *testing.B) {
+	n, _, machines, epoch := benchNode(b)
+	var revs []uint64
+	entries := n.entries()
+	for _, w := range machines {
+		revs = append(revs, entries[w.Report.Machine].Rev)
+	}
+	b.ReportAllocs()
+	for k := 0; b.Loop(); k++ {
+		at, ref := k%len(machines), agent.TaskRef{Job: "wk-1", Attempt: uint64(k + 1)}
+		machine := machines[at].Report.Machine
+		request := agent.CommitRequest{Request: benchRequest(epoch), Machine: machine, Rev: revs[at], Hold: true}
+		request.Refs = []agent.TaskRef{ref}
+		var reply agent.CommitReply
+		if err := n.service.Commit(request, &reply); err != nil || reply.Verdicts[0] != agent.Held {
+			b.Fatalf("%+v %v", reply, err)
+		}
+		stop := agent.StopRequest{Items: []agent.StopItem{{Machine: machine, TaskRef: ref}}}
+		if err := n.service.Stop(stop, &struct{}{}); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- a/steward/steward_test.go
+++ b/steward/steward_test.go
@@ -24,7 +24,7 @@
 		State:   config.State{RPS: 100, WriteRPS: 50, ValueBytes: 8192, TxnOps: 24}}
 }
 
-func newSteward(t *testing.T, ctx context.Context) (*Steward, *fakes.State) {
+func newSteward(t testing.TB, ctx context.Context) (*Steward, *fakes.State) {
 	t.Helper()
 	state := fakes.NewState()
 	machine := agent.MachineKey{Shard: "host-9.1.0", Type: "box", Zone: "a"}
