--- /dev/null
+++ b/internal/autoscaler/bench_test.go
@@ -0,0 +1,32 @@
+package autoscaler
+
+import (
+	"context"
+	"testing"
+
+	"robinstack/internal/agentapi"
+	"robinstack/internal/job"
+	"robinstack/internal/quota"
+)
+
+// BenchmarkPermit asks for the permits of a hundred tasks, of which ten fit the limit.
+func BenchmarkPermit(b *testing.B) {
+	ctx, cancel := context.WithCancel(b.Context())
+	defer cancel()
+	s, _ := newSteward(b, ctx)
+	go func() { _ = s.member.Keep(ctx) }() // it ends with the benchmark
+	const tasks = 100
+	request := quota.PermitRequest{Slot: "s", Epoch: 1, Probe: true}
+	for k := range tasks {
+		ref := agentapi.TaskRef{Job: "wk-1", Index: k, Attempt: 1}
+		request.Wants = append(request.Wants, quota.Want{Ref: ref, Team: "t", Need: job.Need{GPUs: 1}})
+	}
+	service := NewService(s)
+	b.ReportAllocs()
+	for b.Loop() {
+		var reply quota.PermitReply
+		if err := service.Permit(request, &reply); err != nil || len(reply.Granted) != tasks {
+			b.Fatalf("%+v %v", reply, err)
+		}
+	}
+}
--- a/internal/autoscaler/steward_test.go
+++ b/internal/autoscaler/steward_test.go
@@ -27,7 +27,7 @@
 		State:   config.State{RPS: 100, WriteRPS: 50, ValueBytes: 8192, TxnOps: 24}}
 }
 
-func newSteward(t *testing.T, ctx context.Context) (*Steward, *emulator.State) {
+func newSteward(t testing.TB, ctx context.Context) (*Steward, *emulator.State) {
 	t.Helper()
 	state := emulator.NewState()
 	machine := shard.MachineKey{Shard: "host-9.1.0", Type: "box", Zone: "a"}
--- /dev/null
+++ b/internal/autoscaler/wire_test.go
@@ -0,0 +1,9 @@
+package autoscaler
+
+import (
+	"testing"
+
+	"robinstack/test/wireformat"
+)
+
+func TestWireForms(t *testing.T) { wireformat.Service(t, (*Service)(nil)) }
--- /dev/null
+++ b/internal/clusteragent/wire_test.go
@@ -0,0 +1,17 @@
+package clusteragent
+
+import (
+	"strings"
+	"testing"
+
+	"robinstack/internal/agentapi"
+	"robinstack/internal/shard"
+	"robinstack/test/wireformat"
+)
+
+func TestWireForms(t *testing.T) {
+	wireformat.Service(t, (*Service)(nil))
+	wireformat.JSON[shard.MachineKey](t, "machine-key")
+	wireformat.JSON[shard.ShardKey](t, "shard-key")
+	wireformat.Golden(t, "words", strings.Join([]string{agentapi.Started, agentapi.Held, agentapi.Refused, agentapi.Unsettled, agentapi.Starting}, "\n")+"\n")
+}
--- /dev/null
+++ b/internal/scheduler/wire_test.go
@@ -0,0 +1,9 @@
+package scheduler
+
+import (
+	"testing"
+
+	"robinstack/test/wireformat"
+)
+
+func TestWireForms(t *testing.T) { wireformat.Service(t, (*Service)(nil)) }
--- /dev/null
+++ b/tools/audit/wire_test.go
@@ -0,0 +1,140 @@
+package audit
+
+import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"robinstack/internal/logline"
+	"robinstack/test/wireformat"
+)
+
+// moduleRoot is the module's directory, seen from this package's.
+const moduleRoot = "../.."
+
+// The log lines that the audit goes by have the levels, messages and keys of the recorded
+// former ones, after the table of renamed lines. They are looked for in all sources, so
+// that what writes them may move.
+func TestWireLogLines(t *testing.T) {
+	var want []string
+	messages := map[string]bool{}
+	for _, line := range strings.Split(strings.TrimSpace(wireformat.Recorded(t, "log-lines")), "\n") {
+		message, renamed := currentLine(t, line)
+		messages[message] = true
+		want = append(want, renamed)
+	}
+	slices.Sort(want)
+	got := writtenLines(t, messages)
+	if !slices.Equal(got, want) {
+		t.Errorf("log lines are\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+	}
+}
+
+// currentLine is a recorded line, as `Level "message" key ...`, under the current names.
+func currentLine(t *testing.T, recorded string) (message, line string) {
+	t.Helper()
+	parts := strings.SplitN(recorded, `"`, 3)
+	if len(parts) != 3 {
+		t.Fatalf("recorded line %q has no message", recorded)
+	}
+	level, oldMessage, keys := parts[0], parts[1], strings.Fields(parts[2])
+	line = level
+	for i, key := range keys {
+		var renamed map[string]string
+		message, renamed = logline.Current(oldMessage, map[string]string{key: ""})
+		if i == 0 {
+			line += strconv.Quote(message)
+		}
+		for name := range renamed {
+			line += " " + name
+		}
+	}
+	return message, line
+}
+
+// writtenLines describes all calls of slog with one of the messages, sorted.
+func writtenLines(t *testing.T, messages map[string]bool) []string {
+	t.Helper()
+	names := messageConstants(t)
+	var lines []string
+	err := filepath.WalkDir(moduleRoot, func(path string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		ast.Inspect(file, func(n ast.Node) bool {
+			if message, line := logLine(n, names); messages[message] {
+				lines = append(lines, line)
+			}
+			return true
+		})
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	slices.Sort(lines)
+	return lines
+}
+
+// messageConstants returns the constants of package logline by their names.
+func messageConstants(t *testing.T) map[string]string {
+	t.Helper()
+	path := filepath.Join(moduleRoot, "internal", "logline", "logline.go")
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	names := map[string]string{}
+	ast.Inspect(file, func(n ast.Node) bool {
+		if spec, ok := n.(*ast.ValueSpec); ok && len(spec.Values) == 1 {
+			names[spec.Names[0].Name] = literal(spec.Values[0])
+		}
+		return true
+	})
+	return names
+}
+
+// logLine describes a call of slog, if n is one, and returns its message.
+func logLine(n ast.Node, constants map[string]string) (message, line string) {
+	call, isCall := n.(*ast.CallExpr)
+	if !isCall || len(call.Args) == 0 {
+		return "", ""
+	}
+	method, isMethod := call.Fun.(*ast.SelectorExpr)
+	if !isMethod {
+		return "", ""
+	}
+	if pkg, isName := method.X.(*ast.Ident); !isName || pkg.Name != "slog" {
+		return "", ""
+	}
+	message = literal(call.Args[0])
+	if name, isConstant := call.Args[0].(*ast.SelectorExpr); isConstant {
+		message = constants[name.Sel.Name]
+	}
+	line = fmt.Sprintf("%s %q", method.Sel.Name, message)
+	for i := 1; i < len(call.Args); i += 2 {
+		line += " " + literal(call.Args[i])
+	}
+	return message, line
+}
+
+// literal is the value of a string literal, or a mark where it is none.
+func literal(e ast.Expr) string {
+	if lit, ok := e.(*ast.BasicLit); ok {
+		if text, err := strconv.Unquote(lit.Value); err == nil {
+			return text
+		}
+	}
+	return "(no literal)"
+}
