--- a/emulator/cloudserver_test.go
+++ b/emulator/cloudserver_test.go
@@ -70,7 +70,7 @@
 		for range 2*keptEvents + 1 {
 			_, _ = s.Txn(t.Context(), nil, []statekv.Op{{Set: "k", Value: 1}})
 		}
-		if _, err := s.Follow(t.Context(), "", 1, 0); err != statekv.ErrCompacted {
+		if _, err := s.Watch(t.Context(), "", 1, 0); err != statekv.ErrCompacted {
 			t.Errorf("following from the beginning: %v", err)
 		}
 	})
--- a/emulator/port.go
+++ b/emulator/port.go
@@ -140,15 +140,15 @@
 	return true
 }
 
-// Room reports whether half of what is left lets n changes through: chores leave the rest.
-func (p *Port) Room(_ statekv.Kind, n int) bool {
+// Allow reports whether half of what is left lets n changes through: chores leave the rest.
+func (p *Port) Allow(_ statekv.RequestClass, n int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.perSecond == 0 || p.left+p.perSecond*time.Since(p.leftAt).Seconds() >= 2*float64(n)
 }
 
-// Share divides nothing: a port has no limits.
-func (p *Port) Share(int) {}
+// SetControllerCount divides nothing: a port has no limits.
+func (p *Port) SetControllerCount(int) {}
 
 // turn waits as long as a request takes, and says whether it is refused or late.
 func (p *Port) turn(ctx context.Context) (refused, late bool, err error) {
@@ -160,11 +160,11 @@
 		defer wait.Stop()
 		select {
 		case <-ctx.Done():
-			return false, false, statekv.ErrUnknown
+			return false, false, statekv.ErrOutcomeUnknown
 		case <-wait.C:
 		}
 		if slow >= patience {
-			return false, false, statekv.ErrUnknown
+			return false, false, statekv.ErrOutcomeUnknown
 		}
 	}
 	return refused, late, nil
@@ -173,7 +173,7 @@
 func (p *Port) let(ctx context.Context) error {
 	refused, _, err := p.turn(ctx)
 	if err == nil && refused {
-		err = statekv.ErrRefused
+		err = statekv.ErrRejected
 	}
 	return err
 }
@@ -214,7 +214,7 @@
 	not := p.noRenewals
 	p.mu.Unlock()
 	if not {
-		return statekv.ErrRefused
+		return statekv.ErrRejected
 	}
 	err := p.State.Renew(ctx, lease)
 	if err == nil {
@@ -236,8 +236,8 @@
 }
 
 // Txn applies a transaction, or gives no answer and applies it later.
-func (p *Port) Txn(ctx context.Context, when []statekv.Cond, then []statekv.Op) (uint64, error) {
-	statekv.Sent(ctx)
+func (p *Port) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
+	statekv.NotifySent(ctx)
 	p.mu.Lock()
 	p.sent += len(then)
 	p.mu.Unlock()
@@ -246,7 +246,7 @@
 	case err != nil:
 		return 0, err
 	case refused || p.State.IsDown() || !p.take(len(then)):
-		return 0, statekv.ErrRefused
+		return 0, statekv.ErrRejected
 	case len(then) == 0 || !p.isNextLate() && !late:
 		return p.State.Txn(ctx, when, then)
 	}
@@ -279,7 +279,7 @@
 	case <-ctx.Done():
 	case <-wait.C:
 	}
-	return 0, statekv.ErrUnknown
+	return 0, statekv.ErrOutcomeUnknown
 }
 
 func (p *Port) isNextLate() bool {
@@ -292,19 +292,19 @@
 	return true
 }
 
-// Follow waits for changes. A watch that is open when the service begins to refuse waits
+// Watch waits for changes. A watch that is open when the service begins to refuse waits
 // as in an outage: nothing comes until it is over.
-func (p *Port) Follow(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.News, error) {
+func (p *Port) Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.WatchResponse, error) {
 	if err := p.let(ctx); err != nil {
-		return statekv.News{}, err
+		return statekv.WatchResponse{}, err
 	}
 	p.mu.Lock()
 	lag := p.lag
 	p.mu.Unlock()
 	until := time.Now().Add(block + lag + patience)
-	n, err := p.State.Follow(ctx, prefix, since, block)
+	n, err := p.State.Watch(ctx, prefix, since, block)
 	if lag > 0 && len(n.Events) > 0 && !sleep(ctx, lag) {
-		return statekv.News{}, statekv.ErrUnknown
+		return statekv.WatchResponse{}, statekv.ErrOutcomeUnknown
 	}
 	for {
 		p.mu.Lock()
@@ -314,13 +314,13 @@
 			return n, err
 		}
 		if time.Now().After(until) || ctx.Err() != nil {
-			return statekv.News{}, statekv.ErrUnknown
+			return statekv.WatchResponse{}, statekv.ErrOutcomeUnknown
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(50 * time.Millisecond):
 		}
-		n, err = p.State.Follow(ctx, prefix, since, 0)
+		n, err = p.State.Watch(ctx, prefix, since, 0)
 	}
 }
 
--- a/emulator/state.go
+++ b/emulator/state.go
@@ -65,7 +65,7 @@
 }
 
 // fits checks a transaction against the limits.
-func (s *State) fits(when []statekv.Cond, then []statekv.Op) bool {
+func (s *State) fits(when []statekv.Compare, then []statekv.Op) bool {
 	if s.ops > 0 && (len(then) > s.ops || len(when) > 4*s.ops) {
 		s.over = append(s.over, fmt.Sprintf("%d changes under %d conditions", len(then), len(when)))
 		return false
@@ -140,7 +140,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down {
-		return statekv.KV{}, statekv.ErrRefused
+		return statekv.KV{}, statekv.ErrRejected
 	}
 	kv, ok := s.keys[key]
 	if !ok {
@@ -154,7 +154,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down {
-		return statekv.Page{}, statekv.ErrRefused
+		return statekv.Page{}, statekv.ErrRejected
 	}
 	p := statekv.Page{Rev: s.rev}
 	for _, kv := range s.dir(prefix) {
@@ -169,7 +169,7 @@
 }
 
 // Txn applies a transaction.
-func (s *State) Txn(_ context.Context, when []statekv.Cond, then []statekv.Op) (uint64, error) {
+func (s *State) Txn(_ context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	s.mu.Lock()
 	slow := s.slow
 	s.mu.Unlock()
@@ -177,7 +177,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down {
-		return 0, statekv.ErrRefused
+		return 0, statekv.ErrRejected
 	}
 	if !s.fits(when, then) {
 		return 0, statekv.ErrTooLarge
@@ -189,7 +189,7 @@
 		}
 	}
 	if failed != nil {
-		return 0, &statekv.Conflict{Failed: failed}
+		return 0, &statekv.ConflictError{Failed: failed}
 	}
 	if len(then) == 0 {
 		return s.rev, nil // it only compares
@@ -211,7 +211,7 @@
 		s.record(statekv.Event{Set: op.Set, Value: raw, Rev: s.rev})
 	}
 	if s.LoseAnswers {
-		return 0, statekv.ErrUnknown
+		return 0, statekv.ErrOutcomeUnknown
 	}
 	return s.rev, nil
 }
@@ -221,7 +221,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down {
-		return 0, statekv.ErrRefused
+		return 0, statekv.ErrRejected
 	}
 	s.granted++
 	id := s.granted
@@ -234,7 +234,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down {
-		return statekv.ErrRefused
+		return statekv.ErrRejected
 	}
 	if _, ok := s.leases[lease]; !ok {
 		return statekv.ErrNotFound
@@ -258,13 +258,13 @@
 	return nil
 }
 
-// Follow waits for changes.
-func (s *State) Follow(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.News, error) {
+// Watch waits for changes.
+func (s *State) Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.WatchResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, block)
 	defer cancel()
 	for {
 		s.mu.Lock()
-		n := statekv.News{Rev: s.rev}
+		n := statekv.WatchResponse{Rev: s.rev}
 		if since < s.compacted {
 			s.mu.Unlock()
 			return n, statekv.ErrCompacted
@@ -278,7 +278,7 @@
 		changed, down := s.changed, s.Down
 		s.mu.Unlock()
 		if down {
-			return statekv.News{}, statekv.ErrRefused
+			return statekv.WatchResponse{}, statekv.ErrRejected
 		}
 		if len(n.Events) > 0 || ctx.Err() != nil {
 			return n, nil
@@ -308,11 +308,11 @@
 	return out
 }
 
-// Most says that a transaction may have as many changes as the settings say.
-func (s *State) Most(ops int) int { return ops }
+// MaxTxnOps says that a transaction may have as many changes as the settings say.
+func (s *State) MaxTxnOps(ops int) int { return ops }
 
-// Batch says the same.
-func (s *State) Batch(ops int) int { return ops }
+// TxnBatchSize says the same.
+func (s *State) TxnBatchSize(ops int) int { return ops }
 
-// Room says that changes may always be made.
-func (s *State) Room(statekv.Kind, int) bool { return true }
+// Allow says that changes may always be made.
+func (s *State) Allow(statekv.RequestClass, int) bool { return true }
--- a/emulator/stateserver.go
+++ b/emulator/stateserver.go
@@ -94,7 +94,7 @@
 		s.serveTxn(w, r)
 	case r.Method == http.MethodGet && r.URL.Path == "/follow":
 		q := r.URL.Query()
-		news, err := s.Follow(r.Context(), q.Get("prefix"), uint64(number(q.Get("since"), 0)), time.Duration(number(q.Get("block_ms"), 0))*time.Millisecond)
+		news, err := s.Watch(r.Context(), q.Get("prefix"), uint64(number(q.Get("since"), 0)), time.Duration(number(q.Get("block_ms"), 0))*time.Millisecond)
 		switch {
 		case errors.Is(err, statekv.ErrCompacted):
 			answer(w, http.StatusGone, nil)
@@ -148,7 +148,7 @@
 
 func (s *State) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var txn struct {
-		When []statekv.Cond `json:"when"`
+		When []statekv.Compare `json:"when"`
 		Then []struct {
 			Set    string          `json:"set"`
 			Value  json.RawMessage `json:"data"`
@@ -173,7 +173,7 @@
 		then = append(then, statekv.Op{Set: op.Set, Value: op.Value, Lease: op.Lease, Delete: op.Delete})
 	}
 	rev, err := s.Txn(r.Context(), txn.When, then)
-	var conflict *statekv.Conflict
+	var conflict *statekv.ConflictError
 	switch {
 	case errors.As(err, &conflict):
 		answer(w, http.StatusConflict, map[string]any{"failed": conflict.Failed, "ledger_rev": s.revision()})
@@ -249,8 +249,8 @@
 	}
 }
 
-// Watch ends leases that nobody renews although no request comes, until stop is closed.
-func (s *State) Watch(stop <-chan struct{}) {
+// ExpireLeases ends leases that nobody renews although no request comes, until stop is closed.
+func (s *State) ExpireLeases(stop <-chan struct{}) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for {
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -111,14 +111,14 @@
 // keepTypes stores the types once, for controllers that start while the cloud
 // does not answer.
 func (s *Steward) keepTypes(ctx context.Context, types []cloud.MachineType) {
-	if _, ok := s.mirror.Get(statekv.TypesKey); ok || s.Epoch() == 0 {
+	if _, ok := s.mirror.Get(statekv.MachineTypesKey); ok || s.Epoch() == 0 {
 		return
 	}
 	if raw, err := json.Marshal(types); err != nil || len(raw) > s.settings.State.ValueBytes {
 		return
 	}
 	// Once: a copy that is carried out late must not bring back what was then.
-	if _, err := s.member.Write(ctx, []statekv.Cond{{Key: statekv.TypesKey}}, []statekv.Op{{Set: statekv.TypesKey, Value: types}}); err != nil {
+	if _, err := s.member.Write(ctx, []statekv.Compare{{Key: statekv.MachineTypesKey}}, []statekv.Op{{Set: statekv.MachineTypesKey, Value: types}}); err != nil {
 		slog.Debug("machine types write failed", "err", err)
 	}
 }
@@ -203,7 +203,7 @@
 			return
 		case <-tick.C:
 		}
-		if s.Epoch() == 0 || !s.member.Certain() || len(s.catalogue.Types()) == 0 {
+		if s.Epoch() == 0 || !s.member.HoldsLease() || len(s.catalogue.Types()) == 0 {
 			continue
 		}
 		rentals, returns, deletes := s.planFleet(time.Now())
--- a/internal/autoscaler/steward.go
+++ b/internal/autoscaler/steward.go
@@ -30,7 +30,7 @@
 	settings  *config.Settings
 	policy    *policy.Policy
 	mirror    *statekv.Mirror
-	member    *statekv.Member
+	member    *statekv.Session
 	call      peer.Caller
 	cloud     cloud.API
 	catalogue *cloud.Catalogue
@@ -57,7 +57,7 @@
 }
 
 // New returns a steward that does not hold the role yet.
-func New(settings *config.Settings, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Member, call peer.Caller, api cloud.API, catalogue *cloud.Catalogue) *Steward {
+func New(settings *config.Settings, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Session, call peer.Caller, api cloud.API, catalogue *cloud.Catalogue) *Steward {
 	return &Steward{settings: settings, policy: pol, mirror: mirror, member: member, call: call, cloud: api, catalogue: catalogue,
 		ledger: newLedger(), kept: map[string]reserved{}, demand: map[string]demandAt{}, fleet: newFleet(), retell: make(chan []string)}
 }
@@ -91,11 +91,11 @@
 }
 
 func (s *Steward) hold(ctx context.Context) {
-	kv, ok := s.mirror.Get(statekv.StewardKey)
+	kv, ok := s.mirror.Get(statekv.LeaderKey)
 	h, err := statekv.HolderOf(kv)
-	var later *statekv.FormError
+	var later *statekv.SchemaError
 	if ok && errors.As(err, &later) {
-		s.mirror.Unreadable(kv.Key, err)
+		s.mirror.ReportUndecodable(kv.Key, err)
 		return
 	}
 	if ok && h != s.member.Holder && s.member.Alive(h) {
@@ -105,12 +105,12 @@
 		return
 	}
 	if !ok || h != s.member.Holder {
-		if !s.member.Certain() {
+		if !s.member.HoldsLease() {
 			return
 		}
 		tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		defer cancel()
-		rev, err := s.member.Take(tctx, statekv.Role{Key: statekv.StewardKey, Seen: kv.Rev, From: h, Value: s.member.Holder})
+		rev, err := s.member.Acquire(tctx, statekv.Role{Key: statekv.LeaderKey, ExpectedRev: kv.Rev, PreviousHolder: h, Value: s.member.Holder})
 		if err != nil || s.mirror.Wait(tctx, rev) != nil {
 			return
 		}
@@ -244,7 +244,7 @@
 	s := v.steward
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.epoch == 0 || !s.member.Certain() {
+	if s.epoch == 0 || !s.member.HoldsLease() {
 		return errNotSteward
 	}
 	for _, ref := range r.Release {
@@ -282,18 +282,18 @@
 }
 
 // Budget answers a controller's report of how many changes of the state service it needs.
-func (v *Service) Budget(r budget.Report, reply *budget.Grant) error {
+func (v *Service) Budget(r budget.DemandReport, reply *budget.Grant) error {
 	s := v.steward
-	sessions := budget.Sessions{Alive: map[string]bool{}, Age: time.Since(s.mirror.Fresh())}
+	sessions := budget.SessionView{Alive: map[string]bool{}, Age: time.Since(s.mirror.FreshAsOf())}
 	for _, host := range s.member.AliveHosts() {
 		sessions.Alive[host] = true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.epoch == 0 || s.budget == nil || !s.member.Certain() {
+	if s.epoch == 0 || s.budget == nil || !s.member.HoldsLease() {
 		return errNotSteward
 	}
-	*reply = s.budget.Report(r, sessions, time.Since(s.budgetBegan))
+	*reply = s.budget.Allocate(r, sessions, time.Since(s.budgetBegan))
 	return nil
 }
 
--- a/internal/autoscaler/steward_test.go
+++ b/internal/autoscaler/steward_test.go
@@ -34,11 +34,11 @@
 	if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: statekv.MachinePrefix + "m1", Value: machine}}); err != nil {
 		t.Fatal(err)
 	}
-	mirror := statekv.NewMirror(state, []string{statekv.FleetPrefix, job.OpenPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.OpenPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
-	member, err := statekv.Join(ctx, state, mirror, "host-0", 4*time.Second, statekv.Registration{})
+	member, err := statekv.OpenSession(ctx, state, mirror, "host-0", 4*time.Second, statekv.Registration{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/budget/bucket.go
+++ b/internal/budget/bucket.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Bucket paces what may be done so often in a second. What is asked for beyond what has
+// TokenBucket paces what may be done so often in a second. What is asked for beyond what has
 // accumulated waits, and is refused where it would wait too long. Its owner guards it.
-type Bucket struct {
+type TokenBucket struct {
 	rate   float64   // until the next moment, and then
 	until  time.Time // what is lent has to be given back at
 	base   float64
@@ -13,18 +13,18 @@
 	at     time.Time
 }
 
-// NewBucket returns a full bucket.
-func NewBucket(rate, burst float64, now time.Time) *Bucket {
-	return &Bucket{rate: rate, base: rate, burst: burst, tokens: burst, at: now}
+// NewTokenBucket returns a full bucket.
+func NewTokenBucket(rate, burst float64, now time.Time) *TokenBucket {
+	return &TokenBucket{rate: rate, base: rate, burst: burst, tokens: burst, at: now}
 }
 
 // SetRate has it fill at one rate until a time, and at another one from then on.
-func (b *Bucket) SetRate(rate float64, until time.Time, base float64, now time.Time) {
+func (b *TokenBucket) SetRate(rate float64, until time.Time, base float64, now time.Time) {
 	b.advance(now)
 	b.rate, b.until, b.base = rate, until, base
 }
 
-func (b *Bucket) advance(now time.Time) {
+func (b *TokenBucket) advance(now time.Time) {
 	if !now.After(b.at) {
 		return
 	}
@@ -33,7 +33,7 @@
 }
 
 // fills is how much comes in between the last look and a later time.
-func (b *Bucket) fills(to time.Time) float64 {
+func (b *TokenBucket) fills(to time.Time) float64 {
 	lent := time.Duration(0)
 	if b.until.After(b.at) {
 		lent = min(to.Sub(b.at), b.until.Sub(b.at))
@@ -42,7 +42,7 @@
 }
 
 // delay is how long so much more takes to come in.
-func (b *Bucket) delay(short float64) time.Duration {
+func (b *TokenBucket) delay(short float64) time.Duration {
 	lent := max(0, b.until.Sub(b.at).Seconds())
 	if short <= lent*b.rate {
 		return time.Duration(short / b.rate * float64(time.Second))
@@ -56,9 +56,9 @@
 // forEver is longer than anything may wait.
 const forEver = time.Hour
 
-// Take takes n and returns how long to wait before they are used. It takes nothing and is
+// Reserve takes n and returns how long to wait before they are used. It takes nothing and is
 // not ok if that would be longer than longest.
-func (b *Bucket) Take(n int, longest time.Duration, now time.Time) (wait time.Duration, ok bool) {
+func (b *TokenBucket) Reserve(n int, longest time.Duration, now time.Time) (wait time.Duration, ok bool) {
 	b.advance(now)
 	if short := float64(n) - b.tokens; short > 0 {
 		wait = b.delay(short)
@@ -70,11 +70,11 @@
 	return wait, true
 }
 
-// Return gives back n that were taken and not used.
-func (b *Bucket) Return(n int) { b.tokens = min(b.burst, b.tokens+float64(n)) }
+// Refund gives back n that were taken and not used.
+func (b *TokenBucket) Refund(n int) { b.tokens = min(b.burst, b.tokens+float64(n)) }
 
-// Waiting is how much of what was taken is still to be filled.
-func (b *Bucket) Waiting(now time.Time) float64 {
+// Backlog is how much of what was taken is still to be filled.
+func (b *TokenBucket) Backlog(now time.Time) float64 {
 	b.advance(now)
 	return max(0, -b.tokens)
 }
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -18,21 +18,21 @@
 
 // Times of the leases. A promise outlasts every loan that is made of it.
 const (
-	// PromiseTime is for how long, from the sending of its report, a controller keeps to
+	// PromiseDuration is for how long, from the sending of its report, a controller keeps to
 	// half of its part.
-	PromiseTime = 2 * time.Second
-	// LoanTime is for how long, from the sending of the report that it answers, a loan may
+	PromiseDuration = 2 * time.Second
+	// LoanDuration is for how long, from the sending of the report that it answers, a loan may
 	// be used.
-	LoanTime = 600 * time.Millisecond
-	// JoinTime is how long a new session uses a part of its own part only, unless the
+	LoanDuration = 600 * time.Millisecond
+	// JoinDelay is how long a new session uses a part of its own part only, unless the
 	// allocator tells it earlier that this is over: until the
 	// loans that were made while it was over have ended, and the promises of the session
-	// before. It is longer than ViewAge, LoanTime and a margin together, and than
-	// PromiseTime.
-	JoinTime = 2200 * time.Millisecond
-	// ViewAge is how old the allocator's view of the sessions may be for it to lend the
+	// before. It is longer than MaxViewAge, LoanDuration and a margin together, and than
+	// PromiseDuration.
+	JoinDelay = 2200 * time.Millisecond
+	// MaxViewAge is how old the allocator's view of the sessions may be for it to lend the
 	// parts of those that are over.
-	ViewAge = time.Second
+	MaxViewAge = time.Second
 
 	margin = 20 * time.Millisecond // drift of clocks within these times, many times over
 )
@@ -44,11 +44,11 @@
 	idle     = 0.4 // of its part: who needs no more promises to use little
 )
 
-// Report is what a controller says to the allocator.
-type Report struct {
+// DemandReport is what a controller says to the allocator.
+type DemandReport struct {
 	Host     string
 	Need     float64       // changes a second that it would make
-	Promises bool          // it keeps to half of its part for PromiseTime from the sending
+	Promises bool          // it keeps to half of its part for PromiseDuration from the sending
 	Epoch    uint64        // of the allocator whose clock Echo is of
 	Echo     time.Duration // the allocator's time in the latest answer: this was sent later
 }
@@ -57,12 +57,12 @@
 type Grant struct {
 	Epoch uint64
 	Now   time.Duration // by the allocator's clock
-	Loan  float64       // changes a second beyond its own part or promise, for LoanTime from the report's sending
-	Whole bool          // nothing of its own part is lent but what it has promised itself: its session need not wait for JoinTime
+	Loan  float64       // changes a second beyond its own part or promise, for LoanDuration from the report's sending
+	Whole bool          // nothing of its own part is lent but what it has promised itself: its session need not wait for JoinDelay
 }
 
-// Sessions is what the allocator knows of the controllers' sessions.
-type Sessions struct {
+// SessionView is what the allocator knows of the controllers' sessions.
+type SessionView struct {
 	Alive map[string]bool
 	Age   time.Duration // of this view
 }
@@ -105,8 +105,8 @@
 	return &Allocator{epoch: epoch, part: limit / float64(max(1, len(hosts))), hosts: hosts, known: map[string]*borrower{}}
 }
 
-// Report takes a controller's report and answers it.
-func (a *Allocator) Report(r Report, sessions Sessions, now time.Duration) Grant {
+// Allocate takes a controller's report and answers it.
+func (a *Allocator) Allocate(r DemandReport, sessions SessionView, now time.Duration) Grant {
 	g := Grant{Epoch: a.epoch, Now: now}
 	if !slices.Contains(a.hosts, r.Host) {
 		return g
@@ -117,25 +117,25 @@
 		a.known[r.Host] = b
 	}
 	b.heard, b.need = now, r.Need
-	g.Whole = now >= LoanTime+margin && now >= b.promisedUntil && now >= b.lentUntil
+	g.Whole = now >= LoanDuration+margin && now >= b.promisedUntil && now >= b.lentUntil
 	if r.Promises && r.Epoch == a.epoch {
-		b.promisedUntil = max(b.promisedUntil, r.Echo+PromiseTime)
+		b.promisedUntil = max(b.promisedUntil, r.Echo+PromiseDuration)
 	}
 	// Loans of an earlier allocator may still be in use.
-	if now < LoanTime+margin {
+	if now < LoanDuration+margin {
 		return g
 	}
 	g.Loan = a.lend(r.Host, sessions, now)
 	if g.Loan > 0 {
-		b.loans = append(b.loans, loan{g.Loan, now + LoanTime})
+		b.loans = append(b.loans, loan{g.Loan, now + LoanDuration})
 	}
 	return g
 }
 
 // lend is how much a controller may borrow now: its fair share of what can be lent, and
 // never more than is left of that.
-func (a *Allocator) lend(host string, sessions Sessions, now time.Duration) float64 {
-	until := now + LoanTime + margin
+func (a *Allocator) lend(host string, sessions SessionView, now time.Duration) float64 {
+	until := now + LoanDuration + margin
 	pool, lent := 0.0, 0.0
 	wants := map[string]float64{}
 	over := a.sessionsOver(sessions, now)
@@ -171,9 +171,9 @@
 // sessionsOver lists the controllers whose parts may be lent because their sessions are over:
 // by a view that is young, and none while one that lives is not heard. A version that does
 // not know of loans would use them by itself.
-func (a *Allocator) sessionsOver(sessions Sessions, now time.Duration) map[string]bool {
+func (a *Allocator) sessionsOver(sessions SessionView, now time.Duration) map[string]bool {
 	over := map[string]bool{}
-	if sessions.Age > ViewAge {
+	if sessions.Age > MaxViewAge {
 		return over
 	}
 	for _, h := range a.hosts {
@@ -198,7 +198,7 @@
 
 func (a *Allocator) heardLately(host string, now time.Duration) bool {
 	b := a.known[host]
-	return b != nil && now-b.heard <= PromiseTime
+	return b != nil && now-b.heard <= PromiseDuration
 }
 
 // fairShare is what a host gets of a pool that is divided so that the smallest wants are met
@@ -219,8 +219,8 @@
 	return 0
 }
 
-// Part is one controller's side: what it may use now. Its owner guards it.
-type Part struct {
+// Share is one controller's side: what it may use now. Its owner guards it.
+type Share struct {
 	part  float64
 	alone bool      // there is nobody to share with
 	whole bool      // the allocator has said that its own part is not lent
@@ -233,16 +233,16 @@
 	loanUntil     time.Time
 }
 
-// NewPart returns the part of one of so many controllers of a limit.
-func NewPart(limit float64, controllers int) *Part {
-	return &Part{part: limit / float64(max(1, controllers)), alone: controllers <= 1}
+// NewShare returns the part of one of so many controllers of a limit.
+func NewShare(limit float64, controllers int) *Share {
+	return &Share{part: limit / float64(max(1, controllers)), alone: controllers <= 1}
 }
 
-// Own is the part by right.
-func (p *Part) Own() float64 { return p.part }
+// Guaranteed is the part by right.
+func (p *Share) Guaranteed() float64 { return p.part }
 
-// Begin notes that a session has begun. The zero time: it is over, or not certainly held.
-func (p *Part) Begin(at time.Time) {
+// SetSessionStart notes that a session has begun. The zero time: it is over, or not certainly held.
+func (p *Share) SetSessionStart(at time.Time) {
 	if at != p.began {
 		p.began, p.whole = at, false
 	}
@@ -250,11 +250,11 @@
 
 // Rate is how many changes a second may be made now, until a time, and without the loan that
 // ends then.
-func (p *Part) Rate(now time.Time) (rate float64, until time.Time, base float64) {
+func (p *Share) Rate(now time.Time) (rate float64, until time.Time, base float64) {
 	base = p.part
 	switch {
 	case p.alone:
-	case p.began.IsZero() || !p.whole && now.Sub(p.began) < JoinTime:
+	case p.began.IsZero() || !p.whole && now.Sub(p.began) < JoinDelay:
 		base = joining * p.part
 	case now.Before(p.promisedUntil):
 		base = promised * p.part
@@ -266,17 +266,17 @@
 }
 
 // Report makes a report that is sent now, and keeps to what it promises.
-func (p *Part) Report(host string, need float64, now time.Time) Report {
-	r := Report{Host: host, Need: need, Epoch: p.epoch, Echo: p.echo, Promises: need <= idle*p.part}
+func (p *Share) Report(host string, need float64, now time.Time) DemandReport {
+	r := DemandReport{Host: host, Need: need, Epoch: p.epoch, Echo: p.echo, Promises: need <= idle*p.part}
 	if r.Promises && p.epoch != 0 {
-		p.promisedUntil = now.Add(PromiseTime)
+		p.promisedUntil = now.Add(PromiseDuration)
 	}
 	return r
 }
 
-// Granted takes the answer to a report that was sent at some time.
-func (p *Part) Granted(g Grant, sent time.Time) {
+// ApplyGrant takes the answer to a report that was sent at some time.
+func (p *Share) ApplyGrant(g Grant, sent time.Time) {
 	p.epoch, p.echo = g.Epoch, g.Now
-	p.loan, p.loanUntil = g.Loan, sent.Add(LoanTime)
+	p.loan, p.loanUntil = g.Loan, sent.Add(LoanDuration)
 	p.whole = p.whole || g.Whole
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -16,8 +16,8 @@
 // member is a controller of a story.
 type member struct {
 	host     string
-	part     *Part
-	bucket   *Bucket
+	part     *Share
+	bucket   *TokenBucket
 	want     float64 // changes a second
 	backlog  float64
 	alive    bool      // by its key in the state service
@@ -40,10 +40,10 @@
 // message is a report on its way, or an answer.
 type message struct {
 	at, sent time.Time
-	report   *Report
+	report   *DemandReport
 	grant    *Grant
 	to       *member
-	part     *Part // of the process that sent the report
+	part     *Share // of the process that sent the report
 }
 
 // world is a story of controllers, of which one at a time is the allocator's, and a service
@@ -58,7 +58,7 @@
 	began     time.Time
 	holder    int // -1: nobody
 	messages  []message
-	service   *Bucket
+	service   *TokenBucket
 	refused   int
 	worst     float64 // largest sum of rates
 	age       time.Duration
@@ -68,24 +68,24 @@
 
 func newWorld(t *testing.T, n int, seed uint64) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0), holder: -1, limit: limit, most: limit}
-	w.service = NewBucket(takes, takes, w.now)
+	w.service = NewTokenBucket(takes, takes, w.now)
 	for k := range n {
 		w.members = append(w.members, &member{host: fmt.Sprintf("host-%d", k)})
 	}
 	for _, m := range w.members {
 		w.start(m)
 	}
-	w.run(JoinTime + time.Second)
+	w.run(JoinDelay + time.Second)
 	w.lead(0)
 	return w
 }
 
 // start begins a controller's process and session.
 func (w *world) start(m *member) {
-	m.part, m.alive, m.backlog = NewPart(w.limit, len(w.members)), true, 0
-	m.part.Begin(w.now)
+	m.part, m.alive, m.backlog = NewShare(w.limit, len(w.members)), true, 0
+	m.part.SetSessionStart(w.now)
 	m.begun = w.now
-	m.bucket = NewBucket(0, m.part.Own(), w.now)
+	m.bucket = NewTokenBucket(0, m.part.Guaranteed(), w.now)
 }
 
 // lead makes a controller the allocator's, when the one before has ceased to be.
@@ -127,12 +127,12 @@
 func (w *world) send(m *member) {
 	m.backlog = min(500, m.backlog+m.want*step.Seconds())
 	for m.backlog >= 1 {
-		if _, ok := m.bucket.Take(1, 0, w.now); !ok {
+		if _, ok := m.bucket.Reserve(1, 0, w.now); !ok {
 			return
 		}
 		m.backlog--
 		m.made++
-		if _, ok := w.service.Take(1, 0, w.now); !ok {
+		if _, ok := w.service.Reserve(1, 0, w.now); !ok {
 			w.refused++
 		}
 	}
@@ -167,15 +167,15 @@
 			w.messages = append(w.messages, m)
 		case m.grant != nil:
 			// An answer that comes after its caller has given up reaches nobody.
-			if w.now.Sub(m.sent) <= LoanTime && !w.stands(m.to) && m.to.part == m.part {
-				m.to.part.Granted(*m.grant, m.sent)
+			if w.now.Sub(m.sent) <= LoanDuration && !w.stands(m.to) && m.to.part == m.part {
+				m.to.part.ApplyGrant(*m.grant, m.sent)
 			}
 		case w.holder >= 0 && !w.stands(w.members[w.holder]):
 			alive := map[string]bool{}
 			for _, x := range w.members {
 				alive[x.host] = x.wasAlive(w.now.Add(-w.age))
 			}
-			g := w.allocator.Report(*m.report, Sessions{Alive: alive, Age: w.age}, w.now.Sub(w.began))
+			g := w.allocator.Allocate(*m.report, SessionView{Alive: alive, Age: w.age}, w.now.Sub(w.began))
 			w.messages = append(w.messages, message{at: w.now.Add(w.delay()), sent: m.sent, grant: &g, to: m.to, part: m.part})
 		}
 	}
@@ -235,7 +235,7 @@
 	busy.want = 100
 	w.run(3 * time.Second)
 	busy.cut = true
-	w.run(PromiseTime)
+	w.run(PromiseDuration)
 	if got := w.rateOf(busy, 4*time.Second); got < 0.95*limit/4 || got > 1.05*limit/4 {
 		t.Errorf("cut off it makes %.1f changes a second, its part is %.1f", got, limit/4)
 	}
@@ -266,7 +266,7 @@
 		t.Errorf("with one of three gone another makes %.1f changes a second, its part is %.1f", got, limit/3)
 	}
 	w.start(w.members[2])
-	w.run(JoinTime + time.Second)
+	w.run(JoinDelay + time.Second)
 	if got := w.rateOf(w.members[2], 4*time.Second); got < 0.9*limit/3 {
 		t.Errorf("back again it makes %.1f changes a second", got)
 	}
@@ -317,19 +317,19 @@
 // its end.
 func TestBucketWaits(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := NewBucket(4, 4, now)
-	if wait, ok := b.Take(4, 0, now); !ok || wait != 0 {
+	b := NewTokenBucket(4, 4, now)
+	if wait, ok := b.Reserve(4, 0, now); !ok || wait != 0 {
 		t.Errorf("a full bucket: %v %v", wait, ok)
 	}
-	if _, ok := b.Take(5, time.Second, now); ok {
+	if _, ok := b.Reserve(5, time.Second, now); ok {
 		t.Error("5 take longer than a second at 4 a second")
 	}
 	b.SetRate(20, now.Add(100*time.Millisecond), 4, now)
-	wait, ok := b.Take(4, time.Second, now)
+	wait, ok := b.Reserve(4, time.Second, now)
 	if expected := 600 * time.Millisecond; !ok || (wait-expected).Abs() > time.Millisecond {
 		t.Errorf("4 at 20 a second for 0.1 s and 4 a second then: %v %v", wait, ok)
 	}
-	if got := b.Waiting(now); got != 4 {
+	if got := b.Backlog(now); got != 4 {
 		t.Errorf("%v wait", got)
 	}
 }
@@ -395,7 +395,7 @@
 		w.holder = -1
 		w.run(time.Second)
 		w.lead(2) // which knows the new limit
-		w.run(LoanTime + PromiseTime)
+		w.run(LoanDuration + PromiseDuration)
 		w.most = limit / 2
 		if got := w.rateOf(w.members[1], 5*time.Second); got < limit/2/5 {
 			t.Errorf("it makes %.1f changes a second, its part is %.1f", got, limit/2/5)
@@ -407,15 +407,15 @@
 // Loans of the allocator before may still be in use when a new one begins.
 func TestNewAllocatorLendsNothingAtFirst(t *testing.T) {
 	a := NewAllocator(2, limit, []string{"host-0", "host-1"})
-	sessions := Sessions{Alive: map[string]bool{"host-0": true}}
-	busy := Report{Host: "host-0", Need: 100}
-	if g := a.Report(busy, sessions, 0); g.Loan != 0 {
+	sessions := SessionView{Alive: map[string]bool{"host-0": true}}
+	busy := DemandReport{Host: "host-0", Need: 100}
+	if g := a.Allocate(busy, sessions, 0); g.Loan != 0 {
 		t.Errorf("it lends %v at once", g.Loan)
 	}
-	if g := a.Report(busy, sessions, LoanTime+2*margin); g.Loan != joining*limit/2 {
+	if g := a.Allocate(busy, sessions, LoanDuration+2*margin); g.Loan != joining*limit/2 {
 		t.Errorf("it lends %v then", g.Loan)
 	}
-	if g := a.Report(Report{Host: "host-9", Need: 100}, sessions, 2*LoanTime); g.Loan != 0 {
+	if g := a.Allocate(DemandReport{Host: "host-9", Need: 100}, sessions, 2*LoanDuration); g.Loan != 0 {
 		t.Errorf("it lends %v to one that it does not know", g.Loan)
 	}
 }
--- a/internal/changefeed/feed.go
+++ b/internal/changefeed/feed.go
@@ -189,7 +189,7 @@
 		return 0, "its owner " + holder.Host + " has not shown it"
 	case e.Rev != rev:
 		return 0, fmt.Sprintf("the entry by %s is of revision %d, ownership by %s of %d", e.Host, e.Rev, holder.Host, rev)
-	case a.instance != holder.Instance:
+	case a.instance != holder.Incarnation:
 		return 0, "its owner " + holder.Host + " has begun a new life"
 	case !e.Settled:
 		return 0, "it has not answered its owner " + holder.Host
--- a/internal/clusteragent/agent.go
+++ b/internal/clusteragent/agent.go
@@ -24,7 +24,7 @@
 	settings *config.Settings
 	store    statekv.Store
 	mirror   *statekv.Mirror
-	member   *statekv.Member
+	member   *statekv.Session
 	workers  worker.Commander
 	types    func() map[string]cloud.MachineType
 
@@ -74,7 +74,7 @@
 }
 
 // New returns an agent without machines.
-func New(settings *config.Settings, store statekv.Store, mirror *statekv.Mirror, member *statekv.Member, workers worker.Commander, types func() map[string]cloud.MachineType) *Agent {
+func New(settings *config.Settings, store statekv.Store, mirror *statekv.Mirror, member *statekv.Session, workers worker.Commander, types func() map[string]cloud.MachineType) *Agent {
 	return &Agent{
 		settings: settings, store: store, mirror: mirror, member: member, workers: workers, types: types,
 		claims: make(chan claim, 256), learns: make(chan struct{}, 1),
@@ -130,8 +130,8 @@
 
 // holdLeft is how much longer it may, if it does not reach the state service again.
 func (a *Agent) holdLeft(now time.Time) time.Duration {
-	known := a.member.Renewed()
-	if fresh := a.mirror.Fresh(); fresh.Before(known) {
+	known := a.member.LastRenewal()
+	if fresh := a.mirror.FreshAsOf(); fresh.Before(known) {
 		known = fresh
 	}
 	hold := a.settings.HoldTime()
@@ -155,7 +155,7 @@
 // before. An outage of the state service or a cut of the zone may be over by then.
 func (a *Agent) callIn(now time.Time) {
 	left := a.holdLeft(now)
-	if left > lastCall || left <= 0 || a.member.Certain() {
+	if left > lastCall || left <= 0 || a.member.HoldsLease() {
 		a.calledIn = a.calledIn && left <= lastCall
 		return
 	}
--- a/internal/clusteragent/agent_test.go
+++ b/internal/clusteragent/agent_test.go
@@ -33,7 +33,7 @@
 type node struct {
 	agent   *clusteragent.Agent
 	service *clusteragent.Service
-	member  *statekv.Member
+	member  *statekv.Session
 	mirror  *statekv.Mirror
 	stop    context.CancelFunc
 }
@@ -59,11 +59,11 @@
 func startWith(t testing.TB, ctx context.Context, settings *config.Settings, host string, state statekv.Store, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
 	t.Helper()
 	ctx, stop := context.WithCancel(ctx)
-	mirror := statekv.NewMirror(state, []string{statekv.FleetPrefix, job.OpenPrefix}, statekv.RootPrefix, settings.WatchTime(), 0, func([]statekv.Event) {})
+	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.OpenPrefix}, statekv.RootPrefix, settings.WatchTime(), 0, func([]statekv.Event) {})
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
-	member, err := statekv.Join(ctx, state, mirror, host, 4*time.Second, statekv.Registration{})
+	member, err := statekv.OpenSession(ctx, state, mirror, host, 4*time.Second, statekv.Registration{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,9 +72,9 @@
 		f(a)
 	}
 	go mirror.Run(ctx)
-	go func() { _ = member.Keep(ctx) }()
+	go func() { _ = member.KeepAlive(ctx) }()
 	go a.Run(ctx)
-	if err := mirror.Wait(ctx, member.Instance); err != nil {
+	if err := mirror.Wait(ctx, member.Incarnation); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(time.Second) // its shards are made
@@ -127,7 +127,7 @@
 
 func slot(t testing.TB, n *node, name string, seen uint64) uint64 {
 	t.Helper()
-	rev, err := n.member.Take(context.Background(), statekv.Role{Key: statekv.SlotPrefix + name, Seen: seen, Value: n.member.Holder})
+	rev, err := n.member.Acquire(context.Background(), statekv.Role{Key: statekv.JobShardPrefix + name, ExpectedRev: seen, Value: n.member.Holder})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -311,7 +311,7 @@
 		n := start(t, ctx, "host-0", state, workers)
 		began := time.Now()
 		var reply agentapi.WatchReply
-		if err := n.service.Watch(agentapi.WatchRequest{Instance: n.member.Instance, Wait: 2 * time.Second}, &reply); err != nil {
+		if err := n.service.Watch(agentapi.WatchRequest{Instance: n.member.Incarnation, Wait: 2 * time.Second}, &reply); err != nil {
 			t.Fatal(err)
 		}
 		if time.Since(began) < 2*time.Second {
@@ -609,7 +609,7 @@
 		seen, since := map[string]bool{}, uint64(0)
 		for more := true; more; {
 			var reply agentapi.WatchReply
-			if err := b.service.Watch(agentapi.WatchRequest{Instance: b.member.Instance, Since: since, Wait: time.Second}, &reply); err != nil {
+			if err := b.service.Watch(agentapi.WatchRequest{Instance: b.member.Incarnation, Since: since, Wait: time.Second}, &reply); err != nil {
 				t.Fatal(err)
 			}
 			if since, more = reply.Ver, reply.More; len(reply.Entries) > 300 {
@@ -670,9 +670,9 @@
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
-		other := statekv.Holder{Host: "host-9", Instance: 1} // dead by the time it is seen
+		other := statekv.Holder{Host: "host-9", Incarnation: 1} // dead by the time it is seen
 		if _, err := state.Txn(ctx, nil, []statekv.Op{
-			{Set: statekv.ShardPrefix + "host-9.1.0", Value: shard.ShardKey{Holder: other}},
+			{Set: statekv.MachineShardPrefix + "host-9.1.0", Value: shard.ShardKey{Holder: other}},
 			{Set: statekv.MachinePrefix + "m1", Value: shard.MachineKey{Shard: "host-9.1.0", Address: "m1", Type: "box", Zone: "a"}},
 		}); err != nil {
 			t.Fatal(err)
--- a/internal/clusteragent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -52,7 +52,7 @@
 func (a *Agent) cannotReach(r *worker.Report, rev uint64, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.member.Certain() {
+	if !a.member.HoldsLease() {
 		// In an outage owners fall silent when their hold time is over, and their
 		// workers go from one controller to the next.
 		return false
@@ -139,7 +139,7 @@
 		if a.heir(key, others) == a.member.Host {
 			doubt = 0
 		}
-		id := kv.Key[len(statekv.ShardPrefix):]
+		id := kv.Key[len(statekv.MachineShardPrefix):]
 		if came[id] >= max(fewestStray, (size[id]+3)/4) && now.Sub(first[id]) >= doubt {
 			if out == nil {
 				out = map[string]string{}
@@ -172,7 +172,7 @@
 	owned := map[string]int{}
 	for _, kv := range shards {
 		if key := shard.ParseShardKey(kv); key != nil && a.member.Alive(key.Holder) {
-			owned[key.Host] += size[kv.Key[len(statekv.ShardPrefix):]]
+			owned[key.Host] += size[kv.Key[len(statekv.MachineShardPrefix):]]
 		}
 	}
 	richest, poorest := "", ""
@@ -192,7 +192,7 @@
 	inShard := map[string][]statekv.KV{}
 	for _, kv := range machines {
 		if key := shard.ParseMachineKey(kv); key != nil {
-			inShard[statekv.ShardPrefix+key.Shard] = append(inShard[statekv.ShardPrefix+key.Shard], kv)
+			inShard[statekv.MachineShardPrefix+key.Shard] = append(inShard[statekv.MachineShardPrefix+key.Shard], kv)
 		}
 	}
 	out := map[string]string{}
--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -109,7 +109,7 @@
 		if !ok {
 			t.Fatal("the machine has no key")
 		}
-		if _, err := state.Txn(ctx, nil, []statekv.Op{{Delete: statekv.ShardPrefix + shard.ParseMachineKey(kv).Shard}}); err != nil {
+		if _, err := state.Txn(ctx, nil, []statekv.Op{{Delete: statekv.MachineShardPrefix + shard.ParseMachineKey(kv).Shard}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
@@ -123,10 +123,10 @@
 // stingy is a state service that makes no new shards for now.
 type stingy struct{ *emulator.State }
 
-func (s stingy) Txn(ctx context.Context, when []statekv.Cond, then []statekv.Op) (uint64, error) {
+func (s stingy) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	for _, c := range when {
-		if c.Rev == 0 && strings.HasPrefix(c.Key, statekv.ShardPrefix) {
-			return 0, statekv.ErrRefused
+		if c.Rev == 0 && strings.HasPrefix(c.Key, statekv.MachineShardPrefix) {
+			return 0, statekv.ErrRejected
 		}
 	}
 	return s.State.Txn(ctx, when, then)
--- a/internal/clusteragent/clear.go
+++ b/internal/clusteragent/clear.go
@@ -190,7 +190,7 @@
 // or this owner is not the latest. The mutex is held.
 func (a *Agent) keepable(r *agentapi.CommitRequest) *machine {
 	m := a.machines[r.Machine]
-	if m == nil || m.rev != r.Rev || !a.member.Certain() || !a.current(statekv.SlotPrefix+r.Slot, r.Epoch) {
+	if m == nil || m.rev != r.Rev || !a.member.HoldsLease() || !a.current(statekv.JobShardPrefix+r.Slot, r.Epoch) {
 		return nil
 	}
 	return m
--- a/internal/clusteragent/health.go
+++ b/internal/clusteragent/health.go
@@ -12,7 +12,7 @@
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	reply.Host, reply.StateOK, reply.Marked = a.member.Host, a.member.Certain(), []agentapi.Marked{}
+	reply.Host, reply.StateOK, reply.Marked = a.member.Host, a.member.HoldsLease(), []agentapi.Marked{}
 	for _, m := range a.machines {
 		if m.gone || m.removing {
 			continue
--- a/internal/clusteragent/late_test.go
+++ b/internal/clusteragent/late_test.go
@@ -295,39 +295,39 @@
 
 func (c *cutOff) Get(ctx context.Context, key string) (statekv.KV, error) {
 	if c.off.Load() {
-		return statekv.KV{}, statekv.ErrUnknown
+		return statekv.KV{}, statekv.ErrOutcomeUnknown
 	}
 	return c.State.Get(ctx, key)
 }
 
 func (c *cutOff) List(ctx context.Context, prefix, after string) (statekv.Page, error) {
 	if c.off.Load() {
-		return statekv.Page{}, statekv.ErrUnknown
+		return statekv.Page{}, statekv.ErrOutcomeUnknown
 	}
 	return c.State.List(ctx, prefix, after)
 }
 
-func (c *cutOff) Txn(ctx context.Context, when []statekv.Cond, then []statekv.Op) (uint64, error) {
+func (c *cutOff) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	if c.off.Load() {
-		return 0, statekv.ErrUnknown
+		return 0, statekv.ErrOutcomeUnknown
 	}
 	return c.State.Txn(ctx, when, then)
 }
 
 func (c *cutOff) Renew(ctx context.Context, lease uint64) error {
 	if c.off.Load() {
-		return statekv.ErrUnknown
+		return statekv.ErrOutcomeUnknown
 	}
 	return c.State.Renew(ctx, lease)
 }
 
-func (c *cutOff) Follow(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.News, error) {
+func (c *cutOff) Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.WatchResponse, error) {
 	if c.off.Load() {
 		select {
 		case <-ctx.Done():
 		case <-time.After(block):
 		}
-		return statekv.News{}, statekv.ErrUnknown
+		return statekv.WatchResponse{}, statekv.ErrOutcomeUnknown
 	}
-	return c.State.Follow(ctx, prefix, since, block)
+	return c.State.Watch(ctx, prefix, since, block)
 }
--- a/internal/clusteragent/learn.go
+++ b/internal/clusteragent/learn.go
@@ -76,7 +76,7 @@
 		if err != nil {
 			// Nothing is known of the job, so its tasks are left alone; the records
 			// of others must not wait for it.
-			a.mirror.Unreadable(kv.Key, err)
+			a.mirror.ReportUndecodable(kv.Key, err)
 			delete(ids, id)
 			continue
 		}
--- a/internal/clusteragent/learn_test.go
+++ b/internal/clusteragent/learn_test.go
@@ -43,7 +43,7 @@
 		if held(workers, w) != 2 {
 			t.Errorf("%d tasks are on the machine", held(workers, w))
 		}
-		if bad := n.mirror.Bad(); bad[job.OpenKey("wk-1")] == "" {
+		if bad := n.mirror.Undecodable(); bad[job.OpenKey("wk-1")] == "" {
 			t.Errorf("listed: %v", bad)
 		}
 	})
--- a/internal/clusteragent/over.go
+++ b/internal/clusteragent/over.go
@@ -125,12 +125,12 @@
 // controller knows: no cancellation that it has told a user by now, and no machine that it
 // took from another, is of a later one. What earlier lives told, they had seen before this
 // one joined. The mutex is held.
-func (a *Agent) seen() uint64 { return max(a.member.Instance, a.told, a.mirror.Marked()) }
+func (a *Agent) seen() uint64 { return max(a.member.Incarnation, a.told, a.mirror.TrackedRev()) }
 
 // stillOurs reports whether a machine is ours by the keys that the mirror shows. While this
 // controller is certain of its lease that is looked after all the time (sortOut).
 func (a *Agent) stillOurs(m *machine) bool {
-	if a.member.Certain() {
+	if a.member.HoldsLease() {
 		return true
 	}
 	kv, ok := a.mirror.Get(statekv.MachinePrefix + m.name)
--- a/internal/clusteragent/owner.go
+++ b/internal/clusteragent/owner.go
@@ -66,11 +66,11 @@
 // in them.
 func (a *Agent) holdShards(ctx context.Context) {
 	hosts := a.member.AliveHosts()
-	if !a.member.Certain() || !slices.Contains(hosts, a.member.Host) {
+	if !a.member.HoldsLease() || !slices.Contains(hosts, a.member.Host) {
 		return
 	}
 	now := time.Now()
-	shards, machines := a.mirror.Dir(statekv.ShardPrefix), a.mirror.Dir(statekv.MachinePrefix)
+	shards, machines := a.mirror.Dir(statekv.MachineShardPrefix), a.mirror.Dir(statekv.MachinePrefix)
 	size := a.survey(machines)
 	wanted := a.strayShards(shards, size, hosts, now)
 	if len(wanted) == 0 {
@@ -93,7 +93,7 @@
 	a.dropEmpty(ctx, held, home, size, empty)
 	// Machines first: whoever is in a shard that came since belongs to its owner.
 	machines = a.mirror.Dir(statekv.MachinePrefix)
-	a.sortOut(hosts, machines, shard.OwnersOf(a.mirror.Dir(statekv.ShardPrefix)))
+	a.sortOut(hosts, machines, shard.OwnersOf(a.mirror.Dir(statekv.MachineShardPrefix)))
 }
 
 // takeShards takes the shards that fall to this controller, and those wanted from
@@ -101,7 +101,7 @@
 // leaves, to be removed later: after a crash of all controllers the state service's
 // limit is what the others wait for.
 func (a *Agent) takeShards(ctx context.Context, shards []statekv.KV, size map[string]int, wanted map[string]string) (held map[string]holding, empty []statekv.Role) {
-	heirs := a.member.Heirs(a.settings.Hosts())
+	heirs := a.member.Successors(a.settings.Hosts())
 	held = map[string]holding{}
 	keys := map[string]*shard.ShardKey{}
 	var roles []statekv.Role
@@ -111,7 +111,7 @@
 			continue
 		}
 		if key.Holder == a.member.Holder {
-			held[kv.Key[len(statekv.ShardPrefix):]] = holding{kv.Rev, key.Index}
+			held[kv.Key[len(statekv.MachineShardPrefix):]] = holding{kv.Rev, key.Index}
 			continue
 		}
 		from := key.Holder
@@ -120,8 +120,8 @@
 		} else if a.member.Alive(key.Holder) || a.heir(key, heirs) != a.member.Host {
 			continue
 		}
-		role := statekv.Role{Key: kv.Key, Seen: kv.Rev, From: from, Value: shard.ShardKey{Holder: a.member.Holder, Index: key.Index}}
-		if size[kv.Key[len(statekv.ShardPrefix):]] == 0 && wanted[kv.Key] == "" {
+		role := statekv.Role{Key: kv.Key, ExpectedRev: kv.Rev, PreviousHolder: from, Value: shard.ShardKey{Holder: a.member.Holder, Index: key.Index}}
+		if size[kv.Key[len(statekv.MachineShardPrefix):]] == 0 && wanted[kv.Key] == "" {
 			empty = append(empty, role)
 			continue
 		}
@@ -133,12 +133,12 @@
 	}
 	tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	taken, err := a.member.TakeAll(tctx, roles, a.settings.State.TxnOps)
+	taken, err := a.member.AcquireAll(tctx, roles, a.settings.State.TxnOps)
 	if err != nil {
 		slog.Debug("machine shard acquisition failed", "err", err)
 	}
 	for key, rev := range taken {
-		id, was := key[len(statekv.ShardPrefix):], keys[key]
+		id, was := key[len(statekv.MachineShardPrefix):], keys[key]
 		held[id] = holding{rev, was.Index}
 		slog.Info("machine shard acquired", "machine_shard", id, "previous_owner", was.Host, "revision", rev, "reason", wanted[key])
 	}
@@ -159,14 +159,14 @@
 		home = make([]string, places)
 	}
 	ids := slices.Sorted(maps.Keys(held))
-	var when []statekv.Cond
+	var when []statekv.Compare
 	var then []statekv.Op
 	var made []int
 	for k := range home {
 		if _, ok := held[home[k]]; ok {
 			continue
 		}
-		if home[k] = ""; !a.needsHome(k) || len(made) >= a.store.Most(a.settings.State.TxnOps) {
+		if home[k] = ""; !a.needsHome(k) || len(made) >= a.store.MaxTxnOps(a.settings.State.TxnOps) {
 			continue
 		}
 		at := slices.IndexFunc(ids, func(id string) bool { return held[id].index%places == k })
@@ -178,8 +178,8 @@
 		made = append(made, k)
 		// Once only: a copy applied late must not raise the revision of a
 		// shard that has machines by then.
-		when = append(when, statekv.Cond{Key: statekv.ShardPrefix + home[k]})
-		then = append(then, statekv.Op{Set: statekv.ShardPrefix + home[k], Value: shard.ShardKey{Holder: a.member.Holder, Index: k}})
+		when = append(when, statekv.Compare{Key: statekv.MachineShardPrefix + home[k]})
+		then = append(then, statekv.Op{Set: statekv.MachineShardPrefix + home[k], Value: shard.ShardKey{Holder: a.member.Holder, Index: k}})
 	}
 	if len(made) > 0 {
 		tctx, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -218,8 +218,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for {
-		id := fmt.Sprintf("%s.%d.%d.%d", a.member.Host, a.member.Instance, a.gens[k], k)
-		if _, exists := a.mirror.Get(statekv.ShardPrefix + id); !exists {
+		id := fmt.Sprintf("%s.%d.%d.%d", a.member.Host, a.member.Incarnation, a.gens[k], k)
+		if _, exists := a.mirror.Get(statekv.MachineShardPrefix + id); !exists {
 			return id
 		}
 		a.gens[k]++
@@ -244,18 +244,18 @@
 // machine have been claimed into one unseen, it is claimed anew like any whose shard
 // is lost.
 func (a *Agent) dropEmpty(ctx context.Context, held map[string]holding, home []string, size map[string]int, empty []statekv.Role) {
-	var when []statekv.Cond
+	var when []statekv.Compare
 	var then []statekv.Op
 	for id, h := range held {
 		if size[id] == 0 && !slices.Contains(home, id) {
-			empty = append(empty, statekv.Role{Key: statekv.ShardPrefix + id, Seen: h.rev})
+			empty = append(empty, statekv.Role{Key: statekv.MachineShardPrefix + id, ExpectedRev: h.rev})
 		}
 	}
-	for _, r := range empty[:min(a.store.Most(min(mostDropped, a.settings.State.TxnOps)), len(empty))] {
-		when = append(when, a.member.Conds(r)...)
+	for _, r := range empty[:min(a.store.MaxTxnOps(min(mostDropped, a.settings.State.TxnOps)), len(empty))] {
+		when = append(when, a.member.RoleCompares(r)...)
 		then = append(then, statekv.Op{Delete: r.Key})
 	}
-	if len(then) == 0 || !a.store.Room(statekv.Chores, len(then)) {
+	if len(then) == 0 || !a.store.Allow(statekv.ClassMaintenance, len(then)) {
 		return
 	}
 	tctx, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -353,7 +353,7 @@
 		case c := <-a.claims:
 			batch = append(batch, c)
 		}
-		for len(batch) < a.store.Batch(a.settings.State.TxnOps) && len(a.claims) > 0 {
+		for len(batch) < a.store.TxnBatchSize(a.settings.State.TxnOps) && len(a.claims) > 0 {
 			batch = append(batch, <-a.claims)
 		}
 		// Meanwhile another controller may have claimed it, or taken the shard.
@@ -362,7 +362,7 @@
 			kv, _ := a.mirror.Get(statekv.MachinePrefix + c.name)
 			return kv.Rev != c.seen || shards[c.key.Shard] == 0
 		})
-		for len(open) > 0 && !a.store.Room(statekv.Claims, len(open)) && ctx.Err() == nil {
+		for len(open) > 0 && !a.store.Allow(statekv.ClassClaim, len(open)) && ctx.Err() == nil {
 			time.Sleep(50 * time.Millisecond)
 		}
 		a.claimBatch(ctx, open, shards)
@@ -379,17 +379,17 @@
 // claim of ours whose answer was lost is taken up once the mirror shows it.
 func (a *Agent) claimBatch(ctx context.Context, batch []claim, shards map[string]uint64) {
 	for len(batch) > 0 && ctx.Err() == nil {
-		var when []statekv.Cond
+		var when []statekv.Compare
 		var then []statekv.Op
 		for _, c := range batch {
-			when = append(when, statekv.Cond{Key: statekv.MachinePrefix + c.name, Rev: c.seen})
-			if shard := (statekv.Cond{Key: statekv.ShardPrefix + c.key.Shard, Rev: shards[c.key.Shard]}); !slices.Contains(when, shard) {
+			when = append(when, statekv.Compare{Key: statekv.MachinePrefix + c.name, Rev: c.seen})
+			if shard := (statekv.Compare{Key: statekv.MachineShardPrefix + c.key.Shard, Rev: shards[c.key.Shard]}); !slices.Contains(when, shard) {
 				// Another may take the shard from this life: a machine put into
 				// it then would have two owners with one token.
 				when = append(when, shard)
 			}
 			was, _ := a.mirror.Get(statekv.MachinePrefix + c.name)
-			then = append(then, statekv.Op{Set: statekv.MachinePrefix + c.name, Value: statekv.Keep(was.Value, c.key)})
+			then = append(then, statekv.Op{Set: statekv.MachinePrefix + c.name, Value: statekv.PreserveUnknown(was.Value, c.key)})
 		}
 		tctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 		rev, err := a.member.Write(tctx, when, then)
@@ -406,12 +406,12 @@
 			batch = batch[len(batch)/2:]
 			continue
 		}
-		var conflict *statekv.Conflict
+		var conflict *statekv.ConflictError
 		if !errors.As(err, &conflict) {
 			return
 		}
 		left := slices.DeleteFunc(slices.Clone(batch), func(c claim) bool {
-			return slices.Contains(conflict.Failed, statekv.MachinePrefix+c.name) || slices.Contains(conflict.Failed, statekv.ShardPrefix+c.key.Shard)
+			return slices.Contains(conflict.Failed, statekv.MachinePrefix+c.name) || slices.Contains(conflict.Failed, statekv.MachineShardPrefix+c.key.Shard)
 		})
 		if len(left) == len(batch) {
 			return // our own condition failed: this life is over
--- a/internal/clusteragent/register_test.go
+++ b/internal/clusteragent/register_test.go
@@ -49,7 +49,7 @@
 	closed atomic.Bool
 }
 
-func (c *closing) Room(statekv.Kind, int) bool { return !c.closed.Load() }
+func (c *closing) Allow(statekv.RequestClass, int) bool { return !c.closed.Load() }
 
 // While many machines wait for their registration nothing is stopped for gangs: there will be
 // room, and what is stopped is placed again on the few machines that are registered. At 3,000
--- a/internal/clusteragent/service.go
+++ b/internal/clusteragent/service.go
@@ -35,11 +35,11 @@
 	switch {
 	case m == nil || m.rev != r.Rev:
 		reply.Why = "machine is not owned here"
-	case !a.member.Certain():
+	case !a.member.HoldsLease():
 		reply.Why = "owner is not certain of its lease"
-	case !a.current(statekv.SlotPrefix+r.Slot, r.Epoch):
+	case !a.current(statekv.JobShardPrefix+r.Slot, r.Epoch):
 		reply.Why = "placer is not the slot's latest"
-	case a.settings.Limited(r.Spec.Team) && !a.current(statekv.StewardKey, r.StewardEpoch):
+	case a.settings.Limited(r.Spec.Team) && !a.current(statekv.LeaderKey, r.StewardEpoch):
 		reply.Why = "permit is not from the latest steward"
 	case a.isOver(r.Spec.ID, r.JobRev):
 		reply.Why = "job is over"
@@ -220,7 +220,7 @@
 		return errors.New("agent has not caught up with the state service")
 	}
 	since, first := r.Since, false
-	if r.Instance != a.member.Instance {
+	if r.Instance != a.member.Incarnation {
 		since, first = 0, true
 	}
 	for {
@@ -230,8 +230,8 @@
 		// agent without machines must not be asked in a tight loop.
 		if a.ver > since || first || ctx.Err() != nil {
 			now := time.Now()
-			reply.Host, reply.Instance, reply.Ver = a.member.Host, a.member.Instance, a.ver
-			reply.StateOK, reply.Seen = a.member.Certain(), a.seen()
+			reply.Host, reply.Instance, reply.Ver = a.member.Host, a.member.Incarnation, a.ver
+			reply.StateOK, reply.Seen = a.member.HoldsLease(), a.seen()
 			moved := a.changedSince(since)
 			if len(moved) > maxWatchEntries {
 				// The next answer goes on from the last of these.
@@ -372,12 +372,12 @@
 		var batch []*machine
 		a.mu.Lock()
 		for _, m := range a.machines {
-			if m.removing && !m.gone && len(batch) < a.store.Most(min(8, a.settings.State.TxnOps)) {
+			if m.removing && !m.gone && len(batch) < a.store.MaxTxnOps(min(8, a.settings.State.TxnOps)) {
 				batch = append(batch, m)
 			}
 		}
 		a.mu.Unlock()
-		if len(batch) == 0 || !a.store.Room(statekv.Chores, len(batch)) {
+		if len(batch) == 0 || !a.store.Allow(statekv.ClassMaintenance, len(batch)) {
 			continue
 		}
 		err := a.removeKeys(ctx, batch)
@@ -396,10 +396,10 @@
 }
 
 func (a *Agent) removeKeys(ctx context.Context, batch []*machine) error {
-	var when []statekv.Cond
+	var when []statekv.Compare
 	var then []statekv.Op
 	for _, m := range batch {
-		when = append(when, statekv.Cond{Key: statekv.MachinePrefix + m.name, Rev: m.keyRev})
+		when = append(when, statekv.Compare{Key: statekv.MachinePrefix + m.name, Rev: m.keyRev})
 		then = append(then, statekv.Op{Delete: statekv.MachinePrefix + m.name})
 	}
 	tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -54,7 +54,7 @@
 // Store is the state service, whose limits the controllers that live share.
 type Store interface {
 	statekv.Store
-	Share(controllers int)
+	SetControllerCount(controllers int)
 }
 
 // Network carries calls between the controllers for one life.
@@ -136,7 +136,7 @@
 func (c *Controller) Live(ctx context.Context) {
 	told := ""
 	for ctx.Err() == nil {
-		err := c.live(ctx, recovery.NewClock(time.Now()))
+		err := c.live(ctx, recovery.NewTimeline(time.Now()))
 		c.gateway.SetLife(nil)
 		pause := 300 * time.Millisecond
 		if err != nil && ctx.Err() == nil {
@@ -158,7 +158,7 @@
 }
 
 // live runs one life: from registration until the state lease is lost.
-func (c *Controller) live(parent context.Context, clock *recovery.Clock) error {
+func (c *Controller) live(parent context.Context, clock *recovery.Timeline) error {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	var (
@@ -166,7 +166,7 @@
 		pl *scheduler.Placer
 		st *autoscaler.Steward
 	)
-	mirror := statekv.NewMirror(c.store, []string{statekv.FleetPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, c.settings.WatchTime(), c.settings.WatchPause(), func(events []statekv.Event) {
+	mirror := statekv.NewMirror(c.store, []string{statekv.ClusterPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, c.settings.WatchTime(), c.settings.WatchPause(), func(events []statekv.Event) {
 		if events == nil {
 			pl.Recheck()
 			return
@@ -174,7 +174,7 @@
 		for _, e := range events {
 			if strings.HasPrefix(e.Key(), job.OpenPrefix) {
 				pl.OnJobEvent(e)
-			} else if slot, ok := strings.CutPrefix(e.Set, statekv.SlotPrefix); ok {
+			} else if slot, ok := strings.CutPrefix(e.Set, statekv.JobShardPrefix); ok {
 				ag.SlotMoved(slot)
 			} else if machine, ok := strings.CutPrefix(e.Delete, statekv.MachinePrefix); ok {
 				ag.OnRemoved(machine)
@@ -183,9 +183,9 @@
 			}
 		}
 	})
-	mirror.Parse, mirror.Marks = parseKey, clusteragent.Cancels
+	mirror.Parse, mirror.Track = parseKey, clusteragent.Cancels
 	pipes := dag.NewTracker(mirror, c.takes, c.gateway.Tombstone)
-	mirror.First = func(events []statekv.Event) {
+	mirror.OnApply = func(events []statekv.Event) {
 		pipes.OnEvents(events)
 		if ag != nil { // what is read before there are machines is in the mirror
 			ag.OnEvents(events)
@@ -194,7 +194,7 @@
 	if err := mirror.Load(ctx); err != nil {
 		return fmt.Errorf("reading the fleet's keys: %w", err)
 	}
-	if kv, ok := mirror.Get(statekv.TypesKey); ok && len(c.catalogue.Types()) == 0 {
+	if kv, ok := mirror.Get(statekv.MachineTypesKey); ok && len(c.catalogue.Types()) == 0 {
 		var types []cloud.MachineType
 		if json.Unmarshal(kv.Value, &types) == nil {
 			c.catalogue.Set(types)
@@ -205,13 +205,13 @@
 	if err != nil {
 		return err
 	}
-	member, err := statekv.Join(ctx, c.store, mirror, c.settings.Host, nodeTTL, reg)
+	member, err := statekv.OpenSession(ctx, c.store, mirror, c.settings.Host, nodeTTL, reg)
 	if err != nil {
 		return err
 	}
 	c.gateway.SetWaiting("")
-	clock.Mark(recovery.Life)
-	slog.Info("controller session started", "host", member.Host, "instance", member.Instance)
+	clock.Record(recovery.StepRegistered)
+	slog.Info("controller session started", "host", member.Host, "instance", member.Incarnation)
 
 	server := rpc.NewServer()
 	greeter := peer.NewService(c.settings.Host, rollout.Build, map[string]any{"Agent": (*clusteragent.Service)(nil), "Placer": (*scheduler.Service)(nil), "Steward": (*autoscaler.Service)(nil)})
@@ -244,8 +244,8 @@
 	duties.Go(func() { c.runBudget(ctx, member, network, pl.StewardHost) })
 	duties.Go(func() { serve(ctx) })
 	lost := make(chan error, 1)
-	duties.Go(func() { lost <- member.Keep(ctx) })
-	if err := mirror.Wait(ctx, member.Instance); err != nil {
+	duties.Go(func() { lost <- member.KeepAlive(ctx) })
+	if err := mirror.Wait(ctx, member.Incarnation); err != nil {
 		return err
 	}
 	duties.Go(func() { ag.Run(ctx) })
@@ -290,7 +290,7 @@
 }
 
 // paced is a store whose changes follow a budget that all controllers share.
-type paced interface{ Budget() *statekv.WriteBudget }
+type paced interface{ WriteBudget() *statekv.WriteBudget }
 
 // How often a controller tells the steward how many changes it would make: often while it
 // needs more than its part, so that it is lent more soon, and else so that its promise to use
@@ -302,14 +302,14 @@
 
 // runBudget tells the steward what this session needs of the changes that the state service
 // takes, and takes what is lent.
-func (c *Controller) runBudget(ctx context.Context, member *statekv.Member, network peer.Caller, stewardHost func() string) {
+func (c *Controller) runBudget(ctx context.Context, member *statekv.Session, network peer.Caller, stewardHost func() string) {
 	store, ok := c.store.(paced)
 	if !ok {
 		return
 	}
-	writes := store.Budget()
-	writes.Session(time.Now(), member.Certain)
-	defer writes.Session(time.Time{}, nil)
+	writes := store.WriteBudget()
+	writes.SetSession(time.Now(), member.HoldsLease)
+	defer writes.SetSession(time.Time{}, nil)
 	for ctx.Err() == nil {
 		pause := budgetRest
 		if host := stewardHost(); host != "" {
@@ -319,9 +319,9 @@
 				pause = budgetBusy
 			}
 			var grant budget.Grant
-			cctx, cancel := context.WithTimeout(ctx, budget.LoanTime)
+			cctx, cancel := context.WithTimeout(ctx, budget.LoanDuration)
 			if err := network.Call(cctx, host, "Steward.Budget", report, &grant); err == nil {
-				writes.Granted(grant, sent)
+				writes.ApplyGrant(grant, sent)
 			} else {
 				slog.Debug("write budget request failed", "err", err)
 			}
@@ -336,7 +336,7 @@
 
 // share divides the requests that the state service allows among the controllers that live:
 // those that take over a dead one's machines need its share for it.
-func (c *Controller) share(ctx context.Context, member *statekv.Member) {
+func (c *Controller) share(ctx context.Context, member *statekv.Session) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -347,6 +347,6 @@
 		}
 		// Half of the controllers are counted in any case: those that come
 		// back do so together.
-		c.store.Share(max(len(member.AliveHosts()), (c.settings.Controllers+1)/2))
+		c.store.SetControllerCount(max(len(member.AliveHosts()), (c.settings.Controllers+1)/2))
 	}
 }
--- a/internal/controller/wire_test.go
+++ b/internal/controller/wire_test.go
@@ -42,12 +42,12 @@
 			return unconnected{}
 		}})
 	c.catalogue.Set([]cloud.MachineType{{Name: "box"}})
-	if err := c.live(t.Context(), recovery.NewClock(time.Now())); !errors.Is(err, errNoPeers) {
+	if err := c.live(t.Context(), recovery.NewTimeline(time.Now())); !errors.Is(err, errNoPeers) {
 		t.Fatal(err)
 	}
 
-	var greeting peer.Greeting
-	if err := greeter.Hello(peer.Greeting{}, &greeting); err != nil {
+	var greeting peer.Handshake
+	if err := greeter.Hello(peer.Handshake{}, &greeting); err != nil {
 		t.Fatal(err)
 	}
 	methods := append(slices.Clone(greeting.Calls), "Peer.Hello")
--- a/internal/dag/tracker.go
+++ b/internal/dag/tracker.go
@@ -18,7 +18,7 @@
 type Keys interface {
 	Get(key string) (statekv.KV, bool)
 	Dir(prefix string) []statekv.KV
-	Unreadable(key string, err error)
+	ReportUndecodable(key string, err error)
 }
 
 // Tracker keeps, for one life of a controller, the snapshot by which waiting jobs are
@@ -106,7 +106,7 @@
 		err = rec.Join(t.keys.Get)
 	}
 	if err != nil {
-		t.keys.Unreadable(job.OpenKey(id), err)
+		t.keys.ReportUndecodable(job.OpenKey(id), err)
 		return
 	}
 	if len(rec.Spec.WaitsOn) == 0 {
@@ -266,11 +266,11 @@
 			// It was open until a moment ago, or its record is being written: the
 			// mirror will show it.
 			slog.Debug("dependency record missing", "job", id)
-		case errors.Is(err, statekv.ErrRefused) || errors.Is(err, statekv.ErrUnknown) || rctx.Err() != nil:
+		case errors.Is(err, statekv.ErrRejected) || errors.Is(err, statekv.ErrOutcomeUnknown) || rctx.Err() != nil:
 			slog.Debug("dependency record read failed", "job", id, "err", err)
 		default:
 			// What waits for it goes on waiting, until a person has seen to it.
-			t.keys.Unreadable(tombstone.Key(id), err)
+			t.keys.ReportUndecodable(tombstone.Key(id), err)
 			t.mu.Lock()
 			if t.after[id] > 0 {
 				t.bad[id] = time.Now()
--- a/internal/dag/tracker_test.go
+++ b/internal/dag/tracker_test.go
@@ -41,7 +41,7 @@
 		r, ok := w.known[id]
 		return r, ok
 	})
-	w.keys.First = w.pipes.OnEvents
+	w.keys.OnApply = w.pipes.OnEvents
 	if err := w.keys.Load(w.ctx); err != nil {
 		w.t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 		w.is("wk-5", dag.Ready)
 		w.is("wk-6", dag.Unread)
 		w.is("wk-9", dag.Waiting)
-		bad := w.keys.Bad()
+		bad := w.keys.Undecodable()
 		if bad[tombstone.Key("wk-2")] == "" {
 			t.Error(bad)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -34,7 +34,7 @@
 
 // Life is the parts of the controller that end with its state lease.
 type Life struct {
-	Member  *statekv.Member
+	Member  *statekv.Session
 	Mirror  *statekv.Mirror
 	Agent   *clusteragent.Agent
 	Placer  *scheduler.Placer
@@ -44,7 +44,7 @@
 	Levels  *rollout.Reader
 	Pipes   *dag.Tracker
 	Call    peer.Caller
-	Clock   *recovery.Clock
+	Clock   *recovery.Timeline
 	Traffic func() peer.Traffic // with other controllers; nil: nobody counts it
 }
 
@@ -198,7 +198,7 @@
 // then is answered at once with when to come back, for it would wait for nothing. Alone,
 // a renewal or a watch may be late.
 func (l *Life) cutOff(now time.Time) bool {
-	return !l.Member.Certain() && now.Sub(l.Mirror.Fresh()) > staleView
+	return !l.Member.HoldsLease() && now.Sub(l.Mirror.FreshAsOf()) > staleView
 }
 
 // staleView is how old the mirror is when watches have plainly stopped to come back:
@@ -217,12 +217,12 @@
 	if _, _, ok := l.Placer.Home(); !ok {
 		return fail(c, fiber.StatusServiceUnavailable, "starting")
 	}
-	if !l.Member.Certain() {
+	if !l.Member.HoldsLease() {
 		if heard, served := l.Feed.Peers(g.settings.Host); served > 0 || heard == 0 && len(g.settings.Peers) > 0 {
 			return fail(c, fiber.StatusServiceUnavailable, "cut off from the state service")
 		}
 	}
-	l.Clock.Mark(recovery.Ready)
+	l.Clock.Record(recovery.StepReady)
 	return c.JSON(fiber.Map{"status": "ready"})
 }
 
@@ -279,18 +279,18 @@
 func (g *Gateway) ReadEnded(ctx context.Context, id string) (tombstone.Tombstone, error) {
 	l := g.life.Load()
 	if l == nil {
-		return tombstone.Tombstone{}, fmt.Errorf("%w: starting", statekv.ErrRefused)
+		return tombstone.Tombstone{}, fmt.Errorf("%w: starting", statekv.ErrRejected)
 	}
-	return tombstone.Read(ctx, g.store, []statekv.Cond{l.Member.Cond()}, id)
+	return tombstone.Read(ctx, g.store, []statekv.Compare{l.Member.Fence()}, id)
 }
 
 // fence is the condition of this controller's life, if it has one.
-func (g *Gateway) fence() (statekv.Cond, bool) {
+func (g *Gateway) fence() (statekv.Compare, bool) {
 	l := g.life.Load()
 	if l == nil {
-		return statekv.Cond{}, false
+		return statekv.Compare{}, false
 	}
-	return l.Member.Cond(), true
+	return l.Member.Fence(), true
 }
 
 // openRecord returns the record of an open job as of now, so that no answer is
@@ -365,10 +365,10 @@
 	}
 	rec, err := job.ParseRecord(open.Value)
 	if err != nil {
-		l.Mirror.Unreadable(open.Key, err)
+		l.Mirror.ReportUndecodable(open.Key, err)
 		return 0, 0
 	}
-	kv, ok := l.Mirror.Get(statekv.SlotPrefix + rec.Slot)
+	kv, ok := l.Mirror.Get(statekv.JobShardPrefix + rec.Slot)
 	h, err := statekv.HolderOf(kv)
 	if !ok || err != nil || h.Host == g.settings.Host || !l.Member.Alive(h) {
 		return 0, 0
@@ -383,7 +383,7 @@
 }
 
 // errMoved says that a job is over since its open record was looked at.
-var errMoved = fmt.Errorf("%w: the job is over since its record was read", statekv.ErrRefused)
+var errMoved = fmt.Errorf("%w: the job is over since its record was read", statekv.ErrRejected)
 
 // waits tells whether an open job waits for others, or which answer it has for good
 // because one before it was cancelled: nothing need be written for that to be so.
@@ -393,7 +393,7 @@
 	}
 	l := g.life.Load()
 	if l == nil {
-		return f, false, fmt.Errorf("%w: starting", statekv.ErrRefused)
+		return f, false, fmt.Errorf("%w: starting", statekv.ErrRejected)
 	}
 	v, ok := l.Pipes.Judge(id)
 	if !ok {
@@ -413,7 +413,7 @@
 		return tombstone.Tombstone{Status: job.Cancelled, Tasks: rec.Spec.Tasks}, true, nil
 	case len(v.Unread) > 0:
 		// One of them may have been cancelled long ago.
-		return f, true, fmt.Errorf("%w: the records of jobs before it are being read", statekv.ErrRefused)
+		return f, true, fmt.Errorf("%w: the records of jobs before it are being read", statekv.ErrRejected)
 	}
 	return f, v.State != dag.Ready, nil
 }
@@ -449,7 +449,7 @@
 		return later(c, "starting")
 	}
 	rec := &job.Record{Spec: *spec, Slot: slot, Submitted: time.Now().UnixMilli()}
-	when := append(tombstone.Absent(spec.ID), statekv.Cond{Key: job.OpenKey(spec.ID)}, statekv.Cond{Key: statekv.SlotPrefix + slot, Rev: epoch})
+	when := append(tombstone.Absent(spec.ID), statekv.Compare{Key: job.OpenKey(spec.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + slot, Rev: epoch})
 	var then []statekv.Op
 	if large := rec.Large(g.settings.State.ValueBytes); large || len(spec.WaitsOn) > 0 {
 		// Whoever does not know of these would start it at once, or not read it: none
@@ -474,11 +474,11 @@
 	rev, err := writeOnce(ctx, l.Member, when, append(then, statekv.Op{Set: job.OpenKey(spec.ID), Value: rec}))
 	if err == nil {
 		l.Placer.Accepted(rec, rev)
-		l.Clock.Mark(recovery.Accepted)
+		l.Clock.Record(recovery.StepSubmissionAccepted)
 		slog.Info(logline.JobAccepted, "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "gpus", spec.GPUs, "deadline_s", spec.Due().Seconds(), "job_shard", slot, "dependencies", len(spec.WaitsOn))
 		return c.Status(fiber.StatusCreated).JSON(jobStatus{ID: spec.ID, Status: job.Queued})
 	}
-	if errors.Is(err, statekv.ErrRefused) {
+	if errors.Is(err, statekv.ErrRejected) {
 		return elsewhere(c, "the state service does not take it now")
 	}
 	// A conflict means that the job is known, or that this controller's role
@@ -587,20 +587,20 @@
 		rec, err := job.ParseRecord(kv.Value)
 		if err != nil {
 			// Whoever can read it can cancel it.
-			l.Mirror.Unreadable(kv.Key, err)
+			l.Mirror.ReportUndecodable(kv.Key, err)
 			break
 		}
 		f := tombstone.Tombstone{Status: job.Cancelled, Tasks: rec.Spec.Tasks}
 		level, unchanged := l.Levels.Now()
 		then := append([]statekv.Op{{Delete: job.OpenKey(id)}}, tombstone.Ops(id, f, level.Writes())...)
-		then = append(then, job.DropExtras(id, rec.Spec.Tasks, rec.Pieces, g.store.Most(g.settings.State.TxnOps)-len(then))...)
-		rev, err := writeOnce(ctx, l.Member, []statekv.Cond{{Key: job.OpenKey(id), Rev: kv.Rev}, unchanged}, then)
+		then = append(then, job.DropExtras(id, rec.Spec.Tasks, rec.Pieces, g.store.MaxTxnOps(g.settings.State.TxnOps)-len(then))...)
+		rev, err := writeOnce(ctx, l.Member, []statekv.Compare{{Key: job.OpenKey(id), Rev: kv.Rev}, unchanged}, then)
 		if err == nil {
 			l.tellOwners(ctx, id, rev)
 			slog.Info("cancellation acknowledged", "job", id, "latency_ms", time.Since(began).Milliseconds())
 			return answer(f)
 		}
-		if !statekv.IsConflict(err) && !errors.Is(err, statekv.ErrUnknown) {
+		if !statekv.IsConflict(err) && !errors.Is(err, statekv.ErrOutcomeUnknown) {
 			break
 		}
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,7 +16,7 @@
 // tight is a state service whose share for lookups is used up.
 type tight struct{ *emulator.State }
 
-func (tight) Room(kind statekv.Kind, _ int) bool { return kind != statekv.Lookups }
+func (tight) Allow(kind statekv.RequestClass, _ int) bool { return kind != statekv.ClassLookup }
 
 // When users ask many times as often, surplus questions are refused at once, with
 // the time to come back, and neither they nor questions about jobs that nobody
--- a/internal/gateway/once.go
+++ b/internal/gateway/once.go
@@ -21,14 +21,14 @@
 
 // writer is the part of a life that writes.
 type writer interface {
-	Write(ctx context.Context, when []statekv.Cond, then []statekv.Op) (uint64, error)
+	Write(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error)
 }
 
 // writeOnce makes a write whose conditions its own changes undo, so that of any number of
 // copies at most one is carried out. If no answer comes soon another copy is sent, and
 // whichever answer comes first counts: a *Conflict may then mean that an earlier copy was
 // carried out, and the caller looks what there is.
-func writeOnce(ctx context.Context, w writer, when []statekv.Cond, then []statekv.Op) (uint64, error) {
+func writeOnce(ctx context.Context, w writer, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	type outcome struct {
 		rev uint64
 		err error
@@ -37,7 +37,7 @@
 	defer cancel()
 	done := make(chan outcome, copies)
 	out := make(chan struct{}, copies)
-	ctx = statekv.OnSent(ctx, func() { out <- struct{}{} })
+	ctx = statekv.WithOnSend(ctx, func() { out <- struct{}{} })
 	send := func() {
 		rev, err := w.Write(ctx, when, then)
 		done <- outcome{rev, err}
@@ -52,7 +52,7 @@
 			due.Reset(again)
 			continue
 		case o := <-done:
-			if pending--; !errors.Is(o.err, statekv.ErrUnknown) || pending == 0 && (sent == copies || ctx.Err() != nil) {
+			if pending--; !errors.Is(o.err, statekv.ErrOutcomeUnknown) || pending == 0 && (sent == copies || ctx.Err() != nil) {
 				return o.rev, o.err
 			}
 		case <-due.C:
--- a/internal/gateway/once_test.go
+++ b/internal/gateway/once_test.go
@@ -18,14 +18,14 @@
 	sent  atomic.Int32
 }
 
-func (s *silent) Write(ctx context.Context, _ []statekv.Cond, _ []statekv.Op) (uint64, error) {
+func (s *silent) Write(ctx context.Context, _ []statekv.Compare, _ []statekv.Op) (uint64, error) {
 	time.Sleep(s.queue)
-	statekv.Sent(ctx)
+	statekv.NotifySent(ctx)
 	if s.sent.Add(1) == s.nth {
 		return 7, nil
 	}
 	<-ctx.Done()
-	return 0, statekv.ErrUnknown
+	return 0, statekv.ErrOutcomeUnknown
 }
 
 // A write without an answer is sent up to three times, and given up with its caller.
@@ -36,7 +36,7 @@
 			defer cancel()
 			s, began := &silent{nth: nth}, time.Now()
 			rev, err := writeOnce(ctx, s, nil, nil)
-			if took := time.Since(began); took != want || (err == nil) != (nth <= copies) || err == nil && rev != 7 || err != nil && !errors.Is(err, statekv.ErrUnknown) {
+			if took := time.Since(began); took != want || (err == nil) != (nth <= copies) || err == nil && rev != 7 || err != nil && !errors.Is(err, statekv.ErrOutcomeUnknown) {
 				t.Errorf("copy %d is answered: %d, %v after %v and %d copies", nth, rev, err, took, s.sent.Load())
 			}
 		})
--- a/internal/gateway/pipelines.go
+++ b/internal/gateway/pipelines.go
@@ -60,8 +60,8 @@
 	for len(ids) > 0 {
 		group := ids[:min(most, len(ids))]
 		ids = ids[len(group):]
-		_, never, err := tombstone.Split(ctx, g.store, l.Member.Cond(), group, func(id string) []statekv.Cond {
-			return append(tombstone.Absent(id), statekv.Cond{Key: job.OpenKey(id)})
+		_, never, err := tombstone.Split(ctx, g.store, l.Member.Fence(), group, func(id string) []statekv.Compare {
+			return append(tombstone.Absent(id), statekv.Compare{Key: job.OpenKey(id)})
 		})
 		if err != nil {
 			return "", err
--- a/internal/gateway/pipelines_test.go
+++ b/internal/gateway/pipelines_test.go
@@ -43,9 +43,9 @@
 	refuse atomic.Bool // every transaction
 }
 
-func (l *learning) Txn(ctx context.Context, when []statekv.Cond, then []statekv.Op) (uint64, error) {
+func (l *learning) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	if l.refuse.Load() {
-		return 0, statekv.ErrRefused
+		return 0, statekv.ErrRejected
 	}
 	rev, err := l.State.Txn(ctx, when, then)
 	if errors.Is(err, statekv.ErrTooLarge) {
@@ -54,7 +54,7 @@
 	return rev, err
 }
 
-func (l *learning) Most(ops int) int {
+func (l *learning) MaxTxnOps(ops int) int {
 	if l.most > 0 {
 		return min(l.most, ops)
 	}
@@ -79,20 +79,20 @@
 		state := &learning{State: emulator.NewState()}
 		state.Limit(2048, 8)
 		d := &door{t: t, ctx: ctx, state: state, g: New(settings, state, catalogue, func() (int, time.Duration) { return 0, 0 })}
-		l := &Life{Call: alone{}, Clock: recovery.NewClock(time.Now())}
-		l.Mirror = statekv.NewMirror(state, []string{statekv.FleetPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
+		l := &Life{Call: alone{}, Clock: recovery.NewTimeline(time.Now())}
+		l.Mirror = statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
 			for _, e := range events {
 				l.Placer.OnJobEvent(e)
 				d.g.OnEnded(e)
 			}
 		})
 		l.Pipes = dag.NewTracker(l.Mirror, func(*job.Spec) time.Duration { return time.Second }, d.g.Tombstone)
-		l.Mirror.First = l.Pipes.OnEvents
+		l.Mirror.OnApply = l.Pipes.OnEvents
 		if err := l.Mirror.Load(ctx); err != nil {
 			t.Fatal(err)
 		}
 		var err error
-		if l.Member, err = statekv.Join(ctx, state, l.Mirror, "host-0", 4*time.Second, statekv.Registration{}); err != nil {
+		if l.Member, err = statekv.OpenSession(ctx, state, l.Mirror, "host-0", 4*time.Second, statekv.Registration{}); err != nil {
 			t.Fatal(err)
 		}
 		l.Levels = rollout.NewReader(l.Mirror)
@@ -100,7 +100,7 @@
 		feed := changefeed.NewFeed(alone{}, l.Mirror, []string{"host-0"}, l.Placer.Epoch, l.Placer.OnEntries)
 		l.Feed = feed
 		go l.Mirror.Run(ctx)
-		go func() { _ = l.Member.Keep(ctx) }()
+		go func() { _ = l.Member.KeepAlive(ctx) }()
 		go l.Placer.Run(ctx, feed)
 		go l.Pipes.Run(ctx, d.g.ReadEnded)
 		d.g.SetLife(l)
@@ -154,7 +154,7 @@
 
 // upgraded lets jobs wait for others.
 func (d *door) upgraded() {
-	d.put(statekv.Op{Set: statekv.LevelKey, Value: rollout.Level{Form: 1, N: 2, Features: []rollout.Feature{rollout.Gated, rollout.Pipelines}}})
+	d.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.Level{Form: 1, N: 2, Features: []rollout.Feature{rollout.Gated, rollout.Pipelines}}})
 	time.Sleep(time.Second)
 }
 
@@ -168,7 +168,7 @@
 		d.submit(201, "wk-2", "wk-1")
 		d.is("wk-2", job.Queued)
 		// A person has asked for the way back: who waits is not taken any more.
-		d.put(statekv.Op{Set: statekv.LevelKey, Value: rollout.Level{Form: 1, N: 2, Features: []rollout.Feature{rollout.Gated, rollout.Pipelines}, Ends: rollout.Pipelines}})
+		d.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.Level{Form: 1, N: 2, Features: []rollout.Feature{rollout.Gated, rollout.Pipelines}, Ends: rollout.Pipelines}})
 		time.Sleep(time.Second)
 		d.submit(503, "wk-3", "wk-1")
 		d.submit(200, "wk-2", "wk-1")
@@ -189,7 +189,7 @@
 		}()
 		time.Sleep(100 * time.Millisecond)
 		d.state.Delay(0)
-		d.put(statekv.Op{Set: statekv.LevelKey, Value: rollout.Level{Form: 1, N: 1, Features: []rollout.Feature{rollout.Gated}}})
+		d.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.Level{Form: 1, N: 1, Features: []rollout.Feature{rollout.Gated}}})
 		<-done
 		if _, err := d.state.Get(d.ctx, job.OpenKey("wk-2")); err == nil {
 			t.Error("it was taken")
@@ -291,7 +291,7 @@
 		d.submit(201, "wk-2", "wk-1")
 		// Its placer's record comes first.
 		kv, _ := d.state.Get(d.ctx, job.OpenKey("wk-1"))
-		if _, err := d.state.Txn(d.ctx, []statekv.Cond{{Key: kv.Key, Rev: kv.Rev}}, append(tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Former), statekv.Op{Delete: kv.Key})); err != nil {
+		if _, err := d.state.Txn(d.ctx, []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}, append(tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Former), statekv.Op{Delete: kv.Key})); err != nil {
 			t.Fatal(err)
 		}
 		if code, answer, _ := d.ask("POST", "/submissions/wk-1/abort", ""); code != 200 || answer["status"] != job.Done {
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -24,7 +24,7 @@
 	state := emulator.NewState()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	mirror := statekv.NewMirror(state, []string{statekv.FleetPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	member, err := statekv.Join(ctx, state, mirror, "host-0", time.Hour, reg)
+	member, err := statekv.OpenSession(ctx, state, mirror, "host-0", time.Hour, reg)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -93,7 +93,7 @@
 	if l == nil {
 		return later(c, g.startingWhy())
 	}
-	s := Status{Rollout: l.Gate.Status(), Host: g.settings.Host, Ready: l.Member.Certain(), Steward: l.Placer.StewardHost(), Placer: l.Placer.CountersNow(), Agent: l.Agent.CountersNow(), Serving: l.Clock.Seconds()}
+	s := Status{Rollout: l.Gate.Status(), Host: g.settings.Host, Ready: l.Member.HoldsLease(), Steward: l.Placer.StewardHost(), Placer: l.Placer.CountersNow(), Agent: l.Agent.CountersNow(), Serving: l.Clock.Seconds()}
 	entries := l.Feed.Entries()
 	held := map[string]job.Need{}
 	for i := range entries {
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -43,13 +43,13 @@
 	open(t, func(d *door) {
 		l := d.life
 		l.Agent = clusteragent.New(d.g.settings, d.state, l.Mirror, l.Member, nil, d.g.catalogue.Types)
-		rev, err := d.state.Txn(d.ctx, nil, []statekv.Op{{Set: statekv.NodePrefix + "host-1", Value: struct{}{}}})
+		rev, err := d.state.Txn(d.ctx, nil, []statekv.Op{{Set: statekv.SessionPrefix + "host-1", Value: struct{}{}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		shardKey := shard.ShardKey{Holder: statekv.Holder{Host: "host-1", Instance: rev}}
+		shardKey := shard.ShardKey{Holder: statekv.Holder{Host: "host-1", Incarnation: rev}}
 		machine := shard.MachineKey{Shard: "s", Address: "10.1.0.2:9000", Type: "box", Zone: "a", Spot: true}
-		d.put(statekv.Op{Set: statekv.ShardPrefix + "s", Value: shardKey},
+		d.put(statekv.Op{Set: statekv.MachineShardPrefix + "s", Value: shardKey},
 			statekv.Op{Set: statekv.MachinePrefix + "vm-1", Value: machine})
 		time.Sleep(time.Second)
 		for _, request := range [][3]string{
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	s.Tasks = MaxTasks
-	rec := Record{Spec: *s, Slot: "host-0.1", Submitted: 1, SpecRest: statekv.Rest{"colour": json.RawMessage(`"blue"`)}}
+	rec := Record{Spec: *s, Slot: "host-0.1", Submitted: 1, SpecRest: statekv.UnknownFields{"colour": json.RawMessage(`"blue"`)}}
 	if !rec.Large(limit) {
 		t.Fatal("it is not large")
 	}
@@ -227,7 +227,7 @@
 			t.Errorf("a plain record is written as %s", out)
 		}
 	}
-	var form *statekv.FormError
+	var form *statekv.SchemaError
 	if _, err := ParseRecord([]byte(strings.Replace(plain, `{"spec"`, `{"form":1,"spec"`, 1))); !errors.As(err, &form) {
 		t.Error(err)
 	}
--- a/internal/job/pieces.go
+++ b/internal/job/pieces.go
@@ -44,7 +44,7 @@
 // Split has the record keep its spec in pieces of up to limit bytes and returns the
 // changes that write those, at most ops of them; else the error is ErrTooLarge.
 func (r *Record) Split(limit, ops int) ([]statekv.Op, error) {
-	raw, err := json.Marshal(statekv.Keeping{Value: r.Spec, Rest: r.SpecRest})
+	raw, err := json.Marshal(statekv.WithUnknown{Value: r.Spec, Unknown: r.SpecRest})
 	if err != nil {
 		return nil, fmt.Errorf("encoding a spec: %w", err)
 	}
@@ -105,7 +105,7 @@
 	if err := json.Unmarshal(raw, &s); err != nil || s.ID != r.Spec.ID || s.Tasks != r.Spec.Tasks {
 		return fmt.Errorf("record of %s: its pieces are not its spec: %w", r.Spec.ID, err)
 	}
-	r.Spec, r.SpecRest = s, statekv.RestOf(raw, s)
+	r.Spec, r.SpecRest = s, statekv.UnknownFieldsOf(raw, s)
 	return nil
 }
 
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -37,8 +37,8 @@
 	Pieces int `json:"spec_pieces,omitempty"`
 
 	// What a later version wrote, beside these and in the spec: see Keep.
-	Rest     statekv.Rest `json:"-"`
-	SpecRest statekv.Rest `json:"-"`
+	Rest     statekv.UnknownFields `json:"-"`
+	SpecRest statekv.UnknownFields `json:"-"`
 }
 
 // Failures are what a job's placer found out about it, so that its next placer need
@@ -61,10 +61,10 @@
 	if r.SpecRest == nil && r.Rest == nil {
 		return json.Marshal(struct{ *plain }{(*plain)(&r)})
 	}
-	return json.Marshal(statekv.Keeping{Rest: r.Rest, Value: struct {
+	return json.Marshal(statekv.WithUnknown{Unknown: r.Rest, Value: struct {
 		*plain
-		Spec statekv.Keeping `json:"spec"`
-	}{(*plain)(&r), statekv.Keeping{Value: r.Spec, Rest: r.SpecRest}}})
+		Spec statekv.WithUnknown `json:"spec"`
+	}{(*plain)(&r), statekv.WithUnknown{Value: r.Spec, Unknown: r.SpecRest}}})
 }
 
 // SubmittedAt is when the job was accepted, by the clock of the controller
@@ -144,9 +144,9 @@
 	if json.Unmarshal(raw, &parts) != nil {
 		return
 	}
-	r.Rest = statekv.RestOf(raw, r)
+	r.Rest = statekv.UnknownFieldsOf(raw, r)
 	if r.Pieces == 0 { // else Join has seen to it
-		r.SpecRest = statekv.RestOf(parts.Spec, &r.Spec)
+		r.SpecRest = statekv.UnknownFieldsOf(parts.Spec, &r.Spec)
 	}
 }
 
@@ -155,7 +155,7 @@
 	var r Record
 	err := json.Unmarshal(raw, &r)
 	if err != nil || r.Form > RecordForm {
-		if later := statekv.CheckForm("a job's record", raw, RecordForm); later != nil {
+		if later := statekv.CheckSchema("a job's record", raw, RecordForm); later != nil {
 			return nil, later
 		}
 		return nil, fmt.Errorf("decoding job record: %w", err)
--- a/internal/job/wire_test.go
+++ b/internal/job/wire_test.go
@@ -33,8 +33,8 @@
 	finished.Add(0)
 	finished.Add(70)
 	r.Done = finished.Chunk(0)
-	r.Rest = statekv.Rest{"later": json.RawMessage(`[1]`)}
-	r.SpecRest = statekv.Rest{"later_too": json.RawMessage(`{"a":2}`)}
+	r.Rest = statekv.UnknownFields{"later": json.RawMessage(`[1]`)}
+	r.SpecRest = statekv.UnknownFields{"later_too": json.RawMessage(`{"a":2}`)}
 	wireformat.Golden(t, "record-later", wireformat.Indent(t, r))
 
 	raw := json.RawMessage(wireformat.Recorded(t, "record-later"))
--- a/internal/peer/hello.go
+++ b/internal/peer/hello.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// ErrUnknownCall says that the peer does not know the call: it was not carried out,
+// ErrUnknownMethod says that the peer does not know the call: it was not carried out,
 // and never will be by that process. It is another version; the caller falls back to
 // what both know, or goes without.
-var ErrUnknownCall = errors.New("the peer does not know this call")
+var ErrUnknownMethod = errors.New("the peer does not know this call")
 
-// Greeting is what two controllers tell each other when they connect. What calls carry
+// Handshake is what two controllers tell each other when they connect. What calls carry
 // are gob streams: fields that one side does not know are left out by it, and those that
 // it does not get are zero; so a field may be added to a call, and a call whose meaning
 // changes gets another name.
-type Greeting struct {
+type Handshake struct {
 	Host  string
 	Build string
 	Calls []string // that it answers; nil for a version that does not greet
@@ -31,12 +31,12 @@
 const helloTime = 700 * time.Millisecond
 
 // Service is the net/rpc service that greets.
-type Service struct{ mine Greeting }
+type Service struct{ mine Handshake }
 
 // NewService returns the service of a controller that answers the methods of these
 // services.
 func NewService(host, build string, services map[string]any) *Service {
-	g := Greeting{Host: host, Build: build, Calls: []string{}}
+	g := Handshake{Host: host, Build: build, Calls: []string{}}
 	for name, service := range services {
 		t := reflect.TypeOf(service)
 		for k := range t.NumMethod() {
@@ -50,17 +50,17 @@
 }
 
 // Hello answers a peer's greeting.
-func (s *Service) Hello(_ Greeting, reply *Greeting) error {
+func (s *Service) Hello(_ Handshake, reply *Handshake) error {
 	*reply = s.mine
 	return nil
 }
 
 // greet asks a peer what it is. One of the time before there were greetings says that
 // it does not know them.
-func greet(client *rpc.Client, mine Greeting) (Greeting, error) {
+func greet(client *rpc.Client, mine Handshake) (Handshake, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), helloTime)
 	defer cancel()
-	var theirs Greeting
+	var theirs Handshake
 	call := client.Go("Peer.Hello", mine, &theirs, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
@@ -68,7 +68,7 @@
 		return theirs, fmt.Errorf("greeting: %w", ctx.Err())
 	}
 	if unknownCall(call.Error) {
-		return Greeting{}, nil
+		return Handshake{}, nil
 	}
 	return theirs, call.Error
 }
@@ -81,6 +81,6 @@
 }
 
 // knows reports whether the peer answers a call, as far as it said.
-func (g *Greeting) knows(method string) bool {
+func (g *Handshake) knows(method string) bool {
 	return g.Calls == nil || slices.Contains(g.Calls, method)
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -18,7 +18,7 @@
 // Network calls the services of all controllers, this one included.
 type Network struct {
 	self      string
-	mine      Greeting
+	mine      Handshake
 	addresses map[string]string
 	local     *rpc.Client
 	links     map[string]*link
@@ -29,7 +29,7 @@
 type link struct {
 	mu     sync.Mutex
 	client *rpc.Client
-	theirs Greeting
+	theirs Handshake
 	failed time.Time // a peer that just refused or hung is not dialled again at once
 }
 
@@ -53,28 +53,28 @@
 	}
 }
 
-func (l *link) get(address string, mine Greeting, t *traffic) (*rpc.Client, Greeting, error) {
+func (l *link) get(address string, mine Handshake, t *traffic) (*rpc.Client, Handshake, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.client != nil {
 		return l.client, l.theirs, nil
 	}
 	if time.Since(l.failed) < 500*time.Millisecond {
-		return nil, Greeting{}, errors.New("peer was not reachable just now")
+		return nil, Handshake{}, errors.New("peer was not reachable just now")
 	}
 	// The lock is one link's own: callers of a silent peer would only dial
 	// the same address beside each other.
 	conn, err := net.DialTimeout("tcp4", address, 700*time.Millisecond)
 	if err != nil {
 		l.failed = time.Now()
-		return nil, Greeting{}, err
+		return nil, Handshake{}, err
 	}
 	client := rpc.NewClient(t.bytes.Conn(conn))
 	theirs, err := greet(client, mine)
 	if err != nil {
 		client.Close()
 		l.failed = time.Now()
-		return nil, Greeting{}, err
+		return nil, Handshake{}, err
 	}
 	l.client, l.theirs = client, theirs
 	return client, theirs, nil
@@ -92,7 +92,7 @@
 
 // Call runs method at host and waits until ctx ends. An error that wraps
 // ErrNoAnswer leaves open whether the call was carried out; one that wraps
-// ErrUnknownCall says that this peer's version does not know it.
+// ErrUnknownMethod says that this peer's version does not know it.
 func (n *Network) Call(ctx context.Context, host, method string, args, reply any) error {
 	n.traffic.called(method)
 	client := n.local
@@ -103,12 +103,12 @@
 			return fmt.Errorf("no peer %q", host)
 		}
 		var err error
-		var theirs Greeting
+		var theirs Handshake
 		if client, theirs, err = l.get(n.addresses[host], n.mine, &n.traffic); err != nil {
 			return fmt.Errorf("reaching %s: %w", host, err)
 		}
 		if !theirs.knows(method) {
-			return fmt.Errorf("%s at %s (build %s): %w", method, host, theirs.Build, ErrUnknownCall)
+			return fmt.Errorf("%s at %s (build %s): %w", method, host, theirs.Build, ErrUnknownMethod)
 		}
 	}
 	call := client.Go(method, args, reply, make(chan *rpc.Call, 1))
@@ -120,7 +120,7 @@
 		var answered rpc.ServerError
 		switch {
 		case unknownCall(call.Error):
-			return fmt.Errorf("%s at %s: %w: %w", method, host, ErrUnknownCall, call.Error)
+			return fmt.Errorf("%s at %s: %w: %w", method, host, ErrUnknownMethod, call.Error)
 		case errors.As(call.Error, &answered):
 			return call.Error
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -141,7 +141,7 @@
 		n := New("host-0", map[string]string{"host-1": ln.Addr().String()}, rpc.NewServer(), NewService("host-0", "b", nil))
 		defer n.Close()
 		var reply string
-		if err := n.Call(t.Context(), "host-1", "Echo.Shout", "x", &reply); !errors.Is(err, ErrUnknownCall) || errors.Is(err, ErrNoAnswer) {
+		if err := n.Call(t.Context(), "host-1", "Echo.Shout", "x", &reply); !errors.Is(err, ErrUnknownMethod) || errors.Is(err, ErrNoAnswer) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if err := n.Call(t.Context(), "host-1", "Echo.Say", "x", &reply); err != nil || reply != "x" || echo.calls.Load() != 1 {
--- a/internal/recovery/serving.go
+++ b/internal/recovery/serving.go
@@ -11,34 +11,34 @@
 
 // Steps on the way back, in their usual order.
 const (
-	Life     = "life"     // registered with the state service
-	Ready    = "ready"    // first told the load balancer so
-	Accepted = "accepted" // first submission accepted
-	Placed   = "placed"   // first task started
-	Settled  = "settled"  // every slot taken over has settled; the latest time counts
+	StepRegistered         = "life"     // registered with the state service
+	StepReady              = "ready"    // first told the load balancer so
+	StepSubmissionAccepted = "accepted" // first submission accepted
+	StepTaskStarted        = "placed"   // first task started
+	StepReconciled         = "settled"  // every slot taken over has settled; the latest time counts
 )
 
-// Clock holds the times of one life. A nil Clock takes no notes.
-type Clock struct {
+// Timeline holds the times of one life. A nil Clock takes no notes.
+type Timeline struct {
 	began time.Time
 
 	mu    sync.Mutex
 	steps map[string]time.Duration
 }
 
-// NewClock returns a clock for a life on the way since began.
-func NewClock(began time.Time) *Clock {
-	return &Clock{began: began, steps: map[string]time.Duration{}}
+// NewTimeline returns a clock for a life on the way since began.
+func NewTimeline(began time.Time) *Timeline {
+	return &Timeline{began: began, steps: map[string]time.Duration{}}
 }
 
-// Mark notes that a step was reached. Of all but Settled the first time counts.
-func (c *Clock) Mark(step string) {
+// Record notes that a step was reached. Of all but Settled the first time counts.
+func (c *Timeline) Record(step string) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	_, again := c.steps[step]
-	if again && step != Settled {
+	if again && step != StepReconciled {
 		c.mu.Unlock()
 		return
 	}
@@ -49,7 +49,7 @@
 }
 
 // Seconds returns the steps reached, each with the seconds since the start.
-func (c *Clock) Seconds() map[string]float64 {
+func (c *Timeline) Seconds() map[string]float64 {
 	out := map[string]float64{}
 	if c == nil {
 		return out
--- a/internal/recovery/serving_test.go
+++ b/internal/recovery/serving_test.go
@@ -10,18 +10,18 @@
 // one after the other.
 func TestStepsOfALife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewClock(time.Now())
+		c := NewTimeline(time.Now())
 		time.Sleep(time.Second)
-		c.Mark(Ready)
-		c.Mark(Settled)
+		c.Record(StepReady)
+		c.Record(StepReconciled)
 		time.Sleep(2 * time.Second)
-		c.Mark(Ready)
-		c.Mark(Settled)
-		if got := c.Seconds(); got[Ready] != 1 || got[Settled] != 3 || len(got) != 2 {
+		c.Record(StepReady)
+		c.Record(StepReconciled)
+		if got := c.Seconds(); got[StepReady] != 1 || got[StepReconciled] != 3 || len(got) != 2 {
 			t.Fatal(got)
 		}
-		var none *Clock
-		none.Mark(Life)
+		var none *Timeline
+		none.Record(StepRegistered)
 		if len(none.Seconds()) != 0 {
 			t.Fatal("a clock that is not there took notes")
 		}
--- a/internal/recovery/wire_test.go
+++ b/internal/recovery/wire_test.go
@@ -9,5 +9,5 @@
 
 // The steps are keys of the status page.
 func TestWireForms(t *testing.T) {
-	wireformat.Golden(t, "steps", strings.Join([]string{Life, Ready, Accepted, Placed, Settled}, "\n")+"\n")
+	wireformat.Golden(t, "steps", strings.Join([]string{StepRegistered, StepReady, StepSubmissionAccepted, StepTaskStarted, StepReconciled}, "\n")+"\n")
 }
--- a/internal/rollout/against.go
+++ b/internal/rollout/against.go
@@ -30,7 +30,7 @@
 		if err := json.Unmarshal(value, &fields); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		return statekv.CheckForm(name, value, 0)
+		return statekv.CheckSchema(name, value, 0)
 	}
 }
 
@@ -46,15 +46,15 @@
 
 // kinds are all keys that this build knows; the first prefix that fits decides.
 var kinds = []kind{
-	{statekv.LevelKey, LevelKind, func(_ string, v json.RawMessage) error { _, err := ParseLevel(v); return err }},
-	{statekv.JoinsKey, "joins", object("the joins' key")},
-	{statekv.MoveKey, "move", object("the move's key")},
-	{statekv.StewardKey, "steward", object("the steward's key")},
-	{statekv.TypesKey, "types", func(_ string, v json.RawMessage) error { var list []json.RawMessage; return json.Unmarshal(v, &list) }},
-	{statekv.NodePrefix, "node", func(_ string, v json.RawMessage) error { _, err := ParseCaps(v); return err }},
-	{statekv.SlotPrefix, "slot", object("a slot's key")},
+	{statekv.ClusterVersionKey, LevelKind, func(_ string, v json.RawMessage) error { _, err := ParseLevel(v); return err }},
+	{statekv.MembershipKey, "joins", object("the joins' key")},
+	{statekv.MigrationKey, "move", object("the move's key")},
+	{statekv.LeaderKey, "steward", object("the steward's key")},
+	{statekv.MachineTypesKey, "types", func(_ string, v json.RawMessage) error { var list []json.RawMessage; return json.Unmarshal(v, &list) }},
+	{statekv.SessionPrefix, "node", func(_ string, v json.RawMessage) error { _, err := ParseCaps(v); return err }},
+	{statekv.JobShardPrefix, "slot", object("a slot's key")},
 	{statekv.MachinePrefix, "machine", parsed},
-	{statekv.ShardPrefix, "shard", parsed},
+	{statekv.MachineShardPrefix, "shard", parsed},
 	{job.OpenPrefix, RecordKind, func(_ string, v json.RawMessage) error { _, err := job.ParseRecord(v); return err }},
 	{tombstone.FormerPrefix, "ended, former", endedJob},
 	{tombstone.Prefix, EndedKind, endedJob},
@@ -95,7 +95,7 @@
 	if err != nil {
 		r.Bad = append(r.Bad, BadValue{key, err.Error()})
 	}
-	if key == statekv.LevelKey && err == nil {
+	if key == statekv.ClusterVersionKey && err == nil {
 		r.Level, _ = ParseLevel(value)
 		r.Lacks = OurCaps().Lacks(r.Level)
 	}
--- a/internal/rollout/against_test.go
+++ b/internal/rollout/against_test.go
@@ -42,9 +42,9 @@
 		tombstone.Key("wk-1"):            {`[3,"d",4]`, "form 3"},
 		tombstone.FormerKey("wk-1"):      {`"mangled"`, "cannot unmarshal"},
 		statekv.MachinePrefix + "vm-1":   {`{"form":1}`, "form 1"},
-		statekv.ShardPrefix + "s":        {`[]`, "cannot unmarshal"},
-		statekv.SlotPrefix + "s":         {`{"form":1}`, "form 1"},
-		statekv.LevelKey:                 {`{"form":9}`, "form 9"},
+		statekv.MachineShardPrefix + "s": {`[]`, "cannot unmarshal"},
+		statekv.JobShardPrefix + "s":     {`{"form":1}`, "form 1"},
+		statekv.ClusterVersionKey:        {`{"form":9}`, "form 9"},
 		statekv.RootPrefix + "novelty/x": {`{}`, "knows no such key"},
 	} {
 		r := recorded(t)
@@ -54,7 +54,7 @@
 		}
 	}
 	r := recorded(t)
-	r.Add(statekv.LevelKey, json.RawMessage(`{"form":1,"level":1,"features":["teleport"]}`))
+	r.Add(statekv.ClusterVersionKey, json.RawMessage(`{"form":1,"level":1,"features":["teleport"]}`))
 	var out strings.Builder
 	if err := r.Print(&out); err != nil || r.Readable() || !strings.Contains(out.String(), `lacks feature "teleport"`) {
 		t.Error(out.String(), err)
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -53,16 +53,16 @@
 // to go by where its key cannot be read. Times are for the caller to add.
 func Look(keys Keys, hosts []string, known Level) View {
 	v := View{Level: Level{}}
-	if kv, ok := keys.Get(statekv.LevelKey); ok {
+	if kv, ok := keys.Get(statekv.ClusterVersionKey); ok {
 		v.LevelRev = kv.Rev
 		var err error
 		if v.Level, err = ParseLevel(kv.Value); err != nil {
 			v.Level, v.LevelBad = known, err.Error()
 		}
 	}
-	joins, _ := keys.Get(statekv.JoinsKey)
+	joins, _ := keys.Get(statekv.MembershipKey)
 	v.JoinsRev = joins.Rev
-	if kv, ok := keys.Get(statekv.MoveKey); ok {
+	if kv, ok := keys.Get(statekv.MigrationKey); ok {
 		v.MoveRev = kv.Rev
 		if err := json.Unmarshal(kv.Value, &v.Move); err != nil {
 			v.Move = Move{Name: unreadable}
@@ -72,8 +72,8 @@
 	for _, host := range hosts {
 		nodes[host] = Node{Host: host}
 	}
-	for _, kv := range keys.Dir(statekv.NodePrefix) {
-		n := Node{Host: kv.Key[len(statekv.NodePrefix):], Rev: kv.Rev, Refused: statekv.Refused(kv)}
+	for _, kv := range keys.Dir(statekv.SessionPrefix) {
+		n := Node{Host: kv.Key[len(statekv.SessionPrefix):], Rev: kv.Rev, Refused: statekv.RejectionReason(kv)}
 		if n.Lives = n.Refused == ""; n.Lives {
 			var err error
 			if n.Caps, err = ParseCaps(kv.Value); err != nil {
@@ -91,7 +91,7 @@
 // Change is a write of the level that may be made under its conditions.
 type Change struct {
 	To   Level
-	When []statekv.Cond
+	When []statekv.Compare
 	Then []statekv.Op
 }
 
@@ -101,21 +101,21 @@
 // its build knows of levels; the end of a move that was not seen.
 func (v *View) change(to Level, move Move) Change {
 	to.By = v.Self
-	c := Change{To: to, When: []statekv.Cond{{Key: statekv.LevelKey, Rev: v.LevelRev}, {Key: statekv.JoinsKey, Rev: v.JoinsRev}, {Key: statekv.MoveKey, Rev: v.MoveRev}}}
+	c := Change{To: to, When: []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: v.LevelRev}, {Key: statekv.MembershipKey, Rev: v.JoinsRev}, {Key: statekv.MigrationKey, Rev: v.MoveRev}}}
 	if v.Steward != 0 {
-		c.When = append(c.When, statekv.Cond{Key: statekv.StewardKey, Rev: v.Steward})
+		c.When = append(c.When, statekv.Compare{Key: statekv.LeaderKey, Rev: v.Steward})
 	}
 	for _, n := range v.Nodes {
-		c.When = append(c.When, statekv.Cond{Key: statekv.NodePrefix + n.Host, Rev: n.Rev})
+		c.When = append(c.When, statekv.Compare{Key: statekv.SessionPrefix + n.Host, Rev: n.Rev})
 	}
-	c.Then = []statekv.Op{{Set: statekv.LevelKey, Value: to.value()}}
+	c.Then = []statekv.Op{{Set: statekv.ClusterVersionKey, Value: to.value()}}
 	switch {
 	case move.Name == unreadable: // whoever wrote it can read it
 	case move.Name != "":
 		move.Level = to.N
-		c.Then = append(c.Then, statekv.Op{Set: statekv.MoveKey, Value: move})
+		c.Then = append(c.Then, statekv.Op{Set: statekv.MigrationKey, Value: move})
 	case v.MoveRev != 0:
-		c.Then = append(c.Then, statekv.Op{Delete: statekv.MoveKey})
+		c.Then = append(c.Then, statekv.Op{Delete: statekv.MigrationKey})
 	}
 	return c
 }
@@ -346,14 +346,14 @@
 func (v *View) stay(to Level) *Change {
 	to.By = v.Self
 	// Whoever joins meanwhile does no harm: what is on stays as it is.
-	return &Change{To: to, When: []statekv.Cond{{Key: statekv.LevelKey, Rev: v.LevelRev}}, Then: []statekv.Op{{Set: statekv.LevelKey, Value: to.value()}}}
+	return &Change{To: to, When: []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: v.LevelRev}}, Then: []statekv.Op{{Set: statekv.ClusterVersionKey, Value: to.value()}}}
 }
 
 // stuck says why nobody here may write the level's key at all.
 func (v *View) stuck() string {
 	switch {
 	case v.LevelBad != "":
-		return statekv.LevelKey + " cannot be read: " + v.LevelBad
+		return statekv.ClusterVersionKey + " cannot be read: " + v.LevelBad
 	case slices.ContainsFunc(v.Level.Features, func(f Feature) bool { return stepOf(f) == nil }):
 		return fmt.Sprintf("level %d has features that this build (%s) does not know", v.Level.N, Build)
 	}
@@ -367,7 +367,7 @@
 			continue
 		}
 		if n.Bad != "" {
-			return fmt.Sprintf("%s%s cannot be read: %s", statekv.NodePrefix, n.Host, n.Bad)
+			return fmt.Sprintf("%s%s cannot be read: %s", statekv.SessionPrefix, n.Host, n.Bad)
 		}
 		if lacks := n.Caps.Lacks(l); lacks != "" {
 			return fmt.Sprintf("%s (build %s) lacks %s", n.Host, n.Caps.Build, lacks)
@@ -393,8 +393,8 @@
 
 // Refuse returns the write that ends an intruder's life: its writes have the condition
 // that its key is as it wrote it, and it ends by itself once it sees that it is not.
-func (v *View) Refuse(n Node, lease uint64) ([]statekv.Cond, []statekv.Op) {
+func (v *View) Refuse(n Node, lease uint64) ([]statekv.Compare, []statekv.Op) {
 	why := fmt.Sprintf("the fleet is at level %d and build %s lacks %s", v.Level.N, n.Caps.Build, n.Caps.Lacks(v.Level))
-	return []statekv.Cond{{Key: statekv.LevelKey, Rev: v.LevelRev}, {Key: statekv.NodePrefix + n.Host, Rev: n.Rev}},
-		[]statekv.Op{{Set: statekv.NodePrefix + n.Host, Value: statekv.Refusal{Refused: why}, Lease: lease}}
+	return []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: v.LevelRev}, {Key: statekv.SessionPrefix + n.Host, Rev: n.Rev}},
+		[]statekv.Op{{Set: statekv.SessionPrefix + n.Host, Value: statekv.Rejection{Reason: why}, Lease: lease}}
 }
--- a/internal/rollout/decide_test.go
+++ b/internal/rollout/decide_test.go
@@ -131,14 +131,14 @@
 	if level, under := r.Now(); level.N != 0 || under.Rev != 0 {
 		t.Error(level, under)
 	}
-	keys.set(statekv.LevelKey, []byte(`{"form":1,"level":1,"features":["gated"]}`))
+	keys.set(statekv.ClusterVersionKey, []byte(`{"form":1,"level":1,"features":["gated"]}`))
 	if level, under := r.Now(); level.N != 1 || under.Rev != 5 {
 		t.Error(level, under)
 	}
 	// Damaged: the fleet goes on at the former level. From the future: nothing that is
 	// conditional on the level is written any more.
 	keys.rev = 6
-	keys.set(statekv.LevelKey, []byte(`"x"`))
+	keys.set(statekv.ClusterVersionKey, []byte(`"x"`))
 	if level, under := r.Now(); level.N != 1 || under.Rev != 6 || r.Bad() == "" {
 		t.Error(level, under, r.Bad())
 	}
@@ -146,7 +146,7 @@
 		t.Error(err)
 	}
 	keys.rev = 7
-	keys.set(statekv.LevelKey, []byte(`{"form":1,"level":5,"features":["gated","failures","ended","ended-only","future"]}`))
+	keys.set(statekv.ClusterVersionKey, []byte(`{"form":1,"level":5,"features":["gated","failures","ended","ended-only","future"]}`))
 	if level, under := r.Now(); level.N != 1 || under.Rev != 6 {
 		t.Error(level, under)
 	}
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -22,7 +22,7 @@
 	hosts   []string // in the settings
 	policy  *policy.Policy
 	mirror  *statekv.Mirror
-	member  *statekv.Member
+	member  *statekv.Session
 	store   statekv.Store
 	steward func() uint64
 	reader  *Reader
@@ -43,7 +43,7 @@
 
 // NewGate returns the gate of a life; steward tells the revision of the steward's role
 // while this controller has it, else 0.
-func NewGate(hosts []string, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Member, store statekv.Store, steward func() uint64) *Gate {
+func NewGate(hosts []string, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Session, store statekv.Store, steward func() uint64) *Gate {
 	return &Gate{host: member.Host, hosts: hosts, policy: pol, mirror: mirror, member: member, store: store, steward: steward,
 		reader: NewReader(mirror), seen: map[string]sighting{}, refused: map[uint64]bool{}}
 }
@@ -68,13 +68,13 @@
 	now := time.Now()
 	v := g.look(now)
 	if bad := g.reader.Bad(); bad != "" && v.LevelBad == "" {
-		g.member.Replaced(fmt.Errorf("level %d is not for this build: %s", v.Level.N, bad))
+		g.member.Abort(fmt.Errorf("level %d is not for this build: %s", v.Level.N, bad))
 		return
 	}
 	g.refuse(ctx, v)
 	change, why := v.Rise()
 	g.tell(why)
-	if change == nil || !g.member.Certain() {
+	if change == nil || !g.member.HoldsLease() {
 		return
 	}
 	if err := g.write(ctx, change.When, change.Then); err != nil {
@@ -98,7 +98,7 @@
 	g.told = kind
 }
 
-func (g *Gate) write(ctx context.Context, when []statekv.Cond, then []statekv.Op) error {
+func (g *Gate) write(ctx context.Context, when []statekv.Compare, then []statekv.Op) error {
 	tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	_, err := g.member.Write(tctx, when, then)
@@ -158,7 +158,7 @@
 		g.mu.Lock()
 		done := g.refused[n.Rev]
 		g.mu.Unlock()
-		if done || n.Host == g.host || !g.member.Certain() || v.Steward == 0 && n.For < refuseAfter {
+		if done || n.Host == g.host || !g.member.HoldsLease() || v.Steward == 0 && n.For < refuseAfter {
 			continue
 		}
 		err := g.end(ctx, v, n)
@@ -241,7 +241,7 @@
 		}
 		// Something else changed the level, or a life began or ended: look again.
 	}
-	if errors.Is(err, statekv.ErrRefused) {
+	if errors.Is(err, statekv.ErrRejected) {
 		return &Stuck{err.Error()}
 	}
 	return fmt.Errorf("writing the fleet's level: %w", err)
--- a/internal/rollout/level.go
+++ b/internal/rollout/level.go
@@ -130,7 +130,7 @@
 	// steward sees to it, unless there is something that needs it still.
 	Ends Feature `json:"ends,omitempty"`
 
-	Rest statekv.Rest `json:"-"`
+	Rest statekv.UnknownFields `json:"-"`
 }
 
 // of returns the level of these features with what else l says.
@@ -159,12 +159,12 @@
 	if l.Rest == nil {
 		return l
 	}
-	return statekv.Keeping{Value: l, Rest: l.Rest}
+	return statekv.WithUnknown{Value: l, Unknown: l.Rest}
 }
 
 // ParseLevel reads the level's key.
 func ParseLevel(raw json.RawMessage) (Level, error) {
-	if err := statekv.CheckForm("the level's key", raw, levelForm); err != nil {
+	if err := statekv.CheckSchema("the level's key", raw, levelForm); err != nil {
 		return Level{}, err
 	}
 	var l Level
@@ -174,7 +174,7 @@
 	if l.Form < 1 || l.N < 0 || l.N != len(l.Features) {
 		return Level{}, fmt.Errorf("the level's key: form %d, level %d with %d features is damaged", l.Form, l.N, len(l.Features))
 	}
-	l.Rest = statekv.RestOf(raw, &l)
+	l.Rest = statekv.UnknownFieldsOf(raw, &l)
 	return l, nil
 }
 
@@ -233,11 +233,11 @@
 // controller has to wait, unready, until the level is another one or it is replaced.
 func Register(keys Keys, caps Caps) (statekv.Registration, error) {
 	level := Level{}
-	kv, ok := keys.Get(statekv.LevelKey)
+	kv, ok := keys.Get(statekv.ClusterVersionKey)
 	if ok {
 		var err error
 		if level, err = ParseLevel(kv.Value); err != nil {
-			return statekv.Registration{}, &RefusedError{fmt.Sprintf("%s: %v", statekv.LevelKey, err)}
+			return statekv.Registration{}, &RefusedError{fmt.Sprintf("%s: %v", statekv.ClusterVersionKey, err)}
 		}
 	}
 	if lacks := caps.Lacks(level); lacks != "" {
@@ -247,8 +247,8 @@
 		Value: caps,
 		// A rise between the look and the write needs what this life may not have;
 		// and a rise that did not see this life join must not be written after it.
-		When: []statekv.Cond{{Key: statekv.LevelKey, Rev: kv.Rev}},
-		Also: []statekv.Op{{Set: statekv.JoinsKey, Value: struct{}{}}},
+		Compares: []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: kv.Rev}},
+		Ops:      []statekv.Op{{Set: statekv.MembershipKey, Value: struct{}{}}},
 	}, nil
 }
 
--- a/internal/rollout/lifecycle_test.go
+++ b/internal/rollout/lifecycle_test.go
@@ -27,7 +27,7 @@
 
 const waitingJob = "robin/job/wk-1" // one that waits for another
 
-var places = []string{waitingJob, statekv.JoinsKey, statekv.LevelKey, statekv.MoveKey, statekv.StewardKey, statekv.NodePrefix + "host-0", statekv.NodePrefix + "host-1", statekv.NodePrefix + "host-2"}
+var places = []string{waitingJob, statekv.MembershipKey, statekv.ClusterVersionKey, statekv.MigrationKey, statekv.LeaderKey, statekv.SessionPrefix + "host-0", statekv.SessionPrefix + "host-1", statekv.SessionPrefix + "host-2"}
 
 func place(key string) int { return slices.Index(places, key) }
 
@@ -55,7 +55,7 @@
 type sent struct {
 	text string // what and then
 	what string
-	when []statekv.Cond
+	when []statekv.Compare
 	then []statekv.Op
 	form string // features that a write of data goes by
 }
@@ -94,7 +94,7 @@
 func (f fault) drop(s *sent) {
 	what, key, _ := strings.Cut(string(f), " ")
 	if what == s.what {
-		s.when = slices.DeleteFunc(slices.Clone(s.when), func(c statekv.Cond) bool { return strings.HasPrefix(c.Key, key) })
+		s.when = slices.DeleteFunc(slices.Clone(s.when), func(c statekv.Compare) bool { return strings.HasPrefix(c.Key, key) })
 	}
 }
 
@@ -127,13 +127,13 @@
 			}
 			for b := range builds {
 				look := w.store
-				s := sent{what: "join", then: []statekv.Op{{Set: statekv.NodePrefix + names[h], Value: struct{}{}}}}
+				s := sent{what: "join", then: []statekv.Op{{Set: statekv.SessionPrefix + names[h], Value: struct{}{}}}}
 				if b > 0 {
 					reg, err := Register(&look, builds[b])
 					if err != nil {
 						continue
 					}
-					s.when, s.then = reg.When, append([]statekv.Op{{Set: statekv.NodePrefix + names[h], Value: reg.Value}}, reg.Also...)
+					s.when, s.then = reg.Compares, append([]statekv.Op{{Set: statekv.SessionPrefix + names[h], Value: reg.Value}}, reg.Ops...)
 				}
 				planted.drop(&s)
 				s.write()
@@ -142,7 +142,7 @@
 			continue
 		}
 		if w.budget[3] > 0 {
-			if kv := w.at(statekv.NodePrefix + names[h]); kv.Rev == l.instance {
+			if kv := w.at(statekv.SessionPrefix + names[h]); kv.Rev == l.instance {
 				// Its lease ends; it does not know.
 				add("expires", func(v *world, _ *life) { v.budget[3]--; v.rev++; v.keys[place(kv.Key)] = statekv.KV{} })
 			}
@@ -151,9 +151,9 @@
 		if l.saw.rev != w.rev {
 			add("looks", func(v *world, l *life) { l.saw = w.store })
 		}
-		own := statekv.Cond{Key: statekv.NodePrefix + names[h], Rev: l.instance}
+		own := statekv.Compare{Key: statekv.SessionPrefix + names[h], Rev: l.instance}
 		if w.budget[2] > 0 {
-			s := sent{what: "write", when: []statekv.Cond{own}}
+			s := sent{what: "write", when: []statekv.Compare{own}}
 			if l.build > 0 {
 				r := &Reader{keys: &l.saw, caps: builds[l.build]}
 				level, under := r.Now()
@@ -175,7 +175,7 @@
 			}
 			return names
 		}
-		v.Self, v.Stood, v.Steward = names[h], time.Hour, l.saw.at(statekv.StewardKey).Rev
+		v.Self, v.Stood, v.Steward = names[h], time.Hour, l.saw.at(statekv.LeaderKey).Rev
 		for k := range v.Nodes {
 			v.Nodes[k].For = time.Hour
 		}
@@ -212,7 +212,7 @@
 }
 
 func (w *world) level() Level {
-	kv, ok := w.Get(statekv.LevelKey)
+	kv, ok := w.Get(statekv.ClusterVersionKey)
 	if !ok {
 		return Level{}
 	}
@@ -272,8 +272,8 @@
 			return errors.New("it rose although a person held it")
 		}
 		for k := range w.lives {
-			kv, lives := w.Get(statekv.NodePrefix + names[k])
-			if !lives || statekv.Refused(kv) != "" {
+			kv, lives := w.Get(statekv.SessionPrefix + names[k])
+			if !lives || statekv.RejectionReason(kv) != "" {
 				continue
 			}
 			caps, err := ParseCaps(kv.Value)
@@ -342,17 +342,17 @@
 // with the given builds, and returns the first broken promise with its story.
 func search(start [3]int, budget [4]int, planted fault, most int) (worlds int, story []string, bad error) {
 	w := world{store: store{rev: 1}, budget: budget}
-	w.set(statekv.StewardKey, nil)
+	w.set(statekv.LeaderKey, nil)
 	for h, b := range start {
 		if b >= 0 {
 			raw, _ := json.Marshal(builds[b])
 			w.rev++
-			w.set(statekv.NodePrefix+names[h], raw)
+			w.set(statekv.SessionPrefix+names[h], raw)
 		}
 	}
 	for h, b := range start {
 		if b >= 0 {
-			w.lives[h] = life{build: b, instance: w.at(statekv.NodePrefix + names[h]).Rev, saw: w.store}
+			w.lives[h] = life{build: b, instance: w.at(statekv.SessionPrefix + names[h]).Rev, saw: w.store}
 		}
 	}
 	type from struct {
@@ -416,13 +416,13 @@
 		start  [3]int
 		budget [4]int
 	}{
-		"join " + statekv.LevelKey:    {[3]int{2, 2, -1}, [4]int{1, 1, 0, 0}},
-		"rise " + statekv.NodePrefix:  {[3]int{2, 2, -1}, [4]int{1, 2, 1, 1}},
-		"rise " + statekv.LevelKey:    {[3]int{2, 2, 2}, [4]int{1, 2, 1, 1}},
-		"lower " + statekv.LevelKey:   {[3]int{2, 2, 2}, [4]int{1, 2, 1, 1}},
-		"write " + statekv.LevelKey:   {[3]int{2, 2, 2}, [4]int{1, 2, 1, 1}},
-		"write " + statekv.NodePrefix: {[3]int{2, 2, 0}, [4]int{1, 2, 1, 1}},
-		"submit " + statekv.LevelKey:  {[3]int{3, 3, -1}, [4]int{0, 1, 1, 0}},
+		"join " + statekv.ClusterVersionKey:   {[3]int{2, 2, -1}, [4]int{1, 1, 0, 0}},
+		"rise " + statekv.SessionPrefix:       {[3]int{2, 2, -1}, [4]int{1, 2, 1, 1}},
+		"rise " + statekv.ClusterVersionKey:   {[3]int{2, 2, 2}, [4]int{1, 2, 1, 1}},
+		"lower " + statekv.ClusterVersionKey:  {[3]int{2, 2, 2}, [4]int{1, 2, 1, 1}},
+		"write " + statekv.ClusterVersionKey:  {[3]int{2, 2, 2}, [4]int{1, 2, 1, 1}},
+		"write " + statekv.SessionPrefix:      {[3]int{2, 2, 0}, [4]int{1, 2, 1, 1}},
+		"submit " + statekv.ClusterVersionKey: {[3]int{3, 3, -1}, [4]int{0, 1, 1, 0}},
 	} {
 		t.Run(string(planted), func(t *testing.T) {
 			t.Parallel()
--- a/internal/rollout/move.go
+++ b/internal/rollout/move.go
@@ -88,14 +88,14 @@
 type Mover struct {
 	store   statekv.Store
 	mirror  *statekv.Mirror
-	member  *statekv.Member
+	member  *statekv.Session
 	steward func() uint64
 	txnOps  int
 	pace    *rate.Limiter
 }
 
 // NewMover returns a mover that makes so many changes a second at most.
-func NewMover(store statekv.Store, mirror *statekv.Mirror, member *statekv.Member, steward func() uint64, txnOps int, perSecond float64) *Mover {
+func NewMover(store statekv.Store, mirror *statekv.Mirror, member *statekv.Session, steward func() uint64, txnOps int, perSecond float64) *Mover {
 	return &Mover{store: store, mirror: mirror, member: member, steward: steward, txnOps: txnOps,
 		pace: rate.NewLimiter(rate.Limit(perSecond), txnOps)}
 }
@@ -135,8 +135,8 @@
 // page moves the values of one page of the listing. It returns whether there is more
 // to do now.
 func (m *Mover) page(ctx context.Context) (more bool, err error) {
-	kv, ok := m.mirror.Get(statekv.MoveKey)
-	levelKV, _ := m.mirror.Get(statekv.LevelKey)
+	kv, ok := m.mirror.Get(statekv.MigrationKey)
+	levelKV, _ := m.mirror.Get(statekv.ClusterVersionKey)
 	at := moving{rev: kv.Rev, level: levelKV.Rev, steward: m.steward()}
 	if !ok || json.Unmarshal(kv.Value, &at.Move) != nil || at.Done || at.steward == 0 {
 		return false, nil
@@ -165,7 +165,7 @@
 	}
 	items := list.Items
 	for len(items) > 0 {
-		most := m.store.Most(m.txnOps)
+		most := m.store.MaxTxnOps(m.txnOps)
 		n := min(len(items), max(1, most-1))
 		if at.Name == MoveDrop {
 			n = min(n, max(1, (most-1)/2)) // two changes each at most
@@ -216,7 +216,7 @@
 // already are left out.
 func (m *Mover) batch(ctx context.Context, at *moving, items []statekv.KV, others map[string]uint64) error {
 	type change struct {
-		when []statekv.Cond
+		when []statekv.Compare
 		ops  []statekv.Op
 	}
 	var changes []change
@@ -227,16 +227,16 @@
 			noted.unreadable(kv.Key, err)
 			continue
 		}
-		c := change{when: []statekv.Cond{{Key: kv.Key, Rev: kv.Rev}}}
+		c := change{when: []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}}
 		switch at.Name {
 		case MoveCopy:
-			c.when = append(c.when, statekv.Cond{Key: tombstone.Key(id)})
+			c.when = append(c.when, statekv.Compare{Key: tombstone.Key(id)})
 			c.ops = tombstone.Ops(id, r, tombstone.Compact)
 		case MoveBack:
-			c.when = append(c.when, statekv.Cond{Key: tombstone.FormerKey(id)})
+			c.when = append(c.when, statekv.Compare{Key: tombstone.FormerKey(id)})
 			c.ops = tombstone.Ops(id, r, tombstone.Former)
 		case MoveDrop:
-			c.when = append(c.when, statekv.Cond{Key: tombstone.Key(id), Rev: others[id]})
+			c.when = append(c.when, statekv.Compare{Key: tombstone.Key(id), Rev: others[id]})
 			if others[id] == 0 {
 				// Controllers of the former version that were started all together
 				// since have nobody who refuses them, and write only this form.
@@ -253,17 +253,17 @@
 		next.After = strings.TrimPrefix(strings.TrimPrefix(items[len(items)-1].Key, tombstone.FormerPrefix), tombstone.Prefix)
 		next.Looked += len(items)
 		next.Moved += len(changes)
-		var when []statekv.Cond
+		var when []statekv.Compare
 		var then []statekv.Op
 		for _, c := range changes {
 			when = append(when, c.when...)
 			then = append(then, c.ops...)
 		}
 		err := m.note(ctx, &next, when, then)
-		var conflict *statekv.Conflict
+		var conflict *statekv.ConflictError
 		if errors.As(err, &conflict) {
 			left := slices.DeleteFunc(slices.Clone(changes), func(c change) bool {
-				return slices.ContainsFunc(c.when, func(w statekv.Cond) bool { return slices.Contains(conflict.Failed, w.Key) })
+				return slices.ContainsFunc(c.when, func(w statekv.Compare) bool { return slices.Contains(conflict.Failed, w.Key) })
 			})
 			if len(left) < len(changes) {
 				changes = left
@@ -278,14 +278,14 @@
 }
 
 // note writes changes together with how far the move got.
-func (m *Mover) note(ctx context.Context, at *moving, when []statekv.Cond, then []statekv.Op) error {
+func (m *Mover) note(ctx context.Context, at *moving, when []statekv.Compare, then []statekv.Op) error {
 	if err := m.pace.WaitN(ctx, len(then)+1); err != nil {
 		return err
 	}
 	tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	rev, err := m.store.Txn(tctx, append([]statekv.Cond{m.member.Cond(), {Key: statekv.LevelKey, Rev: at.level}, {Key: statekv.StewardKey, Rev: at.steward}, {Key: statekv.MoveKey, Rev: at.rev}}, when...),
-		append(then, statekv.Op{Set: statekv.MoveKey, Value: at.Move}))
+	rev, err := m.store.Txn(tctx, append([]statekv.Compare{m.member.Fence(), {Key: statekv.ClusterVersionKey, Rev: at.level}, {Key: statekv.LeaderKey, Rev: at.steward}, {Key: statekv.MigrationKey, Rev: at.rev}}, when...),
+		append(then, statekv.Op{Set: statekv.MigrationKey, Value: at.Move}))
 	if err != nil {
 		return fmt.Errorf("moving %d values: %w", len(then), err)
 	}
--- a/internal/rollout/pipelines_test.go
+++ b/internal/rollout/pipelines_test.go
@@ -29,16 +29,16 @@
 		l["hold"] = hold
 	}
 	if level > 0 || hold != "" {
-		f.write(statekv.Op{Set: statekv.LevelKey, Value: l})
+		f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: l})
 	}
 	if move != nil {
-		f.write(statekv.Op{Set: statekv.MoveKey, Value: move})
+		f.write(statekv.Op{Set: statekv.MigrationKey, Value: move})
 	}
 }
 
 func (f *fleet) features() []rollout.Feature {
 	f.t.Helper()
-	kv, err := f.state.Get(f.ctx, statekv.LevelKey)
+	kv, err := f.state.Get(f.ctx, statekv.ClusterVersionKey)
 	if err != nil {
 		return nil
 	}
@@ -97,7 +97,7 @@
 						f.write(statekv.Op{Set: fmt.Sprintf("robin/final/wk-%03d", k), Value: map[string]any{"status": "done", "tasks": 1}})
 					}
 					f.stands(level, c.move, c.hold)
-					f.write(statekv.Op{Set: statekv.NodePrefix + "host-2", Value: production})
+					f.write(statekv.Op{Set: statekv.SessionPrefix + "host-2", Value: production})
 					if f.start("host-0", true) != nil || f.start("host-1", false) != nil {
 						t.Fatal("joins")
 					}
@@ -123,7 +123,7 @@
 					}
 					time.Sleep(time.Minute)
 					var m rollout.Move
-					if kv, err := f.state.Get(f.ctx, statekv.MoveKey); c.move != nil && (err != nil || json.Unmarshal(kv.Value, &m) != nil || !m.Done) {
+					if kv, err := f.state.Get(f.ctx, statekv.MigrationKey); c.move != nil && (err != nil || json.Unmarshal(kv.Value, &m) != nil || !m.Done) {
 						t.Errorf("the move did not go on: %+v %v", m, err)
 					}
 				})
@@ -143,7 +143,7 @@
 		if f.has(rollout.Pipelines) {
 			t.Fatal("on while one is down")
 		}
-		f.write(statekv.Op{Set: statekv.NodePrefix + "host-2", Value: production})
+		f.write(statekv.Op{Set: statekv.SessionPrefix + "host-2", Value: production})
 		time.Sleep(2 * time.Minute)
 		if f.has(rollout.Pipelines) {
 			t.Fatal("on while one has the former version")
@@ -178,7 +178,7 @@
 		}
 		// The record is written under the level as it was before.
 		f.write(statekv.Op{Delete: job.OpenKey("wk-7")})
-		kv, _ := f.state.Get(f.ctx, statekv.LevelKey)
+		kv, _ := f.state.Get(f.ctx, statekv.ClusterVersionKey)
 		f.state.Delay(300 * time.Millisecond)
 		done := make(chan error)
 		go func() { done <- lower() }()
@@ -187,7 +187,7 @@
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
-		if _, err := f.state.Txn(f.ctx, []statekv.Cond{{Key: statekv.LevelKey, Rev: kv.Rev}}, []statekv.Op{{Set: job.OpenKey("wk-8"), Value: waiting}}); !statekv.IsConflict(err) {
+		if _, err := f.state.Txn(f.ctx, []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: kv.Rev}}, []statekv.Op{{Set: job.OpenKey("wk-8"), Value: waiting}}); !statekv.IsConflict(err) {
 			t.Fatalf("taken although pipelines are to go: %v", err)
 		}
 		f.state.Delay(0)
@@ -224,7 +224,7 @@
 			t.Fatal(f.features())
 		}
 		f.state.Delay(150 * time.Millisecond)
-		before, _ := f.state.Get(f.ctx, statekv.LevelKey)
+		before, _ := f.state.Get(f.ctx, statekv.ClusterVersionKey)
 		writes := 0
 		for end := time.Now().Add(20 * time.Second); f.has(rollout.Pipelines) && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 			if f.lives["host-1"].gate.Do(f.ctx, rollout.LowerVerb, rollout.Pipelines, "") == nil {
@@ -232,7 +232,7 @@
 			}
 		}
 		if f.has(rollout.Pipelines) || writes != 1 {
-			kv, _ := f.state.Get(f.ctx, statekv.LevelKey)
+			kv, _ := f.state.Get(f.ctx, statekv.ClusterVersionKey)
 			t.Fatalf("after %d writes, revision %d to %d: %v", writes, before.Rev, kv.Rev, f.features())
 		}
 	})
--- a/internal/rollout/reader.go
+++ b/internal/rollout/reader.go
@@ -35,8 +35,8 @@
 // it had, and nobody overwrites the key. A level that this build does not know leaves
 // it with the condition of the one that it knew, which does not hold any more, so that
 // it writes nothing.
-func (r *Reader) Now() (Level, statekv.Cond) {
-	kv, _ := r.keys.Get(statekv.LevelKey)
+func (r *Reader) Now() (Level, statekv.Compare) {
+	kv, _ := r.keys.Get(statekv.ClusterVersionKey)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if kv.Rev != r.rev {
@@ -48,14 +48,14 @@
 		switch lacks := r.caps.Lacks(level); {
 		case err != nil:
 			r.bad, r.under = err.Error(), kv.Rev
-			slog.Error("cluster version undecodable, keeping the previous one", "key", statekv.LevelKey, "cluster_version", r.level.N, "err", err)
+			slog.Error("cluster version undecodable, keeping the previous one", "key", statekv.ClusterVersionKey, "cluster_version", r.level.N, "err", err)
 		case lacks != "":
 			r.bad = "this build lacks " + lacks
 		default:
 			r.level, r.under = level, kv.Rev
 		}
 	}
-	return r.level, statekv.Cond{Key: statekv.LevelKey, Rev: r.under}
+	return r.level, statekv.Compare{Key: statekv.ClusterVersionKey, Rev: r.under}
 }
 
 // On reports whether a feature is on.
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -78,12 +78,12 @@
 	if v.Move.Name != "" {
 		s.Move = v.Move.String()
 	}
-	bad := g.mirror.Bad()
+	bad := g.mirror.Undecodable()
 	for _, b := range v.Move.Listed {
 		bad[b.Key] = b.Why
 	}
 	if v.LevelBad != "" {
-		bad[statekv.LevelKey] = v.LevelBad
+		bad[statekv.ClusterVersionKey] = v.LevelBad
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(bad), strings.Compare) {
 		s.Unreadable = append(s.Unreadable, BadValue{key, bad[key]})
--- a/internal/rollout/story_test.go
+++ b/internal/rollout/story_test.go
@@ -34,7 +34,7 @@
 type life struct {
 	gate   *rollout.Gate
 	mirror *statekv.Mirror
-	member *statekv.Member
+	member *statekv.Session
 	ended  chan error
 	stop   context.CancelFunc
 }
@@ -45,14 +45,14 @@
 func (f *fleet) former(host string) {
 	f.t.Helper()
 	f.end(host)
-	f.write(statekv.Op{Set: statekv.NodePrefix + host, Value: struct{}{}})
+	f.write(statekv.Op{Set: statekv.SessionPrefix + host, Value: struct{}{}})
 }
 
 // start begins a life of this build; the steward is host-0's if steward is set.
 func (f *fleet) start(host string, steward bool) error {
 	f.end(host)
 	ctx, stop := context.WithCancel(f.ctx)
-	mirror := statekv.NewMirror(f.state, []string{statekv.FleetPrefix, job.OpenPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+	mirror := statekv.NewMirror(f.state, []string{statekv.ClusterPrefix, job.OpenPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 	if err := mirror.Load(ctx); err != nil {
 		f.t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		stop()
 		return err
 	}
-	member, err := statekv.Join(ctx, f.state, mirror, host, 4*time.Second, reg)
+	member, err := statekv.OpenSession(ctx, f.state, mirror, host, 4*time.Second, reg)
 	if err != nil {
 		stop()
 		return err
@@ -69,12 +69,12 @@
 	l := &life{mirror: mirror, member: member, stop: stop, ended: make(chan error, 1)}
 	epoch := uint64(0)
 	if steward {
-		if epoch, err = member.Write(ctx, nil, []statekv.Op{{Set: statekv.StewardKey, Value: member.Holder}}); err != nil {
+		if epoch, err = member.Write(ctx, nil, []statekv.Op{{Set: statekv.LeaderKey, Value: member.Holder}}); err != nil {
 			f.t.Fatal(err)
 		}
 	}
 	isSteward := func() uint64 {
-		if kv, _ := mirror.Get(statekv.StewardKey); kv.Rev == epoch {
+		if kv, _ := mirror.Get(statekv.LeaderKey); kv.Rev == epoch {
 			return epoch
 		}
 		return 0
@@ -84,7 +84,7 @@
 	l.gate = rollout.NewGate(hosts, pol, mirror, member, f.state, isSteward)
 	mover := rollout.NewMover(learning{f.state, &f.learned}, mirror, member, isSteward, 24, f.pace)
 	go mirror.Run(ctx)
-	go func() { l.ended <- member.Keep(ctx) }()
+	go func() { l.ended <- member.KeepAlive(ctx) }()
 	go l.gate.Run(ctx)
 	go mover.Run(ctx)
 	f.lives[host] = l
@@ -97,7 +97,7 @@
 		l.stop()
 		delete(f.lives, host)
 	}
-	f.write(statekv.Op{Delete: statekv.NodePrefix + host})
+	f.write(statekv.Op{Delete: statekv.SessionPrefix + host})
 }
 
 // lower has the state service take no more than so many changes from now on, and the
@@ -113,7 +113,7 @@
 	most *atomic.Int64
 }
 
-func (l learning) Most(ops int) int {
+func (l learning) MaxTxnOps(ops int) int {
 	if most := int(l.most.Load()); most > 0 {
 		return min(most, ops)
 	}
@@ -128,7 +128,7 @@
 }
 
 func (f *fleet) level() int {
-	kv, err := f.state.Get(f.ctx, statekv.LevelKey)
+	kv, err := f.state.Get(f.ctx, statekv.ClusterVersionKey)
 	if err != nil {
 		return 0
 	}
@@ -217,8 +217,8 @@
 		f.is(2, "with all of them new")
 
 		f.former("host-2")
-		kv, _ := f.state.Get(f.ctx, statekv.NodePrefix+"host-2")
-		own := []statekv.Cond{{Key: statekv.NodePrefix + "host-2", Rev: kv.Rev}}
+		kv, _ := f.state.Get(f.ctx, statekv.SessionPrefix+"host-2")
+		own := []statekv.Compare{{Key: statekv.SessionPrefix + "host-2", Rev: kv.Rev}}
 		time.Sleep(2 * time.Second)
 		if _, err := f.state.Txn(f.ctx, own, []statekv.Op{{Set: "robin/job/wk-1", Value: 1}}); !statekv.IsConflict(err) {
 			t.Errorf("a refused life wrote: %v", err)
@@ -262,8 +262,8 @@
 		f.startAll()
 		f.former("host-2")
 		for range 4 {
-			kv, _ := f.state.Get(f.ctx, statekv.NodePrefix+"host-2")
-			f.write(statekv.Op{Set: statekv.StewardKey, Value: statekv.Holder{Host: "host-2", Instance: kv.Rev}})
+			kv, _ := f.state.Get(f.ctx, statekv.SessionPrefix+"host-2")
+			f.write(statekv.Op{Set: statekv.LeaderKey, Value: statekv.Holder{Host: "host-2", Incarnation: kv.Rev}})
 			time.Sleep(time.Minute)
 			if err := f.start("host-0", true); err != nil {
 				t.Fatal(err)
@@ -286,7 +286,7 @@
 		f.startAll()
 		time.Sleep(soak + 2*time.Second)
 		future := rollout.Level{Form: 1, N: 9, Features: []rollout.Feature{"a", "b", "c", "d", "e", "f", "g", "h", "teleport"}}
-		f.write(statekv.Op{Set: statekv.LevelKey, Value: future})
+		f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: future})
 		time.Sleep(3 * time.Second)
 		before := f.state.Changes()
 		for _, host := range hosts {
@@ -317,14 +317,14 @@
 	story(t, func(f *fleet) {
 		f.startAll()
 		time.Sleep(soak + 6*time.Second)
-		f.write(statekv.Op{Set: statekv.LevelKey, Value: "mangled"})
+		f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: "mangled"})
 		time.Sleep(2 * soak)
-		kv, err := f.state.Get(f.ctx, statekv.LevelKey)
+		kv, err := f.state.Get(f.ctx, statekv.ClusterVersionKey)
 		if err != nil || string(kv.Value) != `"mangled"` {
 			t.Error(string(kv.Value), err)
 		}
 		l := f.lives["host-1"]
-		if s := l.gate.Status(); s.Level != 3 || len(s.Unreadable) != 1 || s.Unreadable[0].Key != statekv.LevelKey {
+		if s := l.gate.Status(); s.Level != 3 || len(s.Unreadable) != 1 || s.Unreadable[0].Key != statekv.ClusterVersionKey {
 			t.Errorf("%+v", s)
 		}
 		if _, under := rollout.NewReader(l.mirror).Now(); under.Rev != kv.Rev {
@@ -479,7 +479,7 @@
 					f.write(tombstone.Ops(fmt.Sprintf("wk-%03d", k), recordOf(k), tombstone.Former)...)
 				}
 				three := rollout.Level{Form: 1, N: 3, Features: rollout.FeaturesAt(3)}
-				f.write(statekv.Op{Set: statekv.LevelKey, Value: three}, statekv.Op{Set: statekv.MoveKey, Value: rollout.Move{Name: rollout.MoveCopy, Level: 3}})
+				f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: three}, statekv.Op{Set: statekv.MigrationKey, Value: rollout.Move{Name: rollout.MoveCopy, Level: 3}})
 				if err := f.start("host-0", true); err != nil {
 					t.Fatal(err)
 				}
@@ -491,7 +491,7 @@
 					t.Fatal(err)
 				}
 				time.Sleep(30 * time.Second)
-				kv, err := f.state.Get(f.ctx, statekv.MoveKey)
+				kv, err := f.state.Get(f.ctx, statekv.MigrationKey)
 				var m rollout.Move
 				if err != nil || json.Unmarshal(kv.Value, &m) != nil || !m.Done || m.Looked != jobs {
 					t.Fatalf("stopped after %d: %s %v", stop, kv.Value, err)
@@ -523,12 +523,12 @@
 			f.write(statekv.Op{Set: key + strings.Repeat("x", 200-len(key)), Value: "mangled"})
 		}
 		f.write(tombstone.Ops("wk-1", recordOf(1), tombstone.Former)...)
-		f.write(statekv.Op{Set: statekv.LevelKey, Value: rollout.Level{Form: 1, N: 3, Features: rollout.FeaturesAt(3)}}, statekv.Op{Set: statekv.MoveKey, Value: rollout.Move{Name: rollout.MoveCopy, Level: 3}})
+		f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.Level{Form: 1, N: 3, Features: rollout.FeaturesAt(3)}}, statekv.Op{Set: statekv.MigrationKey, Value: rollout.Move{Name: rollout.MoveCopy, Level: 3}})
 		if err := f.start("host-0", true); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Minute)
-		kv, err := f.state.Get(f.ctx, statekv.MoveKey)
+		kv, err := f.state.Get(f.ctx, statekv.MigrationKey)
 		var m rollout.Move
 		if err != nil || json.Unmarshal(kv.Value, &m) != nil || !m.Done || m.Bad != bad || len(kv.Value) > 4096 {
 			t.Errorf("%d bytes: %s %v", len(kv.Value), kv.Value, err)
--- a/internal/scheduler/drawn_test.go
+++ b/internal/scheduler/drawn_test.go
@@ -142,7 +142,7 @@
 	var ids []string
 	for step := range 60 {
 		if n := w.node([]string{"host-0", "host-1"}[rng.IntN(2)]); n != nil && step < 45 {
-			if _, _, ok := n.placer.Home(); ok && n.member.Certain() {
+			if _, _, ok := n.placer.Home(); ok && n.member.HoldsLease() {
 				s := spec(fmt.Sprintf("wk-%d", step), job.Array, 1, 1)
 				for _, p := range ids[max(0, len(ids)-4):] {
 					if rng.IntN(3) == 0 {
@@ -235,13 +235,13 @@
 func (w *world) offer(n *node, s job.Spec) bool {
 	slot, epoch, _ := n.placer.Home()
 	rec := &job.Record{Spec: s, Slot: slot, Submitted: time.Now().UnixMilli()}
-	when := append(tombstone.Absent(s.ID), statekv.Cond{Key: job.OpenKey(s.ID)}, statekv.Cond{Key: statekv.SlotPrefix + slot, Rev: epoch})
+	when := append(tombstone.Absent(s.ID), statekv.Compare{Key: job.OpenKey(s.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + slot, Rev: epoch})
 	rev, err := n.member.Write(w.ctx, when, []statekv.Op{{Set: job.OpenKey(s.ID), Value: rec}})
 	if err == nil {
 		n.placer.Accepted(rec, rev)
 	}
 	// Without an answer its user asks again, and is told what the record says.
-	return err == nil || errors.Is(err, statekv.ErrUnknown)
+	return err == nil || errors.Is(err, statekv.ErrOutcomeUnknown)
 }
 
 // abort records a cancellation, and says whether its user was told so.
@@ -250,8 +250,8 @@
 	if err != nil {
 		return false
 	}
-	_, err = w.state.Txn(w.ctx, []statekv.Cond{{Key: kv.Key, Rev: kv.Rev}}, append(tombstone.Ops(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former), statekv.Op{Delete: kv.Key}))
-	return err == nil || errors.Is(err, statekv.ErrUnknown)
+	_, err = w.state.Txn(w.ctx, []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}, append(tombstone.Ops(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former), statekv.Op{Delete: kv.Key}))
+	return err == nil || errors.Is(err, statekv.ErrOutcomeUnknown)
 }
 
 // For drawn seeds of all these together no rule breaks, and every job is known and comes to
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -18,7 +18,7 @@
 func (w *world) at(features ...rollout.Feature) {
 	w.t.Helper()
 	l := rollout.Level{Form: 1, N: len(features), Features: features}
-	if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Set: statekv.LevelKey, Value: l}}); err != nil {
+	if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Set: statekv.ClusterVersionKey, Value: l}}); err != nil {
 		w.t.Fatal(err)
 	}
 }
--- a/internal/scheduler/flush.go
+++ b/internal/scheduler/flush.go
@@ -40,7 +40,7 @@
 			}
 		case j.over != "":
 			// Withdrawn with a job before it: users are told already (package pipeline).
-			if n < maxFlushes && p.store.Room(statekv.Chores, 3) {
+			if n < maxFlushes && p.store.Allow(statekv.ClassMaintenance, 3) {
 				start(j)
 			}
 		case (len(j.dirty) > 0 || j.noted) && now.Sub(j.dirtyAt) > foldEvery:
@@ -49,7 +49,7 @@
 	}
 	slices.SortFunc(folds, func(a, b *jobState) int { return a.dirtyAt.Compare(b.dirtyAt) })
 	for _, j := range folds {
-		if n >= maxFlushes || !p.store.Room(statekv.Chores, max(1, len(j.dirty))) {
+		if n >= maxFlushes || !p.store.Allow(statekv.ClassMaintenance, max(1, len(j.dirty))) {
 			break
 		}
 		start(j)
@@ -72,7 +72,7 @@
 	// Under the level that its form goes by: after a change nothing is written any more
 	// in the form of before.
 	level, unchanged := p.levels.Now()
-	when := []statekv.Cond{{Key: job.OpenKey(id), Rev: j.rev}, {Key: statekv.SlotPrefix + j.slot, Rev: s.epoch}, unchanged}
+	when := []statekv.Compare{{Key: job.OpenKey(id), Rev: j.rev}, {Key: statekv.JobShardPrefix + j.slot, Rev: s.epoch}, unchanged}
 	var then []statekv.Op
 	dirty, noted := j.dirty, j.noted
 	j.dirty, j.dirtyAt = map[int]bool{}, time.Time{}
@@ -85,7 +85,7 @@
 		}
 		then = append(then, statekv.Op{Delete: job.OpenKey(id)})
 		then = append(then, tombstone.Ops(id, r, level.Writes())...)
-		then = append(then, job.DropExtras(id, len(j.tasks), pieces, p.store.Most(p.settings.State.TxnOps)-len(then))...)
+		then = append(then, job.DropExtras(id, len(j.tasks), pieces, p.store.MaxTxnOps(p.settings.State.TxnOps)-len(then))...)
 	} else {
 		rec := p.record(j, level.Has(rollout.Failures))
 		then = p.recordOps(j, &rec, dirty, level)
@@ -159,7 +159,7 @@
 // nothing where that cannot be done yet.
 func (p *Placer) recordOps(j *jobState, rec *job.Record, dirty map[int]bool, level rollout.Level) []statekv.Op {
 	var then []statekv.Op
-	limit, most := p.settings.State.ValueBytes, p.store.Most(p.settings.State.TxnOps)
+	limit, most := p.settings.State.ValueBytes, p.store.MaxTxnOps(p.settings.State.TxnOps)
 	if rec.Pieces == 0 && rec.Large(limit) {
 		if !level.Has(rollout.Pipelines) {
 			return nil
@@ -197,7 +197,7 @@
 	if !errors.Is(err, statekv.ErrNotFound) {
 		return "", 0, err
 	}
-	r, err := tombstone.Read(ctx, p.store, []statekv.Cond{p.member.Cond()}, id)
+	r, err := tombstone.Read(ctx, p.store, []statekv.Compare{p.member.Fence()}, id)
 	if err != nil {
 		return "", 0, err
 	}
--- a/internal/scheduler/form0_test.go
+++ b/internal/scheduler/form0_test.go
@@ -30,7 +30,7 @@
 		}
 		before, open := map[string]string{}, []string{}
 		for _, kv := range dump.Items {
-			if _, node := strings.CutPrefix(kv.Key, statekv.NodePrefix); node {
+			if _, node := strings.CutPrefix(kv.Key, statekv.SessionPrefix); node {
 				continue // their leases have ended
 			}
 			if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Set: kv.Key, Value: kv.Value}}); err != nil {
@@ -75,8 +75,8 @@
 func TestUnknownFormsAreLeftAlone(t *testing.T) {
 	story(t, func(w *world) {
 		later := map[string]any{
-			statekv.SlotPrefix + "host-9.1": map[string]any{"form": 1, "host": "host-9", "instance": 1},
-			job.OpenPrefix + "wk-7":         map[string]any{"form": 3, "what": "ever"},
+			statekv.JobShardPrefix + "host-9.1": map[string]any{"form": 1, "host": "host-9", "instance": 1},
+			job.OpenPrefix + "wk-7":             map[string]any{"form": 3, "what": "ever"},
 		}
 		for key, v := range later {
 			if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Set: key, Value: v}}); err != nil {
@@ -99,7 +99,7 @@
 				t.Errorf("%s: %s, %v", key, kv.Value, err)
 			}
 		}
-		if bad := n.mirror.Bad(); bad[statekv.SlotPrefix+"host-9.1"] == "" {
+		if bad := n.mirror.Undecodable(); bad[statekv.JobShardPrefix+"host-9.1"] == "" {
 			t.Errorf("listed: %v", bad)
 		}
 	})
--- a/internal/scheduler/pipelines_test.go
+++ b/internal/scheduler/pipelines_test.go
@@ -21,7 +21,7 @@
 
 // upgraded has the fleet stand where all controllers know pipelines.
 func (w *world) upgraded() {
-	w.put(statekv.Op{Set: statekv.LevelKey, Value: rollout.Level{Form: 1, N: 2, Features: []rollout.Feature{rollout.Gated, rollout.Pipelines}}})
+	w.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.Level{Form: 1, N: 2, Features: []rollout.Feature{rollout.Gated, rollout.Pipelines}}})
 }
 
 func (w *world) put(ops ...statekv.Op) {
@@ -38,7 +38,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if _, err := w.state.Txn(w.ctx, []statekv.Cond{{Key: job.OpenKey(id), Rev: kv.Rev}}, append(tombstone.Ops(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former), statekv.Op{Delete: job.OpenKey(id)})); err != nil {
+	if _, err := w.state.Txn(w.ctx, []statekv.Compare{{Key: job.OpenKey(id), Rev: kv.Rev}}, append(tombstone.Ops(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former), statekv.Op{Delete: job.OpenKey(id)})); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -92,7 +92,7 @@
 	story(t, func(w *world) {
 		n := w.start("host-0")
 		w.run(3 * time.Second)
-		w.put(statekv.Op{Set: statekv.StewardKey, Value: n.member.Holder})
+		w.put(statekv.Op{Set: statekv.LeaderKey, Value: n.member.Holder})
 		w.run(2 * time.Second)
 		limited := after("wk-2", "wk-1")
 		limited.Team = "full"
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -90,7 +90,7 @@
 // dispatch is the Sort stage: it starts placements for the jobs that wait,
 // those first that the queue order puts first.
 func (p *Placer) dispatch(ctx context.Context) {
-	if !p.member.Certain() {
+	if !p.member.HoldsLease() {
 		return
 	}
 	now := time.Now()
@@ -549,7 +549,7 @@
 	cancel()
 	unknown := errors.Is(err, peer.ErrNoAnswer)
 	if err == nil && slices.Contains(reply.Verdicts, agentapi.Started) {
-		p.Clock.Mark(recovery.Placed)
+		p.Clock.Record(recovery.StepTaskStarted)
 	}
 	var open []agentapi.TaskRef
 	p.mu.Lock()
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/placer.go
@@ -123,7 +123,7 @@
 	policy   *policy.Policy
 	store    statekv.Store
 	mirror   *statekv.Mirror
-	member   *statekv.Member
+	member   *statekv.Session
 	call     peer.Caller
 	types    func() map[string]cloud.MachineType
 	levels   *rollout.Reader
@@ -132,7 +132,7 @@
 	ctx      context.Context
 
 	// Clock takes notes of the first start and of settled slots. Set it before Run.
-	Clock *recovery.Clock
+	Clock *recovery.Timeline
 
 	mu       sync.Mutex
 	jobs     map[string]*jobState
@@ -164,7 +164,7 @@
 }
 
 // New returns a placer without slots.
-func New(settings *config.Settings, pol *policy.Policy, store statekv.Store, mirror *statekv.Mirror, member *statekv.Member, call peer.Caller, types func() map[string]cloud.MachineType, pipes *dag.Tracker) *Placer {
+func New(settings *config.Settings, pol *policy.Policy, store statekv.Store, mirror *statekv.Mirror, member *statekv.Session, call peer.Caller, types func() map[string]cloud.MachineType, pipes *dag.Tracker) *Placer {
 	return &Placer{settings: settings, policy: pol, store: store, mirror: mirror, member: member, call: call, types: types, levels: rollout.NewReader(mirror), pipes: pipes,
 		jobs: map[string]*jobState{}, slots: map[string]*slotState{}, on: map[string]map[agentapi.TaskRef]bool{},
 		stops: map[agentapi.TaskRef]bool{}, others: map[string]bool{},
@@ -331,7 +331,7 @@
 		err = rec.Join(p.mirror.Get)
 	}
 	if err != nil {
-		p.mirror.Unreadable(e.Key(), err)
+		p.mirror.ReportUndecodable(e.Key(), err)
 		return
 	}
 	p.mu.Lock()
@@ -439,7 +439,7 @@
 }
 
 func (p *Placer) stewardHost() (string, bool) {
-	kv, ok := p.mirror.Get(statekv.StewardKey)
+	kv, ok := p.mirror.Get(statekv.LeaderKey)
 	h, err := statekv.HolderOf(kv)
 	if !ok || err != nil || !p.member.Alive(h) {
 		return "", false
--- a/internal/scheduler/slots.go
+++ b/internal/scheduler/slots.go
@@ -76,15 +76,15 @@
 // holdSlots takes slots whose placer's life is over, and a new one if this
 // controller has none; then it checks whether those taken have settled.
 func (p *Placer) holdSlots(ctx context.Context) {
-	if !p.member.Certain() {
+	if !p.member.HoldsLease() {
 		return
 	}
 	p.mu.Lock()
 	none := p.home == ""
 	for id, s := range p.slots {
-		kv, ok := p.mirror.Get(statekv.SlotPrefix + id)
+		kv, ok := p.mirror.Get(statekv.JobShardPrefix + id)
 		if h, err := statekv.HolderOf(kv); ok && kv.Rev > s.epoch && err == nil && h != p.member.Holder {
-			p.member.Replaced(fmt.Errorf("slot %s was taken by %s", id, h.Host))
+			p.member.Abort(fmt.Errorf("slot %s was taken by %s", id, h.Host))
 		}
 	}
 	p.mu.Unlock()
@@ -98,8 +98,8 @@
 func (p *Placer) takeHome(ctx context.Context) {
 	tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	id := fmt.Sprintf("%s.%d", p.member.Host, p.member.Instance)
-	epoch, err := p.member.Take(tctx, statekv.Role{Key: statekv.SlotPrefix + id, Value: p.member.Holder})
+	id := fmt.Sprintf("%s.%d", p.member.Host, p.member.Incarnation)
+	epoch, err := p.member.Acquire(tctx, statekv.Role{Key: statekv.JobShardPrefix + id, Value: p.member.Holder})
 	if err != nil || p.mirror.Wait(tctx, epoch) != nil {
 		slog.Debug("job shard creation failed", "job_shard", id, "err", err)
 		return
@@ -113,28 +113,28 @@
 
 // takeSlots takes, all together, the slots that fall to this controller.
 func (p *Placer) takeSlots(ctx context.Context) {
-	heirs := p.member.Heirs(p.settings.Hosts())
+	heirs := p.member.Successors(p.settings.Hosts())
 	var roles []statekv.Role
 	ours := map[string]uint64{}
-	for _, kv := range p.mirror.Dir(statekv.SlotPrefix) {
-		id := strings.TrimPrefix(kv.Key, statekv.SlotPrefix)
+	for _, kv := range p.mirror.Dir(statekv.JobShardPrefix) {
+		id := strings.TrimPrefix(kv.Key, statekv.JobShardPrefix)
 		h, err := statekv.HolderOf(kv)
 		p.mu.Lock()
 		held := p.slots[id] != nil
 		p.mu.Unlock()
 		switch {
 		case err != nil:
-			p.mirror.Unreadable(kv.Key, err)
+			p.mirror.ReportUndecodable(kv.Key, err)
 		case held:
 		case h == p.member.Holder:
 			ours[kv.Key] = kv.Rev // taken before, and the answer was lost
 		case !p.member.Alive(h) && heir(id, h.Host, heirs) == p.member.Host:
-			roles = append(roles, statekv.Role{Key: kv.Key, Seen: kv.Rev, From: h, Value: p.member.Holder})
+			roles = append(roles, statekv.Role{Key: kv.Key, ExpectedRev: kv.Rev, PreviousHolder: h, Value: p.member.Holder})
 		}
 	}
 	tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	taken, err := p.member.TakeAll(tctx, roles, p.settings.State.TxnOps)
+	taken, err := p.member.AcquireAll(tctx, roles, p.settings.State.TxnOps)
 	if err != nil {
 		slog.Debug("job shard acquisition failed", "err", err)
 	}
@@ -160,7 +160,7 @@
 func (p *Placer) adopt(ctx context.Context, taken map[string]uint64) {
 	slots, latest := map[string]*slotState{}, uint64(0)
 	for key, epoch := range taken {
-		slots[strings.TrimPrefix(key, statekv.SlotPrefix)] = &slotState{epoch: epoch, takenAt: time.Now()}
+		slots[strings.TrimPrefix(key, statekv.JobShardPrefix)] = &slotState{epoch: epoch, takenAt: time.Now()}
 		latest = max(latest, epoch)
 	}
 	// From then on the mirror has every record that the earlier placers wrote,
@@ -220,7 +220,7 @@
 			err = rec.Join(p.mirror.Get)
 		}
 		if err != nil {
-			p.mirror.Unreadable(kv.Key, err)
+			p.mirror.ReportUndecodable(kv.Key, err)
 			continue
 		}
 		rec.Keep(kv.Value)
@@ -292,7 +292,7 @@
 		slog.Info("job shard reconciled", "job_shard", id, "elapsed", now.Sub(s.takenAt).Round(time.Millisecond))
 		p.tellSettled(ctx, id, s.epoch)
 	}
-	p.Clock.Mark(recovery.Settled)
+	p.Clock.Record(recovery.StepReconciled)
 	p.wake()
 }
 
@@ -311,7 +311,7 @@
 // late carries the condition that the key has their revision. Otherwise every
 // failure of a controller would leave a slot behind for good.
 func (p *Placer) dropSlots(ctx context.Context) {
-	if !p.member.Certain() {
+	if !p.member.HoldsLease() {
 		return
 	}
 	p.forgetSlots()
@@ -321,17 +321,17 @@
 		used[j.slot] = true
 	}
 	var ids []string
-	var when []statekv.Cond
+	var when []statekv.Compare
 	var then []statekv.Op
 	for id, s := range p.slots {
-		if s.settled && !used[id] && len(then) < p.store.Most(min(maxFlushes, p.settings.State.TxnOps)) {
+		if s.settled && !used[id] && len(then) < p.store.MaxTxnOps(min(maxFlushes, p.settings.State.TxnOps)) {
 			ids = append(ids, id)
-			when = append(when, statekv.Cond{Key: statekv.SlotPrefix + id, Rev: s.epoch})
-			then = append(then, statekv.Op{Delete: statekv.SlotPrefix + id})
+			when = append(when, statekv.Compare{Key: statekv.JobShardPrefix + id, Rev: s.epoch})
+			then = append(then, statekv.Op{Delete: statekv.JobShardPrefix + id})
 		}
 	}
 	p.mu.Unlock()
-	if len(ids) == 0 || !p.store.Room(statekv.Chores, len(ids)) {
+	if len(ids) == 0 || !p.store.Allow(statekv.ClassMaintenance, len(ids)) {
 		return
 	}
 	tctx, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -351,7 +351,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, s := range p.slots {
-		if _, ok := p.mirror.Get(statekv.SlotPrefix + id); !ok && rev >= s.epoch {
+		if _, ok := p.mirror.Get(statekv.JobShardPrefix + id); !ok && rev >= s.epoch {
 			delete(p.slots, id)
 		}
 	}
--- a/internal/scheduler/slots_test.go
+++ b/internal/scheduler/slots_test.go
@@ -118,10 +118,10 @@
 		w.run(5 * time.Second)
 		w.endAll(worker.Done)
 		w.run(20 * time.Second)
-		if slots := w.state.Dir(statekv.SlotPrefix); len(slots) != 2 {
+		if slots := w.state.Dir(statekv.JobShardPrefix); len(slots) != 2 {
 			t.Errorf("%d slots for two controllers", len(slots))
 		}
-		if shards := w.state.Dir(statekv.ShardPrefix); len(shards) > 12 {
+		if shards := w.state.Dir(statekv.MachineShardPrefix); len(shards) > 12 {
 			t.Errorf("%d shards for two controllers in two zones", len(shards))
 		}
 		for _, n := range []*node{a, b} {
@@ -129,7 +129,7 @@
 				t.Errorf("%s came back with %d of 22 machines", n.host, len(entries))
 			}
 		}
-		old := []statekv.Cond{{Key: statekv.SlotPrefix + "host-0.2", Rev: epoch}}
+		old := []statekv.Compare{{Key: statekv.JobShardPrefix + "host-0.2", Rev: epoch}}
 		if _, err := w.state.Txn(w.ctx, old, nil); !statekv.IsConflict(err) {
 			t.Errorf("a late write of the first placer: %v", err)
 		}
--- a/internal/scheduler/story_test.go
+++ b/internal/scheduler/story_test.go
@@ -48,7 +48,7 @@
 	agent  *clusteragent.Agent
 	svc    *clusteragent.Service
 	placer *scheduler.Placer
-	member *statekv.Member
+	member *statekv.Session
 	mirror *statekv.Mirror
 	stop   context.CancelFunc
 	up     bool
@@ -100,7 +100,7 @@
 			}
 			out.Granted = append(out.Granted, ok)
 		}
-		kv, _ := n.mirror.Get(statekv.StewardKey)
+		kv, _ := n.mirror.Get(statekv.LeaderKey)
 		out.Epoch = kv.Rev
 		return nil
 	case "Agent.Gatherable":
@@ -141,19 +141,19 @@
 	}
 	ctx, stop := context.WithCancel(w.ctx)
 	n := &node{host: host, stop: stop, up: true}
-	mirror := statekv.NewMirror(w.state, []string{statekv.FleetPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
+	mirror := statekv.NewMirror(w.state, []string{statekv.ClusterPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
 		for _, e := range events {
 			n.placer.OnJobEvent(e)
 		}
 	})
 	n.mirror = mirror
 	pipes := dag.NewTracker(mirror, func(*job.Spec) time.Duration { return 10 * time.Second }, func(string) (tombstone.Tombstone, bool) { return tombstone.Tombstone{}, false })
-	mirror.First = pipes.OnEvents
+	mirror.OnApply = pipes.OnEvents
 	if err := mirror.Load(ctx); err != nil {
 		w.t.Fatal(err)
 	}
 	var err error
-	if n.member, err = statekv.Join(ctx, w.state, mirror, host, 4*time.Second, statekv.Registration{}); err != nil {
+	if n.member, err = statekv.OpenSession(ctx, w.state, mirror, host, 4*time.Second, statekv.Registration{}); err != nil {
 		w.t.Fatal(err)
 	}
 	types := map[string]cloud.MachineType{"box": {Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, FetchGBPerS: 0.1}}
@@ -165,12 +165,12 @@
 	w.nodes[host] = n
 	w.mu.Unlock()
 	go mirror.Run(ctx)
-	go func() { _ = n.member.Keep(ctx) }()
+	go func() { _ = n.member.KeepAlive(ctx) }()
 	go n.agent.Run(ctx)
 	go feed.Run(ctx)
 	go n.placer.Run(ctx, feed)
 	go pipes.Run(ctx, func(ctx context.Context, id string) (tombstone.Tombstone, error) {
-		return tombstone.Read(ctx, w.state, []statekv.Cond{n.member.Cond()}, id)
+		return tombstone.Read(ctx, w.state, []statekv.Compare{n.member.Fence()}, id)
 	})
 	return n
 }
@@ -233,7 +233,7 @@
 		w.t.Fatal("no slot")
 	}
 	rec := &job.Record{Spec: spec, Slot: slot, Submitted: time.Now().UnixMilli()}
-	rev, err := n.member.Write(w.ctx, []statekv.Cond{{Key: job.OpenKey(spec.ID)}}, []statekv.Op{{Set: job.OpenKey(spec.ID), Value: rec}})
+	rev, err := n.member.Write(w.ctx, []statekv.Compare{{Key: job.OpenKey(spec.ID)}}, []statekv.Op{{Set: job.OpenKey(spec.ID), Value: rec}})
 	if err != nil {
 		w.t.Fatal(err)
 	}
--- a/internal/shard/keys.go
+++ b/internal/shard/keys.go
@@ -36,7 +36,7 @@
 	switch {
 	case strings.HasPrefix(key, statekv.MachinePrefix):
 		return parseAs[MachineKey]("a machine's key", value)
-	case strings.HasPrefix(key, statekv.ShardPrefix):
+	case strings.HasPrefix(key, statekv.MachineShardPrefix):
 		return parseAs[ShardKey]("a shard's key", value)
 	}
 	return nil
@@ -47,7 +47,7 @@
 	if err := json.Unmarshal(value, v); err != nil {
 		return fmt.Errorf("%s: %w", kind, err)
 	}
-	if err := statekv.CheckForm(kind, value, KeySchema); err != nil {
+	if err := statekv.CheckSchema(kind, value, KeySchema); err != nil {
 		return err
 	}
 	return v
@@ -74,7 +74,7 @@
 	if key == nil {
 		return holder, kv.Rev
 	}
-	shard, ok := mirror.Get(statekv.ShardPrefix + key.Shard)
+	shard, ok := mirror.Get(statekv.MachineShardPrefix + key.Shard)
 	if !ok {
 		return holder, kv.Rev
 	}
@@ -92,7 +92,7 @@
 func OwnersOf(shards []statekv.KV) Owners {
 	o := make(Owners, len(shards))
 	for _, kv := range shards {
-		o[kv.Key[len(statekv.ShardPrefix):]] = Ownership{HolderOf(kv), kv.Rev}
+		o[kv.Key[len(statekv.MachineShardPrefix):]] = Ownership{HolderOf(kv), kv.Rev}
 	}
 	return o
 }
--- a/internal/statekv/client.go
+++ b/internal/statekv/client.go
@@ -23,25 +23,25 @@
 var (
 	// ErrNotFound: the key or the lease does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrRefused: the request was not carried out.
-	ErrRefused = errors.New("refused by the state service")
-	// ErrUnknown: no answer; the request may be carried out now, later or never.
-	ErrUnknown = errors.New("outcome unknown")
+	// ErrRejected: the request was not carried out.
+	ErrRejected = errors.New("refused by the state service")
+	// ErrOutcomeUnknown: no answer; the request may be carried out now, later or never.
+	ErrOutcomeUnknown = errors.New("outcome unknown")
 	// ErrTooLarge: a transaction was refused as malformed: it, or a value in it, is larger
-	// than the service takes now. It is an ErrRefused too.
-	ErrTooLarge = fmt.Errorf("%w: too large", ErrRefused)
+	// than the service takes now. It is an ErrRejected too.
+	ErrTooLarge = fmt.Errorf("%w: too large", ErrRejected)
 	// ErrCompacted: the watch's starting point is too old.
 	ErrCompacted = errors.New("watch too old")
 )
 
-// Conflict says which conditions of a transaction did not hold.
-type Conflict struct{ Failed []string }
+// ConflictError says which conditions of a transaction did not hold.
+type ConflictError struct{ Failed []string }
 
-func (c *Conflict) Error() string { return fmt.Sprintf("conditions failed: %v", c.Failed) }
+func (c *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", c.Failed) }
 
 // IsConflict reports whether err says that a transaction's conditions failed.
 func IsConflict(err error) bool {
-	var c *Conflict
+	var c *ConflictError
 	return errors.As(err, &c)
 }
 
@@ -54,8 +54,8 @@
 	Parsed any `json:"-"` // what the mirror's Parse made of the value
 }
 
-// Cond requires that a key has a revision; 0 means that it does not exist.
-type Cond struct {
+// Compare requires that a key has a revision; 0 means that it does not exist.
+type Compare struct {
 	Key string `json:"path"`
 	Rev uint64 `json:"key_rev"`
 }
@@ -93,8 +93,8 @@
 	Rev   uint64 `json:"ledger_rev"`
 }
 
-// News is what a watch returned.
-type News struct {
+// WatchResponse is what a watch returned.
+type WatchResponse struct {
 	Rev    uint64  `json:"ledger_rev"`
 	Events []Event `json:"news"`
 }
@@ -103,35 +103,35 @@
 type Store interface {
 	Get(ctx context.Context, key string) (KV, error)
 	List(ctx context.Context, prefix, after string) (Page, error)
-	Txn(ctx context.Context, when []Cond, then []Op) (uint64, error)
+	Txn(ctx context.Context, when []Compare, then []Op) (uint64, error)
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 	Renew(ctx context.Context, lease uint64) error
 	Revoke(ctx context.Context, lease uint64) error
-	Follow(ctx context.Context, prefix string, since uint64, block time.Duration) (News, error)
+	Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (WatchResponse, error)
 
-	// Room reports whether n requests of a kind that can wait may be made now,
+	// Allow reports whether n requests of a kind that can wait may be made now,
 	// and counts them if so: submissions, cancellations and ends of jobs must
 	// not queue behind hundreds of machines.
-	Room(kind Kind, n int) bool
+	Allow(kind RequestClass, n int) bool
 
-	// Most is how many changes a transaction may have, given how many the settings say:
+	// MaxTxnOps is how many changes a transaction may have, given how many the settings say:
 	// fewer, if the service has refused as many as too large.
-	Most(ops int) int
+	MaxTxnOps(ops int) int
 
-	// Batch is how many of the changes that can be divided among transactions one is to
+	// TxnBatchSize is how many of the changes that can be divided among transactions one is to
 	// have: no more than can be made soon.
-	Batch(ops int) int
+	TxnBatchSize(ops int) int
 }
 
-// Kind is a kind of change that can wait.
-type Kind int
+// RequestClass is a kind of change that can wait.
+type RequestClass int
 
-// Claims keep work alive and go before Chores (folding, removing keys). Lookups
+// ClassClaim keep work alive and go before Chores (folding, removing keys). Lookups
 // are reads for users who ask about jobs that are over or were never submitted.
 const (
-	Claims Kind = iota
-	Chores
-	Lookups
+	ClassClaim RequestClass = iota
+	ClassMaintenance
+	ClassLookup
 )
 
 // LookupShare is the part of a controller's requests that lookups may use.
@@ -139,7 +139,7 @@
 
 // shares are the parts of a controller's changes, or for lookups of its
 // requests, that each kind may use.
-var shares = [...]float64{Claims: 0.7, Chores: 0.5, Lookups: LookupShare}
+var shares = [...]float64{ClassClaim: 0.7, ClassMaintenance: 0.5, ClassLookup: LookupShare}
 
 // Client talks to the state service over HTTP and keeps this controller's
 // share of the service's limits.
@@ -170,12 +170,12 @@
 	}
 }
 
-// Batch is how many of many changes are best made with one transaction: what can be made
+// TxnBatchSize is how many of many changes are best made with one transaction: what can be made
 // soon, for a larger one would wait, or be refused, while what it needs comes in.
-func (c *Client) Batch(ops int) int { return min(c.Most(ops), c.writes.soon(time.Now())) }
+func (c *Client) TxnBatchSize(ops int) int { return min(c.MaxTxnOps(ops), c.writes.soon(time.Now())) }
 
-// Most is how many changes a transaction may have.
-func (c *Client) Most(ops int) int {
+// MaxTxnOps is how many changes a transaction may have.
+func (c *Client) MaxTxnOps(ops int) int {
 	if most := c.most.Load(); most > 0 {
 		return min(ops, int(most))
 	}
@@ -193,30 +193,30 @@
 	for k := range c.kinds {
 		c.kinds[k] = rate.NewLimiter(1, 24)
 	}
-	c.Share(controllers)
+	c.SetControllerCount(controllers)
 	return c
 }
 
-// Share has the client use its share of the requests among so many controllers.
-func (c *Client) Share(controllers int) {
+// SetControllerCount has the client use its share of the requests among so many controllers.
+func (c *Client) SetControllerCount(controllers int) {
 	requests := c.requests / float64(max(1, controllers))
 	if c.reads.Limit() == rate.Limit(requests) {
 		return
 	}
 	c.reads.SetLimit(rate.Limit(requests))
 	c.reads.SetBurst(int(max(8, requests/2)))
-	c.kinds[Lookups].SetLimit(rate.Limit(LookupShare * requests))
+	c.kinds[ClassLookup].SetLimit(rate.Limit(LookupShare * requests))
 }
 
-// Budget is this controller's part of the changes that the service takes.
-func (c *Client) Budget() *WriteBudget { return c.writes }
+// WriteBudget is this controller's part of the changes that the service takes.
+func (c *Client) WriteBudget() *WriteBudget { return c.writes }
 
-// Room reports whether n changes of a kind may be made now.
-func (c *Client) Room(kind Kind, n int) bool {
+// Allow reports whether n changes of a kind may be made now.
+func (c *Client) Allow(kind RequestClass, n int) bool {
 	now := time.Now()
 	limiter := c.kinds[kind]
 	atOnce := min(n, limiter.Burst())
-	if kind == Lookups {
+	if kind == ClassLookup {
 		return limiter.AllowN(now, atOnce)
 	}
 	limiter.SetLimitAt(now, rate.Limit(shares[kind]*c.writes.rate(now)))
@@ -230,7 +230,7 @@
 func (c *Client) send(ctx context.Context, method, path string, in any, extra time.Duration) (httpjson.Response, error) {
 	r, err := c.http.Do(ctx, method, c.base+path, in, extra)
 	if err != nil {
-		return r, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return r, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	switch r.Status {
 	case http.StatusOK, http.StatusConflict:
@@ -246,15 +246,15 @@
 		if path == "/txn" && (r.Decode(&why) != nil || !strings.Contains(why.Error, "lease")) {
 			return r, fmt.Errorf("%w: %s", ErrTooLarge, why.Error)
 		}
-		return r, fmt.Errorf("%w: %s %s: %s", ErrRefused, method, path, why.Error)
+		return r, fmt.Errorf("%w: %s %s: %s", ErrRejected, method, path, why.Error)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		if r.Status == http.StatusTooManyRequests && path == "/txn" {
 			c.writes.refused(time.Now())
 		}
 		slog.Debug("state request rejected", "method", method, "path", path, "status", r.Status)
-		return r, fmt.Errorf("%w: %s %s: status %d", ErrRefused, method, path, r.Status)
+		return r, fmt.Errorf("%w: %s %s: status %d", ErrRejected, method, path, r.Status)
 	}
-	return r, fmt.Errorf("%w: %s %s: status %d", ErrUnknown, method, path, r.Status)
+	return r, fmt.Errorf("%w: %s %s: status %d", ErrOutcomeUnknown, method, path, r.Status)
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in, out any, extra time.Duration) error {
@@ -266,7 +266,7 @@
 		return nil
 	}
 	if err := r.Decode(out); err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	return nil
 }
@@ -278,17 +278,17 @@
 func (c *Client) pace(ctx context.Context, l *rate.Limiter, n int) error {
 	r := l.ReserveN(time.Now(), n)
 	if !r.OK() {
-		return fmt.Errorf("%w: %d at once are more than its own limit", ErrRefused, n)
+		return fmt.Errorf("%w: %d at once are more than its own limit", ErrRejected, n)
 	}
 	d := r.Delay()
 	if deadline, ok := ctx.Deadline(); d > longestQueue || ok && time.Until(deadline) < d {
 		r.Cancel()
-		return fmt.Errorf("%w: own limit", ErrRefused)
+		return fmt.Errorf("%w: own limit", ErrRejected)
 	}
 	select {
 	case <-ctx.Done():
 		r.Cancel()
-		return fmt.Errorf("%w: own limit: %w", ErrRefused, ctx.Err())
+		return fmt.Errorf("%w: own limit: %w", ErrRejected, ctx.Err())
 	case <-time.After(d):
 		return nil
 	}
@@ -303,12 +303,12 @@
 	}
 	wait, ok := c.writes.take(n, longest, now)
 	if !ok {
-		return fmt.Errorf("%w: own limit", ErrRefused)
+		return fmt.Errorf("%w: own limit", ErrRejected)
 	}
 	select {
 	case <-ctx.Done():
 		c.writes.put(n)
-		return fmt.Errorf("%w: own limit: %w", ErrRefused, ctx.Err())
+		return fmt.Errorf("%w: own limit: %w", ErrRejected, ctx.Err())
 	case <-time.After(wait):
 		return nil
 	}
@@ -339,27 +339,27 @@
 }
 
 type txnRequest struct {
-	When []Cond `json:"when"`
-	Then []Op   `json:"then,omitempty"`
+	When []Compare `json:"when"`
+	Then []Op      `json:"then,omitempty"`
 }
 
 type sentKey struct{}
 
-// OnSent has f called when a transaction made with the context goes out, which is later
+// WithOnSend has f called when a transaction made with the context goes out, which is later
 // than its call where this client's own limits make it wait.
-func OnSent(ctx context.Context, f func()) context.Context {
+func WithOnSend(ctx context.Context, f func()) context.Context {
 	return context.WithValue(ctx, sentKey{}, f)
 }
 
-// Sent calls what OnSent gave, if anything.
-func Sent(ctx context.Context) {
+// NotifySent calls what WithOnSend gave, if anything.
+func NotifySent(ctx context.Context) {
 	if f, ok := ctx.Value(sentKey{}).(func()); ok {
 		f()
 	}
 }
 
 // Txn applies then if every condition holds. A *Conflict says that one did not.
-func (c *Client) Txn(ctx context.Context, when []Cond, then []Op) (uint64, error) {
+func (c *Client) Txn(ctx context.Context, when []Compare, then []Op) (uint64, error) {
 	if err := c.pace(ctx, c.reads, 1); err != nil {
 		return 0, err
 	}
@@ -368,7 +368,7 @@
 			return 0, err
 		}
 	}
-	Sent(ctx)
+	NotifySent(ctx)
 	r, err := c.send(ctx, http.MethodPost, "/txn", txnRequest{When: when, Then: then}, 0)
 	if errors.Is(err, ErrTooLarge) && len(then) > 1 {
 		c.refusedLarge(len(then))
@@ -382,10 +382,10 @@
 		Failed []string `json:"failed"`
 	}
 	if err := r.Decode(&out); err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	if r.Status == http.StatusConflict {
-		return 0, &Conflict{Failed: out.Failed}
+		return 0, &ConflictError{Failed: out.Failed}
 	}
 	return out.Rev, nil
 }
@@ -409,9 +409,9 @@
 	return c.call(ctx, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil, 0)
 }
 
-// Follow waits until something under prefix changes after since.
-func (c *Client) Follow(ctx context.Context, prefix string, since uint64, block time.Duration) (News, error) {
-	var n News
+// Watch waits until something under prefix changes after since.
+func (c *Client) Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (WatchResponse, error) {
+	var n WatchResponse
 	q := url.Values{"prefix": {prefix}, "since": {fmt.Sprint(since)}, "block_ms": {fmt.Sprint(block.Milliseconds())}}
 	err := c.call(ctx, http.MethodGet, "/follow?"+q.Encode(), nil, &n, block)
 	return n, err
--- a/internal/statekv/limits_test.go
+++ b/internal/statekv/limits_test.go
@@ -20,25 +20,25 @@
 	defer server.Close()
 	client := statekv.NewClient(strings.TrimPrefix(server.URL, "http://"), 1e4, 1e5, 1)
 	ctx := t.Context()
-	mirror := statekv.NewMirror(client, []string{statekv.FleetPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+	mirror := statekv.NewMirror(client, []string{statekv.ClusterPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
-	member, err := statekv.Join(ctx, client, mirror, "host-0", 4*time.Second, statekv.Registration{})
+	member, err := statekv.OpenSession(ctx, client, mirror, "host-0", 4*time.Second, statekv.Registration{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := client.Txn(ctx, nil, []statekv.Op{{Set: "x", Value: 1, Lease: 99}}); err == nil || client.Most(24) != 24 {
-		t.Fatalf("a lease that has ended: %v, and %d changes from then on", err, client.Most(24))
+	if _, err := client.Txn(ctx, nil, []statekv.Op{{Set: "x", Value: 1, Lease: 99}}); err == nil || client.MaxTxnOps(24) != 24 {
+		t.Fatalf("a lease that has ended: %v, and %d changes from then on", err, client.MaxTxnOps(24))
 	}
 	var roles []statekv.Role
 	for k := range 50 {
-		roles = append(roles, statekv.Role{Key: fmt.Sprintf("%s%d", statekv.SlotPrefix, k), Value: member.Holder})
+		roles = append(roles, statekv.Role{Key: fmt.Sprintf("%s%d", statekv.JobShardPrefix, k), Value: member.Holder})
 	}
 	state.Limit(2048, 5)
-	taken, err := member.TakeAll(ctx, roles, 24)
-	if err != nil || len(taken) != 50 || client.Most(24) > 5+1 {
-		t.Fatalf("%d taken: %v; %d changes from then on", len(taken), err, client.Most(24))
+	taken, err := member.AcquireAll(ctx, roles, 24)
+	if err != nil || len(taken) != 50 || client.MaxTxnOps(24) > 5+1 {
+		t.Fatalf("%d taken: %v; %d changes from then on", len(taken), err, client.MaxTxnOps(24))
 	}
 	if over := state.Over(); len(over) > 6 {
 		t.Errorf("it was refused %d times before it learned: %v", len(over), over)
@@ -49,7 +49,7 @@
 		if _, err := client.Txn(ctx, nil, make([]statekv.Op, 0)); err != nil {
 			t.Fatal(err)
 		}
-		ops := make([]statekv.Op, client.Most(24))
+		ops := make([]statekv.Op, client.MaxTxnOps(24))
 		for k := range ops {
 			ops[k] = statekv.Op{Set: fmt.Sprintf("y/%d", k), Value: k}
 		}
@@ -57,7 +57,7 @@
 			t.Fatal(err)
 		}
 	}
-	if client.Most(24) != 24 {
-		t.Error(client.Most(24))
+	if client.MaxTxnOps(24) != 24 {
+		t.Error(client.MaxTxnOps(24))
 	}
 }
--- a/internal/statekv/member.go
+++ b/internal/statekv/member.go
@@ -12,41 +12,41 @@
 	"time"
 )
 
-// FleetPrefix is the prefix of the keys that every controller mirrors.
-const FleetPrefix = "robin/fleet/"
+// ClusterPrefix is the prefix of the keys that every controller mirrors.
+const ClusterPrefix = "robin/fleet/"
 
 // Keys of roles and of what the fleet knows.
 const (
-	RootPrefix    = "robin/"
-	NodePrefix    = FleetPrefix + "node/"
-	SlotPrefix    = FleetPrefix + "slot/"
-	MachinePrefix = FleetPrefix + "machine/"
-	ShardPrefix   = FleetPrefix + "shard/"
-	StewardKey    = FleetPrefix + "steward"
-	TypesKey      = FleetPrefix + "types"
+	RootPrefix         = "robin/"
+	SessionPrefix      = ClusterPrefix + "node/"
+	JobShardPrefix     = ClusterPrefix + "slot/"
+	MachinePrefix      = ClusterPrefix + "machine/"
+	MachineShardPrefix = ClusterPrefix + "shard/"
+	LeaderKey          = ClusterPrefix + "steward"
+	MachineTypesKey    = ClusterPrefix + "types"
 
-	// LevelKey says what the fleet's controllers do together (package rollout),
-	// JoinsKey changes with every life that begins, MoveKey tells how far stored
+	// ClusterVersionKey says what the fleet's controllers do together (package rollout),
+	// MembershipKey changes with every life that begins, MigrationKey tells how far stored
 	// values have been moved to another form.
-	LevelKey = FleetPrefix + "level"
-	JoinsKey = FleetPrefix + "joins"
-	MoveKey  = FleetPrefix + "move"
+	ClusterVersionKey = ClusterPrefix + "level"
+	MembershipKey     = ClusterPrefix + "joins"
+	MigrationKey      = ClusterPrefix + "move"
 )
 
 // Holder says which life of which controller holds a role.
 type Holder struct {
-	Host     string `json:"host"`
-	Instance uint64 `json:"instance"`
+	Host        string `json:"host"`
+	Incarnation uint64 `json:"instance"`
 }
 
-// RoleForm is the form of the keys of roles that this build writes and reads.
-const RoleForm = 0
+// RoleSchema is the form of the keys of roles that this build writes and reads.
+const RoleSchema = 0
 
-// HolderOf reads who holds a role by its key. A *FormError says that a later version
+// HolderOf reads who holds a role by its key. A *SchemaError says that a later version
 // wrote it: then it must be left alone.
 func HolderOf(kv KV) (Holder, error) {
 	var h Holder
-	if err := CheckForm("a role's key", kv.Value, RoleForm); err != nil {
+	if err := CheckSchema("a role's key", kv.Value, RoleSchema); err != nil {
 		return h, err
 	}
 	if err := json.Unmarshal(kv.Value, &h); err != nil {
@@ -58,16 +58,16 @@
 // Role is a key that names its holder, as it was seen when its holder's life
 // was found to be over.
 type Role struct {
-	Key   string
-	Seen  uint64 // its revision
-	From  Holder // whose life is over; zero: taken whether it lives or not
-	Value any    // names the new holder
+	Key            string
+	ExpectedRev    uint64 // its revision
+	PreviousHolder Holder // whose life is over; zero: taken whether it lives or not
+	Value          any    // names the new holder
 }
 
-// Member is one life of this controller: a key attached to a state lease.
+// Session is one life of this controller: a key attached to a state lease.
 // Every write carries the condition that the key still has its revision, so
 // nothing this life sent can be applied after its end.
-type Member struct {
+type Session struct {
 	Holder
 	store  Store
 	mirror *Mirror
@@ -83,16 +83,16 @@
 
 // Registration is what the key of a life says, and what has to hold for it to begin.
 type Registration struct {
-	Value any    // nil: nothing
-	When  []Cond // a *Conflict from Join says that one did not hold
-	Also  []Op   // written with it
+	Value    any       // nil: nothing
+	Compares []Compare // a *Conflict from Join says that one did not hold
+	Ops      []Op      // written with it
 }
 
-// Join registers a new life of host, ending any earlier one that the mirror shows. A
+// OpenSession registers a new life of host, ending any earlier one that the mirror shows. A
 // copy of an earlier life's registration that is carried out late, with its lease alive
 // because the word to end that was lost as well, must not replace this one: the key has to
 // be as it was seen, or the next try sees what it is.
-func Join(ctx context.Context, store Store, mirror *Mirror, host string, ttl time.Duration, reg Registration) (*Member, error) {
+func OpenSession(ctx context.Context, store Store, mirror *Mirror, host string, ttl time.Duration, reg Registration) (*Session, error) {
 	sent := time.Now()
 	lease, err := store.Grant(ctx, ttl)
 	if err != nil {
@@ -101,19 +101,19 @@
 	if reg.Value == nil {
 		reg.Value = struct{}{}
 	}
-	was, _ := mirror.Get(NodePrefix + host)
-	when := append(slices.Clone(reg.When), Cond{Key: NodePrefix + host, Rev: was.Rev})
-	rev, err := store.Txn(ctx, when, append([]Op{{Set: NodePrefix + host, Value: reg.Value, Lease: lease}}, reg.Also...))
+	was, _ := mirror.Get(SessionPrefix + host)
+	when := append(slices.Clone(reg.Compares), Compare{Key: SessionPrefix + host, Rev: was.Rev})
+	rev, err := store.Txn(ctx, when, append([]Op{{Set: SessionPrefix + host, Value: reg.Value, Lease: lease}}, reg.Ops...))
 	if err != nil {
 		// A copy applied late must not replace a later registration.
 		_ = store.Revoke(ctx, lease)
 		return nil, fmt.Errorf("registering: %w", err)
 	}
-	return &Member{Holder: Holder{Host: host, Instance: rev}, store: store, mirror: mirror, ttl: ttl, lease: lease, began: time.Now(), replaced: make(chan error, 1), renewed: sent}, nil
+	return &Session{Holder: Holder{Host: host, Incarnation: rev}, store: store, mirror: mirror, ttl: ttl, lease: lease, began: time.Now(), replaced: make(chan error, 1), renewed: sent}, nil
 }
 
-// Keep renews the lease until ctx ends or the lease is lost.
-func (m *Member) Keep(ctx context.Context) error {
+// KeepAlive renews the lease until ctx ends or the lease is lost.
+func (m *Session) KeepAlive(ctx context.Context) error {
 	tick := time.NewTicker(m.ttl / 4)
 	defer tick.Stop()
 	for {
@@ -133,7 +133,7 @@
 			slog.Debug("state lease renewal failed", "err", err)
 			continue
 		}
-		if kv, ok := m.mirror.Get(NodePrefix + m.Host); ok && kv.Rev > m.Instance {
+		if kv, ok := m.mirror.Get(SessionPrefix + m.Host); ok && kv.Rev > m.Incarnation {
 			return errors.New("replaced by a later life")
 		}
 		m.mu.Lock()
@@ -142,56 +142,56 @@
 	}
 }
 
-// Replaced ends this life, for the given reason: another controller holds a role
+// Abort ends this life, for the given reason: another controller holds a role
 // that only it should hold, so that others do not take it for alive.
-func (m *Member) Replaced(reason error) {
+func (m *Session) Abort(reason error) {
 	select {
 	case m.replaced <- reason:
 	default:
 	}
 }
 
-// Certain reports whether the lease is certainly held right now.
-func (m *Member) Certain() bool { return time.Since(m.Renewed()) < m.ttl-m.ttl/8 }
+// HoldsLease reports whether the lease is certainly held right now.
+func (m *Session) HoldsLease() bool { return time.Since(m.LastRenewal()) < m.ttl-m.ttl/8 }
 
-// Renewed is when the last successful renewal was sent.
-func (m *Member) Renewed() time.Time {
+// LastRenewal is when the last successful renewal was sent.
+func (m *Session) LastRenewal() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.renewed
 }
 
-// Cond is the condition that every write of this life carries.
-func (m *Member) Cond() Cond { return Cond{Key: NodePrefix + m.Host, Rev: m.Instance} }
+// Fence is the condition that every write of this life carries.
+func (m *Session) Fence() Compare { return Compare{Key: SessionPrefix + m.Host, Rev: m.Incarnation} }
 
 // Alive reports whether the holder's life goes on, as far as the mirror shows.
-func (m *Member) Alive(h Holder) bool {
-	kv, ok := m.mirror.Get(NodePrefix + h.Host)
-	return ok && kv.Rev == h.Instance
+func (m *Session) Alive(h Holder) bool {
+	kv, ok := m.mirror.Get(SessionPrefix + h.Host)
+	return ok && kv.Rev == h.Incarnation
 }
 
 // AliveHosts lists the controllers that are alive, in order.
-func (m *Member) AliveHosts() []string {
+func (m *Session) AliveHosts() []string {
 	var hosts []string
-	for _, kv := range m.mirror.Dir(NodePrefix) {
-		if Refused(kv) == "" {
-			hosts = append(hosts, kv.Key[len(NodePrefix):])
+	for _, kv := range m.mirror.Dir(SessionPrefix) {
+		if RejectionReason(kv) == "" {
+			hosts = append(hosts, kv.Key[len(SessionPrefix):])
 		}
 	}
 	sort.Strings(hosts)
 	return hosts
 }
 
-// Refusal is what another controller writes in place of a life that must not go on.
-type Refusal struct {
-	Refused string `json:"refused"` // why
+// Rejection is what another controller writes in place of a life that must not go on.
+type Rejection struct {
+	Reason string `json:"refused"` // why
 }
 
-// Refused tells why the life whose key kv was is refused, or "".
-func Refused(kv KV) string {
-	var r Refusal
+// RejectionReason tells why the life whose key kv was is refused, or "".
+func RejectionReason(kv KV) string {
+	var r Rejection
 	if len(kv.Value) > 2 && json.Unmarshal(kv.Value, &r) == nil {
-		return r.Refused
+		return r.Reason
 	}
 	return ""
 }
@@ -200,11 +200,11 @@
 // that may just be coming back too.
 const gathering = 2 * time.Second
 
-// Heirs lists the controllers among which roles whose holder's life is over are
+// Successors lists the controllers among which roles whose holder's life is over are
 // divided: those that live. A life that has just begun counts all there are,
 // given as hosts, for when all have crashed they come back within a second of each
 // other, and the first would take everything.
-func (m *Member) Heirs(hosts []string) []string {
+func (m *Session) Successors(hosts []string) []string {
 	if time.Since(m.began) > gathering {
 		return m.AliveHosts()
 	}
@@ -212,34 +212,34 @@
 }
 
 // Write applies ops under the member's condition and the given ones.
-func (m *Member) Write(ctx context.Context, when []Cond, then []Op) (uint64, error) {
-	return m.store.Txn(ctx, append([]Cond{m.Cond()}, when...), then)
+func (m *Session) Write(ctx context.Context, when []Compare, then []Op) (uint64, error) {
+	return m.store.Txn(ctx, append([]Compare{m.Fence()}, when...), then)
 }
 
-// Conds is what has to hold for r to be taken or removed: nobody was faster, and the
+// RoleCompares is what has to hold for r to be taken or removed: nobody was faster, and the
 // state service too has the earlier holder's life over, whatever the mirror shows.
-func (m *Member) Conds(r Role) []Cond {
-	when := []Cond{{Key: r.Key, Rev: r.Seen}}
-	if r.From.Host != "" && r.From.Host != m.Host {
-		later, _ := m.mirror.Get(NodePrefix + r.From.Host)
-		when = append(when, Cond{Key: NodePrefix + r.From.Host, Rev: later.Rev})
+func (m *Session) RoleCompares(r Role) []Compare {
+	when := []Compare{{Key: r.Key, Rev: r.ExpectedRev}}
+	if r.PreviousHolder.Host != "" && r.PreviousHolder.Host != m.Host {
+		later, _ := m.mirror.Get(SessionPrefix + r.PreviousHolder.Host)
+		when = append(when, Compare{Key: SessionPrefix + r.PreviousHolder.Host, Rev: later.Rev})
 	}
 	return when
 }
 
 // keep is the role's new value with what it does not know of the one it replaces.
-func (m *Member) keep(r Role) any {
-	if kv, ok := m.mirror.Get(r.Key); ok && kv.Rev == r.Seen {
-		return Keep(kv.Value, r.Value)
+func (m *Session) keep(r Role) any {
+	if kv, ok := m.mirror.Get(r.Key); ok && kv.Rev == r.ExpectedRev {
+		return PreserveUnknown(kv.Value, r.Value)
 	}
 	return r.Value
 }
 
-// Take writes a role's key if it still has the revision seen, and returns the
+// Acquire writes a role's key if it still has the revision seen, and returns the
 // new revision, which fences off earlier holders. If an answer is lost, the next
 // try meets its own write and recognises it.
-func (m *Member) Take(ctx context.Context, r Role) (uint64, error) {
-	rev, err := m.Write(ctx, m.Conds(r), []Op{{Set: r.Key, Value: m.keep(r)}})
+func (m *Session) Acquire(ctx context.Context, r Role) (uint64, error) {
+	rev, err := m.Write(ctx, m.RoleCompares(r), []Op{{Set: r.Key, Value: m.keep(r)}})
 	if !IsConflict(err) {
 		return rev, err
 	}
@@ -253,22 +253,22 @@
 	return 0, err
 }
 
-// TakeAll takes roles like Take, up to most with one transaction, and returns the
+// AcquireAll takes roles like Take, up to most with one transaction, and returns the
 // revisions of those taken by their keys. After all controllers have crashed there
 // are dozens to take, and several controllers try: one by one, with a conflict for
 // each that another was faster with, that took longer than everything else until
 // the service worked again. Roles lost to others are left out; so are those whose
 // transaction had no answer, which the mirror will show if they were taken.
-func (m *Member) TakeAll(ctx context.Context, roles []Role, most int) (map[string]uint64, error) {
+func (m *Session) AcquireAll(ctx context.Context, roles []Role, most int) (map[string]uint64, error) {
 	taken := map[string]uint64{}
 	for len(roles) > 0 {
-		group := roles[:min(m.store.Batch(most), len(roles))]
+		group := roles[:min(m.store.TxnBatchSize(most), len(roles))]
 		roles = roles[len(group):]
 		for len(group) > 0 {
-			var when []Cond
+			var when []Compare
 			var then []Op
 			for _, r := range group {
-				for _, c := range m.Conds(r) {
+				for _, c := range m.RoleCompares(r) {
 					if !slices.Contains(when, c) {
 						when = append(when, c)
 					}
@@ -286,12 +286,12 @@
 				roles = append(slices.Clone(group), roles...) // in smaller groups
 				break
 			}
-			var conflict *Conflict
+			var conflict *ConflictError
 			if !errors.As(err, &conflict) {
 				return taken, fmt.Errorf("taking %d roles: %w", len(group), err)
 			}
 			left := slices.DeleteFunc(slices.Clone(group), func(r Role) bool {
-				return slices.Contains(conflict.Failed, r.Key) || r.From.Host != "" && r.From.Host != m.Host && slices.Contains(conflict.Failed, NodePrefix+r.From.Host)
+				return slices.Contains(conflict.Failed, r.Key) || r.PreviousHolder.Host != "" && r.PreviousHolder.Host != m.Host && slices.Contains(conflict.Failed, SessionPrefix+r.PreviousHolder.Host)
 			})
 			if len(left) == len(group) {
 				return taken, fmt.Errorf("taking %d roles: %w", len(group), err) // this life is over
--- a/internal/statekv/mirror.go
+++ b/internal/statekv/mirror.go
@@ -28,13 +28,13 @@
 	// place says why the value cannot be read. Set it before Load.
 	Parse func(key string, value json.RawMessage) any
 
-	// First gets every change, and nil when all was read anew, before the revision counts
+	// OnApply gets every change, and nil when all was read anew, before the revision counts
 	// as seen: who waits for that finds it taken note of. It must do no I/O. Set it
 	// before Load.
-	First func([]Event)
+	OnApply func([]Event)
 
-	// Marks picks changes; nil picks none. Set it before Load.
-	Marks func(Event) bool
+	// Track picks changes; nil picks none. Set it before Load.
+	Track func(Event) bool
 
 	badMu sync.Mutex
 	bad   map[string]string // why a key's value cannot be read
@@ -68,9 +68,9 @@
 // mostBad bounds the unreadable keys that are kept in mind.
 const mostBad = 100
 
-// Unreadable notes that the value of a key cannot be read, and logs it once. The key
+// ReportUndecodable notes that the value of a key cannot be read, and logs it once. The key
 // is left as it is, for whoever wrote it can read it, or a person has to see it.
-func (m *Mirror) Unreadable(key string, err error) {
+func (m *Mirror) ReportUndecodable(key string, err error) {
 	m.badMu.Lock()
 	defer m.badMu.Unlock()
 	if _, known := m.bad[key]; known || len(m.bad) >= mostBad {
@@ -80,8 +80,8 @@
 	slog.Error("stored value undecodable, kept unchanged", "key", key, "err", err)
 }
 
-// Bad lists the keys whose values cannot be read, with the reason.
-func (m *Mirror) Bad() map[string]string {
+// Undecodable lists the keys whose values cannot be read, with the reason.
+func (m *Mirror) Undecodable() map[string]string {
 	m.badMu.Lock()
 	defer m.badMu.Unlock()
 	return maps.Clone(m.bad)
@@ -98,7 +98,7 @@
 // put stores a key whose value was read in dirs.
 func (m *Mirror) put(dirs map[string]map[string]KV, kv KV) {
 	if err, ok := kv.Parsed.(error); ok {
-		m.Unreadable(kv.Key, err)
+		m.ReportUndecodable(kv.Key, err)
 	}
 	dir := dirOf(kv.Key)
 	if dirs[dir] == nil {
@@ -145,8 +145,8 @@
 	m.dirs = dirs
 	m.marked = max(m.marked, rev) // any of those up to now may have been one
 	m.mu.Unlock()
-	if m.First != nil {
-		m.First(nil)
+	if m.OnApply != nil {
+		m.OnApply(nil)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -163,7 +163,7 @@
 		since := m.rev
 		m.mu.Unlock()
 		sent := time.Now()
-		news, err := m.store.Follow(ctx, m.follow, since, m.block)
+		news, err := m.store.Watch(ctx, m.follow, since, m.block)
 		if errors.Is(err, ErrCompacted) {
 			if err = m.Load(ctx); err == nil {
 				m.onNews(nil)
@@ -189,15 +189,15 @@
 	}
 }
 
-func (m *Mirror) apply(news News, sent time.Time) {
+func (m *Mirror) apply(news WatchResponse, sent time.Time) {
 	for k := range news.Events {
 		if e := &news.Events[k]; e.Set != "" {
 			e.Parsed = m.parse(e.Set, e.Value)
 		}
 	}
 	m.applyEvents(news.Events)
-	if m.First != nil && len(news.Events) > 0 {
-		m.First(news.Events)
+	if m.OnApply != nil && len(news.Events) > 0 {
+		m.OnApply(news.Events)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -213,7 +213,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range events {
-		if m.Marks != nil && m.Marks(e) {
+		if m.Track != nil && m.Track(e) {
 			m.marked = max(m.marked, e.Rev)
 		}
 		key := e.Key()
@@ -272,7 +272,7 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
-		p, err := m.store.List(ctx, NodePrefix, "")
+		p, err := m.store.List(ctx, SessionPrefix, "")
 		cancel()
 		b.rev, b.err = p.Rev, err
 		close(b.done)
@@ -307,16 +307,16 @@
 	return m.rev
 }
 
-// Marked is the revision of the latest change, among those that can be seen here, that
+// TrackedRev is the revision of the latest change, among those that can be seen here, that
 // Marks picks; it is counted at the very moment at which the change can be seen.
-func (m *Mirror) Marked() uint64 {
+func (m *Mirror) TrackedRev() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.marked
 }
 
-// Fresh is a moment at which the mirror was known to be complete.
-func (m *Mirror) Fresh() time.Time {
+// FreshAsOf is a moment at which the mirror was known to be complete.
+func (m *Mirror) FreshAsOf() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.fresh
--- a/internal/statekv/mirror_test.go
+++ b/internal/statekv/mirror_test.go
@@ -37,18 +37,18 @@
 		defer func() { cancel(); synctest.Wait() }()
 		state := emulator.NewEmptyState()
 		store := &between{State: state}
-		mirror := statekv.NewMirror(store, []string{statekv.FleetPrefix, jobs}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
-		var other *statekv.Member
+		mirror := statekv.NewMirror(store, []string{statekv.ClusterPrefix, jobs}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+		var other *statekv.Session
 		store.then = func() {
 			var err error
-			if other, err = statekv.Join(ctx, state, mirror, "host-1", time.Hour, statekv.Registration{}); err != nil {
+			if other, err = statekv.OpenSession(ctx, state, mirror, "host-1", time.Hour, statekv.Registration{}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if err := mirror.Load(ctx); err != nil {
 			t.Fatal(err)
 		}
-		member, err := statekv.Join(ctx, store, mirror, "host-0", time.Hour, statekv.Registration{})
+		member, err := statekv.OpenSession(ctx, store, mirror, "host-0", time.Hour, statekv.Registration{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,24 +68,24 @@
 		defer func() { cancel(); synctest.Wait() }()
 		state := emulator.NewState()
 		blind := statekv.NewMirror(state, nil, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
-		holder, err := statekv.Join(ctx, state, blind, "host-1", time.Hour, statekv.Registration{})
+		holder, err := statekv.OpenSession(ctx, state, blind, "host-1", time.Hour, statekv.Registration{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		taker, err := statekv.Join(ctx, state, blind, "host-0", time.Hour, statekv.Registration{})
+		taker, err := statekv.OpenSession(ctx, state, blind, "host-0", time.Hour, statekv.Registration{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		rev, err := holder.Take(ctx, statekv.Role{Key: statekv.StewardKey, Value: holder.Holder})
+		rev, err := holder.Acquire(ctx, statekv.Role{Key: statekv.LeaderKey, Value: holder.Holder})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := taker.Take(ctx, statekv.Role{Key: statekv.StewardKey, Seen: rev, From: holder.Holder, Value: taker.Holder}); !statekv.IsConflict(err) {
+		if _, err := taker.Acquire(ctx, statekv.Role{Key: statekv.LeaderKey, ExpectedRev: rev, PreviousHolder: holder.Holder, Value: taker.Holder}); !statekv.IsConflict(err) {
 			t.Fatalf("taking the role of a living holder: %v", err)
 		}
 		ended := make(chan error, 1)
-		go func() { ended <- holder.Keep(ctx) }()
-		holder.Replaced(context.Canceled)
+		go func() { ended <- holder.KeepAlive(ctx) }()
+		holder.Abort(context.Canceled)
 		synctest.Wait()
 		select {
 		case <-ended:
@@ -103,9 +103,9 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); synctest.Wait() }()
 		state := emulator.NewState()
-		mirror := statekv.NewMirror(state, []string{statekv.FleetPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
-		join := func(host string) *statekv.Member {
-			m, err := statekv.Join(ctx, state, mirror, host, time.Hour, statekv.Registration{})
+		mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+		join := func(host string) *statekv.Session {
+			m, err := statekv.OpenSession(ctx, state, mirror, host, time.Hour, statekv.Registration{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -114,14 +114,14 @@
 		other, taker := join("host-1"), join("host-0")
 		var roles []statekv.Role
 		for i := range 60 {
-			roles = append(roles, statekv.Role{Key: fmt.Sprintf("%s%d", statekv.ShardPrefix, i), From: statekv.Holder{Host: "host-9", Instance: 1}, Value: taker.Holder})
+			roles = append(roles, statekv.Role{Key: fmt.Sprintf("%s%d", statekv.MachineShardPrefix, i), PreviousHolder: statekv.Holder{Host: "host-9", Incarnation: 1}, Value: taker.Holder})
 		}
-		roles[7].From = other.Holder // lives, which the mirror does not show
-		if _, err := other.Take(ctx, statekv.Role{Key: roles[30].Key, Value: other.Holder}); err != nil {
+		roles[7].PreviousHolder = other.Holder // lives, which the mirror does not show
+		if _, err := other.Acquire(ctx, statekv.Role{Key: roles[30].Key, Value: other.Holder}); err != nil {
 			t.Fatal(err)
 		}
 		before := state.Changes()
-		taken, err := taker.TakeAll(ctx, roles, 24)
+		taken, err := taker.AcquireAll(ctx, roles, 24)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -140,7 +140,7 @@
 		state := emulator.NewState()
 		mirror := statekv.NewMirror(state, []string{jobs}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		heard := 0
-		mirror.First = func(events []statekv.Event) {
+		mirror.OnApply = func(events []statekv.Event) {
 			for _, e := range events {
 				heard++
 				if mirror.Rev() >= e.Rev {
--- a/internal/statekv/rest.go
+++ b/internal/statekv/rest.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// Rest holds the fields of a stored object that its reader does not know: a later
+// UnknownFields holds the fields of a stored object that its reader does not know: a later
 // version wrote them, and whoever rewrites the object has to keep them, or a
 // controller of the former version would undo what the later one did, only by doing
 // its work in the midst of a roll-out.
-type Rest map[string]json.RawMessage
+type UnknownFields map[string]json.RawMessage
 
-// RestOf returns the fields of raw that the struct (or pointer to one) known has no
+// UnknownFieldsOf returns the fields of raw that the struct (or pointer to one) known has no
 // place for, or nil. What is no JSON object has none.
-func RestOf(raw json.RawMessage, known any) Rest {
-	var rest Rest
+func UnknownFieldsOf(raw json.RawMessage, known any) UnknownFields {
+	var rest UnknownFields
 	if json.Unmarshal(raw, &rest) != nil {
 		return nil
 	}
@@ -27,7 +27,7 @@
 	return rest
 }
 
-func dropKnown(rest Rest, t reflect.Type) {
+func dropKnown(rest UnknownFields, t reflect.Type) {
 	if t == nil {
 		return
 	}
@@ -49,23 +49,23 @@
 	}
 }
 
-// Keeping is a value that is written with the rest of the object that it replaces.
-type Keeping struct {
-	Value any
-	Rest  Rest
+// WithUnknown is a value that is written with the rest of the object that it replaces.
+type WithUnknown struct {
+	Value   any
+	Unknown UnknownFields
 }
 
 // MarshalJSON writes the value, a JSON object, and the rest.
-func (k Keeping) MarshalJSON() ([]byte, error) {
+func (k WithUnknown) MarshalJSON() ([]byte, error) {
 	raw, err := json.Marshal(k.Value)
-	if err != nil || len(k.Rest) == 0 {
+	if err != nil || len(k.Unknown) == 0 {
 		return raw, err
 	}
-	all := Rest{}
+	all := UnknownFields{}
 	if err := json.Unmarshal(raw, &all); err != nil {
 		return nil, fmt.Errorf("a value with unknown fields must be an object: %w", err)
 	}
-	for name, field := range k.Rest {
+	for name, field := range k.Unknown {
 		if _, ours := all[name]; !ours {
 			all[name] = field
 		}
@@ -73,17 +73,17 @@
 	return json.Marshal(all)
 }
 
-// Keep returns value with what it does not know of the object that it replaces.
-func Keep(was json.RawMessage, value any) any {
-	if rest := RestOf(was, value); rest != nil {
-		return Keeping{Value: value, Rest: rest}
+// PreserveUnknown returns value with what it does not know of the object that it replaces.
+func PreserveUnknown(was json.RawMessage, value any) any {
+	if rest := UnknownFieldsOf(was, value); rest != nil {
+		return WithUnknown{Value: value, Unknown: rest}
 	}
 	return value
 }
 
-// FormOf is the form that a stored object says it has; absent means 0, the form of
+// SchemaOf is the form that a stored object says it has; absent means 0, the form of
 // the time before there were any.
-func FormOf(raw json.RawMessage) int {
+func SchemaOf(raw json.RawMessage) int {
 	var v struct {
 		Form int `json:"form"`
 	}
@@ -93,20 +93,20 @@
 	return v.Form
 }
 
-// FormError says that a value has a form that this build does not read.
-type FormError struct {
-	Kind        string
-	Form, Known int
+// SchemaError says that a value has a form that this build does not read.
+type SchemaError struct {
+	Kind              string
+	Schema, MaxSchema int
 }
 
-func (e *FormError) Error() string {
-	return fmt.Sprintf("%s has form %d; this build reads forms up to %d", e.Kind, e.Form, e.Known)
+func (e *SchemaError) Error() string {
+	return fmt.Sprintf("%s has form %d; this build reads forms up to %d", e.Kind, e.Schema, e.MaxSchema)
 }
 
-// CheckForm returns a *FormError if raw has a form beyond known.
-func CheckForm(kind string, raw json.RawMessage, known int) error {
-	if form := FormOf(raw); form > known {
-		return &FormError{kind, form, known}
+// CheckSchema returns a *SchemaError if raw has a form beyond known.
+func CheckSchema(kind string, raw json.RawMessage, known int) error {
+	if form := SchemaOf(raw); form > known {
+		return &SchemaError{kind, form, known}
 	}
 	return nil
 }
