--- a/internal/statekv/rest_test.go
+++ b/internal/statekv/rest_test.go
@@ -37,7 +37,7 @@
 			}
 		}
 		raw, _ := json.Marshal(was)
-		out, err := json.Marshal(statekv.Keep(raw, known{inner: inner{"b"}, Index: 4}))
+		out, err := json.Marshal(statekv.PreserveUnknown(raw, known{inner: inner{"b"}, Index: 4}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,7 +50,7 @@
 		}
 	})
 	for _, none := range []string{`[1]`, `"x"`, `null`, ``} {
-		if rest := statekv.RestOf(json.RawMessage(none), known{}); rest != nil {
+		if rest := statekv.UnknownFieldsOf(json.RawMessage(none), known{}); rest != nil {
 			t.Errorf("%q has %v", none, rest)
 		}
 	}
@@ -61,30 +61,30 @@
 func TestRolesKeepWhatTheyDoNotKnow(t *testing.T) {
 	state, ctx := emulator.NewState(), context.Background()
 	for k := range 3 {
-		key := fmt.Sprintf("%ss%d", statekv.SlotPrefix, k)
+		key := fmt.Sprintf("%ss%d", statekv.JobShardPrefix, k)
 		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: key, Value: map[string]any{"host": "host-9", "instance": 1, "colour": "blue"}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	mirror := statekv.NewMirror(state, []string{statekv.FleetPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
-	m, err := statekv.Join(ctx, state, mirror, "host-0", time.Hour, statekv.Registration{})
+	m, err := statekv.OpenSession(ctx, state, mirror, "host-0", time.Hour, statekv.Registration{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var roles []statekv.Role
-	for _, kv := range mirror.Dir(statekv.SlotPrefix) {
-		roles = append(roles, statekv.Role{Key: kv.Key, Seen: kv.Rev, Value: m.Holder})
+	for _, kv := range mirror.Dir(statekv.JobShardPrefix) {
+		roles = append(roles, statekv.Role{Key: kv.Key, ExpectedRev: kv.Rev, Value: m.Holder})
 	}
-	if _, err := m.Take(ctx, roles[0]); err != nil {
+	if _, err := m.Acquire(ctx, roles[0]); err != nil {
 		t.Fatal(err)
 	}
-	if taken, err := m.TakeAll(ctx, roles[1:], 24); err != nil || len(taken) != 2 {
+	if taken, err := m.AcquireAll(ctx, roles[1:], 24); err != nil || len(taken) != 2 {
 		t.Fatal(taken, err)
 	}
-	for _, kv := range state.Dir(statekv.SlotPrefix) {
+	for _, kv := range state.Dir(statekv.JobShardPrefix) {
 		var v struct {
 			statekv.Holder
 			Colour string `json:"colour"`
@@ -93,7 +93,7 @@
 			t.Errorf("%s: %s", kv.Key, kv.Value)
 		}
 	}
-	var later *statekv.FormError
+	var later *statekv.SchemaError
 	if _, err := statekv.HolderOf(statekv.KV{Value: json.RawMessage(`{"form":1,"host":"x"}`)}); !errors.As(err, &later) {
 		t.Error(err)
 	}
--- a/internal/statekv/wire_test.go
+++ b/internal/statekv/wire_test.go
@@ -14,24 +14,24 @@
 
 func TestWireForms(t *testing.T) {
 	wireformat.JSON[KV](t, "kv")
-	wireformat.JSON[Cond](t, "condition")
+	wireformat.JSON[Compare](t, "condition")
 	wireformat.JSON[Op](t, "operation")
 	wireformat.JSON[Event](t, "event")
 	wireformat.JSON[Page](t, "page")
-	wireformat.JSON[News](t, "news")
+	wireformat.JSON[WatchResponse](t, "news")
 	wireformat.JSON[Holder](t, "role-key")
-	wireformat.JSON[Refusal](t, "refusal")
+	wireformat.JSON[Rejection](t, "refusal")
 	wireformat.Golden(t, "keys", strings.Join([]string{
-		RootPrefix, FleetPrefix, NodePrefix, SlotPrefix, MachinePrefix, ShardPrefix,
-		StewardKey, TypesKey, LevelKey, JoinsKey, MoveKey,
+		RootPrefix, ClusterPrefix, SessionPrefix, JobShardPrefix, MachinePrefix, MachineShardPrefix,
+		LeaderKey, MachineTypesKey, ClusterVersionKey, MembershipKey, MigrationKey,
 	}, "\n")+"\n")
 }
 
 func TestWireStoredForms(t *testing.T) {
-	if got := FormOf(json.RawMessage(`{"form":7}`)); got != 7 {
+	if got := SchemaOf(json.RawMessage(`{"form":7}`)); got != 7 {
 		t.Errorf("the form of an object reads as %d, want 7", got)
 	}
-	raw, err := json.Marshal(Keep(json.RawMessage(`{"host":"h","later":[1]}`), Holder{Host: "g", Instance: 2}))
+	raw, err := json.Marshal(PreserveUnknown(json.RawMessage(`{"host":"h","later":[1]}`), Holder{Host: "g", Incarnation: 2}))
 	if want := `{"host":"g","instance":2,"later":[1]}`; err != nil || string(raw) != want {
 		t.Errorf("a kept object is %s, %v; want %s", raw, err, want)
 	}
@@ -39,7 +39,7 @@
 
 // kindOf names an error by what callers tell apart.
 func kindOf(err error) string {
-	var conflict *Conflict
+	var conflict *ConflictError
 	switch {
 	case err == nil:
 		return "ok"
@@ -51,7 +51,7 @@
 		return "compacted"
 	case errors.Is(err, ErrTooLarge):
 		return "too large"
-	case errors.Is(err, ErrRefused):
+	case errors.Is(err, ErrRejected):
 		return "refused"
 	}
 	return "unknown"
@@ -72,7 +72,7 @@
 
 	note(c.Get(ctx, "a/b"))
 	note(c.List(ctx, "c/", "c/7"))
-	conditions := []Cond{{Key: "a/b", Rev: 3}}
+	conditions := []Compare{{Key: "a/b", Rev: 3}}
 	changes := []Op{{Set: "a/b", Value: map[string]int{"x": 1}, Lease: 7}, {Delete: "c/d"}}
 	for range 4 {
 		note(c.Txn(ctx, conditions, changes))
@@ -81,7 +81,7 @@
 	note(nil, c.Renew(ctx, 7))
 	note(nil, c.Revoke(ctx, 7))
 	for range 2 {
-		note(c.Follow(ctx, "c/", 431, 10*time.Second))
+		note(c.Watch(ctx, "c/", 431, 10*time.Second))
 	}
 	for range 3 {
 		note(c.Get(ctx, "a/b"))
--- a/internal/statekv/writebudget.go
+++ b/internal/statekv/writebudget.go
@@ -11,8 +11,8 @@
 // knows how many it would make.
 type WriteBudget struct {
 	mu      sync.Mutex
-	part    *budget.Part
-	bucket  *budget.Bucket
+	part    *budget.Share
+	bucket  *budget.TokenBucket
 	asked   [askedSpans]float64 // changes asked for in each of the latest spans
 	span    int64               // which span the latest is
 	waiting [len(shares)]want
@@ -49,15 +49,15 @@
 const burstShare = 1.1
 
 func newWriteBudget(changes float64, controllers int) *WriteBudget {
-	part := budget.NewPart(changes, controllers)
+	part := budget.NewShare(changes, controllers)
 	now := time.Now()
 	rate, _, _ := part.Rate(now)
-	return &WriteBudget{part: part, bucket: budget.NewBucket(rate, max(leastBurst, burstShare*part.Own()), now)}
+	return &WriteBudget{part: part, bucket: budget.NewTokenBucket(rate, max(leastBurst, burstShare*part.Guaranteed()), now)}
 }
 
-// Session has the budget count a session as begun while it is certainly held. Without one,
+// SetSession has the budget count a session as begun while it is certainly held. Without one,
 // or in one that has just begun, it uses only a part of its part.
-func (w *WriteBudget) Session(began time.Time, certain func() bool) {
+func (w *WriteBudget) SetSession(began time.Time, certain func() bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.began, w.certain = began, certain
@@ -66,9 +66,9 @@
 // refresh has the bucket fill at the rate of now. The mutex is held.
 func (w *WriteBudget) refresh(now time.Time) float64 {
 	if w.certain != nil && w.certain() {
-		w.part.Begin(w.began)
+		w.part.SetSessionStart(w.began)
 	} else {
-		w.part.Begin(time.Time{})
+		w.part.SetSessionStart(time.Time{})
 	}
 	rate, until, base := w.part.Rate(now)
 	if now.Before(w.refusedUntil) {
@@ -102,7 +102,7 @@
 func (w *WriteBudget) soon(now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return int(max(leastSoon, w.part.Own(), w.refresh(now)/2))
+	return int(max(leastSoon, w.part.Guaranteed(), w.refresh(now)/2))
 }
 
 func (w *WriteBudget) take(n int, longest time.Duration, now time.Time) (time.Duration, bool) {
@@ -110,13 +110,13 @@
 	defer w.mu.Unlock()
 	w.refresh(now)
 	w.note(now, float64(n))
-	return w.bucket.Take(n, longest, now)
+	return w.bucket.Reserve(n, longest, now)
 }
 
 // longest is how long n changes may wait. Those that are more than accumulate have to wait for
 // longer than others, or they would never be made.
 func (w *WriteBudget) longest(n int) time.Duration {
-	if float64(n) > max(leastBurst, burstShare*w.part.Own()) {
+	if float64(n) > max(leastBurst, burstShare*w.part.Guaranteed()) {
 		return longestLarge
 	}
 	return longestQueue
@@ -128,7 +128,7 @@
 func (w *WriteBudget) put(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.bucket.Return(n)
+	w.bucket.Refund(n)
 }
 
 // note counts changes that are asked for. The mutex is held.
@@ -143,7 +143,7 @@
 }
 
 // wanted notes that n changes of a kind wait for room.
-func (w *WriteBudget) wanted(kind Kind, n int, now time.Time) {
+func (w *WriteBudget) wanted(kind RequestClass, n int, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.waiting[kind] = want{n, now}
@@ -160,20 +160,20 @@
 			sum += float64(v.changes)
 		}
 	}
-	return sum + w.bucket.Waiting(now)
+	return sum + w.bucket.Backlog(now)
 }
 
 // Report is what the allocator is told now.
-func (w *WriteBudget) Report(host string, now time.Time) budget.Report {
+func (w *WriteBudget) Report(host string, now time.Time) budget.DemandReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.refresh(now)
 	return w.part.Report(host, w.need(now), now)
 }
 
-// Granted takes the allocator's answer to a report that was sent at some time.
-func (w *WriteBudget) Granted(g budget.Grant, sent time.Time) {
+// ApplyGrant takes the allocator's answer to a report that was sent at some time.
+func (w *WriteBudget) ApplyGrant(g budget.Grant, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.part.Granted(g, sent)
+	w.part.ApplyGrant(g, sent)
 }
--- a/internal/statekv/writebudget_test.go
+++ b/internal/statekv/writebudget_test.go
@@ -34,18 +34,18 @@
 		}
 		spend(5 * time.Second) // what had accumulated
 		about("before a session", spend(time.Second), 8)
-		w.Session(time.Now(), always)
+		w.SetSession(time.Now(), always)
 		about("in a session that has just begun", spend(time.Second), 8)
-		time.Sleep(budget.JoinTime)
+		time.Sleep(budget.JoinDelay)
 		spend(2 * time.Second)
 		about("in a session", spend(time.Second), 16)
 		sent := time.Now()
 		if r := w.Report("host-0", sent); r.Promises || r.Need < 16 {
 			t.Errorf("it reports %+v", r)
 		}
-		w.Granted(budget.Grant{Epoch: 1, Loan: 20}, sent)
+		w.ApplyGrant(budget.Grant{Epoch: 1, Loan: 20}, sent)
 		about("with a loan that ends", spend(time.Second), 16+12)
-		w.Session(time.Now().Add(-time.Minute), func() bool { return false })
+		w.SetSession(time.Now().Add(-time.Minute), func() bool { return false })
 		spend(time.Second)
 		about("with a session that is not certain", spend(time.Second), 8)
 	})
@@ -56,9 +56,9 @@
 func TestNeedIsWhatWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWriteBudget(40, 4)
-		w.Session(time.Now(), always)
+		w.SetSession(time.Now(), always)
 		time.Sleep(5 * time.Second)
-		w.wanted(Claims, 24, time.Now())
+		w.wanted(ClassClaim, 24, time.Now())
 		if _, ok := w.take(30, time.Second, time.Now()); ok {
 			t.Error("30 changes at 10 a second do not wait for a second")
 		}
@@ -80,14 +80,14 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTooManyRequests) }))
 	defer server.Close()
 	c := NewClient(strings.TrimPrefix(server.URL, "http://"), 1000, 100, 1)
-	before := c.Budget().rate(time.Now())
+	before := c.WriteBudget().rate(time.Now())
 	if _, err := c.Txn(t.Context(), nil, []Op{{Set: "k", Value: 1}}); err == nil {
 		t.Fatal("it is not refused")
 	}
-	if now := c.Budget().rate(time.Now()); now != before/2 {
+	if now := c.WriteBudget().rate(time.Now()); now != before/2 {
 		t.Errorf("%v changes a second before, %v after", before, now)
 	}
-	if later := c.Budget().rate(time.Now().Add(refusedTime + time.Second)); later != before {
+	if later := c.WriteBudget().rate(time.Now().Add(refusedTime + time.Second)); later != before {
 		t.Errorf("%v changes a second before, %v later", before, later)
 	}
 }
--- a/internal/tombstone/ended.go
+++ b/internal/tombstone/ended.go
@@ -99,17 +99,17 @@
 }
 
 // Absent are the conditions that a job is not over.
-func Absent(id string) []statekv.Cond {
-	return []statekv.Cond{{Key: FormerKey(id)}, {Key: Key(id)}}
+func Absent(id string) []statekv.Compare {
+	return []statekv.Compare{{Key: FormerKey(id)}, {Key: Key(id)}}
 }
 
 // Parse reads a record by its key. ok is false where the key is no ended job's. An
 // error says that the value is damaged or has a form that this build does not read; a
-// *statekv.FormError is the latter.
+// *statekv.SchemaError is the latter.
 func Parse(key string, raw json.RawMessage) (id string, r Tombstone, ok bool, err error) {
 	if id, ok = strings.CutPrefix(key, FormerPrefix); ok {
 		var f former
-		if err = statekv.CheckForm("an ended job's record", raw, 0); err == nil {
+		if err = statekv.CheckSchema("an ended job's record", raw, 0); err == nil {
 			err = json.Unmarshal(raw, &f)
 		}
 		r = Tombstone(f)
@@ -163,7 +163,7 @@
 		return r, fmt.Errorf("its form: %w", err)
 	}
 	if form != Form {
-		return r, &statekv.FormError{Kind: "an ended job's record", Form: form, Known: Form}
+		return r, &statekv.SchemaError{Kind: "an ended job's record", Schema: form, MaxSchema: Form}
 	}
 	var letter string
 	if len(list) < 3 || json.Unmarshal(list[1], &letter) != nil || json.Unmarshal(list[2], &r.Tasks) != nil {
@@ -183,7 +183,7 @@
 // Store is what reading needs of the state service.
 type Store interface {
 	Get(ctx context.Context, key string) (statekv.KV, error)
-	Txn(ctx context.Context, when []statekv.Cond, then []statekv.Op) (uint64, error)
+	Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error)
 }
 
 // Read returns the record of a job that is over. statekv.ErrNotFound says that the job
@@ -194,10 +194,10 @@
 // out by one transaction without changes; and a controller that stood still while the
 // fleet went on to forms that it does not know is no part of it any more, so the fence
 // keeps it from telling a user that an accepted job is unknown.
-func Read(ctx context.Context, store Store, fence []statekv.Cond, id string) (Tombstone, error) {
+func Read(ctx context.Context, store Store, fence []statekv.Compare, id string) (Tombstone, error) {
 	for range 3 {
 		_, err := store.Txn(ctx, append(slices.Clone(fence), Absent(id)...), nil)
-		var conflict *statekv.Conflict
+		var conflict *statekv.ConflictError
 		switch {
 		case err == nil:
 			return Tombstone{}, statekv.ErrNotFound
@@ -206,7 +206,7 @@
 		}
 		at := slices.IndexFunc([]string{Key(id), FormerKey(id)}, func(key string) bool { return slices.Contains(conflict.Failed, key) })
 		if at < 0 {
-			return Tombstone{}, fmt.Errorf("%w: this life is over", statekv.ErrRefused)
+			return Tombstone{}, fmt.Errorf("%w: this life is over", statekv.ErrRejected)
 		}
 		kv, err := store.Get(ctx, [...]string{Key(id), FormerKey(id)}[at])
 		if errors.Is(err, statekv.ErrNotFound) {
@@ -218,5 +218,5 @@
 		_, r, _, err := Parse(kv.Key, kv.Value)
 		return r, err
 	}
-	return Tombstone{}, fmt.Errorf("%w: the record of %s keeps changing its form", statekv.ErrRefused, id)
+	return Tombstone{}, fmt.Errorf("%w: the record of %s keeps changing its form", statekv.ErrRejected, id)
 }
--- a/internal/tombstone/ended_test.go
+++ b/internal/tombstone/ended_test.go
@@ -52,8 +52,8 @@
 			}
 		}
 	}
-	var form *statekv.FormError
-	if _, _, _, err := tombstone.Parse(tombstone.Key("wk-1"), json.RawMessage(`[2,"d",3]`)); !errors.As(err, &form) || form.Form != 2 {
+	var form *statekv.SchemaError
+	if _, _, _, err := tombstone.Parse(tombstone.Key("wk-1"), json.RawMessage(`[2,"d",3]`)); !errors.As(err, &form) || form.Schema != 2 {
 		t.Error(err)
 	}
 	if _, _, ok, _ := tombstone.Parse("robin/job/wk-1", nil); ok {
@@ -87,7 +87,7 @@
 		}
 	}
 	write(statekv.Op{Set: "node", Value: 1})
-	alive := []statekv.Cond{{Key: "node", Rev: 2}}
+	alive := []statekv.Compare{{Key: "node", Rev: 2}}
 	r := tombstone.Tombstone{Status: job.Done, Tasks: 5}
 	write(tombstone.Ops("wk-1", r, tombstone.Former)...)
 	toNew := func() {
@@ -150,11 +150,11 @@
 		}
 		put(statekv.Op{Set: job.OpenKey("wk-2"), Value: 1})
 		state.Limit(2048, 8)
-		mirror := statekv.NewMirror(state, []string{statekv.FleetPrefix, job.OpenPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+		mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.OpenPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		if err := mirror.Load(ctx); err != nil {
 			t.Fatal(err)
 		}
-		member, err := statekv.Join(ctx, state, mirror, "host-0", 4*time.Second, statekv.Registration{})
+		member, err := statekv.OpenSession(ctx, state, mirror, "host-0", 4*time.Second, statekv.Registration{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/tombstone/finder.go
+++ b/internal/tombstone/finder.go
@@ -28,7 +28,7 @@
 
 type finderStore interface {
 	Store
-	Room(kind statekv.Kind, n int) bool
+	Allow(kind statekv.RequestClass, n int) bool
 }
 
 type lookup struct {
@@ -54,12 +54,12 @@
 }
 
 // ErrBusy says that too many questions wait.
-var ErrBusy = fmt.Errorf("%w: too many questions about jobs that are over or unknown", statekv.ErrRefused)
+var ErrBusy = fmt.Errorf("%w: too many questions about jobs that are over or unknown", statekv.ErrRejected)
 
 // Find returns the record of a job that is over; statekv.ErrNotFound says that it was
 // not over at some moment since the call: see Read. Whatever is found goes to found,
 // also when nobody waits for it any more.
-func (f *Finder) Find(ctx context.Context, fence func() (statekv.Cond, bool), id string, found func(string, Tombstone)) (Tombstone, error) {
+func (f *Finder) Find(ctx context.Context, fence func() (statekv.Compare, bool), id string, found func(string, Tombstone)) (Tombstone, error) {
 	f.mu.Lock()
 	l := f.wanted[id]
 	if l == nil {
@@ -95,10 +95,10 @@
 func (f *Finder) group() int { return max(1, (f.conds-1)/len(Absent(""))) }
 
 // work takes the questions in their order until there are none.
-func (f *Finder) work(fence func() (statekv.Cond, bool), found func(string, Tombstone)) {
+func (f *Finder) work(fence func() (statekv.Compare, bool), found func(string, Tombstone)) {
 	for {
 		// First the turn, then who has it: more may have come meanwhile.
-		for tries := 0; !f.store.Room(statekv.Lookups, 1) && tries < mostTries; tries++ {
+		for tries := 0; !f.store.Allow(statekv.ClassLookup, 1) && tries < mostTries; tries++ {
 			time.Sleep(turnPause)
 		}
 		f.mu.Lock()
@@ -124,7 +124,7 @@
 	mostTries = 50
 )
 
-func (f *Finder) answer(group []*lookup, fence func() (statekv.Cond, bool), found func(string, Tombstone)) {
+func (f *Finder) answer(group []*lookup, fence func() (statekv.Compare, bool), found func(string, Tombstone)) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	finish := func(l *lookup, r Tombstone, err error) {
@@ -136,7 +136,7 @@
 	own, lives := fence()
 	if !lives {
 		for _, l := range group {
-			finish(l, Tombstone{}, fmt.Errorf("%w: starting", statekv.ErrRefused))
+			finish(l, Tombstone{}, fmt.Errorf("%w: starting", statekv.ErrRejected))
 		}
 		return
 	}
@@ -148,7 +148,7 @@
 		case slices.Contains(unknown, l.id):
 			finish(l, Tombstone{}, statekv.ErrNotFound)
 		case slices.Contains(known, l.id):
-			r, err := Read(ctx, f.store, []statekv.Cond{own}, l.id)
+			r, err := Read(ctx, f.store, []statekv.Compare{own}, l.id)
 			finish(l, r, err)
 		}
 	}
@@ -164,9 +164,9 @@
 // Split tells the jobs for which a condition of absent does not hold from those for which
 // all do, each at some moment since the call at which the fence held, with few
 // transactions without changes.
-func Split(ctx context.Context, store Store, fence statekv.Cond, ids []string, absent func(id string) []statekv.Cond) (there, absentOnes []string, err error) {
+func Split(ctx context.Context, store Store, fence statekv.Compare, ids []string, absent func(id string) []statekv.Compare) (there, absentOnes []string, err error) {
 	for len(ids) > 0 {
-		when := []statekv.Cond{fence}
+		when := []statekv.Compare{fence}
 		for _, id := range ids {
 			when = append(when, absent(id)...)
 		}
@@ -174,20 +174,20 @@
 		if err == nil {
 			return there, ids, nil
 		}
-		var conflict *statekv.Conflict
+		var conflict *statekv.ConflictError
 		if !errors.As(err, &conflict) {
 			return there, nil, err
 		}
 		var left []string
 		for _, id := range ids {
-			if slices.ContainsFunc(absent(id), func(c statekv.Cond) bool { return slices.Contains(conflict.Failed, c.Key) }) {
+			if slices.ContainsFunc(absent(id), func(c statekv.Compare) bool { return slices.Contains(conflict.Failed, c.Key) }) {
 				there = append(there, id)
 			} else {
 				left = append(left, id)
 			}
 		}
 		if len(left) == len(ids) {
-			return there, nil, fmt.Errorf("%w: this life is over", statekv.ErrRefused)
+			return there, nil, fmt.Errorf("%w: this life is over", statekv.ErrRejected)
 		}
 		ids = left
 	}
--- a/internal/tombstone/finder_test.go
+++ b/internal/tombstone/finder_test.go
@@ -25,7 +25,7 @@
 	requests int
 }
 
-func (s *slow) Room(statekv.Kind, int) bool {
+func (s *slow) Allow(statekv.RequestClass, int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now := time.Now(); now.Before(s.next) {
@@ -35,7 +35,7 @@
 	return true
 }
 
-func (s *slow) Txn(ctx context.Context, when []statekv.Cond, then []statekv.Op) (uint64, error) {
+func (s *slow) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	s.mu.Lock()
 	s.requests++
 	s.mu.Unlock()
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 		f := tombstone.NewFinder(s, 32, 6.7)
-		fence := func() (statekv.Cond, bool) { return statekv.Cond{Key: "life"}, true }
+		fence := func() (statekv.Compare, bool) { return statekv.Compare{Key: "life"}, true }
 		var cached atomic.Bool
 		found := func(id string, _ tombstone.Tombstone) { cached.Store(cached.Load() || id == "wk-1") }
 		stop := make(chan struct{})
@@ -72,7 +72,7 @@
 		defer func() { close(stop); time.Sleep(2 * time.Minute) }()
 		began := time.Now()
 		for !cached.Load() {
-			if _, err := f.Find(ctx, fence, "wk-1", found); err != nil && !errors.Is(err, statekv.ErrRefused) {
+			if _, err := f.Find(ctx, fence, "wk-1", found); err != nil && !errors.Is(err, statekv.ErrRejected) {
 				t.Fatal(err)
 			}
 			time.Sleep(5 * time.Second)
@@ -100,8 +100,8 @@
 			}
 		}
 		f := tombstone.NewFinder(state, 96, 1000)
-		lives, own := true, statekv.Cond{Key: "life"}
-		fence := func() (statekv.Cond, bool) { return own, lives }
+		lives, own := true, statekv.Compare{Key: "life"}
+		fence := func() (statekv.Compare, bool) { return own, lives }
 		ask := func() map[string]error {
 			type answer struct {
 				id  string
@@ -132,13 +132,13 @@
 		}
 		own.Rev = 77 // which it has not: this life is over
 		for id, err := range ask() {
-			if err != nil && !errors.Is(err, statekv.ErrRefused) {
+			if err != nil && !errors.Is(err, statekv.ErrRejected) {
 				t.Errorf("after its life, %s: %v", id, err)
 			}
 		}
 		lives = false
 		for id, err := range ask() {
-			if !errors.Is(err, statekv.ErrRefused) {
+			if !errors.Is(err, statekv.ErrRejected) {
 				t.Errorf("without a life, %s: %v", id, err)
 			}
 		}
--- a/internal/tombstone/sweep.go
+++ b/internal/tombstone/sweep.go
@@ -18,11 +18,11 @@
 	Store interface {
 		Store
 		List(ctx context.Context, prefix, after string) (statekv.Page, error)
-		Room(kind statekv.Kind, n int) bool
-		Most(ops int) int
+		Allow(kind statekv.RequestClass, n int) bool
+		MaxTxnOps(ops int) int
 	}
 	Mirror  *statekv.Mirror
-	Member  *statekv.Member
+	Member  *statekv.Session
 	Steward func() uint64
 	Ops     int           // changes of one transaction
 	Every   time.Duration // between two looks
@@ -60,19 +60,19 @@
 		if err := s.Mirror.Wait(ctx, page.Rev); err != nil {
 			return err
 		}
-		var when []statekv.Cond
+		var when []statekv.Compare
 		var then []statekv.Op
 		for k, kv := range page.Items {
 			after = kv.Key
 			id, _, _ := strings.Cut(kv.Key[len(prefix):], "/")
 			if _, open := s.Mirror.Get(job.OpenKey(id)); !open {
-				if c := (statekv.Cond{Key: job.OpenKey(id)}); len(when) == 0 || when[len(when)-1] != c {
+				if c := (statekv.Compare{Key: job.OpenKey(id)}); len(when) == 0 || when[len(when)-1] != c {
 					when = append(when, c)
 				}
 				then = append(then, statekv.Op{Delete: kv.Key})
 			}
-			if len(then) >= s.Store.Most(s.Ops) || k == len(page.Items)-1 && len(then) > 0 {
-				if !s.Store.Room(statekv.Chores, len(then)) {
+			if len(then) >= s.Store.MaxTxnOps(s.Ops) || k == len(page.Items)-1 && len(then) > 0 {
+				if !s.Store.Allow(statekv.ClassMaintenance, len(then)) {
 					return nil // the next look goes on
 				}
 				if _, err := s.Member.Write(ctx, when, then); err != nil {
--- a/test/integration/close_test.go
+++ b/test/integration/close_test.go
@@ -80,9 +80,9 @@
 // notSteward sees to it that a controller is not steward: one that peers do not reach hears of
 // no demand and rents no machines, so that nothing would end.
 func (w *world) notSteward(host string) {
-	if w.holder(statekv.StewardKey) == host {
+	if w.holder(statekv.LeaderKey) == host {
 		w.crash(host)
-		w.until("another is steward", 20*time.Second, func() bool { return w.holder(statekv.StewardKey) != host })
+		w.until("another is steward", 20*time.Second, func() bool { return w.holder(statekv.LeaderKey) != host })
 		w.start(host)
 		time.Sleep(3 * time.Second)
 	}
@@ -254,10 +254,10 @@
 		if !w.submit("host-0", known, time.Hour) {
 			w.t.Fatal("not accepted")
 		}
-		w.until("types are kept", time.Minute, func() bool { return w.rev(statekv.TypesKey) > 0 })
+		w.until("types are kept", time.Minute, func() bool { return w.rev(statekv.MachineTypesKey) > 0 })
 		w.end(w.hosts, never)
 		w.fleet.Offer(nil)
-		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: statekv.TypesKey}}); err != nil {
+		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: statekv.MachineTypesKey}}); err != nil {
 			w.t.Fatal(err)
 		}
 		for _, h := range w.hosts {
--- a/test/integration/drawn_test.go
+++ b/test/integration/drawn_test.go
@@ -414,11 +414,11 @@
 			w.t.Logf("%s: %v", kv.Key, err)
 			continue
 		}
-		slot := w.state.Dir(statekv.SlotPrefix + rec.Slot)
+		slot := w.state.Dir(statekv.JobShardPrefix + rec.Slot)
 		w.t.Logf("%s rev %d: slot %v, tasks on machines %d", kv.Key, kv.Rev, slot, w.history.On(rec.Spec.ID))
 	}
 	if w.t.Failed() {
-		for _, kv := range w.state.Dir(statekv.FleetPrefix) {
+		for _, kv := range w.state.Dir(statekv.ClusterPrefix) {
 			w.t.Logf("%s rev %d: %s", kv.Key, kv.Rev, kv.Value)
 		}
 	}
--- a/test/integration/handover_test.go
+++ b/test/integration/handover_test.go
@@ -133,7 +133,7 @@
 					if len(lead) != 1 || lead[0] == "" {
 						w.t.Fatalf("the %s is %v", role, lead)
 					}
-					began := w.rev(statekv.NodePrefix + lead[0])
+					began := w.rev(statekv.SessionPrefix + lead[0])
 					if !w.cancelSoon(lead[0], jobs[0].ID) {
 						w.t.Fatal("not told by the old one")
 					}
@@ -148,7 +148,7 @@
 					users.Wait()
 					took := time.Since(w.history.ToldAt(jobs[0].ID))
 					time.Sleep(workers.CancelGone)
-					if now := w.rev(statekv.NodePrefix + lead[0]); now == began {
+					if now := w.rev(statekv.SessionPrefix + lead[0]); now == began {
 						w.t.Error("its life goes on: this shows nothing")
 					}
 					told := 0
@@ -293,17 +293,17 @@
 		})
 		key := *shard.ParseMachineKey(w.state.Dir(statekv.MachinePrefix + name)[0])
 		w.until("its key is removed", 3*time.Minute, func() bool { return w.rev(statekv.MachinePrefix+name) == 0 })
-		steward := w.holder(statekv.StewardKey)
-		for _, kv := range w.state.Dir(statekv.ShardPrefix) {
+		steward := w.holder(statekv.LeaderKey)
+		for _, kv := range w.state.Dir(statekv.MachineShardPrefix) {
 			if h := w.holder(kv.Key); h != steward && h != "" {
-				shardID = kv.Key[len(statekv.ShardPrefix):]
+				shardID = kv.Key[len(statekv.MachineShardPrefix):]
 			}
 		}
 		if shardID == "" {
 			w.t.Fatal("no controller but the steward has a shard: this shows nothing")
 		}
 		key.Shard = shardID
-		if _, err := w.state.Txn(w.ctx, []statekv.Cond{{Key: statekv.MachinePrefix + name}}, []statekv.Op{{Set: statekv.MachinePrefix + name, Value: key}}); err != nil {
+		if _, err := w.state.Txn(w.ctx, []statekv.Compare{{Key: statekv.MachinePrefix + name}}, []statekv.Op{{Set: statekv.MachinePrefix + name, Value: key}}); err != nil {
 			w.t.Fatal(err)
 		}
 		w.until("its key is removed again", time.Minute, func() bool { return w.rev(statekv.MachinePrefix+name) == 0 })
--- a/test/integration/late_test.go
+++ b/test/integration/late_test.go
@@ -30,11 +30,11 @@
 		w.start("host-0")
 		time.Sleep(time.Second)
 		w.port("host-0").Trouble(0, 0)
-		w.until("the next life is registered", 10*time.Second, func() bool { return w.rev(statekv.NodePrefix+"host-0") > 0 })
-		began := w.rev(statekv.NodePrefix + "host-0")
+		w.until("the next life is registered", 10*time.Second, func() bool { return w.rev(statekv.SessionPrefix+"host-0") > 0 })
+		began := w.rev(statekv.SessionPrefix + "host-0")
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
-			if now := w.rev(statekv.NodePrefix + "host-0"); now != began {
+			if now := w.rev(statekv.SessionPrefix + "host-0"); now != began {
 				w.t.Fatalf("its key went from revision %d to %d", began, now)
 			}
 		}
@@ -46,22 +46,22 @@
 // copy is carried out: it must not bring back what was offered then.
 func TestLateMachineTypesDoNotReplaceNewerOnes(t *testing.T) {
 	story(t, 2, func(w *world) {
-		w.until("types are kept", time.Minute, func() bool { return w.rev(statekv.TypesKey) > 0 })
+		w.until("types are kept", time.Minute, func() bool { return w.rev(statekv.MachineTypesKey) > 0 })
 		for _, h := range w.hosts {
 			w.port(h).Trouble(0, 1)
 			w.port(h).LateBy(30*time.Second, false)
 		}
-		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: statekv.TypesKey}}); err != nil {
+		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: statekv.MachineTypesKey}}); err != nil {
 			w.t.Fatal(err)
 		}
 		time.Sleep(23 * time.Second)
 		for _, h := range w.hosts {
 			w.port(h).Trouble(0, 0)
 		}
-		w.until("they are written again", 30*time.Second, func() bool { return w.rev(statekv.TypesKey) > 0 })
-		kept := w.rev(statekv.TypesKey)
+		w.until("they are written again", 30*time.Second, func() bool { return w.rev(statekv.MachineTypesKey) > 0 })
+		kept := w.rev(statekv.MachineTypesKey)
 		time.Sleep(time.Minute)
-		if now := w.rev(statekv.TypesKey); now != kept {
+		if now := w.rev(statekv.MachineTypesKey); now != kept {
 			w.t.Errorf("the types went from revision %d to %d", kept, now)
 		}
 		w.check()
@@ -84,14 +84,14 @@
 // starts for as long as that life went on.
 func TestStewardByALateTakingDoesItsWork(t *testing.T) {
 	story(t, 3, func(w *world) {
-		first := w.holder(statekv.StewardKey)
+		first := w.holder(statekv.LeaderKey)
 		for _, h := range w.hosts {
 			w.port(h).Trouble(0, 1)
 			w.port(h).LateBy(3*time.Second, false)
 		}
 		w.crash(first)
 		w.until("another has the role", 20*time.Second, func() bool {
-			h := w.holder(statekv.StewardKey)
+			h := w.holder(statekv.LeaderKey)
 			return h != first && h != ""
 		})
 		for _, h := range w.hosts {
--- a/test/integration/meetings_test.go
+++ b/test/integration/meetings_test.go
@@ -194,7 +194,7 @@
 func (w *world) placerOf(id string) string {
 	for _, kv := range w.state.Dir(job.OpenKey(id)) {
 		if rec, err := job.ParseRecord(kv.Value); err == nil && kv.Key == job.OpenKey(id) {
-			if h := w.holder(statekv.SlotPrefix + rec.Slot); h != "" {
+			if h := w.holder(statekv.JobShardPrefix + rec.Slot); h != "" {
 				return h
 			}
 		}
--- a/test/integration/outage_test.go
+++ b/test/integration/outage_test.go
@@ -14,7 +14,7 @@
 // owners are the shards' holders, with the revisions of their keys.
 func (w *world) owners() string {
 	out := ""
-	for _, kv := range w.state.Dir(statekv.ShardPrefix) {
+	for _, kv := range w.state.Dir(statekv.MachineShardPrefix) {
 		out += fmt.Sprint(kv.Key, " ", kv.Rev, " ", w.holder(kv.Key), "; ")
 	}
 	return out
--- a/test/integration/refused_test.go
+++ b/test/integration/refused_test.go
@@ -217,7 +217,7 @@
 
 // holds reports whether a controller has shards.
 func (w *world) holds(host string) bool {
-	for _, kv := range w.state.Dir(statekv.ShardPrefix) {
+	for _, kv := range w.state.Dir(statekv.MachineShardPrefix) {
 		var h statekv.Holder
 		if json.Unmarshal(kv.Value, &h) == nil && h.Host == host {
 			return true
--- a/test/integration/roles_test.go
+++ b/test/integration/roles_test.go
@@ -39,7 +39,7 @@
 	case "owner":
 		return []string{w.ownerOf(w.history.Where(id))}
 	case "steward":
-		return []string{w.holder(statekv.StewardKey)}
+		return []string{w.holder(statekv.LeaderKey)}
 	}
 	return w.hosts
 }
@@ -48,7 +48,7 @@
 func (w *world) ownerOf(machine string) string {
 	for _, kv := range w.state.Dir(statekv.MachinePrefix + machine) {
 		if key := shard.ParseMachineKey(kv); key != nil && kv.Key == statekv.MachinePrefix+machine {
-			return w.holder(statekv.ShardPrefix + key.Shard)
+			return w.holder(statekv.MachineShardPrefix + key.Shard)
 		}
 	}
 	return ""
@@ -86,7 +86,7 @@
 // lives tells how often controllers' lives have begun: it changes with each.
 func (w *world) lives() (sum uint64) {
 	for _, h := range w.hosts {
-		sum += w.rev(statekv.NodePrefix + h)
+		sum += w.rev(statekv.SessionPrefix + h)
 	}
 	return sum
 }
--- a/test/integration/world_test.go
+++ b/test/integration/world_test.go
@@ -92,7 +92,7 @@
 			nodes: map[string]*node{}, ports: map[string]*emulator.Port{}, ready: map[string]bool{}, noUsers: map[string]bool{}, noWork: map[string]bool{},
 			hub: &hub{lives: map[string]*wire{}, cut: map[string]bool{}, deaf: map[string]bool{}}}
 		stop := make(chan struct{})
-		go w.state.Watch(stop)
+		go w.state.ExpireLeases(stop)
 		defer func() { cancel(); close(stop); time.Sleep(30 * time.Second); synctest.Wait() }()
 		s := w.settings("host-0")
 		w.history = emulator.NewHistory(s)
--- a/tools/devcluster/dev.go
+++ b/tools/devcluster/dev.go
@@ -109,7 +109,7 @@
 		f.servers = append(f.servers, server, ln)
 		go func() { _ = server.Serve(ln) }()
 	}
-	go f.State.Watch(f.stop)
+	go f.State.ExpireLeases(f.stop)
 	for k := range f.opts.Controllers {
 		program := f.opts.Program
 		if k < len(f.opts.Programs) && f.opts.Programs[k] != "" {
--- a/tools/devcluster/rolls.go
+++ b/tools/devcluster/rolls.go
@@ -434,7 +434,7 @@
 
 // level is the fleet's level, as the state service has it.
 func (f *Fleet) level() int {
-	for _, kv := range f.State.Dir(statekv.LevelKey) {
+	for _, kv := range f.State.Dir(statekv.ClusterVersionKey) {
 		if l, err := rollout.ParseLevel(kv.Value); err == nil {
 			return l.N
 		}
--- a/tools/scaletest/run.go
+++ b/tools/scaletest/run.go
@@ -130,7 +130,7 @@
 	r.state.SetRates(r.rates)
 	r.server = &http.Server{Handler: r.state}
 	go func() { _ = r.server.Serve(ln) }()
-	go r.state.Watch(ctx.Done())
+	go r.state.ExpireLeases(ctx.Done())
 	for k := range r.nodes {
 		if err := r.controllers.Launch(k, r.options.Program); err != nil {
 			return err
@@ -368,7 +368,7 @@
 
 // steward is the host that has the steward's role.
 func (r *Run) steward() string {
-	for _, kv := range r.state.Dir(statekv.StewardKey) {
+	for _, kv := range r.state.Dir(statekv.LeaderKey) {
 		if h, err := statekv.HolderOf(kv); err == nil {
 			return h.Host
 		}
@@ -379,9 +379,9 @@
 // owned counts the machines of each controller, by the keys.
 func (r *Run) owned() map[string]int {
 	owners, out := map[string]string{}, map[string]int{}
-	for _, kv := range r.state.Dir(statekv.ShardPrefix) {
+	for _, kv := range r.state.Dir(statekv.MachineShardPrefix) {
 		if h, err := statekv.HolderOf(kv); err == nil {
-			owners[kv.Key[len(statekv.ShardPrefix):]] = h.Host
+			owners[kv.Key[len(statekv.MachineShardPrefix):]] = h.Host
 		}
 	}
 	for _, kv := range r.state.Dir(statekv.MachinePrefix) {
