--- a/internal/agentapi/messages.go
+++ b/internal/agentapi/messages.go
@@ -11,15 +11,15 @@
 
 // Health tells which paths of a controller work.
 type Health struct {
-	Host    string   `json:"host"`
-	StateOK bool     `json:"state_service_reached"`
-	Owned   int      `json:"machines_owned"`
-	Heard   int      `json:"machines_heard_lately"`
-	Marked  []Marked `json:"machines_marked"`
+	Host    string               `json:"host"`
+	StateOK bool                 `json:"state_service_reached"`
+	Owned   int                  `json:"machines_owned"`
+	Heard   int                  `json:"machines_heard_lately"`
+	Marked  []QuarantinedMachine `json:"machines_marked"`
 }
 
-// Marked is a machine that gets no tasks because tasks failed there.
-type Marked struct {
+// QuarantinedMachine is a machine that gets no tasks because tasks failed there.
+type QuarantinedMachine struct {
 	Machine string   `json:"machine"`
 	Why     string   `json:"why"`
 	Jobs    []string `json:"jobs"`
@@ -53,8 +53,8 @@
 	Score   float64
 }
 
-// Sample is the answer to a sampling request.
-type Sample struct {
+// SampleReply is the answer to a sampling request.
+type SampleReply struct {
 	Candidates []Candidate
 	Drawn      int
 	Exhausted  bool // every owned machine was drawn without finding enough
@@ -82,10 +82,10 @@
 
 // Verdicts on a commit.
 const (
-	Started   = "started"   // the worker reported the task
-	Held      = "held"      // reserved
-	Refused   = "refused"   // certainly not started and never will be
-	Unsettled = "unsettled" // sent; the machine's entry will show what became of it
+	Started    = "started"   // the worker reported the task
+	Held       = "held"      // reserved
+	Refused    = "refused"   // certainly not started and never will be
+	Unresolved = "unsettled" // sent; the machine's entry will show what became of it
 )
 
 // CommitReply has a verdict for each task.
@@ -109,22 +109,22 @@
 	Forget bool
 }
 
-// Verdict says whether a machine or the job is to blame for a task that failed.
-type Verdict struct {
+// Attribution says whether a machine or the job is to blame for a task that failed.
+type Attribution struct {
 	Machine string
 	Job     string
 	AtFault bool // the machine: the job runs well elsewhere
 }
 
-// VoidRequest makes commits harmless that may still be under way.
-type VoidRequest struct {
+// ResolveRequest makes commits harmless that may still be under way.
+type ResolveRequest struct {
 	Machine string
 	Rev     uint64
 	Refs    []TaskRef
 }
 
-// VoidReply says which of them were on a machine already.
-type VoidReply struct {
+// ResolveReply says which of them were on a machine already.
+type ResolveReply struct {
 	Present []bool
 	Ver     uint64
 }
@@ -145,11 +145,11 @@
 	StateOK  bool
 	Seen     uint64 // no cancellation that it has told, and no machine that it took, is of a later revision; 0: an earlier version's
 	More     bool   // there are more changes up to now: ask again
-	Entries  []Entry
+	Entries  []MachineEntry
 }
 
-// Entry is what an agent knows about one of its machines.
-type Entry struct {
+// MachineEntry is what an agent knows about one of its machines.
+type MachineEntry struct {
 	Machine  string
 	Host     string
 	Rev      uint64 // revision of this ownership
@@ -172,7 +172,7 @@
 
 // IdleFor is how long the machine has had no tasks by now, or 0. Entries come
 // only with changes, so the time since then counts too.
-func (e *Entry) IdleFor(now time.Time) time.Duration {
+func (e *MachineEntry) IdleFor(now time.Time) time.Duration {
 	if e.Idle == 0 || len(e.Tasks) > 0 {
 		return 0
 	}
--- a/internal/autoscaler/calls.go
+++ b/internal/autoscaler/calls.go
@@ -45,7 +45,7 @@
 func (s *Steward) giveBack(ctx context.Context, names []string) {
 	byHost := map[string][]string{}
 	for _, name := range names {
-		if host, ok := s.feed.Owner(name); ok {
+		if host, ok := s.feed.OwnerHost(name); ok {
 			byHost[host] = append(byHost[host], name)
 		}
 	}
@@ -87,7 +87,7 @@
 func (s *Steward) tellOwners(ctx context.Context, names []string) {
 	byHost := map[string][]string{}
 	for _, name := range names {
-		if host, ok := s.feed.Owner(name); ok {
+		if host, ok := s.feed.OwnerHost(name); ok {
 			byHost[host] = append(byHost[host], name)
 		}
 	}
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -260,7 +260,7 @@
 }
 
 // takeStock goes through all machines that have owners. The mutex is held.
-func (s *Steward) takeStock(entries []agentapi.Entry, types map[string]cloud.MachineType, now time.Time) *stock {
+func (s *Steward) takeStock(entries []agentapi.MachineEntry, types map[string]cloud.MachineType, now time.Time) *stock {
 	f := &s.fleet
 	out := &stock{idle: map[string]time.Duration{}, present: map[string]bool{}}
 	f.mute, f.untold = 0, nil
@@ -290,7 +290,7 @@
 }
 
 // add takes a machine that is neither deleted nor lost.
-func (k *stock) add(e *agentapi.Entry, types map[string]cloud.MachineType, now time.Time) {
+func (k *stock) add(e *agentapi.MachineEntry, types map[string]cloud.MachineType, now time.Time) {
 	t, ok := types[e.Type]
 	if !ok || e.Silent || e.Notice {
 		return
@@ -563,7 +563,7 @@
 const muteDoubt = 3 * time.Second
 
 // isLost says why a machine will not come back, or nothing.
-func (s *Steward) isLost(e *agentapi.Entry, now time.Time) string {
+func (s *Steward) isLost(e *agentapi.MachineEntry, now time.Time) string {
 	f := &s.fleet
 	if !e.Silent {
 		delete(f.silent, e.Machine)
--- a/internal/autoscaler/ledger.go
+++ b/internal/autoscaler/ledger.go
@@ -82,7 +82,7 @@
 	delete(l.dark, machine)
 }
 
-func (l *ledger) onEntry(e *agentapi.Entry) {
+func (l *ledger) onEntry(e *agentapi.MachineEntry) {
 	if e.Gone {
 		l.drop(e.Machine)
 		return
--- a/internal/autoscaler/steward.go
+++ b/internal/autoscaler/steward.go
@@ -131,7 +131,7 @@
 	s.fleet = newFleet()
 	s.budget, s.budgetBegan = budget.NewAllocator(epoch, s.settings.State.SharedChanges(), s.settings.Hosts()), time.Now()
 	s.mu.Unlock()
-	s.feed.Hurry()
+	s.feed.PollNow()
 	slog.Info("leader elected", "epoch", epoch)
 }
 
@@ -147,7 +147,7 @@
 	left := 0
 	for _, kv := range s.mirror.Dir(statekv.MachinePrefix) {
 		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
-		upTo, _ := s.feed.ConfirmedUpTo(kv)
+		upTo, _ := s.feed.ConfirmedEpoch(kv)
 		s.mu.Lock()
 		if upTo >= epoch {
 			s.cleared[name] = true
@@ -168,7 +168,7 @@
 }
 
 // OnEntries keeps the ledger of what is on the machines.
-func (s *Steward) OnEntries(entries []agentapi.Entry) {
+func (s *Steward) OnEntries(entries []agentapi.MachineEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range entries {
@@ -188,7 +188,7 @@
 	for _, kv := range s.mirror.Dir(statekv.MachinePrefix) {
 		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
 		if s.ledger.dark[name] || !s.settled && !s.cleared[name] {
-			if key := shard.ParseMachineKey(kv); key != nil {
+			if key := shard.ParseMachineRecord(kv); key != nil {
 				blank = blank.Add(job.Capacity(types[key.Type]), 1)
 			}
 		}
--- a/internal/autoscaler/steward_test.go
+++ b/internal/autoscaler/steward_test.go
@@ -30,7 +30,7 @@
 func newSteward(t testing.TB, ctx context.Context) (*Steward, *emulator.State) {
 	t.Helper()
 	state := emulator.NewState()
-	machine := shard.MachineKey{Shard: "host-9.1.0", Type: "box", Zone: "a"}
+	machine := shard.MachineRecord{Shard: "host-9.1.0", Type: "box", Zone: "a"}
 	if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: statekv.MachinePrefix + "m1", Value: machine}}); err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	types := &cloud.Catalogue{}
 	types.Set([]cloud.MachineType{{Name: "box", CPUs: 64, GPUs: 8, MemoryGB: 512, Price: 10, SpotPrice: 4, BootS: 30, Zones: []string{"a"}}})
 	s := New(settings(), policy.Default(), mirror, member, nil, nil, types)
-	s.feed = changefeed.NewFeed(nil, mirror, nil, nil, nil)
+	s.feed = changefeed.New(nil, mirror, nil, nil, nil)
 	s.epoch, s.cleared = 99, map[string]bool{}
 	return s, state
 }
@@ -88,12 +88,12 @@
 		s, _ := newSteward(t, t.Context())
 		s.settled = true
 		task := agentapi.TaskEntry{TaskRef: agentapi.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Need{GPUs: 8}, Known: true, State: worker.Running}
-		s.OnEntries([]agentapi.Entry{{Machine: "m1", Settled: true, Tasks: []agentapi.TaskEntry{task}}})
-		s.OnEntries([]agentapi.Entry{{Machine: "m1", Settled: false}})
+		s.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: true, Tasks: []agentapi.TaskEntry{task}}})
+		s.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: false}})
 		if ask(t, s, 0, 3) {
 			t.Fatal("the task may still run")
 		}
-		s.OnEntries([]agentapi.Entry{{Machine: "m1", Settled: true}})
+		s.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: true}})
 		if !ask(t, s, 0, 3) {
 			t.Fatal("the task is proven gone")
 		}
@@ -106,7 +106,7 @@
 func TestNewStewardSeesThatASilentMachineIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
-		e := agentapi.Entry{Machine: "m1", Silent: true, Settled: true}
+		e := agentapi.MachineEntry{Machine: "m1", Silent: true, Settled: true}
 		s.onList(nil, time.Now())
 		if why := s.isLost(&e, time.Now()); why != "" {
 			t.Fatalf("at once: %s", why)
@@ -131,9 +131,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
 		s.settled = true
-		var entries []agentapi.Entry
+		var entries []agentapi.MachineEntry
 		for i := range 100 {
-			entries = append(entries, agentapi.Entry{Machine: fmt.Sprint("m", i), Rev: 1, Ver: 1, Type: "box", Settled: i >= 3, Silent: i < 3})
+			entries = append(entries, agentapi.MachineEntry{Machine: fmt.Sprint("m", i), Rev: 1, Ver: 1, Type: "box", Settled: i >= 3, Silent: i < 3})
 		}
 		s.OnEntries(entries)
 		s.fleet.mute = 2
--- a/internal/changefeed/feed.go
+++ b/internal/changefeed/feed.go
@@ -23,10 +23,10 @@
 	mirror *statekv.Mirror
 	hosts  []string
 	minRev func() uint64
-	onNews func([]agentapi.Entry)
+	onNews func([]agentapi.MachineEntry)
 
 	mu      sync.Mutex
-	entries map[string]agentapi.Entry
+	entries map[string]agentapi.MachineEntry
 	acks    map[string]ack
 	hurry   chan struct{} // closed and replaced to have all agents asked anew
 }
@@ -41,10 +41,10 @@
 	asked    time.Time // when this was asked was of a later revision
 }
 
-// NewFeed returns a feed; minRev is the highest epoch that the agents must
+// New returns a feed; minRev is the highest epoch that the agents must
 // know of before they answer, onNews gets every change.
-func NewFeed(call peer.Caller, mirror *statekv.Mirror, hosts []string, minRev func() uint64, onNews func([]agentapi.Entry)) *Feed {
-	return &Feed{call: call, mirror: mirror, hosts: hosts, minRev: minRev, onNews: onNews, entries: map[string]agentapi.Entry{}, acks: map[string]ack{}, hurry: make(chan struct{})}
+func New(call peer.Caller, mirror *statekv.Mirror, hosts []string, minRev func() uint64, onNews func([]agentapi.MachineEntry)) *Feed {
+	return &Feed{call: call, mirror: mirror, hosts: hosts, minRev: minRev, onNews: onNews, entries: map[string]agentapi.MachineEntry{}, acks: map[string]ack{}, hurry: make(chan struct{})}
 }
 
 // Run follows all agents until ctx ends.
@@ -56,10 +56,10 @@
 	duties.Wait()
 }
 
-// Hurry has all agents asked anew, for minRev has grown: where nothing changes, a
+// PollNow has all agents asked anew, for minRev has grown: where nothing changes, a
 // question that is under way would be answered 2 s later, and only the next one
 // says that the agent knows of the new epoch.
-func (f *Feed) Hurry() {
+func (f *Feed) PollNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	close(f.hurry)
@@ -112,7 +112,7 @@
 			continue
 		}
 		instance, since = reply.Instance, reply.Ver
-		var news []agentapi.Entry
+		var news []agentapi.MachineEntry
 		f.mu.Lock()
 		known := ack{instance: reply.Instance, rev: req.MinRev, stateOK: reply.StateOK, at: time.Now(), seen: reply.Seen, asked: sent}
 		if reply.More {
@@ -139,11 +139,11 @@
 
 // Entries returns all machines that are not gone, as last heard of. Machines
 // whose key has been removed are dropped: their tasks are proven gone.
-func (f *Feed) Entries() []agentapi.Entry {
+func (f *Feed) Entries() []agentapi.MachineEntry {
 	rev := f.mirror.Rev()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([]agentapi.Entry, 0, len(f.entries))
+	out := make([]agentapi.MachineEntry, 0, len(f.entries))
 	for name, e := range f.entries {
 		if _, ok := f.mirror.Get(statekv.MachinePrefix + name); e.Gone || !ok && rev > e.Rev {
 			delete(f.entries, name)
@@ -155,28 +155,28 @@
 }
 
 // OwnerOf returns the host that a machine's latest entry came from.
-func (f *Feed) Owner(machine string) (string, bool) {
+func (f *Feed) OwnerHost(machine string) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, ok := f.entries[machine]
 	return e.Host, ok && !e.Gone
 }
 
-// Known returns a machine's latest entry, so that what is known of a machine
+// LastEntry returns a machine's latest entry, so that what is known of a machine
 // survives its owner.
-func (f *Feed) Known(machine string) agentapi.Entry {
+func (f *Feed) LastEntry(machine string) agentapi.MachineEntry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.entries[machine]
 }
 
-// Gone is the revision up to which a machine that is no more counts as confirmed.
-const Gone = ^uint64(0)
+// AllEpochs is the revision up to which a machine that is no more counts as confirmed.
+const AllEpochs = ^uint64(0)
 
-// ConfirmedUpTo returns the epoch up to which a machine is confirmed, or 0 and why
+// ConfirmedEpoch returns the epoch up to which a machine is confirmed, or 0 and why
 // it is not: everything that may run on it, according to its key, is in the latest
 // entry, and its owner refuses commits that were sent under earlier epochs.
-func (f *Feed) ConfirmedUpTo(kv statekv.KV) (epoch uint64, why string) {
+func (f *Feed) ConfirmedEpoch(kv statekv.KV) (epoch uint64, why string) {
 	holder, rev := shard.OwnerOf(f.mirror, kv)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -197,10 +197,10 @@
 	return a.rev, "its owner " + holder.Host + " has not caught up"
 }
 
-// ToldUpTo is a moment up to which no controller had told a user of a cancellation later
+// AcknowledgedUntil is a moment up to which no controller had told a user of a cancellation later
 // than rev, or taken a machine from another; the zero time if one of them, this one included, has not said so. One that does not
 // answer may have told whatever it likes, also if its life seems to be over.
-func (f *Feed) ToldUpTo(rev uint64) time.Time {
+func (f *Feed) AcknowledgedUntil(rev uint64) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var least time.Time
@@ -216,9 +216,9 @@
 	return least
 }
 
-// Peers counts the other agents that were heard lately, and those of them that the state
+// PeerCounts counts the other agents that were heard lately, and those of them that the state
 // service serves by their own word.
-func (f *Feed) Peers(self string) (heard, served int) {
+func (f *Feed) PeerCounts(self string) (heard, served int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for host, a := range f.acks {
--- a/internal/clusteragent/agent.go
+++ b/internal/clusteragent/agent.go
@@ -28,11 +28,11 @@
 	workers  worker.Commander
 	types    func() map[string]cloud.MachineType
 
-	// Known tells what an earlier owner showed of a machine.
-	Known func(machine string) agentapi.Entry
+	// LastEntry tells what an earlier owner showed of a machine.
+	LastEntry func(machine string) agentapi.MachineEntry
 
-	// ToldUpTo is Feed.ToldUpTo, nil: nobody can tell.
-	ToldUpTo func(rev uint64) time.Time
+	// AcknowledgedUntil is Feed.AcknowledgedUntil, nil: nobody can tell.
+	AcknowledgedUntil func(rev uint64) time.Time
 
 	claims chan claim
 	learns chan struct{}
@@ -135,11 +135,11 @@
 		known = fresh
 	}
 	hold := a.settings.HoldTime()
-	if left := hold - now.Sub(known); left > hold*3/4 || a.ToldUpTo == nil {
+	if left := hold - now.Sub(known); left > hold*3/4 || a.AcknowledgedUntil == nil {
 		return left
 	}
 	// In an outage that all meet nobody can tell a user anything new, and they all say so.
-	if told := a.ToldUpTo(a.mirror.Rev()); told.After(known) {
+	if told := a.AcknowledgedUntil(a.mirror.Rev()); told.After(known) {
 		known = told
 	}
 	return hold - now.Sub(known)
@@ -174,16 +174,16 @@
 	slog.Info("heartbeats solicited", "machines", n)
 }
 
-// Reply is the answer to a worker's report: orders, or where to report instead.
-type Reply struct {
-	Owner  bool
-	Answer worker.Answer
-	Home   string // controller to report to, if known
-	Odd    string // why it is malformed
+// HeartbeatReply is the answer to a worker's report: orders, or where to report instead.
+type HeartbeatReply struct {
+	Owner      bool
+	Answer     worker.Answer
+	RedirectTo string // controller to report to, if known
+	Malformed  string // why it is malformed
 }
 
-// Report takes a worker's report.
-func (a *Agent) Report(ctx context.Context, r *worker.Report) Reply {
+// Heartbeat takes a worker's report.
+func (a *Agent) Heartbeat(ctx context.Context, r *worker.Report) HeartbeatReply {
 	now := time.Now()
 	if reply, owned := a.ownReport(r); owned {
 		return reply
@@ -195,10 +195,10 @@
 		holder, owned := shard.OwnerOf(a.mirror, kv)
 		switch {
 		case !exists && a.isBuried(r, now):
-			return Reply{} // a late copy: nobody answers for it any more
+			return HeartbeatReply{} // a late copy: nobody answers for it any more
 		case !exists:
 			if home := a.zoneOwner(r, now); home != "" {
-				return Reply{Home: home}
+				return HeartbeatReply{RedirectTo: home}
 			}
 			return a.claimFor(ctx, r, 0)
 		case holder == a.member.Holder:
@@ -211,13 +211,13 @@
 			if a.cannotReach(r, owned, now) {
 				return a.claimFor(ctx, r, kv.Rev)
 			}
-			return Reply{Home: holder.Host}
+			return HeartbeatReply{RedirectTo: holder.Host}
 		}
 		wctx, cancel := context.WithDeadline(ctx, wait)
 		err := a.mirror.Wait(wctx, rev+1)
 		cancel()
 		if err != nil {
-			return Reply{}
+			return HeartbeatReply{}
 		}
 	}
 }
@@ -230,10 +230,10 @@
 )
 
 // claimFor claims the machine that reported and answers once it is owned.
-func (a *Agent) claimFor(ctx context.Context, r *worker.Report, seen uint64) Reply {
-	done := a.claim(r.Machine, shard.MachineKey{Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, seen)
+func (a *Agent) claimFor(ctx context.Context, r *worker.Report, seen uint64) HeartbeatReply {
+	done := a.claim(r.Machine, shard.MachineRecord{Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, seen)
 	if done == nil {
-		return Reply{}
+		return HeartbeatReply{}
 	}
 	select {
 	case <-done:
@@ -256,7 +256,7 @@
 	return true
 }
 
-func (a *Agent) ownReport(r *worker.Report) (Reply, bool) {
+func (a *Agent) ownReport(r *worker.Report) (HeartbeatReply, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	// Not before: in a starved process a report may have waited here for seconds,
@@ -264,20 +264,20 @@
 	now := time.Now()
 	m := a.machines[r.Machine]
 	if m == nil {
-		return Reply{}, false
+		return HeartbeatReply{}, false
 	}
 	if m.gone || m.removing {
-		return Reply{}, true
+		return HeartbeatReply{}, true
 	}
 	if odd := m.odd(r); odd != "" {
 		a.tellOdd(r, odd)
-		return Reply{Odd: odd}, true
+		return HeartbeatReply{Malformed: odd}, true
 	}
 	if !m.reported.before(serialOf(r)) {
 		// A copy, however late: it renews nothing, and orders would be taken for sent.
 		// Should it be a worker's present report after all, an answer without the
 		// orders that are due, or after the hold time, would renew its lease.
-		return Reply{}, true
+		return HeartbeatReply{}, true
 	}
 	if m.toldAt = now; m.mute {
 		m.mute = false
@@ -287,15 +287,15 @@
 		// The worker has seen a successor's token: an answer with ours would
 		// be dropped and keep the worker here while its lease runs out.
 		a.release(m)
-		return Reply{Home: a.homeOf(r.Machine)}, true
+		return HeartbeatReply{RedirectTo: a.homeOf(r.Machine)}, true
 	}
 	if !a.answering(now) {
-		return Reply{}, true
+		return HeartbeatReply{}, true
 	}
 	if !a.stillOurs(m) {
 		// Its successor counts on us to fall silent, whatever else keeps us answering.
 		a.release(m)
-		return Reply{Home: a.homeOf(r.Machine)}, true
+		return HeartbeatReply{RedirectTo: a.homeOf(r.Machine)}, true
 	}
 	m.reported = serialOf(r)
 	a.apply(m, r, now, 0)
@@ -303,7 +303,7 @@
 		a.settleDoubt(m)
 		// Meanwhile much may have come.
 		if now = time.Now(); a.machines[m.name] != m || m.gone || m.removing || m.reported != serialOf(r) || !a.answering(now) {
-			return Reply{}, true
+			return HeartbeatReply{}, true
 		}
 	}
 	m.answered(now)
@@ -311,7 +311,7 @@
 	if m.pressing(now) {
 		m.wake()
 	}
-	return Reply{Owner: true, Answer: worker.Answer{Token: m.token(), Orders: m.orders(now, false)}}, true
+	return HeartbeatReply{Owner: true, Answer: worker.Answer{Token: m.token(), Orders: m.orders(now, false)}}, true
 }
 
 // tellOdd logs a report that cannot be, once for each machine. The mutex is held.
@@ -342,7 +342,7 @@
 	}
 	slog.Info("machine ownership lost", "machine", m.name)
 	for _, t := range m.tasks {
-		t.settle(agentapi.Unsettled)
+		t.settle(agentapi.Unresolved)
 		if t.seen && t.state != worker.Ended {
 			m.over(t, time.Now(), "handed over")
 		}
@@ -521,7 +521,7 @@
 			if t.sent && t.sentToken == token {
 				t.fence = m.token()
 				if !t.seen {
-					t.settle(agentapi.Unsettled)
+					t.settle(agentapi.Unresolved)
 				}
 			}
 		}
--- a/internal/clusteragent/agent_test.go
+++ b/internal/clusteragent/agent_test.go
@@ -82,17 +82,17 @@
 }
 
 // report has a worker report to n and take the answer.
-func (n *node) report(workers *emulator.Workers, w *emulator.Worker) clusteragent.Reply {
+func (n *node) report(workers *emulator.Workers, w *emulator.Worker) clusteragent.HeartbeatReply {
 	r := workers.Next(w)
-	reply := n.agent.Report(context.Background(), &r)
+	reply := n.agent.Heartbeat(context.Background(), &r)
 	if reply.Owner {
 		workers.Answer(w, reply.Answer)
 	}
 	return reply
 }
 
-func (n *node) entries() map[string]agentapi.Entry {
-	out := map[string]agentapi.Entry{}
+func (n *node) entries() map[string]agentapi.MachineEntry {
+	out := map[string]agentapi.MachineEntry{}
 	_, list := n.agent.Snapshot()
 	for _, e := range list {
 		out[e.Machine] = e
@@ -148,7 +148,7 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		workers.Do(func() { w.Deaf = true })
-		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Unsettled {
+		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Unresolved {
 			t.Fatalf("verdict %q while the command is unanswered", got)
 		}
 		if len(n.entries()["m1"].Tasks) != 1 {
@@ -642,8 +642,8 @@
 		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
-		void := func(n *node) (reply agentapi.VoidReply, err error) {
-			err = n.service.Void(agentapi.VoidRequest{Machine: "m1", Rev: rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Attempt: 1}}}, &reply)
+		void := func(n *node) (reply agentapi.ResolveReply, err error) {
+			err = n.service.Void(agentapi.ResolveRequest{Machine: "m1", Rev: rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Attempt: 1}}}, &reply)
 			return reply, err
 		}
 		if reply, err := void(n); err != nil || !reply.Present[0] {
@@ -672,8 +672,8 @@
 		time.Sleep(time.Second)
 		other := statekv.Holder{Host: "host-9", Incarnation: 1} // dead by the time it is seen
 		if _, err := state.Txn(ctx, nil, []statekv.Op{
-			{Set: statekv.MachineShardPrefix + "host-9.1.0", Value: shard.ShardKey{Holder: other}},
-			{Set: statekv.MachinePrefix + "m1", Value: shard.MachineKey{Shard: "host-9.1.0", Address: "m1", Type: "box", Zone: "a"}},
+			{Set: statekv.MachineShardPrefix + "host-9.1.0", Value: shard.Record{Holder: other}},
+			{Set: statekv.MachinePrefix + "m1", Value: shard.MachineRecord{Shard: "host-9.1.0", Address: "m1", Type: "box", Zone: "a"}},
 		}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/clusteragent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -112,7 +112,7 @@
 			continue
 		}
 		kv, _ := a.mirror.Get(statekv.MachinePrefix + name)
-		key := shard.ParseMachineKey(kv)
+		key := shard.ParseMachineRecord(kv)
 		if key == nil {
 			continue
 		}
@@ -130,7 +130,7 @@
 	}
 	var out map[string]string
 	for _, kv := range shards {
-		key := shard.ParseShardKey(kv)
+		key := shard.ParseRecord(kv)
 		if key == nil || key.Holder == a.member.Holder || !a.member.Alive(key.Holder) || now.Sub(a.shardsAt[kv.Key].since) < calm {
 			continue
 		}
@@ -171,7 +171,7 @@
 	}
 	owned := map[string]int{}
 	for _, kv := range shards {
-		if key := shard.ParseShardKey(kv); key != nil && a.member.Alive(key.Holder) {
+		if key := shard.ParseRecord(kv); key != nil && a.member.Alive(key.Holder) {
 			owned[key.Host] += size[kv.Key[len(statekv.MachineShardPrefix):]]
 		}
 	}
@@ -191,7 +191,7 @@
 	}
 	inShard := map[string][]statekv.KV{}
 	for _, kv := range machines {
-		if key := shard.ParseMachineKey(kv); key != nil {
+		if key := shard.ParseMachineRecord(kv); key != nil {
 			inShard[statekv.MachineShardPrefix+key.Shard] = append(inShard[statekv.MachineShardPrefix+key.Shard], kv)
 		}
 	}
@@ -203,7 +203,7 @@
 	})
 	for _, kv := range shards {
 		n := len(inShard[kv.Key])
-		if key := shard.ParseShardKey(kv); key == nil || key.Host != richest || n == 0 || mine+n > theirs-n || a.anyDoubt(inShard[kv.Key]) {
+		if key := shard.ParseRecord(kv); key == nil || key.Host != richest || n == 0 || mine+n > theirs-n || a.anyDoubt(inShard[kv.Key]) {
 			continue
 		}
 		out[kv.Key] = "machines are evened out"
@@ -222,15 +222,15 @@
 // anyDoubt reports whether any of the machines is silent or has not answered its
 // owner yet: another owner would have to wait for its lease from the start.
 func (a *Agent) anyDoubt(machines []statekv.KV) bool {
-	return a.Known != nil && slices.ContainsFunc(machines, func(kv statekv.KV) bool {
-		e := a.Known(kv.Key[len(statekv.MachinePrefix):])
+	return a.LastEntry != nil && slices.ContainsFunc(machines, func(kv statekv.KV) bool {
+		e := a.LastEntry(kv.Key[len(statekv.MachinePrefix):])
 		return !e.Settled || e.Silent
 	})
 }
 
 // foreign is 1 for a shard of another zone than this controller's.
 func (a *Agent) foreign(kv statekv.KV) int {
-	if key := shard.ParseShardKey(kv); key != nil && a.shardZone(key.Index) == a.settings.Zone {
+	if key := shard.ParseRecord(kv); key != nil && a.shardZone(key.Index) == a.settings.Zone {
 		return 0
 	}
 	return 1
@@ -241,7 +241,7 @@
 func (a *Agent) reaches(ctx context.Context, machines []statekv.KV) bool {
 	for range min(probes, len(machines)) {
 		cctx, cancel := context.WithTimeout(ctx, time.Second)
-		_, _, err := a.workers.Command(cctx, shard.ParseMachineKey(machines[rand.IntN(len(machines))]).Address, 0, 1, nil)
+		_, _, err := a.workers.Command(cctx, shard.ParseMachineRecord(machines[rand.IntN(len(machines))]).Address, 0, 1, nil)
 		cancel()
 		if err != nil {
 			return false
--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -109,7 +109,7 @@
 		if !ok {
 			t.Fatal("the machine has no key")
 		}
-		if _, err := state.Txn(ctx, nil, []statekv.Op{{Delete: statekv.MachineShardPrefix + shard.ParseMachineKey(kv).Shard}}); err != nil {
+		if _, err := state.Txn(ctx, nil, []statekv.Op{{Delete: statekv.MachineShardPrefix + shard.ParseMachineRecord(kv).Shard}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
--- a/internal/clusteragent/bench_test.go
+++ b/internal/clusteragent/bench_test.go
@@ -58,7 +58,7 @@
 	n, _, _, epoch := benchNode(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		var reply agentapi.Sample
+		var reply agentapi.SampleReply
 		if err := n.service.Sample(benchRequest(epoch), &reply); err != nil || len(reply.Candidates) == 0 {
 			b.Fatalf("%+v %v", reply, err)
 		}
--- a/internal/clusteragent/buried.go
+++ b/internal/clusteragent/buried.go
@@ -17,8 +17,8 @@
 	mostBuried = 8000
 )
 
-// OnRemoved takes note of a machine whose key was removed.
-func (a *Agent) OnRemoved(machine string) {
+// OnMachineRemoved takes note of a machine whose key was removed.
+func (a *Agent) OnMachineRemoved(machine string) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/clusteragent/clear.go
+++ b/internal/clusteragent/clear.go
@@ -157,7 +157,7 @@
 
 // Clearable lists the machines on which stopping tasks of lower priority would
 // make room; the less that loses, the higher the score.
-func (s *Service) Clearable(r agentapi.Request, reply *agentapi.Sample) error {
+func (s *Service) Clearable(r agentapi.Request, reply *agentapi.SampleReply) error {
 	a := s.agent
 	now := time.Now()
 	hurries := false
--- a/internal/clusteragent/clear_test.go
+++ b/internal/clusteragent/clear_test.go
@@ -40,7 +40,7 @@
 		put("early", "wk-3", 8, -150*time.Second, 0, 1) // time enough to run again
 		gang := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: 5, Least: 9, Spare: 5}
 		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 5, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
-		var found agentapi.Sample
+		var found agentapi.SampleReply
 		if err := n.service.Clearable(gang, &found); err != nil || len(found.Candidates) != 5 {
 			t.Fatal(found, err)
 		}
--- a/internal/clusteragent/gather.go
+++ b/internal/clusteragent/gather.go
@@ -81,7 +81,7 @@
 
 // Gatherable lists machines that will have room for a task of the request, those first
 // that are kept for it already and then those that will have it soonest.
-func (s *Service) Gatherable(r agentapi.Request, reply *agentapi.Sample) error {
+func (s *Service) Gatherable(r agentapi.Request, reply *agentapi.SampleReply) error {
 	a := s.agent
 	now := time.Now()
 	a.mu.Lock()
--- a/internal/clusteragent/health.go
+++ b/internal/clusteragent/health.go
@@ -12,7 +12,7 @@
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	reply.Host, reply.StateOK, reply.Marked = a.member.Host, a.member.HoldsLease(), []agentapi.Marked{}
+	reply.Host, reply.StateOK, reply.Marked = a.member.Host, a.member.HoldsLease(), []agentapi.QuarantinedMachine{}
 	for _, m := range a.machines {
 		if m.gone || m.removing {
 			continue
@@ -21,7 +21,7 @@
 		if now.Sub(m.heard) < 2*a.settings.Workers.Report {
 			reply.Heard++
 		}
-		mark := agentapi.Marked{Machine: m.name}
+		mark := agentapi.QuarantinedMachine{Machine: m.name}
 		switch {
 		case m.faulty:
 			mark.Why = "faulty: jobs failed here that run well elsewhere"
--- a/internal/clusteragent/late_test.go
+++ b/internal/clusteragent/late_test.go
@@ -55,7 +55,7 @@
 		died := time.Now()
 		for time.Since(died) < 36*time.Second {
 			time.Sleep(2 * time.Second)
-			if reply := a.agent.Report(ctx, &last); len(reply.Answer.Orders) > 0 {
+			if reply := a.agent.Heartbeat(ctx, &last); len(reply.Answer.Orders) > 0 {
 				t.Fatalf("a copy was given orders: %+v", reply)
 			}
 			e := a.entries()["m1"]
@@ -79,12 +79,12 @@
 		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
-		a.agent.Report(ctx, &overtaken)
+		a.agent.Heartbeat(ctx, &overtaken)
 		if n := len(a.entries()["m1"].Tasks); n != 2 {
 			t.Fatalf("a report that was overtaken left %d tasks of 2", n)
 		}
 		a.report(workers, w)
-		a.agent.Report(ctx, &before)
+		a.agent.Heartbeat(ctx, &before)
 		if n := len(a.entries()["m1"].Tasks); n != 2 {
 			t.Fatalf("a copy of before left %d tasks of 2", n)
 		}
@@ -92,7 +92,7 @@
 		workers.Do(func() { w.Report.Session, w.Report.Tasks = 2, nil })
 		a.report(workers, w)
 		for range 5 {
-			a.agent.Report(ctx, &before)
+			a.agent.Heartbeat(ctx, &before)
 			time.Sleep(time.Second)
 		}
 		if got := a.entries()["m1"].Tasks; len(got) != 0 {
@@ -109,7 +109,7 @@
 		rev := a.entries()["m1"].Rev
 		last := copyOf(workers, w)
 		for range 20 {
-			b.agent.Report(ctx, &last)
+			b.agent.Heartbeat(ctx, &last)
 			time.Sleep(time.Second)
 			a.report(workers, w)
 		}
@@ -118,7 +118,7 @@
 		}
 		for range 6 {
 			r := workers.Next(w)
-			b.agent.Report(ctx, &r)
+			b.agent.Heartbeat(ctx, &r)
 			time.Sleep(4 * time.Second)
 		}
 		if _, ok := b.entries()["m1"]; !ok {
@@ -142,11 +142,11 @@
 			t.Fatal("its key was not removed")
 		}
 		for _, n := range []*node{a, b} { // as the controller's watch tells
-			n.agent.OnRemoved("m1")
+			n.agent.OnMachineRemoved("m1")
 		}
 		for range 60 {
-			a.agent.Report(ctx, &last)
-			b.agent.Report(ctx, &last)
+			a.agent.Heartbeat(ctx, &last)
+			b.agent.Heartbeat(ctx, &last)
 			time.Sleep(2 * time.Second)
 			if _, err := state.Get(ctx, key); err == nil {
 				t.Fatal("a copy had it claimed again")
@@ -166,10 +166,10 @@
 		began := time.Now()
 		hear := func() { // its reports arrive; what is answered does not
 			r := workers.Next(w)
-			a.agent.Report(ctx, &r)
+			a.agent.Heartbeat(ctx, &r)
 			time.Sleep(3 * time.Second)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Unsettled {
+		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Unresolved {
 			t.Fatalf("verdict %q without an answer", got)
 		}
 		hear()
@@ -225,7 +225,7 @@
 			r := workers.Next(w)
 			r.Tasks = nil
 			change(&r)
-			if reply := a.agent.Report(ctx, &r); reply.Odd == "" {
+			if reply := a.agent.Heartbeat(ctx, &r); reply.Malformed == "" {
 				t.Errorf("%s: %+v", what, reply)
 			}
 			if n := len(a.entries()["m1"].Tasks); n != 1 {
@@ -234,7 +234,7 @@
 		}
 		back := copyOf(workers, w)
 		back.Seq, back.Session, back.Tasks = 1, 0, nil
-		a.agent.Report(ctx, &back)
+		a.agent.Heartbeat(ctx, &back)
 		a.report(workers, w)
 		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started || held(workers, w) != 2 {
 			t.Errorf("its own reports do not count any more: %q", got)
--- a/internal/clusteragent/learn.go
+++ b/internal/clusteragent/learn.go
@@ -133,9 +133,9 @@
 	}
 }
 
-// SlotMoved has the tasks of a slot checked against their records: its earlier
+// OnJobShardMoved has the tasks of a slot checked against their records: its earlier
 // placer may have left tasks of jobs that are over.
-func (a *Agent) SlotMoved(slot string) {
+func (a *Agent) OnJobShardMoved(slot string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.machines {
--- a/internal/clusteragent/machine.go
+++ b/internal/clusteragent/machine.go
@@ -445,7 +445,7 @@
 
 // judge takes in whose fault a failure was. Where tasks completed lately, one
 // failure of a job that is well is not enough to call the machine faulty.
-func (m *machine) judge(v *agentapi.Verdict, now time.Time) {
+func (m *machine) judge(v *agentapi.Attribution, now time.Time) {
 	if !v.AtFault {
 		delete(m.failures, v.Job)
 		return
--- a/internal/clusteragent/over.go
+++ b/internal/clusteragent/over.go
@@ -29,10 +29,10 @@
 	doubtWait = 2500 * time.Millisecond
 )
 
-// OnEvents takes what the mirror follows, before it counts as seen: an answer to a worker
+// OnWatchEvents takes what the mirror follows, before it counts as seen: an answer to a worker
 // that is given on the strength of that view knows of every cancellation in it. nil says
 // that all was read anew.
-func (a *Agent) OnEvents(events []statekv.Event) {
+func (a *Agent) OnWatchEvents(events []statekv.Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if events == nil {
@@ -91,10 +91,10 @@
 	}
 }
 
-// Cancelled takes note of a cancellation that a user is about to be told, before any watch
+// StopCancelledJob takes note of a cancellation that a user is about to be told, before any watch
 // has shown it: its tasks stop now, and none starts here any more. No rule depends on
 // this: whoever does not hear of it sees it by its watch, or is bounded by the hold time.
-func (a *Agent) Cancelled(id string) {
+func (a *Agent) StopCancelledJob(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.keepOver(id, time.Now())
@@ -103,19 +103,19 @@
 
 // Cancelled is Agent.Cancelled, for the controller that tells the user.
 func (s *Service) Cancelled(id string, _ *struct{}) error {
-	s.agent.Cancelled(id)
+	s.agent.StopCancelledJob(id)
 	return nil
 }
 
-// Cancels reports whether a change tells of a cancellation, or may do so.
-func Cancels(e statekv.Event) bool {
+// IsCancellation reports whether a change tells of a cancellation, or may do so.
+func IsCancellation(e statekv.Event) bool {
 	c, ok := tombstone.ChangeOf(e)
 	return ok && (c.Err != nil || c.Status == job.Cancelled)
 }
 
-// Telling notes that a user is about to be told of a cancellation that this controller has
+// NoteAcknowledgement notes that a user is about to be told of a cancellation that this controller has
 // written at a revision: the mirror may not show it yet.
-func (a *Agent) Telling(rev uint64) {
+func (a *Agent) NoteAcknowledgement(rev uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.told = max(a.told, rev)
--- a/internal/clusteragent/owner.go
+++ b/internal/clusteragent/owner.go
@@ -35,7 +35,7 @@
 // heir is who takes over a shard whose owner's life has ended: the same
 // controller if it is back, or one of the others, each a few, of the shard's zone
 // if there are any.
-func (a *Agent) heir(key *shard.ShardKey, hosts []string) string {
+func (a *Agent) heir(key *shard.Record, hosts []string) string {
 	if slices.Contains(hosts, key.Host) {
 		return key.Host
 	}
@@ -93,7 +93,7 @@
 	a.dropEmpty(ctx, held, home, size, empty)
 	// Machines first: whoever is in a shard that came since belongs to its owner.
 	machines = a.mirror.Dir(statekv.MachinePrefix)
-	a.sortOut(hosts, machines, shard.OwnersOf(a.mirror.Dir(statekv.MachineShardPrefix)))
+	a.sortOut(hosts, machines, shard.NewOwnerIndex(a.mirror.Dir(statekv.MachineShardPrefix)))
 }
 
 // takeShards takes the shards that fall to this controller, and those wanted from
@@ -103,10 +103,10 @@
 func (a *Agent) takeShards(ctx context.Context, shards []statekv.KV, size map[string]int, wanted map[string]string) (held map[string]holding, empty []statekv.Role) {
 	heirs := a.member.Successors(a.settings.Hosts())
 	held = map[string]holding{}
-	keys := map[string]*shard.ShardKey{}
+	keys := map[string]*shard.Record{}
 	var roles []statekv.Role
 	for _, kv := range shards {
-		key := shard.ParseShardKey(kv)
+		key := shard.ParseRecord(kv)
 		if key == nil {
 			continue
 		}
@@ -120,7 +120,7 @@
 		} else if a.member.Alive(key.Holder) || a.heir(key, heirs) != a.member.Host {
 			continue
 		}
-		role := statekv.Role{Key: kv.Key, ExpectedRev: kv.Rev, PreviousHolder: from, Value: shard.ShardKey{Holder: a.member.Holder, Index: key.Index}}
+		role := statekv.Role{Key: kv.Key, ExpectedRev: kv.Rev, PreviousHolder: from, Value: shard.Record{Holder: a.member.Holder, Index: key.Index}}
 		if size[kv.Key[len(statekv.MachineShardPrefix):]] == 0 && wanted[kv.Key] == "" {
 			empty = append(empty, role)
 			continue
@@ -179,7 +179,7 @@
 		// Once only: a copy applied late must not raise the revision of a
 		// shard that has machines by then.
 		when = append(when, statekv.Compare{Key: statekv.MachineShardPrefix + home[k]})
-		then = append(then, statekv.Op{Set: statekv.MachineShardPrefix + home[k], Value: shard.ShardKey{Holder: a.member.Holder, Index: k}})
+		then = append(then, statekv.Op{Set: statekv.MachineShardPrefix + home[k], Value: shard.Record{Holder: a.member.Holder, Index: k}})
 	}
 	if len(made) > 0 {
 		tctx, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -269,7 +269,7 @@
 
 // sortOut takes up the machines that are ours by their keys, gives up those that
 // are not any more, and claims those whose shard has been lost.
-func (a *Agent) sortOut(hosts []string, keys []statekv.KV, shards shard.Owners) {
+func (a *Agent) sortOut(hosts []string, keys []statekv.KV, shards shard.OwnerIndex) {
 	a.mu.Lock()
 	for name := range a.released {
 		if _, ok := a.mirror.Get(statekv.MachinePrefix + name); !ok {
@@ -278,12 +278,12 @@
 	}
 	var ours, ownerless []statekv.KV
 	for _, kv := range keys {
-		key := shard.ParseMachineKey(kv)
+		key := shard.ParseMachineRecord(kv)
 		if key == nil {
 			ownerless = append(ownerless, kv)
 			continue
 		}
-		holder, rev := shards.Of(key, kv.Rev)
+		holder, rev := shards.OwnerOf(key, kv.Rev)
 		m := a.machines[kv.Key[len(statekv.MachinePrefix):]]
 		switch {
 		case holder == (statekv.Holder{}):
@@ -301,13 +301,13 @@
 	a.mu.Unlock()
 	for _, kv := range ownerless {
 		name := kv.Key[len(statekv.MachinePrefix):]
-		if key := shard.ParseMachineKey(kv); key != nil && hosts[hashOf(name)%len(hosts)] == a.member.Host {
+		if key := shard.ParseMachineRecord(kv); key != nil && hosts[hashOf(name)%len(hosts)] == a.member.Host {
 			a.claim(name, *key, kv.Rev)
 		}
 	}
 	for _, kv := range ours {
 		if !a.takeUp(kv) {
-			a.claim(kv.Key[len(statekv.MachinePrefix):], *shard.ParseMachineKey(kv), kv.Rev)
+			a.claim(kv.Key[len(statekv.MachinePrefix):], *shard.ParseMachineRecord(kv), kv.Rev)
 		}
 	}
 }
@@ -315,14 +315,14 @@
 // claim is a machine that is to be written into one of our shards.
 type claim struct {
 	name string
-	key  shard.MachineKey
+	key  shard.MachineRecord
 	seen uint64 // revision of the key that the claim replaces
 	done chan struct{}
 }
 
 // claim queues a claim, at most one for each machine at a time. The channel is
 // closed once it was tried; nil means that it cannot be queued.
-func (a *Agent) claim(name string, key shard.MachineKey, seen uint64) chan struct{} {
+func (a *Agent) claim(name string, key shard.MachineRecord, seen uint64) chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.claiming[name] || len(a.home) == 0 {
@@ -425,7 +425,7 @@
 // successor that the mirror does not show yet, or nobody knows what runs there,
 // and only a claim, a write under a condition, can make it ours again.
 func (a *Agent) takeUp(kv statekv.KV) bool {
-	key := shard.ParseMachineKey(kv)
+	key := shard.ParseMachineRecord(kv)
 	holder, rev := shard.OwnerOf(a.mirror, kv)
 	if key == nil || holder != a.member.Holder {
 		return true
@@ -443,7 +443,7 @@
 
 // own begins to look after a machine. keyRev is its key's revision, rev that of
 // our ownership.
-func (a *Agent) own(name string, key *shard.MachineKey, keyRev, rev uint64, takenOver bool) {
+func (a *Agent) own(name string, key *shard.MachineRecord, keyRev, rev uint64, takenOver bool) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -453,8 +453,8 @@
 	m := &machine{name: name, address: key.Address, typeName: key.Type, zone: key.Zone, spot: key.Spot, keyRev: keyRev, rev: rev,
 		tasks: map[taskKey]*task{}, images: map[string]time.Time{}, failures: map[string]time.Time{}, blamed: map[string]bool{},
 		leased: takenOver, heard: now, toldAt: now, answerEnd: now, kick: make(chan struct{}, 1), quit: make(chan struct{})}
-	if a.Known != nil {
-		known := a.Known(name)
+	if a.LastEntry != nil {
+		known := a.LastEntry(name)
 		for _, image := range known.Images {
 			m.images[image] = now
 		}
--- a/internal/clusteragent/parts_test.go
+++ b/internal/clusteragent/parts_test.go
@@ -47,7 +47,7 @@
 		clearable := func(class string) int {
 			t.Helper()
 			time.Sleep(time.Second)
-			var found agentapi.Sample
+			var found agentapi.SampleReply
 			if err := n.service.Clearable(request(class, job.Gang, "high", 2, 1), &found); err != nil {
 				t.Fatal(err)
 			}
@@ -56,7 +56,7 @@
 		if got := clearable("gangs"); got != 1 {
 			t.Errorf("nobody of the arrays waits: %d machines can be cleared", got)
 		}
-		var found agentapi.Sample
+		var found agentapi.SampleReply
 		if err := n.service.Sample(request("arrays", job.Array, "normal", 2, 3), &found); err != nil || len(found.Candidates) != 0 {
 			t.Fatal(found, err)
 		}
--- a/internal/clusteragent/register_test.go
+++ b/internal/clusteragent/register_test.go
@@ -71,7 +71,7 @@
 		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
 		clearable := func() int {
 			n.report(workers, w)
-			var found agentapi.Sample
+			var found agentapi.SampleReply
 			if err := n.service.Clearable(gang, &found); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -71,7 +71,7 @@
 // Sample draws owned machines without replacement until the share wanted has
 // passed the filters, and scores them (the paper's second sampling step). The
 // best of those go back, as many as the request can use.
-func (s *Service) Sample(r agentapi.Request, reply *agentapi.Sample) error {
+func (s *Service) Sample(r agentapi.Request, reply *agentapi.SampleReply) error {
 	a := s.agent
 	now := time.Now()
 	types := a.types()
--- a/internal/clusteragent/service.go
+++ b/internal/clusteragent/service.go
@@ -77,7 +77,7 @@
 		}
 		if t.state != stateHeld {
 			// A repeated request: the entry shows what became of it.
-			reply.Verdicts[i] = agentapi.Unsettled
+			reply.Verdicts[i] = agentapi.Unresolved
 			continue
 		}
 		if r.Hold {
@@ -117,7 +117,7 @@
 			}
 			expired = true
 		}
-		reply.Verdicts[i] = agentapi.Unsettled
+		reply.Verdicts[i] = agentapi.Unresolved
 		select {
 		case reply.Verdicts[i] = <-w:
 		default:
@@ -168,7 +168,7 @@
 }
 
 // Judge takes what placers found out about tasks that failed.
-func (s *Service) Judge(verdicts []agentapi.Verdict, _ *struct{}) error {
+func (s *Service) Judge(verdicts []agentapi.Attribution, _ *struct{}) error {
 	a := s.agent
 	now := time.Now()
 	a.mu.Lock()
@@ -185,7 +185,7 @@
 // Void makes commits harmless that were sent but not answered, unless the task
 // is on the machine already. Only the owner that the commit went to can say so:
 // to a later life of the same controller the task is unknown although it may run.
-func (s *Service) Void(r agentapi.VoidRequest, reply *agentapi.VoidReply) error {
+func (s *Service) Void(r agentapi.ResolveRequest, reply *agentapi.ResolveReply) error {
 	a := s.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -288,8 +288,8 @@
 	return a.ctx
 }
 
-func (m *machine) entry(host string, now time.Time) agentapi.Entry {
-	e := agentapi.Entry{Machine: m.name, Host: host, Rev: m.rev, Ver: m.ver, Type: m.typeName, Zone: m.zone, Spot: m.spot,
+func (m *machine) entry(host string, now time.Time) agentapi.MachineEntry {
+	e := agentapi.MachineEntry{Machine: m.name, Host: host, Rev: m.rev, Ver: m.ver, Type: m.typeName, Zone: m.zone, Spot: m.spot,
 		Settled: m.settled, Draining: m.draining || m.removing, Silent: !m.serves() || m.deaf(now), Faulty: m.faulty, Gone: m.gone, Notice: !m.noticeAt.IsZero()}
 	if !m.idleSince.IsZero() {
 		e.Idle = max(time.Millisecond, now.Sub(m.idleSince))
@@ -425,11 +425,11 @@
 }
 
 // Snapshot returns the agent's counters and machines.
-func (a *Agent) Snapshot() (Counters, []agentapi.Entry) {
+func (a *Agent) Snapshot() (Counters, []agentapi.MachineEntry) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var entries []agentapi.Entry
+	var entries []agentapi.MachineEntry
 	for _, m := range a.machines {
 		if !m.gone {
 			entries = append(entries, m.entry(a.member.Host, now))
@@ -438,8 +438,8 @@
 	return a.counters, entries
 }
 
-// CountersNow returns the agent's counters.
-func (a *Agent) CountersNow() Counters {
+// Counters returns the agent's counters.
+func (a *Agent) Counters() Counters {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.counters
--- a/internal/clusteragent/wire_test.go
+++ b/internal/clusteragent/wire_test.go
@@ -11,7 +11,7 @@
 
 func TestWireForms(t *testing.T) {
 	wireformat.Service(t, (*Service)(nil))
-	wireformat.JSON[shard.MachineKey](t, "machine-key")
-	wireformat.JSON[shard.ShardKey](t, "shard-key")
-	wireformat.Golden(t, "words", strings.Join([]string{agentapi.Started, agentapi.Held, agentapi.Refused, agentapi.Unsettled, agentapi.Starting}, "\n")+"\n")
+	wireformat.JSON[shard.MachineRecord](t, "machine-key")
+	wireformat.JSON[shard.Record](t, "shard-key")
+	wireformat.Golden(t, "words", strings.Join([]string{agentapi.Started, agentapi.Held, agentapi.Refused, agentapi.Unresolved, agentapi.Starting}, "\n")+"\n")
 }
--- a/internal/clusteragent/zone.go
+++ b/internal/clusteragent/zone.go
@@ -65,7 +65,7 @@
 	zones := map[string]int{}
 	size = map[string]int{}
 	for _, kv := range machines {
-		if key := shard.ParseMachineKey(kv); key != nil {
+		if key := shard.ParseMachineRecord(kv); key != nil {
 			zones[key.Zone]++
 			size[key.Shard]++
 		}
--- a/internal/clusteragent/zone_test.go
+++ b/internal/clusteragent/zone_test.go
@@ -63,17 +63,17 @@
 		time.Sleep(2 * time.Second)
 		w := workers.Add("m1", "box", "b")
 		r := workers.Next(w)
-		if reply := a.agent.Report(ctx, &r); reply.Owner || reply.Home != "host-1" {
+		if reply := a.agent.Heartbeat(ctx, &r); reply.Owner || reply.RedirectTo != "host-1" {
 			t.Fatalf("another zone's machine: %+v", reply)
 		}
 		r = workers.Next(w)
-		if reply := b.agent.Report(ctx, &r); !reply.Owner {
+		if reply := b.agent.Heartbeat(ctx, &r); !reply.Owner {
 			t.Fatalf("its own zone's controller: %+v", reply)
 		}
 		w = workers.Add("m2", "box", "b")
 		for range 4 { // host-1 does not answer it
 			r = workers.Next(w)
-			a.agent.Report(ctx, &r)
+			a.agent.Heartbeat(ctx, &r)
 			time.Sleep(time.Second)
 		}
 		if _, ok := a.entries()["m2"]; !ok {
@@ -99,7 +99,7 @@
 			go a.report(workers, w)
 		}
 		doubt := func(a *clusteragent.Agent) {
-			a.Known = func(m string) agentapi.Entry { return agentapi.Entry{Machine: m, Settled: false} }
+			a.LastEntry = func(m string) agentapi.MachineEntry { return agentapi.MachineEntry{Machine: m, Settled: false} }
 		}
 		c := startIn(t, ctx, "host-2", "a", state, workers, doubt)
 		b := startIn(t, ctx, "host-1", "b", state, workers, doubt)
@@ -115,7 +115,7 @@
 		if nb, nc := len(b.entries()), len(c.entries()); nb != 0 || nc != 40 {
 			t.Fatalf("the other zone's controller took %d machines, their own zone's %d", nb, nc)
 		}
-		if kv, _ := c.mirror.Get(statekv.MachinePrefix + "m0"); shard.ParseMachineKey(kv) == nil {
+		if kv, _ := c.mirror.Get(statekv.MachinePrefix + "m0"); shard.ParseMachineRecord(kv) == nil {
 			t.Fatal("a machine's key is gone")
 		}
 	})
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -175,20 +175,20 @@
 			if strings.HasPrefix(e.Key(), job.OpenPrefix) {
 				pl.OnJobEvent(e)
 			} else if slot, ok := strings.CutPrefix(e.Set, statekv.JobShardPrefix); ok {
-				ag.SlotMoved(slot)
+				ag.OnJobShardMoved(slot)
 			} else if machine, ok := strings.CutPrefix(e.Delete, statekv.MachinePrefix); ok {
-				ag.OnRemoved(machine)
+				ag.OnMachineRemoved(machine)
 			} else {
 				c.gateway.OnEnded(e)
 			}
 		}
 	})
-	mirror.Parse, mirror.Track = parseKey, clusteragent.Cancels
+	mirror.Parse, mirror.Track = parseKey, clusteragent.IsCancellation
 	pipes := dag.NewTracker(mirror, c.takes, c.gateway.Tombstone)
 	mirror.OnApply = func(events []statekv.Event) {
 		pipes.OnEvents(events)
 		if ag != nil { // what is read before there are machines is in the mirror
-			ag.OnEvents(events)
+			ag.OnWatchEvents(events)
 		}
 	}
 	if err := mirror.Load(ctx); err != nil {
@@ -228,11 +228,11 @@
 	}
 	gate := rollout.NewGate(c.settings.Hosts(), c.policy, mirror, member, c.store, st.Epoch)
 	mover := rollout.NewMover(c.moves, mirror, member, st.Epoch, c.settings.State.TxnOps, rollout.MoveShare*c.settings.State.WriteRPS)
-	feed := changefeed.NewFeed(network, mirror, c.settings.Hosts(), func() uint64 { return max(pl.Epoch(), st.Epoch()) }, func(entries []agentapi.Entry) {
+	feed := changefeed.New(network, mirror, c.settings.Hosts(), func() uint64 { return max(pl.Epoch(), st.Epoch()) }, func(entries []agentapi.MachineEntry) {
 		pl.OnEntries(entries)
 		st.OnEntries(entries)
 	})
-	ag.Known, ag.ToldUpTo = feed.Known, feed.ToldUpTo
+	ag.LastEntry, ag.AcknowledgedUntil = feed.LastEntry, feed.AcknowledgedUntil
 	sweeper := &tombstone.Sweeper{Store: c.store, Mirror: mirror, Member: member, Steward: st.Epoch, Ops: c.settings.State.TxnOps, Every: sweepEvery}
 	serve, err := network.Listen()
 	if err != nil {
@@ -273,7 +273,7 @@
 	if change := tombstone.ParseKey(key, value); change != nil {
 		return change
 	}
-	return shard.ParseKey(key, value)
+	return shard.ParseValue(key, value)
 }
 
 // sweepEvery is how often the steward looks for keys that jobs have left behind.
--- a/internal/dag/tracker.go
+++ b/internal/dag/tracker.go
@@ -56,7 +56,7 @@
 	t.nodes, t.after, t.unread, t.bad = map[string]*Node{}, map[string]int{}, map[string]bool{}, map[string]time.Time{}
 }
 
-// OnEvents takes note of changes; nil says that some were missed. It does no I/O.
+// OnWatchEvents takes note of changes; nil says that some were missed. It does no I/O.
 func (t *Tracker) OnEvents(events []statekv.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,8 +56,8 @@
 	if l.Agent == nil {
 		return
 	}
-	l.Agent.Telling(rev)
-	l.Agent.Cancelled(id)
+	l.Agent.NoteAcknowledgement(rev)
+	l.Agent.StopCancelledJob(id)
 	ctx, cancel := context.WithTimeout(ctx, ownersWait)
 	defer cancel()
 	var calls sync.WaitGroup
@@ -179,17 +179,17 @@
 	if l == nil {
 		return later(c, "starting")
 	}
-	reply := l.Agent.Report(c.Context(), &r)
+	reply := l.Agent.Heartbeat(c.Context(), &r)
 	switch {
-	case reply.Odd != "":
-		return fail(c, fiber.StatusBadRequest, reply.Odd)
+	case reply.Malformed != "":
+		return fail(c, fiber.StatusBadRequest, reply.Malformed)
 	case reply.Owner:
 		if reply.Answer.Orders == nil {
 			reply.Answer.Orders = []worker.Order{}
 		}
 		return c.JSON(reply.Answer)
-	case reply.Home != "":
-		return c.Status(fiber.StatusMisdirectedRequest).JSON(fiber.Map{"home": reply.Home})
+	case reply.RedirectTo != "":
+		return c.Status(fiber.StatusMisdirectedRequest).JSON(fiber.Map{"home": reply.RedirectTo})
 	}
 	return later(c, "not the owner of this machine")
 }
@@ -218,7 +218,7 @@
 		return fail(c, fiber.StatusServiceUnavailable, "starting")
 	}
 	if !l.Member.HoldsLease() {
-		if heard, served := l.Feed.Peers(g.settings.Host); served > 0 || heard == 0 && len(g.settings.Peers) > 0 {
+		if heard, served := l.Feed.PeerCounts(g.settings.Host); served > 0 || heard == 0 && len(g.settings.Peers) > 0 {
 			return fail(c, fiber.StatusServiceUnavailable, "cut off from the state service")
 		}
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -93,7 +93,7 @@
 	if l == nil {
 		return later(c, g.startingWhy())
 	}
-	s := Status{Rollout: l.Gate.Status(), Host: g.settings.Host, Ready: l.Member.HoldsLease(), Steward: l.Placer.StewardHost(), Placer: l.Placer.CountersNow(), Agent: l.Agent.CountersNow(), Serving: l.Clock.Seconds()}
+	s := Status{Rollout: l.Gate.Status(), Host: g.settings.Host, Ready: l.Member.HoldsLease(), Steward: l.Placer.StewardHost(), Placer: l.Placer.CountersNow(), Agent: l.Agent.Counters(), Serving: l.Clock.Seconds()}
 	entries := l.Feed.Entries()
 	held := map[string]job.Need{}
 	for i := range entries {
@@ -118,7 +118,7 @@
 }
 
 // pools sums up the machines by type, zone and kind.
-func (g *Gateway) pools(entries []agentapi.Entry) []PoolStatus {
+func (g *Gateway) pools(entries []agentapi.MachineEntry) []PoolStatus {
 	types := g.catalogue.Types()
 	type key struct {
 		typeName, zone string
@@ -167,7 +167,7 @@
 }
 
 // machineList lists all machines, or one, or none.
-func machineList(entries []agentapi.Entry, which string) []MachineStatus {
+func machineList(entries []agentapi.MachineEntry, which string) []MachineStatus {
 	var out []MachineStatus
 	for _, e := range entries {
 		if which != "all" && which != e.Machine || which == "" {
@@ -236,7 +236,7 @@
 	return byTeam
 }
 
-func machineState(e *agentapi.Entry) string {
+func machineState(e *agentapi.MachineEntry) string {
 	switch {
 	case !e.Settled:
 		return "changing owner"
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -47,8 +47,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		shardKey := shard.ShardKey{Holder: statekv.Holder{Host: "host-1", Incarnation: rev}}
-		machine := shard.MachineKey{Shard: "s", Address: "10.1.0.2:9000", Type: "box", Zone: "a", Spot: true}
+		shardKey := shard.Record{Holder: statekv.Holder{Host: "host-1", Incarnation: rev}}
+		machine := shard.MachineRecord{Shard: "s", Address: "10.1.0.2:9000", Type: "box", Zone: "a", Spot: true}
 		d.put(statekv.Op{Set: statekv.MachineShardPrefix + "s", Value: shardKey},
 			statekv.Op{Set: statekv.MachinePrefix + "vm-1", Value: machine})
 		time.Sleep(time.Second)
@@ -82,7 +82,7 @@
 // Words that the status page has as values.
 func TestWireStatusWords(t *testing.T) {
 	var words []string
-	for _, e := range []agentapi.Entry{{}, {Settled: true}, {Settled: true, Silent: true}, {Settled: true, Notice: true},
+	for _, e := range []agentapi.MachineEntry{{}, {Settled: true}, {Settled: true, Silent: true}, {Settled: true, Notice: true},
 		{Settled: true, Faulty: true}, {Settled: true, Draining: true}} {
 		words = append(words, machineState(&e))
 	}
--- a/internal/rollout/against.go
+++ b/internal/rollout/against.go
@@ -35,7 +35,7 @@
 }
 
 func parsed(key string, value json.RawMessage) error {
-	err, _ := shard.ParseKey(key, value).(error)
+	err, _ := shard.ParseValue(key, value).(error)
 	return err
 }
 
--- a/internal/scheduler/drawn_test.go
+++ b/internal/scheduler/drawn_test.go
@@ -199,7 +199,7 @@
 		}
 		for _, l := range copies {
 			if n := w.node([]string{"host-0", "host-1"}[rng.IntN(2)]); n != nil && time.Now().After(l.at) {
-				go func() { n.agent.Report(w.ctx, &l.report) }()
+				go func() { n.agent.Heartbeat(w.ctx, &l.report) }()
 			}
 		}
 		w.run(2 * time.Second)
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -13,7 +13,7 @@
 )
 
 // OnEntries takes what an agent's machines have become.
-func (p *Placer) OnEntries(entries []agentapi.Entry) {
+func (p *Placer) OnEntries(entries []agentapi.MachineEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range entries {
@@ -21,7 +21,7 @@
 	}
 }
 
-func (p *Placer) onEntry(e *agentapi.Entry) {
+func (p *Placer) onEntry(e *agentapi.MachineEntry) {
 	listed := make(map[agentapi.TaskRef]bool, len(e.Tasks))
 	for i := range e.Tasks {
 		te := &e.Tasks[i]
@@ -53,7 +53,7 @@
 	}
 }
 
-func (p *Placer) onTask(e *agentapi.Entry, te *agentapi.TaskEntry, j *jobState) {
+func (p *Placer) onTask(e *agentapi.MachineEntry, te *agentapi.TaskEntry, j *jobState) {
 	ts := &j.tasks[te.Index]
 	over := te.State == worker.Ended
 	item := agentapi.StopItem{Machine: e.Machine, TaskRef: te.TaskRef, Forget: over}
@@ -248,7 +248,7 @@
 
 	byHost := map[string][]agentapi.StopItem{}
 	for _, item := range items {
-		if host, ok := p.feed.Owner(item.Machine); ok {
+		if host, ok := p.feed.OwnerHost(item.Machine); ok {
 			byHost[host] = append(byHost[host], item)
 		}
 	}
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -139,7 +139,7 @@
 }
 
 func (p *Placer) judge(j *jobState, machine string, atFault bool) {
-	p.verdicts = append(p.verdicts, agentapi.Verdict{Machine: machine, Job: j.spec.ID, AtFault: atFault})
+	p.verdicts = append(p.verdicts, agentapi.Attribution{Machine: machine, Job: j.spec.ID, AtFault: atFault})
 }
 
 // batch is how many of the job's tasks one placement looks for.
@@ -157,10 +157,10 @@
 
 // sendVerdicts tells owners what is known of their machines. One that is lost
 // does no harm: doubt about a machine passes by itself.
-func (p *Placer) sendVerdicts(ctx context.Context, verdicts []agentapi.Verdict) {
-	byHost := map[string][]agentapi.Verdict{}
+func (p *Placer) sendVerdicts(ctx context.Context, verdicts []agentapi.Attribution) {
+	byHost := map[string][]agentapi.Attribution{}
 	for _, v := range verdicts {
-		if host, ok := p.feed.Owner(v.Machine); ok {
+		if host, ok := p.feed.OwnerHost(v.Machine); ok {
 			byHost[host] = append(byHost[host], v)
 		}
 	}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -390,7 +390,7 @@
 	defer cancel()
 	for _, h := range hosts {
 		asks.Go(func() {
-			var reply agentapi.Sample
+			var reply agentapi.SampleReply
 			if err := p.call.Call(cctx, h, method, req, &reply); err != nil {
 				slog.Debug("sampling request failed", "host", h, "err", err)
 				return
@@ -563,14 +563,14 @@
 		mine := ts.attempt == b.ref.Attempt && ts.status != pending
 		switch {
 		case unknown:
-			b.verdict = agentapi.Unsettled
+			b.verdict = agentapi.Unresolved
 			open = append(open, b.ref)
 			p.counters.Unanswered++
 			if mine && ts.status == committing {
 				ts.status, ts.machine, ts.zone, ts.rev, ts.ver = placed, c.Machine, c.Zone, c.Rev, unresolved
 				p.noteOn(c.Machine, b.ref)
 			}
-		case b.verdict == agentapi.Started || b.verdict == agentapi.Unsettled:
+		case b.verdict == agentapi.Started || b.verdict == agentapi.Unresolved:
 			if mine && ts.status == committing {
 				ts.status, ts.machine, ts.zone, ts.rev, ts.ver, ts.state = placed, c.Machine, c.Zone, reply.Rev, reply.Ver, agentapi.Starting
 				p.noteOn(c.Machine, b.ref)
@@ -581,7 +581,7 @@
 			}
 		case b.verdict == agentapi.Refused && mine && ts.status == placed:
 			// The feed was faster: it has shown the task; it will show its end.
-			b.verdict = agentapi.Unsettled
+			b.verdict = agentapi.Unresolved
 		}
 	}
 	if len(open) > 0 {
@@ -594,9 +594,9 @@
 // next owner's confirmed entry tells.
 func (p *Placer) resolve(ctx context.Context, j *jobState, refs []agentapi.TaskRef, c agentapi.Candidate) {
 	for ctx.Err() == nil {
-		var reply agentapi.VoidReply
+		var reply agentapi.ResolveReply
 		cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
-		err := p.call.Call(cctx, c.Host, "Agent.Void", agentapi.VoidRequest{Machine: c.Machine, Rev: c.Rev, Refs: refs}, &reply)
+		err := p.call.Call(cctx, c.Host, "Agent.Void", agentapi.ResolveRequest{Machine: c.Machine, Rev: c.Rev, Refs: refs}, &reply)
 		cancel()
 		p.mu.Lock()
 		waiting := false
@@ -652,7 +652,7 @@
 				held = append(held, k)
 				break
 			}
-			if b.verdict == agentapi.Unsettled {
+			if b.verdict == agentapi.Unresolved {
 				break
 			}
 		}
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/placer.go
@@ -142,7 +142,7 @@
 	stops    map[agentapi.TaskRef]bool // tasks that are being stopped
 	others   map[string]bool           // open jobs that other slots look after
 	forgets  []agentapi.StopItem
-	verdicts []agentapi.Verdict // on machines, to be told to their owners
+	verdicts []agentapi.Attribution // on machines, to be told to their owners
 	releases []agentapi.TaskRef
 	shapes   map[shapeKey]*shape
 	gone     map[string]deleted // records deleted lately, which a slower read may still show
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -90,7 +90,7 @@
 	return "in the queue"
 }
 
-// CountersNow returns the counters.
+// Counters returns the counters.
 func (p *Placer) CountersNow() Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/scheduler/slots.go
+++ b/internal/scheduler/slots.go
@@ -171,7 +171,7 @@
 	for _, kv := range p.mirror.Dir(statekv.MachinePrefix) {
 		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
 		var k kind
-		if key := shard.ParseMachineKey(kv); key != nil {
+		if key := shard.ParseMachineRecord(kv); key != nil {
 			k = kind{key.Type, key.Zone, key.Spot}
 		}
 		for _, s := range slots {
@@ -204,7 +204,7 @@
 	}
 	// Tasks that the feed has shown already are located now.
 	if p.feed != nil {
-		p.feed.Hurry()
+		p.feed.PollNow()
 		p.OnEntries(p.feed.Entries())
 	}
 }
@@ -250,10 +250,10 @@
 		kv, ok := p.mirror.Get(statekv.MachinePrefix + name)
 		if !ok {
 			// Its key is removed only when its tasks are proven gone.
-			upTo[name] = changefeed.Gone
+			upTo[name] = changefeed.AllEpochs
 			continue
 		}
-		upTo[name], why[name] = p.feed.ConfirmedUpTo(kv)
+		upTo[name], why[name] = p.feed.ConfirmedEpoch(kv)
 	}
 	now := time.Now()
 	confirmed := map[string]*slotState{}
--- a/internal/scheduler/slots_test.go
+++ b/internal/scheduler/slots_test.go
@@ -80,7 +80,7 @@
 		young := w.workers.Add("m3", "box", "a")
 		w.workers.Do(func() { young.Deaf, silent.Deaf = true, false })
 		r := w.workers.Next(young)
-		b.agent.Report(w.ctx, &r) // claimed, and not heard of again
+		b.agent.Heartbeat(w.ctx, &r) // claimed, and not heard of again
 		w.boxes = append(w.boxes, silent)
 		w.run(3 * time.Second)
 		w.endAll(worker.Done)
@@ -197,7 +197,7 @@
 	})
 }
 
-func entriesOf(w *world) (all []agentapi.Entry) {
+func entriesOf(w *world) (all []agentapi.MachineEntry) {
 	for _, host := range []string{"host-0", "host-1"} {
 		if n := w.node(host); n != nil {
 			_, entries := n.agent.Snapshot()
--- a/internal/scheduler/story_test.go
+++ b/internal/scheduler/story_test.go
@@ -83,9 +83,9 @@
 	}
 	switch method {
 	case "Agent.Sample":
-		return n.svc.Sample(args.(agentapi.Request), reply.(*agentapi.Sample))
+		return n.svc.Sample(args.(agentapi.Request), reply.(*agentapi.SampleReply))
 	case "Agent.Clearable":
-		return n.svc.Clearable(args.(agentapi.Request), reply.(*agentapi.Sample))
+		return n.svc.Clearable(args.(agentapi.Request), reply.(*agentapi.SampleReply))
 	case "Agent.Clear":
 		return n.svc.Clear(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
 	case "Steward.Permit":
@@ -104,7 +104,7 @@
 		out.Epoch = kv.Rev
 		return nil
 	case "Agent.Gatherable":
-		return n.svc.Gatherable(args.(agentapi.Request), reply.(*agentapi.Sample))
+		return n.svc.Gatherable(args.(agentapi.Request), reply.(*agentapi.SampleReply))
 	case "Agent.Gather":
 		return n.svc.Gather(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
 	case "Agent.Commit":
@@ -115,9 +115,9 @@
 		}
 		return n.svc.Stop(args.(agentapi.StopRequest), &struct{}{})
 	case "Agent.Judge":
-		return n.svc.Judge(args.([]agentapi.Verdict), &struct{}{})
+		return n.svc.Judge(args.([]agentapi.Attribution), &struct{}{})
 	case "Agent.Void":
-		return n.svc.Void(args.(agentapi.VoidRequest), reply.(*agentapi.VoidReply))
+		return n.svc.Void(args.(agentapi.ResolveRequest), reply.(*agentapi.ResolveReply))
 	case "Agent.Watch":
 		return n.svc.Watch(args.(agentapi.WatchRequest), reply.(*agentapi.WatchReply))
 	}
@@ -160,7 +160,7 @@
 	n.agent = clusteragent.New(settings, w.state, mirror, n.member, w.workers, func() map[string]cloud.MachineType { return types })
 	n.svc = clusteragent.NewService(n.agent)
 	n.placer = scheduler.New(settings, policy.Default(), w.state, mirror, n.member, w, func() map[string]cloud.MachineType { return types }, pipes)
-	feed := changefeed.NewFeed(w, mirror, []string{"host-0", "host-1"}, n.placer.Epoch, n.placer.OnEntries)
+	feed := changefeed.New(w, mirror, []string{"host-0", "host-1"}, n.placer.Epoch, n.placer.OnEntries)
 	w.mu.Lock()
 	w.nodes[host] = n
 	w.mu.Unlock()
@@ -200,7 +200,7 @@
 					continue
 				}
 				r := w.workers.Next(box)
-				reply := n.agent.Report(w.ctx, &r)
+				reply := n.agent.Heartbeat(w.ctx, &r)
 				if reply.Owner {
 					w.workers.Answer(box, reply.Answer)
 					break
@@ -619,7 +619,7 @@
 		w.run(2 * time.Second)
 		_, entries := n.agent.Snapshot()
 		for _, e := range entries {
-			n.placer.OnEntries([]agentapi.Entry{{Machine: e.Machine, Host: e.Host, Rev: e.Rev, Ver: e.Ver + 1000, Type: "box", Zone: e.Zone}})
+			n.placer.OnEntries([]agentapi.MachineEntry{{Machine: e.Machine, Host: e.Host, Rev: e.Rev, Ver: e.Ver + 1000, Type: "box", Zone: e.Zone}})
 		}
 		w.run(4 * time.Second)
 		if got := w.starts()["wk-1/0"]; got != 1 {
--- a/internal/shard/keys.go
+++ b/internal/shard/keys.go
@@ -10,8 +10,8 @@
 	"robinstack/internal/statekv"
 )
 
-// MachineKey is what a machine's key in the state service holds.
-type MachineKey struct {
+// MachineRecord is what a machine's key in the state service holds.
+type MachineRecord struct {
 	Shard   string `json:"shard"`
 	Address string `json:"address"`
 	Type    string `json:"type"`
@@ -19,25 +19,25 @@
 	Spot    bool   `json:"spot"`
 }
 
-// ShardKey is what a shard's key holds. Index spreads the shards of a dead
+// Record is what a shard's key holds. Index spreads the shards of a dead
 // owner among the survivors.
-type ShardKey struct {
+type Record struct {
 	statekv.Holder
 	Index int `json:"index"`
 }
 
-// KeySchema is the form of the keys of machines and shards that this build writes and
+// RecordSchema is the form of the keys of machines and shards that this build writes and
 // reads.
-const KeySchema = 0
+const RecordSchema = 0
 
-// ParseKey reads a key for the mirror, once for all who look at it. An error says why
+// ParseValue reads a key for the mirror, once for all who look at it. An error says why
 // a machine's or a shard's key cannot be read.
-func ParseKey(key string, value json.RawMessage) any {
+func ParseValue(key string, value json.RawMessage) any {
 	switch {
 	case strings.HasPrefix(key, statekv.MachinePrefix):
-		return parseAs[MachineKey]("a machine's key", value)
+		return parseAs[MachineRecord]("a machine's key", value)
 	case strings.HasPrefix(key, statekv.MachineShardPrefix):
-		return parseAs[ShardKey]("a shard's key", value)
+		return parseAs[Record]("a shard's key", value)
 	}
 	return nil
 }
@@ -47,7 +47,7 @@
 	if err := json.Unmarshal(value, v); err != nil {
 		return fmt.Errorf("%s: %w", kind, err)
 	}
-	if err := statekv.CheckSchema(kind, value, KeySchema); err != nil {
+	if err := statekv.CheckSchema(kind, value, RecordSchema); err != nil {
 		return err
 	}
 	return v
@@ -57,20 +57,20 @@
 	if k, ok := kv.Parsed.(*T); ok {
 		return k
 	}
-	k, _ := ParseKey(kv.Key, kv.Value).(*T)
+	k, _ := ParseValue(kv.Key, kv.Value).(*T)
 	return k
 }
 
-// ParseMachineKey returns what a machine's key holds, or nil if it cannot be read.
-func ParseMachineKey(kv statekv.KV) *MachineKey { return parsedAs[MachineKey](kv) }
+// ParseMachineRecord returns what a machine's key holds, or nil if it cannot be read.
+func ParseMachineRecord(kv statekv.KV) *MachineRecord { return parsedAs[MachineRecord](kv) }
 
-// ParseShardKey returns what a shard's key holds, or nil if it cannot be read.
-func ParseShardKey(kv statekv.KV) *ShardKey { return parsedAs[ShardKey](kv) }
+// ParseRecord returns what a shard's key holds, or nil if it cannot be read.
+func ParseRecord(kv statekv.KV) *Record { return parsedAs[Record](kv) }
 
 // OwnerOf returns who owns the machine of a key, if its shard has an owner, and
 // the revision that this ownership has: that of the later of the two keys.
 func OwnerOf(mirror *statekv.Mirror, kv statekv.KV) (holder statekv.Holder, rev uint64) {
-	key := ParseMachineKey(kv)
+	key := ParseMachineRecord(kv)
 	if key == nil {
 		return holder, kv.Rev
 	}
@@ -82,15 +82,15 @@
 }
 
 // owners are the shards' holders by id, for those who look through all machines.
-type Owners map[string]Ownership
+type OwnerIndex map[string]Ownership
 
 type Ownership struct {
 	Holder statekv.Holder
 	Rev    uint64
 }
 
-func OwnersOf(shards []statekv.KV) Owners {
-	o := make(Owners, len(shards))
+func NewOwnerIndex(shards []statekv.KV) OwnerIndex {
+	o := make(OwnerIndex, len(shards))
 	for _, kv := range shards {
 		o[kv.Key[len(statekv.MachineShardPrefix):]] = Ownership{HolderOf(kv), kv.Rev}
 	}
@@ -98,13 +98,13 @@
 }
 
 // of is OwnerOf for a machine's key that has been read.
-func (o Owners) Of(key *MachineKey, rev uint64) (statekv.Holder, uint64) {
+func (o OwnerIndex) OwnerOf(key *MachineRecord, rev uint64) (statekv.Holder, uint64) {
 	shard := o[key.Shard]
 	return shard.Holder, max(rev, shard.Rev)
 }
 
 func HolderOf(shard statekv.KV) statekv.Holder {
-	if key := ParseShardKey(shard); key != nil {
+	if key := ParseRecord(shard); key != nil {
 		return key.Holder
 	}
 	return statekv.Holder{}
--- a/internal/tombstone/ended.go
+++ b/internal/tombstone/ended.go
@@ -134,7 +134,7 @@
 	Err error
 }
 
-// ParseKey is Parse for a mirror: a Change, or nil where the key is no ended job's.
+// ParseValue is Parse for a mirror: a Change, or nil where the key is no ended job's.
 func ParseKey(key string, raw json.RawMessage) any {
 	id, r, ok, err := Parse(key, raw)
 	if !ok {
@@ -144,7 +144,7 @@
 }
 
 // ChangeOf tells whether an event is the writing of a tombstone. A mirror that reads with
-// ParseKey has read it.
+// ParseValue has read it.
 func ChangeOf(e statekv.Event) (c Change, ok bool) {
 	if e.Parsed == nil {
 		e.Parsed = ParseKey(e.Set, e.Value)
--- a/test/integration/handover_test.go
+++ b/test/integration/handover_test.go
@@ -291,7 +291,7 @@
 			}
 			return name != ""
 		})
-		key := *shard.ParseMachineKey(w.state.Dir(statekv.MachinePrefix + name)[0])
+		key := *shard.ParseMachineRecord(w.state.Dir(statekv.MachinePrefix + name)[0])
 		w.until("its key is removed", 3*time.Minute, func() bool { return w.rev(statekv.MachinePrefix+name) == 0 })
 		steward := w.holder(statekv.LeaderKey)
 		for _, kv := range w.state.Dir(statekv.MachineShardPrefix) {
--- a/test/integration/roles_test.go
+++ b/test/integration/roles_test.go
@@ -47,7 +47,7 @@
 // ownerOf is the host that owns a machine by its key, or "".
 func (w *world) ownerOf(machine string) string {
 	for _, kv := range w.state.Dir(statekv.MachinePrefix + machine) {
-		if key := shard.ParseMachineKey(kv); key != nil && kv.Key == statekv.MachinePrefix+machine {
+		if key := shard.ParseMachineRecord(kv); key != nil && kv.Key == statekv.MachinePrefix+machine {
 			return w.holder(statekv.MachineShardPrefix + key.Shard)
 		}
 	}
--- a/tools/scaletest/run.go
+++ b/tools/scaletest/run.go
@@ -385,7 +385,7 @@
 		}
 	}
 	for _, kv := range r.state.Dir(statekv.MachinePrefix) {
-		if key := shard.ParseMachineKey(kv); key != nil {
+		if key := shard.ParseMachineRecord(kv); key != nil {
 			out[owners[key.Shard]]++
 		}
 	}
