--- a/internal/autoscaler/bench_test.go
+++ b/internal/autoscaler/bench_test.go
@@ -16,15 +16,15 @@
 	s, _ := newSteward(b, ctx)
 	go func() { _ = s.member.KeepAlive(ctx) }() // it ends with the benchmark
 	const tasks = 100
-	request := quota.PermitRequest{Slot: "s", Epoch: 1, Probe: true}
+	request := quota.Request{Slot: "s", Epoch: 1, Probe: true}
 	for k := range tasks {
 		ref := agentapi.TaskRef{Job: "wk-1", Index: k, Attempt: 1}
-		request.Wants = append(request.Wants, quota.Want{Ref: ref, Team: "t", Need: job.Need{GPUs: 1}})
+		request.Wants = append(request.Wants, quota.GrantRequest{Ref: ref, Team: "t", Need: job.Need{GPUs: 1}})
 	}
 	service := NewService(s)
 	b.ReportAllocs()
 	for b.Loop() {
-		var reply quota.PermitReply
+		var reply quota.Reply
 		if err := service.Permit(request, &reply); err != nil || len(reply.Granted) != tasks {
 			b.Fatalf("%+v %v", reply, err)
 		}
--- a/internal/autoscaler/boots.go
+++ b/internal/autoscaler/boots.go
@@ -75,7 +75,7 @@
 
 // bootingBins returns the machines that boot, as far as they can be counted on,
 // and adds those that are given up to deletes. The mutex is held.
-func (s *Steward) bootingBins(types map[string]cloud.MachineType, now time.Time, deletes *[]string) []*bin {
+func (s *Leader) bootingBins(types map[string]cloud.MachineType, now time.Time, deletes *[]string) []*bin {
 	f := &s.fleet
 	inBoot, overdue := map[pool]int{}, map[pool]int{}
 	patience := map[pool]time.Duration{}
@@ -121,8 +121,8 @@
 	return bins
 }
 
-// Late counts the machines of a pool that should be up by now.
-type Late struct {
+// OverduePool counts the machines of a pool that should be up by now.
+type OverduePool struct {
 	Type     string  `json:"type"`
 	Zone     string  `json:"zone"`
 	Spot     bool    `json:"spot"`
@@ -131,24 +131,24 @@
 }
 
 // Overdue lists, by pool, boots that take longer than is usual there.
-func (v *Service) Overdue(_ struct{}, reply *[]Late) error {
+func (v *Service) Overdue(_ struct{}, reply *[]OverduePool) error {
 	s := v.steward
 	now := time.Now()
 	types := s.catalogue.Types()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	late := map[pool]Late{}
+	late := map[pool]OverduePool{}
 	for _, b := range s.fleet.booting {
 		age := now.Sub(b.since)
 		if t := types[b.typeName]; age <= s.fleet.boots.patience(b.pool, t.Boot()) {
 			continue
 		}
 		l := late[b.pool]
-		late[b.pool] = Late{Type: b.typeName, Zone: b.zone, Spot: b.spot, Machines: l.Machines + 1, OldestS: max(l.OldestS, age.Seconds())}
+		late[b.pool] = OverduePool{Type: b.typeName, Zone: b.zone, Spot: b.spot, Machines: l.Machines + 1, OldestS: max(l.OldestS, age.Seconds())}
 	}
 	for _, l := range late {
 		*reply = append(*reply, l)
 	}
-	slices.SortFunc(*reply, func(a, b Late) int { return cmp.Compare(a.Type+a.Zone, b.Type+b.Zone) })
+	slices.SortFunc(*reply, func(a, b OverduePool) int { return cmp.Compare(a.Type+a.Zone, b.Type+b.Zone) })
 	return nil
 }
--- a/internal/autoscaler/calls.go
+++ b/internal/autoscaler/calls.go
@@ -13,7 +13,7 @@
 )
 
 // rent asks the cloud for machines; what has no answer is asked for again under its name.
-func (s *Steward) rent(ctx context.Context, r cloud.Rental) {
+func (s *Leader) rent(ctx context.Context, r cloud.Rental) {
 	now := time.Now()
 	cctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	names, err := s.cloud.Rent(cctx, r)
@@ -42,7 +42,7 @@
 
 // giveBack drains idle machines, which their owners refuse if a task has come
 // in between, and deletes those that are drained.
-func (s *Steward) giveBack(ctx context.Context, names []string) {
+func (s *Leader) giveBack(ctx context.Context, names []string) {
 	byHost := map[string][]string{}
 	for _, name := range names {
 		if host, ok := s.feed.OwnerHost(name); ok {
@@ -63,7 +63,7 @@
 }
 
 // remove deletes machines in the cloud and then tells their owners.
-func (s *Steward) remove(ctx context.Context, names []string) {
+func (s *Leader) remove(ctx context.Context, names []string) {
 	for chunk := range slices.Chunk(names, 100) {
 		cctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 		err := s.cloud.Delete(cctx, chunk)
@@ -84,7 +84,7 @@
 }
 
 // tellOwners tells the owners of machines that the cloud has deleted them.
-func (s *Steward) tellOwners(ctx context.Context, names []string) {
+func (s *Leader) tellOwners(ctx context.Context, names []string) {
 	byHost := map[string][]string{}
 	for _, name := range names {
 		if host, ok := s.feed.OwnerHost(name); ok {
@@ -102,7 +102,7 @@
 
 // runRetelling tells owners once more of machines that the cloud has deleted, beside the
 // planning: an owner that does not answer must not hold that up.
-func (s *Steward) runRetelling(ctx context.Context) {
+func (s *Leader) runRetelling(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -66,7 +66,7 @@
 }
 
 // runList reads the cloud's list and prices from time to time.
-func (s *Steward) runList(ctx context.Context) {
+func (s *Leader) runList(ctx context.Context) {
 	var typesAt time.Time
 	for ctx.Err() == nil {
 		if len(s.catalogue.Types()) == 0 || s.Epoch() != 0 && time.Since(typesAt) > 20*time.Second {
@@ -94,7 +94,7 @@
 }
 
 // tellPrices logs the prices that have changed, for the audit.
-func (s *Steward) tellPrices(types []cloud.MachineType) {
+func (s *Leader) tellPrices(types []cloud.MachineType) {
 	for _, t := range types {
 		s.mu.Lock()
 		told := s.epoch == 0 || s.fleet.told[t.Name] == [2]float64{t.Price, t.SpotPrice}
@@ -110,7 +110,7 @@
 
 // keepTypes stores the types once, for controllers that start while the cloud
 // does not answer.
-func (s *Steward) keepTypes(ctx context.Context, types []cloud.MachineType) {
+func (s *Leader) keepTypes(ctx context.Context, types []cloud.MachineType) {
 	if _, ok := s.mirror.Get(statekv.MachineTypesKey); ok || s.Epoch() == 0 {
 		return
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func (s *Steward) onList(machines []cloud.Machine, now time.Time) {
+func (s *Leader) onList(machines []cloud.Machine, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := &s.fleet
@@ -194,7 +194,7 @@
 )
 
 // runFleet rents and returns machines while this controller is steward.
-func (s *Steward) runFleet(ctx context.Context) {
+func (s *Leader) runFleet(ctx context.Context) {
 	tick := time.NewTicker(planEvery)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -230,7 +230,7 @@
 
 // planFleet decides what to rent, what idle machines to return, and which
 // machines are lost and have to be deleted.
-func (s *Steward) planFleet(now time.Time) (rentals []cloud.Rental, returns, deletes []string) {
+func (s *Leader) planFleet(now time.Time) (rentals []cloud.Rental, returns, deletes []string) {
 	types := s.catalogue.Types()
 	entries := s.feed.Entries()
 	s.mu.Lock()
@@ -260,7 +260,7 @@
 }
 
 // takeStock goes through all machines that have owners. The mutex is held.
-func (s *Steward) takeStock(entries []agentapi.MachineEntry, types map[string]cloud.MachineType, now time.Time) *stock {
+func (s *Leader) takeStock(entries []agentapi.MachineEntry, types map[string]cloud.MachineType, now time.Time) *stock {
 	f := &s.fleet
 	out := &stock{idle: map[string]time.Duration{}, present: map[string]bool{}}
 	f.mute, f.untold = 0, nil
@@ -330,7 +330,7 @@
 
 // settleLedger drops machines that are gone from the ledger, and adds it up anew from time
 // to time. The mutex is held.
-func (s *Steward) settleLedger(present map[string]bool, now time.Time) {
+func (s *Leader) settleLedger(present map[string]bool, now time.Time) {
 	for name := range s.ledger.held {
 		if !present[name] {
 			s.ledger.drop(name)
@@ -347,7 +347,7 @@
 
 // demands lists what waits, within the teams' limits and with the room that is kept ready,
 // and what running tasks will leave. The mutex is held.
-func (s *Steward) demands(types map[string]cloud.MachineType, now time.Time) ([]Demand, turnover) {
+func (s *Leader) demands(types map[string]cloud.MachineType, now time.Time) ([]Demand, turnover) {
 	f := &s.fleet
 	var out []Demand
 	turn := newTurnover(types)
@@ -373,7 +373,7 @@
 
 // rentals lists the requests for machines to make now, those without an answer first. The
 // mutex is held.
-func (s *Steward) rentals(types map[string]cloud.MachineType, demands []Demand, bins []*bin, turn turnover, now time.Time) []cloud.Rental {
+func (s *Leader) rentals(types map[string]cloud.MachineType, demands []Demand, bins []*bin, turn turnover, now time.Time) []cloud.Rental {
 	f := &s.fleet
 	out := f.retry
 	f.retry = nil
@@ -416,7 +416,7 @@
 }
 
 // tellFleet logs the totals that renting and returning go by.
-func (s *Steward) tellFleet(bins []*bin, demands []Demand, machines, booting int) {
+func (s *Leader) tellFleet(bins []*bin, demands []Demand, machines, booting int) {
 	empty, planned, waiting := 0, 0, 0
 	free := 0.0
 	for _, b := range bins {
@@ -438,7 +438,7 @@
 // now and then, so that none is idle for long although many are at any moment:
 // of a pool, as many are spare as were idle all the time, whichever they were.
 // Those that have been idle longest go.
-func (s *Steward) spare(bins []*bin, idle map[string]time.Duration, now time.Time) []string {
+func (s *Leader) spare(bins []*bin, idle map[string]time.Duration, now time.Time) []string {
 	names, present := map[pool][]string{}, map[string]bool{}
 	for _, b := range bins {
 		present[b.name] = true
@@ -520,7 +520,7 @@
 
 // warmDemand asks for room for the next gangs: of whole machines there is
 // seldom one free by chance, and a boot takes longer than they are to wait.
-func (s *Steward) warmDemand(now time.Time) []Demand {
+func (s *Leader) warmDemand(now time.Time) []Demand {
 	var out []Demand
 	for class, g := range s.fleet.gangs {
 		if now.Sub(g.seen) > warmFor {
@@ -535,7 +535,7 @@
 }
 
 // withinLimits cuts the demand down to what the teams' limits let run.
-func (s *Steward) withinLimits(demands []Demand) []Demand {
+func (s *Leader) withinLimits(demands []Demand) []Demand {
 	use, _ := s.usage()
 	use = maps.Clone(use)
 	for i := range demands {
@@ -563,7 +563,7 @@
 const muteDoubt = 3 * time.Second
 
 // isLost says why a machine will not come back, or nothing.
-func (s *Steward) isLost(e *agentapi.MachineEntry, now time.Time) string {
+func (s *Leader) isLost(e *agentapi.MachineEntry, now time.Time) string {
 	f := &s.fleet
 	if !e.Silent {
 		delete(f.silent, e.Machine)
--- a/internal/autoscaler/reserve_test.go
+++ b/internal/autoscaler/reserve_test.go
@@ -21,17 +21,17 @@
 		s.settled, s.cleared["m1"] = true, true
 		permit := func(id string, index, gpus int, release ...agentapi.TaskRef) bool {
 			t.Helper()
-			var reply quota.PermitReply
-			want := quota.Want{Ref: agentapi.TaskRef{Job: id, Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
-			if err := NewService(s).Permit(quota.PermitRequest{Slot: "s", Epoch: 1, Wants: []quota.Want{want}, Release: release}, &reply); err != nil {
+			var reply quota.Reply
+			want := quota.GrantRequest{Ref: agentapi.TaskRef{Job: id, Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
+			if err := NewService(s).Permit(quota.Request{Slot: "s", Epoch: 1, Wants: []quota.GrantRequest{want}, Release: release}, &reply); err != nil {
 				t.Fatal(err)
 			}
 			return reply.Granted[0]
 		}
 		reserve := func(id string, since int64) bool {
 			t.Helper()
-			var reply quota.PermitReply
-			if err := NewService(s).Permit(quota.PermitRequest{Slot: "s", Epoch: 1, Reserve: &quota.Reservation{Job: id, Team: "t", Need: job.Need{GPUs: 8}, Since: since}}, &reply); err != nil {
+			var reply quota.Reply
+			if err := NewService(s).Permit(quota.Request{Slot: "s", Epoch: 1, Reserve: &quota.Reservation{Job: id, Team: "t", Need: job.Need{GPUs: 8}, Since: since}}, &reply); err != nil {
 				t.Fatal(err)
 			}
 			return reply.Reserved
--- a/internal/autoscaler/steward.go
+++ b/internal/autoscaler/steward.go
@@ -25,8 +25,8 @@
 	"robinstack/internal/statekv"
 )
 
-// Steward is the role on this controller, whether it holds it or not.
-type Steward struct {
+// Leader is the role on this controller, whether it holds it or not.
+type Leader struct {
 	settings  *config.Settings
 	policy    *policy.Policy
 	mirror    *statekv.Mirror
@@ -57,20 +57,20 @@
 }
 
 // New returns a steward that does not hold the role yet.
-func New(settings *config.Settings, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Session, call peer.Caller, api cloud.API, catalogue *cloud.Catalogue) *Steward {
-	return &Steward{settings: settings, policy: pol, mirror: mirror, member: member, call: call, cloud: api, catalogue: catalogue,
+func New(settings *config.Settings, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Session, call peer.Caller, api cloud.API, catalogue *cloud.Catalogue) *Leader {
+	return &Leader{settings: settings, policy: pol, mirror: mirror, member: member, call: call, cloud: api, catalogue: catalogue,
 		ledger: newLedger(), kept: map[string]reserved{}, demand: map[string]demandAt{}, fleet: newFleet(), retell: make(chan []string)}
 }
 
 // Epoch is the steward epoch if this controller is steward, or 0.
-func (s *Steward) Epoch() uint64 {
+func (s *Leader) Epoch() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.epoch
 }
 
 // Run takes the role when it is free and does its duties until ctx ends.
-func (s *Steward) Run(ctx context.Context, feed *changefeed.Feed) {
+func (s *Leader) Run(ctx context.Context, feed *changefeed.Feed) {
 	s.mu.Lock()
 	s.feed = feed
 	s.mu.Unlock()
@@ -90,7 +90,7 @@
 	duties.Wait()
 }
 
-func (s *Steward) hold(ctx context.Context) {
+func (s *Leader) hold(ctx context.Context) {
 	kv, ok := s.mirror.Get(statekv.LeaderKey)
 	h, err := statekv.HolderOf(kv)
 	var later *statekv.SchemaError
@@ -124,7 +124,7 @@
 }
 
 // begin takes up the role under its key's revision.
-func (s *Steward) begin(epoch uint64) {
+func (s *Leader) begin(epoch uint64) {
 	s.mu.Lock()
 	s.epoch, s.settled, s.cleared = epoch, false, map[string]bool{}
 	s.ledger.clearPermits()
@@ -137,7 +137,7 @@
 
 // settle checks which machines have shown all that was started under earlier
 // stewards; the ledger counts from the moment all have.
-func (s *Steward) settle() {
+func (s *Leader) settle() {
 	s.mu.Lock()
 	epoch, settled := s.epoch, s.settled
 	s.mu.Unlock()
@@ -168,7 +168,7 @@
 }
 
 // OnEntries keeps the ledger of what is on the machines.
-func (s *Steward) OnEntries(entries []agentapi.MachineEntry) {
+func (s *Leader) OnEntries(entries []agentapi.MachineEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range entries {
@@ -180,7 +180,7 @@
 // machines without anyone knowing comes extra, in blank: of a machine that has
 // not shown all that earlier stewards permitted, or has a task of an unknown
 // team, that is as much as it can hold, and it may be any team's.
-func (s *Steward) usage() (use map[string]job.Need, blank job.Need) {
+func (s *Leader) usage() (use map[string]job.Need, blank job.Need) {
 	if s.settled && len(s.ledger.dark) == 0 {
 		return s.ledger.sums, blank
 	}
@@ -208,7 +208,7 @@
 
 // reserve keeps a team's room for the job that could start earliest of those that asked
 // lately: one at a time, so that none waits for another.
-func (s *Steward) reserve(r quota.Reservation, now time.Time) {
+func (s *Leader) reserve(r quota.Reservation, now time.Time) {
 	if was, ok := s.kept[r.Team]; ok && was.Job != r.Job && now.Before(was.until) && was.Since <= r.Since {
 		return
 	}
@@ -216,7 +216,7 @@
 }
 
 // reservedFor is what is kept from a task of another job of the team.
-func (s *Steward) reservedFor(w quota.Want, now time.Time) job.Need {
+func (s *Leader) reservedFor(w quota.GrantRequest, now time.Time) job.Need {
 	was, ok := s.kept[w.Team]
 	if !ok || was.Job == w.Ref.Job || !now.Before(was.until) {
 		return job.Need{}
@@ -225,7 +225,7 @@
 }
 
 // within reports whether a team may use so much.
-func (s *Steward) within(name string, use job.Need) bool {
+func (s *Leader) within(name string, use job.Need) bool {
 	team := s.settings.Teams[name]
 	return !(team.CPUsMax > 0 && use.CPUs > team.CPUsMax || team.GPUsMax > 0 && use.GPUs > team.GPUsMax)
 }
@@ -233,14 +233,14 @@
 var errNotSteward = errors.New("not steward")
 
 // Service is what placers call.
-type Service struct{ steward *Steward }
+type Service struct{ steward *Leader }
 
 // NewService returns the net/rpc service of a steward.
-func NewService(s *Steward) *Service { return &Service{steward: s} }
+func NewService(s *Leader) *Service { return &Service{steward: s} }
 
 // Permit grants what the teams' limits leave room for. A permit stands until
 // the task has shown up on a machine or the placer gives it back.
-func (v *Service) Permit(r quota.PermitRequest, reply *quota.PermitReply) error {
+func (v *Service) Permit(r quota.Request, reply *quota.Reply) error {
 	s := v.steward
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -306,8 +306,8 @@
 	return nil
 }
 
-// TeamUse is what a team holds, for the status page.
-func (s *Steward) TeamUse() (use map[string]job.Need, steward bool) {
+// TeamUsage is what a team holds, for the status page.
+func (s *Leader) TeamUsage() (use map[string]job.Need, steward bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	use, _ = s.usage()
--- a/internal/autoscaler/steward_test.go
+++ b/internal/autoscaler/steward_test.go
@@ -27,7 +27,7 @@
 		State:   config.State{RPS: 100, WriteRPS: 50, ValueBytes: 8192, TxnOps: 24}}
 }
 
-func newSteward(t testing.TB, ctx context.Context) (*Steward, *emulator.State) {
+func newSteward(t testing.TB, ctx context.Context) (*Leader, *emulator.State) {
 	t.Helper()
 	state := emulator.NewState()
 	machine := shard.MachineRecord{Shard: "host-9.1.0", Type: "box", Zone: "a"}
@@ -50,11 +50,11 @@
 	return s, state
 }
 
-func ask(t *testing.T, s *Steward, index, gpus int, release ...agentapi.TaskRef) bool {
+func ask(t *testing.T, s *Leader, index, gpus int, release ...agentapi.TaskRef) bool {
 	t.Helper()
-	var reply quota.PermitReply
-	want := quota.Want{Ref: agentapi.TaskRef{Job: "wk-1", Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
-	if err := NewService(s).Permit(quota.PermitRequest{Slot: "s", Epoch: 1, Wants: []quota.Want{want}, Release: release}, &reply); err != nil {
+	var reply quota.Reply
+	want := quota.GrantRequest{Ref: agentapi.TaskRef{Job: "wk-1", Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
+	if err := NewService(s).Permit(quota.Request{Slot: "s", Epoch: 1, Wants: []quota.GrantRequest{want}, Release: release}, &reply); err != nil {
 		t.Fatal(err)
 	}
 	return reply.Granted[0]
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -164,7 +164,7 @@
 	var (
 		ag *clusteragent.Agent
 		pl *scheduler.Placer
-		st *autoscaler.Steward
+		st *autoscaler.Leader
 	)
 	mirror := statekv.NewMirror(c.store, []string{statekv.ClusterPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, c.settings.WatchTime(), c.settings.WatchPause(), func(events []statekv.Event) {
 		if events == nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -38,7 +38,7 @@
 	Mirror  *statekv.Mirror
 	Agent   *clusteragent.Agent
 	Placer  *scheduler.Placer
-	Steward *autoscaler.Steward
+	Steward *autoscaler.Leader
 	Feed    *changefeed.Feed
 	Gate    *rollout.Gate
 	Levels  *rollout.Reader
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -22,16 +22,16 @@
 
 // Status is the read-only page that shows who holds what.
 type Status struct {
-	Host    string            `json:"host"`
-	Ready   bool              `json:"state_service_reached"`
-	Steward string            `json:"steward"`
-	Teams   []TeamStatus      `json:"teams"`
-	Health  []agentapi.Health `json:"controllers"`
-	Overdue []autoscaler.Late `json:"boots_overdue"`
-	Latency []Latency         `json:"answer_times_here"`
-	Refused int64             `json:"queries_refused_here"`
-	Pauses  int               `json:"pauses_here"`
-	PauseS  float64           `json:"longest_pause_s"`
+	Host    string                   `json:"host"`
+	Ready   bool                     `json:"state_service_reached"`
+	Steward string                   `json:"steward"`
+	Teams   []TeamStatus             `json:"teams"`
+	Health  []agentapi.Health        `json:"controllers"`
+	Overdue []autoscaler.OverduePool `json:"boots_overdue"`
+	Latency []Latency                `json:"answer_times_here"`
+	Refused int64                    `json:"queries_refused_here"`
+	Pauses  int                      `json:"pauses_here"`
+	PauseS  float64                  `json:"longest_pause_s"`
 
 	Serving map[string]float64 `json:"serving_again_here_s"` // steps since the start or the last lease lost
 
@@ -189,7 +189,7 @@
 func (g *Gateway) troubles(ctx context.Context, l *Life, s *Status) {
 	cctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer cancel()
-	s.Health, s.Overdue = []agentapi.Health{}, []autoscaler.Late{}
+	s.Health, s.Overdue = []agentapi.Health{}, []autoscaler.OverduePool{}
 	for _, h := range g.hosts() {
 		var health agentapi.Health
 		if !slices.Contains(s.Unreadable, h) && l.Call.Call(cctx, h, "Agent.Health", struct{}{}, &health) == nil {
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -7,26 +7,26 @@
 	"robinstack/internal/job"
 )
 
-// Want is a task for which a placer asks a permit.
-type Want struct {
+// GrantRequest is a task for which a placer asks a permit.
+type GrantRequest struct {
 	Ref  agentapi.TaskRef
 	Team string
 	Need job.Need
 }
 
-// PermitRequest asks for permits, or gives back those that were not used.
-type PermitRequest struct {
+// Request asks for permits, or gives back those that were not used.
+type Request struct {
 	Slot    string
 	Epoch   uint64
-	Wants   []Want
+	Wants   []GrantRequest
 	Release []agentapi.TaskRef
 	Probe   bool         // only say what would be granted
 	Reserve *Reservation // keep what comes free below the team's limit for a job
 	Settled bool         // the slot has settled: earlier epochs' unused permits are void
 }
 
-// PermitReply says which were granted.
-type PermitReply struct {
+// Reply says which were granted.
+type Reply struct {
 	Granted  []bool
 	Epoch    uint64
 	Reserved bool // the limit leaves room for all that was to be kept
--- a/internal/scheduler/begin.go
+++ b/internal/scheduler/begin.go
@@ -143,7 +143,7 @@
 	}
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	reply, err := p.permits(cctx, quota.PermitRequest{Slot: j.slot, Epoch: epoch,
+	reply, err := p.permits(cctx, quota.Request{Slot: j.slot, Epoch: epoch,
 		Reserve: &quota.Reservation{Job: j.spec.ID, Team: j.spec.Team, Need: job.Need{}.Add(j.spec.Need, float64(n)), Since: j.from.UnixMilli()}})
 	return err == nil && reply.Reserved
 }
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -345,9 +345,9 @@
 	if !p.settings.Limited(j.spec.Team) {
 		return true
 	}
-	req := quota.PermitRequest{Slot: j.slot, Epoch: epoch, Probe: true}
+	req := quota.Request{Slot: j.slot, Epoch: epoch, Probe: true}
 	for range n {
-		req.Wants = append(req.Wants, quota.Want{Ref: agentapi.TaskRef{Job: j.spec.ID}, Team: j.spec.Team, Need: j.spec.Need})
+		req.Wants = append(req.Wants, quota.GrantRequest{Ref: agentapi.TaskRef{Job: j.spec.ID}, Team: j.spec.Team, Need: j.spec.Need})
 	}
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -463,9 +463,9 @@
 	if !p.settings.Limited(j.spec.Team) {
 		return bindings, 0
 	}
-	req := quota.PermitRequest{Slot: j.slot, Epoch: epoch}
+	req := quota.Request{Slot: j.slot, Epoch: epoch}
 	for _, b := range bindings {
-		req.Wants = append(req.Wants, quota.Want{Ref: b.ref, Team: j.spec.Team, Need: j.spec.Need})
+		req.Wants = append(req.Wants, quota.GrantRequest{Ref: b.ref, Team: j.spec.Team, Need: j.spec.Need})
 	}
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -491,7 +491,7 @@
 func (p *Placer) giveBack(ctx context.Context, refs []agentapi.TaskRef) {
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	if _, err := p.permits(cctx, quota.PermitRequest{Release: refs}); err != nil {
+	if _, err := p.permits(cctx, quota.Request{Release: refs}); err != nil {
 		p.mu.Lock()
 		if len(p.releases) < 10_000 {
 			p.releases = append(p.releases, refs...)
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/placer.go
@@ -447,12 +447,12 @@
 	return h.Host, true
 }
 
-func (p *Placer) permits(ctx context.Context, req quota.PermitRequest) (*quota.PermitReply, error) {
+func (p *Placer) permits(ctx context.Context, req quota.Request) (*quota.Reply, error) {
 	host, ok := p.stewardHost()
 	if !ok {
 		return nil, errors.New("no steward")
 	}
-	var reply quota.PermitReply
+	var reply quota.Reply
 	if err := p.call.Call(ctx, host, "Steward.Permit", req, &reply); err != nil {
 		return nil, err
 	}
--- a/internal/scheduler/slots.go
+++ b/internal/scheduler/slots.go
@@ -301,7 +301,7 @@
 func (p *Placer) tellSettled(ctx context.Context, id string, epoch uint64) {
 	cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	if _, err := p.permits(cctx, quota.PermitRequest{Slot: id, Epoch: epoch, Settled: true}); err != nil {
+	if _, err := p.permits(cctx, quota.Request{Slot: id, Epoch: epoch, Settled: true}); err != nil {
 		slog.Debug("job shard reconciliation report to leader failed", "err", err)
 	}
 }
--- a/internal/scheduler/story_test.go
+++ b/internal/scheduler/story_test.go
@@ -90,7 +90,7 @@
 		return n.svc.Clear(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
 	case "Steward.Permit":
 		// A steward with one limit: team full may have so many tasks on machines.
-		r, out := args.(quota.PermitRequest), reply.(*quota.PermitReply)
+		r, out := args.(quota.Request), reply.(*quota.Reply)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, want := range r.Wants {
