--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -163,12 +163,12 @@
 	defer cancel()
 	var (
 		ag *clusteragent.Agent
-		pl *scheduler.Placer
+		pl *scheduler.Scheduler
 		st *autoscaler.Leader
 	)
 	mirror := statekv.NewMirror(c.store, []string{statekv.ClusterPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, c.settings.WatchTime(), c.settings.WatchPause(), func(events []statekv.Event) {
 		if events == nil {
-			pl.Recheck()
+			pl.Resync()
 			return
 		}
 		for _, e := range events {
@@ -219,7 +219,7 @@
 	defer network.Close()
 	ag = clusteragent.New(c.settings, c.store, mirror, member, c.workers, c.catalogue.Types)
 	pl = scheduler.New(c.settings, c.policy, c.store, mirror, member, network, c.catalogue.Types, pipes)
-	pl.Clock = clock
+	pl.RecoveryTimeline = clock
 	st = autoscaler.New(c.settings, c.policy, mirror, member, network, c.cloud, c.catalogue)
 	for name, service := range map[string]any{"Agent": clusteragent.NewService(ag), "Placer": scheduler.NewService(pl), "Steward": autoscaler.NewService(st), "Peer": greeter} {
 		if err := server.RegisterName(name, service); err != nil {
@@ -228,7 +228,7 @@
 	}
 	gate := rollout.NewGate(c.settings.Hosts(), c.policy, mirror, member, c.store, st.Epoch)
 	mover := rollout.NewMover(c.moves, mirror, member, st.Epoch, c.settings.State.TxnOps, rollout.MoveShare*c.settings.State.WriteRPS)
-	feed := changefeed.New(network, mirror, c.settings.Hosts(), func() uint64 { return max(pl.Epoch(), st.Epoch()) }, func(entries []agentapi.MachineEntry) {
+	feed := changefeed.New(network, mirror, c.settings.Hosts(), func() uint64 { return max(pl.HighestEpoch(), st.Epoch()) }, func(entries []agentapi.MachineEntry) {
 		pl.OnEntries(entries)
 		st.OnEntries(entries)
 	})
@@ -241,7 +241,7 @@
 	var duties sync.WaitGroup
 	duties.Go(func() { mirror.Run(ctx) })
 	duties.Go(func() { c.share(ctx, member) })
-	duties.Go(func() { c.runBudget(ctx, member, network, pl.StewardHost) })
+	duties.Go(func() { c.runBudget(ctx, member, network, pl.LeaderHost) })
 	duties.Go(func() { serve(ctx) })
 	lost := make(chan error, 1)
 	duties.Go(func() { lost <- member.KeepAlive(ctx) })
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -37,7 +37,7 @@
 	Member  *statekv.Session
 	Mirror  *statekv.Mirror
 	Agent   *clusteragent.Agent
-	Placer  *scheduler.Placer
+	Placer  *scheduler.Scheduler
 	Steward *autoscaler.Leader
 	Feed    *changefeed.Feed
 	Gate    *rollout.Gate
@@ -214,7 +214,7 @@
 	if l == nil || len(g.catalogue.Types()) == 0 {
 		return fail(c, fiber.StatusServiceUnavailable, g.startingWhy())
 	}
-	if _, _, ok := l.Placer.Home(); !ok {
+	if _, _, ok := l.Placer.OwnJobShard(); !ok {
 		return fail(c, fiber.StatusServiceUnavailable, "starting")
 	}
 	if !l.Member.HoldsLease() {
@@ -444,7 +444,7 @@
 	if reason := spec.NeverRuns(types, g.settings.Teams); reason != "" {
 		return g.refuse(c, ctx, spec.ID, fiber.StatusUnprocessableEntity, reason)
 	}
-	slot, epoch, ok := l.Placer.Home()
+	slot, epoch, ok := l.Placer.OwnJobShard()
 	if !ok {
 		return later(c, "starting")
 	}
@@ -473,7 +473,7 @@
 	}
 	rev, err := writeOnce(ctx, l.Member, when, append(then, statekv.Op{Set: job.OpenKey(spec.ID), Value: rec}))
 	if err == nil {
-		l.Placer.Accepted(rec, rev)
+		l.Placer.OnJobAccepted(rec, rev)
 		l.Clock.Record(recovery.StepSubmissionAccepted)
 		slog.Info(logline.JobAccepted, "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "gpus", spec.GPUs, "deadline_s", spec.Due().Seconds(), "job_shard", slot, "dependencies", len(spec.WaitsOn))
 		return c.Status(fiber.StatusCreated).JSON(jobStatus{ID: spec.ID, Status: job.Queued})
--- a/internal/gateway/pipelines_test.go
+++ b/internal/gateway/pipelines_test.go
@@ -97,7 +97,7 @@
 		}
 		l.Levels = rollout.NewReader(l.Mirror)
 		l.Placer = scheduler.New(settings, policy.Default(), state, l.Mirror, l.Member, alone{}, catalogue.Types, l.Pipes)
-		feed := changefeed.New(alone{}, l.Mirror, []string{"host-0"}, l.Placer.Epoch, l.Placer.OnEntries)
+		feed := changefeed.New(alone{}, l.Mirror, []string{"host-0"}, l.Placer.HighestEpoch, l.Placer.OnEntries)
 		l.Feed = feed
 		go l.Mirror.Run(ctx)
 		go func() { _ = l.Member.KeepAlive(ctx) }()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -39,12 +39,12 @@
 
 	Peers peer.Traffic `json:"calls_from_here"` // to controllers
 
-	Fleet      []PoolStatus          `json:"fleet"`
-	Machines   []MachineStatus       `json:"machines,omitempty"`
-	Waiting    []scheduler.Waiting   `json:"waiting"`
-	Placer     scheduler.Counters    `json:"placer_counters"`
-	Agent      clusteragent.Counters `json:"agent_counters"`
-	Unreadable []string              `json:"controllers_without_answer"`
+	Fleet      []PoolStatus           `json:"fleet"`
+	Machines   []MachineStatus        `json:"machines,omitempty"`
+	Waiting    []scheduler.WaitingJob `json:"waiting"`
+	Placer     scheduler.Counters     `json:"placer_counters"`
+	Agent      clusteragent.Counters  `json:"agent_counters"`
+	Unreadable []string               `json:"controllers_without_answer"`
 }
 
 // TeamStatus is what a team holds against what it is due.
@@ -93,7 +93,7 @@
 	if l == nil {
 		return later(c, g.startingWhy())
 	}
-	s := Status{Rollout: l.Gate.Status(), Host: g.settings.Host, Ready: l.Member.HoldsLease(), Steward: l.Placer.StewardHost(), Placer: l.Placer.CountersNow(), Agent: l.Agent.Counters(), Serving: l.Clock.Seconds()}
+	s := Status{Rollout: l.Gate.Status(), Host: g.settings.Host, Ready: l.Member.HoldsLease(), Steward: l.Placer.LeaderHost(), Placer: l.Placer.Counters(), Agent: l.Agent.Counters(), Serving: l.Clock.Seconds()}
 	entries := l.Feed.Entries()
 	held := map[string]job.Need{}
 	for i := range entries {
@@ -220,10 +220,10 @@
 // waiting gathers the jobs that wait, from all placers.
 func (g *Gateway) waiting(ctx context.Context, l *Life, s *Status) map[string]int {
 	byTeam := map[string]int{}
-	s.Waiting, s.Unreadable = []scheduler.Waiting{}, []string{}
+	s.Waiting, s.Unreadable = []scheduler.WaitingJob{}, []string{}
 	for _, h := range g.hosts() {
 		cctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
-		var reply []scheduler.Waiting
+		var reply []scheduler.WaitingJob
 		if err := l.Call.Call(cctx, h, "Placer.Queue", 100, &reply); err != nil {
 			s.Unreadable = append(s.Unreadable, h)
 		}
--- a/internal/scheduler/begin.go
+++ b/internal/scheduler/begin.go
@@ -46,7 +46,7 @@
 )
 
 // turn is the job's place in the queue.
-func (p *Placer) turn(j *jobState, now time.Time) float64 {
+func (p *Scheduler) turn(j *jobState, now time.Time) float64 {
 	age := now.Sub(j.from)
 	switch {
 	case !j.starves(now):
@@ -59,7 +59,7 @@
 
 // gather has room kept for a job that starves, on the machines that will have it
 // soonest; candidates are those that have room now. It returns whether some is kept.
-func (p *Placer) gather(ctx context.Context, j *jobState, req agentapi.Request, candidates []agentapi.Candidate, n int) bool {
+func (p *Scheduler) gather(ctx context.Context, j *jobState, req agentapi.Request, candidates []agentapi.Candidate, n int) bool {
 	p.mu.Lock()
 	starves := j.starves(time.Now())
 	p.mu.Unlock()
@@ -96,7 +96,7 @@
 
 // keep has owners keep machines for a job, and what room was found for it already:
 // others would take that, and more would have to be kept.
-func (p *Placer) keep(ctx context.Context, method string, j *jobState, req agentapi.Request, chosen, found []agentapi.Candidate, n int) (kept int) {
+func (p *Scheduler) keep(ctx context.Context, method string, j *jobState, req agentapi.Request, chosen, found []agentapi.Candidate, n int) (kept int) {
 	chosen = slices.Clone(chosen)
 	zone := ""
 	switch {
@@ -137,7 +137,7 @@
 // reserve has the steward keep what the team's limit leaves for a job that starves, as
 // it comes free: otherwise smaller jobs of the team would take it for ever. It returns
 // whether all of it is there.
-func (p *Placer) reserve(ctx context.Context, j *jobState, epoch uint64, n int) bool {
+func (p *Scheduler) reserve(ctx context.Context, j *jobState, epoch uint64, n int) bool {
 	if !p.settings.Limited(j.spec.Team) {
 		return true
 	}
--- a/internal/scheduler/begin_test.go
+++ b/internal/scheduler/begin_test.go
@@ -122,7 +122,7 @@
 			w.run(3 * time.Second)
 			b := overloaded(w, n, "normal")
 			w.submit(n, spec("wk-1", job.Gang, 2, 2))
-			for n.placer.CountersNow().Gathered == 0 {
+			for n.placer.Counters().Gathered == 0 {
 				b.pass(time.Second)
 			}
 			if how == "cancelled" {
--- a/internal/scheduler/drawn_test.go
+++ b/internal/scheduler/drawn_test.go
@@ -142,7 +142,7 @@
 	var ids []string
 	for step := range 60 {
 		if n := w.node([]string{"host-0", "host-1"}[rng.IntN(2)]); n != nil && step < 45 {
-			if _, _, ok := n.placer.Home(); ok && n.member.HoldsLease() {
+			if _, _, ok := n.placer.OwnJobShard(); ok && n.member.HoldsLease() {
 				s := spec(fmt.Sprintf("wk-%d", step), job.Array, 1, 1)
 				for _, p := range ids[max(0, len(ids)-4):] {
 					if rng.IntN(3) == 0 {
@@ -233,12 +233,12 @@
 
 // offer submits a job if the state service takes it.
 func (w *world) offer(n *node, s job.Spec) bool {
-	slot, epoch, _ := n.placer.Home()
+	slot, epoch, _ := n.placer.OwnJobShard()
 	rec := &job.Record{Spec: s, Slot: slot, Submitted: time.Now().UnixMilli()}
 	when := append(tombstone.Absent(s.ID), statekv.Compare{Key: job.OpenKey(s.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + slot, Rev: epoch})
 	rev, err := n.member.Write(w.ctx, when, []statekv.Op{{Set: job.OpenKey(s.ID), Value: rec}})
 	if err == nil {
-		n.placer.Accepted(rec, rev)
+		n.placer.OnJobAccepted(rec, rev)
 	}
 	// Without an answer its user asks again, and is told what the record says.
 	return err == nil || errors.Is(err, statekv.ErrOutcomeUnknown)
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -13,7 +13,7 @@
 )
 
 // OnEntries takes what an agent's machines have become.
-func (p *Placer) OnEntries(entries []agentapi.MachineEntry) {
+func (p *Scheduler) OnEntries(entries []agentapi.MachineEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range entries {
@@ -21,7 +21,7 @@
 	}
 }
 
-func (p *Placer) onEntry(e *agentapi.MachineEntry) {
+func (p *Scheduler) onEntry(e *agentapi.MachineEntry) {
 	listed := make(map[agentapi.TaskRef]bool, len(e.Tasks))
 	for i := range e.Tasks {
 		te := &e.Tasks[i]
@@ -53,7 +53,7 @@
 	}
 }
 
-func (p *Placer) onTask(e *agentapi.MachineEntry, te *agentapi.TaskEntry, j *jobState) {
+func (p *Scheduler) onTask(e *agentapi.MachineEntry, te *agentapi.TaskEntry, j *jobState) {
 	ts := &j.tasks[te.Index]
 	over := te.State == worker.Ended
 	item := agentapi.StopItem{Machine: e.Machine, TaskRef: te.TaskRef, Forget: over}
@@ -104,7 +104,7 @@
 // dropGone gives up tasks on machines whose keys have been removed, which is
 // done only once all on them is proven gone. Their owner may have died before
 // its last entry got here.
-func (p *Placer) dropGone() {
+func (p *Scheduler) dropGone() {
 	rev := p.mirror.Rev()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-func (p *Placer) noteOn(machine string, ref agentapi.TaskRef) {
+func (p *Scheduler) noteOn(machine string, ref agentapi.TaskRef) {
 	if p.on[machine] == nil {
 		p.on[machine] = map[agentapi.TaskRef]bool{}
 	}
@@ -133,14 +133,14 @@
 }
 
 // clear takes a task off its machine in our books.
-func (p *Placer) clear(j *jobState, i int) {
+func (p *Scheduler) clear(j *jobState, i int) {
 	ts := &j.tasks[i]
 	delete(p.on[ts.machine], agentapi.TaskRef{Job: j.spec.ID, Index: i, Attempt: ts.attempt})
 	*ts = taskState{}
 }
 
 // finished notes that a task has completed; a gang completes as a whole.
-func (p *Placer) finished(j *jobState, i int) {
+func (p *Scheduler) finished(j *jobState, i int) {
 	first, last := i, i
 	if j.spec.Shape == job.Gang {
 		first, last = 0, len(j.tasks)-1
@@ -166,7 +166,7 @@
 }
 
 // ended notes that a task ended without completing.
-func (p *Placer) ended(j *jobState, i int, cause, machine string) {
+func (p *Scheduler) ended(j *jobState, i int, cause, machine string) {
 	slog.Info("task attempt ended", "task", job.TaskID(j.spec.ID, i), "cause", cause, "machine", machine)
 	if cause == worker.Failed {
 		p.failed(j, machine)
@@ -175,7 +175,7 @@
 }
 
 // lost notes that a task is certainly on no machine; a gang is given up.
-func (p *Placer) lost(j *jobState, i int) {
+func (p *Scheduler) lost(j *jobState, i int) {
 	p.counters.Lost++
 	p.clear(j, i)
 	if j.spec.Shape == job.Gang && j.over == "" {
@@ -188,7 +188,7 @@
 }
 
 // stopTask has a task stopped, again and again until it is gone.
-func (p *Placer) stopTask(j *jobState, i int, grace time.Duration) {
+func (p *Scheduler) stopTask(j *jobState, i int, grace time.Duration) {
 	ts := &j.tasks[i]
 	if ts.status != placed || ts.stopping && ts.grace <= grace {
 		return
@@ -198,7 +198,7 @@
 }
 
 // stopJobTask stops a task in good order: of a gang, all together.
-func (p *Placer) stopJobTask(j *jobState, i int, grace time.Duration) {
+func (p *Scheduler) stopJobTask(j *jobState, i int, grace time.Duration) {
 	if j.spec.Shape != job.Gang {
 		p.stopTask(j, i, grace)
 		return
@@ -208,13 +208,13 @@
 	}
 }
 
-func (p *Placer) forgetEnded(j *jobState) {
+func (p *Scheduler) forgetEnded(j *jobState) {
 	p.forgets = append(p.forgets, j.ended...)
 	j.ended = nil
 }
 
 // dropIfOver drops a job that is over, recorded and on no machine.
-func (p *Placer) dropIfOver(id string, j *jobState) {
+func (p *Scheduler) dropIfOver(id string, j *jobState) {
 	if j.over == "" || !j.recorded || j.busy {
 		return
 	}
@@ -228,7 +228,7 @@
 
 // sendStops passes stops and forgets to the machines' owners. Agents repeat
 // them to the workers; repeating them here covers a change of owner.
-func (p *Placer) sendStops(ctx context.Context) {
+func (p *Scheduler) sendStops(ctx context.Context) {
 	now := time.Now()
 	p.mu.Lock()
 	items := p.forgets
@@ -274,7 +274,7 @@
 }
 
 // stopping lists the tasks that are being stopped.
-func (p *Placer) stopping() map[agentapi.TaskRef]*taskState {
+func (p *Scheduler) stopping() map[agentapi.TaskRef]*taskState {
 	out := map[agentapi.TaskRef]*taskState{}
 	for ref := range p.stops {
 		if j := p.jobs[ref.Job]; j != nil {
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -32,7 +32,7 @@
 const longestBackoff = time.Minute
 
 // failed notes that a task of the job failed on a machine.
-func (p *Placer) failed(j *jobState, machine string) {
+func (p *Scheduler) failed(j *jobState, machine string) {
 	p.counters.Failed++
 	j.avoid = append(j.avoid, machine)
 	if len(j.avoid) > 6 {
@@ -80,7 +80,7 @@
 
 // note has what is known of the job's failures written into its record soon: its next
 // placer would have to fail it on as many machines again.
-func (p *Placer) note(j *jobState) {
+func (p *Scheduler) note(j *jobState) {
 	if j.failures > mostNoted || !p.levels.On(rollout.Failures) {
 		return
 	}
@@ -92,7 +92,7 @@
 
 // record is what is written of an unfinished job. The note of its failures is left out
 // where the value would become too large with it.
-func (p *Placer) record(j *jobState, failures bool) job.Record {
+func (p *Scheduler) record(j *jobState, failures bool) job.Record {
 	rec := job.Record{Spec: *j.spec, Slot: j.slot, Submitted: j.submitted.UnixMilli(), Done: j.done.Chunk(0), Pieces: j.rest.Pieces, Rest: j.rest.Rest, SpecRest: j.rest.SpecRest}
 	if !failures || len(j.failedOn) == 0 {
 		return rec
@@ -127,7 +127,7 @@
 
 // succeeded notes that a task of the job has completed: where others of it
 // failed, the machine was at fault.
-func (p *Placer) succeeded(j *jobState) {
+func (p *Scheduler) succeeded(j *jobState) {
 	for m := range j.failedOn {
 		p.judge(j, m, true)
 	}
@@ -138,7 +138,7 @@
 	j.failedOn, j.failures, j.suspect = nil, 0, false
 }
 
-func (p *Placer) judge(j *jobState, machine string, atFault bool) {
+func (p *Scheduler) judge(j *jobState, machine string, atFault bool) {
 	p.verdicts = append(p.verdicts, agentapi.Attribution{Machine: machine, Job: j.spec.ID, AtFault: atFault})
 }
 
@@ -157,7 +157,7 @@
 
 // sendVerdicts tells owners what is known of their machines. One that is lost
 // does no harm: doubt about a machine passes by itself.
-func (p *Placer) sendVerdicts(ctx context.Context, verdicts []agentapi.Attribution) {
+func (p *Scheduler) sendVerdicts(ctx context.Context, verdicts []agentapi.Attribution) {
 	byHost := map[string][]agentapi.Attribution{}
 	for _, v := range verdicts {
 		if host, ok := p.feed.OwnerHost(v.Machine); ok {
--- a/internal/scheduler/flush.go
+++ b/internal/scheduler/flush.go
@@ -20,7 +20,7 @@
 // flush records what has finished: whole jobs at once, tasks in batches, the
 // oldest first and only as many as leave room for what cannot wait. Until then
 // they stay in their workers' reports, so nothing is lost.
-func (p *Placer) flush(ctx context.Context) {
+func (p *Scheduler) flush(ctx context.Context) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 // maxFlushes bounds the writes that one look starts.
 const maxFlushes = 8
 
-func (p *Placer) flushJob(ctx context.Context, id string, j *jobState) {
+func (p *Scheduler) flushJob(ctx context.Context, id string, j *jobState) {
 	p.mu.Lock()
 	s := p.slots[j.slot]
 	if s == nil {
@@ -157,7 +157,7 @@
 // left for later, and puts them back into the job's own. A record that is too large,
 // which a version that knew a higher limit wrote, is brought into pieces. It returns
 // nothing where that cannot be done yet.
-func (p *Placer) recordOps(j *jobState, rec *job.Record, dirty map[int]bool, level rollout.Level) []statekv.Op {
+func (p *Scheduler) recordOps(j *jobState, rec *job.Record, dirty map[int]bool, level rollout.Level) []statekv.Op {
 	var then []statekv.Op
 	limit, most := p.settings.State.ValueBytes, p.store.MaxTxnOps(p.settings.State.TxnOps)
 	if rec.Pieces == 0 && rec.Large(limit) {
@@ -189,7 +189,7 @@
 
 // readBack finds out what a job's record says after a write of ours met a
 // conflict or was lost.
-func (p *Placer) readBack(ctx context.Context, id string) (verdict string, rev uint64, err error) {
+func (p *Scheduler) readBack(ctx context.Context, id string) (verdict string, rev uint64, err error) {
 	kv, err := p.store.Get(ctx, job.OpenKey(id))
 	if err == nil {
 		return stillOpen, kv.Rev, nil
--- a/internal/scheduler/patience.go
+++ b/internal/scheduler/patience.go
@@ -33,7 +33,7 @@
 
 // patient reports whether the job lets rooms without its image go by, for some
 // time from the first that it was offered.
-func (p *Placer) patient(j *jobState, n int, scarce bool) bool {
+func (p *Scheduler) patient(j *jobState, n int, scarce bool) bool {
 	fetch := p.fetchTime(j.spec)
 	most, slack := time.Duration(patienceShare*float64(fetch)), time.Duration(0)
 	if j.spec.Shape == job.Gang {
@@ -59,21 +59,21 @@
 // coldIsLate reports whether a gang that has to fetch its image would start too
 // late by the tightest of the users' aims for its class, and one for which
 // machines with the image are cleared would not.
-func (p *Placer) coldIsLate(j *jobState) bool {
+func (p *Scheduler) coldIsLate(j *jobState) bool {
 	left := p.timeLeft(j)
 	return left > clearing && left < time.Duration(coldDoubt*float64(p.fetchTime(j.spec)))
 }
 
 // fetchTime is how long the job's image usually takes, by the slowest machine type
 // that it may use.
-func (p *Placer) fetchTime(spec *job.Spec) time.Duration {
+func (p *Scheduler) fetchTime(spec *job.Spec) time.Duration {
 	return spec.FetchTime(p.types())
 }
 
 // aimSlack is how long a gang that has to fetch its image may wait and still start
 // by the tightest of the users' aims for its class that it would probably meet if it
 // began to fetch now; 0 if waiting would put that at risk.
-func (p *Placer) aimSlack(j *jobState, fetch time.Duration) time.Duration {
+func (p *Scheduler) aimSlack(j *jobState, fetch time.Duration) time.Duration {
 	age := time.Since(j.from)
 	tightest := time.Duration(0)
 	for _, within := range j.aims {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -54,7 +54,7 @@
 }
 
 // shapeOf returns the shape of a job's tasks. The mutex is held.
-func (p *Placer) shapeOf(s *job.Spec) *shape {
+func (p *Scheduler) shapeOf(s *job.Spec) *shape {
 	key := keyOf(s)
 	if p.shapes[key] == nil {
 		p.shapes[key] = &shape{}
@@ -63,7 +63,7 @@
 }
 
 // dropShapes forgets the shapes that no job has any more.
-func (p *Placer) dropShapes() {
+func (p *Scheduler) dropShapes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.shapes)
@@ -89,7 +89,7 @@
 
 // dispatch is the Sort stage: it starts placements for the jobs that wait,
 // those first that the queue order puts first.
-func (p *Placer) dispatch(ctx context.Context) {
+func (p *Scheduler) dispatch(ctx context.Context) {
 	if !p.member.HoldsLease() {
 		return
 	}
@@ -144,7 +144,7 @@
 }
 
 // place takes one job through sampling, decision and commit.
-func (p *Placer) place(ctx context.Context, j *jobState) {
+func (p *Scheduler) place(ctx context.Context, j *jobState) {
 	full := p.placeOnce(ctx, j)
 	now := time.Now()
 	p.mu.Lock()
@@ -165,7 +165,7 @@
 	p.wake()
 }
 
-func (p *Placer) placeOnce(ctx context.Context, j *jobState) (full bool) {
+func (p *Scheduler) placeOnce(ctx context.Context, j *jobState) (full bool) {
 	p.mu.Lock()
 	spec := j.as
 	s := p.slots[j.slot]
@@ -291,7 +291,7 @@
 // clearRoom has owners stop tasks of lower priority where a gang would then
 // fit, if near is set only on machines that have its image. It returns whether room
 // is being made, so that the gang tries again soon.
-func (p *Placer) clearRoom(ctx context.Context, j *jobState, req agentapi.Request, candidates []agentapi.Candidate, n int, near bool) bool {
+func (p *Scheduler) clearRoom(ctx context.Context, j *jobState, req agentapi.Request, candidates []agentapi.Candidate, n int, near bool) bool {
 	p.mu.Lock()
 	suspect := j.suspect
 	p.mu.Unlock()
@@ -332,7 +332,7 @@
 
 // timeLeft is how long the job's tasks may wait yet by the tightest of the
 // users' aims for its class, and 0 if there is none.
-func (p *Placer) timeLeft(j *jobState) time.Duration {
+func (p *Scheduler) timeLeft(j *jobState) time.Duration {
 	if len(j.aims) == 0 {
 		return 0
 	}
@@ -341,7 +341,7 @@
 
 // limitAllows asks whether the team's limit leaves room for the whole gang, so
 // that nothing is stopped in vain.
-func (p *Placer) limitAllows(ctx context.Context, j *jobState, epoch uint64, n int) bool {
+func (p *Scheduler) limitAllows(ctx context.Context, j *jobState, epoch uint64, n int) bool {
 	if !p.settings.Limited(j.spec.Team) {
 		return true
 	}
@@ -377,11 +377,11 @@
 }
 
 // sample asks a random share of the controllers for eligible machines.
-func (p *Placer) sample(ctx context.Context, req agentapi.Request) drawn {
+func (p *Scheduler) sample(ctx context.Context, req agentapi.Request) drawn {
 	return p.ask(ctx, "Agent.Sample", req)
 }
 
-func (p *Placer) ask(ctx context.Context, method string, req agentapi.Request) drawn {
+func (p *Scheduler) ask(ctx context.Context, method string, req agentapi.Request) drawn {
 	hosts := pickHosts(p.member.AliveHosts(), p.policy.SampleControllers, shuffle)
 	var mu sync.Mutex
 	var asks sync.WaitGroup
@@ -410,7 +410,7 @@
 }
 
 // begin numbers new attempts, never used before for the job.
-func (p *Placer) begin(j *jobState, indices []int, lists [][]agentapi.Candidate) []*binding {
+func (p *Scheduler) begin(j *jobState, indices []int, lists [][]agentapi.Candidate) []*binding {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.slots[j.slot]
@@ -445,7 +445,7 @@
 }
 
 // abandon returns tasks that were certainly not started to the queue.
-func (p *Placer) abandon(j *jobState, bindings []*binding, permitted bool) {
+func (p *Scheduler) abandon(j *jobState, bindings []*binding, permitted bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range bindings {
@@ -459,7 +459,7 @@
 }
 
 // permitted asks the steward for permits where the team has a limit.
-func (p *Placer) permitted(ctx context.Context, j *jobState, bindings []*binding, epoch uint64) ([]*binding, uint64) {
+func (p *Scheduler) permitted(ctx context.Context, j *jobState, bindings []*binding, epoch uint64) ([]*binding, uint64) {
 	if !p.settings.Limited(j.spec.Team) {
 		return bindings, 0
 	}
@@ -488,7 +488,7 @@
 	return granted, reply.Epoch
 }
 
-func (p *Placer) giveBack(ctx context.Context, refs []agentapi.TaskRef) {
+func (p *Scheduler) giveBack(ctx context.Context, refs []agentapi.TaskRef) {
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	if _, err := p.permits(cctx, quota.Request{Release: refs}); err != nil {
@@ -502,7 +502,7 @@
 
 // multiBind commits each task to the first of its candidates that takes it:
 // in each round one request per machine, and on refusal the next candidate.
-func (p *Placer) multiBind(ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding) {
+func (p *Scheduler) multiBind(ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding) {
 	left := bindings
 	for round := 0; len(left) > 0; round++ {
 		groups := map[string][]*binding{}
@@ -538,7 +538,7 @@
 }
 
 // commit sends one commit and books the verdicts.
-func (p *Placer) commit(ctx context.Context, j *jobState, commit agentapi.CommitRequest, group []*binding, c agentapi.Candidate, hold bool) {
+func (p *Scheduler) commit(ctx context.Context, j *jobState, commit agentapi.CommitRequest, group []*binding, c agentapi.Candidate, hold bool) {
 	commit.Machine, commit.Rev, commit.Hold, commit.Refs = c.Machine, c.Rev, hold, nil
 	for _, b := range group {
 		commit.Refs = append(commit.Refs, b.ref)
@@ -549,7 +549,7 @@
 	cancel()
 	unknown := errors.Is(err, peer.ErrNoAnswer)
 	if err == nil && slices.Contains(reply.Verdicts, agentapi.Started) {
-		p.Clock.Record(recovery.StepTaskStarted)
+		p.RecoveryTimeline.Record(recovery.StepTaskStarted)
 	}
 	var open []agentapi.TaskRef
 	p.mu.Lock()
@@ -592,7 +592,7 @@
 // resolve finds out what became of a commit without an answer: its owner has
 // the tasks, or promises that they never start. If the owner's life ends, the
 // next owner's confirmed entry tells.
-func (p *Placer) resolve(ctx context.Context, j *jobState, refs []agentapi.TaskRef, c agentapi.Candidate) {
+func (p *Scheduler) resolve(ctx context.Context, j *jobState, refs []agentapi.TaskRef, c agentapi.Candidate) {
 	for ctx.Err() == nil {
 		var reply agentapi.ResolveReply
 		cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -631,7 +631,7 @@
 
 // assemble places a gang: room is reserved for all of it, machine by machine
 // in one fixed order, before anything is started.
-func (p *Placer) assemble(ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding) bool {
+func (p *Scheduler) assemble(ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding) bool {
 	spare := bindings[0].candidates
 	chosen := make([]agentapi.Candidate, len(bindings))
 	used := map[string]int{}
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/placer.go
@@ -116,9 +116,9 @@
 	return n
 }
 
-// Placer holds the jobs of its slots. Its mutex guards all its state and is
+// Scheduler holds the jobs of its slots. Its mutex guards all its state and is
 // never held over I/O.
-type Placer struct {
+type Scheduler struct {
 	settings *config.Settings
 	policy   *policy.Policy
 	store    statekv.Store
@@ -131,8 +131,8 @@
 	feed     *changefeed.Feed
 	ctx      context.Context
 
-	// Clock takes notes of the first start and of settled slots. Set it before Run.
-	Clock *recovery.Timeline
+	// RecoveryTimeline takes notes of the first start and of settled slots. Set it before Run.
+	RecoveryTimeline *recovery.Timeline
 
 	mu       sync.Mutex
 	jobs     map[string]*jobState
@@ -164,15 +164,15 @@
 }
 
 // New returns a placer without slots.
-func New(settings *config.Settings, pol *policy.Policy, store statekv.Store, mirror *statekv.Mirror, member *statekv.Session, call peer.Caller, types func() map[string]cloud.MachineType, pipes *dag.Tracker) *Placer {
-	return &Placer{settings: settings, policy: pol, store: store, mirror: mirror, member: member, call: call, types: types, levels: rollout.NewReader(mirror), pipes: pipes,
+func New(settings *config.Settings, pol *policy.Policy, store statekv.Store, mirror *statekv.Mirror, member *statekv.Session, call peer.Caller, types func() map[string]cloud.MachineType, pipes *dag.Tracker) *Scheduler {
+	return &Scheduler{settings: settings, policy: pol, store: store, mirror: mirror, member: member, call: call, types: types, levels: rollout.NewReader(mirror), pipes: pipes,
 		jobs: map[string]*jobState{}, slots: map[string]*slotState{}, on: map[string]map[agentapi.TaskRef]bool{},
 		stops: map[agentapi.TaskRef]bool{}, others: map[string]bool{},
 		shapes: map[shapeKey]*shape{}, gone: map[string]deleted{}, kick: make(chan struct{}, 1)}
 }
 
-// Epoch is the highest slot epoch held: agents must know of it.
-func (p *Placer) Epoch() uint64 {
+// HighestEpoch is the highest slot epoch held: agents must know of it.
+func (p *Scheduler) HighestEpoch() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var e uint64
@@ -183,7 +183,7 @@
 }
 
 // Run places jobs until ctx ends.
-func (p *Placer) Run(ctx context.Context, feed *changefeed.Feed) {
+func (p *Scheduler) Run(ctx context.Context, feed *changefeed.Feed) {
 	p.mu.Lock()
 	p.ctx, p.feed = ctx, feed
 	p.mu.Unlock()
@@ -225,13 +225,13 @@
 // dispatchPause lets what wakes the queue gather: under load something does
 // all the time, and every look goes through all jobs, so that with many the looks are
 // further apart.
-func (p *Placer) dispatchPause() time.Duration {
+func (p *Scheduler) dispatchPause() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return min(50*time.Millisecond, 10*time.Millisecond+time.Duration(len(p.jobs))*100*time.Microsecond)
 }
 
-func (p *Placer) wake() {
+func (p *Scheduler) wake() {
 	select {
 	case p.kick <- struct{}{}:
 	default:
@@ -239,7 +239,7 @@
 }
 
 // load takes up a job from its record.
-func (p *Placer) load(ctx context.Context, rec *job.Record, rev uint64, fresh bool) error {
+func (p *Scheduler) load(ctx context.Context, rec *job.Record, rev uint64, fresh bool) error {
 	j := &jobState{spec: &rec.Spec, slot: rec.Slot, rev: rev, submitted: rec.SubmittedAt(), tasks: make([]taskState, rec.Spec.Tasks),
 		done: job.NewSet(rec.Spec.Tasks), fresh: fresh, rest: rec, dirty: map[int]bool{}}
 	if err := j.done.Load(0, rec.Done); err != nil {
@@ -280,8 +280,8 @@
 	return nil
 }
 
-// Home returns the slot for new jobs and its epoch.
-func (p *Placer) Home() (slot string, epoch uint64, ok bool) {
+// OwnJobShard returns the slot for new jobs and its epoch.
+func (p *Scheduler) OwnJobShard() (slot string, epoch uint64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.slots[p.home]
@@ -291,8 +291,8 @@
 	return p.home, s.epoch, true
 }
 
-// Accepted takes up a job whose record this controller has just written.
-func (p *Placer) Accepted(rec *job.Record, rev uint64) {
+// OnJobAccepted takes up a job whose record this controller has just written.
+func (p *Scheduler) OnJobAccepted(rec *job.Record, rev uint64) {
 	if err := p.load(context.Background(), rec, rev, true); err != nil {
 		slog.Error("job load failed", "job", rec.Spec.ID, "err", err)
 	}
@@ -300,7 +300,7 @@
 
 // OnJobEvent follows the job records: cancellations come from any controller,
 // and a submission of ours may turn out to have been applied after all.
-func (p *Placer) OnJobEvent(e statekv.Event) {
+func (p *Scheduler) OnJobEvent(e statekv.Event) {
 	id, ok := strings.CutPrefix(e.Key(), job.OpenPrefix)
 	if !ok {
 		return
@@ -344,12 +344,12 @@
 	p.mu.Unlock()
 	if s != nil && e.Rev > s.epoch && rec.Done == "" {
 		rec.Keep(e.Value)
-		p.Accepted(rec, e.Rev)
+		p.OnJobAccepted(rec, e.Rev)
 	}
 }
 
 // cancel stops everything of a job whose record says that it is over.
-func (p *Placer) cancel(id string, j *jobState) {
+func (p *Scheduler) cancel(id string, j *jobState) {
 	if j.over == job.Done && !j.recorded {
 		// Our own final write is under way, or a cancellation came first: the
 		// record decides, and the flush will read it.
@@ -367,8 +367,8 @@
 	p.dropIfOver(id, j)
 }
 
-// Recheck looks for jobs whose end was missed in a gap of the watch.
-func (p *Placer) Recheck() {
+// Resync looks for jobs whose end was missed in a gap of the watch.
+func (p *Scheduler) Resync() {
 	rev := p.mirror.Rev()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -381,7 +381,7 @@
 }
 
 // Counts returns a job's finished and running tasks, if it is looked after here.
-func (p *Placer) Counts(id string) (done, running int, ok bool) {
+func (p *Scheduler) Counts(id string) (done, running int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	j := p.jobs[id]
@@ -401,7 +401,7 @@
 	return n
 }
 
-func (p *Placer) sendDemand(ctx context.Context) {
+func (p *Scheduler) sendDemand(ctx context.Context) {
 	host, ok := p.stewardHost()
 	if !ok {
 		return
@@ -438,7 +438,7 @@
 	}
 }
 
-func (p *Placer) stewardHost() (string, bool) {
+func (p *Scheduler) stewardHost() (string, bool) {
 	kv, ok := p.mirror.Get(statekv.LeaderKey)
 	h, err := statekv.HolderOf(kv)
 	if !ok || err != nil || !p.member.Alive(h) {
@@ -447,7 +447,7 @@
 	return h.Host, true
 }
 
-func (p *Placer) permits(ctx context.Context, req quota.Request) (*quota.Reply, error) {
+func (p *Scheduler) permits(ctx context.Context, req quota.Request) (*quota.Reply, error) {
 	host, ok := p.stewardHost()
 	if !ok {
 		return nil, errors.New("no steward")
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -9,10 +9,10 @@
 )
 
 // Service is what other controllers ask a placer.
-type Service struct{ placer *Placer }
+type Service struct{ placer *Scheduler }
 
 // NewService returns the net/rpc service of a placer.
-func NewService(p *Placer) *Service { return &Service{placer: p} }
+func NewService(p *Scheduler) *Service { return &Service{placer: p} }
 
 // CountsReply has the numbers of a job that are on display.
 type CountsReply struct {
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// Waiting is a job with tasks that wait, and why they do.
-type Waiting struct {
+// WaitingJob is a job with tasks that wait, and why they do.
+type WaitingJob struct {
 	Job   string  `json:"job"`
 	Class string  `json:"class"`
 	Team  string  `json:"team"`
@@ -43,13 +43,13 @@
 }
 
 // Queue lists at most n waiting jobs, the oldest first.
-func (s *Service) Queue(n int, reply *[]Waiting) error {
+func (s *Service) Queue(n int, reply *[]WaitingJob) error {
 	p := s.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, j := range p.jobs {
 		if w := j.waiting(); w > 0 && j.over == "" {
-			item := Waiting{Job: j.spec.ID, Class: j.spec.Class, Team: j.spec.Team, Tasks: w, AgeS: time.Since(j.submitted).Seconds(), Why: p.why(j, w)}
+			item := WaitingJob{Job: j.spec.ID, Class: j.spec.Class, Team: j.spec.Team, Tasks: w, AgeS: time.Since(j.submitted).Seconds(), Why: p.why(j, w)}
 			if j.as != j.spec {
 				item.Rank = j.as.Rank
 				if j.as.DeadlineS != nil {
@@ -63,12 +63,12 @@
 			*reply = append(*reply, item)
 		}
 	}
-	slices.SortFunc(*reply, func(a, b Waiting) int { return int(b.AgeS - a.AgeS) })
+	slices.SortFunc(*reply, func(a, b WaitingJob) int { return int(b.AgeS - a.AgeS) })
 	*reply = (*reply)[:min(n, len(*reply))]
 	return nil
 }
 
-func (p *Placer) why(j *jobState, waiting int) string {
+func (p *Scheduler) why(j *jobState, waiting int) string {
 	switch {
 	case j.waits:
 		return j.waitsFor()
@@ -91,14 +91,14 @@
 }
 
 // Counters returns the counters.
-func (p *Placer) CountersNow() Counters {
+func (p *Scheduler) Counters() Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counters
 }
 
-// StewardHost returns the steward's host, or "".
-func (p *Placer) StewardHost() string {
+// LeaderHost returns the steward's host, or "".
+func (p *Scheduler) LeaderHost() string {
 	host, _ := p.stewardHost()
 	return host
 }
--- a/internal/scheduler/slots.go
+++ b/internal/scheduler/slots.go
@@ -55,7 +55,7 @@
 // placer has been confirmed. A machine whose type, zone or kind the job does not
 // allow, or on which its tasks have no room, cannot: every owner checks that
 // before it sends a start (agent.Commit).
-func (p *Placer) mayStart(j *jobState) bool {
+func (p *Scheduler) mayStart(j *jobState) bool {
 	s := p.slots[j.slot]
 	switch {
 	case s == nil:
@@ -75,7 +75,7 @@
 
 // holdSlots takes slots whose placer's life is over, and a new one if this
 // controller has none; then it checks whether those taken have settled.
-func (p *Placer) holdSlots(ctx context.Context) {
+func (p *Scheduler) holdSlots(ctx context.Context) {
 	if !p.member.HoldsLease() {
 		return
 	}
@@ -95,7 +95,7 @@
 	p.settleSlots(ctx)
 }
 
-func (p *Placer) takeHome(ctx context.Context) {
+func (p *Scheduler) takeHome(ctx context.Context) {
 	tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	id := fmt.Sprintf("%s.%d", p.member.Host, p.member.Incarnation)
@@ -112,7 +112,7 @@
 }
 
 // takeSlots takes, all together, the slots that fall to this controller.
-func (p *Placer) takeSlots(ctx context.Context) {
+func (p *Scheduler) takeSlots(ctx context.Context) {
 	heirs := p.member.Successors(p.settings.Hosts())
 	var roles []statekv.Role
 	ours := map[string]uint64{}
@@ -157,7 +157,7 @@
 
 // adopt takes up the unfinished jobs of slots that were others', given by key with
 // their epochs.
-func (p *Placer) adopt(ctx context.Context, taken map[string]uint64) {
+func (p *Scheduler) adopt(ctx context.Context, taken map[string]uint64) {
 	slots, latest := map[string]*slotState{}, uint64(0)
 	for key, epoch := range taken {
 		slots[strings.TrimPrefix(key, statekv.JobShardPrefix)] = &slotState{epoch: epoch, takenAt: time.Now()}
@@ -210,7 +210,7 @@
 }
 
 // loadSlots takes up the unfinished jobs of slots that were others'.
-func (p *Placer) loadSlots(ctx context.Context, slots map[string]*slotState) error {
+func (p *Scheduler) loadSlots(ctx context.Context, slots map[string]*slotState) error {
 	for _, kv := range p.mirror.Dir(job.OpenPrefix) {
 		rec, err := job.ParseRecord(kv.Value)
 		if err == nil && slots[rec.Slot] == nil {
@@ -233,7 +233,7 @@
 
 // settleSlots checks which machines have shown all that earlier placers may
 // have left on them; a slot settles when every machine has.
-func (p *Placer) settleSlots(ctx context.Context) {
+func (p *Scheduler) settleSlots(ctx context.Context) {
 	p.mu.Lock()
 	names := map[string]bool{}
 	for _, s := range p.slots {
@@ -292,13 +292,13 @@
 		slog.Info("job shard reconciled", "job_shard", id, "elapsed", now.Sub(s.takenAt).Round(time.Millisecond))
 		p.tellSettled(ctx, id, s.epoch)
 	}
-	p.Clock.Record(recovery.StepReconciled)
+	p.RecoveryTimeline.Record(recovery.StepReconciled)
 	p.wake()
 }
 
 // tellSettled tells the steward that what earlier placers of the slot were
 // permitted to start and did not is not going to be started.
-func (p *Placer) tellSettled(ctx context.Context, id string, epoch uint64) {
+func (p *Scheduler) tellSettled(ctx context.Context, id string, epoch uint64) {
 	cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	if _, err := p.permits(cctx, quota.Request{Slot: id, Epoch: epoch, Settled: true}); err != nil {
@@ -310,7 +310,7 @@
 // whoever took a slot puts no new jobs into it, and what its earlier placers wrote
 // late carries the condition that the key has their revision. Otherwise every
 // failure of a controller would leave a slot behind for good.
-func (p *Placer) dropSlots(ctx context.Context) {
+func (p *Scheduler) dropSlots(ctx context.Context) {
 	if !p.member.HoldsLease() {
 		return
 	}
@@ -346,7 +346,7 @@
 }
 
 // forgetSlots drops the slots whose keys have been removed.
-func (p *Placer) forgetSlots() {
+func (p *Scheduler) forgetSlots() {
 	rev := p.mirror.Rev()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/scheduler/slots_test.go
+++ b/internal/scheduler/slots_test.go
@@ -107,7 +107,7 @@
 			w.submit(a, spec(fmt.Sprintf("wk-%d", round), job.Array, 2, 1))
 			w.run(4 * time.Second)
 			if round == 0 {
-				_, epoch, _ = a.placer.Home()
+				_, epoch, _ = a.placer.OwnJobShard()
 			}
 			w.crash(a, lease+1)
 			w.crash(b, lease+2)
@@ -144,7 +144,7 @@
 		w.run(3 * time.Second)
 		a := w.start("host-0")
 		w.run(6 * time.Second)
-		slot, _, _ := a.placer.Home()
+		slot, _, _ := a.placer.OwnJobShard()
 		w.crash(a, 2)
 		rec := job.Record{Spec: spec("wk-1", job.Array, 4, 1), Slot: slot} // accepted, and not placed yet
 		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Set: job.OpenKey("wk-1"), Value: rec}}); err != nil {
--- a/internal/scheduler/story_test.go
+++ b/internal/scheduler/story_test.go
@@ -47,7 +47,7 @@
 	host   string
 	agent  *clusteragent.Agent
 	svc    *clusteragent.Service
-	placer *scheduler.Placer
+	placer *scheduler.Scheduler
 	member *statekv.Session
 	mirror *statekv.Mirror
 	stop   context.CancelFunc
@@ -160,7 +160,7 @@
 	n.agent = clusteragent.New(settings, w.state, mirror, n.member, w.workers, func() map[string]cloud.MachineType { return types })
 	n.svc = clusteragent.NewService(n.agent)
 	n.placer = scheduler.New(settings, policy.Default(), w.state, mirror, n.member, w, func() map[string]cloud.MachineType { return types }, pipes)
-	feed := changefeed.New(w, mirror, []string{"host-0", "host-1"}, n.placer.Epoch, n.placer.OnEntries)
+	feed := changefeed.New(w, mirror, []string{"host-0", "host-1"}, n.placer.HighestEpoch, n.placer.OnEntries)
 	w.mu.Lock()
 	w.nodes[host] = n
 	w.mu.Unlock()
@@ -213,13 +213,13 @@
 }
 
 // queue lists the jobs of a node that wait, as its status does.
-func (n *node) queue(w *world) map[string]scheduler.Waiting {
+func (n *node) queue(w *world) map[string]scheduler.WaitingJob {
 	w.t.Helper()
-	var list []scheduler.Waiting
+	var list []scheduler.WaitingJob
 	if err := scheduler.NewService(n.placer).Queue(10_000, &list); err != nil {
 		w.t.Fatal(err)
 	}
-	out := map[string]scheduler.Waiting{}
+	out := map[string]scheduler.WaitingJob{}
 	for _, q := range list {
 		out[q.Job] = q
 	}
@@ -228,7 +228,7 @@
 
 func (w *world) submit(n *node, spec job.Spec) {
 	w.t.Helper()
-	slot, _, ok := n.placer.Home()
+	slot, _, ok := n.placer.OwnJobShard()
 	if !ok {
 		w.t.Fatal("no slot")
 	}
@@ -237,7 +237,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	n.placer.Accepted(rec, rev)
+	n.placer.OnJobAccepted(rec, rev)
 }
 
 func (w *world) final(id string) string {
@@ -518,7 +518,7 @@
 		w.run(3 * time.Second)
 		w.submit(frozen, spec("wk-1", job.Array, 2, 1))
 		w.run(2 * time.Second)
-		slot, epoch, _ := frozen.placer.Home()
+		slot, epoch, _ := frozen.placer.OwnJobShard()
 		var token uint64
 		w.workers.Do(func() { token = w.boxes[0].Report.Token })
 		n := w.start("host-1")
--- a/internal/scheduler/turn_test.go
+++ b/internal/scheduler/turn_test.go
@@ -14,7 +14,7 @@
 // late for all their limits, which the order puts last: half a thousand tasks of such
 // waited for eight minutes on kuopio-fleet's loss.
 func TestStarvingJobsGoFirst(t *testing.T) {
-	p := &Placer{policy: policy.Default()}
+	p := &Scheduler{policy: policy.Default()}
 	now := time.Unix(10_000, 0)
 	of := func(rank string, age time.Duration, begun bool) *jobState {
 		due := 60.0
--- a/internal/scheduler/waits.go
+++ b/internal/scheduler/waits.go
@@ -18,7 +18,7 @@
 
 // lookAtWaits takes up what has become of the jobs that wait for others, and how urgent
 // those are that others wait for. The mutex is held.
-func (p *Placer) lookAtWaits(now time.Time) {
+func (p *Scheduler) lookAtWaits(now time.Time) {
 	changes := p.pipes.Changes()
 	if changes == p.looked && now.Sub(p.lookedAt) < lookAgain {
 		return
@@ -39,7 +39,7 @@
 }
 
 // follow takes up the verdict on a job that waits for others.
-func (p *Placer) follow(id string, j *jobState, now time.Time) {
+func (p *Scheduler) follow(id string, j *jobState, now time.Time) {
 	v, known := p.pipes.Judge(id)
 	if !known {
 		return // its record has not been seen yet
@@ -66,7 +66,7 @@
 // treatAs sets the rank and the deadline that the job is treated as having: its own or,
 // where that is more urgent, what those that need it hand to it. Its deadline counts
 // from when it could start, as its age does.
-func (p *Placer) treatAs(j *jobState, u dag.Urgency) {
+func (p *Scheduler) treatAs(j *jobState, u dag.Urgency) {
 	j.urgency = u
 	as := *j.spec
 	if job.RankOf(u.Rank) > as.Priority() {
