--- a/cmd/robinstack/audit.go
+++ b/cmd/robinstack/audit.go
@@ -74,7 +74,7 @@
 		if s := due.Seconds(); due > 0 {
 			deadline = &s
 		}
-		if limits := settings.Limits(class, deadline); len(limits) > 0 {
+		if limits := settings.CompletionTargets(class, deadline); len(limits) > 0 {
 			return limits[0]
 		}
 		return 0
--- a/emulator/box.go
+++ b/emulator/box.go
@@ -50,7 +50,7 @@
 	case <-b.ctx.Done():
 		ln.Close()
 		return
-	case <-time.After(b.typ.Boot()):
+	case <-time.After(b.typ.ProvisioningTime()):
 	}
 	server := &http.Server{Handler: http.HandlerFunc(b.serve)}
 	go func() { _ = server.Serve(ln) }()
@@ -103,19 +103,19 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	home, answer := b.take(report.Session, sent, resp.StatusCode, body)
+	home, answer := b.take(report.WorkerEpoch, sent, resp.StatusCode, body)
 	if answer != nil {
-		b.token = answer.Token
-		b.carryOut(answer.Orders)
+		b.token = answer.FencingToken
+		b.carryOut(answer.Commands)
 	}
 	return home
 }
 
-func (b *Box) report() worker.Report {
+func (b *Box) report() worker.Heartbeat {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seq++
-	r := worker.Report{Machine: b.name, Address: b.address, Type: b.typ.Name, Zone: b.zone, Spot: b.spot, Session: b.session, Seq: b.seq, Token: b.token, Tasks: []worker.Task{}}
+	r := worker.Heartbeat{Machine: b.name, Address: b.address, Type: b.typ.Name, Zone: b.zone, Spot: b.spot, WorkerEpoch: b.session, Sequence: b.seq, FencingToken: b.token, Tasks: []worker.Task{}}
 	for _, key := range slices.Sorted(maps.Keys(b.tasks)) {
 		t := b.tasks[key]
 		r.Tasks = append(r.Tasks, worker.Task{ID: t.id, Attempt: t.attempt, State: t.state, Cause: t.cause})
@@ -127,9 +127,9 @@
 func (b *Box) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/do" {
 		var in struct {
-			Token   *uint64        `json:"baton"`
-			Session *uint64        `json:"tenure"`
-			Orders  []worker.Order `json:"orders"`
+			Token   *uint64          `json:"baton"`
+			Session *uint64          `json:"tenure"`
+			Orders  []worker.Command `json:"orders"`
 		}
 		if json.NewDecoder(r.Body).Decode(&in) != nil || in.Token == nil || in.Session == nil {
 			answer(w, http.StatusBadRequest, nil)
@@ -154,7 +154,7 @@
 }
 
 // carryOut executes commands in order. The mutex is held.
-func (b *Box) carryOut(orders []worker.Order) {
+func (b *Box) carryOut(orders []worker.Command) {
 	for _, o := range orders {
 		key := fmt.Sprint(o.Task, " ", o.Attempt)
 		t := b.tasks[key]
@@ -164,38 +164,38 @@
 		case o.Op == "kill" && t != nil && !t.stopped:
 			t.stopped = true
 			close(t.stop)
-		case o.Op == "forget" && t != nil && t.state == worker.Ended:
+		case o.Op == "forget" && t != nil && t.state == worker.TaskExited:
 			delete(b.tasks, key)
 		}
 	}
 	b.tell()
 }
 
-func (b *Box) start(key string, o worker.Order) {
-	t := &run{box: b, id: o.Task, attempt: o.Attempt, state: worker.Fetching, stop: make(chan struct{})}
+func (b *Box) start(key string, o worker.Command) {
+	t := &run{box: b, id: o.Task, attempt: o.Attempt, state: worker.TaskFetching, stop: make(chan struct{})}
 	id, _, _ := strings.Cut(o.Task, "/")
 	spec, err := b.farm.spec(id)
 	free := b.typ.GPUs
 	for _, other := range b.tasks {
-		if other.state != worker.Ended {
+		if other.state != worker.TaskExited {
 			free -= other.spec.GPUs
 			if other.id == o.Task {
-				t.state, t.cause = worker.Ended, worker.Busy
+				t.state, t.cause = worker.TaskExited, worker.CauseOtherAttempt
 			}
 		}
 	}
 	switch {
-	case t.state == worker.Ended:
+	case t.state == worker.TaskExited:
 	case err != nil:
-		t.state, t.cause = worker.Ended, worker.NoSuch
+		t.state, t.cause = worker.TaskExited, worker.CauseUnknownTask
 	case spec.GPUs > free:
-		t.state, t.cause = worker.Ended, worker.NoRoom
+		t.state, t.cause = worker.TaskExited, worker.CauseNoCapacity
 	case b.farm.Completed(o.Task):
-		t.state, t.cause = worker.Ended, worker.Done
+		t.state, t.cause = worker.TaskExited, worker.CauseDone
 	}
 	t.spec = spec
 	b.tasks[key] = t
-	if t.state != worker.Ended {
+	if t.state != worker.TaskExited {
 		go t.play()
 	}
 }
--- a/emulator/cloudserver.go
+++ b/emulator/cloudserver.go
@@ -76,7 +76,7 @@
 			answer(w, http.StatusBadRequest, nil)
 			return
 		}
-		answerOr(w, s.api.Delete(r.Context(), in.Names), struct{}{})
+		answerOr(w, s.api.ScaleIn(r.Context(), in.Names), struct{}{})
 	default:
 		answer(w, http.StatusBadRequest, nil)
 	}
@@ -91,12 +91,12 @@
 }
 
 func (s *CloudServer) serveRental(w http.ResponseWriter, r *http.Request) {
-	var in cloud.Rental
+	var in cloud.ScaleOutRequest
 	if json.NewDecoder(r.Body).Decode(&in) != nil {
 		answer(w, http.StatusBadRequest, nil)
 		return
 	}
-	names, err := s.api.Rent(r.Context(), in)
+	names, err := s.api.ScaleOut(r.Context(), in)
 	if err != nil {
 		answer(w, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 		return
--- a/emulator/farm.go
+++ b/emulator/farm.go
@@ -96,8 +96,8 @@
 // MachineTypes lists the types on offer.
 func (f *Farm) MachineTypes(context.Context) ([]cloud.MachineType, error) { return f.types, nil }
 
-// Delete returns machines, with all that is on them.
-func (f *Farm) Delete(_ context.Context, names []string) error {
+// ScaleIn returns machines, with all that is on them.
+func (f *Farm) ScaleIn(_ context.Context, names []string) error {
 	for _, name := range names {
 		f.mu.Lock()
 		b := f.boxes[name]
@@ -123,11 +123,11 @@
 	return out, nil
 }
 
-// Rent rents machines, as many of those asked for as there is capacity for.
-func (f *Farm) Rent(_ context.Context, r cloud.Rental) ([]string, error) {
+// ScaleOut rents machines, as many of those asked for as there is capacity for.
+func (f *Farm) ScaleOut(_ context.Context, r cloud.ScaleOutRequest) ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if names, again := f.requests[r.Request]; again {
+	if names, again := f.requests[r.RequestID]; again {
 		return names, nil
 	}
 	at := slices.IndexFunc(f.types, func(t cloud.MachineType) bool { return t.Name == r.Type })
@@ -157,7 +157,7 @@
 	if len(names) == 0 {
 		return nil, cloud.ErrNoCapacity
 	}
-	f.requests[r.Request] = names
+	f.requests[r.RequestID] = names
 	return names, nil
 }
 
--- a/emulator/fleet.go
+++ b/emulator/fleet.go
@@ -84,7 +84,7 @@
 		}
 		free := job.Capacity(u.typ)
 		for _, p := range u.pieces {
-			if id, _, _ := job.SplitTaskID(p.task.ID); p.task.State != worker.Ended {
+			if id, _, _ := job.SplitTaskID(p.task.ID); p.task.State != worker.TaskExited {
 				if s, known := f.history.Spec(id); known {
 					free = free.Add(s.Need, -1)
 				}
@@ -151,10 +151,10 @@
 	return f.types, nil
 }
 
-func (f *Fleet) Rent(_ context.Context, r cloud.Rental) ([]string, error) {
+func (f *Fleet) ScaleOut(_ context.Context, r cloud.ScaleOutRequest) ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if names, known := f.requests[r.Request]; known {
+	if names, known := f.requests[r.RequestID]; known {
 		return names, nil
 	}
 	at := slices.IndexFunc(f.types, func(t cloud.MachineType) bool { return t.Name == r.Type })
@@ -175,7 +175,7 @@
 	if names == nil {
 		return nil, cloud.ErrNoCapacity
 	}
-	f.requests[r.Request] = names
+	f.requests[r.RequestID] = names
 	return names, nil
 }
 
@@ -214,9 +214,9 @@
 // bootTime is how long a machine takes to come up. The fleet's mutex is held.
 func (f *Fleet) bootTime(t cloud.MachineType) time.Duration {
 	if !f.spread {
-		return t.Boot()
+		return t.ProvisioningTime()
 	}
-	return time.Duration(float64(t.Boot()) * (0.6 + 0.9*f.rng.Float64()))
+	return time.Duration(float64(t.ProvisioningTime()) * (0.6 + 0.9*f.rng.Float64()))
 }
 
 func (f *Fleet) isGang(id string) bool {
@@ -224,7 +224,7 @@
 	return spec.Shape == job.Gang
 }
 
-func (f *Fleet) Delete(_ context.Context, names []string) error {
+func (f *Fleet) ScaleIn(_ context.Context, names []string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, name := range names {
@@ -278,9 +278,9 @@
 // Commander returns the commander of a controller.
 func (f *Fleet) Commander(host string) Commander { return Commander{f, host} }
 
-// Command carries commands to a machine. What is held up is carried out later, if token and
+// Send carries commands to a machine. What is held up is carried out later, if token and
 // session still match.
-func (c Commander) Command(ctx context.Context, address string, token, session uint64, orders []worker.Order) (*worker.Report, bool, error) {
+func (c Commander) Send(ctx context.Context, address string, token, session uint64, orders []worker.Command) (*worker.Heartbeat, bool, error) {
 	f := c.fleet
 	f.mu.Lock()
 	u := f.machines[address]
@@ -292,7 +292,7 @@
 	hold := u.Hold
 	f.mu.Unlock()
 	type outcome struct {
-		r  worker.Report
+		r  worker.Heartbeat
 		ok bool
 	}
 	done := make(chan outcome, 1)
--- a/emulator/history.go
+++ b/emulator/history.go
@@ -129,7 +129,7 @@
 	defer h.mu.Unlock()
 	out := slices.Clone(h.broken)
 	for id, p := range h.jobs {
-		if p.told.IsZero() || time.Since(p.told) <= h.settings.Workers.CancelGone {
+		if p.told.IsZero() || time.Since(p.told) <= h.settings.Workers.CancellationDeadline {
 			continue
 		}
 		for index, s := range p.on {
@@ -334,7 +334,7 @@
 		}
 		for _, before := range p.spec.WaitsOn {
 			// One that is submitted later is accepted all the same.
-			if b := h.jobs[before]; b != nil && !b.told.IsZero() && min(time.Since(b.told), time.Since(p.since)) > h.settings.Workers.CancelGone {
+			if b := h.jobs[before]; b != nil && !b.told.IsZero() && min(time.Since(b.told), time.Since(p.since)) > h.settings.Workers.CancellationDeadline {
 				h.breaks("orphaned", "%s is told as %s %v after %s was cancelled", id, status, time.Since(b.told), before)
 			}
 		}
@@ -365,7 +365,7 @@
 	if !p.told.IsZero() {
 		h.after++
 	}
-	if !p.told.IsZero() && time.Since(p.told) > h.settings.Workers.CancelGone {
+	if !p.told.IsZero() && time.Since(p.told) > h.settings.Workers.CancellationDeadline {
 		h.breaks("ran_cancelled", "%s starts on %s %v after its user was told", task, machine, time.Since(p.told))
 	}
 	if !p.spec.Allows(typeName, zone, spot) {
@@ -397,9 +397,9 @@
 	p.on[index] = stay{machine, zone, time.Now()}
 	h.used[p.spec.Team] = h.used[p.spec.Team].Add(p.spec.Need, 1)
 	team, use := h.settings.Teams[p.spec.Team], h.used[p.spec.Team]
-	if team.GPUsMax > 0 && use.GPUs > team.GPUsMax+1e-6 || team.CPUsMax > 0 && use.CPUs > team.CPUsMax+1e-6 {
+	if team.GPUQuota > 0 && use.GPUs > team.GPUQuota+1e-6 || team.CPUQuota > 0 && use.CPUs > team.CPUQuota+1e-6 {
 		h.breaks("quota", "team %s uses %v", p.spec.Team, use)
-		h.over = max(h.over, use.GPUs-team.GPUsMax)
+		h.over = max(h.over, use.GPUs-team.GPUQuota)
 	}
 }
 
@@ -423,7 +423,7 @@
 	}
 	after := time.Since(p.told)
 	h.stayed = append(h.stayed, after)
-	if after > h.settings.Workers.CancelGone {
+	if after > h.settings.Workers.CancellationDeadline {
 		h.breaks("ran_cancelled", "%s was on %s until %v after its user was told", task, machine, after)
 	}
 }
@@ -520,7 +520,7 @@
 			n = min(n, 1)
 		}
 		team, use := h.settings.Teams[p.spec.Team], h.used[p.spec.Team].Add(p.spec.Need, float64(n))
-		limited := team.GPUsMax > 0 && use.GPUs > team.GPUsMax+1e-6 || team.CPUsMax > 0 && use.CPUs > team.CPUsMax+1e-6
+		limited := team.GPUQuota > 0 && use.GPUs > team.GPUQuota+1e-6 || team.CPUQuota > 0 && use.CPUs > team.CPUQuota+1e-6
 		out[id] = wait{p.spec, n, limited}
 	}
 	return out
--- a/emulator/history_test.go
+++ b/emulator/history_test.go
@@ -13,7 +13,7 @@
 // Every rule of the protocol has a fault planted that the history must find, and a day
 // without any finds nothing.
 func TestHistoryFindsPlantedFaults(t *testing.T) {
-	settings := &config.Settings{Workers: config.Workers{CancelGone: 60 * time.Second}, Teams: map[string]config.Team{"t": {Name: "t", GPUsMax: 2}}}
+	settings := &config.Settings{Workers: config.WorkerTiming{CancellationDeadline: 60 * time.Second}, Teams: map[string]config.Team{"t": {Name: "t", GPUQuota: 2}}}
 	one := job.Spec{ID: "wk-1", Team: "t", Shape: job.Array, Tasks: 1, Need: job.Need{GPUs: 1}}
 	after := job.Spec{ID: "wk-2", Team: "t", Shape: job.Array, Tasks: 3, Need: job.Need{GPUs: 1}, WaitsOn: []string{"wk-1"}}
 	told := func(h *History, verb, id string, code int, status string) { h.Told(verb, id, h.Asking(), code, status) }
--- a/emulator/lease.go
+++ b/emulator/lease.go
@@ -24,14 +24,14 @@
 // take takes the answer to a report of a session that was sent at some time. home is where
 // to report next: "stay", a host, or "". An answer that the worker must drop is nil; any
 // other renews the lease, and its orders are to be carried out under its token.
-func (l *lease) take(session uint64, sent time.Time, code int, body []byte) (home string, answer *worker.Answer) {
+func (l *lease) take(session uint64, sent time.Time, code int, body []byte) (home string, answer *worker.HeartbeatResponse) {
 	switch code {
 	case http.StatusOK:
-		var a worker.Answer
+		var a worker.HeartbeatResponse
 		if json.Unmarshal(body, &a) != nil {
 			return "", nil
 		}
-		if !l.commands(a.Token, session) {
+		if !l.commands(a.FencingToken, session) {
 			return "stay", nil
 		}
 		l.answered = sent
--- a/emulator/loopback.go
+++ b/emulator/loopback.go
@@ -130,15 +130,15 @@
 
 // doRequest is the body of a command sent straight to a worker.
 type doRequest struct {
-	Token   *uint64        `json:"baton"`
-	Session *uint64        `json:"tenure"`
-	Orders  []worker.Order `json:"orders"`
+	Token   *uint64          `json:"baton"`
+	Session *uint64          `json:"tenure"`
+	Orders  []worker.Command `json:"orders"`
 }
 
 func (u *Machine) handle(ctx *fasthttp.RequestCtx) {
 	var (
 		in       doRequest
-		report   worker.Report
+		report   worker.Heartbeat
 		executed = true
 	)
 	u.fleet.loopback.Traffic.Commands.Add(1)
--- a/emulator/loopback_test.go
+++ b/emulator/loopback_test.go
@@ -23,7 +23,7 @@
 // do not renew.
 func TestWorkerOnLoopback(t *testing.T) {
 	var mu sync.Mutex
-	var latest worker.Report
+	var latest worker.Heartbeat
 	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -31,9 +31,9 @@
 		answer(w, http.StatusServiceUnavailable, nil) // its lease is not renewed
 	}))
 	defer controller.Close()
-	settings := &config.Settings{Host: "host-0", Workers: config.Workers{Report: 200 * time.Millisecond, Lease: 1500 * time.Millisecond, CancelGone: 10 * time.Second}}
+	settings := &config.Settings{Host: "host-0", Workers: config.WorkerTiming{HeartbeatInterval: 200 * time.Millisecond, LeaseDuration: 1500 * time.Millisecond, CancellationDeadline: 10 * time.Second}}
 	history := NewHistory(settings)
-	types := []cloud.MachineType{{Name: "box", CPUs: 4, GPUs: 1, MemoryGB: 8, Price: 1, Zones: []string{"a"}}}
+	types := []cloud.MachineType{{Name: "box", CPUs: 4, GPUs: 1, MemoryGB: 8, OnDemandPrice: 1, Zones: []string{"a"}}}
 	f := NewFleet(t.Context(), settings, types, 1, 1, history, nil)
 	l := &Loopback{Addresses: map[string]string{"host-0": strings.TrimPrefix(controller.URL, "http://")}}
 	f.Connect(l)
@@ -60,7 +60,7 @@
 	})
 	do := func(token, session uint64) int {
 		t.Helper()
-		body, _ := json.Marshal(map[string]any{"baton": token, "tenure": session, "orders": []worker.Order{worker.Start("wk-1/0", 1)}})
+		body, _ := json.Marshal(map[string]any{"baton": token, "tenure": session, "orders": []worker.Command{worker.StartCommand("wk-1/0", 1)}})
 		resp, err := http.Post("http://"+address+"/do", "application/json", bytes.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
--- a/emulator/machine.go
+++ b/emulator/machine.go
@@ -31,18 +31,18 @@
 	address  string
 	listener net.Listener // of its address, on a loopback network
 
-	Hung        bool            // it does nothing, and may go on within its lease
-	Deaf        bool            // its reports arrive; answers and direct commands to it are lost
-	Lost        bool            // direct commands to it are lost; answers to its reports arrive
-	Mute        bool            // its reports reach nobody; direct commands to it are carried out
-	Hold        time.Duration   // direct commands and their answers are held up for so long
-	HoldAnswers time.Duration   // answers to its reports are held up for so long
-	Cut         string          // the only controller that does not reach it directly
-	Only        string          // the only controller that it reaches, and that reaches it
-	died        time.Time       // it stopped with all that was on it
-	Carried     int             // direct commands that were carried out
-	late        []worker.Report // reports that came, for copies
-	kept        *worker.Report  // one that is kept for later
+	Hung        bool               // it does nothing, and may go on within its lease
+	Deaf        bool               // its reports arrive; answers and direct commands to it are lost
+	Lost        bool               // direct commands to it are lost; answers to its reports arrive
+	Mute        bool               // its reports reach nobody; direct commands to it are carried out
+	Hold        time.Duration      // direct commands and their answers are held up for so long
+	HoldAnswers time.Duration      // answers to its reports are held up for so long
+	Cut         string             // the only controller that does not reach it directly
+	Only        string             // the only controller that it reaches, and that reaches it
+	died        time.Time          // it stopped with all that was on it
+	Carried     int                // direct commands that were carried out
+	late        []worker.Heartbeat // reports that came, for copies
+	kept        *worker.Heartbeat  // one that is kept for later
 }
 
 // Kill has a machine stop, with all that is on it. It is listed as running for a while.
@@ -92,7 +92,7 @@
 	for u.ctx.Err() == nil {
 		home := u.report(hosts[at])
 		f.mu.Lock()
-		pause := time.Duration(float64(f.settings.Workers.Report) * (0.75 + f.rng.Float64()/2))
+		pause := time.Duration(float64(f.settings.Workers.HeartbeatInterval) * (0.75 + f.rng.Float64()/2))
 		f.mu.Unlock()
 		next := slices.Index(hosts, home)
 		switch {
@@ -157,14 +157,14 @@
 	if u.Deaf || u.Hung || time.Since(sent) > answerWait {
 		return ""
 	}
-	home, answer := u.take(r.Session, sent, code, body)
+	home, answer := u.take(r.WorkerEpoch, sent, code, body)
 	if answer != nil {
-		u.carryOut(answer.Token, answer.Orders)
+		u.carryOut(answer.FencingToken, answer.Commands)
 	}
 	return home
 }
 
-func (u *Machine) send(host string, r *worker.Report) (code int, body []byte) {
+func (u *Machine) send(host string, r *worker.Heartbeat) (code int, body []byte) {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return 0, nil
@@ -231,13 +231,13 @@
 
 // Lists reports whether the kept report lists a task that has not ended.
 func (u *Machine) Lists(task string) bool {
-	return u.kept != nil && slices.ContainsFunc(u.kept.Tasks, func(t worker.Task) bool { return t.ID == task && t.State != worker.Ended })
+	return u.kept != nil && slices.ContainsFunc(u.kept.Tasks, func(t worker.Task) bool { return t.ID == task && t.State != worker.TaskExited })
 }
 
 // next is the worker's next report. The fleet's mutex is held.
-func (u *Machine) next() worker.Report {
+func (u *Machine) next() worker.Heartbeat {
 	u.seq++
-	r := worker.Report{Machine: u.name, Address: u.address, Type: u.typ.Name, Zone: u.zone, Session: u.session, Seq: u.seq, Token: u.token, Tasks: []worker.Task{}}
+	r := worker.Heartbeat{Machine: u.name, Address: u.address, Type: u.typ.Name, Zone: u.zone, WorkerEpoch: u.session, Sequence: u.seq, FencingToken: u.token, Tasks: []worker.Task{}}
 	for _, key := range slices.Sorted(maps.Keys(u.pieces)) {
 		r.Tasks = append(r.Tasks, u.pieces[key].task)
 	}
--- a/emulator/machinetasks.go
+++ b/emulator/machinetasks.go
@@ -23,7 +23,7 @@
 
 // execute carries out commands that came straight to the worker, as soon as it does not hang,
 // and returns its report after them. It is not ok if the machine ended before.
-func (u *Machine) execute(token, session uint64, orders []worker.Order) (r worker.Report, executed, ok bool) {
+func (u *Machine) execute(token, session uint64, orders []worker.Command) (r worker.Heartbeat, executed, ok bool) {
 	for u.ctx.Err() == nil {
 		u.fleet.mu.Lock()
 		if !u.Hung {
@@ -41,7 +41,7 @@
 }
 
 // carryOut executes commands in order. The fleet's mutex is held.
-func (u *Machine) carryOut(token uint64, orders []worker.Order) {
+func (u *Machine) carryOut(token uint64, orders []worker.Command) {
 	if token > u.token {
 		u.token = token
 		u.tell()
@@ -52,39 +52,39 @@
 		switch {
 		case o.Op == "run" && p == nil:
 			u.start(key, o)
-		case o.Op == "kill" && p != nil && p.task.State != worker.Ended:
+		case o.Op == "kill" && p != nil && p.task.State != worker.TaskExited:
 			u.kill(p, o)
-		case o.Op == "forget" && p != nil && p.task.State == worker.Ended:
+		case o.Op == "forget" && p != nil && p.task.State == worker.TaskExited:
 			delete(u.pieces, key)
 		}
 	}
 }
 
-func (u *Machine) start(key string, o worker.Order) {
+func (u *Machine) start(key string, o worker.Command) {
 	f := u.fleet
 	id, index, _ := job.SplitTaskID(o.Task)
-	p := &piece{task: worker.Task{ID: o.Task, Attempt: o.Attempt, State: worker.Fetching}, since: time.Now(), group: fmt.Sprint(id, " ", o.Attempt)}
+	p := &piece{task: worker.Task{ID: o.Task, Attempt: o.Attempt, State: worker.TaskFetching}, since: time.Now(), group: fmt.Sprint(id, " ", o.Attempt)}
 	u.pieces[key] = p
 	u.tell()
 	spec, known := f.history.Spec(id)
 	used := spec.GPUs
 	for _, other := range u.pieces {
-		if other == p || other.task.State == worker.Ended {
+		if other == p || other.task.State == worker.TaskExited {
 			continue
 		}
 		of, _, _ := job.SplitTaskID(other.task.ID)
 		s, _ := f.history.Spec(of)
 		used += s.GPUs
 		if other.task.ID == o.Task {
-			u.end(p, worker.Busy)
+			u.end(p, worker.CauseOtherAttempt)
 			return
 		}
 	}
 	switch {
 	case !known:
-		u.end(p, worker.NoSuch)
+		u.end(p, worker.CauseUnknownTask)
 	case used > u.typ.GPUs:
-		u.end(p, worker.NoRoom)
+		u.end(p, worker.CauseNoCapacity)
 	default:
 		p.runs, p.saves = f.runs[id][0], spec.Save()
 		if spec.Shape != job.Gang {
@@ -100,11 +100,11 @@
 		delete(u.fleet.gangs[p.group], p.task.ID)
 	}
 	p.counted = false
-	p.task.State, p.task.Cause, p.since = worker.Ended, cause, time.Now()
+	p.task.State, p.task.Cause, p.since = worker.TaskExited, cause, time.Now()
 	u.tell()
 }
 
-func (u *Machine) kill(p *piece, o worker.Order) {
+func (u *Machine) kill(p *piece, o worker.Command) {
 	grace := time.Duration(0)
 	if o.GraceS != nil {
 		grace = config.Seconds(*o.GraceS)
@@ -112,18 +112,18 @@
 	id, _, _ := job.SplitTaskID(p.task.ID)
 	spec, _ := u.fleet.history.Spec(id)
 	switch {
-	case p.task.State == worker.Running && spec.Saves() && grace >= p.saves && p.saves > 0:
-		p.task.State, p.since = worker.Saving, time.Now()
+	case p.task.State == worker.TaskRunning && spec.Saves() && grace >= p.saves && p.saves > 0:
+		p.task.State, p.since = worker.TaskCheckpointing, time.Now()
 		u.tell()
-	case p.task.State == worker.Saving && grace > 0:
+	case p.task.State == worker.TaskCheckpointing && grace > 0:
 	default:
-		u.end(p, worker.Stopped)
+		u.end(p, worker.CauseStopped)
 	}
 }
 
 // Plant puts a task on the machine that no controller had started.
 func (u *Machine) Plant(task string, attempt uint64) {
-	u.pieces[fmt.Sprint(task, " ", attempt)] = &piece{task: worker.Task{ID: task, Attempt: attempt, State: worker.Running}, since: time.Now(), runs: time.Hour}
+	u.pieces[fmt.Sprint(task, " ", attempt)] = &piece{task: worker.Task{ID: task, Attempt: attempt, State: worker.TaskRunning}, since: time.Now(), runs: time.Hour}
 	u.tell()
 }
 
@@ -140,8 +140,8 @@
 // Save has the tasks that can save do so from now on, for so long.
 func (u *Machine) Save(d time.Duration) {
 	for _, p := range u.pieces {
-		if p.task.State == worker.Running && p.saves > 0 {
-			p.task.State, p.since, p.saves = worker.Saving, time.Now(), d
+		if p.task.State == worker.TaskRunning && p.saves > 0 {
+			p.task.State, p.since, p.saves = worker.TaskCheckpointing, time.Now(), d
 			u.tell()
 		}
 	}
@@ -150,8 +150,8 @@
 // clear ends and forgets all tasks, as when the machine goes or its lease ends.
 func (u *Machine) clear() {
 	for key, p := range u.pieces {
-		if p.task.State != worker.Ended {
-			u.end(p, worker.Stopped)
+		if p.task.State != worker.TaskExited {
+			u.end(p, worker.CauseStopped)
 		}
 		delete(u.pieces, key)
 	}
@@ -160,7 +160,7 @@
 // unended counts the tasks that have not ended.
 func (u *Machine) unended() (n int) {
 	for _, p := range u.pieces {
-		if p.task.State != worker.Ended {
+		if p.task.State != worker.TaskExited {
 			n++
 		}
 	}
@@ -196,7 +196,7 @@
 		if u.fleet.late != nil {
 			u.fleet.late(time.Since(due))
 		}
-		if time.Since(u.answered) > u.fleet.settings.Workers.Lease {
+		if time.Since(u.answered) > u.fleet.settings.Workers.LeaseDuration {
 			u.session++
 			u.answered = time.Now()
 			u.fleet.killed += u.unended()
@@ -220,13 +220,13 @@
 	gang := spec.Shape == job.Gang
 	to := func(state string) { p.task.State, p.since = state, now; u.tell() }
 	switch p.task.State {
-	case worker.Fetching:
+	case worker.TaskFetching:
 		if now.Sub(p.since) < u.fetchTime(spec.Image) {
 			return
 		}
 		u.images[spec.Image] = true
 		if f.history.Completed(p.task.ID) {
-			u.end(p, worker.Done)
+			u.end(p, worker.CauseDone)
 			return
 		}
 		f.history.Start(p.task.ID, u.name, u.typ.Name, u.zone, false)
@@ -236,26 +236,26 @@
 		}
 		f.gangs[p.group][p.task.ID] = p
 		if gang {
-			to(worker.Gathering)
+			to(worker.TaskAwaitingGang)
 		} else {
-			to(worker.Running)
+			to(worker.TaskRunning)
 		}
-	case worker.Gathering:
+	case worker.TaskAwaitingGang:
 		whole := len(f.gangs[p.group]) == spec.Tasks
 		for _, other := range f.gangs[p.group] {
-			whole = whole && (other.task.State == worker.Gathering || other.task.State == worker.Running)
+			whole = whole && (other.task.State == worker.TaskAwaitingGang || other.task.State == worker.TaskRunning)
 		}
 		if whole {
-			to(worker.Running)
-		} else if now.Sub(p.since) > f.settings.Workers.GangWait {
-			u.end(p, worker.Incomplete)
+			to(worker.TaskRunning)
+		} else if now.Sub(p.since) > f.settings.Workers.GangWaitTimeout {
+			u.end(p, worker.CauseGangIncomplete)
 		}
-	case worker.Running:
+	case worker.TaskRunning:
 		switch {
 		case gang && f.history.Completed(p.task.ID):
-			u.end(p, worker.Done)
-		case gang && len(f.gangs[p.group]) < spec.Tasks && now.Sub(p.since) > f.settings.Workers.GangPeer:
-			u.end(p, worker.PeersGone)
+			u.end(p, worker.CauseDone)
+		case gang && len(f.gangs[p.group]) < spec.Tasks && now.Sub(p.since) > f.settings.Workers.GangPeerTimeout:
+			u.end(p, worker.CauseGangPeerLost)
 		default:
 			if p.runs -= tickEvery; p.runs > 0 || spec.Shape == job.Service {
 				return
@@ -266,15 +266,15 @@
 				}
 			}
 			f.history.Complete(p.task.ID)
-			u.end(p, worker.Done)
+			u.end(p, worker.CauseDone)
 			if f.done != nil {
 				go f.done(p.task.ID)
 			}
 		}
-	case worker.Saving:
+	case worker.TaskCheckpointing:
 		if now.Sub(p.since) > p.saves {
-			p.task.Saved = true
-			u.end(p, worker.Stopped)
+			p.task.Checkpointed = true
+			u.end(p, worker.CauseStopped)
 		}
 	}
 }
--- a/emulator/worker.go
+++ b/emulator/worker.go
@@ -17,7 +17,7 @@
 
 // Worker is one machine's worker.
 type Worker struct {
-	Report worker.Report
+	Report worker.Heartbeat
 	// Deaf loses commands; LoseAnswers carries them out but loses the answer.
 	Deaf, LoseAnswers bool
 	Lost              int      // commands to be lost without a word, from the next on
@@ -32,7 +32,7 @@
 func (w *Workers) Add(name, typeName, zone string) *Worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	x := &Worker{Report: worker.Report{Machine: name, Address: name, Type: typeName, Zone: zone, Session: 1, Seq: 1}}
+	x := &Worker{Report: worker.Heartbeat{Machine: name, Address: name, Type: typeName, Zone: zone, WorkerEpoch: 1, Sequence: 1}}
 	w.byID[name] = x
 	return x
 }
@@ -45,24 +45,24 @@
 }
 
 // Next returns the worker's next report.
-func (w *Workers) Next(x *Worker) worker.Report {
+func (w *Workers) Next(x *Worker) worker.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return x.next()
 }
 
-func (x *Worker) next() worker.Report {
-	x.Report.Seq++
+func (x *Worker) next() worker.Heartbeat {
+	x.Report.Sequence++
 	r := x.Report
 	r.Tasks = append([]worker.Task(nil), x.Report.Tasks...)
 	return r
 }
 
 // Answer has the worker take an answer to its report.
-func (w *Workers) Answer(x *Worker, a worker.Answer) {
+func (w *Workers) Answer(x *Worker, a worker.HeartbeatResponse) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	x.carryOut(a.Token, x.Report.Session, a.Orders)
+	x.carryOut(a.FencingToken, x.Report.WorkerEpoch, a.Commands)
 }
 
 // DeliverLate carries out the commands that were lost on the way.
@@ -75,11 +75,11 @@
 	x.late = nil
 }
 
-func (x *Worker) carryOut(token, session uint64, orders []worker.Order) bool {
-	if token < x.Report.Token || session != x.Report.Session {
+func (x *Worker) carryOut(token, session uint64, orders []worker.Command) bool {
+	if token < x.Report.FencingToken || session != x.Report.WorkerEpoch {
 		return false
 	}
-	x.Report.Token = token
+	x.Report.FencingToken = token
 	for _, o := range orders {
 		at := -1
 		for i, t := range x.Report.Tasks {
@@ -90,9 +90,9 @@
 		switch {
 		case o.Op == "run" && at < 0:
 			x.Starts = append(x.Starts, o.Task)
-			x.Report.Tasks = append(x.Report.Tasks, worker.Task{ID: o.Task, Attempt: o.Attempt, State: worker.Running})
-		case o.Op == "kill" && at >= 0 && x.Report.Tasks[at].State != worker.Ended:
-			x.Report.Tasks[at].State, x.Report.Tasks[at].Cause = worker.Ended, worker.Stopped
+			x.Report.Tasks = append(x.Report.Tasks, worker.Task{ID: o.Task, Attempt: o.Attempt, State: worker.TaskRunning})
+		case o.Op == "kill" && at >= 0 && x.Report.Tasks[at].State != worker.TaskExited:
+			x.Report.Tasks[at].State, x.Report.Tasks[at].Cause = worker.TaskExited, worker.CauseStopped
 		case o.Op == "forget" && at >= 0:
 			x.Report.Tasks = append(x.Report.Tasks[:at], x.Report.Tasks[at+1:]...)
 		}
@@ -105,14 +105,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range x.Report.Tasks {
-		if t := &x.Report.Tasks[i]; t.ID == task && t.State != worker.Ended {
-			t.State, t.Cause = worker.Ended, cause
+		if t := &x.Report.Tasks[i]; t.ID == task && t.State != worker.TaskExited {
+			t.State, t.Cause = worker.TaskExited, cause
 		}
 	}
 }
 
-// Command is the commander's side.
-func (w *Workers) Command(ctx context.Context, address string, token, session uint64, orders []worker.Order) (*worker.Report, bool, error) {
+// Send is the commander's side.
+func (w *Workers) Send(ctx context.Context, address string, token, session uint64, orders []worker.Command) (*worker.Heartbeat, bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	x := w.byID[address]
--- a/internal/autoscaler/boots.go
+++ b/internal/autoscaler/boots.go
@@ -88,7 +88,7 @@
 		}
 		inBoot[b.pool]++
 		if _, known := patience[b.pool]; !known {
-			patience[b.pool] = f.boots.patience(b.pool, types[b.typeName].Boot())
+			patience[b.pool] = f.boots.patience(b.pool, types[b.typeName].ProvisioningTime())
 		}
 		if now.Sub(b.since) > patience[b.pool] {
 			overdue[b.pool]++
@@ -103,7 +103,7 @@
 		t, age := types[b.typeName], now.Sub(b.since)
 		slow := troubled(inBoot[b.pool], came[b.pool], overdue[b.pool])
 		switch {
-		case age > f.boots.giveUp(b.pool, t.Boot(), slow):
+		case age > f.boots.giveUp(b.pool, t.ProvisioningTime(), slow):
 			slog.Info("provisioning overdue", "machine", name, "age", age.Round(time.Second))
 			*deletes = append(*deletes, name)
 		case age > patience[b.pool] && !slow:
@@ -140,7 +140,7 @@
 	late := map[pool]OverduePool{}
 	for _, b := range s.fleet.booting {
 		age := now.Sub(b.since)
-		if t := types[b.typeName]; age <= s.fleet.boots.patience(b.pool, t.Boot()) {
+		if t := types[b.typeName]; age <= s.fleet.boots.patience(b.pool, t.ProvisioningTime()) {
 			continue
 		}
 		l := late[b.pool]
--- a/internal/autoscaler/calls.go
+++ b/internal/autoscaler/calls.go
@@ -13,10 +13,10 @@
 )
 
 // rent asks the cloud for machines; what has no answer is asked for again under its name.
-func (s *Leader) rent(ctx context.Context, r cloud.Rental) {
+func (s *Leader) rent(ctx context.Context, r cloud.ScaleOutRequest) {
 	now := time.Now()
 	cctx, cancel := context.WithTimeout(ctx, 5*time.Second)
-	names, err := s.cloud.Rent(cctx, r)
+	names, err := s.cloud.ScaleOut(cctx, r)
 	cancel()
 	p := pool{r.Type, r.Zone, r.Spot}
 	s.mu.Lock()
@@ -26,7 +26,7 @@
 	case errors.Is(err, cloud.ErrNoCapacity):
 		f.refuse(p, now)
 	case err != nil:
-		slog.Info("scale-out outcome unknown", "request", r.Request, "err", err)
+		slog.Info("scale-out outcome unknown", "request", r.RequestID, "err", err)
 		f.retry = append(f.retry, r)
 		return
 	case len(names) < r.Count:
@@ -66,7 +66,7 @@
 func (s *Leader) remove(ctx context.Context, names []string) {
 	for chunk := range slices.Chunk(names, 100) {
 		cctx, cancel := context.WithTimeout(ctx, 5*time.Second)
-		err := s.cloud.Delete(cctx, chunk)
+		err := s.cloud.ScaleIn(cctx, chunk)
 		cancel()
 		if err != nil {
 			slog.Info("scale-in failed", "machines", chunk, "err", err)
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -32,8 +32,8 @@
 	deleted   map[string]time.Time
 	toldOwner map[string]time.Time // when the owner of a deleted machine was told again
 	requests  int
-	gangs     map[string]gangClass // classes of gangs seen lately
-	retry     []cloud.Rental       // rentals without an answer, to be repeated under their names
+	gangs     map[string]gangClass    // classes of gangs seen lately
+	retry     []cloud.ScaleOutRequest // rentals without an answer, to be repeated under their names
 	resumAt   time.Time
 	toldAt    time.Time             // when the log last had the totals
 	told      map[string][2]float64 // prices that the log has, by type
@@ -97,13 +97,13 @@
 func (s *Leader) tellPrices(types []cloud.MachineType) {
 	for _, t := range types {
 		s.mu.Lock()
-		told := s.epoch == 0 || s.fleet.told[t.Name] == [2]float64{t.Price, t.SpotPrice}
+		told := s.epoch == 0 || s.fleet.told[t.Name] == [2]float64{t.OnDemandPrice, t.SpotPrice}
 		if !told {
-			s.fleet.told[t.Name] = [2]float64{t.Price, t.SpotPrice}
+			s.fleet.told[t.Name] = [2]float64{t.OnDemandPrice, t.SpotPrice}
 		}
 		s.mu.Unlock()
 		if !told {
-			slog.Info(logline.MachineTypePrice, "type", t.Name, "hourly", t.Price, "spot", t.SpotPrice, "cpus", t.CPUs, "gpus", t.GPUs, "mem_gb", t.MemoryGB)
+			slog.Info(logline.MachineTypePrice, "type", t.Name, "hourly", t.OnDemandPrice, "spot", t.SpotPrice, "cpus", t.CPUs, "gpus", t.GPUs, "mem_gb", t.MemoryGB)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	if _, ok := s.mirror.Get(statekv.MachineTypesKey); ok || s.Epoch() == 0 {
 		return
 	}
-	if raw, err := json.Marshal(types); err != nil || len(raw) > s.settings.State.ValueBytes {
+	if raw, err := json.Marshal(types); err != nil || len(raw) > s.settings.StateLimits.MaxValueBytes {
 		return
 	}
 	// Once: a copy that is carried out late must not bring back what was then.
@@ -230,7 +230,7 @@
 
 // planFleet decides what to rent, what idle machines to return, and which
 // machines are lost and have to be deleted.
-func (s *Leader) planFleet(now time.Time) (rentals []cloud.Rental, returns, deletes []string) {
+func (s *Leader) planFleet(now time.Time) (rentals []cloud.ScaleOutRequest, returns, deletes []string) {
 	types := s.catalogue.Types()
 	entries := s.feed.Entries()
 	s.mu.Lock()
@@ -303,7 +303,7 @@
 	}
 	b := &bin{name: e.Machine, typeName: e.Type, zone: e.Zone, spot: e.Spot, free: job.Capacity(t), empty: len(e.Tasks) == 0}
 	for _, t := range e.Tasks {
-		if t.State != worker.Ended {
+		if t.State != worker.TaskExited {
 			b.free = b.free.Add(t.Need, -1)
 		}
 	}
@@ -373,7 +373,7 @@
 
 // rentals lists the requests for machines to make now, those without an answer first. The
 // mutex is held.
-func (s *Leader) rentals(types map[string]cloud.MachineType, demands []Demand, bins []*bin, turn turnover, now time.Time) []cloud.Rental {
+func (s *Leader) rentals(types map[string]cloud.MachineType, demands []Demand, bins []*bin, turn turnover, now time.Time) []cloud.ScaleOutRequest {
 	f := &s.fleet
 	out := f.retry
 	f.retry = nil
@@ -390,7 +390,7 @@
 		}
 		for ; n > 0 && len(out) < maxRentals; n -= maxHire {
 			f.requests++
-			out = append(out, cloud.Rental{Request: fmt.Sprintf("r-%d-%d", s.epoch, f.requests), Type: o.typeName, Zone: o.zone, Spot: o.spot, Count: min(n, maxHire)})
+			out = append(out, cloud.ScaleOutRequest{RequestID: fmt.Sprintf("r-%d-%d", s.epoch, f.requests), Type: o.typeName, Zone: o.zone, Spot: o.spot, Count: min(n, maxHire)})
 		}
 	}
 	return out
@@ -457,7 +457,7 @@
 			low = &lowWater{}
 			s.fleet.lows[p] = low
 		}
-		n := low.add(now, len(idlers), s.policy.IdleReturn)
+		n := low.add(now, len(idlers), s.policy.ScaleInIdleTime)
 		slices.SortFunc(idlers, func(a, b string) int {
 			return cmp.Or(cmp.Compare(idle[b], idle[a]), cmp.Compare(a, b))
 		})
@@ -465,7 +465,7 @@
 			s.fleet.uses[p] = &uses{}
 		}
 		keep := s.fleet.uses[p].look(now, idlers, present)
-		soon := time.Duration(soonShare * float64(s.policy.IdleReturn))
+		soon := time.Duration(soonShare * float64(s.policy.ScaleInIdleTime))
 		for n < len(idlers)-keep && idle[idlers[n]] >= soon {
 			n++
 		}
@@ -529,7 +529,7 @@
 		}
 		g.spec.Rank = "best_effort" // behind all that really waits
 		g.spec.DeadlineS = nil
-		out = append(out, Demand{Spec: g.spec, Waiting: s.policy.WarmGangs, Warm: true})
+		out = append(out, Demand{Spec: g.spec, Waiting: s.policy.WarmTasksPerGangClass, Warm: true})
 	}
 	return out
 }
@@ -540,17 +540,17 @@
 	use = maps.Clone(use)
 	for i := range demands {
 		d := &demands[i]
-		team, limited := s.settings.Teams[d.Spec.Team], s.settings.Limited(d.Spec.Team)
+		team, limited := s.settings.Teams[d.Spec.Team], s.settings.HasQuota(d.Spec.Team)
 		if !limited {
 			continue
 		}
 		const none = 1e18
 		room := job.Need{CPUs: none, GPUs: none, MemoryGB: none}
-		if team.CPUsMax > 0 {
-			room.CPUs = team.CPUsMax - use[d.Spec.Team].CPUs
+		if team.CPUQuota > 0 {
+			room.CPUs = team.CPUQuota - use[d.Spec.Team].CPUs
 		}
-		if team.GPUsMax > 0 {
-			room.GPUs = team.GPUsMax - use[d.Spec.Team].GPUs
+		if team.GPUQuota > 0 {
+			room.GPUs = team.GPUQuota - use[d.Spec.Team].GPUs
 		}
 		d.Waiting = min(d.Waiting, d.Spec.Count(room))
 		use[d.Spec.Team] = use[d.Spec.Team].Add(d.Spec.Need, float64(d.Waiting))
@@ -588,7 +588,7 @@
 		// a machine created later, or has shown this one, or is younger than
 		// lists may lag, would show it if it were still there.
 		return "no longer listed"
-	case now.Sub(f.silent[e.Machine]) > s.settings.GoneAfter()+replacing(s.catalogue.Types()[e.Type]):
+	case now.Sub(f.silent[e.Machine]) > s.settings.WorkerLeaseExpiry()+replacing(s.catalogue.Types()[e.Type]):
 		return "silent for longer than replacing it takes"
 	}
 	return ""
@@ -601,4 +601,4 @@
 // comes back with its images. Waiting for it as long as replacing it would take
 // costs at most twice what would have been best. One that died is found out by the
 // cloud's list long before.
-func replacing(t cloud.MachineType) time.Duration { return 2 * t.Boot() }
+func replacing(t cloud.MachineType) time.Duration { return 2 * t.ProvisioningTime() }
--- a/internal/autoscaler/ledger.go
+++ b/internal/autoscaler/ledger.go
@@ -97,7 +97,7 @@
 	}
 	for i := range e.Tasks {
 		t := &e.Tasks[i]
-		if t.State == worker.Ended {
+		if t.State == worker.TaskExited {
 			delete(now, t.TaskRef)
 			l.release(t.TaskRef)
 			continue
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -45,7 +45,7 @@
 			for _, spot := range []bool{false, true} {
 				p := pool{t.Name, z, spot}
 				if t.HourlyPrice(spot) > 0 {
-					out = append(out, &offer{pool: p, capacity: job.Capacity(t), price: t.HourlyPrice(spot), boot: t.Boot(), left: limit(p)})
+					out = append(out, &offer{pool: p, capacity: job.Capacity(t), price: t.HourlyPrice(spot), boot: t.ProvisioningTime(), left: limit(p)})
 				}
 			}
 		}
@@ -170,7 +170,7 @@
 func newTurnover(types map[string]cloud.MachineType) turnover {
 	var t turnover
 	for _, m := range types {
-		t.boot = max(t.boot, m.BootS)
+		t.boot = max(t.boot, m.ProvisioningS)
 		if m.FetchGBPerS > 0 && (t.fetchRate == 0 || m.FetchGBPerS < t.fetchRate) {
 			t.fetchRate = m.FetchGBPerS
 		}
--- a/internal/autoscaler/steward.go
+++ b/internal/autoscaler/steward.go
@@ -129,7 +129,7 @@
 	s.epoch, s.settled, s.cleared = epoch, false, map[string]bool{}
 	s.ledger.clearPermits()
 	s.fleet = newFleet()
-	s.budget, s.budgetBegan = budget.NewAllocator(epoch, s.settings.State.SharedChanges(), s.settings.Hosts()), time.Now()
+	s.budget, s.budgetBegan = budget.NewAllocator(epoch, s.settings.StateLimits.SharedWriteBudget(), s.settings.Hosts()), time.Now()
 	s.mu.Unlock()
 	s.feed.PollNow()
 	slog.Info("leader elected", "epoch", epoch)
@@ -227,7 +227,7 @@
 // within reports whether a team may use so much.
 func (s *Leader) within(name string, use job.Need) bool {
 	team := s.settings.Teams[name]
-	return !(team.CPUsMax > 0 && use.CPUs > team.CPUsMax || team.GPUsMax > 0 && use.GPUs > team.GPUsMax)
+	return !(team.CPUQuota > 0 && use.CPUs > team.CPUQuota || team.GPUQuota > 0 && use.GPUs > team.GPUQuota)
 }
 
 var errNotSteward = errors.New("not steward")
--- a/internal/autoscaler/steward_test.go
+++ b/internal/autoscaler/steward_test.go
@@ -22,9 +22,9 @@
 
 func settings() *config.Settings {
 	return &config.Settings{Host: "host-0", CloudListLag: 4 * time.Second,
-		Teams:   map[string]config.Team{"t": {Name: "t", GPUsMax: 10}},
-		Workers: config.Workers{Report: 3 * time.Second, Lease: 30 * time.Second, CancelGone: 60 * time.Second},
-		State:   config.State{RPS: 100, WriteRPS: 50, ValueBytes: 8192, TxnOps: 24}}
+		Teams:       map[string]config.Team{"t": {Name: "t", GPUQuota: 10}},
+		Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, CancellationDeadline: 60 * time.Second},
+		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
 }
 
 func newSteward(t testing.TB, ctx context.Context) (*Leader, *emulator.State) {
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	types := &cloud.Catalogue{}
-	types.Set([]cloud.MachineType{{Name: "box", CPUs: 64, GPUs: 8, MemoryGB: 512, Price: 10, SpotPrice: 4, BootS: 30, Zones: []string{"a"}}})
+	types.Set([]cloud.MachineType{{Name: "box", CPUs: 64, GPUs: 8, MemoryGB: 512, OnDemandPrice: 10, SpotPrice: 4, ProvisioningS: 30, Zones: []string{"a"}}})
 	s := New(settings(), policy.Default(), mirror, member, nil, nil, types)
 	s.feed = changefeed.New(nil, mirror, nil, nil, nil)
 	s.epoch, s.cleared = 99, map[string]bool{}
@@ -87,7 +87,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
 		s.settled = true
-		task := agentapi.TaskEntry{TaskRef: agentapi.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Need{GPUs: 8}, Known: true, State: worker.Running}
+		task := agentapi.TaskEntry{TaskRef: agentapi.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Need{GPUs: 8}, Known: true, State: worker.TaskRunning}
 		s.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: true, Tasks: []agentapi.TaskEntry{task}}})
 		s.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: false}})
 		if ask(t, s, 0, 3) {
@@ -157,8 +157,8 @@
 
 func TestPackingRentsWhatIsCheapestPerTask(t *testing.T) {
 	types := map[string]cloud.MachineType{
-		"small": {Name: "small", CPUs: 24, GPUs: 4, MemoryGB: 96, Price: 13, SpotPrice: 5, Zones: []string{"a"}},
-		"big":   {Name: "big", CPUs: 64, GPUs: 8, MemoryGB: 512, Price: 25, SpotPrice: 10, Zones: []string{"a"}},
+		"small": {Name: "small", CPUs: 24, GPUs: 4, MemoryGB: 96, OnDemandPrice: 13, SpotPrice: 5, Zones: []string{"a"}},
+		"big":   {Name: "big", CPUs: 64, GPUs: 8, MemoryGB: 512, OnDemandPrice: 25, SpotPrice: 10, Zones: []string{"a"}},
 	}
 	d := []Demand{{Spec: job.Spec{Need: job.Need{CPUs: 6, GPUs: 1, MemoryGB: 48}, Spot: true, Rank: "normal"}, Waiting: 10}}
 	bins := []*bin{{name: "m1", typeName: "small", zone: "a", free: job.Need{CPUs: 24, GPUs: 4, MemoryGB: 96}}}
@@ -230,7 +230,7 @@
 		t.Fatalf("%d just after a refusal", n)
 	}
 	now = now.Add(11 * time.Second)
-	types := map[string]cloud.MachineType{"big": {Name: "big", GPUs: 8, Price: 25, SpotPrice: 10, Zones: []string{"a"}}}
+	types := map[string]cloud.MachineType{"big": {Name: "big", GPUs: 8, OnDemandPrice: 25, SpotPrice: 10, Zones: []string{"a"}}}
 	d := []Demand{{Spec: job.Spec{Rank: "normal", Need: job.Need{GPUs: 8}, Spot: true}, Waiting: 10}}
 	rent, _ := packing(d, nil, turnover{}, offers(types, func(p pool) int { return f.poolLimit(p, now) }), 100)
 	if rent[p] != probe || rent[pool{"big", "a", false}] != 10-probe {
@@ -243,7 +243,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
 		s.settled = true
-		s.policy.WarmGangs = 1
+		s.policy.WarmTasksPerGangClass = 1
 		spec := job.Spec{ID: "wk-1", Class: "train", Team: "t", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{GPUs: 8}}
 		demand := func(jobs ...Demand) int {
 			if err := NewService(s).Demand(DemandRequest{Host: "host-0", Jobs: jobs}, &struct{}{}); err != nil {
@@ -274,7 +274,7 @@
 func TestWhatIsIdleAllTheTimeIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
-		s.policy.IdleReturn = 10 * time.Second
+		s.policy.ScaleInIdleTime = 10 * time.Second
 		p := pool{"box", "a", false}
 		returned := 0
 		for second := range 30 {
@@ -319,7 +319,7 @@
 // What is left of a job that must be in one zone is put and rented for in the zone where its
 // running tasks hold it, although another has a free machine and cheaper ones.
 func TestJobHeldInAZoneRentsThere(t *testing.T) {
-	types := map[string]cloud.MachineType{"box": {Name: "box", CPUs: 16, GPUs: 2, MemoryGB: 64, Price: 10, Zones: []string{"a", "b"}}}
+	types := map[string]cloud.MachineType{"box": {Name: "box", CPUs: 16, GPUs: 2, MemoryGB: 64, OnDemandPrice: 10, Zones: []string{"a", "b"}}}
 	elsewhere := &bin{name: "m1", typeName: "box", zone: "a", free: job.Need{CPUs: 16, GPUs: 2, MemoryGB: 64}}
 	spec := job.Spec{Shape: job.Array, OneZone: true, Rank: "normal", Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}
 	rent, _ := packing([]Demand{{Spec: spec, Waiting: 2, Running: 1, Zone: "b"}}, []*bin{elsewhere}, turnover{}, offers(types, func(pool) int { return 10 }), 10)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -19,27 +19,29 @@
 
 // MachineType describes a kind of machine.
 type MachineType struct {
-	Name        string   `json:"label"`
-	CPUs        float64  `json:"cpus"`
-	GPUs        float64  `json:"gpus"`
-	MemoryGB    float64  `json:"mem_gb"`
-	CacheGB     float64  `json:"local_gb"`
-	FetchGBPerS float64  `json:"pull_gb_per_s"`
-	Price       float64  `json:"hourly"`
-	SpotPrice   float64  `json:"low_price"`
-	BootS       float64  `json:"startup_s"`
-	Zones       []string `json:"sites"`
+	Name          string   `json:"label"`
+	CPUs          float64  `json:"cpus"`
+	GPUs          float64  `json:"gpus"`
+	MemoryGB      float64  `json:"mem_gb"`
+	CacheGB       float64  `json:"local_gb"`
+	FetchGBPerS   float64  `json:"pull_gb_per_s"`
+	OnDemandPrice float64  `json:"hourly"`
+	SpotPrice     float64  `json:"low_price"`
+	ProvisioningS float64  `json:"startup_s"`
+	Zones         []string `json:"sites"`
 }
 
-// Boot is the usual boot time.
-func (t MachineType) Boot() time.Duration { return time.Duration(t.BootS * float64(time.Second)) }
+// ProvisioningTime is the usual boot time.
+func (t MachineType) ProvisioningTime() time.Duration {
+	return time.Duration(t.ProvisioningS * float64(time.Second))
+}
 
 // HourlyPrice is the current price of an ordinary or a spot machine.
 func (t MachineType) HourlyPrice(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
 	}
-	return t.Price
+	return t.OnDemandPrice
 }
 
 // Machine is a rented machine as the cloud lists it.
@@ -53,20 +55,20 @@
 	AgeS    float64 `json:"age_s"`
 }
 
-// Rental asks for machines.
-type Rental struct {
-	Request string `json:"hire"`
-	Type    string `json:"host_kind"`
-	Zone    string `json:"site"`
-	Spot    bool   `json:"loaners"`
-	Count   int    `json:"how_many"`
+// ScaleOutRequest asks for machines.
+type ScaleOutRequest struct {
+	RequestID string `json:"hire"`
+	Type      string `json:"host_kind"`
+	Zone      string `json:"site"`
+	Spot      bool   `json:"loaners"`
+	Count     int    `json:"how_many"`
 }
 
 // API is the cloud as the rest of the program uses it.
 type API interface {
 	MachineTypes(ctx context.Context) ([]MachineType, error)
-	Rent(ctx context.Context, r Rental) ([]string, error)
-	Delete(ctx context.Context, names []string) error
+	ScaleOut(ctx context.Context, r ScaleOutRequest) ([]string, error)
+	ScaleIn(ctx context.Context, names []string) error
 	Machines(ctx context.Context) ([]Machine, error)
 }
 
@@ -114,8 +116,8 @@
 	return out.Types, err
 }
 
-// Rent asks for machines and returns the names of those rented.
-func (c *Client) Rent(ctx context.Context, r Rental) ([]string, error) {
+// ScaleOut asks for machines and returns the names of those rented.
+func (c *Client) ScaleOut(ctx context.Context, r ScaleOutRequest) ([]string, error) {
 	var out struct {
 		Names []string `json:"hosts"`
 	}
@@ -123,8 +125,8 @@
 	return out.Names, err
 }
 
-// Delete returns machines; once it succeeded they and all on them are gone.
-func (c *Client) Delete(ctx context.Context, names []string) error {
+// ScaleIn returns machines; once it succeeded they and all on them are gone.
+func (c *Client) ScaleIn(ctx context.Context, names []string) error {
 	return c.call(ctx, http.MethodPost, "/hosts/delete", map[string][]string{"hosts": names}, nil)
 }
 
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -35,7 +35,7 @@
 		_, err := client(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(c.status)
 			fmt.Fprint(w, c.body)
-		}).Rent(t.Context(), Rental{Request: "r-1", Count: 3})
+		}).ScaleOut(t.Context(), ScaleOutRequest{RequestID: "r-1", Count: 3})
 		if err == nil || errors.Is(err, ErrNoCapacity) != c.none {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/cloud/wire_test.go
+++ b/internal/cloud/wire_test.go
@@ -11,7 +11,7 @@
 func TestWireForms(t *testing.T) {
 	wireformat.JSON[[]MachineType](t, "machine-types")
 	wireformat.JSON[Machine](t, "machine")
-	wireformat.JSON[Rental](t, "rental")
+	wireformat.JSON[ScaleOutRequest](t, "rental")
 }
 
 func TestWireRequests(t *testing.T) {
@@ -29,9 +29,9 @@
 	}
 	note(c.MachineTypes(ctx))
 	for range 3 {
-		note(c.Rent(ctx, Rental{Request: "r-17", Type: "g8", Zone: "a", Spot: true, Count: 12}))
+		note(c.ScaleOut(ctx, ScaleOutRequest{RequestID: "r-17", Type: "g8", Zone: "a", Spot: true, Count: 12}))
 	}
-	note(nil, c.Delete(ctx, []string{"vm-1", "vm-2"}))
+	note(nil, c.ScaleIn(ctx, []string{"vm-1", "vm-2"}))
 	note(c.Machines(ctx))
 	wireformat.Golden(t, "requests", p.Notes())
 }
--- a/internal/clusteragent/agent.go
+++ b/internal/clusteragent/agent.go
@@ -134,7 +134,7 @@
 	if fresh := a.mirror.FreshAsOf(); fresh.Before(known) {
 		known = fresh
 	}
-	hold := a.settings.HoldTime()
+	hold := a.settings.LeaseGracePeriod()
 	if left := hold - now.Sub(known); left > hold*3/4 || a.AcknowledgedUntil == nil {
 		return left
 	}
@@ -177,13 +177,13 @@
 // HeartbeatReply is the answer to a worker's report: orders, or where to report instead.
 type HeartbeatReply struct {
 	Owner      bool
-	Answer     worker.Answer
+	Answer     worker.HeartbeatResponse
 	RedirectTo string // controller to report to, if known
 	Malformed  string // why it is malformed
 }
 
 // Heartbeat takes a worker's report.
-func (a *Agent) Heartbeat(ctx context.Context, r *worker.Report) HeartbeatReply {
+func (a *Agent) Heartbeat(ctx context.Context, r *worker.Heartbeat) HeartbeatReply {
 	now := time.Now()
 	if reply, owned := a.ownReport(r); owned {
 		return reply
@@ -230,7 +230,7 @@
 )
 
 // claimFor claims the machine that reported and answers once it is owned.
-func (a *Agent) claimFor(ctx context.Context, r *worker.Report, seen uint64) HeartbeatReply {
+func (a *Agent) claimFor(ctx context.Context, r *worker.Heartbeat, seen uint64) HeartbeatReply {
 	done := a.claim(r.Machine, shard.MachineRecord{Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}, seen)
 	if done == nil {
 		return HeartbeatReply{}
@@ -246,7 +246,7 @@
 
 // apply takes a report into what is known of the machine and returns whether anything
 // changed; then those who follow it are told.
-func (a *Agent) apply(m *machine, r *worker.Report, now time.Time, executed uint64) bool {
+func (a *Agent) apply(m *machine, r *worker.Heartbeat, now time.Time, executed uint64) bool {
 	if !m.apply(r, now, executed) {
 		return false
 	}
@@ -256,7 +256,7 @@
 	return true
 }
 
-func (a *Agent) ownReport(r *worker.Report) (HeartbeatReply, bool) {
+func (a *Agent) ownReport(r *worker.Heartbeat) (HeartbeatReply, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	// Not before: in a starved process a report may have waited here for seconds,
@@ -283,7 +283,7 @@
 		m.mute = false
 		a.touch(m)
 	}
-	if r.Token > m.token() {
+	if r.FencingToken > m.token() {
 		// The worker has seen a successor's token: an answer with ours would
 		// be dropped and keep the worker here while its lease runs out.
 		a.release(m)
@@ -311,11 +311,11 @@
 	if m.pressing(now) {
 		m.wake()
 	}
-	return HeartbeatReply{Owner: true, Answer: worker.Answer{Token: m.token(), Orders: m.orders(now, false)}}, true
+	return HeartbeatReply{Owner: true, Answer: worker.HeartbeatResponse{FencingToken: m.token(), Commands: m.orders(now, false)}}, true
 }
 
 // tellOdd logs a report that cannot be, once for each machine. The mutex is held.
-func (a *Agent) tellOdd(r *worker.Report, why string) {
+func (a *Agent) tellOdd(r *worker.Heartbeat, why string) {
 	if a.odd[r.Machine] {
 		return
 	}
@@ -323,7 +323,7 @@
 		clear(a.odd)
 	}
 	a.odd[r.Machine] = true
-	slog.Warn("heartbeat rejected", "machine", r.Machine, "reason", why, "address", r.Address, "epoch", r.Session, "sequence", r.Seq)
+	slog.Warn("heartbeat rejected", "machine", r.Machine, "reason", why, "address", r.Address, "epoch", r.WorkerEpoch, "sequence", r.Sequence)
 }
 
 func (a *Agent) homeOf(name string) string {
@@ -343,7 +343,7 @@
 	slog.Info("machine ownership lost", "machine", m.name)
 	for _, t := range m.tasks {
 		t.settle(agentapi.Unresolved)
-		if t.seen && t.state != worker.Ended {
+		if t.seen && t.state != worker.TaskExited {
 			m.over(t, time.Now(), "handed over")
 		}
 	}
@@ -407,14 +407,14 @@
 			continue // deleted: only its key is left
 		}
 		changed := false
-		quiet := 2*a.settings.Workers.Report + 2*time.Second
+		quiet := 2*a.settings.Workers.HeartbeatInterval + 2*time.Second
 		if !m.settled && m.reported == (serial{}) {
 			// It is being asked all the time, and slots wait for its answer. One that
 			// reports here is alive, and settles by the answers to its reports where
 			// commands do not reach it.
 			quiet = min(quiet, unsettledQuiet)
 		}
-		if !m.mute && m.settled && now.Sub(m.toldAt) > a.settings.Workers.Lease*2/3 {
+		if !m.mute && m.settled && now.Sub(m.toldAt) > a.settings.Workers.LeaseDuration*2/3 {
 			m.mute, changed = true, true
 			if !m.silent && now.Sub(m.heard) <= quiet {
 				slog.Info("machine heartbeats missing", "machine", m.name, "duration_s", seconds(now.Sub(m.toldAt)))
@@ -424,9 +424,9 @@
 			m.silent, changed = true, true
 			slog.Info(logline.MachineUnresponsive, "machine", m.name, "duration_s", seconds(now.Sub(m.heard)))
 		}
-		expired := now.Sub(m.answerEnd) > a.settings.GoneAfter()
+		expired := now.Sub(m.answerEnd) > a.settings.WorkerLeaseExpiry()
 		for k, t := range m.tasks {
-			if t.state == worker.Ended && !t.forget && now.Sub(t.endedAt) > longEnded {
+			if t.state == worker.TaskExited && !t.forget && now.Sub(t.endedAt) > longEnded {
 				// The word to forget it may have gone to an earlier owner. Its
 				// job's record tells; until it is gone, the machine is not idle.
 				t.endedAt, t.verify = now, true
@@ -500,7 +500,7 @@
 	}
 	a.mu.Unlock()
 
-	report, executed, err := a.workers.Command(ctx, address, token, session, orders)
+	report, executed, err := a.workers.Send(ctx, address, token, session, orders)
 
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -537,7 +537,7 @@
 		m.lost = 0
 		a.touch(m)
 	}
-	if report.Token > m.token() {
+	if report.FencingToken > m.token() {
 		a.release(m)
 		return false
 	}
@@ -554,7 +554,7 @@
 			}
 		}
 	}
-	if !executed && report.Session == session {
+	if !executed && report.WorkerEpoch == session {
 		m.retryAt = time.Now().Add(time.Second)
 		return false
 	}
--- a/internal/clusteragent/agent_test.go
+++ b/internal/clusteragent/agent_test.go
@@ -25,8 +25,8 @@
 
 func settings() *config.Settings {
 	return &config.Settings{Host: "host-0", Teams: map[string]config.Team{},
-		Workers: config.Workers{Report: 3 * time.Second, Lease: 30 * time.Second, GangWait: 45 * time.Second, GangPeer: 5 * time.Second, CancelGone: cancelGone},
-		State:   config.State{RPS: 100, WriteRPS: 50, ValueBytes: 8192, TxnOps: 24}}
+		Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, GangWaitTimeout: 45 * time.Second, GangPeerTimeout: 5 * time.Second, CancellationDeadline: cancelGone},
+		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
 }
 
 // node is one controller's agent with its view of the state service.
@@ -59,7 +59,7 @@
 func startWith(t testing.TB, ctx context.Context, settings *config.Settings, host string, state statekv.Store, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
 	t.Helper()
 	ctx, stop := context.WithCancel(ctx)
-	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.OpenPrefix}, statekv.RootPrefix, settings.WatchTime(), 0, func([]statekv.Event) {})
+	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.OpenPrefix}, statekv.RootPrefix, settings.WatchTimeout(), 0, func([]statekv.Event) {})
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -202,7 +202,7 @@
 			t.Fatalf("verdict %q", got)
 		}
 		var oldToken uint64
-		workers.Do(func() { oldToken = w.Report.Token })
+		workers.Do(func() { oldToken = w.Report.FencingToken })
 		a.stop()
 		synctest.Wait()
 		if err := state.Revoke(ctx, 1); err != nil {
@@ -213,7 +213,7 @@
 		if !ok || !e.Settled || len(e.Tasks) != 1 {
 			t.Fatalf("survivor's entry: %+v (%v)", e, ok)
 		}
-		if _, done, _ := workers.Command(ctx, "m1", oldToken, 1, nil); done {
+		if _, done, _ := workers.Send(ctx, "m1", oldToken, 1, nil); done {
 			t.Fatal("the dead owner's token still passes")
 		}
 	})
@@ -252,7 +252,7 @@
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		workers.Do(func() {
-			w.Report.Tasks = []worker.Task{{ID: "wk-1/0", Attempt: 7, State: worker.Running}}
+			w.Report.Tasks = []worker.Task{{ID: "wk-1/0", Attempt: 7, State: worker.TaskRunning}}
 		})
 		n.report(workers, w)
 		time.Sleep(3 * time.Second)
@@ -288,7 +288,7 @@
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		n.commit(t, "m1", "s", epoch, 0, 1)
-		workers.End(w, "wk-1/0", worker.Done)
+		workers.End(w, "wk-1/0", worker.CauseDone)
 		n.report(workers, w)
 		time.Sleep(2 * time.Second)
 		if held(workers, w) != 1 {
@@ -400,7 +400,7 @@
 		workers.Do(func() { w.Deaf = true })
 		n.commit(t, "m1", "s", epoch, 0, 1)
 		time.Sleep(14 * time.Second) // after 20 s without a report it would get nothing new
-		workers.Do(func() { w.Deaf, w.Report.Session, w.Report.Tasks = false, 2, nil })
+		workers.Do(func() { w.Deaf, w.Report.WorkerEpoch, w.Report.Tasks = false, 2, nil })
 		time.Sleep(3 * time.Second)
 		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
@@ -511,7 +511,7 @@
 		time.Sleep(time.Second)
 		n.report(workers, w)
 		for _, task := range n.entries()["m1"].Tasks {
-			if (task.State == worker.Ended) != (task.Index == 0) {
+			if (task.State == worker.TaskExited) != (task.Index == 0) {
 				t.Fatalf("task %d: %s", task.Index, task.State)
 			}
 		}
@@ -711,7 +711,7 @@
 			if got := gang(attempt); got != agentapi.Started {
 				t.Fatalf("gang, attempt %d: %q", attempt, got)
 			}
-			workers.End(w, "wk-2/0", worker.Done)
+			workers.End(w, "wk-2/0", worker.CauseDone)
 			n.report(workers, w)
 			if got := n.commit(t, "m1", "s", epoch, 0, 10+attempt); got != agentapi.Refused {
 				t.Fatalf("array at once: %q", got)
@@ -739,7 +739,7 @@
 			t.Fatalf("verdict %q", got)
 		}
 		before := n.entries()["m1"].Rev
-		workers.Do(func() { w.Report.Token += 1 << 10 })
+		workers.Do(func() { w.Report.FencingToken += 1 << 10 })
 		n.report(workers, w)
 		for range 5 {
 			if e, ok := n.entries()["m1"]; ok && e.Rev == before {
--- a/internal/clusteragent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -49,7 +49,7 @@
 
 // cannotReach notes that a worker came although its owner is alive, and says
 // whether it has come so often that it plainly cannot reach that owner.
-func (a *Agent) cannotReach(r *worker.Report, rev uint64, now time.Time) bool {
+func (a *Agent) cannotReach(r *worker.Heartbeat, rev uint64, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.member.HoldsLease() {
@@ -241,7 +241,7 @@
 func (a *Agent) reaches(ctx context.Context, machines []statekv.KV) bool {
 	for range min(probes, len(machines)) {
 		cctx, cancel := context.WithTimeout(ctx, time.Second)
-		_, _, err := a.workers.Command(cctx, shard.ParseMachineRecord(machines[rand.IntN(len(machines))]).Address, 0, 1, nil)
+		_, _, err := a.workers.Send(cctx, shard.ParseMachineRecord(machines[rand.IntN(len(machines))]).Address, 0, 1, nil)
 		cancel()
 		if err != nil {
 			return false
--- a/internal/clusteragent/buried.go
+++ b/internal/clusteragent/buried.go
@@ -33,7 +33,7 @@
 }
 
 // isBuried reports whether a report is of a machine that is no more.
-func (a *Agent) isBuried(r *worker.Report, now time.Time) bool {
+func (a *Agent) isBuried(r *worker.Heartbeat, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	at, ok := a.buried[r.Machine]
--- a/internal/clusteragent/clear.go
+++ b/internal/clusteragent/clear.go
@@ -112,7 +112,7 @@
 	switch {
 	case t.spec.Saves():
 		lost = t.spec.SaveS
-	case t.state == worker.Running:
+	case t.state == worker.TaskRunning:
 		lost = now.Sub(t.runningAt).Seconds()
 	}
 	return lost * max(t.spec.GPUs, 1)
@@ -140,11 +140,11 @@
 // time enough to run it again, or if the job is too late for all limits already.
 func (a *Agent) lateness(t *task, now time.Time) float64 {
 	rest := config.Seconds(t.spec.EstimateS)
-	if t.state == worker.Running {
+	if t.state == worker.TaskRunning {
 		rest = max(0, rest-now.Sub(t.runningAt))
 	}
 	if t.limits == nil {
-		t.limits = a.settings.Limits(t.spec.Class, t.spec.DeadlineS)
+		t.limits = a.settings.CompletionTargets(t.spec.Class, t.spec.DeadlineS)
 	}
 	for k, limit := range t.limits {
 		if slack := limit - now.Sub(t.submitted) - rest; slack >= 0 {
--- a/internal/clusteragent/fetches.go
+++ b/internal/clusteragent/fetches.go
@@ -79,7 +79,7 @@
 	m.fetchesAt = now
 	size := map[string]float64{}
 	for _, k := range m.tasks {
-		if k.spec != nil && k.state == worker.Fetching {
+		if k.spec != nil && k.state == worker.TaskFetching {
 			size[k.spec.Image] = k.spec.ImageGB
 		}
 	}
@@ -112,7 +112,7 @@
 	}
 	others := map[string]bool{}
 	for _, t := range m.tasks {
-		if t.spec == nil || t.state != worker.Fetching && t.state != agentapi.Starting {
+		if t.spec == nil || t.state != worker.TaskFetching && t.state != agentapi.Starting {
 			continue
 		}
 		if _, has := m.images[t.spec.Image]; !has {
--- a/internal/clusteragent/fetches_test.go
+++ b/internal/clusteragent/fetches_test.go
@@ -28,7 +28,7 @@
 			for k := range 1 + rnd.IntN(4) {
 				image := fmt.Sprint("i", k)
 				left[image] = 3 + 9*rnd.Float64()
-				m.tasks[taskKey{id: image}] = &task{state: worker.Fetching, spec: &job.Spec{Image: image, ImageGB: left[image]}}
+				m.tasks[taskKey{id: image}] = &task{state: worker.TaskFetching, spec: &job.Spec{Image: image, ImageGB: left[image]}}
 			}
 			now := time.Time{}.Add(time.Hour)
 			m.follow(now, box, &learned)
@@ -41,7 +41,7 @@
 				for image := range left {
 					if left[image] -= each; left[image] <= 0 {
 						delete(left, image)
-						m.tasks[taskKey{id: image}].state = worker.Running
+						m.tasks[taskKey{id: image}].state = worker.TaskRunning
 						m.images[image] = now
 					}
 				}
@@ -54,7 +54,7 @@
 		a := &Agent{sharing: learned}
 		m := &machine{tasks: map[taskKey]*task{}, images: map[string]time.Time{"here": {}}}
 		for k := range 2 {
-			m.tasks[taskKey{id: fmt.Sprint(k)}] = &task{state: worker.Fetching, spec: &job.Spec{Image: fmt.Sprint("i", k)}}
+			m.tasks[taskKey{id: fmt.Sprint(k)}] = &task{state: worker.TaskFetching, spec: &job.Spec{Image: fmt.Sprint("i", k)}}
 		}
 		for image, want := range map[string]bool{"here": false, "i1": false, "one more": share} {
 			if got := a.crowded(m, &agentapi.Request{Spec: job.Spec{Shape: job.Array, Image: image}}); got != want {
--- a/internal/clusteragent/gather.go
+++ b/internal/clusteragent/gather.go
@@ -54,7 +54,7 @@
 	for _, t := range m.tasks {
 		switch {
 		case !t.uses() || t.spec.Shape == job.Service:
-		case t.state == worker.Running:
+		case t.state == worker.TaskRunning:
 			ends = append(ends, end{max(0, t.spec.EstimateS-now.Sub(t.runningAt).Seconds()), t.spec.Need})
 		default:
 			ends = append(ends, end{t.spec.EstimateS, t.spec.Need})
--- a/internal/clusteragent/health.go
+++ b/internal/clusteragent/health.go
@@ -18,7 +18,7 @@
 			continue
 		}
 		reply.Owned++
-		if now.Sub(m.heard) < 2*a.settings.Workers.Report {
+		if now.Sub(m.heard) < 2*a.settings.Workers.HeartbeatInterval {
 			reply.Heard++
 		}
 		mark := agentapi.QuarantinedMachine{Machine: m.name}
--- a/internal/clusteragent/late_test.go
+++ b/internal/clusteragent/late_test.go
@@ -35,7 +35,7 @@
 }
 
 // copyOf is the report that the worker sent last, once more.
-func copyOf(workers *emulator.Workers, w *emulator.Worker) (r worker.Report) {
+func copyOf(workers *emulator.Workers, w *emulator.Worker) (r worker.Heartbeat) {
 	workers.Do(func() {
 		r = w.Report
 		r.Tasks = append([]worker.Task(nil), w.Report.Tasks...)
@@ -55,7 +55,7 @@
 		died := time.Now()
 		for time.Since(died) < 36*time.Second {
 			time.Sleep(2 * time.Second)
-			if reply := a.agent.Heartbeat(ctx, &last); len(reply.Answer.Orders) > 0 {
+			if reply := a.agent.Heartbeat(ctx, &last); len(reply.Answer.Commands) > 0 {
 				t.Fatalf("a copy was given orders: %+v", reply)
 			}
 			e := a.entries()["m1"]
@@ -89,7 +89,7 @@
 			t.Fatalf("a copy of before left %d tasks of 2", n)
 		}
 		// Its lease runs out: a new session, without tasks.
-		workers.Do(func() { w.Report.Session, w.Report.Tasks = 2, nil })
+		workers.Do(func() { w.Report.WorkerEpoch, w.Report.Tasks = 2, nil })
 		a.report(workers, w)
 		for range 5 {
 			a.agent.Heartbeat(ctx, &before)
@@ -188,7 +188,7 @@
 				t.Fatalf("after %v: %d tasks are booked, and nothing is proven", time.Since(began), n)
 			}
 		}
-		workers.Do(func() { w.Report.Session, w.Report.Tasks = 2, nil }) // by its own clock
+		workers.Do(func() { w.Report.WorkerEpoch, w.Report.Tasks = 2, nil }) // by its own clock
 		hear()
 		if got := a.entries()["m1"].Tasks; len(got) != 0 {
 			t.Fatalf("the next session proves %v gone", got)
@@ -217,10 +217,10 @@
 func TestReportsThatCannotBe(t *testing.T) {
 	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
 		a, _, w, epoch := pair(t, ctx, state, workers)
-		for what, change := range map[string]func(*worker.Report){
-			"a huge serial":             func(r *worker.Report) { r.Seq = 1 << 63 },
-			"a huge tenure":             func(r *worker.Report) { r.Session = 1 << 62 },
-			"another machine's address": func(r *worker.Report) { r.Address = "m7" },
+		for what, change := range map[string]func(*worker.Heartbeat){
+			"a huge serial":             func(r *worker.Heartbeat) { r.Sequence = 1 << 63 },
+			"a huge tenure":             func(r *worker.Heartbeat) { r.WorkerEpoch = 1 << 62 },
+			"another machine's address": func(r *worker.Heartbeat) { r.Address = "m7" },
 		} {
 			r := workers.Next(w)
 			r.Tasks = nil
@@ -233,7 +233,7 @@
 			}
 		}
 		back := copyOf(workers, w)
-		back.Seq, back.Session, back.Tasks = 1, 0, nil
+		back.Sequence, back.WorkerEpoch, back.Tasks = 1, 0, nil
 		a.agent.Heartbeat(ctx, &back)
 		a.report(workers, w)
 		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started || held(workers, w) != 2 {
@@ -274,11 +274,11 @@
 			}
 			time.Sleep(time.Second)
 		}
-		if held := last.Sub(began); held > settings().HoldTime() || held < settings().HoldTime()-6*time.Second {
-			t.Errorf("it answered for %v; the hold time is %v", held, settings().HoldTime())
+		if held := last.Sub(began); held > settings().LeaseGracePeriod() || held < settings().LeaseGracePeriod()-6*time.Second {
+			t.Errorf("it answered for %v; the hold time is %v", held, settings().LeaseGracePeriod())
 		}
 		// The worker's lease counts from there, and the successor knows.
-		for time.Since(last) < settings().Workers.Lease {
+		for time.Since(last) < settings().Workers.LeaseDuration {
 			if e, ok := b.entries()["m1"]; ok && e.Settled && len(e.Tasks) == 0 {
 				t.Fatalf("given up %v after its last answer", time.Since(last))
 			}
--- a/internal/clusteragent/learn_test.go
+++ b/internal/clusteragent/learn_test.go
@@ -26,7 +26,7 @@
 		w := workers.Add("m1", "box", "a")
 		workers.Do(func() {
 			for _, id := range []string{"wk-1/0", "wk-2/0"} {
-				w.Report.Tasks = append(w.Report.Tasks, worker.Task{ID: id, Attempt: 1, State: worker.Running})
+				w.Report.Tasks = append(w.Report.Tasks, worker.Task{ID: id, Attempt: 1, State: worker.TaskRunning})
 			}
 		})
 		for range 5 {
--- a/internal/clusteragent/machine.go
+++ b/internal/clusteragent/machine.go
@@ -52,7 +52,7 @@
 
 const stateHeld = "held"
 
-func (t *task) uses() bool { return t.state != worker.Ended }
+func (t *task) uses() bool { return t.state != worker.TaskExited }
 
 // settle gives the waiting commit its verdict.
 func (t *task) settle(verdict string) {
@@ -133,14 +133,14 @@
 // unfenced reports whether an unanswered command may still be under way.
 func (m *machine) unfenced() bool { return m.seenToken < m.token() }
 
-func (m *machine) newer(r *worker.Report) bool {
+func (m *machine) newer(r *worker.Heartbeat) bool {
 	return serial{m.session, m.seq}.before(serialOf(r))
 }
 
 // serial is what tells which of two messages of a worker is the newer one.
 type serial struct{ session, seq uint64 }
 
-func serialOf(r *worker.Report) serial { return serial{r.Session, r.Seq} }
+func serialOf(r *worker.Heartbeat) serial { return serial{r.WorkerEpoch, r.Sequence} }
 
 func (s serial) before(o serial) bool {
 	return o.session > s.session || o.session == s.session && o.seq > s.seq
@@ -159,11 +159,11 @@
 )
 
 // odd says why a report cannot be this machine's, or "".
-func (m *machine) odd(r *worker.Report) string {
+func (m *machine) odd(r *worker.Heartbeat) string {
 	switch {
 	case r.Address != m.address:
 		return "its address is another machine's"
-	case r.Session > m.session+mostSession || r.Seq > max(m.seq, m.reported.seq)+mostSeq:
+	case r.WorkerEpoch > m.session+mostSession || r.Sequence > max(m.seq, m.reported.seq)+mostSeq:
 		return "its numbers are out of range"
 	}
 	return ""
@@ -206,7 +206,7 @@
 }
 
 func (m *machine) drop(key taskKey) {
-	if t := m.tasks[key]; t != nil && t.seen && t.state != worker.Ended {
+	if t := m.tasks[key]; t != nil && t.seen && t.state != worker.TaskExited {
 		m.over(t, time.Now(), "lost")
 	}
 	delete(m.tasks, key)
@@ -229,7 +229,7 @@
 	t.passed = now
 }
 
-var phases = map[string]int{agentapi.Starting: 0, worker.Fetching: 0, worker.Gathering: 1, worker.Running: 2, worker.Saving: 3}
+var phases = map[string]int{agentapi.Starting: 0, worker.TaskFetching: 0, worker.TaskAwaitingGang: 1, worker.TaskRunning: 2, worker.TaskCheckpointing: 3}
 
 // over logs what a task did on the machine, once it is not there any more or is
 // another owner's to follow. The audit adds it up.
@@ -274,16 +274,16 @@
 
 // apply brings the tasks up to date from a report and returns whether anything
 // changed. executed is the token of the command that the report answers, or 0.
-func (m *machine) apply(r *worker.Report, now time.Time, executed uint64) bool {
+func (m *machine) apply(r *worker.Heartbeat, now time.Time, executed uint64) bool {
 	if !m.newer(r) {
 		return false
 	}
-	changed := r.Session != m.session || m.silent
-	if r.Session > m.session {
+	changed := r.WorkerEpoch != m.session || m.silent
+	if r.WorkerEpoch > m.session {
 		// A session has its lease from its beginning, answered or not.
 		m.answered(now)
 	}
-	if r.Session > m.session && m.session != 0 {
+	if r.WorkerEpoch > m.session && m.session != 0 {
 		// The worker's lease ran out: it killed and forgot everything, and
 		// commands for the earlier session are refused from now on.
 		for k, t := range m.tasks {
@@ -294,16 +294,16 @@
 		}
 	}
 	left := m.gangRank()
-	m.session, m.seq, m.heard, m.silent = r.Session, r.Seq, now, false
-	m.seenToken = max(m.seenToken, r.Token)
+	m.session, m.seq, m.heard, m.silent = r.WorkerEpoch, r.Sequence, now, false
+	m.seenToken = max(m.seenToken, r.FencingToken)
 	if m.lost > 0 && !m.unfenced() {
 		m.lost = 0 // it has seen our latest token: answers reach it
 		changed = true
 	}
-	if r.NoticeS != nil && m.noticeAt.IsZero() {
-		m.noticeAt, changed = now.Add(time.Duration(*r.NoticeS*float64(time.Second))), true
+	if r.SpotNoticeS != nil && m.noticeAt.IsZero() {
+		m.noticeAt, changed = now.Add(time.Duration(*r.SpotNoticeS*float64(time.Second))), true
 	}
-	if !m.settled && r.Token >= m.rev<<tokenBits {
+	if !m.settled && r.FencingToken >= m.rev<<tokenBits {
 		m.settled, m.answerEnd, changed = true, now, true
 	}
 	listed := make(map[taskKey]bool, len(r.Tasks))
@@ -320,12 +320,12 @@
 			t = &task{ref: agentapi.TaskRef{Job: jobID, Index: index, Attempt: w.Attempt}, id: w.ID, verify: true}
 			m.put(key, t)
 		}
-		if t.state != w.State || t.cause != w.Cause || t.saved != w.Saved || !t.seen {
+		if t.state != w.State || t.cause != w.Cause || t.saved != w.Checkpointed || !t.seen {
 			changed = true
 			m.roomChanged()
 			t.pass(now)
 		}
-		t.state, t.cause, t.saved, t.seen, t.sent = w.State, w.Cause, w.Saved, true, true
+		t.state, t.cause, t.saved, t.seen, t.sent = w.State, w.Cause, w.Checkpointed, true, true
 		m.learn(t, now)
 	}
 	for k, t := range m.tasks {
@@ -335,7 +335,7 @@
 		// A report without the task proves it gone if it was there before. If
 		// its start was sent, the worker must have answered that very command
 		// or have seen a token under which the command is dead.
-		neverStarted := t.sent && !t.seen && (r.Token > t.sentToken || executed != 0 && executed == t.sentToken)
+		neverStarted := t.sent && !t.seen && (r.FencingToken > t.sentToken || executed != 0 && executed == t.sentToken)
 		if t.seen || neverStarted {
 			t.settle(agentapi.Refused)
 			m.drop(k)
@@ -377,7 +377,7 @@
 		return 1
 	}
 	for _, t := range m.tasks {
-		if t.spec != nil && t.spec.Image == image && (t.state == worker.Fetching || t.state == agentapi.Starting) {
+		if t.spec != nil && t.spec.Image == image && (t.state == worker.TaskFetching || t.state == agentapi.Starting) {
 			return 0.5
 		}
 	}
@@ -387,22 +387,22 @@
 // learn takes note of what a task's state says about its machine.
 func (m *machine) learn(t *task, now time.Time) {
 	switch t.state {
-	case worker.Ended:
+	case worker.TaskExited:
 		if t.endedAt.IsZero() {
 			t.endedAt = now
 			m.over(t, now, t.cause)
 		}
 		switch t.cause {
-		case worker.NoRoom, worker.Busy, worker.NoSuch:
+		case worker.CauseNoCapacity, worker.CauseOtherAttempt, worker.CauseUnknownTask:
 			// Refused by the worker: it never ran, so there is nothing to record.
 			t.settle(agentapi.Refused)
 			t.forget = true
 			return
-		case worker.Failed:
+		case worker.CauseFailed:
 			if !t.counted {
 				m.failures[t.ref.Job] = now
 			}
-		case worker.Done:
+		case worker.CauseDone:
 			if !t.counted {
 				m.doneAt = now
 				clear(m.failures)
@@ -411,9 +411,9 @@
 			}
 		}
 		t.counted = true
-	case worker.Fetching:
+	case worker.TaskFetching:
 	default:
-		if t.runningAt.IsZero() && t.state == worker.Running {
+		if t.runningAt.IsZero() && t.state == worker.TaskRunning {
 			t.runningAt = now
 		}
 		if t.spec != nil {
@@ -477,15 +477,15 @@
 
 // orders lists the commands that are due. Starts go only into direct commands:
 // they are answered by a report, so it is known whether they were carried out.
-func (m *machine) orders(now time.Time, direct bool) []worker.Order {
-	var stops, forgets, starts []worker.Order
+func (m *machine) orders(now time.Time, direct bool) []worker.Command {
+	var stops, forgets, starts []worker.Command
 	for _, t := range m.tasks {
 		switch {
-		case t.state == worker.Ended:
+		case t.state == worker.TaskExited:
 			// A copy of the start that is still under way would start the
 			// task anew after its forget.
 			if t.forget && m.seenToken >= t.fence {
-				forgets = append(forgets, worker.Forget(t.id, t.ref.Attempt))
+				forgets = append(forgets, worker.ForgetCommand(t.id, t.ref.Attempt))
 			}
 		case t.stop && (t.seen || t.sent) && (!direct || now.Sub(t.stopSent) > repeatStop):
 			if t.stopFirst.IsZero() {
@@ -496,10 +496,10 @@
 				grace = 0
 			}
 			t.stopSent = now
-			stops = append(stops, worker.Stop(t.id, t.ref.Attempt, grace))
+			stops = append(stops, worker.StopCommand(t.id, t.ref.Attempt, grace))
 		case direct && t.state == agentapi.Starting && !t.sent && m.settled && !m.unfenced():
 			t.sent, t.sentToken = true, m.token()
-			starts = append(starts, worker.Start(t.id, t.ref.Attempt))
+			starts = append(starts, worker.StartCommand(t.id, t.ref.Attempt))
 		}
 	}
 	return append(append(stops, forgets...), starts...)
--- a/internal/clusteragent/owner.go
+++ b/internal/clusteragent/owner.go
@@ -133,7 +133,7 @@
 	}
 	tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	taken, err := a.member.AcquireAll(tctx, roles, a.settings.State.TxnOps)
+	taken, err := a.member.AcquireAll(tctx, roles, a.settings.StateLimits.MaxTxnOps)
 	if err != nil {
 		slog.Debug("machine shard acquisition failed", "err", err)
 	}
@@ -166,7 +166,7 @@
 		if _, ok := held[home[k]]; ok {
 			continue
 		}
-		if home[k] = ""; !a.needsHome(k) || len(made) >= a.store.MaxTxnOps(a.settings.State.TxnOps) {
+		if home[k] = ""; !a.needsHome(k) || len(made) >= a.store.MaxTxnOps(a.settings.StateLimits.MaxTxnOps) {
 			continue
 		}
 		at := slices.IndexFunc(ids, func(id string) bool { return held[id].index%places == k })
@@ -251,7 +251,7 @@
 			empty = append(empty, statekv.Role{Key: statekv.MachineShardPrefix + id, ExpectedRev: h.rev})
 		}
 	}
-	for _, r := range empty[:min(a.store.MaxTxnOps(min(mostDropped, a.settings.State.TxnOps)), len(empty))] {
+	for _, r := range empty[:min(a.store.MaxTxnOps(min(mostDropped, a.settings.StateLimits.MaxTxnOps)), len(empty))] {
 		when = append(when, a.member.RoleCompares(r)...)
 		then = append(then, statekv.Op{Delete: r.Key})
 	}
@@ -353,7 +353,7 @@
 		case c := <-a.claims:
 			batch = append(batch, c)
 		}
-		for len(batch) < a.store.TxnBatchSize(a.settings.State.TxnOps) && len(a.claims) > 0 {
+		for len(batch) < a.store.TxnBatchSize(a.settings.StateLimits.MaxTxnOps) && len(a.claims) > 0 {
 			batch = append(batch, <-a.claims)
 		}
 		// Meanwhile another controller may have claimed it, or taken the shard.
@@ -466,7 +466,7 @@
 	}
 	if takenOver {
 		// The earlier owner may go on answering for its hold time.
-		m.answerEnd = now.Add(a.settings.HoldTime())
+		m.answerEnd = now.Add(a.settings.LeaseGracePeriod())
 		a.told = max(a.told, rev)
 	}
 	a.machines[name] = m
--- a/internal/clusteragent/parts.go
+++ b/internal/clusteragent/parts.go
@@ -39,7 +39,7 @@
 
 // hasPart reports whether jobs like this one have a part.
 func (a *Agent) hasPart(s *job.Spec) bool {
-	return s.Priority() > job.LowestPriority && !a.settings.Guest(s.Team)
+	return s.Priority() > job.LowestPriority && !a.settings.Unguaranteed(s.Team)
 }
 
 // partsNow returns the parts as of a moment ago. The mutex is held.
@@ -99,7 +99,7 @@
 	if !r.Parts || !a.hasPart(t.spec) {
 		return false
 	}
-	if waits := a.settings.Waits(r.Spec.Class); len(waits) > 0 && waits[len(waits)-1]-r.Age <= preemptionTime(r, a.types()[m.typeName]) {
+	if waits := a.settings.StartTargets(r.Spec.Class); len(waits) > 0 && waits[len(waits)-1]-r.Age <= preemptionTime(r, a.types()[m.typeName]) {
 		return false
 	}
 	p := a.partsNow(now)
--- a/internal/clusteragent/service.go
+++ b/internal/clusteragent/service.go
@@ -39,7 +39,7 @@
 		reply.Why = "owner is not certain of its lease"
 	case !a.current(statekv.JobShardPrefix+r.Slot, r.Epoch):
 		reply.Why = "placer is not the slot's latest"
-	case a.settings.Limited(r.Spec.Team) && !a.current(statekv.LeaderKey, r.StewardEpoch):
+	case a.settings.HasQuota(r.Spec.Team) && !a.current(statekv.LeaderKey, r.StewardEpoch):
 		reply.Why = "permit is not from the latest steward"
 	case a.isOver(r.Spec.ID, r.JobRev):
 		reply.Why = "job is over"
@@ -372,7 +372,7 @@
 		var batch []*machine
 		a.mu.Lock()
 		for _, m := range a.machines {
-			if m.removing && !m.gone && len(batch) < a.store.MaxTxnOps(min(8, a.settings.State.TxnOps)) {
+			if m.removing && !m.gone && len(batch) < a.store.MaxTxnOps(min(8, a.settings.StateLimits.MaxTxnOps)) {
 				batch = append(batch, m)
 			}
 		}
--- a/internal/clusteragent/zone.go
+++ b/internal/clusteragent/zone.go
@@ -34,7 +34,7 @@
 // zoneOwner names the controller that a new machine's worker should report to
 // instead, or nothing if it is to be claimed here. A zone whose controllers would
 // own more than twice the mean shares its machines out.
-func (a *Agent) zoneOwner(r *worker.Report, now time.Time) string {
+func (a *Agent) zoneOwner(r *worker.Heartbeat, now time.Time) string {
 	hosts := a.member.AliveHosts()
 	in := a.inZone(hosts, r.Zone)
 	if a.settings.Zone == r.Zone || len(in) == len(hosts) {
--- a/internal/clusteragent/zone_test.go
+++ b/internal/clusteragent/zone_test.go
@@ -33,7 +33,7 @@
 		next := time.Now()
 		for time.Since(lost) < cancelGone {
 			var token uint64
-			workers.Do(func() { token = w.Report.Token })
+			workers.Do(func() { token = w.Report.FencingToken })
 			// Workers report at intervals, and within half a second of a higher token.
 			if time.Now().After(next) || token > seen {
 				seen, next = token, time.Now().Add(8*time.Second)
@@ -43,7 +43,7 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		end := kept.Add(settings().Workers.Lease).Sub(lost)
+		end := kept.Add(settings().Workers.LeaseDuration).Sub(lost)
 		if end > cancelGone {
 			t.Errorf("tasks are gone %v after the owner knew all cancellations, %v are allowed", end, cancelGone)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,65 +22,65 @@
 
 // Team holds the amounts guaranteed to a team and its limits; 0 means none.
 type Team struct {
-	Name    string  `json:"name"`
-	CPUs    float64 `json:"cpus"`
-	CPUsMax float64 `json:"cpus_max"`
-	GPUs    float64 `json:"gpus"`
-	GPUsMax float64 `json:"gpus_max"`
+	Name           string  `json:"name"`
+	GuaranteedCPUs float64 `json:"cpus"`
+	CPUQuota       float64 `json:"cpus_max"`
+	GuaranteedGPUs float64 `json:"gpus"`
+	GPUQuota       float64 `json:"gpus_max"`
 }
 
 // Objective is one of the users' aims.
 type Objective struct {
-	Kind   string
-	Class  string
-	Within time.Duration
-	Share  float64
-	Times  float64
+	Kind           string
+	Class          string
+	Within         time.Duration
+	Share          float64
+	DeadlineFactor float64
 }
 
-// Workers holds the timing the workers keep to.
-type Workers struct {
-	Report     time.Duration
-	Lease      time.Duration
-	GangWait   time.Duration
-	GangPeer   time.Duration
-	CancelGone time.Duration
+// WorkerTiming holds the timing the workers keep to.
+type WorkerTiming struct {
+	HeartbeatInterval    time.Duration
+	LeaseDuration        time.Duration
+	GangWaitTimeout      time.Duration
+	GangPeerTimeout      time.Duration
+	CancellationDeadline time.Duration
 }
 
-// State holds the limits of the state service that hold at any time: of those that
+// StateLimits holds the limits of the state service that hold at any time: of those that
 // are in force and those that the platform has announced (facts.state.next), which come
 // without notice, the lower of each.
-type State struct {
-	RPS        float64
-	WriteRPS   float64
-	ValueBytes int
-	TxnOps     int
+type StateLimits struct {
+	RequestsPerSecond float64
+	WritesPerSecond   float64
+	MaxValueBytes     int
+	MaxTxnOps         int
 }
 
-// SharedChanges is how many changes a second all controllers make together at most: a tenth
+// SharedWriteBudget is how many changes a second all controllers make together at most: a tenth
 // of what the service takes is left for bursts of sessions that begin.
-func (s State) SharedChanges() float64 { return 0.9 * s.WriteRPS }
+func (s StateLimits) SharedWriteBudget() float64 { return 0.9 * s.WritesPerSecond }
 
 // Settings is everything the platform tells a controller.
 type Settings struct {
-	Host           string
-	Zone           string
-	Listen         string
-	PeerListen     string
-	Peers          []Peer
-	CloudAddress   string
-	StateAddress   string
-	Controllers    int
-	Zones          []string
-	Teams          map[string]Team
-	Objectives     []Objective
-	Workers        Workers
-	State          State
-	CloudRPS       float64
-	CloudListLag   time.Duration
-	MemoryBytes    int64
-	MaxConnections int
-	ClockOff       time.Duration
+	Host                   string
+	Zone                   string
+	ListenAddress          string
+	PeerListenAddress      string
+	Peers                  []Peer
+	CloudAddress           string
+	StateAddress           string
+	Controllers            int
+	Zones                  []string
+	Teams                  map[string]Team
+	Objectives             []Objective
+	Workers                WorkerTiming
+	StateLimits            StateLimits
+	CloudRequestsPerSecond float64
+	CloudListLag           time.Duration
+	MemoryBytes            int64
+	MaxConnections         int
+	MaxClockOffset         time.Duration
 }
 
 type wireSettings struct {
@@ -142,9 +142,9 @@
 }
 
 // lower returns the lower of each limit.
-func (l wireLimits) lower(next wireLimits) State {
-	return State{RPS: least(l.RPS, next.RPS), WriteRPS: least(l.WriteRPS, next.WriteRPS),
-		ValueBytes: int(least(l.ValueKB, next.ValueKB) * 1024), TxnOps: least(l.TxnOps, next.TxnOps)}
+func (l wireLimits) lower(next wireLimits) StateLimits {
+	return StateLimits{RequestsPerSecond: least(l.RPS, next.RPS), WritesPerSecond: least(l.WriteRPS, next.WriteRPS),
+		MaxValueBytes: int(least(l.ValueKB, next.ValueKB) * 1024), MaxTxnOps: least(l.TxnOps, next.TxnOps)}
 }
 
 func least[T int | float64](now, next T) T {
@@ -158,9 +158,9 @@
 // tasks takes 1.4 KiB; an end of a job three changes; and a change of the level has a
 // condition for each controller and six more, of which four go with each change.
 const (
-	LeastValueBytes = 2048
-	LeastTxnOps     = 6
-	levelConds      = 6
+	MinValueBytes = 2048
+	MinTxnOps     = 6
+	levelConds    = 6
 )
 
 // Seconds turns an amount of seconds from the wire into a duration.
@@ -187,18 +187,18 @@
 	}
 	f := &w.Facts
 	s := &Settings{
-		Host: w.Host, Zone: w.Zone, Listen: w.Listen, PeerListen: w.PeerListen,
+		Host: w.Host, Zone: w.Zone, ListenAddress: w.Listen, PeerListenAddress: w.PeerListen,
 		CloudAddress: w.External.Cloud, StateAddress: w.External.State,
 		Controllers: f.Size, Zones: f.Zones, Teams: map[string]Team{},
-		Workers: Workers{
-			Report: Seconds(f.Workers.ReportS), Lease: Seconds(f.Workers.LeaseS),
-			GangWait: Seconds(f.Workers.GangWaitS), GangPeer: Seconds(f.Workers.GangPeerS),
-			CancelGone: Seconds(f.Workers.CancelS),
+		Workers: WorkerTiming{
+			HeartbeatInterval: Seconds(f.Workers.ReportS), LeaseDuration: Seconds(f.Workers.LeaseS),
+			GangWaitTimeout: Seconds(f.Workers.GangWaitS), GangPeerTimeout: Seconds(f.Workers.GangPeerS),
+			CancellationDeadline: Seconds(f.Workers.CancelS),
 		},
-		State:    f.State.lower(f.State.Next),
-		CloudRPS: f.Cloud.RPS, CloudListLag: Seconds(f.Cloud.ListLagS),
+		StateLimits:            f.State.lower(f.State.Next),
+		CloudRequestsPerSecond: f.Cloud.RPS, CloudListLag: Seconds(f.Cloud.ListLagS),
 		MemoryBytes: int64(f.Quota.MemoryMB * (1 << 20)), MaxConnections: f.Quota.MaxConnections,
-		ClockOff: time.Duration(f.ClockOffMS * float64(time.Millisecond)),
+		MaxClockOffset: time.Duration(f.ClockOffMS * float64(time.Millisecond)),
 	}
 	var errs []error
 	need := func(ok bool, field, what string) {
@@ -211,8 +211,8 @@
 		need(err == nil, field, fmt.Sprintf("%q is not host:port", a))
 	}
 	need(s.Host != "", "host_name", "is missing")
-	address("listen", s.Listen)
-	address("peer_bind", s.PeerListen)
+	address("listen", s.ListenAddress)
+	address("peer_bind", s.PeerListenAddress)
 	address("external.cloud", s.CloudAddress)
 	address("external.state", s.StateAddress)
 	seen := map[string]bool{s.Host: true}
@@ -227,23 +227,23 @@
 		field := fmt.Sprintf("facts.teams[%d]", i)
 		_, again := s.Teams[t.Name]
 		need(t.Name != "" && !again, field+".name", "is missing or repeated")
-		need(t.CPUs >= 0 && t.CPUsMax >= 0 && t.GPUs >= 0 && t.GPUsMax >= 0, field, "has a negative amount")
+		need(t.GuaranteedCPUs >= 0 && t.CPUQuota >= 0 && t.GuaranteedGPUs >= 0 && t.GPUQuota >= 0, field, "has a negative amount")
 		s.Teams[t.Name] = t
 	}
 	for _, o := range f.Objectives {
-		s.Objectives = append(s.Objectives, Objective{Kind: o.Kind, Class: o.Class, Within: Seconds(o.WithinS), Share: o.Share, Times: o.Times})
+		s.Objectives = append(s.Objectives, Objective{Kind: o.Kind, Class: o.Class, Within: Seconds(o.WithinS), Share: o.Share, DeadlineFactor: o.Times})
 	}
-	need(s.Workers.Report > 0, "facts.workers.report_s", "must be above 0")
-	need(s.Workers.Lease > s.Workers.Report, "facts.workers.lease_s", "must be above report_s")
+	need(s.Workers.HeartbeatInterval > 0, "facts.workers.report_s", "must be above 0")
+	need(s.Workers.LeaseDuration > s.Workers.HeartbeatInterval, "facts.workers.lease_s", "must be above report_s")
 	// Less would not leave an owner the time between two views of the state service.
-	need(s.Workers.CancelGone >= s.Workers.Lease+leastHold+holdMargin, "facts.workers.cancel_s", fmt.Sprintf("must be at least %v above lease_s", leastHold+holdMargin))
-	need(s.Workers.GangWait > 0, "facts.workers.gang_wait_s", "must be above 0")
-	need(s.State.RPS > 0, "facts.state.rps", "must be above 0, and next.rps not below")
-	need(s.State.WriteRPS > 0, "facts.state.write_rps", "must be above 0, and next.write_rps not below")
-	need(s.State.ValueBytes >= LeastValueBytes, "facts.state.value_kb", "must be at least 2, and next.value_kb as well")
-	ops := max(LeastTxnOps, (len(w.Peers)+1+levelConds+3)/4)
-	need(s.State.TxnOps >= ops, "facts.state.txn_ops", fmt.Sprintf("must be at least %d with so many controllers, and next.txn_ops as well", ops))
-	need(s.CloudRPS > 0, "facts.cloud.rps", "must be above 0")
+	need(s.Workers.CancellationDeadline >= s.Workers.LeaseDuration+leastHold+holdMargin, "facts.workers.cancel_s", fmt.Sprintf("must be at least %v above lease_s", leastHold+holdMargin))
+	need(s.Workers.GangWaitTimeout > 0, "facts.workers.gang_wait_s", "must be above 0")
+	need(s.StateLimits.RequestsPerSecond > 0, "facts.state.rps", "must be above 0, and next.rps not below")
+	need(s.StateLimits.WritesPerSecond > 0, "facts.state.write_rps", "must be above 0, and next.write_rps not below")
+	need(s.StateLimits.MaxValueBytes >= MinValueBytes, "facts.state.value_kb", "must be at least 2, and next.value_kb as well")
+	ops := max(MinTxnOps, (len(w.Peers)+1+levelConds+3)/4)
+	need(s.StateLimits.MaxTxnOps >= ops, "facts.state.txn_ops", fmt.Sprintf("must be at least %d with so many controllers, and next.txn_ops as well", ops))
+	need(s.CloudRequestsPerSecond > 0, "facts.cloud.rps", "must be above 0")
 	if s.Controllers == 0 {
 		s.Controllers = len(s.Peers) + 1
 	}
@@ -272,7 +272,7 @@
 	return ""
 }
 
-// HoldTime is how long an owner that cannot renew its state lease goes on
+// LeaseGracePeriod is how long an owner that cannot renew its state lease goes on
 // answering its workers. Whatever it keeps alive must still be gone within
 // the cancellation time once the worker's own lease has run out as well.
 //
@@ -284,8 +284,8 @@
 // "The hold time" in docs/design.md. It is never less than what renewals and
 // watches take when all is well; settings under which that would be too long are
 // refused (Parse).
-func (s *Settings) HoldTime() time.Duration {
-	return max(leastHold, s.Workers.CancelGone-s.Workers.Lease-holdMargin)
+func (s *Settings) LeaseGracePeriod() time.Duration {
+	return max(leastHold, s.Workers.CancellationDeadline-s.Workers.LeaseDuration-holdMargin)
 }
 
 const (
@@ -293,33 +293,33 @@
 	leastHold  = 2500 * time.Millisecond
 )
 
-// WatchTime is how long a watch of the state service may wait: an owner takes
+// WatchTimeout is how long a watch of the state service may wait: an owner takes
 // its view for current only for the hold time, so it must be renewed within it.
-func (s *Settings) WatchTime() time.Duration {
-	return min(time.Second, s.HoldTime()/4)
+func (s *Settings) WatchTimeout() time.Duration {
+	return min(time.Second, s.LeaseGracePeriod()/4)
 }
 
-// WatchPause is the least time between two watches of one controller. In a
+// MinWatchInterval is the least time between two watches of one controller. In a
 // large fleet something changes all the time, and every watch counts as a
 // request: all controllers' watches together take an eighth of what there is, and more where
 // there are so many that each would see what others write only after longest.
-func (s *Settings) WatchPause() time.Duration {
-	return min(s.HoldTime()/8, longestWatchPause, Seconds(8*float64(max(1, s.Controllers))/s.State.RPS))
+func (s *Settings) MinWatchInterval() time.Duration {
+	return min(s.LeaseGracePeriod()/8, longestWatchPause, Seconds(8*float64(max(1, s.Controllers))/s.StateLimits.RequestsPerSecond))
 }
 
 // longestWatchPause bounds how late a controller sees what others write: taking a role,
 // registering a machine and accepting a job wait for that, some of them several times.
 const longestWatchPause = 450 * time.Millisecond
 
-// GoneAfter is the time after which a worker that nobody answers any more has
+// WorkerLeaseExpiry is the time after which a worker that nobody answers any more has
 // ended its tasks, clock drift and delivery of the last answer included.
-func (s *Settings) GoneAfter() time.Duration {
-	return s.Workers.Lease + s.Workers.Lease/200 + 1500*time.Millisecond
+func (s *Settings) WorkerLeaseExpiry() time.Duration {
+	return s.Workers.LeaseDuration + s.Workers.LeaseDuration/200 + 1500*time.Millisecond
 }
 
-// Limits are the times, from its submission, by which a job should be done: those
+// CompletionTargets are the times, from its submission, by which a job should be done: those
 // that the users' aims for its class name, in rising order, or else its deadline.
-func (s *Settings) Limits(class string, deadlineS *float64) []time.Duration {
+func (s *Settings) CompletionTargets(class string, deadlineS *float64) []time.Duration {
 	var out []time.Duration
 	for _, o := range s.Objectives {
 		switch {
@@ -327,7 +327,7 @@
 		case o.Kind == "finished":
 			out = append(out, o.Within)
 		case o.Kind == "deadline" && deadlineS != nil:
-			out = append(out, Seconds(*deadlineS*max(1, o.Times)))
+			out = append(out, Seconds(*deadlineS*max(1, o.DeadlineFactor)))
 		}
 	}
 	if out == nil && deadlineS != nil {
@@ -337,9 +337,9 @@
 	return out
 }
 
-// Waits lists the times within which tasks of a class should have started by the
+// StartTargets lists the times within which tasks of a class should have started by the
 // users' aims, the tightest first.
-func (s *Settings) Waits(class string) []time.Duration {
+func (s *Settings) StartTargets(class string) []time.Duration {
 	var out []time.Duration
 	for _, o := range s.Objectives {
 		if o.Kind == "wait" && o.Class == class {
@@ -350,9 +350,9 @@
 	return out
 }
 
-// Guest reports whether a team has no guarantee while others have one.
-func (s *Settings) Guest(team string) bool {
-	guaranteed := func(t Team) bool { return t.CPUs > 0 || t.GPUs > 0 }
+// Unguaranteed reports whether a team has no guarantee while others have one.
+func (s *Settings) Unguaranteed(team string) bool {
+	guaranteed := func(t Team) bool { return t.GuaranteedCPUs > 0 || t.GuaranteedGPUs > 0 }
 	for _, t := range s.Teams {
 		if guaranteed(t) {
 			return !guaranteed(s.Teams[team])
@@ -361,8 +361,8 @@
 	return false
 }
 
-// Limited reports whether a team has a limit that its tasks must not pass.
-func (s *Settings) Limited(team string) bool {
+// HasQuota reports whether a team has a limit that its tasks must not pass.
+func (s *Settings) HasQuota(team string) bool {
 	t := s.Teams[team]
-	return t.CPUsMax > 0 || t.GPUsMax > 0
+	return t.CPUQuota > 0 || t.GPUQuota > 0
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,18 +20,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.ZoneOf("host-1") != "b" || s.ZoneOf("host-9") != "" || len(s.Hosts()) != 2 || !s.Limited("t") {
+	if s.ZoneOf("host-1") != "b" || s.ZoneOf("host-9") != "" || len(s.Hosts()) != 2 || !s.HasQuota("t") {
 		t.Errorf("%+v", s)
 	}
 	deadline := 20.0
-	if l := s.Limits("c", &deadline); len(l) != 2 || l[0] != 30*time.Second || l[1] != 40*time.Second {
+	if l := s.CompletionTargets("c", &deadline); len(l) != 2 || l[0] != 30*time.Second || l[1] != 40*time.Second {
 		t.Errorf("limits %v", l)
 	}
 	// What an owner keeps alive is gone within cancel_s, with a second to spare.
-	if h := s.HoldTime(); h != 24*time.Second || h+s.Workers.Lease >= s.Workers.CancelGone {
+	if h := s.LeaseGracePeriod(); h != 24*time.Second || h+s.Workers.LeaseDuration >= s.Workers.CancellationDeadline {
 		t.Errorf("hold time %v", h)
 	}
-	if w := s.WatchTime(); w > time.Second {
+	if w := s.WatchTimeout(); w > time.Second {
 		t.Errorf("an owner may not know the present for %v", w)
 	}
 }
@@ -76,14 +76,14 @@
 	with := func(next string) string {
 		return strings.Replace(valid, `"txn_ops":24`, `"txn_ops":24,"next":`+next, 1)
 	}
-	for next, want := range map[string]State{
-		`{"write_rps":42,"value_kb":2,"txn_ops":8}`:  {RPS: 180, WriteRPS: 42, ValueBytes: 2048, TxnOps: 8},
-		`{"write_rps":99,"value_kb":16,"txn_ops":8}`: {RPS: 180, WriteRPS: 70, ValueBytes: 8192, TxnOps: 8},
-		`{"rps":100}`: {RPS: 100, WriteRPS: 70, ValueBytes: 8192, TxnOps: 24},
-		`{}`:          {RPS: 180, WriteRPS: 70, ValueBytes: 8192, TxnOps: 24},
+	for next, want := range map[string]StateLimits{
+		`{"write_rps":42,"value_kb":2,"txn_ops":8}`:  {RequestsPerSecond: 180, WritesPerSecond: 42, MaxValueBytes: 2048, MaxTxnOps: 8},
+		`{"write_rps":99,"value_kb":16,"txn_ops":8}`: {RequestsPerSecond: 180, WritesPerSecond: 70, MaxValueBytes: 8192, MaxTxnOps: 8},
+		`{"rps":100}`: {RequestsPerSecond: 100, WritesPerSecond: 70, MaxValueBytes: 8192, MaxTxnOps: 24},
+		`{}`:          {RequestsPerSecond: 180, WritesPerSecond: 70, MaxValueBytes: 8192, MaxTxnOps: 24},
 	} {
 		s, err := Parse([]byte(with(next)))
-		if err != nil || s.State != want {
+		if err != nil || s.StateLimits != want {
 			t.Errorf("%s: %+v %v", next, s, err)
 		}
 	}
@@ -105,8 +105,8 @@
 		rps         float64
 		pause       time.Duration
 	}{{3, 200, 120 * time.Millisecond}, {5, 160, 250 * time.Millisecond}, {16, 200, longestWatchPause}} {
-		s := Settings{Controllers: c.controllers, State: State{RPS: c.rps}, Workers: Workers{Lease: 34 * time.Second, CancelGone: 64 * time.Second}}
-		if got := s.WatchPause(); got != c.pause {
+		s := Settings{Controllers: c.controllers, StateLimits: StateLimits{RequestsPerSecond: c.rps}, Workers: WorkerTiming{LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}}
+		if got := s.MinWatchInterval(); got != c.pause {
 			t.Errorf("%d controllers at %v requests a second: %v", c.controllers, c.rps, got)
 		}
 	}
--- a/internal/config/wire_test.go
+++ b/internal/config/wire_test.go
@@ -31,12 +31,12 @@
 	}
 	peer, objective := s.Peers[0], s.Objectives[0]
 	got := []any{
-		s.Host, s.Zone, s.Listen, s.PeerListen, s.CloudAddress, s.StateAddress, s.Controllers, s.Zones,
+		s.Host, s.Zone, s.ListenAddress, s.PeerListenAddress, s.CloudAddress, s.StateAddress, s.Controllers, s.Zones,
 		peer.Host, peer.Zone, peer.Address,
-		s.Workers.Report, s.Workers.Lease, s.Workers.GangWait, s.Workers.GangPeer, s.Workers.CancelGone,
-		s.State.RPS, s.State.WriteRPS, s.State.ValueBytes, s.State.TxnOps,
-		s.CloudRPS, s.CloudListLag, s.MemoryBytes, s.MaxConnections, s.ClockOff, len(s.Teams),
-		objective.Kind, objective.Class, objective.Within, objective.Share, objective.Times,
+		s.Workers.HeartbeatInterval, s.Workers.LeaseDuration, s.Workers.GangWaitTimeout, s.Workers.GangPeerTimeout, s.Workers.CancellationDeadline,
+		s.StateLimits.RequestsPerSecond, s.StateLimits.WritesPerSecond, s.StateLimits.MaxValueBytes, s.StateLimits.MaxTxnOps,
+		s.CloudRequestsPerSecond, s.CloudListLag, s.MemoryBytes, s.MaxConnections, s.MaxClockOffset, len(s.Teams),
+		objective.Kind, objective.Class, objective.Within, objective.Share, objective.DeadlineFactor,
 	}
 	wireformat.Golden(t, "read", wireformat.Indent(t, got))
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -65,13 +65,13 @@
 	Close()
 }
 
-// Outside is what a controller reaches beyond its process. Stories put stand-ins in its
+// ExternalSystems is what a controller reaches beyond its process. Stories put stand-ins in its
 // place and have whole controllers meet failures, with all their parts as they are.
-type Outside struct {
-	Store   Store
-	Moves   statekv.Store
-	Cloud   cloud.API
-	Workers worker.Commander
+type ExternalSystems struct {
+	StateStore     Store
+	MigrationStore statekv.Store
+	Cloud          cloud.API
+	Workers        worker.Commander
 	// Connect makes the network of a life: server answers the calls of the others, and
 	// greeter says what this one is.
 	Connect func(server *rpc.Server, greeter *peer.Service) Network
@@ -79,25 +79,25 @@
 
 // New returns a controller that reaches the outside systems over the network.
 func New(settings *config.Settings, pol *policy.Policy) *Controller {
-	return Assemble(settings, pol, Outside{
-		Store:   statekv.NewClient(settings.StateAddress, 0.75*settings.State.RPS, settings.State.SharedChanges(), max(settings.Controllers, len(settings.Hosts()))),
-		Moves:   statekv.NewClient(settings.StateAddress, 0.05*settings.State.RPS, 2*rollout.MoveShare*settings.State.WriteRPS, 1),
-		Cloud:   cloud.NewClient(settings.CloudAddress, 0.8*settings.CloudRPS),
-		Workers: worker.NewClient(),
+	return Assemble(settings, pol, ExternalSystems{
+		StateStore:     statekv.NewClient(settings.StateAddress, 0.75*settings.StateLimits.RequestsPerSecond, settings.StateLimits.SharedWriteBudget(), max(settings.Controllers, len(settings.Hosts()))),
+		MigrationStore: statekv.NewClient(settings.StateAddress, 0.05*settings.StateLimits.RequestsPerSecond, 2*rollout.MoveShare*settings.StateLimits.WritesPerSecond, 1),
+		Cloud:          cloud.NewClient(settings.CloudAddress, 0.8*settings.CloudRequestsPerSecond),
+		Workers:        worker.NewClient(),
 		Connect: func(server *rpc.Server, greeter *peer.Service) Network {
 			addresses := map[string]string{}
 			for _, p := range settings.Peers {
 				addresses[p.Host] = p.Address
 			}
-			return overTCP{peer.New(settings.Host, addresses, server, greeter), settings.PeerListen, server}
+			return overTCP{peer.New(settings.Host, addresses, server, greeter), settings.PeerListenAddress, server}
 		},
 	})
 }
 
 // Assemble returns a controller with the given outside.
-func Assemble(settings *config.Settings, pol *policy.Policy, out Outside) *Controller {
+func Assemble(settings *config.Settings, pol *policy.Policy, out ExternalSystems) *Controller {
 	c := &Controller{settings: settings, policy: pol, catalogue: &cloud.Catalogue{},
-		store: out.Store, moves: out.Moves, cloud: out.Cloud, workers: out.Workers, connect: out.Connect}
+		store: out.StateStore, moves: out.MigrationStore, cloud: out.Cloud, workers: out.Workers, connect: out.Connect}
 	c.gateway = gateway.New(settings, c.store, c.catalogue, c.pauses.totals)
 	return c
 }
@@ -117,27 +117,29 @@
 	return func(ctx context.Context) { peer.Serve(ctx, ln, o.server) }, nil
 }
 
-// Answer answers a request without a network, for stories.
-func (c *Controller) Answer(r *http.Request) (*http.Response, error) { return c.gateway.Answer(r) }
+// HandleRequest answers a request without a network, for stories.
+func (c *Controller) HandleRequest(r *http.Request) (*http.Response, error) {
+	return c.gateway.HandleRequest(r)
+}
 
 // Run serves until ctx ends. When the state lease is lost, all roles are: the
 // controller then begins a new life without ending the process.
 func (c *Controller) Run(ctx context.Context) error {
-	ln, err := net.Listen("tcp4", c.settings.Listen)
+	ln, err := net.Listen("tcp4", c.settings.ListenAddress)
 	if err != nil {
 		return fmt.Errorf("listening for users and workers: %w", err)
 	}
 	go c.pauses.watch(ctx)
-	go c.Live(ctx)
+	go c.RunSessions(ctx)
 	return c.gateway.Serve(ctx, ln)
 }
 
-// Live begins one life after the other until ctx ends.
-func (c *Controller) Live(ctx context.Context) {
+// RunSessions begins one life after the other until ctx ends.
+func (c *Controller) RunSessions(ctx context.Context) {
 	told := ""
 	for ctx.Err() == nil {
 		err := c.live(ctx, recovery.NewTimeline(time.Now()))
-		c.gateway.SetLife(nil)
+		c.gateway.SetSession(nil)
 		pause := 300 * time.Millisecond
 		if err != nil && ctx.Err() == nil {
 			if told != err.Error() || !rollout.IsRefused(err) {
@@ -147,7 +149,7 @@
 		}
 		if rollout.IsRefused(err) {
 			// Not ready, with the reason, until the level is another one.
-			c.gateway.SetWaiting(err.Error())
+			c.gateway.SetNotReadyReason(err.Error())
 			pause = 2 * time.Second
 		}
 		select {
@@ -166,7 +168,7 @@
 		pl *scheduler.Scheduler
 		st *autoscaler.Leader
 	)
-	mirror := statekv.NewMirror(c.store, []string{statekv.ClusterPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, c.settings.WatchTime(), c.settings.WatchPause(), func(events []statekv.Event) {
+	mirror := statekv.NewMirror(c.store, []string{statekv.ClusterPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, c.settings.WatchTimeout(), c.settings.MinWatchInterval(), func(events []statekv.Event) {
 		if events == nil {
 			pl.Resync()
 			return
@@ -179,12 +181,12 @@
 			} else if machine, ok := strings.CutPrefix(e.Delete, statekv.MachinePrefix); ok {
 				ag.OnMachineRemoved(machine)
 			} else {
-				c.gateway.OnEnded(e)
+				c.gateway.OnTombstoneEvent(e)
 			}
 		}
 	})
 	mirror.Parse, mirror.Track = parseKey, clusteragent.IsCancellation
-	pipes := dag.NewTracker(mirror, c.takes, c.gateway.Tombstone)
+	pipes := dag.NewTracker(mirror, c.takes, c.gateway.CachedTombstone)
 	mirror.OnApply = func(events []statekv.Event) {
 		pipes.OnEvents(events)
 		if ag != nil { // what is read before there are machines is in the mirror
@@ -209,7 +211,7 @@
 	if err != nil {
 		return err
 	}
-	c.gateway.SetWaiting("")
+	c.gateway.SetNotReadyReason("")
 	clock.Record(recovery.StepRegistered)
 	slog.Info("controller session started", "host", member.Host, "instance", member.Incarnation)
 
@@ -227,13 +229,13 @@
 		}
 	}
 	gate := rollout.NewGate(c.settings.Hosts(), c.policy, mirror, member, c.store, st.Epoch)
-	mover := rollout.NewMover(c.moves, mirror, member, st.Epoch, c.settings.State.TxnOps, rollout.MoveShare*c.settings.State.WriteRPS)
+	mover := rollout.NewMover(c.moves, mirror, member, st.Epoch, c.settings.StateLimits.MaxTxnOps, rollout.MoveShare*c.settings.StateLimits.WritesPerSecond)
 	feed := changefeed.New(network, mirror, c.settings.Hosts(), func() uint64 { return max(pl.HighestEpoch(), st.Epoch()) }, func(entries []agentapi.MachineEntry) {
 		pl.OnEntries(entries)
 		st.OnEntries(entries)
 	})
 	ag.LastEntry, ag.AcknowledgedUntil = feed.LastEntry, feed.AcknowledgedUntil
-	sweeper := &tombstone.Sweeper{Store: c.store, Mirror: mirror, Member: member, Steward: st.Epoch, Ops: c.settings.State.TxnOps, Every: sweepEvery}
+	sweeper := &tombstone.Sweeper{Store: c.store, Mirror: mirror, Member: member, Steward: st.Epoch, Ops: c.settings.StateLimits.MaxTxnOps, Every: sweepEvery}
 	serve, err := network.Listen()
 	if err != nil {
 		return err
@@ -255,14 +257,14 @@
 	duties.Go(func() { gate.Run(ctx) })
 	duties.Go(func() { mover.Run(ctx) })
 	duties.Go(func() { sweeper.Run(ctx) })
-	duties.Go(func() { pipes.Run(ctx, c.gateway.ReadEnded) })
-	life := &gateway.Life{Member: member, Mirror: mirror, Agent: ag, Placer: pl, Steward: st, Feed: feed, Gate: gate, Levels: rollout.NewReader(mirror), Pipes: pipes, Call: network, Clock: clock}
+	duties.Go(func() { pipes.Run(ctx, c.gateway.ReadTombstone) })
+	life := &gateway.Session{Member: member, Mirror: mirror, Agent: ag, Scheduler: pl, Leader: st, Feed: feed, VersionGate: gate, ClusterVersion: rollout.NewReader(mirror), Dependencies: pipes, Peers: network, Clock: clock}
 	if counts, ok := network.(interface{ Traffic() peer.Traffic }); ok {
-		life.Traffic = counts.Traffic
+		life.PeerTraffic = counts.Traffic
 	}
-	c.gateway.SetLife(life)
+	c.gateway.SetSession(life)
 	err = <-lost
-	c.gateway.SetLife(nil)
+	c.gateway.SetSession(nil)
 	cancel()
 	duties.Wait()
 	return err
--- a/internal/controller/wire_test.go
+++ b/internal/controller/wire_test.go
@@ -33,10 +33,10 @@
 	var server *rpc.Server
 	var greeter *peer.Service
 	settings := &config.Settings{Host: "host-0", Controllers: 1, Zones: []string{"a"}, Zone: "a",
-		Workers: config.Workers{Report: 3 * time.Second, Lease: 30 * time.Second, CancelGone: time.Minute},
-		State:   config.State{RPS: 100, WriteRPS: 50, ValueBytes: 8192, TxnOps: 24}}
+		Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, CancellationDeadline: time.Minute},
+		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
 	store := emulator.NewPort(emulator.NewState(), 1)
-	c := Assemble(settings, policy.Default(), Outside{Store: store, Moves: store,
+	c := Assemble(settings, policy.Default(), ExternalSystems{StateStore: store, MigrationStore: store,
 		Connect: func(s *rpc.Server, g *peer.Service) Network {
 			server, greeter = s, g
 			return unconnected{}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -32,27 +32,27 @@
 	"robinstack/internal/worker"
 )
 
-// Life is the parts of the controller that end with its state lease.
-type Life struct {
-	Member  *statekv.Session
-	Mirror  *statekv.Mirror
-	Agent   *clusteragent.Agent
-	Placer  *scheduler.Scheduler
-	Steward *autoscaler.Leader
-	Feed    *changefeed.Feed
-	Gate    *rollout.Gate
-	Levels  *rollout.Reader
-	Pipes   *dag.Tracker
-	Call    peer.Caller
-	Clock   *recovery.Timeline
-	Traffic func() peer.Traffic // with other controllers; nil: nobody counts it
+// Session is the parts of the controller that end with its state lease.
+type Session struct {
+	Member         *statekv.Session
+	Mirror         *statekv.Mirror
+	Agent          *clusteragent.Agent
+	Scheduler      *scheduler.Scheduler
+	Leader         *autoscaler.Leader
+	Feed           *changefeed.Feed
+	VersionGate    *rollout.Gate
+	ClusterVersion *rollout.Reader
+	Dependencies   *dag.Tracker
+	Peers          peer.Caller
+	Clock          *recovery.Timeline
+	PeerTraffic    func() peer.Traffic // with other controllers; nil: nobody counts it
 }
 
 // tellOwners lets owners of machines know of a cancellation, of a revision or 0, that a user
 // is about to be told: this controller's own agent at once, the others within a short
 // time or not at all. Their watches would show it a tenth of a second later, and by then
 // tasks that were fetching their images may have begun.
-func (l *Life) tellOwners(ctx context.Context, id string, rev uint64) {
+func (l *Session) tellOwners(ctx context.Context, id string, rev uint64) {
 	if l.Agent == nil {
 		return
 	}
@@ -64,7 +64,7 @@
 	for _, host := range l.Member.AliveHosts() {
 		if host != l.Member.Host {
 			calls.Go(func() {
-				if err := l.Call.Call(ctx, host, "Agent.Cancelled", id, &struct{}{}); err != nil {
+				if err := l.Peers.Call(ctx, host, "Agent.Cancelled", id, &struct{}{}); err != nil {
 					slog.Debug("cancellation delivery to machine owner failed", "host", host, "job", id, "err", err)
 				}
 			})
@@ -81,7 +81,7 @@
 	settings  *config.Settings
 	store     statekv.Store
 	catalogue *cloud.Catalogue
-	life      atomic.Pointer[Life]
+	life      atomic.Pointer[Session]
 	noLife    atomic.Pointer[string] // why there is none
 	app       *fiber.App
 	latencies *latencies
@@ -106,7 +106,7 @@
 // New returns a gateway that has no life to serve yet.
 func New(settings *config.Settings, store statekv.Store, catalogue *cloud.Catalogue, pauses func() (int, time.Duration)) *Gateway {
 	g := &Gateway{settings: settings, store: store, catalogue: catalogue, latencies: newLatencies(), pauses: pauses, tombstones: map[string]tombstone.Tombstone{},
-		finder: tombstone.NewFinder(store, 4*settings.State.TxnOps, statekv.LookupShare*settings.State.RPS/float64(max(1, settings.Controllers)))}
+		finder: tombstone.NewFinder(store, 4*settings.StateLimits.MaxTxnOps, statekv.LookupShare*settings.StateLimits.RequestsPerSecond/float64(max(1, settings.Controllers)))}
 	g.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		JSONEncoder:           json.Marshal,
@@ -145,11 +145,11 @@
 	return g.app.Listener(ln)
 }
 
-// Answer answers one request without a network.
-func (g *Gateway) Answer(r *http.Request) (*http.Response, error) { return g.app.Test(r, -1) }
+// HandleRequest answers one request without a network.
+func (g *Gateway) HandleRequest(r *http.Request) (*http.Response, error) { return g.app.Test(r, -1) }
 
-// SetLife says which life to serve; nil between lives.
-func (g *Gateway) SetLife(l *Life) { g.life.Store(l) }
+// SetSession says which life to serve; nil between lives.
+func (g *Gateway) SetSession(l *Session) { g.life.Store(l) }
 
 func fail(c *fiber.Ctx, code int, reason string) error {
 	return c.Status(code).JSON(fiber.Map{"error": reason})
@@ -171,7 +171,7 @@
 }
 
 func (g *Gateway) report(c *fiber.Ctx) error {
-	var r worker.Report
+	var r worker.Heartbeat
 	if err := json.Unmarshal(c.Body(), &r); err != nil || r.Machine == "" || r.Address == "" {
 		return fail(c, fiber.StatusBadRequest, "malformed report")
 	}
@@ -184,8 +184,8 @@
 	case reply.Malformed != "":
 		return fail(c, fiber.StatusBadRequest, reply.Malformed)
 	case reply.Owner:
-		if reply.Answer.Orders == nil {
-			reply.Answer.Orders = []worker.Order{}
+		if reply.Answer.Commands == nil {
+			reply.Answer.Commands = []worker.Command{}
 		}
 		return c.JSON(reply.Answer)
 	case reply.RedirectTo != "":
@@ -197,7 +197,7 @@
 // cutOff reports whether this life does not reach the state service: what users ask it
 // then is answered at once with when to come back, for it would wait for nothing. Alone,
 // a renewal or a watch may be late.
-func (l *Life) cutOff(now time.Time) bool {
+func (l *Session) cutOff(now time.Time) bool {
 	return !l.Member.HoldsLease() && now.Sub(l.Mirror.FreshAsOf()) > staleView
 }
 
@@ -214,7 +214,7 @@
 	if l == nil || len(g.catalogue.Types()) == 0 {
 		return fail(c, fiber.StatusServiceUnavailable, g.startingWhy())
 	}
-	if _, _, ok := l.Placer.OwnJobShard(); !ok {
+	if _, _, ok := l.Scheduler.OwnJobShard(); !ok {
 		return fail(c, fiber.StatusServiceUnavailable, "starting")
 	}
 	if !l.Member.HoldsLease() {
@@ -233,8 +233,8 @@
 	Running int    `json:"running"`
 }
 
-// Tombstone returns the record of a job that is over, if it was read here lately.
-func (g *Gateway) Tombstone(id string) (tombstone.Tombstone, bool) {
+// CachedTombstone returns the record of a job that is over, if it was read here lately.
+func (g *Gateway) CachedTombstone(id string) (tombstone.Tombstone, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f, ok := g.tombstones[id]
@@ -261,9 +261,9 @@
 	return s
 }
 
-// OnEnded keeps the answer for a job that is over, if an event is the writing of its
+// OnTombstoneEvent keeps the answer for a job that is over, if an event is the writing of its
 // tombstone.
-func (g *Gateway) OnEnded(e statekv.Event) {
+func (g *Gateway) OnTombstoneEvent(e statekv.Event) {
 	c, ok := tombstone.ChangeOf(e)
 	switch {
 	case !ok:
@@ -274,9 +274,9 @@
 	}
 }
 
-// ReadEnded reads the record of a job that is over. Only a controller whose life goes
+// ReadTombstone reads the record of a job that is over. Only a controller whose life goes
 // on can tell that there is none: see ended.Read.
-func (g *Gateway) ReadEnded(ctx context.Context, id string) (tombstone.Tombstone, error) {
+func (g *Gateway) ReadTombstone(ctx context.Context, id string) (tombstone.Tombstone, error) {
 	l := g.life.Load()
 	if l == nil {
 		return tombstone.Tombstone{}, fmt.Errorf("%w: starting", statekv.ErrRejected)
@@ -321,12 +321,12 @@
 }
 
 func (g *Gateway) lookupOnce(ctx context.Context, id string) (jobStatus, error) {
-	if f, ok := g.Tombstone(id); ok {
+	if f, ok := g.CachedTombstone(id); ok {
 		return statusOf(id, f), nil
 	}
 	kv, err := g.openRecord(ctx, id)
 	if errors.Is(err, statekv.ErrNotFound) {
-		if f, ok := g.Tombstone(id); ok {
+		if f, ok := g.CachedTombstone(id); ok {
 			return statusOf(id, f), nil
 		}
 		f, err := g.finder.Find(ctx, g.fence, id, g.keepTombstone)
@@ -360,7 +360,7 @@
 	if l == nil {
 		return 0, 0
 	}
-	if done, running, ok := l.Placer.Counts(id); ok {
+	if done, running, ok := l.Scheduler.Counts(id); ok {
 		return done, running
 	}
 	rec, err := job.ParseRecord(open.Value)
@@ -376,7 +376,7 @@
 	cctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
 	var reply scheduler.CountsReply
-	if err := l.Call.Call(cctx, h.Host, "Placer.Counts", id, &reply); err != nil {
+	if err := l.Peers.Call(cctx, h.Host, "Placer.Counts", id, &reply); err != nil {
 		return 0, 0
 	}
 	return reply.Done, reply.Running
@@ -395,7 +395,7 @@
 	if l == nil {
 		return f, false, fmt.Errorf("%w: starting", statekv.ErrRejected)
 	}
-	v, ok := l.Pipes.Judge(id)
+	v, ok := l.Dependencies.Judge(id)
 	if !ok {
 		if _, still := l.Mirror.Get(open.Key); !still {
 			// It is over since its record was looked at, and may have been told as
@@ -430,7 +430,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.Context(), 3500*time.Millisecond)
 	defer cancel()
-	if f, ok := g.Tombstone(spec.ID); ok {
+	if f, ok := g.CachedTombstone(spec.ID); ok {
 		return c.JSON(statusOf(spec.ID, f))
 	}
 	if l.cutOff(time.Now()) {
@@ -444,23 +444,23 @@
 	if reason := spec.NeverRuns(types, g.settings.Teams); reason != "" {
 		return g.refuse(c, ctx, spec.ID, fiber.StatusUnprocessableEntity, reason)
 	}
-	slot, epoch, ok := l.Placer.OwnJobShard()
+	slot, epoch, ok := l.Scheduler.OwnJobShard()
 	if !ok {
 		return later(c, "starting")
 	}
 	rec := &job.Record{Spec: *spec, Slot: slot, Submitted: time.Now().UnixMilli()}
 	when := append(tombstone.Absent(spec.ID), statekv.Compare{Key: job.OpenKey(spec.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + slot, Rev: epoch})
 	var then []statekv.Op
-	if large := rec.Large(g.settings.State.ValueBytes); large || len(spec.WaitsOn) > 0 {
+	if large := rec.Large(g.settings.StateLimits.MaxValueBytes); large || len(spec.WaitsOn) > 0 {
 		// Whoever does not know of these would start it at once, or not read it: none
 		// may live while such a record exists.
-		level, unchanged := l.Levels.Now()
+		level, unchanged := l.ClusterVersion.Now()
 		if !level.Takes(rollout.Pipelines) {
 			return later(c, "not all controllers know jobs that wait for others yet")
 		}
 		when = append(when, unchanged)
 		if large {
-			if then, err = rec.Split(g.settings.State.ValueBytes, g.settings.State.TxnOps-1); err != nil {
+			if then, err = rec.Split(g.settings.StateLimits.MaxValueBytes, g.settings.StateLimits.MaxTxnOps-1); err != nil {
 				return g.refuse(c, ctx, spec.ID, fiber.StatusBadRequest, "waits_on or host_kinds: "+err.Error())
 			}
 		}
@@ -473,7 +473,7 @@
 	}
 	rev, err := writeOnce(ctx, l.Member, when, append(then, statekv.Op{Set: job.OpenKey(spec.ID), Value: rec}))
 	if err == nil {
-		l.Placer.OnJobAccepted(rec, rev)
+		l.Scheduler.OnJobAccepted(rec, rev)
 		l.Clock.Record(recovery.StepSubmissionAccepted)
 		slog.Info(logline.JobAccepted, "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "gpus", spec.GPUs, "deadline_s", spec.Due().Seconds(), "job_shard", slot, "dependencies", len(spec.WaitsOn))
 		return c.Status(fiber.StatusCreated).JSON(jobStatus{ID: spec.ID, Status: job.Queued})
@@ -516,7 +516,7 @@
 	if !job.ValidID(id) {
 		return fail(c, fiber.StatusNotFound, "no such job")
 	}
-	if f, ok := g.Tombstone(id); ok {
+	if f, ok := g.CachedTombstone(id); ok {
 		return c.JSON(statusOf(id, f))
 	}
 	// Beyond what can be answered in time, queries are refused at once:
@@ -557,7 +557,7 @@
 		return c.JSON(fiber.Map{"id": id, "status": f.Status})
 	}
 	for range 4 {
-		if f, ok := g.Tombstone(id); ok {
+		if f, ok := g.CachedTombstone(id); ok {
 			return answer(f)
 		}
 		l := g.life.Load()
@@ -569,7 +569,7 @@
 		}
 		kv, err := g.openRecord(ctx, id)
 		if errors.Is(err, statekv.ErrNotFound) {
-			f, err := g.ReadEnded(ctx, id)
+			f, err := g.ReadTombstone(ctx, id)
 			if errors.Is(err, statekv.ErrNotFound) {
 				return fail(c, fiber.StatusNotFound, "no such job")
 			}
@@ -591,9 +591,9 @@
 			break
 		}
 		f := tombstone.Tombstone{Status: job.Cancelled, Tasks: rec.Spec.Tasks}
-		level, unchanged := l.Levels.Now()
+		level, unchanged := l.ClusterVersion.Now()
 		then := append([]statekv.Op{{Delete: job.OpenKey(id)}}, tombstone.Ops(id, f, level.Writes())...)
-		then = append(then, job.DropExtras(id, rec.Spec.Tasks, rec.Pieces, g.store.MaxTxnOps(g.settings.State.TxnOps)-len(then))...)
+		then = append(then, job.DropExtras(id, rec.Spec.Tasks, rec.Pieces, g.store.MaxTxnOps(g.settings.StateLimits.MaxTxnOps)-len(then))...)
 		rev, err := writeOnce(ctx, l.Member, []statekv.Compare{{Key: job.OpenKey(id), Rev: kv.Rev}, unchanged}, then)
 		if err == nil {
 			l.tellOwners(ctx, id, rev)
--- a/internal/gateway/pipelines.go
+++ b/internal/gateway/pipelines.go
@@ -16,10 +16,10 @@
 // cancelled, or have its record written in another form: what the new job is follows
 // from their records whenever they are looked at, so nothing has to stay as it was.
 // Only that a job was accepted matters, and that never changes.
-func (g *Gateway) unfit(ctx context.Context, l *Life, spec *job.Spec) (string, error) {
+func (g *Gateway) unfit(ctx context.Context, l *Session, spec *job.Spec) (string, error) {
 	var unknown []string
 	for _, id := range spec.WaitsOn {
-		if _, ok := g.Tombstone(id); ok {
+		if _, ok := g.CachedTombstone(id); ok {
 			continue
 		}
 		kv, ok := l.Mirror.Get(job.OpenKey(id))
@@ -55,8 +55,8 @@
 // controller may have accepted one a moment ago, one may have ended long ago, and its
 // record may be changing its form: only a transaction that finds it absent in all
 // places at one moment, while this life goes on, tells that it was never accepted.
-func (g *Gateway) neverAccepted(ctx context.Context, l *Life, ids []string) (string, error) {
-	most := (4*g.settings.State.TxnOps - 1) / condsEach
+func (g *Gateway) neverAccepted(ctx context.Context, l *Session, ids []string) (string, error) {
+	most := (4*g.settings.StateLimits.MaxTxnOps - 1) / condsEach
 	for len(ids) > 0 {
 		group := ids[:min(most, len(ids))]
 		ids = ids[len(group):]
--- a/internal/gateway/pipelines_test.go
+++ b/internal/gateway/pipelines_test.go
@@ -33,7 +33,7 @@
 	ctx   context.Context
 	state *learning
 	g     *Gateway
-	life  *Life
+	life  *Session
 }
 
 // learning is a state service whose client learns how many changes it takes.
@@ -72,22 +72,22 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(10 * time.Second); synctest.Wait() }()
 		settings := &config.Settings{Host: "host-0", Peers: []config.Peer{{Host: "host-1"}}, Teams: map[string]config.Team{"t": {Name: "t"}}, Zones: []string{"a"},
-			Workers: config.Workers{Report: 3 * time.Second, Lease: 30 * time.Second, CancelGone: 60 * time.Second},
-			State:   config.State{RPS: 100, WriteRPS: 50, ValueBytes: 2048, TxnOps: 8}}
+			Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, CancellationDeadline: 60 * time.Second},
+			StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 2048, MaxTxnOps: 8}}
 		catalogue := &cloud.Catalogue{}
 		catalogue.Set([]cloud.MachineType{{Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []string{"a"}}})
 		state := &learning{State: emulator.NewState()}
 		state.Limit(2048, 8)
 		d := &door{t: t, ctx: ctx, state: state, g: New(settings, state, catalogue, func() (int, time.Duration) { return 0, 0 })}
-		l := &Life{Call: alone{}, Clock: recovery.NewTimeline(time.Now())}
+		l := &Session{Peers: alone{}, Clock: recovery.NewTimeline(time.Now())}
 		l.Mirror = statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
 			for _, e := range events {
-				l.Placer.OnJobEvent(e)
-				d.g.OnEnded(e)
+				l.Scheduler.OnJobEvent(e)
+				d.g.OnTombstoneEvent(e)
 			}
 		})
-		l.Pipes = dag.NewTracker(l.Mirror, func(*job.Spec) time.Duration { return time.Second }, d.g.Tombstone)
-		l.Mirror.OnApply = l.Pipes.OnEvents
+		l.Dependencies = dag.NewTracker(l.Mirror, func(*job.Spec) time.Duration { return time.Second }, d.g.CachedTombstone)
+		l.Mirror.OnApply = l.Dependencies.OnEvents
 		if err := l.Mirror.Load(ctx); err != nil {
 			t.Fatal(err)
 		}
@@ -95,15 +95,15 @@
 		if l.Member, err = statekv.OpenSession(ctx, state, l.Mirror, "host-0", 4*time.Second, statekv.Registration{}); err != nil {
 			t.Fatal(err)
 		}
-		l.Levels = rollout.NewReader(l.Mirror)
-		l.Placer = scheduler.New(settings, policy.Default(), state, l.Mirror, l.Member, alone{}, catalogue.Types, l.Pipes)
-		feed := changefeed.New(alone{}, l.Mirror, []string{"host-0"}, l.Placer.HighestEpoch, l.Placer.OnEntries)
+		l.ClusterVersion = rollout.NewReader(l.Mirror)
+		l.Scheduler = scheduler.New(settings, policy.Default(), state, l.Mirror, l.Member, alone{}, catalogue.Types, l.Dependencies)
+		feed := changefeed.New(alone{}, l.Mirror, []string{"host-0"}, l.Scheduler.HighestEpoch, l.Scheduler.OnEntries)
 		l.Feed = feed
 		go l.Mirror.Run(ctx)
 		go func() { _ = l.Member.KeepAlive(ctx) }()
-		go l.Placer.Run(ctx, feed)
-		go l.Pipes.Run(ctx, d.g.ReadEnded)
-		d.g.SetLife(l)
+		go l.Scheduler.Run(ctx, feed)
+		go l.Dependencies.Run(ctx, d.g.ReadTombstone)
+		d.g.SetSession(l)
 		d.life = l
 		time.Sleep(2 * time.Second)
 		tell(d)
@@ -314,15 +314,15 @@
 		d.g.mu.Lock()
 		clear(d.g.tombstones)
 		d.g.mu.Unlock()
-		fresh := dag.NewTracker(d.life.Mirror, func(*job.Spec) time.Duration { return 0 }, d.g.Tombstone)
+		fresh := dag.NewTracker(d.life.Mirror, func(*job.Spec) time.Duration { return 0 }, d.g.CachedTombstone)
 		fresh.OnEvents(nil)
 		l := *d.life
-		l.Pipes = fresh
-		d.g.SetLife(&l)
+		l.Dependencies = fresh
+		d.g.SetSession(&l)
 		if code, answer, again := d.ask("GET", "/submissions/wk-3", ""); code == 200 && answer["status"] == job.Queued || code != 200 && again == "" {
 			t.Fatal(code, answer)
 		}
-		go fresh.Run(d.ctx, d.g.ReadEnded)
+		go fresh.Run(d.ctx, d.g.ReadTombstone)
 		time.Sleep(time.Second)
 		d.is("wk-3", job.Cancelled)
 		d.is("wk-2", job.Cancelled)
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -16,7 +16,7 @@
 	if l == nil {
 		return later(c, g.startingWhy())
 	}
-	return c.JSON(l.Gate.Status())
+	return c.JSON(l.VersionGate.Status())
 }
 
 // rolloutDo carries out the command of a person: 200 once it is done, 409 with what
@@ -28,7 +28,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.Context(), 4*time.Second)
 	defer cancel()
-	err := l.Gate.Do(ctx, c.Params("verb"), rollout.Feature(c.Query("feature")), c.Query("why"))
+	err := l.VersionGate.Do(ctx, c.Params("verb"), rollout.Feature(c.Query("feature")), c.Query("why"))
 	var stuck *rollout.Stuck
 	switch {
 	case errors.As(err, &stuck):
@@ -36,11 +36,11 @@
 	case err != nil:
 		return later(c, err.Error())
 	}
-	return c.JSON(l.Gate.Status())
+	return c.JSON(l.VersionGate.Status())
 }
 
-// SetWaiting says why this controller has no life, for those who ask meanwhile.
-func (g *Gateway) SetWaiting(why string) { g.noLife.Store(&why) }
+// SetNotReadyReason says why this controller has no life, for those who ask meanwhile.
+func (g *Gateway) SetNotReadyReason(why string) { g.noLife.Store(&why) }
 
 func (g *Gateway) startingWhy() string {
 	if why := g.noLife.Load(); why != nil && *why != "" {
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -52,13 +52,13 @@
 		}
 		return string(body)
 	}
-	g.SetWaiting("this build may not join: it lacks x")
+	g.SetNotReadyReason("this build may not join: it lacks x")
 	for _, path := range []string{"/rollout.json", "/status.json", "/ready"} {
 		if body := ask("GET", path, 503); !strings.Contains(body, "lacks x") {
 			t.Errorf("%s: %s", path, body)
 		}
 	}
-	g.SetLife(&Life{Member: member, Mirror: mirror, Gate: rollout.NewGate([]string{"host-0"}, policy.Default(), mirror, member, state, func() uint64 { return 0 })})
+	g.SetSession(&Session{Member: member, Mirror: mirror, VersionGate: rollout.NewGate([]string{"host-0"}, policy.Default(), mirror, member, state, func() uint64 { return 0 })})
 	if body := ask("POST", "/rollout/lower", 409); !strings.Contains(body, "level 0") {
 		t.Error(body)
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -22,44 +22,44 @@
 
 // Status is the read-only page that shows who holds what.
 type Status struct {
-	Host    string                   `json:"host"`
-	Ready   bool                     `json:"state_service_reached"`
-	Steward string                   `json:"steward"`
-	Teams   []TeamStatus             `json:"teams"`
-	Health  []agentapi.Health        `json:"controllers"`
-	Overdue []autoscaler.OverduePool `json:"boots_overdue"`
-	Latency []Latency                `json:"answer_times_here"`
-	Refused int64                    `json:"queries_refused_here"`
-	Pauses  int                      `json:"pauses_here"`
-	PauseS  float64                  `json:"longest_pause_s"`
-
-	Serving map[string]float64 `json:"serving_again_here_s"` // steps since the start or the last lease lost
+	Host                string                   `json:"host"`
+	StateServiceReached bool                     `json:"state_service_reached"`
+	Leader              string                   `json:"steward"`
+	Teams               []TeamStatus             `json:"teams"`
+	Controllers         []agentapi.Health        `json:"controllers"`
+	OverdueProvisioning []autoscaler.OverduePool `json:"boots_overdue"`
+	Latencies           []Latency                `json:"answer_times_here"`
+	RefusedQueries      int64                    `json:"queries_refused_here"`
+	ProcessPauses       int                      `json:"pauses_here"`
+	LongestPauseS       float64                  `json:"longest_pause_s"`
+
+	RecoverySeconds map[string]float64 `json:"serving_again_here_s"` // steps since the start or the last lease lost
 
 	Rollout rollout.Status `json:"rollout"`
 
-	Peers peer.Traffic `json:"calls_from_here"` // to controllers
+	PeerTraffic peer.Traffic `json:"calls_from_here"` // to controllers
 
-	Fleet      []PoolStatus           `json:"fleet"`
-	Machines   []MachineStatus        `json:"machines,omitempty"`
-	Waiting    []scheduler.WaitingJob `json:"waiting"`
-	Placer     scheduler.Counters     `json:"placer_counters"`
-	Agent      clusteragent.Counters  `json:"agent_counters"`
-	Unreadable []string               `json:"controllers_without_answer"`
+	Pools                  []PoolStatus           `json:"fleet"`
+	Machines               []MachineStatus        `json:"machines,omitempty"`
+	WaitingJobs            []scheduler.WaitingJob `json:"waiting"`
+	SchedulerCounters      scheduler.Counters     `json:"placer_counters"`
+	AgentCounters          clusteragent.Counters  `json:"agent_counters"`
+	UnreachableControllers []string               `json:"controllers_without_answer"`
 }
 
 // TeamStatus is what a team holds against what it is due.
 type TeamStatus struct {
 	Team           string  `json:"team"`
-	CPUs           float64 `json:"cpus_held"`
-	GPUs           float64 `json:"gpus_held"`
+	HeldCPUs       float64 `json:"cpus_held"`
+	HeldGPUs       float64 `json:"gpus_held"`
 	GuaranteedCPUs float64 `json:"cpus_guaranteed"`
 	GuaranteedGPUs float64 `json:"gpus_guaranteed"`
-	MostCPUs       float64 `json:"cpus_limit"`
-	MostGPUs       float64 `json:"gpus_limit"`
+	CPUQuota       float64 `json:"cpus_limit"`
+	GPUQuota       float64 `json:"gpus_limit"`
 	BorrowedCPUs   float64 `json:"cpus_borrowed"`
 	BorrowedGPUs   float64 `json:"gpus_borrowed"`
-	Waiting        int     `json:"tasks_waiting"`
-	Guest          bool    `json:"guest"` // no guarantee while others have one
+	WaitingTasks   int     `json:"tasks_waiting"`
+	Unguaranteed   bool    `json:"guest"` // no guarantee while others have one
 }
 
 // PoolStatus sums up the machines of one kind in one zone.
@@ -93,25 +93,25 @@
 	if l == nil {
 		return later(c, g.startingWhy())
 	}
-	s := Status{Rollout: l.Gate.Status(), Host: g.settings.Host, Ready: l.Member.HoldsLease(), Steward: l.Placer.LeaderHost(), Placer: l.Placer.Counters(), Agent: l.Agent.Counters(), Serving: l.Clock.Seconds()}
+	s := Status{Rollout: l.VersionGate.Status(), Host: g.settings.Host, StateServiceReached: l.Member.HoldsLease(), Leader: l.Scheduler.LeaderHost(), SchedulerCounters: l.Scheduler.Counters(), AgentCounters: l.Agent.Counters(), RecoverySeconds: l.Clock.Seconds()}
 	entries := l.Feed.Entries()
 	held := map[string]job.Need{}
 	for i := range entries {
 		for _, t := range entries[i].Tasks {
-			if t.State != worker.Ended {
+			if t.State != worker.TaskExited {
 				held[t.Team] = held[t.Team].Add(t.Need, 1)
 			}
 		}
 	}
-	s.Fleet = g.pools(entries)
+	s.Pools = g.pools(entries)
 	s.Machines = machineList(entries, c.Query("machines"))
 	waiting := g.waiting(c.Context(), l, &s)
 	g.troubles(c.Context(), l, &s)
 	for name, t := range g.settings.Teams {
 		u := held[name]
-		s.Teams = append(s.Teams, TeamStatus{Team: name, CPUs: u.CPUs, GPUs: u.GPUs, GuaranteedCPUs: t.CPUs, GuaranteedGPUs: t.GPUs,
-			MostCPUs: t.CPUsMax, MostGPUs: t.GPUsMax, BorrowedCPUs: max(0, u.CPUs-t.CPUs), BorrowedGPUs: max(0, u.GPUs-t.GPUs), Waiting: waiting[name],
-			Guest: g.settings.Guest(name)})
+		s.Teams = append(s.Teams, TeamStatus{Team: name, HeldCPUs: u.CPUs, HeldGPUs: u.GPUs, GuaranteedCPUs: t.GuaranteedCPUs, GuaranteedGPUs: t.GuaranteedGPUs,
+			CPUQuota: t.CPUQuota, GPUQuota: t.GPUQuota, BorrowedCPUs: max(0, u.CPUs-t.GuaranteedCPUs), BorrowedGPUs: max(0, u.GPUs-t.GuaranteedGPUs), WaitingTasks: waiting[name],
+			Unguaranteed: g.settings.Unguaranteed(name)})
 	}
 	slices.SortFunc(s.Teams, func(a, b TeamStatus) int { return strings.Compare(a.Team, b.Team) })
 	return c.JSON(s)
@@ -135,7 +135,7 @@
 		}
 		free, tasks := types[e.Type].GPUs, 0
 		for _, t := range e.Tasks {
-			if t.State != worker.Ended {
+			if t.State != worker.TaskExited {
 				tasks++
 				free -= t.Need.GPUs
 			}
@@ -186,27 +186,27 @@
 
 // troubles gathers what operators have to tell apart: lost paths, marked
 // machines, late boots, refused queries, pauses.
-func (g *Gateway) troubles(ctx context.Context, l *Life, s *Status) {
+func (g *Gateway) troubles(ctx context.Context, l *Session, s *Status) {
 	cctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer cancel()
-	s.Health, s.Overdue = []agentapi.Health{}, []autoscaler.OverduePool{}
+	s.Controllers, s.OverdueProvisioning = []agentapi.Health{}, []autoscaler.OverduePool{}
 	for _, h := range g.hosts() {
 		var health agentapi.Health
-		if !slices.Contains(s.Unreadable, h) && l.Call.Call(cctx, h, "Agent.Health", struct{}{}, &health) == nil {
-			s.Health = append(s.Health, health)
+		if !slices.Contains(s.UnreachableControllers, h) && l.Peers.Call(cctx, h, "Agent.Health", struct{}{}, &health) == nil {
+			s.Controllers = append(s.Controllers, health)
 		}
 	}
-	if s.Steward != "" {
-		if err := l.Call.Call(cctx, s.Steward, "Steward.Overdue", struct{}{}, &s.Overdue); err != nil {
+	if s.Leader != "" {
+		if err := l.Peers.Call(cctx, s.Leader, "Steward.Overdue", struct{}{}, &s.OverdueProvisioning); err != nil {
 			slog.Debug("overdue provisioning query failed", "err", err)
 		}
 	}
-	if l.Traffic != nil {
-		s.Peers = l.Traffic()
+	if l.PeerTraffic != nil {
+		s.PeerTraffic = l.PeerTraffic()
 	}
-	s.Latency, s.Refused = g.latencies.show(), g.refused.Load()
+	s.Latencies, s.RefusedQueries = g.latencies.show(), g.refused.Load()
 	count, longest := g.pauses()
-	s.Pauses, s.PauseS = count, longest.Seconds()
+	s.ProcessPauses, s.LongestPauseS = count, longest.Seconds()
 }
 
 func (g *Gateway) hosts() []string {
@@ -218,17 +218,17 @@
 }
 
 // waiting gathers the jobs that wait, from all placers.
-func (g *Gateway) waiting(ctx context.Context, l *Life, s *Status) map[string]int {
+func (g *Gateway) waiting(ctx context.Context, l *Session, s *Status) map[string]int {
 	byTeam := map[string]int{}
-	s.Waiting, s.Unreadable = []scheduler.WaitingJob{}, []string{}
+	s.WaitingJobs, s.UnreachableControllers = []scheduler.WaitingJob{}, []string{}
 	for _, h := range g.hosts() {
 		cctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 		var reply []scheduler.WaitingJob
-		if err := l.Call.Call(cctx, h, "Placer.Queue", 100, &reply); err != nil {
-			s.Unreadable = append(s.Unreadable, h)
+		if err := l.Peers.Call(cctx, h, "Placer.Queue", 100, &reply); err != nil {
+			s.UnreachableControllers = append(s.UnreachableControllers, h)
 		}
 		cancel()
-		s.Waiting = append(s.Waiting, reply...)
+		s.WaitingJobs = append(s.WaitingJobs, reply...)
 		for _, w := range reply {
 			byTeam[w.Team] += w.Tasks
 		}
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -19,7 +19,7 @@
 	for i := range 1500 {
 		e := agentapi.MachineEntry{Machine: fmt.Sprintf("vm-%06d", i), Host: fmt.Sprint("host-", i%3), Type: "box", Zone: "a", Spot: i%2 == 1, Settled: true, Silent: i == 4}
 		if i < 100 {
-			e.Tasks = []agentapi.TaskEntry{{TaskRef: agentapi.TaskRef{Job: "wk-1", Index: i}, Need: job.Need{GPUs: 3}, State: worker.Running}, {State: worker.Ended}}
+			e.Tasks = []agentapi.TaskEntry{{TaskRef: agentapi.TaskRef{Job: "wk-1", Index: i}, Need: job.Need{GPUs: 3}, State: worker.TaskRunning}, {State: worker.TaskExited}}
 		}
 		entries = append(entries, e)
 	}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -286,7 +286,7 @@
 	if s.Shape == Array {
 		n = 1
 	}
-	if team.CPUsMax > 0 && n*s.CPUs > team.CPUsMax || team.GPUsMax > 0 && n*s.GPUs > team.GPUsMax {
+	if team.CPUQuota > 0 && n*s.CPUs > team.CPUQuota || team.GPUQuota > 0 && n*s.GPUs > team.GPUQuota {
 		return "needs more than the limit of team " + s.Team
 	}
 	return ""
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -155,7 +155,7 @@
 
 func TestWhatCanNeverRun(t *testing.T) {
 	types := map[string]cloud.MachineType{"g8": {Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a"}}}
-	teams := map[string]config.Team{"vision": {Name: "vision", GPUsMax: 8}}
+	teams := map[string]config.Team{"vision": {Name: "vision", GPUQuota: 8}}
 	s, err := Parse([]byte(good))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -20,28 +20,28 @@
 
 // Policy is the operators' settings, with defaults that serve any deployment.
 type Policy struct {
-	SampleControllers float64       // share of the controllers asked for samples (C_p)
-	SampleMachines    float64       // share of its machines that each samples (N_p)
-	SampleLeast       int           // machines that each samples at least, if it has as many
-	SampleTimeout     time.Duration // how long sampling may take
-	MultiBind         int           // candidates tried in the commit phase (m)
-	RetryAfter        time.Duration // pause before a job without a place samples again
-	IdleReturn        time.Duration // idle time after which a machine is returned
-	WarmGangs         int           // tasks of each class of gangs for which room is kept ready
-	Preempt           bool          // stop tasks of lower priority to make room for gangs
-	ClassParts        bool          // but not of a class that waits with less than its part
-
-	RolloutSoak   time.Duration // how long all controllers have to have stood before the level rises
-	RolloutAbsent time.Duration // how long one that is away is waited for
-	RolloutHold   bool          // the level does not rise by itself
+	SampleControllerShare float64       // share of the controllers asked for samples (C_p)
+	SampleMachineShare    float64       // share of its machines that each samples (N_p)
+	SampleMinMachines     int           // machines that each samples at least, if it has as many
+	SampleTimeout         time.Duration // how long sampling may take
+	MultiBind             int           // candidates tried in the commit phase (m)
+	ResampleDelay         time.Duration // pause before a job without a place samples again
+	ScaleInIdleTime       time.Duration // idle time after which a machine is returned
+	WarmTasksPerGangClass int           // tasks of each class of gangs for which room is kept ready
+	Preemption            bool          // stop tasks of lower priority to make room for gangs
+	ClassFairShare        bool          // but not of a class that waits with less than its part
+
+	RolloutSoak           time.Duration // how long all controllers have to have stood before the level rises
+	RolloutAbsenceTimeout time.Duration // how long one that is away is waited for
+	RolloutHold           bool          // the level does not rise by itself
 
 	order *vm.Program // queue_order, nil for the built-in order
 }
 
 // Default returns the policy that holds where operators set nothing.
 func Default() *Policy {
-	return &Policy{SampleControllers: 1, SampleMachines: 0.04, SampleLeast: 48, SampleTimeout: time.Second, MultiBind: 3, RetryAfter: time.Second, IdleReturn: 25 * time.Second, WarmGangs: 2, Preempt: true, ClassParts: true,
-		RolloutSoak: 30 * time.Second, RolloutAbsent: 10 * time.Minute}
+	return &Policy{SampleControllerShare: 1, SampleMachineShare: 0.04, SampleMinMachines: 48, SampleTimeout: time.Second, MultiBind: 3, ResampleDelay: time.Second, ScaleInIdleTime: 25 * time.Second, WarmTasksPerGangClass: 2, Preemption: true, ClassFairShare: true,
+		RolloutSoak: 30 * time.Second, RolloutAbsenceTimeout: 10 * time.Minute}
 }
 
 // jobEnv is what queue_order can refer to.
@@ -67,22 +67,22 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 var numbers = map[string]number{
-	"sample_controllers": {0.01, 1, func(p *Policy, v float64) { p.SampleControllers = v }},
-	"sample_machines":    {0.01, 1, func(p *Policy, v float64) { p.SampleMachines = v }},
-	"sample_least":       {1, 10000, func(p *Policy, v float64) { p.SampleLeast = int(v) }},
+	"sample_controllers": {0.01, 1, func(p *Policy, v float64) { p.SampleControllerShare = v }},
+	"sample_machines":    {0.01, 1, func(p *Policy, v float64) { p.SampleMachineShare = v }},
+	"sample_least":       {1, 10000, func(p *Policy, v float64) { p.SampleMinMachines = int(v) }},
 	"sample_timeout_s":   {0.05, 10, func(p *Policy, v float64) { p.SampleTimeout = seconds(v) }},
 	"multibind":          {1, 20, func(p *Policy, v float64) { p.MultiBind = int(v) }},
-	"retry_s":            {0.1, 60, func(p *Policy, v float64) { p.RetryAfter = seconds(v) }},
-	"warm_gangs":         {0, 100, func(p *Policy, v float64) { p.WarmGangs = int(v) }},
-	"idle_return_s":      {1, 86400, func(p *Policy, v float64) { p.IdleReturn = seconds(v) }},
+	"retry_s":            {0.1, 60, func(p *Policy, v float64) { p.ResampleDelay = seconds(v) }},
+	"warm_gangs":         {0, 100, func(p *Policy, v float64) { p.WarmTasksPerGangClass = int(v) }},
+	"idle_return_s":      {1, 86400, func(p *Policy, v float64) { p.ScaleInIdleTime = seconds(v) }},
 	"rollout_soak_s":     {1, 7 * 86400, func(p *Policy, v float64) { p.RolloutSoak = seconds(v) }},
-	"rollout_absent_s":   {0, 30 * 86400, func(p *Policy, v float64) { p.RolloutAbsent = seconds(v) }},
+	"rollout_absent_s":   {0, 30 * 86400, func(p *Policy, v float64) { p.RolloutAbsenceTimeout = seconds(v) }},
 }
 
 // switches are the settings that are on or off.
 var switches = map[string]func(*Policy) *bool{
-	"class_parts":  func(p *Policy) *bool { return &p.ClassParts },
-	"preempt":      func(p *Policy) *bool { return &p.Preempt },
+	"class_parts":  func(p *Policy) *bool { return &p.ClassFairShare },
+	"preempt":      func(p *Policy) *bool { return &p.Preemption },
 	"rollout_hold": func(p *Policy) *bool { return &p.RolloutHold },
 }
 
@@ -179,13 +179,13 @@
 // soon is the time in seconds before the aim for its wait from which on a job goes first.
 const soon = 45
 
-// Order puts jobs in the queue's order, higher first. The built-in order is
+// QueueOrder puts jobs in the queue's order, higher first. The built-in order is
 // rank; jobs without a deadline by age; then those that can still meet the
 // earliest of limits, by when that is; those that can still meet the next; and
 // last those that are too late for all. A job whose tasks should all have started
 // soon by the users' aim, wait after its submission (0: none), goes before them: jobs
 // that come later and can meet their limits would pass it by for ever.
-func (p *Policy) Order(spec *job.Spec, age time.Duration, limits []time.Duration, wait time.Duration) float64 {
+func (p *Policy) QueueOrder(spec *job.Spec, age time.Duration, limits []time.Duration, wait time.Duration) float64 {
 	if p.order != nil {
 		env := jobEnv{Rank: spec.Priority(), Class: spec.Class, Team: spec.Team, Tasks: spec.Tasks, GPUs: spec.GPUs, CPUs: spec.CPUs,
 			AgeS: age.Seconds(), EstimateS: spec.EstimateS, HasDue: spec.DeadlineS != nil}
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -13,11 +13,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.MultiBind != 5 || p.Preempt || p.IdleReturn != 90*time.Second {
+	if p.MultiBind != 5 || p.Preemption || p.ScaleInIdleTime != 90*time.Second {
 		t.Fatalf("%+v", p)
 	}
 	night, day := &job.Spec{Rank: "normal", Team: "night"}, &job.Spec{Rank: "normal", Team: "day"}
-	if p.Order(night, time.Minute, nil, 0) <= p.Order(day, 2*time.Minute, nil, 0) {
+	if p.QueueOrder(night, time.Minute, nil, 0) <= p.QueueOrder(day, 2*time.Minute, nil, 0) {
 		t.Fatal("the operators' order is not used")
 	}
 	for source, want := range map[string]string{
@@ -42,7 +42,7 @@
 	p := Default()
 	order := func(rank string, due float64, age time.Duration) float64 {
 		limits := []time.Duration{time.Duration(due) * time.Second, time.Duration(due*1.5) * time.Second}
-		return p.Order(&job.Spec{Rank: rank, EstimateS: 50, DeadlineS: &due}, age, limits, 0)
+		return p.QueueOrder(&job.Spec{Rank: rank, EstimateS: 50, DeadlineS: &due}, age, limits, 0)
 	}
 	const age = 100 * time.Second
 	if order("normal", 200, age) <= order("normal", 300, age) {
@@ -54,7 +54,7 @@
 	if order("normal", 60, age) >= order("normal", 110, age) {
 		t.Error("a job that is too late for every aim goes last")
 	}
-	if p.Order(&job.Spec{Rank: "high"}, 0, nil, 0) <= order("normal", 160, age) {
+	if p.QueueOrder(&job.Spec{Rank: "high"}, 0, nil, 0) <= order("normal", 160, age) {
 		t.Error("rank goes before everything")
 	}
 }
@@ -66,7 +66,7 @@
 	due := 100.0
 	spec := &job.Spec{Rank: "normal", EstimateS: 50, DeadlineS: &due}
 	limits := []time.Duration{100 * time.Second, 150 * time.Second}
-	order := func(age time.Duration) float64 { return Default().Order(spec, age, limits, 250*time.Second) }
+	order := func(age time.Duration) float64 { return Default().QueueOrder(spec, age, limits, 250*time.Second) }
 	fresh := order(10 * time.Second)
 	if order(180*time.Second) >= fresh {
 		t.Error("with time left for the wait, a late job goes behind those that can be done in time")
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -111,7 +111,7 @@
 	v := Look(g.mirror, g.hosts, known)
 	v.Self, v.Steward = g.host, g.steward()
 	v.Uses = g.uses
-	v.Soak, v.Absent, v.Held = g.policy.RolloutSoak, g.policy.RolloutAbsent, g.policy.RolloutHold
+	v.Soak, v.Absent, v.Held = g.policy.RolloutSoak, g.policy.RolloutAbsenceTimeout, g.policy.RolloutHold
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	kept := map[string]sighting{}
--- a/internal/scheduler/begin.go
+++ b/internal/scheduler/begin.go
@@ -50,7 +50,7 @@
 	age := now.Sub(j.from)
 	switch {
 	case !j.starves(now):
-		return p.policy.Order(j.as, age, j.limits, j.lastWait())
+		return p.policy.QueueOrder(j.as, age, j.limits, j.lastWait())
 	case age > (beginWithin+j.startsToStarve())/2:
 		return firstOfAll + age.Seconds()
 	}
@@ -138,7 +138,7 @@
 // it comes free: otherwise smaller jobs of the team would take it for ever. It returns
 // whether all of it is there.
 func (p *Scheduler) reserve(ctx context.Context, j *jobState, epoch uint64, n int) bool {
-	if !p.settings.Limited(j.spec.Team) {
+	if !p.settings.HasQuota(j.spec.Team) {
 		return true
 	}
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
--- a/internal/scheduler/begin_test.go
+++ b/internal/scheduler/begin_test.go
@@ -43,14 +43,14 @@
 					if b.began[key].IsZero() {
 						b.began[key] = time.Now()
 					}
-					if t.State == worker.Running && time.Since(b.began[key]) > b.lasts {
+					if t.State == worker.TaskRunning && time.Since(b.began[key]) > b.lasts {
 						over = append(over, on{box, t.ID})
 					}
 				}
 			}
 		})
 		for _, o := range over {
-			b.workers.End(o.box, o.id, worker.Done)
+			b.workers.End(o.box, o.id, worker.CauseDone)
 		}
 	}
 }
--- a/internal/scheduler/drawn_test.go
+++ b/internal/scheduler/drawn_test.go
@@ -48,9 +48,9 @@
 	c.workers.Do(func() {
 		for _, b := range c.boxes {
 			for _, t := range b.Report.Tasks {
-				if t.State != worker.Ended {
+				if t.State != worker.TaskExited {
 					on[t.ID] = append(on[t.ID], b.Report.Machine)
-				} else if t.Cause == worker.Done {
+				} else if t.Cause == worker.CauseDone {
 					completed[t.ID] = true
 				}
 			}
@@ -186,7 +186,7 @@
 			w.workers.Do(func() { box.Deaf = false })
 			w.workers.DeliverLate(box)
 		case 8:
-			var r worker.Report
+			var r worker.Heartbeat
 			w.workers.Do(func() { r = box.Report; r.Tasks = slices.Clone(box.Report.Tasks) })
 			copies = append(copies, late{r, time.Now().Add(time.Duration(rng.IntN(60)) * time.Second)})
 		case 9:
@@ -208,7 +208,7 @@
 		}
 		c.look()
 		if rng.IntN(2) == 0 {
-			w.endAll(worker.Done)
+			w.endAll(worker.CauseDone)
 		}
 	}
 	w.state.Set(false, false)
@@ -219,7 +219,7 @@
 	for range 60 {
 		w.run(5 * time.Second)
 		c.look()
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 	}
 	c.end()
 	return c
@@ -227,7 +227,7 @@
 
 // late is a report that arrives once more.
 type late struct {
-	report worker.Report
+	report worker.Heartbeat
 	at     time.Time
 }
 
@@ -282,7 +282,7 @@
 					if c.openStill(p) && !c.began[id] && c.cancelled[p].IsZero() {
 						c.put(tombstone.Ops(p, tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Former)...)
 						c.workers.Do(func() {
-							c.boxes[0].Report.Tasks = append(c.boxes[0].Report.Tasks, worker.Task{ID: id + "/0", Attempt: 1 << 50, State: worker.Running})
+							c.boxes[0].Report.Tasks = append(c.boxes[0].Report.Tasks, worker.Task{ID: id + "/0", Attempt: 1 << 50, State: worker.TaskRunning})
 						})
 						return true
 					}
@@ -295,9 +295,9 @@
 			c.workers.Do(func() {
 				for k, b := range c.boxes {
 					for _, t := range b.Report.Tasks {
-						if t.State == worker.Running && !done {
+						if t.State == worker.TaskRunning && !done {
 							other := c.boxes[1-k]
-							other.Report.Tasks = append(other.Report.Tasks, worker.Task{ID: t.ID, Attempt: t.Attempt + 1, State: worker.Running})
+							other.Report.Tasks = append(other.Report.Tasks, worker.Task{ID: t.ID, Attempt: t.Attempt + 1, State: worker.TaskRunning})
 							done = true
 						}
 					}
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -55,7 +55,7 @@
 
 func (p *Scheduler) onTask(e *agentapi.MachineEntry, te *agentapi.TaskEntry, j *jobState) {
 	ts := &j.tasks[te.Index]
-	over := te.State == worker.Ended
+	over := te.State == worker.TaskExited
 	item := agentapi.StopItem{Machine: e.Machine, TaskRef: te.TaskRef, Forget: over}
 	switch {
 	case j.over != "" && j.recorded:
@@ -65,7 +65,7 @@
 			p.dropIfOver(te.Job, j)
 			return
 		}
-	case over && te.Cause == worker.Done:
+	case over && te.Cause == worker.CauseDone:
 		j.ended = append(j.ended, item)
 		p.finished(j, te.Index)
 		return
@@ -168,7 +168,7 @@
 // ended notes that a task ended without completing.
 func (p *Scheduler) ended(j *jobState, i int, cause, machine string) {
 	slog.Info("task attempt ended", "task", job.TaskID(j.spec.ID, i), "cause", cause, "machine", machine)
-	if cause == worker.Failed {
+	if cause == worker.CauseFailed {
 		p.failed(j, machine)
 	}
 	p.lost(j, i)
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -42,7 +42,7 @@
 	j.avoidTill = now.Add(avoidFor)
 	if j.doneCount > 0 {
 		p.judge(j, machine, true)
-		j.nextTry = now.Add(p.policy.RetryAfter)
+		j.nextTry = now.Add(p.policy.ResampleDelay)
 		return
 	}
 	if j.failedOn == nil {
@@ -67,7 +67,7 @@
 		}
 		for k := range j.tasks {
 			// What has not begun to run would fail as well.
-			if ts := &j.tasks[k]; ts.state == agentapi.Starting || ts.state == worker.Fetching {
+			if ts := &j.tasks[k]; ts.state == agentapi.Starting || ts.state == worker.TaskFetching {
 				p.stopTask(j, k, 0)
 			}
 		}
@@ -99,7 +99,7 @@
 	}
 	on := slices.Sorted(maps.Keys(j.failedOn))
 	rec.Failed = &job.Failures{On: on[:min(len(on), job.MostFailedOn)], Row: j.failures, Suspect: j.suspect}
-	if raw, err := json.Marshal(rec); err != nil || len(raw) > p.settings.State.ValueBytes {
+	if raw, err := json.Marshal(rec); err != nil || len(raw) > p.settings.StateLimits.MaxValueBytes {
 		rec.Failed = nil
 	}
 	return rec
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -41,7 +41,7 @@
 			w.submit(a, spec("wk-1", job.Array, 8, 1))
 			for range 8 {
 				w.run(2 * time.Second)
-				w.endAll(worker.Failed)
+				w.endAll(worker.CauseFailed)
 			}
 			w.run(3 * time.Second)
 			kv, err := w.state.Get(w.ctx, job.OpenKey("wk-1"))
@@ -59,7 +59,7 @@
 			w.run(8 * time.Second)
 			for range 10 {
 				w.run(2 * time.Second)
-				w.endAll(worker.Failed)
+				w.endAll(worker.CauseFailed)
 			}
 			tries[noted] += count() - before
 		})
@@ -78,7 +78,7 @@
 		w.submit(n, spec("wk-1", job.Array, 2, 1))
 		w.run(4 * time.Second)
 		w.at(rollout.Gated, rollout.Failures, rollout.Ended)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(5 * time.Second)
 		if w.final("wk-1") != job.Done {
 			t.Fatal("not recorded")
@@ -91,7 +91,7 @@
 		w.at(rollout.Gated, rollout.Failures, rollout.Ended, rollout.EndedOnly)
 		w.submit(n, spec("wk-2", job.Array, 2, 1))
 		w.run(4 * time.Second)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(5 * time.Second)
 		if _, err := w.state.Get(w.ctx, tombstone.FormerKey("wk-2")); w.final("wk-2") != job.Done || err == nil {
 			t.Error("the former form is written still")
@@ -117,7 +117,7 @@
 		w.submit(n, s)
 		for range 6 {
 			w.run(2 * time.Second)
-			w.endAll(worker.Failed)
+			w.endAll(worker.CauseFailed)
 		}
 		w.run(3 * time.Second)
 		kv, err := w.state.Get(w.ctx, job.OpenKey("wk-1"))
--- a/internal/scheduler/flush.go
+++ b/internal/scheduler/flush.go
@@ -85,7 +85,7 @@
 		}
 		then = append(then, statekv.Op{Delete: job.OpenKey(id)})
 		then = append(then, tombstone.Ops(id, r, level.Writes())...)
-		then = append(then, job.DropExtras(id, len(j.tasks), pieces, p.store.MaxTxnOps(p.settings.State.TxnOps)-len(then))...)
+		then = append(then, job.DropExtras(id, len(j.tasks), pieces, p.store.MaxTxnOps(p.settings.StateLimits.MaxTxnOps)-len(then))...)
 	} else {
 		rec := p.record(j, level.Has(rollout.Failures))
 		then = p.recordOps(j, &rec, dirty, level)
@@ -159,7 +159,7 @@
 // nothing where that cannot be done yet.
 func (p *Scheduler) recordOps(j *jobState, rec *job.Record, dirty map[int]bool, level rollout.Level) []statekv.Op {
 	var then []statekv.Op
-	limit, most := p.settings.State.ValueBytes, p.store.MaxTxnOps(p.settings.State.TxnOps)
+	limit, most := p.settings.StateLimits.MaxValueBytes, p.store.MaxTxnOps(p.settings.StateLimits.MaxTxnOps)
 	if rec.Pieces == 0 && rec.Large(limit) {
 		if !level.Has(rollout.Pipelines) {
 			return nil
--- a/internal/scheduler/form0_test.go
+++ b/internal/scheduler/form0_test.go
@@ -46,7 +46,7 @@
 		w.start("host-0")
 		for range 30 {
 			w.run(5 * time.Second)
-			w.endAll(worker.Done)
+			w.endAll(worker.CauseDone)
 		}
 		for id, status := range before {
 			if got := w.final(id); got != status {
@@ -87,7 +87,7 @@
 		w.run(3 * time.Second)
 		w.submit(n, spec("wk-1", job.Array, 2, 1))
 		w.run(10 * time.Second)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(5 * time.Second)
 		if w.final("wk-1") != job.Done {
 			t.Error("the rest is not served")
--- a/internal/scheduler/patience_test.go
+++ b/internal/scheduler/patience_test.go
@@ -20,7 +20,7 @@
 	first.Image = "x"
 	w.submit(n, first)
 	w.run(3 * time.Second)
-	w.endAll(worker.Done)
+	w.endAll(worker.CauseDone)
 	w.run(8 * time.Second)
 	second := spec("wk-2", job.Array, 1, 2)
 	second.Image = "y"
@@ -58,7 +58,7 @@
 					t.Fatal("started at once without the image")
 				}
 				if ends {
-					w.endAll(worker.Done)
+					w.endAll(worker.CauseDone)
 				}
 				w.run(14 * time.Second)
 				if got := w.startedOn(0, "wk-3/0"); got != ends || w.startsOf("wk-3") != 1 {
--- a/internal/scheduler/pipelines_test.go
+++ b/internal/scheduler/pipelines_test.go
@@ -70,7 +70,7 @@
 				if next := fmt.Sprintf("wk-%d", k+2); !w.started(id) || w.started(next) {
 					t.Fatal(crashed, id, w.starts())
 				}
-				w.endAll(worker.Done)
+				w.endAll(worker.CauseDone)
 			}
 			w.run(5 * time.Second)
 			if w.final("wk-3") != job.Done {
@@ -100,7 +100,7 @@
 		w.submit(n, limited)
 		w.submit(n, after("wk-3", "wk-2"))
 		w.run(5 * time.Second)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(20 * time.Second)
 		if q := n.queue(w); w.started("wk-2") || q["wk-2"].ReadyS == nil || q["wk-3"].Why != "waits for wk-2" {
 			t.Fatalf("%v, %+v", w.starts(), q)
@@ -112,9 +112,9 @@
 		if !w.started("wk-2") || w.started("wk-3") {
 			t.Fatal(w.starts())
 		}
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(5 * time.Second)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(5 * time.Second)
 		if w.final("wk-3") != job.Done {
 			t.Fatal(w.starts())
@@ -133,7 +133,7 @@
 			w.submit(n, after("wk-2", "wk-1"))
 			w.run(4 * time.Second)
 			w.state.Set(true, false)
-			w.endAll(worker.Done)
+			w.endAll(worker.CauseDone)
 			w.run(2 * time.Second)
 			if w.started("wk-2") {
 				t.Fatal("it was started on a belief")
@@ -176,7 +176,7 @@
 		w.start("host-1")
 		for range 10 {
 			w.run(5 * time.Second)
-			w.endAll(worker.Done)
+			w.endAll(worker.CauseDone)
 		}
 		for id, want := range map[string]string{"wk-1": job.Cancelled, "wk-2": job.Cancelled, "wk-3": job.Cancelled, "wk-4": job.Cancelled, "wk-5": job.Done, "wk-9": job.Done} {
 			if got := w.final(id); got != want {
@@ -225,7 +225,7 @@
 		if len(queue) != 10 || queue["wk-20"].Why != "waits for wk-1" || queue["wk-20"].ReadyS != nil {
 			t.Fatalf("%+v", queue["wk-20"])
 		}
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(6 * time.Second)
 		if !w.started("wk-20") {
 			t.Fatal(w.starts())
@@ -238,8 +238,8 @@
 		}
 		w.submit(n, withGPUs(after("wk-5", "wk-20"), 2))
 		w.run(20 * time.Second)
-		w.workers.End(w.boxes[0], "wk-20/0", worker.Done)
-		w.workers.End(w.boxes[1], "wk-20/0", worker.Done)
+		w.workers.End(w.boxes[0], "wk-20/0", worker.CauseDone)
+		w.workers.End(w.boxes[1], "wk-20/0", worker.CauseDone)
 		w.run(5 * time.Second)
 		was := n.queue(w)["wk-5"]
 		w.crash(n, 1)
@@ -326,7 +326,7 @@
 		w.submit(n, s)
 		w.state.Limit(2048, 8)
 		w.run(4 * time.Second)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(6 * time.Second)
 		kv, err := w.state.Get(w.ctx, job.OpenKey("wk-1"))
 		if err != nil || len(kv.Value) > 2048 {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -153,7 +153,7 @@
 	j.shape.placing--
 	j.busy = false
 	if full {
-		retry := now.Add(p.policy.RetryAfter)
+		retry := now.Add(p.policy.ResampleDelay)
 		j.tries++
 		p.counters.Requeues++
 		if retry.After(j.nextTry) {
@@ -190,7 +190,7 @@
 		j.avoid = nil
 	}
 	req := agentapi.Request{Spec: *spec, Slot: j.slot, Epoch: s.epoch, Age: time.Since(j.from), Avoid: slices.Clone(j.avoid), Tasks: len(indices),
-		Share: p.policy.SampleMachines, Least: p.policy.SampleLeast, Spare: p.policy.MultiBind, Parts: p.policy.ClassParts, Zones: openZones(spec, others, p.settings.Zones)}
+		Share: p.policy.SampleMachineShare, Least: p.policy.SampleMinMachines, Spare: p.policy.MultiBind, Parts: p.policy.ClassFairShare, Zones: openZones(spec, others, p.settings.Zones)}
 	p.mu.Unlock()
 
 	found := p.sample(ctx, req)
@@ -244,7 +244,7 @@
 	if found.crowded && len(lists) < len(indices) && spec.Shape != job.Gang {
 		// There is room, but not for its image: jobs with others may take it.
 		p.mu.Lock()
-		j.nextTry = time.Now().Add(p.policy.RetryAfter)
+		j.nextTry = time.Now().Add(p.policy.ResampleDelay)
 		p.mu.Unlock()
 		patient = true
 		if len(lists) == 0 {
@@ -295,7 +295,7 @@
 	p.mu.Lock()
 	suspect := j.suspect
 	p.mu.Unlock()
-	if !p.policy.Preempt || suspect || req.Spec.Priority() <= job.LowestPriority {
+	if !p.policy.Preemption || suspect || req.Spec.Priority() <= job.LowestPriority {
 		return false
 	}
 	soon := func() {
@@ -342,7 +342,7 @@
 // limitAllows asks whether the team's limit leaves room for the whole gang, so
 // that nothing is stopped in vain.
 func (p *Scheduler) limitAllows(ctx context.Context, j *jobState, epoch uint64, n int) bool {
-	if !p.settings.Limited(j.spec.Team) {
+	if !p.settings.HasQuota(j.spec.Team) {
 		return true
 	}
 	req := quota.Request{Slot: j.slot, Epoch: epoch, Probe: true}
@@ -382,7 +382,7 @@
 }
 
 func (p *Scheduler) ask(ctx context.Context, method string, req agentapi.Request) drawn {
-	hosts := pickHosts(p.member.AliveHosts(), p.policy.SampleControllers, shuffle)
+	hosts := pickHosts(p.member.AliveHosts(), p.policy.SampleControllerShare, shuffle)
 	var mu sync.Mutex
 	var asks sync.WaitGroup
 	all := drawn{scarce: true}
@@ -451,7 +451,7 @@
 	for _, b := range bindings {
 		if ts := &j.tasks[b.ref.Index]; ts.status == committing && ts.attempt == b.ref.Attempt {
 			*ts = taskState{}
-			if permitted && p.settings.Limited(j.spec.Team) {
+			if permitted && p.settings.HasQuota(j.spec.Team) {
 				p.releases = append(p.releases, b.ref)
 			}
 		}
@@ -460,7 +460,7 @@
 
 // permitted asks the steward for permits where the team has a limit.
 func (p *Scheduler) permitted(ctx context.Context, j *jobState, bindings []*binding, epoch uint64) ([]*binding, uint64) {
-	if !p.settings.Limited(j.spec.Team) {
+	if !p.settings.HasQuota(j.spec.Team) {
 		return bindings, 0
 	}
 	req := quota.Request{Slot: j.slot, Epoch: epoch}
@@ -613,7 +613,7 @@
 				ts.ver = reply.Ver
 				continue
 			}
-			if p.settings.Limited(j.spec.Team) {
+			if p.settings.HasQuota(j.spec.Team) {
 				p.releases = append(p.releases, ref)
 			}
 			p.lost(j, ref.Index)
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/placer.go
@@ -265,7 +265,7 @@
 	j.begun = j.doneCount > 0
 	j.recall(rec.Failed, time.Now())
 	j.from, j.waits, j.as = j.submitted, len(j.spec.WaitsOn) > 0, j.spec
-	j.limits, j.aims = p.settings.Limits(j.spec.Class, j.spec.DeadlineS), p.settings.Waits(j.spec.Class)
+	j.limits, j.aims = p.settings.CompletionTargets(j.spec.Class, j.spec.DeadlineS), p.settings.StartTargets(j.spec.Class)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.gone[rec.Spec.ID].rev > rev {
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -82,7 +82,7 @@
 		return "tasks of its last attempt are still on machines"
 	case j.busy:
 		return "being placed"
-	case j.tries > 0 && p.settings.Limited(j.spec.Team):
+	case j.tries > 0 && p.settings.HasQuota(j.spec.Team):
 		return "no machine with room, or its team is at its limit"
 	case j.tries > 0:
 		return "no machine with room"
--- a/internal/scheduler/slots.go
+++ b/internal/scheduler/slots.go
@@ -134,7 +134,7 @@
 	}
 	tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	taken, err := p.member.AcquireAll(tctx, roles, p.settings.State.TxnOps)
+	taken, err := p.member.AcquireAll(tctx, roles, p.settings.StateLimits.MaxTxnOps)
 	if err != nil {
 		slog.Debug("job shard acquisition failed", "err", err)
 	}
@@ -324,7 +324,7 @@
 	var when []statekv.Compare
 	var then []statekv.Op
 	for id, s := range p.slots {
-		if s.settled && !used[id] && len(then) < p.store.MaxTxnOps(min(maxFlushes, p.settings.State.TxnOps)) {
+		if s.settled && !used[id] && len(then) < p.store.MaxTxnOps(min(maxFlushes, p.settings.StateLimits.MaxTxnOps)) {
 			ids = append(ids, id)
 			when = append(when, statekv.Compare{Key: statekv.JobShardPrefix + id, Rev: s.epoch})
 			then = append(then, statekv.Op{Delete: statekv.JobShardPrefix + id})
--- a/internal/scheduler/slots_test.go
+++ b/internal/scheduler/slots_test.go
@@ -54,7 +54,7 @@
 	story(t, func(w *world) {
 		crashWithSilent(w)
 		w.run(8 * time.Second)
-		w.endAll(worker.Done) // the two of wk-1 that run on the machine that answers
+		w.endAll(worker.CauseDone) // the two of wk-1 that run on the machine that answers
 		w.run(8 * time.Second)
 		if n := w.startsOf("wk-1"); n != 4 {
 			t.Fatalf("%d of 4 tasks started that the silent machine cannot have", n)
@@ -62,7 +62,7 @@
 		if n := w.startsOf("wk-2"); n != 0 {
 			t.Fatalf("%d starts elsewhere of a job whose tasks the silent machine may have", n)
 		}
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(90 * time.Second)
 		if n := w.startsOf("wk-2"); n != 2 {
 			t.Fatalf("%d starts after the silent machine's lease", n)
@@ -83,7 +83,7 @@
 		b.agent.Heartbeat(w.ctx, &r) // claimed, and not heard of again
 		w.boxes = append(w.boxes, silent)
 		w.run(3 * time.Second)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(6 * time.Second)
 		if n := w.startsOf("wk-2"); n != 4 {
 			t.Fatalf("%d of 4 tasks started while a younger machine is unconfirmed", n)
@@ -116,7 +116,7 @@
 		}
 		a, b := w.start("host-0"), w.start("host-1")
 		w.run(5 * time.Second)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(20 * time.Second)
 		if slots := w.state.Dir(statekv.JobShardPrefix); len(slots) != 2 {
 			t.Errorf("%d slots for two controllers", len(slots))
--- a/internal/scheduler/story_test.go
+++ b/internal/scheduler/story_test.go
@@ -133,11 +133,11 @@
 
 func (w *world) start(host string) *node {
 	w.t.Helper()
-	settings := &config.Settings{Host: host, Peers: []config.Peer{{Host: other(host)}}, Teams: map[string]config.Team{"t": {Name: "t"}, "full": {Name: "full", CPUsMax: 100}}, Zones: []string{"a", "b"}, Objectives: w.objectives,
-		Workers: config.Workers{Report: 3 * time.Second, Lease: 30 * time.Second, GangWait: 45 * time.Second, CancelGone: 60 * time.Second},
-		State:   config.State{RPS: 100, WriteRPS: 50, ValueBytes: 8192, TxnOps: 24}}
+	settings := &config.Settings{Host: host, Peers: []config.Peer{{Host: other(host)}}, Teams: map[string]config.Team{"t": {Name: "t"}, "full": {Name: "full", CPUQuota: 100}}, Zones: []string{"a", "b"}, Objectives: w.objectives,
+		Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, GangWaitTimeout: 45 * time.Second, CancellationDeadline: 60 * time.Second},
+		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
 	if w.limits[0] > 0 {
-		settings.State.ValueBytes, settings.State.TxnOps = w.limits[0], w.limits[1]
+		settings.StateLimits.MaxValueBytes, settings.StateLimits.MaxTxnOps = w.limits[0], w.limits[1]
 	}
 	ctx, stop := context.WithCancel(w.ctx)
 	n := &node{host: host, stop: stop, up: true}
@@ -312,12 +312,12 @@
 		if got := len(w.starts()); got != 4 {
 			t.Fatalf("%d tasks started on four places", got)
 		}
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(5 * time.Second)
 		if w.final("wk-1") != "" {
 			t.Fatal("called done with two tasks left")
 		}
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(5 * time.Second)
 		if w.final("wk-1") != job.Done {
 			t.Fatal("not recorded as done")
@@ -364,9 +364,9 @@
 		w.run(4 * time.Second)
 		w.crash(a, 1)
 		w.run(8 * time.Second)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(6 * time.Second)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(6 * time.Second)
 		if w.final("wk-1") != job.Done {
 			t.Fatal("the adopted job did not finish")
@@ -419,13 +419,13 @@
 		if s := w.starts(); s["wk-2/0"]+s["wk-2/1"] != 0 {
 			t.Fatalf("part of the gang started: %v", s)
 		}
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(5 * time.Second)
 		if s := w.starts(); s["wk-2/0"] != 1 || s["wk-2/1"] != 1 {
 			t.Fatalf("the gang did not start: %v", s)
 		}
-		w.workers.End(w.boxes[0], "wk-2/0", worker.Failed)
-		w.workers.End(w.boxes[0], "wk-2/1", worker.Failed)
+		w.workers.End(w.boxes[0], "wk-2/0", worker.CauseFailed)
+		w.workers.End(w.boxes[0], "wk-2/1", worker.CauseFailed)
 		w.run(2 * time.Second)
 		if got := w.tasks(); got > 1 {
 			t.Fatalf("%d tasks of a broken gang left", got)
@@ -441,7 +441,7 @@
 		w.submit(n, spec("wk-1", job.Array, 1, 1))
 		for range 60 {
 			w.run(time.Second)
-			w.endAll(worker.Failed)
+			w.endAll(worker.CauseFailed)
 		}
 		if got := w.starts()["wk-1/0"]; got < 2 || got > 8 {
 			t.Fatalf("%d tries in a minute", got)
@@ -461,9 +461,9 @@
 		for _, id := range []string{"wk-1", "wk-2"} {
 			w.submit(n, spec(id, job.Array, 6, 1))
 			w.run(2 * time.Second)
-			w.endAll(worker.Failed)
+			w.endAll(worker.CauseFailed)
 			w.run(2 * time.Second)
-			w.endAll(worker.Failed)
+			w.endAll(worker.CauseFailed)
 		}
 		w.run(10 * time.Second)
 		if got := w.tasks(); got > 2 {
@@ -495,10 +495,10 @@
 			}
 		})
 		for _, id := range failing {
-			w.workers.End(bad, id, worker.Failed)
+			w.workers.End(bad, id, worker.CauseFailed)
 		}
 		w.run(2 * time.Second)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.run(3 * time.Second)
 		_, entries = n.agent.Snapshot()
 		for _, e := range entries {
@@ -520,7 +520,7 @@
 		w.run(2 * time.Second)
 		slot, epoch, _ := frozen.placer.OwnJobShard()
 		var token uint64
-		w.workers.Do(func() { token = w.boxes[0].Report.Token })
+		w.workers.Do(func() { token = w.boxes[0].Report.FencingToken })
 		n := w.start("host-1")
 		w.run(2 * time.Second)
 		w.mu.Lock()
@@ -544,7 +544,7 @@
 		if err := n.svc.Commit(commit, &reply); err != nil || commit.Rev == 0 || reply.Verdicts[0] != agentapi.Refused {
 			t.Errorf("a commit under the old epoch: %+v %v", reply, err)
 		}
-		if _, done, _ := w.workers.Command(w.ctx, "m1", token, 1, []worker.Order{worker.Start("wk-1/1", 7)}); done {
+		if _, done, _ := w.workers.Send(w.ctx, "m1", token, 1, []worker.Command{worker.StartCommand("wk-1/1", 7)}); done {
 			t.Error("a command under the old token was carried out")
 		}
 		if _, err := frozen.member.Write(w.ctx, nil, []statekv.Op{{Delete: job.OpenKey("wk-1")}}); !statekv.IsConflict(err) {
@@ -640,7 +640,7 @@
 		w.state.Delay(1500 * time.Millisecond)
 		for i, box := range w.boxes {
 			for k := range 2 {
-				w.workers.End(box, job.TaskID("wk-1", k), worker.Done)
+				w.workers.End(box, job.TaskID("wk-1", k), worker.CauseDone)
 			}
 			if i == 0 {
 				w.run(time.Second)
@@ -661,7 +661,7 @@
 		w.run(3 * time.Second)
 		w.submit(n, spec("wk-1", job.Array, 2, 1))
 		w.run(4 * time.Second)
-		w.endAll(worker.Done)
+		w.endAll(worker.CauseDone)
 		w.forgetful = true
 		w.run(10 * time.Second)
 		w.forgetful = false
@@ -691,7 +691,7 @@
 		for k := range 3 {
 			time.Sleep(800 * time.Millisecond)
 			for _, box := range w.boxes {
-				w.workers.End(box, job.TaskID("wk-1", k), worker.Done)
+				w.workers.End(box, job.TaskID("wk-1", k), worker.CauseDone)
 			}
 			w.run(2 * time.Second)
 		}
--- a/internal/scheduler/waits.go
+++ b/internal/scheduler/waits.go
@@ -81,7 +81,7 @@
 		as.DeadlineS = &left
 	}
 	j.as = &as
-	j.limits = p.settings.Limits(as.Class, as.DeadlineS)
+	j.limits = p.settings.CompletionTargets(as.Class, as.DeadlineS)
 }
 
 // mostShown bounds the jobs that the status names for one that waits for them.
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -30,7 +30,7 @@
 			w.WriteHeader(c.status)
 			fmt.Fprint(w, c.body)
 		}))
-		r, executed, err := NewClient().Command(t.Context(), strings.TrimPrefix(s.URL, "http://"), 9, 1, nil)
+		r, executed, err := NewClient().Send(t.Context(), strings.TrimPrefix(s.URL, "http://"), 9, 1, nil)
 		s.Close()
 		if executed != c.executed || (err != nil) != c.fails || (r == nil) != c.fails {
 			t.Errorf("%s: %v %v %v", name, r, executed, err)
--- a/test/integration/chains_test.go
+++ b/test/integration/chains_test.go
@@ -69,7 +69,7 @@
 		if !w.cancel("host-1", first.ID) {
 			w.t.Fatal("not told as cancelled")
 		}
-		time.Sleep(workers.CancelGone - 20*time.Second)
+		time.Sleep(workers.CancellationDeadline - 20*time.Second)
 		for k, id := range ids {
 			asked := w.history.Asking()
 			code, status := w.call(w.hosts[k%3], http.MethodGet, "/submissions/"+id, nil, 2*time.Second)
--- a/test/integration/close_test.go
+++ b/test/integration/close_test.go
@@ -109,7 +109,7 @@
 		}
 		w.until("one is done", time.Minute, func() bool { return w.history.Completed(job.TaskID(over.ID, 0)) })
 		time.Sleep(5 * time.Second)
-		w.fleet.Offer([]cloud.MachineType{{Name: "tiny", CPUs: 0.5, GPUs: 0.5, MemoryGB: 0.5, CacheGB: 100, FetchGBPerS: 1, Price: 2, SpotPrice: 1, BootS: 5, Zones: zones}})
+		w.fleet.Offer([]cloud.MachineType{{Name: "tiny", CPUs: 0.5, GPUs: 0.5, MemoryGB: 0.5, CacheGB: 100, FetchGBPerS: 1, OnDemandPrice: 2, SpotPrice: 1, ProvisioningS: 5, Zones: zones}})
 		var refusing []string
 		w.until("one of the controllers refuses a new job of that kind", 2*time.Minute, func() bool {
 			for _, h := range w.hosts {
--- a/test/integration/handover_test.go
+++ b/test/integration/handover_test.go
@@ -147,7 +147,7 @@
 					}
 					users.Wait()
 					took := time.Since(w.history.ToldAt(jobs[0].ID))
-					time.Sleep(workers.CancelGone)
+					time.Sleep(workers.CancellationDeadline)
 					if now := w.rev(statekv.SessionPrefix + lead[0]); now == began {
 						w.t.Error("its life goes on: this shows nothing")
 					}
@@ -267,7 +267,7 @@
 		for _, h := range w.hosts {
 			w.port(h).Trouble(0, 0)
 		}
-		_ = w.fleet.Delete(w.ctx, []string{name})
+		_ = w.fleet.ScaleIn(w.ctx, []string{name})
 		w.until("its key is there", 40*time.Second, func() bool { return w.rev(statekv.MachinePrefix+name) > 0 })
 		w.until("its key is removed", 2*time.Minute, func() bool { return w.rev(statekv.MachinePrefix+name) == 0 })
 		w.history.Calm()
@@ -341,7 +341,7 @@
 						} else if session == "an ended session" {
 							// Answers come too late for the workers: their leases run out.
 							w.fleet.Each(func(_ string, u *emulator.Machine) { u.HoldAnswers = 4500 * time.Millisecond })
-							time.Sleep(workers.Lease + 6*time.Second)
+							time.Sleep(workers.LeaseDuration + 6*time.Second)
 							w.fleet.Each(func(_ string, u *emulator.Machine) { u.HoldAnswers = 0 })
 							w.until("they run again", 3*time.Minute, func() bool { return w.history.On(short.ID)+w.history.On(long.ID) > 1 })
 						} else {
--- a/test/integration/meetings_test.go
+++ b/test/integration/meetings_test.go
@@ -97,7 +97,7 @@
 						// The steward returns a few machines that leave their new owner
 						// unanswered: that proves soonest what runs there.
 						again := w.history.Starts() - before - w.fleet.Deleted()
-						if again > 0 && (away < workers.Lease || name == "commands are lost") {
+						if again > 0 && (away < workers.LeaseDuration || name == "commands are lost") {
 							w.t.Errorf("%d tasks were started again although their machines were back in time", again)
 						}
 						w.t.Logf("%d tasks were on machines that were returned", w.fleet.Deleted())
@@ -265,7 +265,7 @@
 				time.Sleep(3 * time.Second)
 				w.state.Set(true, false)
 				go w.cancel("", ids[2])
-				time.Sleep(workers.CancelGone + 20*time.Second)
+				time.Sleep(workers.CancellationDeadline + 20*time.Second)
 				w.state.Set(false, false)
 				w.port("host-0").Refuse(false)
 				for _, h := range w.hosts {
--- a/test/integration/more_test.go
+++ b/test/integration/more_test.go
@@ -97,7 +97,7 @@
 					w.fleet.Each(func(_ string, u *emulator.Machine) { machines = append(machines, u) })
 					bring := w.end(w.hosts, never)
 					time.Sleep(away)
-					if away > workers.Lease+2*time.Second && machines[0].Session() == 1 {
+					if away > workers.LeaseDuration+2*time.Second && machines[0].Session() == 1 {
 						w.t.Error("no lease ran out: this shows nothing")
 					}
 					if alone {
--- a/test/integration/outage_test.go
+++ b/test/integration/outage_test.go
@@ -61,7 +61,7 @@
 		time.Sleep(30 * time.Second)
 		for range 2 {
 			w.state.Set(true, false)
-			time.Sleep(workers.CancelGone + 40*time.Second)
+			time.Sleep(workers.CancellationDeadline + 40*time.Second)
 			for _, id := range ids {
 				if w.history.On(id) != 2 {
 					w.t.Errorf("%d tasks of %s are on machines after the outage", w.history.On(id), id)
@@ -103,7 +103,7 @@
 				}
 				w.state.Set(true, false)
 				one(w)
-				time.Sleep(workers.CancelGone + 40*time.Second)
+				time.Sleep(workers.CancellationDeadline + 40*time.Second)
 				w.t.Logf("tasks stayed for %v", w.history.Stayed())
 				w.check()
 				w.state.Set(false, false)
--- a/test/integration/refused_test.go
+++ b/test/integration/refused_test.go
@@ -85,7 +85,7 @@
 	}
 	time.Sleep(gap)
 	w.state.Set(true, false)
-	time.Sleep(workers.CancelGone + 40*time.Second)
+	time.Sleep(workers.CancellationDeadline + 40*time.Second)
 	w.state.Set(false, false)
 	w.port(c.refused).Refuse(false)
 	time.Sleep(40 * time.Second)
@@ -176,7 +176,7 @@
 				if !w.cancel("host-2", s.ID) {
 					w.t.Fatal("not told as cancelled")
 				}
-				time.Sleep(workers.CancelGone + 10*time.Second)
+				time.Sleep(workers.CancellationDeadline + 10*time.Second)
 				w.hub.set("host-1", false)
 				time.Sleep(30 * time.Second)
 				w.t.Logf("tasks stayed for %v", w.history.Stayed())
@@ -205,7 +205,7 @@
 				}
 				time.Sleep(after)
 				w.state.Set(true, false)
-				time.Sleep(workers.CancelGone + 40*time.Second)
+				time.Sleep(workers.CancellationDeadline + 40*time.Second)
 				w.state.Set(false, false)
 				time.Sleep(20 * time.Second)
 				w.t.Logf("tasks stayed for %v", w.history.Stayed())
--- a/test/integration/unreachable_test.go
+++ b/test/integration/unreachable_test.go
@@ -32,7 +32,7 @@
 				if role != "nobody" {
 					w.end(w.leading(role, long.ID), 400*time.Millisecond)
 				}
-				time.Sleep(workers.Lease*2/3 + 5*time.Second)
+				time.Sleep(workers.LeaseDuration*2/3 + 5*time.Second)
 				starts := w.history.Starts()
 				var more []job.Spec
 				for range 4 {
@@ -106,7 +106,7 @@
 					time.Sleep(hang)
 					w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hung = false })
 					bring()
-					time.Sleep(workers.CancelGone + 10*time.Second)
+					time.Sleep(workers.CancellationDeadline + 10*time.Second)
 					w.t.Logf("tasks stayed for %v", w.history.Stayed())
 					w.check()
 				})
--- a/test/integration/world_test.go
+++ b/test/integration/world_test.go
@@ -55,12 +55,12 @@
 
 var zones = []string{"a", "b", "c"}
 
-var workers = config.Workers{Report: 3 * time.Second, Lease: 30 * time.Second, GangWait: 45 * time.Second, GangPeer: 5 * time.Second, CancelGone: 60 * time.Second}
+var workers = config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, GangWaitTimeout: 45 * time.Second, GangPeerTimeout: 5 * time.Second, CancellationDeadline: 60 * time.Second}
 
 func (w *world) settings(host string) *config.Settings {
 	s := &config.Settings{Host: host, Controllers: len(w.hosts), Zones: zones, Workers: workers, MaxConnections: 1000,
-		Teams: map[string]config.Team{"t": {Name: "t"}, "full": {Name: "full", GPUsMax: 6}, "small": {Name: "small", GPUsMax: 4}},
-		State: config.State{RPS: 400, WriteRPS: 200, ValueBytes: 8192, TxnOps: 24}, CloudRPS: 10, CloudListLag: 4 * time.Second}
+		Teams:       map[string]config.Team{"t": {Name: "t"}, "full": {Name: "full", GPUQuota: 6}, "small": {Name: "small", GPUQuota: 4}},
+		StateLimits: config.StateLimits{RequestsPerSecond: 400, WritesPerSecond: 200, MaxValueBytes: 8192, MaxTxnOps: 24}, CloudRequestsPerSecond: 10, CloudListLag: 4 * time.Second}
 	for k, h := range w.hosts {
 		if h == host {
 			s.Zone = zones[k]
@@ -96,7 +96,7 @@
 		defer func() { cancel(); close(stop); time.Sleep(30 * time.Second); synctest.Wait() }()
 		s := w.settings("host-0")
 		w.history = emulator.NewHistory(s)
-		types := []cloud.MachineType{{Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 1, Price: 2, SpotPrice: 1, BootS: bootS, Zones: zones}}
+		types := []cloud.MachineType{{Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 1, OnDemandPrice: 2, SpotPrice: 1, ProvisioningS: bootS, Zones: zones}}
 		w.fleet = emulator.NewFleet(ctx, s, types, most, seed, w.history, w.work)
 		for _, h := range w.hosts {
 			w.start(h)
@@ -120,12 +120,12 @@
 		w.ports[host] = emulator.NewPort(w.state, w.rng.Uint64())
 	}
 	ctx, stop := context.WithCancel(w.ctx)
-	c := controller.Assemble(w.settings(host), policy.Default(), controller.Outside{Store: w.ports[host], Moves: w.ports[host], Cloud: w.fleet, Workers: w.fleet.Commander(host),
+	c := controller.Assemble(w.settings(host), policy.Default(), controller.ExternalSystems{StateStore: w.ports[host], MigrationStore: w.ports[host], Cloud: w.fleet, Workers: w.fleet.Commander(host),
 		Connect: func(server *rpc.Server, greeter *peer.Service) controller.Network {
 			return &wire{hub: w.hub, host: host, server: server, clients: map[*wire]*rpc.Client{}}
 		}})
 	w.nodes[host] = &node{c, stop}
-	go c.Live(ctx)
+	go c.RunSessions(ctx)
 }
 
 // crash ends a controller's process.
@@ -149,7 +149,7 @@
 	if n == nil || not {
 		return nil, errHangs
 	}
-	return n.c.Answer(r)
+	return n.c.HandleRequest(r)
 }
 
 func (w *world) work(host string, r *http.Request) (*http.Response, error) {
--- a/tools/devcluster/dev.go
+++ b/tools/devcluster/dev.go
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	f := &Fleet{Controllers: controllers, State: emulator.NewState(), opts: o, stop: make(chan struct{})}
-	types := []cloud.MachineType{{Name: "box", CPUs: 16, GPUs: o.GPUs, MemoryGB: 128, CacheGB: 100, FetchGBPerS: 10, Price: 10, SpotPrice: 4, BootS: 0.5, Zones: zones}}
+	types := []cloud.MachineType{{Name: "box", CPUs: 16, GPUs: o.GPUs, MemoryGB: 128, CacheGB: 100, FetchGBPerS: 10, OnDemandPrice: 10, SpotPrice: 4, ProvisioningS: 0.5, Zones: zones}}
 	f.Farm = emulator.NewFarm(ctx, emulator.FarmConfig{Types: types, Most: max(1, o.Machines/pools), Controllers: addresses, Report: time.Second, Lease: 8 * time.Second, Spec: f.spec})
 	if err := f.start(); err != nil {
 		f.Stop()
--- a/tools/scaletest/facts.go
+++ b/tools/scaletest/facts.go
@@ -10,7 +10,7 @@
 func (p *Profile) facts() any {
 	teams := []config.Team{}
 	for k := range p.Teams.Count {
-		teams = append(teams, config.Team{Name: fmt.Sprintf("team-%02d", k), GPUs: p.Teams.GPUs, GPUsMax: p.Teams.GPUsMax})
+		teams = append(teams, config.Team{Name: fmt.Sprintf("team-%02d", k), GuaranteedGPUs: p.Teams.GPUs, GPUQuota: p.Teams.GPUsMax})
 	}
 	objectives := []map[string]any{}
 	for _, c := range p.Jobs {
--- a/tools/scaletest/load.go
+++ b/tools/scaletest/load.go
@@ -139,7 +139,7 @@
 		steps: newHistogram(), waits: map[string]*histogram{}}
 	var types []cloud.MachineType
 	for _, t := range p.Types {
-		types = append(types, cloud.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: 1000, FetchGBPerS: 1, Price: t.Price, BootS: t.Boot, Zones: p.Zones()})
+		types = append(types, cloud.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: 1000, FetchGBPerS: 1, OnDemandPrice: t.Price, ProvisioningS: t.Boot, Zones: p.Zones()})
 	}
 	// As many again may be rented as fail.
 	l.fleet = emulator.NewFleet(ctx, settings, types, p.Machines()+p.Machines()/4, p.Seed, l.history, nil)
--- a/tools/scaletest/report.go
+++ b/tools/scaletest/report.go
@@ -113,12 +113,12 @@
 		}
 		c := &r.Controllers[k]
 		c.Answers = map[string]int64{}
-		for _, l := range s.Latency {
+		for _, l := range s.Latencies {
 			c.Answers[l.Request] = l.Count
 		}
-		c.Calls, c.Sent, c.Received = s.Peers.Calls, s.Peers.Sent, s.Peers.Received
-		c.Samples, c.Requeues, c.Refused = s.Placer.Samples, s.Placer.Requeues, s.Refused
-		c.Commits, c.Conflict = s.Agent.Commits, s.Agent.Conflicts
+		c.Calls, c.Sent, c.Received = s.PeerTraffic.Calls, s.PeerTraffic.Sent, s.PeerTraffic.Received
+		c.Samples, c.Requeues, c.Refused = s.SchedulerCounters.Samples, s.SchedulerCounters.Requeues, s.RefusedQueries
+		c.Commits, c.Conflict = s.AgentCounters.Commits, s.AgentCounters.Conflicts
 	}
 }
 
