--- a/cmd/robinstack/main.go
+++ b/cmd/robinstack/main.go
@@ -74,7 +74,7 @@
 	root.Flags().StringVar(&policyPath, "policy", "", "the operators' policy file")
 	root.AddCommand(checkCommand(), statusCommand(), auditCommand(), rolloutCommand(), devCommand(), scaleCommand(), &cobra.Command{
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), rollout.Build) },
+		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), rollout.BuildVersion) },
 	})
 	return root
 }
--- a/cmd/robinstack/rollout.go
+++ b/cmd/robinstack/rollout.go
@@ -31,9 +31,9 @@
 	status.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
 	root.AddCommand(status)
 	for verb, short := range map[string]string{
-		rollout.HoldVerb:  "Keep the level as it is until raise is given",
-		rollout.RaiseVerb: "Let the level rise again, also to one that closes the way back",
-		rollout.LowerVerb: "Take the feature off that came on last, or the one named, and stay there until raise is given",
+		rollout.CommandHold:  "Keep the level as it is until raise is given",
+		rollout.CommandRaise: "Let the level rise again, also to one that closes the way back",
+		rollout.CommandLower: "Take the feature off that came on last, or the one named, and stay there until raise is given",
 	} {
 		var why, feature string
 		c := &cobra.Command{
@@ -43,7 +43,7 @@
 			},
 		}
 		c.Flags().StringVar(&why, "why", "", "the reason, for those who look at the status later")
-		if verb == rollout.LowerVerb {
+		if verb == rollout.CommandLower {
 			c.Flags().StringVar(&feature, "feature", "", "the feature to take off")
 		}
 		root.AddCommand(c)
@@ -92,33 +92,33 @@
 
 func printRollout(w io.Writer, s *rollout.Status) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "level\t%d\t%v\n", s.Level, s.Features)
-	for _, line := range [][2]string{{"held", s.Hold}, {"waits for", s.WaitsFor}, {"move", s.Move}, {"lowering", s.Lower}} {
+	fmt.Fprintf(t, "level\t%d\t%v\n", s.ClusterVersion, s.Features)
+	for _, line := range [][2]string{{"held", s.HoldReason}, {"waits for", s.RaiseBlockedBy}, {"move", s.Migration}, {"lowering", s.LowerBlockedBy}} {
 		if line[1] != "" {
 			fmt.Fprintf(t, "%s\t%s\n", line[0], line[1])
 		}
 	}
 	if s.Next != nil {
 		closes := ""
-		if s.Next.Closes {
+		if s.Next.Irreversible {
 			closes = " (closes the way back)"
 		}
-		fmt.Fprintf(t, "next\t%d adds %s: %s%s\n", s.Next.Level, s.Next.Adds, s.Next.For, closes)
+		fmt.Fprintf(t, "next\t%d adds %s: %s%s\n", s.Next.ClusterVersion, s.Next.Feature, s.Next.Description, closes)
 	}
 	for _, n := range s.Controllers {
 		state := "away"
 		switch {
-		case n.Refused != "":
-			state = "refused: " + n.Refused
-		case n.Lives && n.Lacks != "":
-			state = "build " + n.Build + " lacks " + n.Lacks
-		case n.Lives:
+		case n.RejectedReason != "":
+			state = "refused: " + n.RejectedReason
+		case n.Alive && n.MissingForNext != "":
+			state = "build " + n.Build + " lacks " + n.MissingForNext
+		case n.Alive:
 			state = "build " + n.Build
 		}
-		fmt.Fprintf(t, "%s\t%s\tfor %.0f s\n", n.Host, state, n.ForS)
+		fmt.Fprintf(t, "%s\t%s\tfor %.0f s\n", n.Host, state, n.StateAgeS)
 	}
-	for _, b := range s.Unreadable {
-		fmt.Fprintf(t, "unreadable\t%s\t%s\n", b.Key, b.Why)
+	for _, b := range s.Undecodable {
+		fmt.Fprintf(t, "unreadable\t%s\t%s\n", b.Key, b.Reason)
 	}
 	return t.Flush()
 }
@@ -126,13 +126,13 @@
 // checkAgainst tells whether this build reads what is stored: in a file of answers to
 // GET /keys, or in the state service at an address.
 func checkAgainst(ctx context.Context, w io.Writer, what string) error {
-	var r *rollout.Reading
+	var r *rollout.CompatibilityReport
 	f, err := os.Open(what)
 	if err == nil {
 		defer f.Close()
-		r, err = rollout.ReadDump(f)
+		r, err = rollout.CheckDump(f)
 	} else if _, _, split := net.SplitHostPort(what); split == nil {
-		r, err = rollout.ReadStore(ctx, statekv.NewClient(what, 20, 1, 1))
+		r, err = rollout.CheckStore(ctx, statekv.NewClient(what, 20, 1, 1))
 	}
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -140,7 +140,7 @@
 	if err := r.Print(w); err != nil {
 		return err
 	}
-	if !r.Readable() {
+	if !r.Compatible() {
 		return errors.New("this build does not read all that is stored")
 	}
 	return nil
--- a/emulator/fleet.go
+++ b/emulator/fleet.go
@@ -79,18 +79,18 @@
 	defer f.mu.Unlock()
 	room := map[string]int{} // by zone
 	for _, u := range f.machines {
-		if u.answered.IsZero() || u.Hung || u.Deaf || u.Lost || u.Mute || u.Hold > 0 || u.HoldAnswers > 0 || u.Cut != "" || u.Only != "" || !u.died.IsZero() || !spec.Allows(u.typ.Name, u.zone, false) {
+		if u.answered.IsZero() || u.Hung || u.Deaf || u.Lost || u.Mute || u.Hold > 0 || u.HoldAnswers > 0 || u.Cut != "" || u.Only != "" || !u.died.IsZero() || !spec.AllowsMachine(u.typ.Name, u.zone, false) {
 			continue
 		}
 		free := job.Capacity(u.typ)
 		for _, p := range u.pieces {
 			if id, _, _ := job.SplitTaskID(p.task.ID); p.task.State != worker.TaskExited {
 				if s, known := f.history.Spec(id); known {
-					free = free.Add(s.Need, -1)
+					free = free.AddScaled(s.Need, -1)
 				}
 			}
 		}
-		room[u.zone] += spec.Need.Count(free)
+		room[u.zone] += spec.Need.CountIn(free)
 	}
 	sum, most := 0, 0
 	for _, n := range room {
--- a/emulator/history.go
+++ b/emulator/history.go
@@ -368,7 +368,7 @@
 	if !p.told.IsZero() && time.Since(p.told) > h.settings.Workers.CancellationDeadline {
 		h.breaks("ran_cancelled", "%s starts on %s %v after its user was told", task, machine, time.Since(p.told))
 	}
-	if !p.spec.Allows(typeName, zone, spot) {
+	if !p.spec.AllowsMachine(typeName, zone, spot) {
 		h.breaks("wrong_place", "%s starts on %s", task, machine)
 	}
 	inZone := map[string]int{zone: 1}
@@ -395,7 +395,7 @@
 	}
 	p.begun, p.started[index] = true, true
 	p.on[index] = stay{machine, zone, time.Now()}
-	h.used[p.spec.Team] = h.used[p.spec.Team].Add(p.spec.Need, 1)
+	h.used[p.spec.Team] = h.used[p.spec.Team].AddScaled(p.spec.Need, 1)
 	team, use := h.settings.Teams[p.spec.Team], h.used[p.spec.Team]
 	if team.GPUQuota > 0 && use.GPUs > team.GPUQuota+1e-6 || team.CPUQuota > 0 && use.CPUs > team.CPUQuota+1e-6 {
 		h.breaks("quota", "team %s uses %v", p.spec.Team, use)
@@ -417,7 +417,7 @@
 	}
 	delete(p.on, index)
 	h.note(id, "%d is gone from %s", index, machine)
-	h.used[p.spec.Team] = h.used[p.spec.Team].Add(p.spec.Need, -1)
+	h.used[p.spec.Team] = h.used[p.spec.Team].AddScaled(p.spec.Need, -1)
 	if p.told.IsZero() {
 		return
 	}
@@ -519,7 +519,7 @@
 		if p.spec.Shape == job.Array {
 			n = min(n, 1)
 		}
-		team, use := h.settings.Teams[p.spec.Team], h.used[p.spec.Team].Add(p.spec.Need, float64(n))
+		team, use := h.settings.Teams[p.spec.Team], h.used[p.spec.Team].AddScaled(p.spec.Need, float64(n))
 		limited := team.GPUQuota > 0 && use.GPUs > team.GPUQuota+1e-6 || team.CPUQuota > 0 && use.CPUs > team.CPUQuota+1e-6
 		out[id] = wait{p.spec, n, limited}
 	}
--- a/emulator/machinetasks.go
+++ b/emulator/machinetasks.go
@@ -86,7 +86,7 @@
 	case used > u.typ.GPUs:
 		u.end(p, worker.CauseNoCapacity)
 	default:
-		p.runs, p.saves = f.runs[id][0], spec.Save()
+		p.runs, p.saves = f.runs[id][0], spec.CheckpointDuration()
 		if spec.Shape != job.Gang {
 			p.runs += time.Duration(index) * f.runs[id][1]
 		}
@@ -112,7 +112,7 @@
 	id, _, _ := job.SplitTaskID(p.task.ID)
 	spec, _ := u.fleet.history.Spec(id)
 	switch {
-	case p.task.State == worker.TaskRunning && spec.Saves() && grace >= p.saves && p.saves > 0:
+	case p.task.State == worker.TaskRunning && spec.CanCheckpoint() && grace >= p.saves && p.saves > 0:
 		p.task.State, p.since = worker.TaskCheckpointing, time.Now()
 		u.tell()
 	case p.task.State == worker.TaskCheckpointing && grace > 0:
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -304,7 +304,7 @@
 	b := &bin{name: e.Machine, typeName: e.Type, zone: e.Zone, spot: e.Spot, free: job.Capacity(t), empty: len(e.Tasks) == 0}
 	for _, t := range e.Tasks {
 		if t.State != worker.TaskExited {
-			b.free = b.free.Add(t.Need, -1)
+			b.free = b.free.AddScaled(t.Need, -1)
 		}
 	}
 	if d := e.IdleFor(now); d > 0 {
@@ -552,8 +552,8 @@
 		if team.GPUQuota > 0 {
 			room.GPUs = team.GPUQuota - use[d.Spec.Team].GPUs
 		}
-		d.Waiting = min(d.Waiting, d.Spec.Count(room))
-		use[d.Spec.Team] = use[d.Spec.Team].Add(d.Spec.Need, float64(d.Waiting))
+		d.Waiting = min(d.Waiting, d.Spec.CountIn(room))
+		use[d.Spec.Team] = use[d.Spec.Team].AddScaled(d.Spec.Need, float64(d.Waiting))
 	}
 	return demands
 }
--- a/internal/autoscaler/ledger.go
+++ b/internal/autoscaler/ledger.go
@@ -31,7 +31,7 @@
 	return ledger{permits: map[agentapi.TaskRef]permit{}, held: map[string]map[agentapi.TaskRef]account{}, dark: map[string]bool{}, sums: map[string]job.Need{}}
 }
 
-func (l *ledger) book(a account, k float64) { l.sums[a.team] = l.sums[a.team].Add(a.need, k) }
+func (l *ledger) book(a account, k float64) { l.sums[a.team] = l.sums[a.team].AddScaled(a.need, k) }
 
 // resum adds everything up anew: sums of fractions drift with time.
 func (l *ledger) resum() {
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -92,13 +92,13 @@
 			if left == 0 {
 				break
 			}
-			if zone != "" && b.zone != zone || !spec.Fits(b.free) || !spec.Allows(b.typeName, b.zone, b.spot) {
+			if zone != "" && b.zone != zone || !spec.FitsIn(b.free) || !spec.AllowsMachine(b.typeName, b.zone, b.spot) {
 				continue
 			}
-			n := min(left, spec.Count(b.free))
+			n := min(left, spec.CountIn(b.free))
 			left -= n
 			if !dry {
-				b.free = b.free.Add(spec.Need, -float64(n))
+				b.free = b.free.AddScaled(spec.Need, -float64(n))
 				b.used = true
 				moved = moved || gpuBucket(b.free) != k
 			}
@@ -127,7 +127,7 @@
 			return
 		}
 		take := min(n, left)
-		p.add(&bin{typeName: o.typeName, zone: o.zone, spot: o.spot, free: o.capacity.Add(spec.Need, -float64(take)), used: true})
+		p.add(&bin{typeName: o.typeName, zone: o.zone, spot: o.spot, free: o.capacity.AddScaled(spec.Need, -float64(take)), used: true})
 		p.rent[o.pool]++
 		p.left--
 		o.left--
@@ -311,8 +311,8 @@
 func (p *packer) cheapest(spec *job.Spec, zone string) (best *offer, fits int) {
 	bestCost, least := 0.0, 0.0
 	for _, o := range p.offers {
-		n := spec.Count(o.capacity)
-		if n == 0 || !spec.Allows(o.typeName, o.zone, o.spot) {
+		n := spec.CountIn(o.capacity)
+		if n == 0 || !spec.AllowsMachine(o.typeName, o.zone, o.spot) {
 			continue
 		}
 		cost := o.price / float64(n)
--- a/internal/autoscaler/steward.go
+++ b/internal/autoscaler/steward.go
@@ -189,7 +189,7 @@
 		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
 		if s.ledger.dark[name] || !s.settled && !s.cleared[name] {
 			if key := shard.ParseMachineRecord(kv); key != nil {
-				blank = blank.Add(job.Capacity(types[key.Type]), 1)
+				blank = blank.AddScaled(job.Capacity(types[key.Type]), 1)
 			}
 		}
 	}
@@ -261,12 +261,12 @@
 	}
 	if r.Reserve != nil {
 		s.reserve(*r.Reserve, time.Now())
-		reply.Reserved = s.kept[r.Reserve.Team].Job == r.Reserve.Job && s.within(r.Reserve.Team, use[r.Reserve.Team].Add(r.Reserve.Need, 1).Add(blank, 1))
+		reply.Reserved = s.kept[r.Reserve.Team].Job == r.Reserve.Job && s.within(r.Reserve.Team, use[r.Reserve.Team].AddScaled(r.Reserve.Need, 1).AddScaled(blank, 1))
 	}
 	added := map[string]job.Need{}
 	for i, w := range r.Wants {
-		total := added[w.Team].Add(w.Need, 1)
-		most := use[w.Team].Add(total, 1).Add(blank, 1).Add(s.reservedFor(w, time.Now()), 1)
+		total := added[w.Team].AddScaled(w.Need, 1)
+		most := use[w.Team].AddScaled(total, 1).AddScaled(blank, 1).AddScaled(s.reservedFor(w, time.Now()), 1)
 		if !s.within(w.Team, most) {
 			continue
 		}
--- a/internal/autoscaler/steward_test.go
+++ b/internal/autoscaler/steward_test.go
@@ -34,7 +34,7 @@
 	if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: statekv.MachinePrefix + "m1", Value: machine}}); err != nil {
 		t.Fatal(err)
 	}
-	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.OpenPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.RecordPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/clusteragent/agent_test.go
+++ b/internal/clusteragent/agent_test.go
@@ -59,7 +59,7 @@
 func startWith(t testing.TB, ctx context.Context, settings *config.Settings, host string, state statekv.Store, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
 	t.Helper()
 	ctx, stop := context.WithCancel(ctx)
-	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.OpenPrefix}, statekv.RootPrefix, settings.WatchTimeout(), 0, func([]statekv.Event) {})
+	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.RecordPrefix}, statekv.RootPrefix, settings.WatchTimeout(), 0, func([]statekv.Event) {})
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 		w := workers.Add("m1", "box", "a")
 		a.report(workers, w)
 		time.Sleep(time.Second)
-		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.OpenKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, Slot: "s"}}}); err != nil {
+		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, JobShard: "s"}}}); err != nil {
 			t.Fatal(err)
 		}
 		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
@@ -582,7 +582,7 @@
 		if n := len(a.entries()); n != 1000 || state.Changes()-before != 1000 {
 			t.Fatalf("%d machines after %d changes", n, state.Changes()-before)
 		}
-		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.OpenKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, Slot: "s"}}}); err != nil {
+		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, JobShard: "s"}}}); err != nil {
 			t.Fatal(err)
 		}
 		for _, w := range all {
--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -37,7 +37,7 @@
 		a := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, a, "s", 0)
 		all := fleet(workers, a, 200)
-		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.OpenKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, Slot: "s"}}}); err != nil {
+		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, JobShard: "s"}}}); err != nil {
 			t.Fatal(err)
 		}
 		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
--- a/internal/clusteragent/clear.go
+++ b/internal/clusteragent/clear.go
@@ -40,7 +40,7 @@
 		switch {
 		case !t.uses() || t.state == stateHeld || t.state == agentapi.Starting:
 		case t.stop:
-			free = free.Add(t.spec.Need, 1)
+			free = free.AddScaled(t.spec.Need, 1)
 		case t.spec.Shape == job.Array && t.spec.Priority() < r.Spec.Priority() && !a.spared(t, r, m, now):
 			options = append(options, option{t, t.loss(now) + a.lateness(t, now)})
 		}
@@ -49,14 +49,14 @@
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.t.id, b.t.id))
 	})
 	n := 0
-	for ; n < len(options) && !r.Spec.Fits(free); n++ {
-		free = free.Add(options[n].t.spec.Need, 1)
+	for ; n < len(options) && !r.Spec.FitsIn(free); n++ {
+		free = free.AddScaled(options[n].t.spec.Need, 1)
 	}
 	// What was picked early may turn out not to be in the way: small tasks are
 	// the cheapest to stop, and make the least room.
 	for k := n - 1; k >= 0; k-- {
 		o := options[k]
-		if without := free.Add(o.t.spec.Need, -1); r.Spec.Fits(without) {
+		if without := free.AddScaled(o.t.spec.Need, -1); r.Spec.FitsIn(without) {
 			free = without
 			continue
 		}
@@ -74,7 +74,7 @@
 	if _, has := m.images[r.Spec.Image]; !has && t.FetchGBPerS > 0 {
 		cost += r.Spec.ImageGB / t.FetchGBPerS * max(r.Spec.GPUs, 1)
 	}
-	return stop, cost, r.Spec.Fits(free)
+	return stop, cost, r.Spec.FitsIn(free)
 }
 
 // registering reports whether many of the machines that report here wait to be written into a
@@ -110,7 +110,7 @@
 func (t *task) loss(now time.Time) float64 {
 	lost := 0.0
 	switch {
-	case t.spec.Saves():
+	case t.spec.CanCheckpoint():
 		lost = t.spec.SaveS
 	case t.state == worker.TaskRunning:
 		lost = now.Sub(t.runningAt).Seconds()
@@ -214,8 +214,8 @@
 	longest := time.Duration(0)
 	for _, t := range stop {
 		t.stop, t.grace = true, 0
-		if t.spec.Saves() {
-			t.grace = t.spec.Save() + time.Second
+		if t.spec.CanCheckpoint() {
+			t.grace = t.spec.CheckpointDuration() + time.Second
 		}
 		longest = max(longest, t.grace)
 	}
--- a/internal/clusteragent/gather.go
+++ b/internal/clusteragent/gather.go
@@ -39,7 +39,7 @@
 // for one of the request's; ok is false where they never do.
 func (a *Agent) freeIn(m *machine, r *agentapi.Request, now time.Time) (wait float64, ok bool) {
 	t, known := a.types()[m.typeName]
-	if !known || !r.Spec.Fits(job.Capacity(t)) {
+	if !known || !r.Spec.FitsIn(job.Capacity(t)) {
 		return 0, false
 	}
 	free, known := m.room(job.Capacity(t))
@@ -62,12 +62,12 @@
 	}
 	slices.SortFunc(ends, func(a, b end) int { return cmp.Compare(a.left, b.left) })
 	for _, e := range ends {
-		if r.Spec.Fits(free) {
+		if r.Spec.FitsIn(free) {
 			break
 		}
-		free, wait = free.Add(e.need, 1), e.left
+		free, wait = free.AddScaled(e.need, 1), e.left
 	}
-	return wait, r.Spec.Fits(free)
+	return wait, r.Spec.FitsIn(free)
 }
 
 // gatherable says why a machine cannot be kept for a job that gathers, or nothing.
--- a/internal/clusteragent/learn.go
+++ b/internal/clusteragent/learn.go
@@ -68,7 +68,7 @@
 func (a *Agent) learn(ctx context.Context, ids map[string]bool) error {
 	found := map[string]*job.Record{}
 	for id := range ids {
-		kv, ok := a.mirror.Get(job.OpenKey(id))
+		kv, ok := a.mirror.Get(job.RecordKey(id))
 		if !ok {
 			continue
 		}
@@ -86,7 +86,7 @@
 	a.learned(found)
 	// What the mirror does not have is over, or came just now: a read tells.
 	for id := range ids {
-		kv, err := a.store.Get(ctx, job.OpenKey(id))
+		kv, err := a.store.Get(ctx, job.RecordKey(id))
 		var rec *job.Record
 		if err == nil {
 			rec, err = job.ParseRecord(kv.Value)
@@ -122,7 +122,7 @@
 				t.kill()
 				t.spec = &job.Spec{}
 			} else {
-				t.spec, t.slot, t.submitted, t.limits = &rec.Spec, rec.Slot, rec.SubmittedAt(), nil
+				t.spec, t.slot, t.submitted, t.limits = &rec.Spec, rec.JobShard, rec.SubmittedAt(), nil
 			}
 		}
 		if changed {
--- a/internal/clusteragent/learn_test.go
+++ b/internal/clusteragent/learn_test.go
@@ -16,8 +16,8 @@
 // listed and left, and its task goes on.
 func TestUnreadableRecordDoesNotKeepOthersFromBeingRead(t *testing.T) {
 	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
-		good := job.Record{Slot: "s", Spec: job.Spec{ID: "wk-2", Team: "t", Shape: job.Array, Rank: "normal", Tasks: 1, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
-		for key, v := range map[string]any{job.OpenKey("wk-1"): "mangled", job.OpenKey("wk-2"): good} {
+		good := job.Record{JobShard: "s", Spec: job.Spec{ID: "wk-2", Team: "t", Shape: job.Array, Rank: "normal", Tasks: 1, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
+		for key, v := range map[string]any{job.RecordKey("wk-1"): "mangled", job.RecordKey("wk-2"): good} {
 			if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: key, Value: v}}); err != nil {
 				t.Fatal(err)
 			}
@@ -43,7 +43,7 @@
 		if held(workers, w) != 2 {
 			t.Errorf("%d tasks are on the machine", held(workers, w))
 		}
-		if bad := n.mirror.Undecodable(); bad[job.OpenKey("wk-1")] == "" {
+		if bad := n.mirror.Undecodable(); bad[job.RecordKey("wk-1")] == "" {
 			t.Errorf("listed: %v", bad)
 		}
 	})
--- a/internal/clusteragent/machine.go
+++ b/internal/clusteragent/machine.go
@@ -262,14 +262,14 @@
 			m.known = false
 			continue
 		}
-		m.used = m.used.Add(t.spec.Need, 1)
+		m.used = m.used.AddScaled(t.spec.Need, 1)
 	}
 }
 
 // room is what is free; known is false while a task's needs are unknown.
 func (m *machine) room(capacity job.Need) (free job.Need, known bool) {
 	m.sum()
-	return capacity.Add(m.used, -1), m.known
+	return capacity.AddScaled(m.used, -1), m.known
 }
 
 // apply brings the tasks up to date from a report and returns whether anything
--- a/internal/clusteragent/over.go
+++ b/internal/clusteragent/over.go
@@ -161,7 +161,7 @@
 		return false
 	}
 	seen := a.mirror.Rev() // first: what is absent after that was removed, or is older
-	_, open := a.mirror.Get(job.OpenKey(id))
+	_, open := a.mirror.Get(job.RecordKey(id))
 	return !open && seen >= rev
 }
 
@@ -193,7 +193,7 @@
 	var out []*task
 	for _, t := range m.tasks {
 		if t.verify && t.seen && t.uses() && !(t.stop && t.grace == 0) {
-			if _, open := a.mirror.Get(job.OpenKey(t.ref.Job)); !open {
+			if _, open := a.mirror.Get(job.RecordKey(t.ref.Job)); !open {
 				out = append(out, t)
 			}
 		}
--- a/internal/clusteragent/parts.go
+++ b/internal/clusteragent/parts.go
@@ -58,7 +58,7 @@
 		p.all++
 		for _, t2 := range m.tasks {
 			if t2.uses() && t2.spec != nil && !t2.stop && a.hasPart(t2.spec) {
-				p.use[t2.spec.Class] += t2.spec.Share(job.Capacity(t))
+				p.use[t2.spec.Class] += t2.spec.DominantShare(job.Capacity(t))
 			}
 		}
 	}
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -32,7 +32,7 @@
 		return "a command to the machine is unanswered"
 	case m.rev > a.mirror.Rev():
 		return "machine was claimed just now"
-	case !r.Spec.Allows(m.typeName, m.zone, m.spot):
+	case !r.Spec.AllowsMachine(m.typeName, m.zone, m.spot):
 		return "machine is not allowed for the job"
 	case r.Zones != nil && !slices.Contains(r.Zones, m.zone):
 		return "zone is not open to the job"
@@ -65,7 +65,7 @@
 	if !known {
 		return 0, job.Need{}
 	}
-	return need.Count(free), free
+	return need.CountIn(free), free
 }
 
 // Sample draws owned machines without replacement until the share wanted has
@@ -186,7 +186,7 @@
 // dear machines idle, so that they are returned, and ordinary ones to jobs that
 // may not use spot machines.
 func score(capacity, free, need job.Need, image, cheap float64) float64 {
-	left := free.Add(need, -1)
+	left := free.AddScaled(need, -1)
 	full := 0.0
 	for _, p := range [][2]float64{{left.CPUs, capacity.CPUs}, {left.GPUs, capacity.GPUs}, {left.MemoryGB, capacity.MemoryGB}} {
 		if p[1] > 0 {
@@ -208,7 +208,7 @@
 // that it costs on any the job may use: 1 for the cheapest, towards 0 for dear.
 func cheapness(types map[string]cloud.MachineType, spec *job.Spec, typeName string, spot bool) float64 {
 	cost := func(t cloud.MachineType, spot bool) float64 {
-		n := spec.Need.Count(job.Capacity(t))
+		n := spec.Need.CountIn(job.Capacity(t))
 		if n == 0 || t.HourlyPrice(spot) <= 0 {
 			return math.Inf(1)
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -81,7 +81,7 @@
 func New(settings *config.Settings, pol *policy.Policy) *Controller {
 	return Assemble(settings, pol, ExternalSystems{
 		StateStore:     statekv.NewClient(settings.StateAddress, 0.75*settings.StateLimits.RequestsPerSecond, settings.StateLimits.SharedWriteBudget(), max(settings.Controllers, len(settings.Hosts()))),
-		MigrationStore: statekv.NewClient(settings.StateAddress, 0.05*settings.StateLimits.RequestsPerSecond, 2*rollout.MoveShare*settings.StateLimits.WritesPerSecond, 1),
+		MigrationStore: statekv.NewClient(settings.StateAddress, 0.05*settings.StateLimits.RequestsPerSecond, 2*rollout.MigrationWriteShare*settings.StateLimits.WritesPerSecond, 1),
 		Cloud:          cloud.NewClient(settings.CloudAddress, 0.8*settings.CloudRequestsPerSecond),
 		Workers:        worker.NewClient(),
 		Connect: func(server *rpc.Server, greeter *peer.Service) Network {
@@ -142,12 +142,12 @@
 		c.gateway.SetSession(nil)
 		pause := 300 * time.Millisecond
 		if err != nil && ctx.Err() == nil {
-			if told != err.Error() || !rollout.IsRefused(err) {
+			if told != err.Error() || !rollout.IsJoinRejected(err) {
 				slog.Info("controller session ended", "err", err)
 			}
 			told = err.Error()
 		}
-		if rollout.IsRefused(err) {
+		if rollout.IsJoinRejected(err) {
 			// Not ready, with the reason, until the level is another one.
 			c.gateway.SetNotReadyReason(err.Error())
 			pause = 2 * time.Second
@@ -168,13 +168,13 @@
 		pl *scheduler.Scheduler
 		st *autoscaler.Leader
 	)
-	mirror := statekv.NewMirror(c.store, []string{statekv.ClusterPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, c.settings.WatchTimeout(), c.settings.MinWatchInterval(), func(events []statekv.Event) {
+	mirror := statekv.NewMirror(c.store, []string{statekv.ClusterPrefix, job.RecordPrefix, job.SpecFragmentPrefix}, statekv.RootPrefix, c.settings.WatchTimeout(), c.settings.MinWatchInterval(), func(events []statekv.Event) {
 		if events == nil {
 			pl.Resync()
 			return
 		}
 		for _, e := range events {
-			if strings.HasPrefix(e.Key(), job.OpenPrefix) {
+			if strings.HasPrefix(e.Key(), job.RecordPrefix) {
 				pl.OnJobEvent(e)
 			} else if slot, ok := strings.CutPrefix(e.Set, statekv.JobShardPrefix); ok {
 				ag.OnJobShardMoved(slot)
@@ -202,8 +202,8 @@
 			c.catalogue.Set(types)
 		}
 	}
-	caps := rollout.OurCaps()
-	reg, err := rollout.Register(mirror, caps)
+	caps := rollout.LocalCapabilities()
+	reg, err := rollout.NewRegistration(mirror, caps)
 	if err != nil {
 		return err
 	}
@@ -216,7 +216,7 @@
 	slog.Info("controller session started", "host", member.Host, "instance", member.Incarnation)
 
 	server := rpc.NewServer()
-	greeter := peer.NewService(c.settings.Host, rollout.Build, map[string]any{"Agent": (*clusteragent.Service)(nil), "Placer": (*scheduler.Service)(nil), "Steward": (*autoscaler.Service)(nil)})
+	greeter := peer.NewService(c.settings.Host, rollout.BuildVersion, map[string]any{"Agent": (*clusteragent.Service)(nil), "Placer": (*scheduler.Service)(nil), "Steward": (*autoscaler.Service)(nil)})
 	network := c.connect(server, greeter)
 	defer network.Close()
 	ag = clusteragent.New(c.settings, c.store, mirror, member, c.workers, c.catalogue.Types)
@@ -228,14 +228,14 @@
 			return fmt.Errorf("registering %s: %w", name, err)
 		}
 	}
-	gate := rollout.NewGate(c.settings.Hosts(), c.policy, mirror, member, c.store, st.Epoch)
-	mover := rollout.NewMover(c.moves, mirror, member, st.Epoch, c.settings.StateLimits.MaxTxnOps, rollout.MoveShare*c.settings.StateLimits.WritesPerSecond)
+	gate := rollout.NewVersionGate(c.settings.Hosts(), c.policy, mirror, member, c.store, st.Epoch)
+	mover := rollout.NewMigrator(c.moves, mirror, member, st.Epoch, c.settings.StateLimits.MaxTxnOps, rollout.MigrationWriteShare*c.settings.StateLimits.WritesPerSecond)
 	feed := changefeed.New(network, mirror, c.settings.Hosts(), func() uint64 { return max(pl.HighestEpoch(), st.Epoch()) }, func(entries []agentapi.MachineEntry) {
 		pl.OnEntries(entries)
 		st.OnEntries(entries)
 	})
 	ag.LastEntry, ag.AcknowledgedUntil = feed.LastEntry, feed.AcknowledgedUntil
-	sweeper := &tombstone.Sweeper{Store: c.store, Mirror: mirror, Member: member, Steward: st.Epoch, Ops: c.settings.StateLimits.MaxTxnOps, Every: sweepEvery}
+	sweeper := &tombstone.GarbageCollector{Store: c.store, Mirror: mirror, Member: member, LeaderEpoch: st.Epoch, TxnOps: c.settings.StateLimits.MaxTxnOps, Interval: sweepEvery}
 	serve, err := network.Listen()
 	if err != nil {
 		return err
@@ -258,7 +258,7 @@
 	duties.Go(func() { mover.Run(ctx) })
 	duties.Go(func() { sweeper.Run(ctx) })
 	duties.Go(func() { pipes.Run(ctx, c.gateway.ReadTombstone) })
-	life := &gateway.Session{Member: member, Mirror: mirror, Agent: ag, Scheduler: pl, Leader: st, Feed: feed, VersionGate: gate, ClusterVersion: rollout.NewReader(mirror), Dependencies: pipes, Peers: network, Clock: clock}
+	life := &gateway.Session{Member: member, Mirror: mirror, Agent: ag, Scheduler: pl, Leader: st, Feed: feed, VersionGate: gate, ClusterVersion: rollout.NewVersionReader(mirror), Dependencies: pipes, Peers: network, Clock: clock}
 	if counts, ok := network.(interface{ Traffic() peer.Traffic }); ok {
 		life.PeerTraffic = counts.Traffic
 	}
@@ -272,7 +272,7 @@
 
 // parseKey reads what the mirror keeps and follows, once for all who look at it.
 func parseKey(key string, value json.RawMessage) any {
-	if change := tombstone.ParseKey(key, value); change != nil {
+	if change := tombstone.ParseChange(key, value); change != nil {
 		return change
 	}
 	return shard.ParseValue(key, value)
--- a/internal/dag/pipeline.go
+++ b/internal/dag/pipeline.go
@@ -26,20 +26,20 @@
 
 // Node is an open job as far as pipelines are concerned.
 type Node struct {
-	ID    string
-	Needs []string // jobs that it waits for
-	Rank  string
-	Due   time.Time     // when it should be complete; zero: no deadline
-	Takes time.Duration // about how long it takes once it is ready
+	ID                string
+	Dependencies      []string // jobs that it waits for
+	Rank              string
+	Deadline          time.Time     // when it should be complete; zero: no deadline
+	EstimatedDuration time.Duration // about how long it takes once it is ready
 }
 
 // Snapshot is one look at the records.
 type Snapshot interface {
-	// Open returns the open job with this id. One that names no others may have no more
+	// OpenJob returns the open job with this id. One that names no others may have no more
 	// than its id.
-	Open(id string) (*Node, bool)
-	// Ended returns the final record of a job, if it was read.
-	Ended(id string) (tombstone.Tombstone, bool)
+	OpenJob(id string) (*Node, bool)
+	// Tombstone returns the final record of a job, if it was read.
+	Tombstone(id string) (tombstone.Tombstone, bool)
 }
 
 // State is what a waiting job has come to.
@@ -50,53 +50,53 @@
 	Waiting State = iota
 	// Ready to start.
 	Ready
-	// Withdrawn because a job before it was cancelled.
-	Withdrawn
-	// Unread: what it waits for is neither open nor was its final record read.
-	Unread
+	// Cancelled because a job before it was cancelled.
+	Cancelled
+	// Unresolved: what it waits for is neither open nor was its final record read.
+	Unresolved
 )
 
-// Verdict is what a waiting job is, and why.
-type Verdict struct {
-	State  State
-	On     []string  // open jobs that it names
-	Unread []string  // jobs, not only those that it names, whose final records have to be read
-	Bad    []string  // those among them whose records are damaged: they are tried again seldom
-	Cause  string    // the cancelled job that it is withdrawn for
-	Since  time.Time // when the last job that it needs was done; zero if that is not known
+// Result is what a waiting job is, and why.
+type Result struct {
+	State             State
+	WaitingOn         []string  // open jobs that it names
+	MissingTombstones []string  // jobs, not only those that it names, whose final records have to be read
+	DamagedTombstones []string  // those among them whose records are damaged: they are tried again seldom
+	CancelledBy       string    // the cancelled job that it is withdrawn for
+	ReadySince        time.Time // when the last job that it needs was done; zero if that is not known
 }
 
-// Judge tells what a job that names others has come to. It looks at each job before it
+// Evaluate tells what a job that names others has come to. It looks at each job before it
 // once at most.
-func Judge(s Snapshot, n *Node) Verdict {
+func Evaluate(s Snapshot, n *Node) Result {
 	j := judge{s: s, cause: map[string]string{}}
-	v, untold := Verdict{State: Ready}, false
-	for _, id := range n.Needs {
-		if r, ok := s.Ended(id); ok {
+	v, untold := Result{State: Ready}, false
+	for _, id := range n.Dependencies {
+		if r, ok := s.Tombstone(id); ok {
 			if r.Status == job.Cancelled {
-				return Verdict{State: Withdrawn, Cause: id}
+				return Result{State: Cancelled, CancelledBy: id}
 			}
-			if untold = untold || r.AtMS == 0; r.At().After(v.Since) {
-				v.Since = r.At()
+			if untold = untold || r.CompletedAtMS == 0; r.CompletedAt().After(v.ReadySince) {
+				v.ReadySince = r.CompletedAt()
 			}
 			continue
 		}
-		p, open := s.Open(id)
+		p, open := s.OpenJob(id)
 		if !open {
-			v.State = Unread
+			v.State = Unresolved
 			j.unread = append(j.unread, id)
 			continue
 		}
-		v.On = append(v.On, id)
+		v.WaitingOn = append(v.WaitingOn, id)
 		if cause := j.withdrawn(p); cause != "" {
-			return Verdict{State: Withdrawn, Cause: cause}
+			return Result{State: Cancelled, CancelledBy: cause}
 		}
 	}
-	if v.Unread = j.unread; len(v.On) > 0 {
+	if v.MissingTombstones = j.unread; len(v.WaitingOn) > 0 {
 		v.State = Waiting
 	}
 	if v.State != Ready || untold {
-		v.Since = time.Time{}
+		v.ReadySince = time.Time{}
 	}
 	return v
 }
@@ -118,14 +118,14 @@
 			continue
 		}
 		j.cause[n.ID] = ""
-		for _, id := range n.Needs {
-			if r, ok := j.s.Ended(id); ok {
+		for _, id := range n.Dependencies {
+			if r, ok := j.s.Tombstone(id); ok {
 				if r.Status == job.Cancelled {
 					return id
 				}
 				continue
 			}
-			if p, open := j.s.Open(id); open {
+			if p, open := j.s.OpenJob(id); open {
 				stack = append(stack, p)
 			} else if !slices.Contains(j.unread, id) {
 				j.unread = append(j.unread, id)
@@ -137,17 +137,17 @@
 
 // Urgency is the rank and the due time that a job is treated as having.
 type Urgency struct {
-	Rank string
-	Due  time.Time // zero: none
+	Rank     string
+	Deadline time.Time // zero: none
 }
 
 // more returns the more urgent of both in each respect.
 func (u Urgency) more(o Urgency) Urgency {
-	if job.RankOf(o.Rank) > job.RankOf(u.Rank) {
+	if job.PriorityOfRank(o.Rank) > job.PriorityOfRank(u.Rank) {
 		u.Rank = o.Rank
 	}
-	if !o.Due.IsZero() && (u.Due.IsZero() || o.Due.Before(u.Due)) {
-		u.Due = o.Due
+	if !o.Deadline.IsZero() && (u.Deadline.IsZero() || o.Deadline.Before(u.Deadline)) {
+		u.Deadline = o.Deadline
 	}
 	return u
 }
@@ -155,20 +155,20 @@
 // handed is what a job passes to those that it needs: they have to be done before it can
 // take its time.
 func (u Urgency) handed(takes time.Duration) Urgency {
-	if !u.Due.IsZero() {
-		u.Due = u.Due.Add(-takes)
+	if !u.Deadline.IsZero() {
+		u.Deadline = u.Deadline.Add(-takes)
 	}
 	return u
 }
 
-// Urgent works out the urgency that open jobs have from those that need them. One that
+// PropagateUrgency works out the urgency that open jobs have from those that need them. One that
 // is withdrawn passes nothing on. Each job is looked at once for each that names it.
-func Urgent(s Snapshot, nodes map[string]*Node) map[string]Urgency {
+func PropagateUrgency(s Snapshot, nodes map[string]*Node) map[string]Urgency {
 	sorted := order(nodes)
 	dead := map[string]bool{}
 	for _, n := range slices.Backward(sorted) {
-		dead[n.ID] = slices.ContainsFunc(n.Needs, func(id string) bool {
-			r, ok := s.Ended(id)
+		dead[n.ID] = slices.ContainsFunc(n.Dependencies, func(id string) bool {
+			r, ok := s.Tombstone(id)
 			return dead[id] || ok && r.Status == job.Cancelled
 		})
 	}
@@ -177,9 +177,9 @@
 		if dead[n.ID] {
 			continue
 		}
-		own := Urgency{n.Rank, n.Due}.more(out[n.ID])
-		for _, id := range n.Needs {
-			out[id] = out[id].more(own.handed(n.Takes))
+		own := Urgency{n.Rank, n.Deadline}.more(out[n.ID])
+		for _, id := range n.Dependencies {
+			out[id] = out[id].more(own.handed(n.EstimatedDuration))
 		}
 	}
 	return out
@@ -191,7 +191,7 @@
 func order(nodes map[string]*Node) []*Node {
 	needed := map[string]int{} // by how many that have not been put out yet
 	for _, n := range nodes {
-		for _, id := range n.Needs {
+		for _, id := range n.Dependencies {
 			needed[id]++
 		}
 	}
@@ -202,7 +202,7 @@
 		}
 	}
 	for k := 0; k < len(out); k++ {
-		for _, id := range out[k].Needs {
+		for _, id := range out[k].Dependencies {
 			if needed[id]--; needed[id] == 0 && nodes[id] != nil {
 				out = append(out, nodes[id])
 			}
--- a/internal/dag/pipeline_test.go
+++ b/internal/dag/pipeline_test.go
@@ -15,24 +15,24 @@
 	final map[string]tombstone.Tombstone
 }
 
-func (r *records) Open(id string) (*Node, bool) {
+func (r *records) OpenJob(id string) (*Node, bool) {
 	n, ok := r.open[id]
 	return n, ok
 }
 
-func (r *records) Ended(id string) (tombstone.Tombstone, bool) {
+func (r *records) Tombstone(id string) (tombstone.Tombstone, bool) {
 	f, ok := r.final[id]
 	return f, ok
 }
 
 func (r *records) add(id string, needs ...string) *Node {
-	r.open[id] = &Node{ID: id, Needs: needs}
+	r.open[id] = &Node{ID: id, Dependencies: needs}
 	return r.open[id]
 }
 
 func (r *records) end(id, status string, at int64) {
 	delete(r.open, id)
-	r.final[id] = tombstone.Tombstone{Status: status, Tasks: 1, AtMS: at}
+	r.final[id] = tombstone.Tombstone{Status: status, Tasks: 1, CompletedAtMS: at}
 }
 
 func none() *records { return &records{map[string]*Node{}, map[string]tombstone.Tombstone{}} }
@@ -44,33 +44,33 @@
 	s.add("b", "a")
 	c := s.add("c", "b", "x")
 	s.end("x", job.Done, 7000)
-	is := func(when string, state State) Verdict {
+	is := func(when string, state State) Result {
 		t.Helper()
-		v := Judge(s, c)
+		v := Evaluate(s, c)
 		if v.State != state {
 			t.Fatalf("%s: %+v", when, v)
 		}
 		return v
 	}
-	if v := is("one is open", Waiting); len(v.On) != 1 || v.On[0] != "b" {
+	if v := is("one is open", Waiting); len(v.WaitingOn) != 1 || v.WaitingOn[0] != "b" {
 		t.Error(v)
 	}
 	s.end("a", job.Done, 8000)
 	is("only the first is done", Waiting)
 	s.end("b", job.Done, 9000)
-	if v := is("all are done", Ready); v.Since.UnixMilli() != 9000 {
-		t.Error(v.Since)
+	if v := is("all are done", Ready); v.ReadySince.UnixMilli() != 9000 {
+		t.Error(v.ReadySince)
 	}
 	s.end("x", job.Done, 0)
-	if v := is("when one was done is not known", Ready); !v.Since.IsZero() {
-		t.Error(v.Since)
+	if v := is("when one was done is not known", Ready); !v.ReadySince.IsZero() {
+		t.Error(v.ReadySince)
 	}
 	delete(s.final, "x")
-	if v := is("a record was not read", Unread); len(v.Unread) != 1 || v.Unread[0] != "x" {
+	if v := is("a record was not read", Unresolved); len(v.MissingTombstones) != 1 || v.MissingTombstones[0] != "x" {
 		t.Error(v)
 	}
 	s.end("x", job.Cancelled, 0)
-	if v := is("one was cancelled", Withdrawn); v.Cause != "x" {
+	if v := is("one was cancelled", Cancelled); v.CancelledBy != "x" {
 		t.Error(v)
 	}
 	// Through others: what is between is open still, and nothing need be written.
@@ -79,12 +79,12 @@
 	s.add("m", "b", "y") // y's record is not read: that does not matter any more
 	c = s.add("c", "m")
 	s.end("a", job.Cancelled, 0)
-	if v := is("one far before it was cancelled", Withdrawn); v.Cause != "a" {
+	if v := is("one far before it was cancelled", Cancelled); v.CancelledBy != "a" {
 		t.Error(v)
 	}
 	// And where it is not known whether, that has to be read before anybody is told.
 	s.end("a", job.Done, 1)
-	if v := is("one far before it was not read", Waiting); len(v.Unread) != 1 || v.Unread[0] != "y" {
+	if v := is("one far before it was not read", Waiting); len(v.MissingTombstones) != 1 || v.MissingTombstones[0] != "y" {
 		t.Error(v)
 	}
 }
@@ -100,12 +100,12 @@
 		s.add(id(k), id(k-1))
 	}
 	last := s.open[id(many-1)]
-	if v := Judge(s, last); v.State != Waiting {
+	if v := Evaluate(s, last); v.State != Waiting {
 		t.Fatal(v)
 	}
 	s.end(id(0), job.Cancelled, 0)
 	for k := 1; k < many; k++ {
-		if v := Judge(s, s.open[id(k)]); v.State != Withdrawn {
+		if v := Evaluate(s, s.open[id(k)]); v.State != Cancelled {
 			t.Fatal(k, v)
 		}
 	}
@@ -116,16 +116,16 @@
 		needs = append(needs, id(k))
 	}
 	wide := s.add("wide", needs...)
-	if v := Judge(s, wide); v.State != Ready || v.Since.UnixMilli() != many {
-		t.Fatal(v.State, v.Since)
+	if v := Evaluate(s, wide); v.State != Ready || v.ReadySince.UnixMilli() != many {
+		t.Fatal(v.State, v.ReadySince)
 	}
 	s = none()
 	s.add("p", "q")
 	q := s.add("q", "p")
-	if v := Judge(s, q); v.State != Waiting {
+	if v := Evaluate(s, q); v.State != Waiting {
 		t.Fatal(v)
 	}
-	if u := Urgent(s, s.open); len(u) != 0 {
+	if u := PropagateUrgency(s, s.open); len(u) != 0 {
 		t.Fatal(u)
 	}
 }
@@ -140,11 +140,11 @@
 	c := s.add("c", "a")
 	last := s.add("last", "b", "c")
 	a.Rank, b.Rank, c.Rank, last.Rank = "best_effort", "normal", "normal", "high"
-	b.Takes, c.Takes, last.Takes = 10*time.Second, 30*time.Second, 5*time.Second
-	last.Due = now.Add(time.Minute)
-	u := Urgent(s, s.open)
+	b.EstimatedDuration, c.EstimatedDuration, last.EstimatedDuration = 10*time.Second, 30*time.Second, 5*time.Second
+	last.Deadline = now.Add(time.Minute)
+	u := PropagateUrgency(s, s.open)
 	for id, due := range map[string]time.Duration{"a": 25 * time.Second, "b": 55 * time.Second, "c": 55 * time.Second} {
-		if got := u[id]; got.Rank != "high" || !got.Due.Equal(now.Add(due)) {
+		if got := u[id]; got.Rank != "high" || !got.Deadline.Equal(now.Add(due)) {
 			t.Errorf("%s: %+v, not %v", id, got, due)
 		}
 	}
@@ -153,18 +153,18 @@
 	}
 	// One that is due earlier, and has a lower rank.
 	d := s.add("d", "c")
-	d.Rank, d.Due = "best_effort", now.Add(20*time.Second)
-	u = Urgent(s, s.open)
-	if got := u["c"]; got.Rank != "high" || !got.Due.Equal(d.Due) {
+	d.Rank, d.Deadline = "best_effort", now.Add(20*time.Second)
+	u = PropagateUrgency(s, s.open)
+	if got := u["c"]; got.Rank != "high" || !got.Deadline.Equal(d.Deadline) {
 		t.Errorf("%+v", got)
 	}
-	if got := u["a"]; !got.Due.Equal(now.Add(-10 * time.Second)) {
+	if got := u["a"]; !got.Deadline.Equal(now.Add(-10 * time.Second)) {
 		t.Errorf("%+v", got)
 	}
 	// What is withdrawn hands nothing on, directly or through others.
 	s.end("b", job.Cancelled, 0)
-	u = Urgent(s, s.open)
-	if got := u["a"]; got.Rank != "normal" || !got.Due.Equal(now.Add(-10*time.Second)) {
+	u = PropagateUrgency(s, s.open)
+	if got := u["a"]; got.Rank != "normal" || !got.Deadline.Equal(now.Add(-10*time.Second)) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/dag/tracker.go
+++ b/internal/dag/tracker.go
@@ -63,8 +63,8 @@
 	if events == nil {
 		t.changes++
 		t.reset()
-		for _, kv := range t.keys.Dir(job.OpenPrefix) {
-			t.opened(kv.Key[len(job.OpenPrefix):], kv.Value)
+		for _, kv := range t.keys.Dir(job.RecordPrefix) {
+			t.opened(kv.Key[len(job.RecordPrefix):], kv.Value)
 		}
 		for id := range t.tombstones {
 			if t.after[id] == 0 {
@@ -74,7 +74,7 @@
 		return
 	}
 	for _, e := range events {
-		if id, ok := strings.CutPrefix(e.Key(), job.OpenPrefix); ok {
+		if id, ok := strings.CutPrefix(e.Key(), job.RecordPrefix); ok {
 			if e.Delete != "" {
 				t.closed(id)
 			} else {
@@ -98,27 +98,27 @@
 }
 
 func (t *Tracker) opened(id string, raw json.RawMessage) {
-	if t.nodes[id] != nil || !job.NeedsPipelines(raw) {
+	if t.nodes[id] != nil || !job.MayHaveDependencies(raw) {
 		return // most name none; and what a job waits for never changes
 	}
 	rec, err := job.ParseRecord(raw)
 	if err == nil {
-		err = rec.Join(t.keys.Get)
+		err = rec.JoinSpec(t.keys.Get)
 	}
 	if err != nil {
-		t.keys.ReportUndecodable(job.OpenKey(id), err)
+		t.keys.ReportUndecodable(job.RecordKey(id), err)
 		return
 	}
 	if len(rec.Spec.WaitsOn) == 0 {
 		return
 	}
-	n := &Node{ID: id, Needs: rec.Spec.WaitsOn, Rank: rec.Spec.Rank, Takes: t.takes(&rec.Spec)}
-	if due := rec.Spec.Due(); rec.Spec.DeadlineS != nil {
-		n.Due = rec.SubmittedAt().Add(due)
+	n := &Node{ID: id, Dependencies: rec.Spec.WaitsOn, Rank: rec.Spec.Rank, EstimatedDuration: t.takes(&rec.Spec)}
+	if due := rec.Spec.RelativeDeadline(); rec.Spec.DeadlineS != nil {
+		n.Deadline = rec.SubmittedAt().Add(due)
 	}
 	t.nodes[id] = n
 	t.changes++
-	for _, p := range n.Needs {
+	for _, p := range n.Dependencies {
 		t.after[p]++
 		if _, ok := t.tombstones[p]; ok {
 			continue
@@ -139,7 +139,7 @@
 	}
 	t.changes++
 	delete(t.nodes, id)
-	for _, p := range n.Needs {
+	for _, p := range n.Dependencies {
 		if t.after[p]--; t.after[p] == 0 {
 			delete(t.after, p)
 			delete(t.tombstones, p)
@@ -152,15 +152,15 @@
 // snapshot is the tracker with its mutex held.
 type snapshot struct{ *Tracker }
 
-func (s snapshot) Open(id string) (*Node, bool) {
+func (s snapshot) OpenJob(id string) (*Node, bool) {
 	if n := s.nodes[id]; n != nil {
 		return n, true
 	}
-	_, ok := s.keys.Get(job.OpenKey(id))
+	_, ok := s.keys.Get(job.RecordKey(id))
 	return &Node{ID: id}, ok
 }
 
-func (s snapshot) Ended(id string) (tombstone.Tombstone, bool) {
+func (s snapshot) Tombstone(id string) (tombstone.Tombstone, bool) {
 	if r, ok := s.tombstones[id]; ok {
 		return r, true
 	}
@@ -171,25 +171,25 @@
 	return tombstone.Tombstone{}, false
 }
 
-// Judge tells what an open job has come to; ok is false for one that names no others.
+// Evaluate tells what an open job has come to; ok is false for one that names no others.
 // Final records that it lacks are read soon.
-func (t *Tracker) Judge(id string) (v Verdict, ok bool) {
+func (t *Tracker) Evaluate(id string) (v Result, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := t.nodes[id]
 	if n == nil {
 		return v, false
 	}
-	v = Judge(snapshot{t}, n)
-	all := v.Unread
-	v.Unread = nil
+	v = Evaluate(snapshot{t}, n)
+	all := v.MissingTombstones
+	v.MissingTombstones = nil
 	for _, p := range all {
 		if since, bad := t.bad[p]; bad {
-			if v.Bad = append(v.Bad, p); time.Since(since) < tryBadAgain {
+			if v.DamagedTombstones = append(v.DamagedTombstones, p); time.Since(since) < tryBadAgain {
 				continue
 			}
 		} else {
-			v.Unread = append(v.Unread, p)
+			v.MissingTombstones = append(v.MissingTombstones, p)
 		}
 		if t.after[p] > 0 && !t.unread[p] {
 			t.unread[p] = true
@@ -202,8 +202,8 @@
 	return v, true
 }
 
-// Changes counts the changes; while it stays the same so does every verdict.
-func (t *Tracker) Changes() uint64 {
+// Generation counts the changes; while it stays the same so does every verdict.
+func (t *Tracker) Generation() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changes
@@ -219,7 +219,7 @@
 	}
 	if t.urgent == nil || t.urgentAt != t.changes {
 		t.urgentAt = t.changes
-		t.urgent = Urgent(snapshot{t}, t.nodes)
+		t.urgent = PropagateUrgency(snapshot{t}, t.nodes)
 	}
 	u, ok = t.urgent[id]
 	return u, ok
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,8 +40,8 @@
 	Scheduler      *scheduler.Scheduler
 	Leader         *autoscaler.Leader
 	Feed           *changefeed.Feed
-	VersionGate    *rollout.Gate
-	ClusterVersion *rollout.Reader
+	VersionGate    *rollout.VersionGate
+	ClusterVersion *rollout.VersionReader
 	Dependencies   *dag.Tracker
 	Peers          peer.Caller
 	Clock          *recovery.Timeline
@@ -88,7 +88,7 @@
 	pauses    func() (count int, longest time.Duration)
 
 	turns      turns
-	finder     *tombstone.Finder
+	finder     *tombstone.BatchedLookup
 	refused    atomic.Int64 // queries refused because too many came
 	mu         sync.Mutex
 	tombstones map[string]tombstone.Tombstone // answers that never change any more
@@ -106,7 +106,7 @@
 // New returns a gateway that has no life to serve yet.
 func New(settings *config.Settings, store statekv.Store, catalogue *cloud.Catalogue, pauses func() (int, time.Duration)) *Gateway {
 	g := &Gateway{settings: settings, store: store, catalogue: catalogue, latencies: newLatencies(), pauses: pauses, tombstones: map[string]tombstone.Tombstone{},
-		finder: tombstone.NewFinder(store, 4*settings.StateLimits.MaxTxnOps, statekv.LookupShare*settings.StateLimits.RequestsPerSecond/float64(max(1, settings.Controllers)))}
+		finder: tombstone.NewBatchedLookup(store, 4*settings.StateLimits.MaxTxnOps, statekv.LookupShare*settings.StateLimits.RequestsPerSecond/float64(max(1, settings.Controllers)))}
 	g.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		JSONEncoder:           json.Marshal,
@@ -298,12 +298,12 @@
 func (g *Gateway) openRecord(ctx context.Context, id string) (statekv.KV, error) {
 	l := g.life.Load()
 	if l == nil {
-		return g.store.Get(ctx, job.OpenKey(id))
+		return g.store.Get(ctx, job.RecordKey(id))
 	}
 	if err := l.Mirror.ReadIndex(ctx); err != nil {
 		return statekv.KV{}, err
 	}
-	kv, ok := l.Mirror.Get(job.OpenKey(id))
+	kv, ok := l.Mirror.Get(job.RecordKey(id))
 	if !ok {
 		return kv, statekv.ErrNotFound
 	}
@@ -329,7 +329,7 @@
 		if f, ok := g.CachedTombstone(id); ok {
 			return statusOf(id, f), nil
 		}
-		f, err := g.finder.Find(ctx, g.fence, id, g.keepTombstone)
+		f, err := g.finder.Lookup(ctx, g.fence, id, g.keepTombstone)
 		if err != nil {
 			return jobStatus{}, err
 		}
@@ -368,7 +368,7 @@
 		l.Mirror.ReportUndecodable(open.Key, err)
 		return 0, 0
 	}
-	kv, ok := l.Mirror.Get(statekv.JobShardPrefix + rec.Slot)
+	kv, ok := l.Mirror.Get(statekv.JobShardPrefix + rec.JobShard)
 	h, err := statekv.HolderOf(kv)
 	if !ok || err != nil || h.Host == g.settings.Host || !l.Member.Alive(h) {
 		return 0, 0
@@ -388,14 +388,14 @@
 // waits tells whether an open job waits for others, or which answer it has for good
 // because one before it was cancelled: nothing need be written for that to be so.
 func (g *Gateway) waits(id string, open statekv.KV) (f tombstone.Tombstone, waits bool, err error) {
-	if !job.NeedsPipelines(open.Value) {
+	if !job.MayHaveDependencies(open.Value) {
 		return f, false, nil
 	}
 	l := g.life.Load()
 	if l == nil {
 		return f, false, fmt.Errorf("%w: starting", statekv.ErrRejected)
 	}
-	v, ok := l.Dependencies.Judge(id)
+	v, ok := l.Dependencies.Evaluate(id)
 	if !ok {
 		if _, still := l.Mirror.Get(open.Key); !still {
 			// It is over since its record was looked at, and may have been told as
@@ -405,13 +405,13 @@
 		return f, false, nil // it cannot be read, or came a moment ago
 	}
 	switch {
-	case v.State == dag.Withdrawn:
+	case v.State == dag.Cancelled:
 		rec, err := job.ParseRecord(open.Value)
 		if err != nil {
 			return f, false, err
 		}
 		return tombstone.Tombstone{Status: job.Cancelled, Tasks: rec.Spec.Tasks}, true, nil
-	case len(v.Unread) > 0:
+	case len(v.MissingTombstones) > 0:
 		// One of them may have been cancelled long ago.
 		return f, true, fmt.Errorf("%w: the records of jobs before it are being read", statekv.ErrRejected)
 	}
@@ -419,7 +419,7 @@
 }
 
 func (g *Gateway) submit(c *fiber.Ctx) error {
-	spec, err := job.Parse(c.Body())
+	spec, err := job.ParseSpec(c.Body())
 	if err != nil {
 		return fail(c, fiber.StatusBadRequest, err.Error())
 	}
@@ -436,31 +436,31 @@
 	if l.cutOff(time.Now()) {
 		return later(c, "cut off from the state service")
 	}
-	if _, open := l.Mirror.Get(job.OpenKey(spec.ID)); open {
+	if _, open := l.Mirror.Get(job.RecordKey(spec.ID)); open {
 		// A transaction whose conditions fail counts against the limit of changes: none
 		// is needed to tell that a job is known.
 		return g.known(c, ctx, spec.ID)
 	}
-	if reason := spec.NeverRuns(types, g.settings.Teams); reason != "" {
+	if reason := spec.UnschedulableReason(types, g.settings.Teams); reason != "" {
 		return g.refuse(c, ctx, spec.ID, fiber.StatusUnprocessableEntity, reason)
 	}
 	slot, epoch, ok := l.Scheduler.OwnJobShard()
 	if !ok {
 		return later(c, "starting")
 	}
-	rec := &job.Record{Spec: *spec, Slot: slot, Submitted: time.Now().UnixMilli()}
-	when := append(tombstone.Absent(spec.ID), statekv.Compare{Key: job.OpenKey(spec.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + slot, Rev: epoch})
+	rec := &job.Record{Spec: *spec, JobShard: slot, SubmittedMS: time.Now().UnixMilli()}
+	when := append(tombstone.AbsentCompares(spec.ID), statekv.Compare{Key: job.RecordKey(spec.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + slot, Rev: epoch})
 	var then []statekv.Op
-	if large := rec.Large(g.settings.StateLimits.MaxValueBytes); large || len(spec.WaitsOn) > 0 {
+	if large := rec.ExceedsLimit(g.settings.StateLimits.MaxValueBytes); large || len(spec.WaitsOn) > 0 {
 		// Whoever does not know of these would start it at once, or not read it: none
 		// may live while such a record exists.
-		level, unchanged := l.ClusterVersion.Now()
-		if !level.Takes(rollout.Pipelines) {
+		level, unchanged := l.ClusterVersion.Current()
+		if !level.Accepts(rollout.FeatureDependencies) {
 			return later(c, "not all controllers know jobs that wait for others yet")
 		}
 		when = append(when, unchanged)
 		if large {
-			if then, err = rec.Split(g.settings.StateLimits.MaxValueBytes, g.settings.StateLimits.MaxTxnOps-1); err != nil {
+			if then, err = rec.SplitSpec(g.settings.StateLimits.MaxValueBytes, g.settings.StateLimits.MaxTxnOps-1); err != nil {
 				return g.refuse(c, ctx, spec.ID, fiber.StatusBadRequest, "waits_on or host_kinds: "+err.Error())
 			}
 		}
@@ -471,11 +471,11 @@
 	} else if reason != "" {
 		return g.refuse(c, ctx, spec.ID, fiber.StatusUnprocessableEntity, reason)
 	}
-	rev, err := writeOnce(ctx, l.Member, when, append(then, statekv.Op{Set: job.OpenKey(spec.ID), Value: rec}))
+	rev, err := writeOnce(ctx, l.Member, when, append(then, statekv.Op{Set: job.RecordKey(spec.ID), Value: rec}))
 	if err == nil {
 		l.Scheduler.OnJobAccepted(rec, rev)
 		l.Clock.Record(recovery.StepSubmissionAccepted)
-		slog.Info(logline.JobAccepted, "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "gpus", spec.GPUs, "deadline_s", spec.Due().Seconds(), "job_shard", slot, "dependencies", len(spec.WaitsOn))
+		slog.Info(logline.JobAccepted, "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "gpus", spec.GPUs, "deadline_s", spec.RelativeDeadline().Seconds(), "job_shard", slot, "dependencies", len(spec.WaitsOn))
 		return c.Status(fiber.StatusCreated).JSON(jobStatus{ID: spec.ID, Status: job.Queued})
 	}
 	if errors.Is(err, statekv.ErrRejected) {
@@ -591,10 +591,10 @@
 			break
 		}
 		f := tombstone.Tombstone{Status: job.Cancelled, Tasks: rec.Spec.Tasks}
-		level, unchanged := l.ClusterVersion.Now()
-		then := append([]statekv.Op{{Delete: job.OpenKey(id)}}, tombstone.Ops(id, f, level.Writes())...)
-		then = append(then, job.DropExtras(id, rec.Spec.Tasks, rec.Pieces, g.store.MaxTxnOps(g.settings.StateLimits.MaxTxnOps)-len(then))...)
-		rev, err := writeOnce(ctx, l.Member, []statekv.Compare{{Key: job.OpenKey(id), Rev: kv.Rev}, unchanged}, then)
+		level, unchanged := l.ClusterVersion.Current()
+		then := append([]statekv.Op{{Delete: job.RecordKey(id)}}, tombstone.WriteOps(id, f, level.TombstoneFormats())...)
+		then = append(then, job.DeleteAuxiliaryOps(id, rec.Spec.Tasks, rec.SpecFragments, g.store.MaxTxnOps(g.settings.StateLimits.MaxTxnOps)-len(then))...)
+		rev, err := writeOnce(ctx, l.Member, []statekv.Compare{{Key: job.RecordKey(id), Rev: kv.Rev}, unchanged}, then)
 		if err == nil {
 			l.tellOwners(ctx, id, rev)
 			slog.Info("cancellation acknowledged", "job", id, "latency_ms", time.Since(began).Milliseconds())
--- a/internal/gateway/pipelines.go
+++ b/internal/gateway/pipelines.go
@@ -22,7 +22,7 @@
 		if _, ok := g.CachedTombstone(id); ok {
 			continue
 		}
-		kv, ok := l.Mirror.Get(job.OpenKey(id))
+		kv, ok := l.Mirror.Get(job.RecordKey(id))
 		if !ok {
 			unknown = append(unknown, id)
 			continue
@@ -60,8 +60,8 @@
 	for len(ids) > 0 {
 		group := ids[:min(most, len(ids))]
 		ids = ids[len(group):]
-		_, never, err := tombstone.Split(ctx, g.store, l.Member.Fence(), group, func(id string) []statekv.Compare {
-			return append(tombstone.Absent(id), statekv.Compare{Key: job.OpenKey(id)})
+		_, never, err := tombstone.PartitionByPresence(ctx, g.store, l.Member.Fence(), group, func(id string) []statekv.Compare {
+			return append(tombstone.AbsentCompares(id), statekv.Compare{Key: job.RecordKey(id)})
 		})
 		if err != nil {
 			return "", err
--- a/internal/gateway/pipelines_test.go
+++ b/internal/gateway/pipelines_test.go
@@ -80,7 +80,7 @@
 		state.Limit(2048, 8)
 		d := &door{t: t, ctx: ctx, state: state, g: New(settings, state, catalogue, func() (int, time.Duration) { return 0, 0 })}
 		l := &Session{Peers: alone{}, Clock: recovery.NewTimeline(time.Now())}
-		l.Mirror = statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
+		l.Mirror = statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.RecordPrefix, job.SpecFragmentPrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
 			for _, e := range events {
 				l.Scheduler.OnJobEvent(e)
 				d.g.OnTombstoneEvent(e)
@@ -95,7 +95,7 @@
 		if l.Member, err = statekv.OpenSession(ctx, state, l.Mirror, "host-0", 4*time.Second, statekv.Registration{}); err != nil {
 			t.Fatal(err)
 		}
-		l.ClusterVersion = rollout.NewReader(l.Mirror)
+		l.ClusterVersion = rollout.NewVersionReader(l.Mirror)
 		l.Scheduler = scheduler.New(settings, policy.Default(), state, l.Mirror, l.Member, alone{}, catalogue.Types, l.Dependencies)
 		feed := changefeed.New(alone{}, l.Mirror, []string{"host-0"}, l.Scheduler.HighestEpoch, l.Scheduler.OnEntries)
 		l.Feed = feed
@@ -154,7 +154,7 @@
 
 // upgraded lets jobs wait for others.
 func (d *door) upgraded() {
-	d.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.Level{Form: 1, N: 2, Features: []rollout.Feature{rollout.Gated, rollout.Pipelines}}})
+	d.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.ClusterVersion{Schema: 1, Number: 2, Features: []rollout.Feature{rollout.FeatureVersionGate, rollout.FeatureDependencies}}})
 	time.Sleep(time.Second)
 }
 
@@ -168,7 +168,7 @@
 		d.submit(201, "wk-2", "wk-1")
 		d.is("wk-2", job.Queued)
 		// A person has asked for the way back: who waits is not taken any more.
-		d.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.Level{Form: 1, N: 2, Features: []rollout.Feature{rollout.Gated, rollout.Pipelines}, Ends: rollout.Pipelines}})
+		d.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.ClusterVersion{Schema: 1, Number: 2, Features: []rollout.Feature{rollout.FeatureVersionGate, rollout.FeatureDependencies}, Disabling: rollout.FeatureDependencies}})
 		time.Sleep(time.Second)
 		d.submit(503, "wk-3", "wk-1")
 		d.submit(200, "wk-2", "wk-1")
@@ -189,9 +189,9 @@
 		}()
 		time.Sleep(100 * time.Millisecond)
 		d.state.Delay(0)
-		d.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.Level{Form: 1, N: 1, Features: []rollout.Feature{rollout.Gated}}})
+		d.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.ClusterVersion{Schema: 1, Number: 1, Features: []rollout.Feature{rollout.FeatureVersionGate}}})
 		<-done
-		if _, err := d.state.Get(d.ctx, job.OpenKey("wk-2")); err == nil {
+		if _, err := d.state.Get(d.ctx, job.RecordKey("wk-2")); err == nil {
 			t.Error("it was taken")
 		}
 	})
@@ -210,12 +210,12 @@
 		}
 		// Another controller has accepted it a moment ago; it ended long ago, in three forms.
 		d.state.Delay(0)
-		d.put(statekv.Op{Set: job.OpenKey("wk-11"), Value: job.Record{Spec: job.Spec{ID: "wk-11", Tasks: 1}, Slot: "host-9.1"}})
-		d.put(statekv.Op{Set: tombstone.FormerKey("wk-12"), Value: map[string]any{"status": "done", "tasks": 1}})
-		d.put(tombstone.Ops("wk-13", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Compact)...)
-		d.put(tombstone.Ops("wk-14", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Both)...)
+		d.put(statekv.Op{Set: job.RecordKey("wk-11"), Value: job.Record{Spec: job.Spec{ID: "wk-11", Tasks: 1}, JobShard: "host-9.1"}})
+		d.put(statekv.Op{Set: tombstone.LegacyKey("wk-12"), Value: map[string]any{"status": "done", "tasks": 1}})
+		d.put(tombstone.WriteOps("wk-13", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.CompactOnly)...)
+		d.put(tombstone.WriteOps("wk-14", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.LegacyAndCompact)...)
 		d.submit(201, "wk-3", "wk-11", "wk-12", "wk-13", "wk-14", "wk-1", "wk-1")
-		d.put(statekv.Op{Set: job.OpenKey("wk-15"), Value: job.Record{Spec: job.Spec{ID: "wk-15", Tasks: 1, Shape: job.Service}, Slot: "host-9.1"}})
+		d.put(statekv.Op{Set: job.RecordKey("wk-15"), Value: job.Record{Spec: job.Spec{ID: "wk-15", Tasks: 1, Shape: job.Service}, JobShard: "host-9.1"}})
 		time.Sleep(time.Second)
 		if answer := d.submit(422, "wk-4", "wk-15"); !strings.Contains(fmt.Sprint(answer["error"]), "service") {
 			t.Error(answer)
@@ -229,7 +229,7 @@
 		var many []string
 		for k := range 400 {
 			many = append(many, fmt.Sprintf("wk-9%05d", k*211%100000))
-			d.put(tombstone.Ops(many[k], tombstone.Tombstone{Status: job.Done, Tasks: 1}, []tombstone.Writing{tombstone.Former, tombstone.Compact}[k%2])...)
+			d.put(tombstone.WriteOps(many[k], tombstone.Tombstone{Status: job.Done, Tasks: 1}, []tombstone.Formats{tombstone.LegacyOnly, tombstone.CompactOnly}[k%2])...)
 		}
 		d.submit(201, "wk-6", many...)
 		d.submit(200, "wk-6", many...)
@@ -290,8 +290,8 @@
 		d.submit(201, "wk-1")
 		d.submit(201, "wk-2", "wk-1")
 		// Its placer's record comes first.
-		kv, _ := d.state.Get(d.ctx, job.OpenKey("wk-1"))
-		if _, err := d.state.Txn(d.ctx, []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}, append(tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Former), statekv.Op{Delete: kv.Key})); err != nil {
+		kv, _ := d.state.Get(d.ctx, job.RecordKey("wk-1"))
+		if _, err := d.state.Txn(d.ctx, []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}, append(tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.LegacyOnly), statekv.Op{Delete: kv.Key})); err != nil {
 			t.Fatal(err)
 		}
 		if code, answer, _ := d.ask("POST", "/submissions/wk-1/abort", ""); code != 200 || answer["status"] != job.Done {
@@ -306,9 +306,9 @@
 func TestNobodyIsToldAnOlderAnswer(t *testing.T) {
 	open(t, func(d *door) {
 		d.upgraded()
-		d.put(tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former)...)
+		d.put(tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.LegacyOnly)...)
 		for id, needs := range map[string]string{"wk-2": "wk-1", "wk-3": "wk-2"} { // another controller's
-			d.put(statekv.Op{Set: job.OpenKey(id), Value: job.Record{Spec: job.Spec{ID: id, Tasks: 1, WaitsOn: []string{needs}}, Slot: "host-9.1"}})
+			d.put(statekv.Op{Set: job.RecordKey(id), Value: job.Record{Spec: job.Spec{ID: id, Tasks: 1, WaitsOn: []string{needs}}, JobShard: "host-9.1"}})
 		}
 		time.Sleep(time.Second)
 		d.g.mu.Lock()
@@ -335,7 +335,7 @@
 	open(t, func(d *door) {
 		d.upgraded()
 		d.put(statekv.Op{Set: tombstone.Key("wk-1"), Value: "mangled"})
-		d.put(statekv.Op{Set: job.OpenKey("wk-2"), Value: "mangled"})
+		d.put(statekv.Op{Set: job.RecordKey("wk-2"), Value: "mangled"})
 		time.Sleep(time.Second)
 		d.submit(201, "wk-3", "wk-1")
 		d.submit(201, "wk-4", "wk-2", "wk-3")
@@ -354,7 +354,7 @@
 func TestCutOffFromAllButWorkers(t *testing.T) {
 	open(t, func(d *door) {
 		d.submit(201, "wk-1")
-		d.put(tombstone.Ops("wk-2", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Former)...)
+		d.put(tombstone.WriteOps("wk-2", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.LegacyOnly)...)
 		time.Sleep(time.Second)
 		d.is("wk-2", job.Done)
 		if code, _, _ := d.ask("GET", "/ready", ""); code != 200 {
@@ -390,9 +390,9 @@
 // for the steward's sweep, and nobody starts anything of it.
 func TestCancelledUnderALowerLimit(t *testing.T) {
 	open(t, func(d *door) {
-		rec := job.Record{Spec: job.Spec{ID: "wk-1", Tasks: job.MaxTasks, Shape: job.Array}, Slot: "host-9.1"}
-		d.put(statekv.Op{Set: job.OpenKey("wk-1"), Value: rec})
-		for _, key := range job.Extras("wk-1", job.MaxTasks, 0) {
+		rec := job.Record{Spec: job.Spec{ID: "wk-1", Tasks: job.MaxTasks, Shape: job.Array}, JobShard: "host-9.1"}
+		d.put(statekv.Op{Set: job.RecordKey("wk-1"), Value: rec})
+		for _, key := range job.AuxiliaryKeys("wk-1", job.MaxTasks, 0) {
 			d.put(statekv.Op{Set: key, Value: "x"})
 		}
 		time.Sleep(time.Second)
@@ -404,7 +404,7 @@
 			t.Fatal(code, answer)
 		}
 		d.is("wk-1", job.Cancelled)
-		if left := len(d.state.Dir(job.PartPrefix)); left == 0 || left == job.Chunks(job.MaxTasks)-1 {
+		if left := len(d.state.Dir(job.CompletedChunkPrefix)); left == 0 || left == job.ChunkCount(job.MaxTasks)-1 {
 			t.Errorf("%d keys are left for the sweep", left)
 		}
 	})
@@ -419,13 +419,13 @@
 		d.submit(201, "wk-1")
 		d.submit(201, "wk-2", "wk-1")
 		time.Sleep(time.Second)
-		seen, ok := d.life.Mirror.Get(job.OpenKey("wk-2"))
+		seen, ok := d.life.Mirror.Get(job.RecordKey("wk-2"))
 		if !ok {
 			d.t.Fatal("its record is not there")
 		}
 		gone := tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}
 		for _, id := range []string{"wk-1", "wk-2"} {
-			d.put(append(tombstone.Ops(id, gone, tombstone.Former), statekv.Op{Delete: job.OpenKey(id)})...)
+			d.put(append(tombstone.WriteOps(id, gone, tombstone.LegacyOnly), statekv.Op{Delete: job.RecordKey(id)})...)
 		}
 		time.Sleep(time.Second)
 		if f, waits, err := d.g.waits("wk-2", seen); !errors.Is(err, errMoved) {
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -28,11 +28,11 @@
 	}
 	ctx, cancel := context.WithTimeout(c.Context(), 4*time.Second)
 	defer cancel()
-	err := l.VersionGate.Do(ctx, c.Params("verb"), rollout.Feature(c.Query("feature")), c.Query("why"))
-	var stuck *rollout.Stuck
+	err := l.VersionGate.Execute(ctx, c.Params("verb"), rollout.Feature(c.Query("feature")), c.Query("why"))
+	var stuck *rollout.BlockedError
 	switch {
 	case errors.As(err, &stuck):
-		return fail(c, fiber.StatusConflict, stuck.Why)
+		return fail(c, fiber.StatusConflict, stuck.Reason)
 	case err != nil:
 		return later(c, err.Error())
 	}
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -28,7 +28,7 @@
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
-	reg, err := rollout.Register(mirror, rollout.OurCaps())
+	reg, err := rollout.NewRegistration(mirror, rollout.LocalCapabilities())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 			t.Errorf("%s: %s", path, body)
 		}
 	}
-	g.SetSession(&Session{Member: member, Mirror: mirror, VersionGate: rollout.NewGate([]string{"host-0"}, policy.Default(), mirror, member, state, func() uint64 { return 0 })})
+	g.SetSession(&Session{Member: member, Mirror: mirror, VersionGate: rollout.NewVersionGate([]string{"host-0"}, policy.Default(), mirror, member, state, func() uint64 { return 0 })})
 	if body := ask("POST", "/rollout/lower", 409); !strings.Contains(body, "level 0") {
 		t.Error(body)
 	}
@@ -70,7 +70,7 @@
 	if err := mirror.ReadIndex(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal([]byte(ask("GET", "/rollout.json", 200)), &s); err != nil || s.Hold != "it is Friday" || len(s.Controllers) != 1 || s.Controllers[0].Build != rollout.Build {
+	if err := json.Unmarshal([]byte(ask("GET", "/rollout.json", 200)), &s); err != nil || s.HoldReason != "it is Friday" || len(s.Controllers) != 1 || s.Controllers[0].Build != rollout.BuildVersion {
 		t.Errorf("%+v %v", s, err)
 	}
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -99,7 +99,7 @@
 	for i := range entries {
 		for _, t := range entries[i].Tasks {
 			if t.State != worker.TaskExited {
-				held[t.Team] = held[t.Team].Add(t.Need, 1)
+				held[t.Team] = held[t.Team].AddScaled(t.Need, 1)
 			}
 		}
 	}
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -71,7 +71,7 @@
 				answer["error"] = "(a reason)"
 			}
 			fmt.Fprintf(&b, "%s\n  %d %s\n", strings.Join(request[:], " "), code, wireformat.Indent(t, answer))
-			if stored, err := d.state.Get(d.ctx, job.OpenKey("wk-1")); err == nil && code == http.StatusCreated {
+			if stored, err := d.state.Get(d.ctx, job.RecordKey("wk-1")); err == nil && code == http.StatusCreated {
 				fmt.Fprintf(&b, "  stored %s\n", stored.Value)
 			}
 		}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -43,19 +43,19 @@
 	MemoryGB float64 `json:"mem_gb"`
 }
 
-// Fits reports whether need fits into room.
-func (n Need) Fits(room Need) bool {
+// FitsIn reports whether need fits into room.
+func (n Need) FitsIn(room Need) bool {
 	const slack = 1e-9
 	return n.CPUs <= room.CPUs+slack && n.GPUs <= room.GPUs+slack && n.MemoryGB <= room.MemoryGB+slack
 }
 
-// Add returns n plus k times o.
-func (n Need) Add(o Need, k float64) Need {
+// AddScaled returns n plus k times o.
+func (n Need) AddScaled(o Need, k float64) Need {
 	return Need{n.CPUs + k*o.CPUs, n.GPUs + k*o.GPUs, n.MemoryGB + k*o.MemoryGB}
 }
 
-// Share is the part of a machine's capacity that need takes: the largest of its amounts.
-func (n Need) Share(capacity Need) float64 {
+// DominantShare is the part of a machine's capacity that need takes: the largest of its amounts.
+func (n Need) DominantShare(capacity Need) float64 {
 	most := 0.0
 	for _, p := range [][2]float64{{n.CPUs, capacity.CPUs}, {n.GPUs, capacity.GPUs}, {n.MemoryGB, capacity.MemoryGB}} {
 		if p[1] > 0 {
@@ -65,8 +65,8 @@
 	return most
 }
 
-// Count is how many times need fits into room.
-func (n Need) Count(room Need) int {
+// CountIn is how many times need fits into room.
+func (n Need) CountIn(room Need) int {
 	k := math.Inf(1)
 	for _, p := range [][2]float64{{n.CPUs, room.CPUs}, {n.GPUs, room.GPUs}, {n.MemoryGB, room.MemoryGB}} {
 		if p[0] > 0 {
@@ -109,19 +109,19 @@
 	WaitsOn []string `json:"waits_on,omitempty"`
 }
 
-// Save is the time a task needs to save when it is stopped.
-func (s *Spec) Save() time.Duration { return config.Seconds(s.SaveS) }
+// CheckpointDuration is the time a task needs to save when it is stopped.
+func (s *Spec) CheckpointDuration() time.Duration { return config.Seconds(s.SaveS) }
 
-// Due is the time from the submission to the job's deadline, or 0 without one.
-func (s *Spec) Due() time.Duration {
+// RelativeDeadline is the time from the submission to the job's deadline, or 0 without one.
+func (s *Spec) RelativeDeadline() time.Duration {
 	if s.DeadlineS == nil {
 		return 0
 	}
 	return config.Seconds(*s.DeadlineS)
 }
 
-// Saves reports whether the job's tasks can save their progress.
-func (s *Spec) Saves() bool { return s.CheckpointS > 0 }
+// CanCheckpoint reports whether the job's tasks can save their progress.
+func (s *Spec) CanCheckpoint() bool { return s.CheckpointS > 0 }
 
 // LowestPriority is the priority that stops nobody.
 const LowestPriority = 0
@@ -129,8 +129,8 @@
 // Priority orders the ranks; higher goes first.
 func (s *Spec) Priority() int { return ranks[s.Rank] }
 
-// RankOf orders ranks as Priority does; what is none comes last.
-func RankOf(rank string) int {
+// PriorityOfRank orders ranks as Priority does; what is none comes last.
+func PriorityOfRank(rank string) int {
 	if n, ok := ranks[rank]; ok {
 		return n
 	}
@@ -147,8 +147,8 @@
 var required = []string{"id", "job_class", "owner", "shape", "rank", "pieces", "cpus", "gpus", "mem_gb", "bundle", "pull_gb",
 	"one_zone", "spread", "loaners", "guess_s", "snapshot_every_s", "snapshot_s"}
 
-// Parse reads a submission; an error says what is malformed.
-func Parse(body []byte) (*Spec, error) {
+// ParseSpec reads a submission; an error says what is malformed.
+func ParseSpec(body []byte) (*Spec, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
 		return nil, errors.New("the body is not a JSON object")
@@ -180,9 +180,9 @@
 	})
 }
 
-// MostWaitsOn bounds the jobs that one may wait for: with the longest ids they take
+// MaxDependencies bounds the jobs that one may wait for: with the longest ids they take
 // half of the largest submission.
-const MostWaitsOn = 1000
+const MaxDependencies = 1000
 
 func (s *Spec) check() error {
 	_, knownRank := ranks[s.Rank]
@@ -214,8 +214,8 @@
 		return fmt.Errorf("pieces: must be 1 to %d", MaxTasks)
 	case len(s.Types) > 50:
 		return errors.New("host_kinds: has more than 50 entries")
-	case len(s.WaitsOn) > MostWaitsOn:
-		return fmt.Errorf("waits_on: has more than %d entries", MostWaitsOn)
+	case len(s.WaitsOn) > MaxDependencies:
+		return fmt.Errorf("waits_on: has more than %d entries", MaxDependencies)
 	case s.Zone != nil && (*s.Zone == "" || len(*s.Zone) > 100):
 		return errors.New("site: must have 1 to 100 bytes")
 	}
@@ -245,8 +245,8 @@
 	return false
 }
 
-// Allows reports whether the job may run on such a machine at all.
-func (s *Spec) Allows(typeName, zone string, spot bool) bool {
+// AllowsMachine reports whether the job may run on such a machine at all.
+func (s *Spec) AllowsMachine(typeName, zone string, spot bool) bool {
 	return s.AllowsType(typeName) && (s.Zone == nil || *s.Zone == zone) && (s.Spot || !spot)
 }
 
@@ -255,15 +255,15 @@
 func (s *Spec) FetchTime(types map[string]cloud.MachineType) time.Duration {
 	slowest := 0.0
 	for _, t := range types {
-		if t.FetchGBPerS > 0 && s.AllowsType(t.Name) && s.Fits(Capacity(t)) {
+		if t.FetchGBPerS > 0 && s.AllowsType(t.Name) && s.FitsIn(Capacity(t)) {
 			slowest = max(slowest, s.ImageGB/t.FetchGBPerS)
 		}
 	}
 	return config.Seconds(slowest)
 }
 
-// NeverRuns says why the job can never run, or nothing.
-func (s *Spec) NeverRuns(types map[string]cloud.MachineType, teams map[string]config.Team) string {
+// UnschedulableReason says why the job can never run, or nothing.
+func (s *Spec) UnschedulableReason(types map[string]cloud.MachineType, teams map[string]config.Team) string {
 	if slices.Contains(s.WaitsOn, s.ID) {
 		return "waits_on: the job waits for itself"
 	}
@@ -277,7 +277,7 @@
 		for _, z := range t.Zones {
 			zoned = zoned || z == *s.Zone
 		}
-		fits = fits || zoned && s.AllowsType(t.Name) && s.Fits(Capacity(t))
+		fits = fits || zoned && s.AllowsType(t.Name) && s.FitsIn(Capacity(t))
 	}
 	if !fits {
 		return "a task fits no allowed machine type"
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -16,7 +16,7 @@
 const good = `{"id":"wk-000412","job_class":"train","owner":"vision","shape":"gang","rank":"high","pieces":16,"cpus":8.0,"gpus":1.0,"mem_gb":64.0,"bundle":"img-07","pull_gb":6.2,"host_kinds":["g8"],"site":null,"one_zone":true,"spread":false,"loaners":true,"guess_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0,"new_field":1}`
 
 func TestSubmissionsAreReadOrRefusedWithAReason(t *testing.T) {
-	if s, err := Parse([]byte(good)); err != nil || s.Tasks != 16 || *s.DeadlineS != 900 {
+	if s, err := ParseSpec([]byte(good)); err != nil || s.Tasks != 16 || *s.DeadlineS != 900 {
 		t.Fatalf("%+v: %v", s, err)
 	}
 	for _, c := range []struct{ old, new, field string }{
@@ -37,9 +37,9 @@
 		{`"new_field":1`, `"waits_on":["job-1"]`, "waits_on"},
 		{`"new_field":1`, `"waits_on":["wk-1",null]`, "waits_on"},
 		{`"new_field":1`, `"waits_on":{"wk-1":1}`, "waits_on"},
-		{`"new_field":1`, `"waits_on":[` + names(MostWaitsOn+1) + `]`, "waits_on"},
+		{`"new_field":1`, `"waits_on":[` + names(MaxDependencies+1) + `]`, "waits_on"},
 	} {
-		if _, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.field) {
+		if _, err := ParseSpec([]byte(strings.Replace(good, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.field) {
 			t.Errorf("%s: error %v does not name %s", c.new, err, c.field)
 		}
 	}
@@ -57,9 +57,9 @@
 // A submission that names no others is as it was; names that are given twice count once;
 // hundreds of the longest fit a submission.
 func TestNamesOfJobsToWaitFor(t *testing.T) {
-	for with, n := range map[string]int{`"x":1`: 0, `"waits_on":null`: 0, `"waits_on":[]`: 0, `"waits_on":["wk-1","wk-2","wk-1"]`: 2, `"waits_on":[` + names(MostWaitsOn) + `]`: MostWaitsOn} {
+	for with, n := range map[string]int{`"x":1`: 0, `"waits_on":null`: 0, `"waits_on":[]`: 0, `"waits_on":["wk-1","wk-2","wk-1"]`: 2, `"waits_on":[` + names(MaxDependencies) + `]`: MaxDependencies} {
 		body := strings.Replace(good, `"new_field":1`, with, 1)
-		s, err := Parse([]byte(body))
+		s, err := ParseSpec([]byte(body))
 		if err != nil || len(s.WaitsOn) != n || len(body) > 64<<10 {
 			t.Errorf("%.40s: %v, %d bytes", with, err, len(body))
 			continue
@@ -68,11 +68,11 @@
 			t.Errorf("%.40s: its record is not as it was: %s", with, raw)
 		}
 	}
-	s, err := Parse([]byte(strings.Replace(good, `"new_field":1`, `"waits_on":["wk-000412"]`, 1)))
+	s, err := ParseSpec([]byte(strings.Replace(good, `"new_field":1`, `"waits_on":["wk-000412"]`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := s.NeverRuns(nil, nil); !strings.Contains(r, "waits for itself") {
+	if r := s.UnschedulableReason(nil, nil); !strings.Contains(r, "waits for itself") {
 		t.Error(r)
 	}
 }
@@ -82,24 +82,24 @@
 // limit.
 func TestRecordsInPieces(t *testing.T) {
 	const limit, ops = 2048, 8
-	s, err := Parse([]byte(strings.Replace(good, `"new_field":1`, `"waits_on":[`+names(500)+`]`, 1)))
+	s, err := ParseSpec([]byte(strings.Replace(good, `"new_field":1`, `"waits_on":[`+names(500)+`]`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Tasks = MaxTasks
-	rec := Record{Spec: *s, Slot: "host-0.1", Submitted: 1, SpecRest: statekv.UnknownFields{"colour": json.RawMessage(`"blue"`)}}
-	if !rec.Large(limit) {
+	rec := Record{Spec: *s, JobShard: "host-0.1", SubmittedMS: 1, UnknownSpecFields: statekv.UnknownFields{"colour": json.RawMessage(`"blue"`)}}
+	if !rec.ExceedsLimit(limit) {
 		t.Fatal("it is not large")
 	}
-	pieces, err := rec.Split(limit, ops-1)
+	pieces, err := rec.SplitSpec(limit, ops-1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := NewSet(MaxTasks)
+	done := NewTaskBitmap(MaxTasks)
 	for k := range MaxTasks {
 		done.Add(k)
 	}
-	rec.Done = done.Chunk(0)
+	rec.CompletedTasks = done.EncodeChunk(0)
 	raw, err := json.Marshal(rec)
 	if err != nil || len(raw) > limit || len(pieces) >= ops {
 		t.Fatalf("%d bytes, %d pieces: %v", len(raw), len(pieces), err)
@@ -114,41 +114,41 @@
 	get := func(key string) (statekv.KV, bool) { v, ok := kept[key]; return statekv.KV{Key: key, Value: v}, ok }
 	back, err := ParseRecord(raw)
 	if err == nil {
-		err = back.Join(get)
+		err = back.JoinSpec(get)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back.Keep(raw); !reflect.DeepEqual(back.Spec, *s) || string(back.SpecRest["colour"]) != `"blue"` || back.Rest != nil {
-		t.Errorf("%.300s", back.SpecRest)
+	if back.KeepUnknownFields(raw); !reflect.DeepEqual(back.Spec, *s) || string(back.UnknownSpecFields["colour"]) != `"blue"` || back.UnknownFields != nil {
+		t.Errorf("%.300s", back.UnknownSpecFields)
 	}
 	if again, _ := json.Marshal(back); string(again) != string(raw) {
 		t.Errorf("written again it is another:\n%.200s\n%.200s", raw, again)
 	}
-	if got := len(Extras(s.ID, s.Tasks, back.Pieces)); got != len(pieces)+Chunks(MaxTasks)-1 {
+	if got := len(AuxiliaryKeys(s.ID, s.Tasks, back.SpecFragments)); got != len(pieces)+ChunkCount(MaxTasks)-1 {
 		t.Error(got)
 	}
 	// A piece that is missing, damaged or another job's: named, and nothing is made of it.
-	first := PieceKey(s.ID, 0)
+	first := SpecFragmentKey(s.ID, 0)
 	for what, v := range map[string]json.RawMessage{"missing": nil, "no text": json.RawMessage(`1`), "damaged": json.RawMessage(`"AAAA"`)} {
 		was := kept[first]
 		if kept[first] = v; v == nil {
 			delete(kept, first)
 		}
 		bad, _ := ParseRecord(raw)
-		if err := bad.Join(get); err == nil {
+		if err := bad.JoinSpec(get); err == nil {
 			t.Errorf("%s: joined", what)
 		}
 		kept[first] = was
 	}
 	// What does not fit at all is refused.
-	if _, err := (&Record{Spec: *s}).Split(limit, 1); !errors.Is(err, ErrTooLarge) {
+	if _, err := (&Record{Spec: *s}).SplitSpec(limit, 1); !errors.Is(err, ErrSpecTooLarge) {
 		t.Error(err)
 	}
 	// An ordinary record fits as it is, however many tasks it has.
-	plain, _ := Parse([]byte(good))
+	plain, _ := ParseSpec([]byte(good))
 	plain.Tasks = MaxTasks
-	if (Record{Spec: *plain, Slot: "host-0.123456", Submitted: 1764633600000}).Large(limit) {
+	if (Record{Spec: *plain, JobShard: "host-0.123456", SubmittedMS: 1764633600000}).ExceedsLimit(limit) {
 		t.Error("an ordinary job is large")
 	}
 }
@@ -156,24 +156,24 @@
 func TestWhatCanNeverRun(t *testing.T) {
 	types := map[string]cloud.MachineType{"g8": {Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a"}}}
 	teams := map[string]config.Team{"vision": {Name: "vision", GPUQuota: 8}}
-	s, err := Parse([]byte(good))
+	s, err := ParseSpec([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := s.NeverRuns(types, teams); !strings.Contains(r, "limit") {
+	if r := s.UnschedulableReason(types, teams); !strings.Contains(r, "limit") {
 		t.Errorf("a gang over the limit: %q", r)
 	}
 	s.Shape = Array
-	if r := s.NeverRuns(types, teams); r != "" {
+	if r := s.UnschedulableReason(types, teams); r != "" {
 		t.Errorf("an array counts by the task: %q", r)
 	}
 	zone := "b"
 	s.Zone = &zone
-	if r := s.NeverRuns(types, teams); r == "" {
+	if r := s.UnschedulableReason(types, teams); r == "" {
 		t.Error("no machine type is offered in that zone")
 	}
 	s.Team = "nobody"
-	if r := s.NeverRuns(types, teams); !strings.Contains(r, "team") {
+	if r := s.UnschedulableReason(types, teams); !strings.Contains(r, "team") {
 		t.Errorf("unknown team: %q", r)
 	}
 }
@@ -181,17 +181,17 @@
 // Finished tasks of the largest job fit their keys and come back whole.
 func TestFinishedTasksSurviveTheirRecords(t *testing.T) {
 	const n = MaxTasks
-	done := NewSet(n)
+	done := NewTaskBitmap(n)
 	for i := 0; i < n; i += 3 {
 		done.Add(i)
 	}
-	back := NewSet(n)
-	for k := range Chunks(n) {
-		c := done.Chunk(k)
+	back := NewTaskBitmap(n)
+	for k := range ChunkCount(n) {
+		c := done.EncodeChunk(k)
 		if len(c) > 4096 {
 			t.Fatalf("chunk %d has %d bytes", k, len(c))
 		}
-		if err := back.Load(k, c); err != nil {
+		if err := back.LoadChunk(k, c); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -213,8 +213,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rec.Keep([]byte(raw))
-		rec.Done = "Bw"
+		rec.KeepUnknownFields([]byte(raw))
+		rec.CompletedTasks = "Bw"
 		out, err := json.Marshal(rec)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -13,91 +13,93 @@
 // Keys of the state service. Open jobs and ended ones (package ended) are kept
 // apart, so that adopting a slot never reads the whole past.
 const (
-	OpenPrefix = "robin/job/"
-	PartPrefix = "robin/part/"
+	RecordPrefix         = "robin/job/"
+	CompletedChunkPrefix = "robin/part/"
 )
 
-// RecordForm is the form of job records that this build writes and reads.
-const RecordForm = 0
+// RecordSchema is the form of job records that this build writes and reads.
+const RecordSchema = 0
 
 // Record is an unfinished job in the state service. Done holds the finished
 // tasks of the first chunk; the other chunks have keys of their own.
 type Record struct {
-	Form      int    `json:"form,omitempty"`
-	Spec      Spec   `json:"spec"`
-	Slot      string `json:"slot"`
-	Submitted int64  `json:"submitted_ms"`
-	Done      string `json:"done,omitempty"`
+	Schema         int    `json:"form,omitempty"`
+	Spec           Spec   `json:"spec"`
+	JobShard       string `json:"slot"`
+	SubmittedMS    int64  `json:"submitted_ms"`
+	CompletedTasks string `json:"done,omitempty"`
 
-	// Failed is what is known of a job of which nothing has succeeded yet.
-	Failed *Failures `json:"failed,omitempty"`
+	// Failures is what is known of a job of which nothing has succeeded yet.
+	Failures *FailureHistory `json:"failed,omitempty"`
 
-	// Pieces is in how many keys the spec is kept; see Split. Until it is joined, Spec
+	// SpecFragments is in how many keys the spec is kept; see Split. Until it is joined, Spec
 	// has only the id and the number of tasks.
-	Pieces int `json:"spec_pieces,omitempty"`
+	SpecFragments int `json:"spec_pieces,omitempty"`
 
 	// What a later version wrote, beside these and in the spec: see Keep.
-	Rest     statekv.UnknownFields `json:"-"`
-	SpecRest statekv.UnknownFields `json:"-"`
+	UnknownFields     statekv.UnknownFields `json:"-"`
+	UnknownSpecFields statekv.UnknownFields `json:"-"`
 }
 
-// Failures are what a job's placer found out about it, so that its next placer need
+// FailureHistory are what a job's placer found out about it, so that its next placer need
 // not fail it on as many machines again.
-type Failures struct {
-	On      []string `json:"on"`      // machines on which it failed, at most MostFailedOn of them
-	Row     int      `json:"row"`     // failures in a row
-	Suspect bool     `json:"suspect"` // it is at fault, and not they
+type FailureHistory struct {
+	Machines    []string `json:"on"`      // machines on which it failed, at most MaxFailedMachines of them
+	Consecutive int      `json:"row"`     // failures in a row
+	Suspected   bool     `json:"suspect"` // it is at fault, and not they
 }
 
-// MostFailedOn bounds the machines that a record names.
-const MostFailedOn = 8
+// MaxFailedMachines bounds the machines that a record names.
+const MaxFailedMachines = 8
 
 // MarshalJSON writes the record with what a later version wrote.
 func (r Record) MarshalJSON() ([]byte, error) {
 	type plain Record
-	if r.Pieces > 0 {
-		r.Spec, r.SpecRest = r.Spec.stub(), nil
+	if r.SpecFragments > 0 {
+		r.Spec, r.UnknownSpecFields = r.Spec.stub(), nil
 	}
-	if r.SpecRest == nil && r.Rest == nil {
+	if r.UnknownSpecFields == nil && r.UnknownFields == nil {
 		return json.Marshal(struct{ *plain }{(*plain)(&r)})
 	}
-	return json.Marshal(statekv.WithUnknown{Unknown: r.Rest, Value: struct {
+	return json.Marshal(statekv.WithUnknown{Unknown: r.UnknownFields, Value: struct {
 		*plain
 		Spec statekv.WithUnknown `json:"spec"`
-	}{(*plain)(&r), statekv.WithUnknown{Value: r.Spec, Unknown: r.SpecRest}}})
+	}{(*plain)(&r), statekv.WithUnknown{Value: r.Spec, Unknown: r.UnknownSpecFields}}})
 }
 
 // SubmittedAt is when the job was accepted, by the clock of the controller
 // that accepted it.
-func (r *Record) SubmittedAt() time.Time { return time.UnixMilli(r.Submitted) }
+func (r *Record) SubmittedAt() time.Time { return time.UnixMilli(r.SubmittedMS) }
 
-// OpenKey names a job's record.
-func OpenKey(id string) string { return OpenPrefix + id }
+// RecordKey names a job's record.
+func RecordKey(id string) string { return RecordPrefix + id }
 
-// PartKey names the key with a later chunk of a job's finished tasks.
-func PartKey(id string, chunk int) string { return fmt.Sprintf("%s%s/%d", PartPrefix, id, chunk) }
+// CompletedChunkKey names the key with a later chunk of a job's finished tasks.
+func CompletedChunkKey(id string, chunk int) string {
+	return fmt.Sprintf("%s%s/%d", CompletedChunkPrefix, id, chunk)
+}
 
-// ChunkTasks is how many tasks one chunk of finished tasks covers: in base64
+// TasksPerChunk is how many tasks one chunk of finished tasks covers: in base64
 // it stays well under half of any value limit, beside the spec.
-const ChunkTasks = 8192
+const TasksPerChunk = 8192
 
-// Chunks is the number of chunks for a job of so many tasks.
-func Chunks(tasks int) int { return (tasks + ChunkTasks - 1) / ChunkTasks }
+// ChunkCount is the number of chunks for a job of so many tasks.
+func ChunkCount(tasks int) int { return (tasks + TasksPerChunk - 1) / TasksPerChunk }
 
-// Set is a set of task indices.
-type Set struct{ words []uint64 }
+// TaskBitmap is a set of task indices.
+type TaskBitmap struct{ words []uint64 }
 
-// NewSet returns an empty set for indices below n.
-func NewSet(n int) Set { return Set{words: make([]uint64, (n+63)/64)} }
+// NewTaskBitmap returns an empty set for indices below n.
+func NewTaskBitmap(n int) TaskBitmap { return TaskBitmap{words: make([]uint64, (n+63)/64)} }
 
 // Has reports whether i is in the set.
-func (s Set) Has(i int) bool { return s.words[i/64]&(1<<(i%64)) != 0 }
+func (s TaskBitmap) Has(i int) bool { return s.words[i/64]&(1<<(i%64)) != 0 }
 
 // Add puts i into the set.
-func (s Set) Add(i int) { s.words[i/64] |= 1 << (i % 64) }
+func (s TaskBitmap) Add(i int) { s.words[i/64] |= 1 << (i % 64) }
 
 // Len is the number of indices in the set.
-func (s Set) Len() int {
+func (s TaskBitmap) Len() int {
 	n := 0
 	for _, w := range s.words {
 		n += bits.OnesCount64(w)
@@ -105,11 +107,11 @@
 	return n
 }
 
-// Chunk encodes one chunk of the set.
-func (s Set) Chunk(k int) string {
+// EncodeChunk encodes one chunk of the set.
+func (s TaskBitmap) EncodeChunk(k int) string {
 	var out []byte
 	end := 0
-	for i := k * ChunkTasks / 64; i < len(s.words) && i < (k+1)*ChunkTasks/64; i++ {
+	for i := k * TasksPerChunk / 64; i < len(s.words) && i < (k+1)*TasksPerChunk/64; i++ {
 		for b := range 8 {
 			out = append(out, byte(s.words[i]>>(8*b)))
 			if out[len(out)-1] != 0 {
@@ -120,33 +122,33 @@
 	return base64.RawStdEncoding.EncodeToString(out[:end])
 }
 
-// Load adds an encoded chunk to the set.
-func (s Set) Load(k int, chunk string) error {
+// LoadChunk adds an encoded chunk to the set.
+func (s TaskBitmap) LoadChunk(k int, chunk string) error {
 	raw, err := base64.RawStdEncoding.DecodeString(chunk)
 	if err != nil {
 		return fmt.Errorf("decoding finished tasks: %w", err)
 	}
 	for i, b := range raw {
-		if w := k*ChunkTasks/64 + i/8; w < len(s.words) {
+		if w := k*TasksPerChunk/64 + i/8; w < len(s.words) {
 			s.words[w] |= uint64(b) << (8 * (i % 8))
 		}
 	}
 	return nil
 }
 
-// Keep has the record keep what a later version wrote in raw, as which it was read: for
+// KeepUnknownFields has the record keep what a later version wrote in raw, as which it was read: for
 // those who will rewrite it. Questions, which only read it, come hundreds of times a
 // second.
-func (r *Record) Keep(raw json.RawMessage) {
+func (r *Record) KeepUnknownFields(raw json.RawMessage) {
 	var parts struct {
 		Spec json.RawMessage `json:"spec"`
 	}
 	if json.Unmarshal(raw, &parts) != nil {
 		return
 	}
-	r.Rest = statekv.UnknownFieldsOf(raw, r)
-	if r.Pieces == 0 { // else Join has seen to it
-		r.SpecRest = statekv.UnknownFieldsOf(parts.Spec, &r.Spec)
+	r.UnknownFields = statekv.UnknownFieldsOf(raw, r)
+	if r.SpecFragments == 0 { // else Join has seen to it
+		r.UnknownSpecFields = statekv.UnknownFieldsOf(parts.Spec, &r.Spec)
 	}
 }
 
@@ -154,8 +156,8 @@
 func ParseRecord(raw json.RawMessage) (*Record, error) {
 	var r Record
 	err := json.Unmarshal(raw, &r)
-	if err != nil || r.Form > RecordForm {
-		if later := statekv.CheckSchema("a job's record", raw, RecordForm); later != nil {
+	if err != nil || r.Schema > RecordSchema {
+		if later := statekv.CheckSchema("a job's record", raw, RecordSchema); later != nil {
 			return nil, later
 		}
 		return nil, fmt.Errorf("decoding job record: %w", err)
--- a/internal/job/wire_test.go
+++ b/internal/job/wire_test.go
@@ -13,13 +13,13 @@
 func TestWireForms(t *testing.T) {
 	wireformat.JSON[Spec](t, "spec")
 	wireformat.JSON[Record](t, "record")
-	wireformat.Golden(t, "keys", OpenKey("wk-1")+"\n"+PartKey("wk-1", 2)+"\n"+PieceKey("wk-1", 3)+"\n")
+	wireformat.Golden(t, "keys", RecordKey("wk-1")+"\n"+CompletedChunkKey("wk-1", 2)+"\n"+SpecFragmentKey("wk-1", 3)+"\n")
 	wireformat.Golden(t, "words", strings.Join([]string{Array, Gang, Service, Queued, Running, Done, Cancelled,
 		"production", "high", "normal", "best_effort"}, "\n")+"\n")
 	wireformat.Golden(t, "required", strings.Join(required, "\n")+"\n")
 	for name, rank := range map[string]int{"production": 3, "high": 2, "normal": 1, "best_effort": 0} {
-		if RankOf(name) != rank {
-			t.Errorf("rank %s is %d, want %d", name, RankOf(name), rank)
+		if PriorityOfRank(name) != rank {
+			t.Errorf("rank %s is %d, want %d", name, PriorityOfRank(name), rank)
 		}
 	}
 }
@@ -28,13 +28,13 @@
 func TestWireRecordOfALaterVersion(t *testing.T) {
 	var r Record
 	wireformat.Fill(&r)
-	r.Form, r.Pieces, r.Spec.ID, r.Spec.Tasks = RecordForm, 0, "wk-1", 9000
-	finished := NewSet(r.Spec.Tasks)
+	r.Schema, r.SpecFragments, r.Spec.ID, r.Spec.Tasks = RecordSchema, 0, "wk-1", 9000
+	finished := NewTaskBitmap(r.Spec.Tasks)
 	finished.Add(0)
 	finished.Add(70)
-	r.Done = finished.Chunk(0)
-	r.Rest = statekv.UnknownFields{"later": json.RawMessage(`[1]`)}
-	r.SpecRest = statekv.UnknownFields{"later_too": json.RawMessage(`{"a":2}`)}
+	r.CompletedTasks = finished.EncodeChunk(0)
+	r.UnknownFields = statekv.UnknownFields{"later": json.RawMessage(`[1]`)}
+	r.UnknownSpecFields = statekv.UnknownFields{"later_too": json.RawMessage(`{"a":2}`)}
 	wireformat.Golden(t, "record-later", wireformat.Indent(t, r))
 
 	raw := json.RawMessage(wireformat.Recorded(t, "record-later"))
@@ -42,12 +42,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got.Keep(raw)
+	got.KeepUnknownFields(raw)
 	if wireformat.Indent(t, got) != wireformat.Indent(t, r) {
 		t.Errorf("the recorded record reads as %+v, want %+v", got, r)
 	}
-	read := NewSet(r.Spec.Tasks)
-	if err := read.Load(0, got.Done); err != nil || !reflect.DeepEqual(read, finished) {
+	read := NewTaskBitmap(r.Spec.Tasks)
+	if err := read.LoadChunk(0, got.CompletedTasks); err != nil || !reflect.DeepEqual(read, finished) {
 		t.Errorf("the finished tasks read as %v, %v; want %v", read, err, finished)
 	}
 }
@@ -56,10 +56,10 @@
 func TestWirePieces(t *testing.T) {
 	var r Record
 	wireformat.Fill(&r)
-	r.Form, r.Spec.ID, r.Spec.Tasks = RecordForm, "wk-1", 9000
+	r.Schema, r.Spec.ID, r.Spec.Tasks = RecordSchema, "wk-1", 9000
 	want := r.Spec
 	const limit, most = 200, 8
-	ops, err := r.Split(limit, most)
+	ops, err := r.SplitSpec(limit, most)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	if err := json.Unmarshal([]byte(wireformat.Recorded(t, "pieces")), &recorded); err != nil {
 		t.Fatal(err)
 	}
-	r.Pieces = len(recorded)
+	r.SpecFragments = len(recorded)
 	raw, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = got.Join(func(key string) (statekv.KV, bool) {
+	err = got.JoinSpec(func(key string) (statekv.KV, bool) {
 		for _, e := range recorded {
 			if e.Set == key {
 				return statekv.KV{Key: key, Value: e.Value}, true
--- a/internal/rollout/against.go
+++ b/internal/rollout/against.go
@@ -46,46 +46,46 @@
 
 // kinds are all keys that this build knows; the first prefix that fits decides.
 var kinds = []kind{
-	{statekv.ClusterVersionKey, LevelKind, func(_ string, v json.RawMessage) error { _, err := ParseLevel(v); return err }},
+	{statekv.ClusterVersionKey, ClusterVersionKind, func(_ string, v json.RawMessage) error { _, err := ParseClusterVersion(v); return err }},
 	{statekv.MembershipKey, "joins", object("the joins' key")},
 	{statekv.MigrationKey, "move", object("the move's key")},
 	{statekv.LeaderKey, "steward", object("the steward's key")},
 	{statekv.MachineTypesKey, "types", func(_ string, v json.RawMessage) error { var list []json.RawMessage; return json.Unmarshal(v, &list) }},
-	{statekv.SessionPrefix, "node", func(_ string, v json.RawMessage) error { _, err := ParseCaps(v); return err }},
+	{statekv.SessionPrefix, "node", func(_ string, v json.RawMessage) error { _, err := ParseCapabilities(v); return err }},
 	{statekv.JobShardPrefix, "slot", object("a slot's key")},
 	{statekv.MachinePrefix, "machine", parsed},
 	{statekv.MachineShardPrefix, "shard", parsed},
-	{job.OpenPrefix, RecordKind, func(_ string, v json.RawMessage) error { _, err := job.ParseRecord(v); return err }},
-	{tombstone.FormerPrefix, "ended, former", endedJob},
-	{tombstone.Prefix, EndedKind, endedJob},
-	{job.PiecePrefix, "piece", func(_ string, v json.RawMessage) error { var piece string; return json.Unmarshal(v, &piece) }},
-	{job.PartPrefix, "part", func(_ string, v json.RawMessage) error { var chunk string; return json.Unmarshal(v, &chunk) }},
+	{job.RecordPrefix, JobRecordKind, func(_ string, v json.RawMessage) error { _, err := job.ParseRecord(v); return err }},
+	{tombstone.LegacyPrefix, "ended, former", endedJob},
+	{tombstone.Prefix, TombstoneKind, endedJob},
+	{job.SpecFragmentPrefix, "piece", func(_ string, v json.RawMessage) error { var piece string; return json.Unmarshal(v, &piece) }},
+	{job.CompletedChunkPrefix, "part", func(_ string, v json.RawMessage) error { var chunk string; return json.Unmarshal(v, &chunk) }},
 }
 
-// Reading is what a build makes of what is stored.
-type Reading struct {
-	Level  Level
-	Lacks  string         // what this build lacks for the level, or ""
-	Counts map[string]int // values, by kind
-	Bytes  map[string]int
-	Bad    []BadValue
-	Others int // keys that are none of the service's
+// CompatibilityReport is what a build makes of what is stored.
+type CompatibilityReport struct {
+	Version     ClusterVersion
+	Missing     string         // what this build lacks for the level, or ""
+	Counts      map[string]int // values, by kind
+	Bytes       map[string]int
+	Undecodable []UndecodableValue
+	ForeignKeys int // keys that are none of the service's
 }
 
-// Readable reports whether this build could serve on it.
-func (r *Reading) Readable() bool { return r.Lacks == "" && len(r.Bad) == 0 }
+// Compatible reports whether this build could serve on it.
+func (r *CompatibilityReport) Compatible() bool { return r.Missing == "" && len(r.Undecodable) == 0 }
 
 // Add reads one key.
-func (r *Reading) Add(key string, value json.RawMessage) {
+func (r *CompatibilityReport) Add(key string, value json.RawMessage) {
 	if r.Counts == nil {
 		r.Counts, r.Bytes = map[string]int{}, map[string]int{}
 	}
 	at := slices.IndexFunc(kinds, func(k kind) bool { return strings.HasPrefix(key, k.prefix) })
 	if at < 0 {
 		if strings.HasPrefix(key, statekv.RootPrefix) {
-			r.Bad = append(r.Bad, BadValue{key, "this build knows no such key"})
+			r.Undecodable = append(r.Undecodable, UndecodableValue{key, "this build knows no such key"})
 		} else {
-			r.Others++
+			r.ForeignKeys++
 		}
 		return
 	}
@@ -93,18 +93,18 @@
 	r.Bytes[kinds[at].name] += len(key) + len(value)
 	err := kinds[at].read(key, value)
 	if err != nil {
-		r.Bad = append(r.Bad, BadValue{key, err.Error()})
+		r.Undecodable = append(r.Undecodable, UndecodableValue{key, err.Error()})
 	}
 	if key == statekv.ClusterVersionKey && err == nil {
-		r.Level, _ = ParseLevel(value)
-		r.Lacks = OurCaps().Lacks(r.Level)
+		r.Version, _ = ParseClusterVersion(value)
+		r.Missing = LocalCapabilities().Missing(r.Version)
 	}
 }
 
-// ReadDump reads a dump of the state service: its answers to GET /keys, one after the
+// CheckDump reads a dump of the state service: its answers to GET /keys, one after the
 // other, as they came.
-func ReadDump(in io.Reader) (*Reading, error) {
-	r := &Reading{Counts: map[string]int{}, Bytes: map[string]int{}}
+func CheckDump(in io.Reader) (*CompatibilityReport, error) {
+	r := &CompatibilityReport{Counts: map[string]int{}, Bytes: map[string]int{}}
 	dec := json.NewDecoder(in)
 	for n := 1; ; n++ {
 		var page statekv.Page
@@ -119,9 +119,9 @@
 	}
 }
 
-// ReadStore reads all that a state service holds for the service.
-func ReadStore(ctx context.Context, store statekv.Store) (*Reading, error) {
-	r := &Reading{Counts: map[string]int{}, Bytes: map[string]int{}}
+// CheckStore reads all that a state service holds for the service.
+func CheckStore(ctx context.Context, store statekv.Store) (*CompatibilityReport, error) {
+	r := &CompatibilityReport{Counts: map[string]int{}, Bytes: map[string]int{}}
 	for after, more := "", true; more; {
 		page, err := store.List(ctx, statekv.RootPrefix, after)
 		if err != nil {
@@ -140,25 +140,25 @@
 const mostShown = 20
 
 // Print writes the reading as a table.
-func (r *Reading) Print(w io.Writer) error {
+func (r *CompatibilityReport) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "level %d with %v\n", r.Level.N, r.Level.Features)
+	fmt.Fprintf(t, "level %d with %v\n", r.Version.Number, r.Version.Features)
 	fmt.Fprintln(t, "kind\tvalues\tbytes")
 	for _, name := range slices.Sorted(maps.Keys(r.Counts)) {
 		fmt.Fprintf(t, "%s\t%d\t%d\n", name, r.Counts[name], r.Bytes[name])
 	}
-	for k, b := range r.Bad {
+	for k, b := range r.Undecodable {
 		if k == mostShown {
-			fmt.Fprintf(t, "and %d more that cannot be read\n", len(r.Bad)-k)
+			fmt.Fprintf(t, "and %d more that cannot be read\n", len(r.Undecodable)-k)
 			break
 		}
-		fmt.Fprintf(t, "cannot be read: %s: %s\n", b.Key, b.Why)
+		fmt.Fprintf(t, "cannot be read: %s: %s\n", b.Key, b.Reason)
 	}
-	if r.Lacks != "" {
-		fmt.Fprintf(t, "this build (%s) lacks %s\n", Build, r.Lacks)
+	if r.Missing != "" {
+		fmt.Fprintf(t, "this build (%s) lacks %s\n", BuildVersion, r.Missing)
 	}
-	if r.Readable() {
-		fmt.Fprintf(t, "this build (%s) reads all of it\n", Build)
+	if r.Compatible() {
+		fmt.Fprintf(t, "this build (%s) reads all of it\n", BuildVersion)
 	}
 	return t.Flush()
 }
--- a/internal/rollout/against_test.go
+++ b/internal/rollout/against_test.go
@@ -11,14 +11,14 @@
 	"robinstack/internal/tombstone"
 )
 
-func recorded(t *testing.T) *Reading {
+func recorded(t *testing.T) *CompatibilityReport {
 	t.Helper()
 	f, err := os.Open("testdata/form0.json") // what commit 37bc5da left after some jobs
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	r, err := ReadDump(f)
+	r, err := CheckDump(f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 // What the version before there were levels has stored is read, all of it.
 func TestFormZeroIsRead(t *testing.T) {
 	r := recorded(t)
-	if !r.Readable() || r.Level.N != 0 || r.Counts[RecordKind] != 3 || r.Counts["ended, former"] != 3 || r.Counts["machine"] == 0 || r.Counts["shard"] == 0 {
+	if !r.Compatible() || r.Version.Number != 0 || r.Counts[JobRecordKind] != 3 || r.Counts["ended, former"] != 3 || r.Counts["machine"] == 0 || r.Counts["shard"] == 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -37,10 +37,10 @@
 // that it lacks something for.
 func TestWhatThisBuildWouldNotRead(t *testing.T) {
 	for key, c := range map[string]struct{ value, why string }{
-		job.OpenKey("wk-1"):              {`{"form":7,"spec":{}}`, "form 7"},
-		job.OpenKey("wk-2"):              {`{"spec":{"id":"wk-2"}}`, "damaged"},
+		job.RecordKey("wk-1"):            {`{"form":7,"spec":{}}`, "form 7"},
+		job.RecordKey("wk-2"):            {`{"spec":{"id":"wk-2"}}`, "damaged"},
 		tombstone.Key("wk-1"):            {`[3,"d",4]`, "form 3"},
-		tombstone.FormerKey("wk-1"):      {`"mangled"`, "cannot unmarshal"},
+		tombstone.LegacyKey("wk-1"):      {`"mangled"`, "cannot unmarshal"},
 		statekv.MachinePrefix + "vm-1":   {`{"form":1}`, "form 1"},
 		statekv.MachineShardPrefix + "s": {`[]`, "cannot unmarshal"},
 		statekv.JobShardPrefix + "s":     {`{"form":1}`, "form 1"},
@@ -49,17 +49,17 @@
 	} {
 		r := recorded(t)
 		r.Add(key, json.RawMessage(c.value))
-		if r.Readable() || len(r.Bad) != 1 || r.Bad[0].Key != key || !strings.Contains(r.Bad[0].Why, c.why) {
-			t.Errorf("%s: %+v", key, r.Bad)
+		if r.Compatible() || len(r.Undecodable) != 1 || r.Undecodable[0].Key != key || !strings.Contains(r.Undecodable[0].Reason, c.why) {
+			t.Errorf("%s: %+v", key, r.Undecodable)
 		}
 	}
 	r := recorded(t)
 	r.Add(statekv.ClusterVersionKey, json.RawMessage(`{"form":1,"level":1,"features":["teleport"]}`))
 	var out strings.Builder
-	if err := r.Print(&out); err != nil || r.Readable() || !strings.Contains(out.String(), `lacks feature "teleport"`) {
+	if err := r.Print(&out); err != nil || r.Compatible() || !strings.Contains(out.String(), `lacks feature "teleport"`) {
 		t.Error(out.String(), err)
 	}
-	if _, err := ReadDump(strings.NewReader(`{"items":[`)); err == nil || !strings.Contains(err.Error(), "page 1") {
+	if _, err := CheckDump(strings.NewReader(`{"items":[`)); err == nil || !strings.Contains(err.Error(), "page 1") {
 		t.Error(err)
 	}
 }
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -11,36 +11,36 @@
 	"robinstack/internal/statekv"
 )
 
-// Node is a controller as the deciding one sees it.
-type Node struct {
-	Host    string
-	Rev     uint64        // of its life's key; 0: it has none
-	Caps    Caps          // of a life
-	Bad     string        // why its key cannot be read
-	Lives   bool          // it has a life that is not refused
-	Refused string        // why its life was ended by others
-	For     time.Duration // how long it has been so, for the deciding one
+// Controller is a controller as the deciding one sees it.
+type Controller struct {
+	Host           string
+	Rev            uint64        // of its life's key; 0: it has none
+	Capabilities   Capabilities  // of a life
+	DecodeError    string        // why its key cannot be read
+	Alive          bool          // it has a life that is not refused
+	RejectedReason string        // why its life was ended by others
+	StateAge       time.Duration // how long it has been so, for the deciding one
 }
 
-// View is all that a decision goes by: one look at the mirror.
-type View struct {
-	Self     string // the deciding controller
-	Level    Level
-	LevelRev uint64
-	LevelBad string // why the level's key cannot be read
-	Stood    time.Duration
-	Nodes    []Node // those in the settings and those that have a key, by host
-	JoinsRev uint64
-	Steward  uint64 // revision of the steward's role if this controller has it
-	Move     Move
-	MoveRev  uint64
+// Snapshot is all that a decision goes by: one look at the mirror.
+type Snapshot struct {
+	Self               string // the deciding controller
+	Version            ClusterVersion
+	VersionRev         uint64
+	VersionDecodeError string // why the level's key cannot be read
+	VersionAge         time.Duration
+	Controllers        []Controller // those in the settings and those that have a key, by host
+	JoinsRev           uint64
+	LeaderEpoch        uint64 // revision of the steward's role if this controller has it
+	Migration          Migration
+	MigrationRev       uint64
 
-	Soak   time.Duration // how long all have to have stood
-	Absent time.Duration // how long one in the settings that is away is waited for
-	Held   bool          // by this controller's policy
+	SoakTime       time.Duration // how long all have to have stood
+	AbsenceTimeout time.Duration // how long one in the settings that is away is waited for
+	HeldByPolicy   bool          // by this controller's policy
 
-	// Uses lists what is stored and needs a feature; nil: nobody has looked.
-	Uses func(Feature) []string
+	// JobsNeeding lists what is stored and needs a feature; nil: nobody has looked.
+	JobsNeeding func(Feature) []string
 }
 
 // Keys are the keys of the state service as last seen; *statekv.Mirror has them.
@@ -49,104 +49,104 @@
 	Dir(prefix string) []statekv.KV
 }
 
-// Look gathers what the keys say; hosts are those in the settings, known is the level
+// NewSnapshot gathers what the keys say; hosts are those in the settings, known is the level
 // to go by where its key cannot be read. Times are for the caller to add.
-func Look(keys Keys, hosts []string, known Level) View {
-	v := View{Level: Level{}}
+func NewSnapshot(keys Keys, hosts []string, known ClusterVersion) Snapshot {
+	v := Snapshot{Version: ClusterVersion{}}
 	if kv, ok := keys.Get(statekv.ClusterVersionKey); ok {
-		v.LevelRev = kv.Rev
+		v.VersionRev = kv.Rev
 		var err error
-		if v.Level, err = ParseLevel(kv.Value); err != nil {
-			v.Level, v.LevelBad = known, err.Error()
+		if v.Version, err = ParseClusterVersion(kv.Value); err != nil {
+			v.Version, v.VersionDecodeError = known, err.Error()
 		}
 	}
 	joins, _ := keys.Get(statekv.MembershipKey)
 	v.JoinsRev = joins.Rev
 	if kv, ok := keys.Get(statekv.MigrationKey); ok {
-		v.MoveRev = kv.Rev
-		if err := json.Unmarshal(kv.Value, &v.Move); err != nil {
-			v.Move = Move{Name: unreadable}
+		v.MigrationRev = kv.Rev
+		if err := json.Unmarshal(kv.Value, &v.Migration); err != nil {
+			v.Migration = Migration{Name: unreadable}
 		}
 	}
-	nodes := map[string]Node{}
+	nodes := map[string]Controller{}
 	for _, host := range hosts {
-		nodes[host] = Node{Host: host}
+		nodes[host] = Controller{Host: host}
 	}
 	for _, kv := range keys.Dir(statekv.SessionPrefix) {
-		n := Node{Host: kv.Key[len(statekv.SessionPrefix):], Rev: kv.Rev, Refused: statekv.RejectionReason(kv)}
-		if n.Lives = n.Refused == ""; n.Lives {
+		n := Controller{Host: kv.Key[len(statekv.SessionPrefix):], Rev: kv.Rev, RejectedReason: statekv.RejectionReason(kv)}
+		if n.Alive = n.RejectedReason == ""; n.Alive {
 			var err error
-			if n.Caps, err = ParseCaps(kv.Value); err != nil {
-				n.Bad = err.Error()
+			if n.Capabilities, err = ParseCapabilities(kv.Value); err != nil {
+				n.DecodeError = err.Error()
 			}
 		}
 		nodes[n.Host] = n
 	}
 	for _, host := range slices.Sorted(maps.Keys(nodes)) {
-		v.Nodes = append(v.Nodes, nodes[host])
+		v.Controllers = append(v.Controllers, nodes[host])
 	}
 	return v
 }
 
-// Change is a write of the level that may be made under its conditions.
-type Change struct {
-	To   Level
-	When []statekv.Compare
-	Then []statekv.Op
+// VersionChange is a write of the level that may be made under its conditions.
+type VersionChange struct {
+	To       ClusterVersion
+	Compares []statekv.Compare
+	Ops      []statekv.Op
 }
 
 // change returns the write that leads to a level. Every one of its conditions keeps
 // something out: another change of the level, a person's hold among them; a steward
 // that is none any more; a life that began, or ended, since the look, whether or not
 // its build knows of levels; the end of a move that was not seen.
-func (v *View) change(to Level, move Move) Change {
-	to.By = v.Self
-	c := Change{To: to, When: []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: v.LevelRev}, {Key: statekv.MembershipKey, Rev: v.JoinsRev}, {Key: statekv.MigrationKey, Rev: v.MoveRev}}}
-	if v.Steward != 0 {
-		c.When = append(c.When, statekv.Compare{Key: statekv.LeaderKey, Rev: v.Steward})
+func (v *Snapshot) change(to ClusterVersion, move Migration) VersionChange {
+	to.WrittenBy = v.Self
+	c := VersionChange{To: to, Compares: []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: v.VersionRev}, {Key: statekv.MembershipKey, Rev: v.JoinsRev}, {Key: statekv.MigrationKey, Rev: v.MigrationRev}}}
+	if v.LeaderEpoch != 0 {
+		c.Compares = append(c.Compares, statekv.Compare{Key: statekv.LeaderKey, Rev: v.LeaderEpoch})
 	}
-	for _, n := range v.Nodes {
-		c.When = append(c.When, statekv.Compare{Key: statekv.SessionPrefix + n.Host, Rev: n.Rev})
+	for _, n := range v.Controllers {
+		c.Compares = append(c.Compares, statekv.Compare{Key: statekv.SessionPrefix + n.Host, Rev: n.Rev})
 	}
-	c.Then = []statekv.Op{{Set: statekv.ClusterVersionKey, Value: to.value()}}
+	c.Ops = []statekv.Op{{Set: statekv.ClusterVersionKey, Value: to.value()}}
 	switch {
 	case move.Name == unreadable: // whoever wrote it can read it
 	case move.Name != "":
-		move.Level = to.N
-		c.Then = append(c.Then, statekv.Op{Set: statekv.MigrationKey, Value: move})
-	case v.MoveRev != 0:
-		c.Then = append(c.Then, statekv.Op{Delete: statekv.MigrationKey})
+		move.Version = to.Number
+		c.Ops = append(c.Ops, statekv.Op{Set: statekv.MigrationKey, Value: move})
+	case v.MigrationRev != 0:
+		c.Ops = append(c.Ops, statekv.Op{Delete: statekv.MigrationKey})
 	}
 	return c
 }
 
 // moveBeside is the move to go on with when a step is made or taken back: its own, else
 // that which is under way, if the step stands beside what it belongs to.
-func (v *View) moveBeside(step *Step, own string) Move {
+func (v *Snapshot) moveBeside(step *FeatureGate, own string) Migration {
 	if own == "" && !v.chained(step) {
-		return v.Move
+		return v.Migration
 	}
-	return Move{Name: own}
+	return Migration{Name: own}
 }
 
 // chained reports whether a step is among those of which each needs the one before.
-func (v *View) chained(step *Step) bool {
-	return slices.IndexFunc(Ladder, func(s Step) bool { return s.Needs == step.Adds }) >= 0 || step.Closes
+func (v *Snapshot) chained(step *FeatureGate) bool {
+	return slices.IndexFunc(FeatureGates, func(s FeatureGate) bool { return s.Requires == step.Feature }) >= 0 || step.Irreversible
 }
 
 // next lists the steps that may be made from here, those first that users wait for.
-func (v *View) next() []*Step {
-	var out []*Step
-	for k := range Ladder {
-		if s := &Ladder[k]; !v.Level.Has(s.Adds) && (s.Needs == "" || v.Level.Has(s.Needs)) {
+func (v *Snapshot) next() []*FeatureGate {
+	var out []*FeatureGate
+	for k := range FeatureGates {
+		if s := &FeatureGates[k]; !v.Version.Enabled(s.Feature) && (s.Requires == "" || v.Version.Enabled(s.Requires)) {
 			out = append(out, s)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b *Step) int {
+	slices.SortStableFunc(out, func(a, b *FeatureGate) int {
 		switch {
-		case a.Prompt == b.Prompt:
+		case a.Immediate == b.Immediate:
 			return 0
-		case a.Prompt:
+		case a.Immediate:
 			return -1
 		}
 		return 1
@@ -154,24 +154,24 @@
 	return out
 }
 
-// Rise returns the change to the next level if it may be made now, or why not; both
+// PlanRaise returns the change to the next level if it may be made now, or why not; both
 // are empty at the top.
-func (v *View) Rise() (*Change, string) {
+func (v *Snapshot) PlanRaise() (*VersionChange, string) {
 	if why := v.stuck(); why != "" {
 		return nil, why
 	}
-	if v.Level.Ends != "" {
+	if v.Version.Disabling != "" {
 		return v.end()
 	}
 	var whys []string
 	for _, step := range v.next() {
 		why := v.waits(step)
 		if why == "" {
-			to := v.Level.with(step.Adds)
-			if to.Allow > v.Level.N && !step.Closes {
-				to.Allow++ // it was for the step that closes, whose number grows by this one
+			to := v.Version.with(step.Feature)
+			if to.AllowedUpTo > v.Version.Number && !step.Irreversible {
+				to.AllowedUpTo++ // it was for the step that closes, whose number grows by this one
 			}
-			c := v.change(to, v.moveBeside(step, step.Move))
+			c := v.change(to, v.moveBeside(step, step.Migration))
 			return &c, ""
 		}
 		if !slices.Contains(whys, why) {
@@ -186,44 +186,44 @@
 const promptSoak = 3 * time.Second
 
 // waits says what a step waits for, or "".
-func (v *View) waits(step *Step) string {
-	n := v.Level.N
-	switch need := stepOf(step.Needs); {
-	case v.Level.Hold != "":
-		return "held: " + v.Level.Hold
-	case v.Held:
+func (v *Snapshot) waits(step *FeatureGate) string {
+	n := v.Version.Number
+	switch need := stepOf(step.Requires); {
+	case v.Version.HoldReason != "":
+		return "held: " + v.Version.HoldReason
+	case v.HeldByPolicy:
 		return "held by the policy (rollout_hold)"
-	case step.Closes && v.Level.Allow <= n:
+	case step.Irreversible && v.Version.AllowedUpTo <= n:
 		return fmt.Sprintf("level %d closes the way back: it waits for a person (robinstack rollout raise)", n+1)
-	case need != nil && need.Move != "" && !(v.Move.Name != "" && v.Move.Done):
-		return "stored values are being moved: " + v.Move.String()
+	case need != nil && need.Migration != "" && !(v.Migration.Name != "" && v.Migration.Done):
+		return "stored values are being moved: " + v.Migration.String()
 	}
-	if why := v.lacking(v.Level.with(step.Adds)); why != "" {
+	if why := v.lacking(v.Version.with(step.Feature)); why != "" {
 		return why
 	}
-	soak, stood := v.Soak, v.Stood
-	if step.Prompt {
+	soak, stood := v.SoakTime, v.VersionAge
+	if step.Immediate {
 		soak = min(soak, promptSoak)
 		stood = soak // that others came on a moment ago is no reason to wait
 	}
-	for _, node := range v.Nodes {
+	for _, node := range v.Controllers {
 		switch {
-		case node.Lives && node.For < soak:
-			return fmt.Sprintf("%s has stood for %v of %v", node.Host, node.For.Round(time.Second), soak)
-		case !node.Lives && node.For < v.Absent:
-			return fmt.Sprintf("%s is away since %v and waited for until %v", node.Host, node.For.Round(time.Second), v.Absent)
+		case node.Alive && node.StateAge < soak:
+			return fmt.Sprintf("%s has stood for %v of %v", node.Host, node.StateAge.Round(time.Second), soak)
+		case !node.Alive && node.StateAge < v.AbsenceTimeout:
+			return fmt.Sprintf("%s is away since %v and waited for until %v", node.Host, node.StateAge.Round(time.Second), v.AbsenceTimeout)
 		}
 	}
 	switch {
 	case stood < soak:
-		return fmt.Sprintf("level %d has stood for %v of %v", n, v.Stood.Round(time.Second), soak)
-	case v.Steward == 0:
+		return fmt.Sprintf("level %d has stood for %v of %v", n, v.VersionAge.Round(time.Second), soak)
+	case v.LeaderEpoch == 0:
 		return "the steward raises it"
 	}
 	return ""
 }
 
-// Lower returns the change that takes a feature off, or the one that came on last if
+// PlanLower returns the change that takes a feature off, or the one that came on last if
 // none is named, for a person who asked for it, or why it cannot be made. It holds the
 // fleet there.
 //
@@ -231,52 +231,52 @@
 // it is taken any more; then, when all that was taken before has been seen, end takes it
 // off. With one step, what is taken at the same moment would be left to controllers that
 // ignore what it needs.
-func (v *View) Lower(f Feature, why string) (*Change, string) {
+func (v *Snapshot) PlanLower(f Feature, why string) (*VersionChange, string) {
 	if stuck := v.stuck(); stuck != "" {
 		return nil, stuck
 	}
-	n := v.Level.N
+	n := v.Version.Number
 	if n == 0 {
 		return nil, "the fleet is at level 0"
 	}
 	if f == "" {
-		f = v.Level.Features[n-1]
+		f = v.Version.Features[n-1]
 	}
 	step := stepOf(f)
-	if !v.Level.Has(f) {
+	if !v.Version.Enabled(f) {
 		return nil, fmt.Sprintf("feature %q is not on", f)
 	}
-	for _, s := range Ladder {
-		if s.Needs == f && v.Level.Has(s.Adds) {
-			return nil, fmt.Sprintf("feature %q needs %q", s.Adds, f)
+	for _, s := range FeatureGates {
+		if s.Requires == f && v.Version.Enabled(s.Feature) {
+			return nil, fmt.Sprintf("feature %q needs %q", s.Feature, f)
 		}
 	}
-	next := v.Level.without(f)
-	next.Hold, next.Allow = why, 0
+	next := v.Version.without(f)
+	next.HoldReason, next.AllowedUpTo = why, 0
 	if stuck := v.lacking(next); stuck != "" {
 		return nil, stuck
 	}
 	// What the level below writes must be all that it reads: values that only the level
 	// above wrote are brought back while this one stands, which still reads both.
-	if back := step.Back; back != "" && v.Move.Name == back && !v.Move.Done {
-		return nil, "stored values are being brought back: " + v.Move.String()
+	if back := step.ReverseMigration; back != "" && v.Migration.Name == back && !v.Migration.Done {
+		return nil, "stored values are being brought back: " + v.Migration.String()
 	}
-	if f == Pipelines {
+	if f == FeatureDependencies {
 		if uses := v.uses(f); uses != "" {
 			return nil, uses
 		}
-		if v.Level.Ends == f && v.Level.Hold != "" {
+		if v.Version.Disabling == f && v.Version.HoldReason != "" {
 			// Written again and again, it would have all that is written under it
 			// refused, the steward's own step too, and never come to its end.
 			return nil, fmt.Sprintf("the steward is taking feature %q off", f)
 		}
-		to := v.Level.of(v.Level.Features)
-		to.Hold, to.Allow, to.Ends = why, 0, f
+		to := v.Version.of(v.Version.Features)
+		to.HoldReason, to.AllowedUpTo, to.Disabling = why, 0, f
 		return v.stay(to), ""
 	}
 	move := ""
-	if step.Closes {
-		move = stepOf(step.Needs).Back
+	if step.Irreversible {
+		move = stepOf(step.Requires).ReverseMigration
 	}
 	c := v.change(next, v.moveBeside(step, move))
 	return &c, ""
@@ -286,11 +286,11 @@
 const mostNamed = 5
 
 // uses says what is stored and needs a feature, or "".
-func (v *View) uses(f Feature) string {
-	if v.Uses == nil {
+func (v *Snapshot) uses(f Feature) string {
+	if v.JobsNeeding == nil {
 		return ""
 	}
-	names := v.Uses(f)
+	names := v.JobsNeeding(f)
 	if len(names) == 0 {
 		return ""
 	}
@@ -301,18 +301,18 @@
 // end carries out what a person asked for: it takes the feature off that is to go, or
 // gives that up if something needs it. All that was taken before is in this look, for
 // it was written under the level of before, and this one sees the one after.
-func (v *View) end() (*Change, string) {
-	f := v.Level.Ends
-	if v.Steward == 0 {
+func (v *Snapshot) end() (*VersionChange, string) {
+	f := v.Version.Disabling
+	if v.LeaderEpoch == 0 {
 		return nil, fmt.Sprintf("the steward takes feature %q off", f)
 	}
 	if v.uses(f) != "" {
-		to := v.Level.of(v.Level.Features)
-		to.Ends = ""
+		to := v.Version.of(v.Version.Features)
+		to.Disabling = ""
 		return v.stay(to), ""
 	}
-	next := v.Level.without(f)
-	next.Ends = ""
+	next := v.Version.without(f)
+	next.Disabling = ""
 	if stuck := v.lacking(next); stuck != "" {
 		return nil, stuck
 	}
@@ -320,81 +320,81 @@
 	return &c, ""
 }
 
-// Hold and Raise return the change for a person who asked for it; the level stays.
-func (v *View) Hold(why string) (*Change, string) {
+// PlanHold and Raise return the change for a person who asked for it; the level stays.
+func (v *Snapshot) PlanHold(why string) (*VersionChange, string) {
 	if stuck := v.stuck(); stuck != "" {
 		return nil, stuck
 	}
-	to := v.Level.of(v.Level.Features)
-	to.Hold, to.Allow = why, 0
+	to := v.Version.of(v.Version.Features)
+	to.HoldReason, to.AllowedUpTo = why, 0
 	return v.stay(to), ""
 }
 
-// Raise lets the fleet rise again, also to a level that closes the way back.
-func (v *View) Raise() (*Change, string) {
+// PlanAllowRaise lets the fleet rise again, also to a level that closes the way back.
+func (v *Snapshot) PlanAllowRaise() (*VersionChange, string) {
 	if stuck := v.stuck(); stuck != "" {
 		return nil, stuck
 	}
-	to := v.Level.of(v.Level.Features)
-	to.Hold, to.Ends = "", ""
-	if slices.ContainsFunc(v.next(), func(s *Step) bool { return s.Closes }) {
-		to.Allow = to.N + 1
+	to := v.Version.of(v.Version.Features)
+	to.HoldReason, to.Disabling = "", ""
+	if slices.ContainsFunc(v.next(), func(s *FeatureGate) bool { return s.Irreversible }) {
+		to.AllowedUpTo = to.Number + 1
 	}
 	return v.stay(to), ""
 }
 
-func (v *View) stay(to Level) *Change {
-	to.By = v.Self
+func (v *Snapshot) stay(to ClusterVersion) *VersionChange {
+	to.WrittenBy = v.Self
 	// Whoever joins meanwhile does no harm: what is on stays as it is.
-	return &Change{To: to, When: []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: v.LevelRev}}, Then: []statekv.Op{{Set: statekv.ClusterVersionKey, Value: to.value()}}}
+	return &VersionChange{To: to, Compares: []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: v.VersionRev}}, Ops: []statekv.Op{{Set: statekv.ClusterVersionKey, Value: to.value()}}}
 }
 
 // stuck says why nobody here may write the level's key at all.
-func (v *View) stuck() string {
+func (v *Snapshot) stuck() string {
 	switch {
-	case v.LevelBad != "":
-		return statekv.ClusterVersionKey + " cannot be read: " + v.LevelBad
-	case slices.ContainsFunc(v.Level.Features, func(f Feature) bool { return stepOf(f) == nil }):
-		return fmt.Sprintf("level %d has features that this build (%s) does not know", v.Level.N, Build)
+	case v.VersionDecodeError != "":
+		return statekv.ClusterVersionKey + " cannot be read: " + v.VersionDecodeError
+	case slices.ContainsFunc(v.Version.Features, func(f Feature) bool { return stepOf(f) == nil }):
+		return fmt.Sprintf("level %d has features that this build (%s) does not know", v.Version.Number, BuildVersion)
 	}
 	return ""
 }
 
 // lacking names what living controllers lack for a level.
-func (v *View) lacking(l Level) string {
-	for _, n := range v.Nodes {
-		if !n.Lives {
+func (v *Snapshot) lacking(l ClusterVersion) string {
+	for _, n := range v.Controllers {
+		if !n.Alive {
 			continue
 		}
-		if n.Bad != "" {
-			return fmt.Sprintf("%s%s cannot be read: %s", statekv.SessionPrefix, n.Host, n.Bad)
+		if n.DecodeError != "" {
+			return fmt.Sprintf("%s%s cannot be read: %s", statekv.SessionPrefix, n.Host, n.DecodeError)
 		}
-		if lacks := n.Caps.Lacks(l); lacks != "" {
-			return fmt.Sprintf("%s (build %s) lacks %s", n.Host, n.Caps.Build, lacks)
+		if lacks := n.Capabilities.Missing(l); lacks != "" {
+			return fmt.Sprintf("%s (build %s) lacks %s", n.Host, n.Capabilities.Build, lacks)
 		}
 	}
 	return ""
 }
 
-// Intruders lists the lives that must not go on at this level: controllers of the time
+// IncompatibleControllers lists the lives that must not go on at this level: controllers of the time
 // before there were levels join without looking.
-func (v *View) Intruders() []Node {
+func (v *Snapshot) IncompatibleControllers() []Controller {
 	if v.stuck() != "" {
 		return nil
 	}
-	var out []Node
-	for _, n := range v.Nodes {
-		if n.Lives && n.Bad == "" && n.Caps.Lacks(v.Level) != "" {
+	var out []Controller
+	for _, n := range v.Controllers {
+		if n.Alive && n.DecodeError == "" && n.Capabilities.Missing(v.Version) != "" {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// Refuse returns the write that ends an intruder's life: its writes have the condition
+// PlanReject returns the write that ends an intruder's life: its writes have the condition
 // that its key is as it wrote it, and it ends by itself once it sees that it is not.
-func (v *View) Refuse(n Node, lease uint64) ([]statekv.Compare, []statekv.Op) {
-	why := fmt.Sprintf("the fleet is at level %d and build %s lacks %s", v.Level.N, n.Caps.Build, n.Caps.Lacks(v.Level))
-	return []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: v.LevelRev}, {Key: statekv.SessionPrefix + n.Host, Rev: n.Rev}},
+func (v *Snapshot) PlanReject(n Controller, lease uint64) ([]statekv.Compare, []statekv.Op) {
+	why := fmt.Sprintf("the fleet is at level %d and build %s lacks %s", v.Version.Number, n.Capabilities.Build, n.Capabilities.Missing(v.Version))
+	return []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: v.VersionRev}, {Key: statekv.SessionPrefix + n.Host, Rev: n.Rev}},
 		[]statekv.Op{{Set: statekv.SessionPrefix + n.Host, Value: statekv.Rejection{Reason: why}, Lease: lease}}
 }
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -14,10 +14,10 @@
 	"robinstack/internal/statekv"
 )
 
-// Gate takes part in the fleet's roll-out for one life of a controller: it looks at
+// VersionGate takes part in the fleet's roll-out for one life of a controller: it looks at
 // who lives, refuses those that must not, raises the level when it is steward, and
 // ends its own life where the level is not for this build.
-type Gate struct {
+type VersionGate struct {
 	host    string
 	hosts   []string // in the settings
 	policy  *policy.Policy
@@ -25,7 +25,7 @@
 	member  *statekv.Session
 	store   statekv.Store
 	steward func() uint64
-	reader  *Reader
+	reader  *VersionReader
 
 	mu      sync.Mutex
 	seen    map[string]sighting
@@ -41,18 +41,18 @@
 	since time.Time
 }
 
-// NewGate returns the gate of a life; steward tells the revision of the steward's role
+// NewVersionGate returns the gate of a life; steward tells the revision of the steward's role
 // while this controller has it, else 0.
-func NewGate(hosts []string, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Session, store statekv.Store, steward func() uint64) *Gate {
-	return &Gate{host: member.Host, hosts: hosts, policy: pol, mirror: mirror, member: member, store: store, steward: steward,
-		reader: NewReader(mirror), seen: map[string]sighting{}, refused: map[uint64]bool{}}
+func NewVersionGate(hosts []string, pol *policy.Policy, mirror *statekv.Mirror, member *statekv.Session, store statekv.Store, steward func() uint64) *VersionGate {
+	return &VersionGate{host: member.Host, hosts: hosts, policy: pol, mirror: mirror, member: member, store: store, steward: steward,
+		reader: NewVersionReader(mirror), seen: map[string]sighting{}, refused: map[uint64]bool{}}
 }
 
 // every is how often the gate looks. A look reads a few keys of the mirror.
 const every = 500 * time.Millisecond
 
 // Run takes part until ctx ends.
-func (g *Gate) Run(ctx context.Context) {
+func (g *VersionGate) Run(ctx context.Context) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -64,28 +64,28 @@
 	}
 }
 
-func (g *Gate) step(ctx context.Context) {
+func (g *VersionGate) step(ctx context.Context) {
 	now := time.Now()
 	v := g.look(now)
-	if bad := g.reader.Bad(); bad != "" && v.LevelBad == "" {
-		g.member.Abort(fmt.Errorf("level %d is not for this build: %s", v.Level.N, bad))
+	if bad := g.reader.Problem(); bad != "" && v.VersionDecodeError == "" {
+		g.member.Abort(fmt.Errorf("level %d is not for this build: %s", v.Version.Number, bad))
 		return
 	}
 	g.refuse(ctx, v)
-	change, why := v.Rise()
+	change, why := v.PlanRaise()
 	g.tell(why)
 	if change == nil || !g.member.HoldsLease() {
 		return
 	}
-	if err := g.write(ctx, change.When, change.Then); err != nil {
-		slog.Info("cluster version raise failed", "cluster_version", change.To.N, "err", err)
+	if err := g.write(ctx, change.Compares, change.Ops); err != nil {
+		slog.Info("cluster version raise failed", "cluster_version", change.To.Number, "err", err)
 		return
 	}
-	slog.Info("cluster version changed", "cluster_version", change.To.N, "features", change.To.Features)
+	slog.Info("cluster version changed", "cluster_version", change.To.Number, "features", change.To.Features)
 }
 
 // tell logs what a rise waits for, when that becomes something else than time passing.
-func (g *Gate) tell(why string) {
+func (g *VersionGate) tell(why string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	kind := why
@@ -98,7 +98,7 @@
 	g.told = kind
 }
 
-func (g *Gate) write(ctx context.Context, when []statekv.Compare, then []statekv.Op) error {
+func (g *VersionGate) write(ctx context.Context, when []statekv.Compare, then []statekv.Op) error {
 	tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	_, err := g.member.Write(tctx, when, then)
@@ -106,41 +106,41 @@
 }
 
 // look takes one look at the mirror.
-func (g *Gate) look(now time.Time) View {
-	known, _ := g.reader.Now()
-	v := Look(g.mirror, g.hosts, known)
-	v.Self, v.Steward = g.host, g.steward()
-	v.Uses = g.uses
-	v.Soak, v.Absent, v.Held = g.policy.RolloutSoak, g.policy.RolloutAbsenceTimeout, g.policy.RolloutHold
+func (g *VersionGate) look(now time.Time) Snapshot {
+	known, _ := g.reader.Current()
+	v := NewSnapshot(g.mirror, g.hosts, known)
+	v.Self, v.LeaderEpoch = g.host, g.steward()
+	v.JobsNeeding = g.uses
+	v.SoakTime, v.AbsenceTimeout, v.HeldByPolicy = g.policy.RolloutSoak, g.policy.RolloutAbsenceTimeout, g.policy.RolloutHold
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	kept := map[string]sighting{}
-	for k := range v.Nodes {
-		n := &v.Nodes[k]
+	for k := range v.Controllers {
+		n := &v.Controllers[k]
 		s, ok := g.seen[n.Host]
-		if !ok || s.lives != n.Lives || n.Lives && s.rev != n.Rev {
-			s = sighting{n.Rev, n.Lives, now}
+		if !ok || s.lives != n.Alive || n.Alive && s.rev != n.Rev {
+			s = sighting{n.Rev, n.Alive, now}
 		}
 		kept[n.Host] = s
-		n.For = now.Sub(s.since)
+		n.StateAge = now.Sub(s.since)
 	}
 	g.seen = kept // those removed from the settings are forgotten
-	if n := uint64(v.Level.N); g.level.since.IsZero() || g.level.rev != n {
+	if n := uint64(v.Version.Number); g.level.since.IsZero() || g.level.rev != n {
 		g.level = sighting{rev: n, since: now}
 	}
-	v.Stood = now.Sub(g.level.since)
+	v.VersionAge = now.Sub(g.level.since)
 	return v
 }
 
 // uses lists the unfinished jobs that need a feature, as last seen.
-func (g *Gate) uses(f Feature) []string {
+func (g *VersionGate) uses(f Feature) []string {
 	var out []string
-	if f != Pipelines {
+	if f != FeatureDependencies {
 		return out
 	}
-	for _, kv := range g.mirror.Dir(job.OpenPrefix) {
-		if job.NeedsPipelines(kv.Value) {
-			out = append(out, kv.Key[len(job.OpenPrefix):])
+	for _, kv := range g.mirror.Dir(job.RecordPrefix) {
+		if job.MayHaveDependencies(kv.Value) {
+			out = append(out, kv.Key[len(job.RecordPrefix):])
 		}
 	}
 	return out
@@ -153,12 +153,12 @@
 // refusalTTL is how long a refusal stands: longer than the refused life takes to see it.
 const refusalTTL = 4 * time.Second
 
-func (g *Gate) refuse(ctx context.Context, v View) {
-	for _, n := range v.Intruders() {
+func (g *VersionGate) refuse(ctx context.Context, v Snapshot) {
+	for _, n := range v.IncompatibleControllers() {
 		g.mu.Lock()
 		done := g.refused[n.Rev]
 		g.mu.Unlock()
-		if done || n.Host == g.host || !g.member.HoldsLease() || v.Steward == 0 && n.For < refuseAfter {
+		if done || n.Host == g.host || !g.member.HoldsLease() || v.LeaderEpoch == 0 && n.StateAge < refuseAfter {
 			continue
 		}
 		err := g.end(ctx, v, n)
@@ -172,18 +172,18 @@
 		}
 		g.refused[n.Rev] = true
 		g.mu.Unlock()
-		slog.Warn("controller rejected", "host", n.Host, "build", n.Caps.Build, "cluster_version", v.Level.N, "missing_features", n.Caps.Lacks(v.Level))
+		slog.Warn("controller rejected", "host", n.Host, "build", n.Capabilities.Build, "cluster_version", v.Version.Number, "missing_features", n.Capabilities.Missing(v.Version))
 	}
 }
 
-func (g *Gate) end(ctx context.Context, v View, n Node) error {
+func (g *VersionGate) end(ctx context.Context, v Snapshot, n Controller) error {
 	tctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	lease, err := g.store.Grant(tctx, refusalTTL)
 	if err != nil {
 		return err
 	}
-	when, then := v.Refuse(n, lease)
+	when, then := v.PlanReject(n, lease)
 	if err := g.write(tctx, when, then); err != nil {
 		_ = g.store.Revoke(tctx, lease)
 		return err
@@ -191,22 +191,22 @@
 	return nil
 }
 
-// Stuck is an error that says why a command of a person cannot be carried out now.
-type Stuck struct{ Why string }
+// BlockedError is an error that says why a command of a person cannot be carried out now.
+type BlockedError struct{ Reason string }
 
-func (s *Stuck) Error() string { return s.Why }
+func (s *BlockedError) Error() string { return s.Reason }
 
 // Verbs of persons.
 const (
-	HoldVerb  = "hold"
-	RaiseVerb = "raise"
-	LowerVerb = "lower"
+	CommandHold  = "hold"
+	CommandRaise = "raise"
+	CommandLower = "lower"
 )
 
-// Do carries out the command of a person; f is the feature that lowering takes off, or
+// Execute carries out the command of a person; f is the feature that lowering takes off, or
 // "" for the one that came on last. A *Stuck says what stands in its way; any
 // other error leaves open whether it was carried out, which the status shows.
-func (g *Gate) Do(ctx context.Context, verb string, f Feature, why string) error {
+func (g *VersionGate) Execute(ctx context.Context, verb string, f Feature, why string) error {
 	if why == "" {
 		why = "by a person"
 	}
@@ -216,24 +216,24 @@
 			return fmt.Errorf("reading the fleet's level: %w", err)
 		}
 		v := g.look(time.Now())
-		v.Steward = 0 // what a person asks for needs no steward
-		var change *Change
+		v.LeaderEpoch = 0 // what a person asks for needs no steward
+		var change *VersionChange
 		var stuck string
 		switch verb {
-		case HoldVerb:
-			change, stuck = v.Hold(why)
-		case RaiseVerb:
-			change, stuck = v.Raise()
-		case LowerVerb:
-			change, stuck = v.Lower(f, "lowered: "+why)
+		case CommandHold:
+			change, stuck = v.PlanHold(why)
+		case CommandRaise:
+			change, stuck = v.PlanAllowRaise()
+		case CommandLower:
+			change, stuck = v.PlanLower(f, "lowered: "+why)
 		default:
 			stuck = fmt.Sprintf("%q is none of hold, raise, lower", verb)
 		}
 		if change == nil {
-			return &Stuck{stuck}
+			return &BlockedError{stuck}
 		}
-		if err = g.write(ctx, change.When, change.Then); err == nil {
-			slog.Info("rollout command applied", "command", verb, "cluster_version", change.To.N, "reason", why)
+		if err = g.write(ctx, change.Compares, change.Ops); err == nil {
+			slog.Info("rollout command applied", "command", verb, "cluster_version", change.To.Number, "reason", why)
 			return nil
 		}
 		if !statekv.IsConflict(err) {
@@ -242,7 +242,7 @@
 		// Something else changed the level, or a life began or ended: look again.
 	}
 	if errors.Is(err, statekv.ErrRejected) {
-		return &Stuck{err.Error()}
+		return &BlockedError{err.Error()}
 	}
 	return fmt.Errorf("writing the fleet's level: %w", err)
 }
--- a/internal/rollout/level.go
+++ b/internal/rollout/level.go
@@ -26,8 +26,8 @@
 	"robinstack/internal/tombstone"
 )
 
-// Build names this version, for operators.
-const Build = "0.3.0"
+// BuildVersion names this version, for operators.
+const BuildVersion = "0.3.0"
 
 // Feature is something that all controllers of a fleet have to know before any may
 // do it.
@@ -35,61 +35,61 @@
 
 // Features of this build.
 const (
-	// Gated: joins and levels are conditional. Whoever lacks it is refused.
-	Gated Feature = "gated"
-	// Failures: what is known of a job's failures is in its record.
-	Failures Feature = "failures"
-	// Ended: jobs that are over are recorded under robin/ended/ too.
-	Ended Feature = "ended"
-	// EndedOnly: and no longer under robin/final/.
-	EndedOnly Feature = "ended-only"
-	// Pipelines: jobs may wait for others, and records may be in pieces.
-	Pipelines Feature = "pipelines"
+	// FeatureVersionGate: joins and levels are conditional. Whoever lacks it is refused.
+	FeatureVersionGate Feature = "gated"
+	// FeatureFailureHistory: what is known of a job's failures is in its record.
+	FeatureFailureHistory Feature = "failures"
+	// FeatureTombstones: jobs that are over are recorded under robin/ended/ too.
+	FeatureTombstones Feature = "ended"
+	// FeatureCompactTombstonesOnly: and no longer under robin/final/.
+	FeatureCompactTombstonesOnly Feature = "ended-only"
+	// FeatureDependencies: jobs may wait for others, and records may be in pieces.
+	FeatureDependencies Feature = "pipelines"
 )
 
 // Kinds of stored values that have forms.
 const (
-	RecordKind = "record"
-	EndedKind  = "ended"
-	LevelKind  = "level"
+	JobRecordKind      = "record"
+	TombstoneKind      = "ended"
+	ClusterVersionKind = "level"
 )
 
-// Step brings one feature.
-type Step struct {
-	Adds  Feature
-	Needs Feature        // has to be on before; "": none
-	Forms map[string]int // forms that are written from then on, by kind
-	// Closes: what is written from then on cannot be read by the former version. The
+// FeatureGate brings one feature.
+type FeatureGate struct {
+	Feature  Feature
+	Requires Feature        // has to be on before; "": none
+	Schemas  map[string]int // forms that are written from then on, by kind
+	// Irreversible: what is written from then on cannot be read by the former version. The
 	// fleet goes there only when a person says so.
-	Closes bool
-	// Move is what has to be done to stored values before what needs this feature comes
+	Irreversible bool
+	// Migration is what has to be done to stored values before what needs this feature comes
 	// on, and Back before this feature may go off if what needs it was on.
-	Move, Back string
-	// Prompt: it comes on as soon as all controllers have it. Users wait for it, and it
+	Migration, ReverseMigration string
+	// Immediate: it comes on as soon as all controllers have it. Users wait for it, and it
 	// writes nothing by itself.
-	Prompt bool
-	For    string // for operators: what it brings
+	Immediate   bool
+	Description string // for operators: what it brings
 }
 
-// Ladder is what this build knows. The steps up to the one that closes the way back are
+// FeatureGates is what this build knows. The steps up to the one that closes the way back are
 // each other's needs, as the former version climbed them one by one; Pipelines stands
 // beside them: by the ladder it would have come much too late, or never.
-var Ladder = []Step{
-	{Adds: Gated, Prompt: true, For: "controllers join and rise only under conditions"},
-	{Adds: Failures, Needs: Gated, For: "a job's failures are known to its next placer"},
-	{Adds: Ended, Needs: Failures, Forms: map[string]int{EndedKind: tombstone.Form}, Move: MoveCopy, Back: MoveBack, For: "ended jobs have small records, beside the former ones"},
-	{Adds: EndedOnly, Needs: Ended, Closes: true, Move: MoveDrop, For: "the former records of ended jobs go"},
-	{Adds: Pipelines, Needs: Gated, Prompt: true, For: "jobs may wait for others"},
+var FeatureGates = []FeatureGate{
+	{Feature: FeatureVersionGate, Immediate: true, Description: "controllers join and rise only under conditions"},
+	{Feature: FeatureFailureHistory, Requires: FeatureVersionGate, Description: "a job's failures are known to its next placer"},
+	{Feature: FeatureTombstones, Requires: FeatureFailureHistory, Schemas: map[string]int{TombstoneKind: tombstone.Schema}, Migration: MigrationCopy, ReverseMigration: MigrationRestoreLegacy, Description: "ended jobs have small records, beside the former ones"},
+	{Feature: FeatureCompactTombstonesOnly, Requires: FeatureTombstones, Irreversible: true, Migration: MigrationDropLegacy, Description: "the former records of ended jobs go"},
+	{Feature: FeatureDependencies, Requires: FeatureVersionGate, Immediate: true, Description: "jobs may wait for others"},
 }
 
-// Top is the highest level of this build.
-func Top() int { return len(Ladder) }
+// MaxClusterVersion is the highest level of this build.
+func MaxClusterVersion() int { return len(FeatureGates) }
 
 // stepOf returns the step that brings a feature, or nil.
-func stepOf(f Feature) *Step {
-	for k := range Ladder {
-		if Ladder[k].Adds == f {
-			return &Ladder[k]
+func stepOf(f Feature) *FeatureGate {
+	for k := range FeatureGates {
+		if FeatureGates[k].Feature == f {
+			return &FeatureGates[k]
 		}
 	}
 	return nil
@@ -98,17 +98,17 @@
 // FeaturesAt lists the first n features of this build.
 func FeaturesAt(n int) []Feature {
 	out := []Feature{}
-	for _, s := range Ladder[:n] {
-		out = append(out, s.Adds)
+	for _, s := range FeatureGates[:n] {
+		out = append(out, s.Feature)
 	}
 	return out
 }
 
 func formsOf(features []Feature) map[string]int {
 	out := map[string]int{}
-	for _, s := range Ladder {
-		if slices.Contains(features, s.Adds) {
-			maps.Copy(out, s.Forms)
+	for _, s := range FeatureGates {
+		if slices.Contains(features, s.Feature) {
+			maps.Copy(out, s.Schemas)
 		}
 	}
 	return out
@@ -117,88 +117,90 @@
 // levelForm is the form of the level's key.
 const levelForm = 1
 
-// Level is what the level's key holds. Its absence means level 0.
-type Level struct {
-	Form     int            `json:"form"`
-	N        int            `json:"level"`
-	Features []Feature      `json:"features"` // in the order in which they came on
-	Forms    map[string]int `json:"forms,omitempty"`
-	Hold     string         `json:"hold,omitempty"`  // why it does not rise by itself
-	Allow    int            `json:"allow,omitempty"` // level up to which a person let it rise although that closes the way back
-	By       string         `json:"by,omitempty"`    // controller that wrote it
-	// Ends is a feature that is to go off: nothing that needs it is taken any more. The
+// ClusterVersion is what the level's key holds. Its absence means level 0.
+type ClusterVersion struct {
+	Schema      int            `json:"form"`
+	Number      int            `json:"level"`
+	Features    []Feature      `json:"features"` // in the order in which they came on
+	Schemas     map[string]int `json:"forms,omitempty"`
+	HoldReason  string         `json:"hold,omitempty"`  // why it does not rise by itself
+	AllowedUpTo int            `json:"allow,omitempty"` // level up to which a person let it rise although that closes the way back
+	WrittenBy   string         `json:"by,omitempty"`    // controller that wrote it
+	// Disabling is a feature that is to go off: nothing that needs it is taken any more. The
 	// steward sees to it, unless there is something that needs it still.
-	Ends Feature `json:"ends,omitempty"`
+	Disabling Feature `json:"ends,omitempty"`
 
-	Rest statekv.UnknownFields `json:"-"`
+	UnknownFields statekv.UnknownFields `json:"-"`
 }
 
 // of returns the level of these features with what else l says.
-func (l Level) of(features []Feature) Level {
-	l.Form, l.N, l.Features, l.Forms = levelForm, len(features), features, formsOf(features)
+func (l ClusterVersion) of(features []Feature) ClusterVersion {
+	l.Schema, l.Number, l.Features, l.Schemas = levelForm, len(features), features, formsOf(features)
 	return l
 }
 
 // at returns the level of the first n features.
-func (l Level) at(n int) Level { return l.of(FeaturesAt(n)) }
+func (l ClusterVersion) at(n int) ClusterVersion { return l.of(FeaturesAt(n)) }
 
 // with and without return the level with a feature more, or less.
-func (l Level) with(f Feature) Level { return l.of(append(slices.Clone(l.Features), f)) }
+func (l ClusterVersion) with(f Feature) ClusterVersion {
+	return l.of(append(slices.Clone(l.Features), f))
+}
 
-func (l Level) without(f Feature) Level {
+func (l ClusterVersion) without(f Feature) ClusterVersion {
 	return l.of(slices.DeleteFunc(slices.Clone(l.Features), func(g Feature) bool { return g == f }))
 }
 
-// Takes reports whether a feature is on and what needs it is still taken.
-func (l Level) Takes(f Feature) bool { return l.Has(f) && l.Ends != f }
+// Accepts reports whether a feature is on and what needs it is still taken.
+func (l ClusterVersion) Accepts(f Feature) bool { return l.Enabled(f) && l.Disabling != f }
 
-// Has reports whether a feature is on.
-func (l Level) Has(f Feature) bool { return slices.Contains(l.Features, f) }
+// Enabled reports whether a feature is on.
+func (l ClusterVersion) Enabled(f Feature) bool { return slices.Contains(l.Features, f) }
 
-func (l Level) value() any {
-	if l.Rest == nil {
+func (l ClusterVersion) value() any {
+	if l.UnknownFields == nil {
 		return l
 	}
-	return statekv.WithUnknown{Value: l, Unknown: l.Rest}
+	return statekv.WithUnknown{Value: l, Unknown: l.UnknownFields}
 }
 
-// ParseLevel reads the level's key.
-func ParseLevel(raw json.RawMessage) (Level, error) {
+// ParseClusterVersion reads the level's key.
+func ParseClusterVersion(raw json.RawMessage) (ClusterVersion, error) {
 	if err := statekv.CheckSchema("the level's key", raw, levelForm); err != nil {
-		return Level{}, err
+		return ClusterVersion{}, err
 	}
-	var l Level
+	var l ClusterVersion
 	if err := json.Unmarshal(raw, &l); err != nil {
-		return Level{}, fmt.Errorf("the level's key: %w", err)
+		return ClusterVersion{}, fmt.Errorf("the level's key: %w", err)
 	}
-	if l.Form < 1 || l.N < 0 || l.N != len(l.Features) {
-		return Level{}, fmt.Errorf("the level's key: form %d, level %d with %d features is damaged", l.Form, l.N, len(l.Features))
+	if l.Schema < 1 || l.Number < 0 || l.Number != len(l.Features) {
+		return ClusterVersion{}, fmt.Errorf("the level's key: form %d, level %d with %d features is damaged", l.Schema, l.Number, len(l.Features))
 	}
-	l.Rest = statekv.UnknownFieldsOf(raw, &l)
+	l.UnknownFields = statekv.UnknownFieldsOf(raw, &l)
 	return l, nil
 }
 
-// Caps is what the key of a life says about its build. Lives of the time before there
+// Capabilities is what the key of a life says about its build. Lives of the time before there
 // were levels say nothing: they know level 0.
-type Caps struct {
-	Build    string            `json:"build"`
-	Features []Feature         `json:"features,omitempty"`
-	Forms    map[string][2]int `json:"forms,omitempty"` // lowest and highest form that it reads and writes, by kind
-	Least    int               `json:"least,omitempty"` // lowest level at which it can live
+type Capabilities struct {
+	Build      string            `json:"build"`
+	Features   []Feature         `json:"features,omitempty"`
+	Schemas    map[string][2]int `json:"forms,omitempty"` // lowest and highest form that it reads and writes, by kind
+	MinVersion int               `json:"least,omitempty"` // lowest level at which it can live
 }
 
-// OurCaps is what this build knows.
-func OurCaps() Caps {
-	return Caps{Build: Build, Features: FeaturesAt(Top()), Forms: map[string][2]int{
-		RecordKind: {0, job.RecordForm}, EndedKind: {0, tombstone.Form}, LevelKind: {levelForm, levelForm},
+// LocalCapabilities is what this build knows.
+func LocalCapabilities() Capabilities {
+	return Capabilities{Build: BuildVersion, Features: FeaturesAt(MaxClusterVersion()), Schemas: map[string][2]int{
+		JobRecordKind: {0, job.RecordSchema}, TombstoneKind: {0, tombstone.Schema}, ClusterVersionKind: {levelForm, levelForm},
 	}}
 }
 
-// ParseCaps reads the key of a life.
-func ParseCaps(raw json.RawMessage) (Caps, error) {
-	var c Caps
+// ParseCapabilities reads the key of a life.
+func ParseCapabilities(raw json.RawMessage) (Capabilities, error) {
+	var c Capabilities
 	if err := json.Unmarshal(raw, &c); err != nil {
-		return Caps{}, fmt.Errorf("the key of a life: %w", err)
+		return Capabilities{}, fmt.Errorf("the key of a life: %w", err)
 	}
 	if c.Build == "" {
 		c.Build = "form 0"
@@ -206,42 +208,42 @@
 	return c, nil
 }
 
-// Lacks says what a build lacks to live at a level, or "".
-func (c Caps) Lacks(l Level) string {
-	if l.N < c.Least {
-		return fmt.Sprintf("level %d or higher", c.Least)
+// Missing says what a build lacks to live at a level, or "".
+func (c Capabilities) Missing(l ClusterVersion) string {
+	if l.Number < c.MinVersion {
+		return fmt.Sprintf("level %d or higher", c.MinVersion)
 	}
 	for _, f := range l.Features {
 		if !slices.Contains(c.Features, f) {
 			return fmt.Sprintf("feature %q", f)
 		}
 	}
-	for kind, form := range l.Forms {
-		if known := c.Forms[kind]; form < known[0] || form > known[1] {
+	for kind, form := range l.Schemas {
+		if known := c.Schemas[kind]; form < known[0] || form > known[1] {
 			return fmt.Sprintf("form %d of kind %q", form, kind)
 		}
 	}
 	return ""
 }
 
-// RefusedError says that this build may not join the fleet.
-type RefusedError struct{ Why string }
+// JoinRejectedError says that this build may not join the fleet.
+type JoinRejectedError struct{ Reason string }
 
-func (e *RefusedError) Error() string { return "this build may not join: " + e.Why }
+func (e *JoinRejectedError) Error() string { return "this build may not join: " + e.Reason }
 
-// Register returns how a life of this build registers, or a *RefusedError: then the
+// NewRegistration returns how a life of this build registers, or a *JoinRejectedError: then the
 // controller has to wait, unready, until the level is another one or it is replaced.
-func Register(keys Keys, caps Caps) (statekv.Registration, error) {
-	level := Level{}
+func NewRegistration(keys Keys, caps Capabilities) (statekv.Registration, error) {
+	level := ClusterVersion{}
 	kv, ok := keys.Get(statekv.ClusterVersionKey)
 	if ok {
 		var err error
-		if level, err = ParseLevel(kv.Value); err != nil {
-			return statekv.Registration{}, &RefusedError{fmt.Sprintf("%s: %v", statekv.ClusterVersionKey, err)}
+		if level, err = ParseClusterVersion(kv.Value); err != nil {
+			return statekv.Registration{}, &JoinRejectedError{fmt.Sprintf("%s: %v", statekv.ClusterVersionKey, err)}
 		}
 	}
-	if lacks := caps.Lacks(level); lacks != "" {
-		return statekv.Registration{}, &RefusedError{fmt.Sprintf("the fleet is at level %d and this build (%s) lacks %s", level.N, caps.Build, lacks)}
+	if lacks := caps.Missing(level); lacks != "" {
+		return statekv.Registration{}, &JoinRejectedError{fmt.Sprintf("the fleet is at level %d and this build (%s) lacks %s", level.Number, caps.Build, lacks)}
 	}
 	return statekv.Registration{
 		Value: caps,
@@ -252,8 +254,8 @@
 	}, nil
 }
 
-// IsRefused reports whether err says that this build may not join.
-func IsRefused(err error) bool {
-	var refused *RefusedError
+// IsJoinRejected reports whether err says that this build may not join.
+func IsJoinRejected(err error) bool {
+	var refused *JoinRejectedError
 	return errors.As(err, &refused)
 }
--- a/internal/rollout/lifecycle_test.go
+++ b/internal/rollout/lifecycle_test.go
@@ -84,7 +84,7 @@
 
 // builds: one of the time before there were levels, one that knows the first, one that
 // knows the first two, as the former version did, and one that knows pipelines too.
-var builds = []Caps{{}, {Build: "1", Features: FeaturesAt(1)}, {Build: "2", Features: FeaturesAt(2)}, {Build: "3", Features: append(FeaturesAt(2), Pipelines)}}
+var builds = []Capabilities{{}, {Build: "1", Features: FeaturesAt(1)}, {Build: "2", Features: FeaturesAt(2)}, {Build: "3", Features: append(FeaturesAt(2), FeatureDependencies)}}
 
 var names = []string{"host-0", "host-1", "host-2"}
 
@@ -129,7 +129,7 @@
 				look := w.store
 				s := sent{what: "join", then: []statekv.Op{{Set: statekv.SessionPrefix + names[h], Value: struct{}{}}}}
 				if b > 0 {
-					reg, err := Register(&look, builds[b])
+					reg, err := NewRegistration(&look, builds[b])
 					if err != nil {
 						continue
 					}
@@ -155,10 +155,10 @@
 		if w.budget[2] > 0 {
 			s := sent{what: "write", when: []statekv.Compare{own}}
 			if l.build > 0 {
-				r := &Reader{keys: &l.saw, caps: builds[l.build]}
-				level, under := r.Now()
+				r := &VersionReader{keys: &l.saw, caps: builds[l.build]}
+				level, under := r.Current()
 				s.when, s.form = append(s.when, under), fmt.Sprint(level.Features)
-				if level.Takes(Pipelines) && l.build == 3 {
+				if level.Accepts(FeatureDependencies) && l.build == 3 {
 					submit := sent{what: "submit", when: s.when, then: []statekv.Op{{Set: waitingJob, Value: 1}}}
 					add("submits a job that waits", func(v *world, l *life) { v.budget[2]--; send(submit)(v, l) })
 				}
@@ -168,42 +168,42 @@
 		if l.build == 0 {
 			continue
 		}
-		v := Look(&l.saw, names, Level{})
-		v.Uses = func(Feature) (names []string) {
+		v := NewSnapshot(&l.saw, names, ClusterVersion{})
+		v.JobsNeeding = func(Feature) (names []string) {
 			if _, open := l.saw.Get(waitingJob); open {
 				names = append(names, "wk-1")
 			}
 			return names
 		}
-		v.Self, v.Stood, v.Steward = names[h], time.Hour, l.saw.at(statekv.LeaderKey).Rev
-		for k := range v.Nodes {
-			v.Nodes[k].For = time.Hour
+		v.Self, v.VersionAge, v.LeaderEpoch = names[h], time.Hour, l.saw.at(statekv.LeaderKey).Rev
+		for k := range v.Controllers {
+			v.Controllers[k].StateAge = time.Hour
 		}
-		for _, n := range v.Intruders() {
-			if n.Host != names[h] && builds[l.build].Lacks(v.Level) == "" {
-				when, then := v.Refuse(n, 1)
+		for _, n := range v.IncompatibleControllers() {
+			if n.Host != names[h] && builds[l.build].Missing(v.Version) == "" {
+				when, then := v.PlanReject(n, 1)
 				add("refuses "+n.Host, send(sent{what: "refuse", when: append(when, own), then: then}))
 			}
 		}
-		if v.Level.N < len(builds)-1 {
-			if change, _ := v.Rise(); change != nil {
-				add("raises", send(sent{what: "rise", when: append(change.When, own), then: change.Then}))
+		if v.Version.Number < len(builds)-1 {
+			if change, _ := v.PlanRaise(); change != nil {
+				add("raises", send(sent{what: "rise", when: append(change.Compares, own), then: change.Ops}))
 			}
 		}
 		if w.budget[1] > 0 {
-			v.Steward = 0
-			for _, f := range v.Level.Features {
-				if change, _ := v.Lower(f, "x"); change != nil {
+			v.LeaderEpoch = 0
+			for _, f := range v.Version.Features {
+				if change, _ := v.PlanLower(f, "x"); change != nil {
 					add("lowers "+string(f), func(v *world, l *life) {
 						v.budget[1]--
-						send(sent{what: "lower", when: append(change.When, own), then: change.Then})(v, l)
+						send(sent{what: "lower", when: append(change.Compares, own), then: change.Ops})(v, l)
 					})
 				}
 			}
-			if change, _ := v.Hold("x"); change != nil && v.Level.Hold == "" {
+			if change, _ := v.PlanHold("x"); change != nil && v.Version.HoldReason == "" {
 				add("holds", func(v *world, l *life) {
 					v.budget[1]--
-					send(sent{what: "hold", when: append(change.When, own), then: change.Then})(v, l)
+					send(sent{what: "hold", when: append(change.Compares, own), then: change.Ops})(v, l)
 				})
 			}
 		}
@@ -211,12 +211,12 @@
 	return out, did, nil
 }
 
-func (w *world) level() Level {
+func (w *world) level() ClusterVersion {
 	kv, ok := w.Get(statekv.ClusterVersionKey)
 	if !ok {
-		return Level{}
+		return ClusterVersion{}
 	}
-	l, err := ParseLevel(kv.Value)
+	l, err := ParseClusterVersion(kv.Value)
 	if err != nil {
 		panic(err)
 	}
@@ -248,27 +248,27 @@
 		}
 	}
 	after := w.level()
-	if _, open := w.Get(waitingJob); open && !after.Has(Pipelines) {
+	if _, open := w.Get(waitingJob); open && !after.Enabled(FeatureDependencies) {
 		return errors.New("a job waits for another and the level lets those live who do not know of that")
 	}
-	if after.N != before.N {
+	if after.Number != before.Number {
 		w.rose = w.rev
 	}
 	switch s.what {
 	case "join":
 		l.instance = w.rev
-		if l.build > 0 && builds[l.build].Lacks(after) != "" {
+		if l.build > 0 && builds[l.build].Missing(after) != "" {
 			return errors.New("a life began at a level that its build does not know")
 		}
 	case "write":
-		if s.form != fmt.Sprint(after.Features) && (l.build > 0 || after.N > 0 && w.refusable(h)) {
+		if s.form != fmt.Sprint(after.Features) && (l.build > 0 || after.Number > 0 && w.refusable(h)) {
 			return fmt.Errorf("a write by level %s was applied at level %v", s.form, after.Features)
 		}
 	case "rise", "lower":
-		if d := after.N - before.N; d != 1 && d != -1 && after.Ends == before.Ends {
-			return fmt.Errorf("from level %d to %d", before.N, after.N)
+		if d := after.Number - before.Number; d != 1 && d != -1 && after.Disabling == before.Disabling {
+			return fmt.Errorf("from level %d to %d", before.Number, after.Number)
 		}
-		if before.Hold != "" && s.what == "rise" && after.N > before.N {
+		if before.HoldReason != "" && s.what == "rise" && after.Number > before.Number {
 			return errors.New("it rose although a person held it")
 		}
 		for k := range w.lives {
@@ -276,12 +276,12 @@
 			if !lives || statekv.RejectionReason(kv) != "" {
 				continue
 			}
-			caps, err := ParseCaps(kv.Value)
+			caps, err := ParseCapabilities(kv.Value)
 			if err != nil {
 				return err
 			}
-			if lacks := caps.Lacks(after); lacks != "" && caps.Lacks(before) == "" {
-				return fmt.Errorf("it went to level %d while %s lives, whose build lacks %s", after.N, names[k], lacks)
+			if lacks := caps.Missing(after); lacks != "" && caps.Missing(before) == "" {
+				return fmt.Errorf("it went to level %d while %s lives, whose build lacks %s", after.Number, names[k], lacks)
 			}
 		}
 	}
--- a/internal/rollout/move.go
+++ b/internal/rollout/move.go
@@ -18,24 +18,24 @@
 
 // Moves of stored values.
 const (
-	MoveCopy = "copy" // ended jobs get records of the new form beside the former ones
-	MoveDrop = "drop" // the former ones go
-	MoveBack = "back" // former ones are written for those that have only the new
+	MigrationCopy          = "copy" // ended jobs get records of the new form beside the former ones
+	MigrationDropLegacy    = "drop" // the former ones go
+	MigrationRestoreLegacy = "back" // former ones are written for those that have only the new
 )
 
-// Move is how far stored values have been moved, as the move's key holds it.
-type Move struct {
-	Name   string `json:"move"`
-	Level  int    `json:"level"`           // at which it is made
-	After  string `json:"after,omitempty"` // the last job that was looked at, by the order of keys
-	Looked int    `json:"looked"`
-	Moved  int    `json:"moved"`
-	Done   bool   `json:"done,omitempty"`
+// Migration is how far stored values have been moved, as the move's key holds it.
+type Migration struct {
+	Name     string `json:"move"`
+	Version  int    `json:"level"`           // at which it is made
+	Cursor   string `json:"after,omitempty"` // the last job that was looked at, by the order of keys
+	Scanned  int    `json:"looked"`
+	Migrated int    `json:"moved"`
+	Done     bool   `json:"done,omitempty"`
 
-	// Bad counts the values that cannot be read and were left as they are; the first
+	// Undecodable counts the values that cannot be read and were left as they are; the first
 	// ones are listed.
-	Bad    int        `json:"bad,omitempty"`
-	Listed []BadValue `json:"unreadable,omitempty"`
+	Undecodable       int                `json:"bad,omitempty"`
+	UndecodableSample []UndecodableValue `json:"unreadable,omitempty"`
 }
 
 // unreadable is the name of a move whose key cannot be read.
@@ -50,42 +50,42 @@
 )
 
 // MarshalJSON keeps to those that fit: the former version listed more.
-func (m Move) MarshalJSON() ([]byte, error) {
-	type plain Move
-	m.Listed = m.Listed[:min(len(m.Listed), mostBad)]
+func (m Migration) MarshalJSON() ([]byte, error) {
+	type plain Migration
+	m.UndecodableSample = m.UndecodableSample[:min(len(m.UndecodableSample), mostBad)]
 	return json.Marshal(plain(m))
 }
 
 // unreadable notes a value that is left as it is.
-func (m *Move) unreadable(key string, err error) {
+func (m *Migration) unreadable(key string, err error) {
 	slog.Error("stored value undecodable, kept unchanged", "key", key, "err", err)
-	m.Bad++
-	if len(m.Listed) < mostBad {
+	m.Undecodable++
+	if len(m.UndecodableSample) < mostBad {
 		why := strings.ToValidUTF8(err.Error()[:min(len(err.Error()), mostWhy)], "")
-		m.Listed = append(slices.Clone(m.Listed), BadValue{key, why})
+		m.UndecodableSample = append(slices.Clone(m.UndecodableSample), UndecodableValue{key, why})
 	}
 }
 
-func (m Move) String() string {
-	s := fmt.Sprintf("%s: %d of %d looked at so far moved", m.Name, m.Moved, m.Looked)
+func (m Migration) String() string {
+	s := fmt.Sprintf("%s: %d of %d looked at so far moved", m.Name, m.Migrated, m.Scanned)
 	if m.Done {
-		s = fmt.Sprintf("%s: all %d looked at, %d moved", m.Name, m.Looked, m.Moved)
+		s = fmt.Sprintf("%s: all %d looked at, %d moved", m.Name, m.Scanned, m.Migrated)
 	}
-	if m.Bad > 0 {
-		s += fmt.Sprintf(", %d cannot be read", m.Bad)
+	if m.Undecodable > 0 {
+		s += fmt.Sprintf(", %d cannot be read", m.Undecodable)
 	}
 	return s
 }
 
-// MoveShare is the part of the state service's write limit that a move uses. It is
+// MigrationWriteShare is the part of the state service's write limit that a move uses. It is
 // beside the part that controllers share, so that nothing waits for it.
-const MoveShare = 0.1
+const MigrationWriteShare = 0.1
 
-// Mover moves stored values while its controller is steward. Each transaction moves some
+// Migrator moves stored values while its controller is steward. Each transaction moves some
 // and notes how far it got, under the conditions that the level, the steward and that
 // note are as they were seen; so two movers never undo each other, and whoever is
 // steward next goes on where the last one stopped.
-type Mover struct {
+type Migrator struct {
 	store   statekv.Store
 	mirror  *statekv.Mirror
 	member  *statekv.Session
@@ -94,14 +94,14 @@
 	pace    *rate.Limiter
 }
 
-// NewMover returns a mover that makes so many changes a second at most.
-func NewMover(store statekv.Store, mirror *statekv.Mirror, member *statekv.Session, steward func() uint64, txnOps int, perSecond float64) *Mover {
-	return &Mover{store: store, mirror: mirror, member: member, steward: steward, txnOps: txnOps,
+// NewMigrator returns a mover that makes so many changes a second at most.
+func NewMigrator(store statekv.Store, mirror *statekv.Mirror, member *statekv.Session, steward func() uint64, txnOps int, perSecond float64) *Migrator {
+	return &Migrator{store: store, mirror: mirror, member: member, steward: steward, txnOps: txnOps,
 		pace: rate.NewLimiter(rate.Limit(perSecond), txnOps)}
 }
 
 // Run moves what there is to move until ctx ends.
-func (m *Mover) Run(ctx context.Context) {
+func (m *Migrator) Run(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -128,38 +128,38 @@
 
 // moving is a move under way with the revisions that it goes by.
 type moving struct {
-	Move
+	Migration
 	rev, level, steward uint64
 }
 
 // page moves the values of one page of the listing. It returns whether there is more
 // to do now.
-func (m *Mover) page(ctx context.Context) (more bool, err error) {
+func (m *Migrator) page(ctx context.Context) (more bool, err error) {
 	kv, ok := m.mirror.Get(statekv.MigrationKey)
 	levelKV, _ := m.mirror.Get(statekv.ClusterVersionKey)
 	at := moving{rev: kv.Rev, level: levelKV.Rev, steward: m.steward()}
-	if !ok || json.Unmarshal(kv.Value, &at.Move) != nil || at.Done || at.steward == 0 {
+	if !ok || json.Unmarshal(kv.Value, &at.Migration) != nil || at.Done || at.steward == 0 {
 		return false, nil
 	}
-	level, err := ParseLevel(levelKV.Value)
-	if err != nil || level.N != at.Level {
+	level, err := ParseClusterVersion(levelKV.Value)
+	if err != nil || level.Number != at.Version {
 		return false, nil // it was made at another level
 	}
-	from := tombstone.FormerPrefix
-	if at.Name == MoveBack {
+	from := tombstone.LegacyPrefix
+	if at.Name == MigrationRestoreLegacy {
 		from = tombstone.Prefix
 	}
 	after := ""
-	if at.After != "" {
-		after = from + at.After
+	if at.Cursor != "" {
+		after = from + at.Cursor
 	}
 	list, err := m.store.List(ctx, from, after)
 	if err != nil {
 		return true, fmt.Errorf("listing what is to be moved: %w", err)
 	}
 	var others map[string]uint64
-	if at.Name == MoveDrop && len(list.Items) > 0 {
-		if others, err = m.revisions(ctx, tombstone.Prefix, at.After, list.Items[len(list.Items)-1].Key[len(from):]); err != nil {
+	if at.Name == MigrationDropLegacy && len(list.Items) > 0 {
+		if others, err = m.revisions(ctx, tombstone.Prefix, at.Cursor, list.Items[len(list.Items)-1].Key[len(from):]); err != nil {
 			return true, err
 		}
 	}
@@ -167,7 +167,7 @@
 	for len(items) > 0 {
 		most := m.store.MaxTxnOps(m.txnOps)
 		n := min(len(items), max(1, most-1))
-		if at.Name == MoveDrop {
+		if at.Name == MigrationDropLegacy {
 			n = min(n, max(1, (most-1)/2)) // two changes each at most
 		}
 		if err := m.batch(ctx, &at, items[:n], others); err != nil {
@@ -180,7 +180,7 @@
 		if err := m.note(ctx, &at, nil, nil); err != nil {
 			return true, err
 		}
-		slog.Info("stored values migrated", "migration", at.Name, "scanned", at.Looked, "migrated", at.Moved, "undecodable", at.Bad)
+		slog.Info("stored values migrated", "migration", at.Name, "scanned", at.Scanned, "migrated", at.Migrated, "undecodable", at.Undecodable)
 		return false, nil
 	}
 	return true, nil
@@ -188,7 +188,7 @@
 
 // revisions lists the revisions of the keys under prefix for the jobs after one up to
 // another.
-func (m *Mover) revisions(ctx context.Context, prefix, after, last string) (map[string]uint64, error) {
+func (m *Migrator) revisions(ctx context.Context, prefix, after, last string) (map[string]uint64, error) {
 	out := map[string]uint64{}
 	key := ""
 	if after != "" {
@@ -214,7 +214,7 @@
 
 // batch moves some values with one transaction. Those that turn out to be moved
 // already are left out.
-func (m *Mover) batch(ctx context.Context, at *moving, items []statekv.KV, others map[string]uint64) error {
+func (m *Migrator) batch(ctx context.Context, at *moving, items []statekv.KV, others map[string]uint64) error {
 	type change struct {
 		when []statekv.Compare
 		ops  []statekv.Op
@@ -229,18 +229,18 @@
 		}
 		c := change{when: []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}}
 		switch at.Name {
-		case MoveCopy:
+		case MigrationCopy:
 			c.when = append(c.when, statekv.Compare{Key: tombstone.Key(id)})
-			c.ops = tombstone.Ops(id, r, tombstone.Compact)
-		case MoveBack:
-			c.when = append(c.when, statekv.Compare{Key: tombstone.FormerKey(id)})
-			c.ops = tombstone.Ops(id, r, tombstone.Former)
-		case MoveDrop:
+			c.ops = tombstone.WriteOps(id, r, tombstone.CompactOnly)
+		case MigrationRestoreLegacy:
+			c.when = append(c.when, statekv.Compare{Key: tombstone.LegacyKey(id)})
+			c.ops = tombstone.WriteOps(id, r, tombstone.LegacyOnly)
+		case MigrationDropLegacy:
 			c.when = append(c.when, statekv.Compare{Key: tombstone.Key(id), Rev: others[id]})
 			if others[id] == 0 {
 				// Controllers of the former version that were started all together
 				// since have nobody who refuses them, and write only this form.
-				c.ops = tombstone.Ops(id, r, tombstone.Compact)
+				c.ops = tombstone.WriteOps(id, r, tombstone.CompactOnly)
 			}
 			c.ops = append(c.ops, statekv.Op{Delete: kv.Key})
 		default:
@@ -250,9 +250,9 @@
 	}
 	for {
 		next := noted
-		next.After = strings.TrimPrefix(strings.TrimPrefix(items[len(items)-1].Key, tombstone.FormerPrefix), tombstone.Prefix)
-		next.Looked += len(items)
-		next.Moved += len(changes)
+		next.Cursor = strings.TrimPrefix(strings.TrimPrefix(items[len(items)-1].Key, tombstone.LegacyPrefix), tombstone.Prefix)
+		next.Scanned += len(items)
+		next.Migrated += len(changes)
 		var when []statekv.Compare
 		var then []statekv.Op
 		for _, c := range changes {
@@ -278,14 +278,14 @@
 }
 
 // note writes changes together with how far the move got.
-func (m *Mover) note(ctx context.Context, at *moving, when []statekv.Compare, then []statekv.Op) error {
+func (m *Migrator) note(ctx context.Context, at *moving, when []statekv.Compare, then []statekv.Op) error {
 	if err := m.pace.WaitN(ctx, len(then)+1); err != nil {
 		return err
 	}
 	tctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	rev, err := m.store.Txn(tctx, append([]statekv.Compare{m.member.Fence(), {Key: statekv.ClusterVersionKey, Rev: at.level}, {Key: statekv.LeaderKey, Rev: at.steward}, {Key: statekv.MigrationKey, Rev: at.rev}}, when...),
-		append(then, statekv.Op{Set: statekv.MigrationKey, Value: at.Move}))
+		append(then, statekv.Op{Set: statekv.MigrationKey, Value: at.Migration}))
 	if err != nil {
 		return fmt.Errorf("moving %d values: %w", len(then), err)
 	}
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -11,82 +11,82 @@
 
 // Status is what operators see of a roll-out.
 type Status struct {
-	Level       int          `json:"level"`
-	Features    []Feature    `json:"features"`
-	Hold        string       `json:"hold,omitempty"`
-	WaitsFor    string       `json:"waits_for,omitempty"` // why it does not rise
-	Next        *NextStatus  `json:"next,omitempty"`
-	Lower       string       `json:"lowering,omitempty"` // what stands in the way of lowering, or "possible"
-	Controllers []NodeStatus `json:"controllers"`
-	Move        string       `json:"move,omitempty"`
-	Unreadable  []BadValue   `json:"unreadable"`
-	Build       string       `json:"build_here"`
+	ClusterVersion int                `json:"level"`
+	Features       []Feature          `json:"features"`
+	HoldReason     string             `json:"hold,omitempty"`
+	RaiseBlockedBy string             `json:"waits_for,omitempty"` // why it does not rise
+	Next           *NextVersion       `json:"next,omitempty"`
+	LowerBlockedBy string             `json:"lowering,omitempty"` // what stands in the way of lowering, or "possible"
+	Controllers    []ControllerStatus `json:"controllers"`
+	Migration      string             `json:"move,omitempty"`
+	Undecodable    []UndecodableValue `json:"unreadable"`
+	Build          string             `json:"build_here"`
 }
 
-// NextStatus is the level to come.
-type NextStatus struct {
-	Level  int     `json:"level"`
-	Adds   Feature `json:"adds"`
-	For    string  `json:"for"`
-	Closes bool    `json:"closes_the_way_back"`
+// NextVersion is the level to come.
+type NextVersion struct {
+	ClusterVersion int     `json:"level"`
+	Feature        Feature `json:"adds"`
+	Description    string  `json:"for"`
+	Irreversible   bool    `json:"closes_the_way_back"`
 }
 
-// NodeStatus is one controller.
-type NodeStatus struct {
-	Host    string  `json:"host"`
-	Build   string  `json:"build,omitempty"`
-	Lives   bool    `json:"lives"`
-	ForS    float64 `json:"for_s"` // how long it has been so, as seen from here
-	Lacks   string  `json:"lacks_for_next,omitempty"`
-	Refused string  `json:"refused,omitempty"`
+// ControllerStatus is one controller.
+type ControllerStatus struct {
+	Host           string  `json:"host"`
+	Build          string  `json:"build,omitempty"`
+	Alive          bool    `json:"lives"`
+	StateAgeS      float64 `json:"for_s"` // how long it has been so, as seen from here
+	MissingForNext string  `json:"lacks_for_next,omitempty"`
+	RejectedReason string  `json:"refused,omitempty"`
 }
 
-// BadValue is a stored value that cannot be read.
-type BadValue struct {
-	Key string `json:"key"`
-	Why string `json:"why"`
+// UndecodableValue is a stored value that cannot be read.
+type UndecodableValue struct {
+	Key    string `json:"key"`
+	Reason string `json:"why"`
 }
 
 // Status tells how the roll-out stands, as seen from this controller.
-func (g *Gate) Status() Status {
+func (g *VersionGate) Status() Status {
 	v := g.look(time.Now())
-	s := Status{Level: v.Level.N, Features: v.Level.Features, Hold: v.Level.Hold, Build: Build, Controllers: []NodeStatus{}, Unreadable: []BadValue{}}
+	s := Status{ClusterVersion: v.Version.Number, Features: v.Version.Features, HoldReason: v.Version.HoldReason, Build: BuildVersion, Controllers: []ControllerStatus{}, Undecodable: []UndecodableValue{}}
 	if s.Features == nil {
 		s.Features = []Feature{}
 	}
-	change, why := v.Rise()
-	if s.WaitsFor = why; change != nil {
-		s.WaitsFor = "the steward's next look"
+	change, why := v.PlanRaise()
+	if s.RaiseBlockedBy = why; change != nil {
+		s.RaiseBlockedBy = "the steward's next look"
 	}
-	next := v.Level
+	next := v.Version
 	if steps := v.next(); len(steps) > 0 {
-		next = v.Level.with(steps[0].Adds)
-		s.Next = &NextStatus{next.N, steps[0].Adds, steps[0].For, steps[0].Closes}
+		next = v.Version.with(steps[0].Feature)
+		s.Next = &NextVersion{next.Number, steps[0].Feature, steps[0].Description, steps[0].Irreversible}
 	}
-	if v.Level.N > 0 {
-		if _, s.Lower = v.Lower("", ""); s.Lower == "" {
-			s.Lower = "possible"
+	if v.Version.Number > 0 {
+		if _, s.LowerBlockedBy = v.PlanLower("", ""); s.LowerBlockedBy == "" {
+			s.LowerBlockedBy = "possible"
 		}
 	}
-	for _, n := range v.Nodes {
-		ns := NodeStatus{Host: n.Host, Build: n.Caps.Build, Lives: n.Lives, ForS: n.For.Round(100 * time.Millisecond).Seconds(), Refused: n.Refused}
-		if n.Lives {
-			ns.Lacks = n.Caps.Lacks(next)
+	for _, n := range v.Controllers {
+		ns := ControllerStatus{Host: n.Host, Build: n.Capabilities.Build, Alive: n.Alive, StateAgeS: n.StateAge.Round(100 * time.Millisecond).Seconds(), RejectedReason: n.RejectedReason}
+		if n.Alive {
+			ns.MissingForNext = n.Capabilities.Missing(next)
 		}
 		s.Controllers = append(s.Controllers, ns)
 	}
-	if v.Move.Name != "" {
-		s.Move = v.Move.String()
+	if v.Migration.Name != "" {
+		s.Migration = v.Migration.String()
 	}
 	bad := g.mirror.Undecodable()
-	for _, b := range v.Move.Listed {
-		bad[b.Key] = b.Why
+	for _, b := range v.Migration.UndecodableSample {
+		bad[b.Key] = b.Reason
 	}
-	if v.LevelBad != "" {
-		bad[statekv.ClusterVersionKey] = v.LevelBad
+	if v.VersionDecodeError != "" {
+		bad[statekv.ClusterVersionKey] = v.VersionDecodeError
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(bad), strings.Compare) {
-		s.Unreadable = append(s.Unreadable, BadValue{key, bad[key]})
+		s.Undecodable = append(s.Undecodable, UndecodableValue{key, bad[key]})
 	}
 	return s
 }
--- a/internal/rollout/story_test.go
+++ b/internal/rollout/story_test.go
@@ -32,7 +32,7 @@
 }
 
 type life struct {
-	gate   *rollout.Gate
+	gate   *rollout.VersionGate
 	mirror *statekv.Mirror
 	member *statekv.Session
 	ended  chan error
@@ -52,11 +52,11 @@
 func (f *fleet) start(host string, steward bool) error {
 	f.end(host)
 	ctx, stop := context.WithCancel(f.ctx)
-	mirror := statekv.NewMirror(f.state, []string{statekv.ClusterPrefix, job.OpenPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+	mirror := statekv.NewMirror(f.state, []string{statekv.ClusterPrefix, job.RecordPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 	if err := mirror.Load(ctx); err != nil {
 		f.t.Fatal(err)
 	}
-	reg, err := rollout.Register(mirror, rollout.OurCaps())
+	reg, err := rollout.NewRegistration(mirror, rollout.LocalCapabilities())
 	if err != nil {
 		stop()
 		return err
@@ -81,8 +81,8 @@
 	}
 	pol := policy.Default()
 	pol.RolloutSoak = soak
-	l.gate = rollout.NewGate(hosts, pol, mirror, member, f.state, isSteward)
-	mover := rollout.NewMover(learning{f.state, &f.learned}, mirror, member, isSteward, 24, f.pace)
+	l.gate = rollout.NewVersionGate(hosts, pol, mirror, member, f.state, isSteward)
+	mover := rollout.NewMigrator(learning{f.state, &f.learned}, mirror, member, isSteward, 24, f.pace)
 	go mirror.Run(ctx)
 	go func() { l.ended <- member.KeepAlive(ctx) }()
 	go l.gate.Run(ctx)
@@ -132,11 +132,11 @@
 	if err != nil {
 		return 0
 	}
-	l, err := rollout.ParseLevel(kv.Value)
+	l, err := rollout.ParseClusterVersion(kv.Value)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return l.N
+	return l.Number
 }
 
 func (f *fleet) is(level int, when string) {
@@ -150,8 +150,8 @@
 func (f *fleet) waits(host, for_ string) {
 	f.t.Helper()
 	l := f.lives[host]
-	if s := l.gate.Status(); !strings.Contains(s.WaitsFor, for_) {
-		f.t.Errorf("the status says %q and not %q", s.WaitsFor, for_)
+	if s := l.gate.Status(); !strings.Contains(s.RaiseBlockedBy, for_) {
+		f.t.Errorf("the status says %q and not %q", s.RaiseBlockedBy, for_)
 	}
 }
 
@@ -227,7 +227,7 @@
 		if hosts := f.lives["host-0"].member.AliveHosts(); len(hosts) != 2 {
 			t.Errorf("the refused one counts as alive: %v", hosts)
 		}
-		if s := f.lives["host-1"].gate.Status(); !strings.Contains(s.Controllers[2].Refused, "lacks") {
+		if s := f.lives["host-1"].gate.Status(); !strings.Contains(s.Controllers[2].RejectedReason, "lacks") {
 			t.Errorf("%+v", s.Controllers)
 		}
 	})
@@ -285,7 +285,7 @@
 	story(t, func(f *fleet) {
 		f.startAll()
 		time.Sleep(soak + 2*time.Second)
-		future := rollout.Level{Form: 1, N: 9, Features: []rollout.Feature{"a", "b", "c", "d", "e", "f", "g", "h", "teleport"}}
+		future := rollout.ClusterVersion{Schema: 1, Number: 9, Features: []rollout.Feature{"a", "b", "c", "d", "e", "f", "g", "h", "teleport"}}
 		f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: future})
 		time.Sleep(3 * time.Second)
 		before := f.state.Changes()
@@ -298,14 +298,14 @@
 			default:
 				t.Errorf("%s lives on", host)
 			}
-			if err := f.lives[host].gate.Do(f.ctx, rollout.LowerVerb, "", ""); err == nil {
+			if err := f.lives[host].gate.Execute(f.ctx, rollout.CommandLower, "", ""); err == nil {
 				t.Errorf("%s wrote a level that it does not know", host)
 			}
 		}
 		if n := f.state.Changes() - before; n > 0 {
 			t.Errorf("%d changes", n)
 		}
-		if err := f.start("host-0", false); !rollout.IsRefused(err) {
+		if err := f.start("host-0", false); !rollout.IsJoinRejected(err) {
 			t.Error(err)
 		}
 	})
@@ -324,10 +324,10 @@
 			t.Error(string(kv.Value), err)
 		}
 		l := f.lives["host-1"]
-		if s := l.gate.Status(); s.Level != 3 || len(s.Unreadable) != 1 || s.Unreadable[0].Key != statekv.ClusterVersionKey {
+		if s := l.gate.Status(); s.ClusterVersion != 3 || len(s.Undecodable) != 1 || s.Undecodable[0].Key != statekv.ClusterVersionKey {
 			t.Errorf("%+v", s)
 		}
-		if _, under := rollout.NewReader(l.mirror).Now(); under.Rev != kv.Rev {
+		if _, under := rollout.NewVersionReader(l.mirror).Current(); under.Rev != kv.Rev {
 			t.Error("writes under the level are not possible any more")
 		}
 	})
@@ -344,9 +344,9 @@
 		f.state.Delay(2 * time.Second) // the rise takes that long
 		time.Sleep(2 * time.Second)
 		do := func(host, verb string) error {
-			return f.lives[host].gate.Do(f.ctx, verb, "", "told so")
+			return f.lives[host].gate.Execute(f.ctx, verb, "", "told so")
 		}
-		if err := do("host-2", rollout.HoldVerb); err != nil {
+		if err := do("host-2", rollout.CommandHold); err != nil {
 			t.Fatal(err)
 		}
 		f.state.Delay(0)
@@ -355,18 +355,18 @@
 		f.is(held, "while it is held")
 		f.waits("host-1", "held: told so")
 		for n := held; n > 0; n-- {
-			if err := do("host-1", rollout.LowerVerb); err != nil {
+			if err := do("host-1", rollout.CommandLower); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second) // what stored values may need goes off with the steward's next look
 			f.is(n-1, "lowered")
 		}
-		if err := do("host-1", rollout.LowerVerb); err == nil || !strings.Contains(err.Error(), "at level 0") {
+		if err := do("host-1", rollout.CommandLower); err == nil || !strings.Contains(err.Error(), "at level 0") {
 			t.Error(err)
 		}
 		time.Sleep(3 * soak)
 		f.is(0, "held there")
-		if err := do("host-1", rollout.RaiseVerb); err != nil {
+		if err := do("host-1", rollout.CommandRaise); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
@@ -385,9 +385,9 @@
 	const jobs = 5000
 	story(t, func(f *fleet) {
 		for k := range jobs {
-			f.write(tombstone.Ops(fmt.Sprintf("wk-%06d", k), recordOf(k), tombstone.Former)...)
+			f.write(tombstone.WriteOps(fmt.Sprintf("wk-%06d", k), recordOf(k), tombstone.LegacyOnly)...)
 		}
-		damaged := tombstone.FormerKey("wk-000555")
+		damaged := tombstone.LegacyKey("wk-000555")
 		f.write(statekv.Op{Set: damaged, Value: "mangled"})
 		f.startAll()
 		reads := 0
@@ -431,31 +431,31 @@
 			t.Errorf("%.1f changes a second", rate)
 		}
 		time.Sleep(5 * time.Second)
-		bad := f.lives["host-2"].gate.Status().Unreadable
+		bad := f.lives["host-2"].gate.Status().Undecodable
 		if kv, err := f.state.Get(f.ctx, damaged); err != nil || string(kv.Value) != `"mangled"` || len(bad) != 1 || bad[0].Key != damaged {
 			t.Error(bad, string(kv.Value), err)
 		}
-		if err := f.lives["host-2"].gate.Do(f.ctx, rollout.RaiseVerb, "", ""); err != nil {
+		if err := f.lives["host-2"].gate.Execute(f.ctx, rollout.CommandRaise, "", ""); err != nil {
 			t.Fatal(err)
 		}
 		wait("the rise that closes", func() bool { return f.level() == 5 })
-		wait("the end of the former records", func() bool { return count(tombstone.FormerPrefix) == 1 }) // the damaged one
-		if err := f.lives["host-2"].gate.Do(f.ctx, rollout.LowerVerb, "", ""); err != nil {
+		wait("the end of the former records", func() bool { return count(tombstone.LegacyPrefix) == 1 }) // the damaged one
+		if err := f.lives["host-2"].gate.Execute(f.ctx, rollout.CommandLower, "", ""); err != nil {
 			t.Fatal(err)
 		}
 		f.is(4, "lowered")
 		time.Sleep(5 * time.Second)
-		if err := f.lives["host-2"].gate.Do(f.ctx, rollout.LowerVerb, "", ""); err == nil || !strings.Contains(err.Error(), "being brought back") {
+		if err := f.lives["host-2"].gate.Execute(f.ctx, rollout.CommandLower, "", ""); err == nil || !strings.Contains(err.Error(), "being brought back") {
 			t.Errorf("the level was left while former records are missing: %v", err)
 		}
-		wait("bringing them back", func() bool { return count(tombstone.FormerPrefix) == jobs })
+		wait("bringing them back", func() bool { return count(tombstone.LegacyPrefix) == jobs })
 		time.Sleep(5 * time.Second)
-		if err := f.lives["host-2"].gate.Do(f.ctx, rollout.LowerVerb, "", ""); err != nil {
+		if err := f.lives["host-2"].gate.Execute(f.ctx, rollout.CommandLower, "", ""); err != nil {
 			t.Error(err)
 		}
 		f.is(3, "lowered once more")
 		for k := range jobs {
-			kv, err := f.state.Get(f.ctx, tombstone.FormerKey(fmt.Sprintf("wk-%06d", k)))
+			kv, err := f.state.Get(f.ctx, tombstone.LegacyKey(fmt.Sprintf("wk-%06d", k)))
 			var was struct {
 				Status string `json:"status"`
 				Tasks  int    `json:"tasks"`
@@ -476,10 +476,10 @@
 		for _, ends := range []bool{true, false} {
 			story(t, func(f *fleet) {
 				for k := range jobs {
-					f.write(tombstone.Ops(fmt.Sprintf("wk-%03d", k), recordOf(k), tombstone.Former)...)
+					f.write(tombstone.WriteOps(fmt.Sprintf("wk-%03d", k), recordOf(k), tombstone.LegacyOnly)...)
 				}
-				three := rollout.Level{Form: 1, N: 3, Features: rollout.FeaturesAt(3)}
-				f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: three}, statekv.Op{Set: statekv.MigrationKey, Value: rollout.Move{Name: rollout.MoveCopy, Level: 3}})
+				three := rollout.ClusterVersion{Schema: 1, Number: 3, Features: rollout.FeaturesAt(3)}
+				f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: three}, statekv.Op{Set: statekv.MigrationKey, Value: rollout.Migration{Name: rollout.MigrationCopy, Version: 3}})
 				if err := f.start("host-0", true); err != nil {
 					t.Fatal(err)
 				}
@@ -492,13 +492,13 @@
 				}
 				time.Sleep(30 * time.Second)
 				kv, err := f.state.Get(f.ctx, statekv.MigrationKey)
-				var m rollout.Move
-				if err != nil || json.Unmarshal(kv.Value, &m) != nil || !m.Done || m.Looked != jobs {
+				var m rollout.Migration
+				if err != nil || json.Unmarshal(kv.Value, &m) != nil || !m.Done || m.Scanned != jobs {
 					t.Fatalf("stopped after %d: %s %v", stop, kv.Value, err)
 				}
 				for k := range jobs {
 					id := fmt.Sprintf("wk-%03d", k)
-					for _, key := range []string{tombstone.Key(id), tombstone.FormerKey(id)} {
+					for _, key := range []string{tombstone.Key(id), tombstone.LegacyKey(id)} {
 						kv, err := f.state.Get(f.ctx, key)
 						if err != nil {
 							t.Fatal(key, err)
@@ -519,18 +519,18 @@
 	story(t, func(f *fleet) {
 		const bad = 40
 		for k := range bad {
-			key := tombstone.FormerPrefix + fmt.Sprintf("%03d", k)
+			key := tombstone.LegacyPrefix + fmt.Sprintf("%03d", k)
 			f.write(statekv.Op{Set: key + strings.Repeat("x", 200-len(key)), Value: "mangled"})
 		}
-		f.write(tombstone.Ops("wk-1", recordOf(1), tombstone.Former)...)
-		f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.Level{Form: 1, N: 3, Features: rollout.FeaturesAt(3)}}, statekv.Op{Set: statekv.MigrationKey, Value: rollout.Move{Name: rollout.MoveCopy, Level: 3}})
+		f.write(tombstone.WriteOps("wk-1", recordOf(1), tombstone.LegacyOnly)...)
+		f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.ClusterVersion{Schema: 1, Number: 3, Features: rollout.FeaturesAt(3)}}, statekv.Op{Set: statekv.MigrationKey, Value: rollout.Migration{Name: rollout.MigrationCopy, Version: 3}})
 		if err := f.start("host-0", true); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Minute)
 		kv, err := f.state.Get(f.ctx, statekv.MigrationKey)
-		var m rollout.Move
-		if err != nil || json.Unmarshal(kv.Value, &m) != nil || !m.Done || m.Bad != bad || len(kv.Value) > 4096 {
+		var m rollout.Migration
+		if err != nil || json.Unmarshal(kv.Value, &m) != nil || !m.Done || m.Undecodable != bad || len(kv.Value) > 4096 {
 			t.Errorf("%d bytes: %s %v", len(kv.Value), kv.Value, err)
 		}
 		if _, err := f.state.Get(f.ctx, tombstone.Key("wk-1")); err != nil {
--- a/internal/rollout/wire_test.go
+++ b/internal/rollout/wire_test.go
@@ -7,17 +7,17 @@
 )
 
 func TestWireForms(t *testing.T) {
-	wireformat.JSON[Level](t, "level")
-	wireformat.JSON[Caps](t, "capabilities")
-	wireformat.JSON[Move](t, "move")
+	wireformat.JSON[ClusterVersion](t, "level")
+	wireformat.JSON[Capabilities](t, "capabilities")
+	wireformat.JSON[Migration](t, "move")
 	wireformat.JSON[Status](t, "status")
-	caps := OurCaps()
+	caps := LocalCapabilities()
 	caps.Build = ""
 	wireformat.Golden(t, "words", wireformat.Indent(t, map[string]any{
-		"capabilities": caps, "top": Level{}.at(Top()),
-		"features": []Feature{Gated, Failures, Ended, EndedOnly, Pipelines},
-		"kinds":    []string{RecordKind, EndedKind, LevelKind},
-		"moves":    []string{MoveCopy, MoveDrop, MoveBack},
-		"verbs":    []string{HoldVerb, RaiseVerb, LowerVerb},
+		"capabilities": caps, "top": ClusterVersion{}.at(MaxClusterVersion()),
+		"features": []Feature{FeatureVersionGate, FeatureFailureHistory, FeatureTombstones, FeatureCompactTombstonesOnly, FeatureDependencies},
+		"kinds":    []string{JobRecordKind, TombstoneKind, ClusterVersionKind},
+		"moves":    []string{MigrationCopy, MigrationDropLegacy, MigrationRestoreLegacy},
+		"verbs":    []string{CommandHold, CommandRaise, CommandLower},
 	}))
 }
--- a/internal/scheduler/begin.go
+++ b/internal/scheduler/begin.go
@@ -144,6 +144,6 @@
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	reply, err := p.permits(cctx, quota.Request{Slot: j.slot, Epoch: epoch,
-		Reserve: &quota.Reservation{Job: j.spec.ID, Team: j.spec.Team, Need: job.Need{}.Add(j.spec.Need, float64(n)), Since: j.from.UnixMilli()}})
+		Reserve: &quota.Reservation{Job: j.spec.ID, Team: j.spec.Team, Need: job.Need{}.AddScaled(j.spec.Need, float64(n)), Since: j.from.UnixMilli()}})
 	return err == nil && reply.Reserved
 }
--- a/internal/scheduler/chunks_test.go
+++ b/internal/scheduler/chunks_test.go
@@ -15,8 +15,8 @@
 	const most = 8
 	p := &Scheduler{settings: &config.Settings{StateLimits: config.StateLimits{MaxValueBytes: 2048, MaxTxnOps: most}}, store: emulator.NewState()}
 	spec := job.Spec{ID: "wk-1", Class: "c", Team: "t", Shape: job.Array, Rank: "normal", Tasks: job.MaxTasks, Image: "i"}
-	j := &jobState{spec: &spec, rest: &job.Record{}, done: job.NewSet(spec.Tasks), dirty: map[int]bool{}}
-	all := job.Chunks(spec.Tasks)
+	j := &jobState{spec: &spec, rest: &job.Record{}, done: job.NewTaskBitmap(spec.Tasks), dirty: map[int]bool{}}
+	all := job.ChunkCount(spec.Tasks)
 	for k := range all {
 		j.dirty[k] = true
 	}
@@ -28,7 +28,7 @@
 		dirty := j.dirty
 		j.dirty = map[int]bool{}
 		rec := p.record(j, false)
-		ops := p.recordOps(j, &rec, dirty, rollout.Level{})
+		ops := p.recordOps(j, &rec, dirty, rollout.ClusterVersion{})
 		if len(ops) > most || len(ops) == 0 || len(dirty)+len(j.dirty) > all {
 			t.Fatalf("%d changes; %d and %d chunks", len(ops), len(dirty), len(j.dirty))
 		}
--- a/internal/scheduler/drawn_test.go
+++ b/internal/scheduler/drawn_test.go
@@ -85,11 +85,11 @@
 
 // openStill and stored tell what the records say, also while nobody can read them.
 func (c *checker) openStill(id string) bool {
-	return slices.ContainsFunc(c.state.Dir(job.OpenKey(id)), func(kv statekv.KV) bool { return kv.Key == job.OpenKey(id) })
+	return slices.ContainsFunc(c.state.Dir(job.RecordKey(id)), func(kv statekv.KV) bool { return kv.Key == job.RecordKey(id) })
 }
 
 func (c *checker) stored(id string) string {
-	for _, kv := range append(c.state.Dir(tombstone.FormerKey(id)), c.state.Dir(tombstone.Key(id))...) {
+	for _, kv := range append(c.state.Dir(tombstone.LegacyKey(id)), c.state.Dir(tombstone.Key(id))...) {
 		if of, r, ok, err := tombstone.Parse(kv.Key, kv.Value); ok && err == nil && of == id {
 			return r.Status
 		}
@@ -234,9 +234,9 @@
 // offer submits a job if the state service takes it.
 func (w *world) offer(n *node, s job.Spec) bool {
 	slot, epoch, _ := n.placer.OwnJobShard()
-	rec := &job.Record{Spec: s, Slot: slot, Submitted: time.Now().UnixMilli()}
-	when := append(tombstone.Absent(s.ID), statekv.Compare{Key: job.OpenKey(s.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + slot, Rev: epoch})
-	rev, err := n.member.Write(w.ctx, when, []statekv.Op{{Set: job.OpenKey(s.ID), Value: rec}})
+	rec := &job.Record{Spec: s, JobShard: slot, SubmittedMS: time.Now().UnixMilli()}
+	when := append(tombstone.AbsentCompares(s.ID), statekv.Compare{Key: job.RecordKey(s.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + slot, Rev: epoch})
+	rev, err := n.member.Write(w.ctx, when, []statekv.Op{{Set: job.RecordKey(s.ID), Value: rec}})
 	if err == nil {
 		n.placer.OnJobAccepted(rec, rev)
 	}
@@ -246,11 +246,11 @@
 
 // abort records a cancellation, and says whether its user was told so.
 func (w *world) abort(id string) bool {
-	kv, err := w.state.Get(w.ctx, job.OpenKey(id))
+	kv, err := w.state.Get(w.ctx, job.RecordKey(id))
 	if err != nil {
 		return false
 	}
-	_, err = w.state.Txn(w.ctx, []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}, append(tombstone.Ops(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former), statekv.Op{Delete: kv.Key}))
+	_, err = w.state.Txn(w.ctx, []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}, append(tombstone.WriteOps(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.LegacyOnly), statekv.Op{Delete: kv.Key}))
 	return err == nil || errors.Is(err, statekv.ErrOutcomeUnknown)
 }
 
@@ -280,7 +280,7 @@
 			for id, s := range c.jobs {
 				for _, p := range s.WaitsOn {
 					if c.openStill(p) && !c.began[id] && c.cancelled[p].IsZero() {
-						c.put(tombstone.Ops(p, tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Former)...)
+						c.put(tombstone.WriteOps(p, tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.LegacyOnly)...)
 						c.workers.Do(func() {
 							c.boxes[0].Report.Tasks = append(c.boxes[0].Report.Tasks, worker.Task{ID: id + "/0", Attempt: 1 << 50, State: worker.TaskRunning})
 						})
@@ -314,7 +314,7 @@
 		},
 		"went_back": func(c *checker) bool {
 			if id := c.unharmed(); id != "" {
-				c.put(append(lose(id), tombstone.Ops(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former)...)...)
+				c.put(append(lose(id), tombstone.WriteOps(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.LegacyOnly)...)...)
 				return true
 			}
 			return false
@@ -347,4 +347,4 @@
 }
 
 // lose removes a job's record.
-func lose(id string) []statekv.Op { return []statekv.Op{{Delete: job.OpenKey(id)}} }
+func lose(id string) []statekv.Op { return []statekv.Op{{Delete: job.RecordKey(id)}} }
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -95,9 +95,9 @@
 		p.forgets = append(p.forgets, item)
 		return
 	}
-	if e.Notice && j.over == "" && (j.spec.Saves() || j.spec.Shape == job.Service) {
+	if e.Notice && j.over == "" && (j.spec.CanCheckpoint() || j.spec.Shape == job.Service) {
 		// The machine is being taken: save and move on.
-		p.stopJobTask(j, te.Index, j.spec.Save()+time.Second)
+		p.stopJobTask(j, te.Index, j.spec.CheckpointDuration()+time.Second)
 	}
 }
 
@@ -153,7 +153,7 @@
 		}
 		j.done.Add(k)
 		j.doneCount++
-		j.dirty[k/job.ChunkTasks] = true
+		j.dirty[k/job.TasksPerChunk] = true
 		if j.dirtyAt.IsZero() {
 			j.dirtyAt = time.Now()
 		}
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -81,7 +81,7 @@
 // note has what is known of the job's failures written into its record soon: its next
 // placer would have to fail it on as many machines again.
 func (p *Scheduler) note(j *jobState) {
-	if j.failures > mostNoted || !p.levels.On(rollout.Failures) {
+	if j.failures > mostNoted || !p.levels.Enabled(rollout.FeatureFailureHistory) {
 		return
 	}
 	j.noted = true
@@ -93,31 +93,31 @@
 // record is what is written of an unfinished job. The note of its failures is left out
 // where the value would become too large with it.
 func (p *Scheduler) record(j *jobState, failures bool) job.Record {
-	rec := job.Record{Spec: *j.spec, Slot: j.slot, Submitted: j.submitted.UnixMilli(), Done: j.done.Chunk(0), Pieces: j.rest.Pieces, Rest: j.rest.Rest, SpecRest: j.rest.SpecRest}
+	rec := job.Record{Spec: *j.spec, JobShard: j.slot, SubmittedMS: j.submitted.UnixMilli(), CompletedTasks: j.done.EncodeChunk(0), SpecFragments: j.rest.SpecFragments, UnknownFields: j.rest.UnknownFields, UnknownSpecFields: j.rest.UnknownSpecFields}
 	if !failures || len(j.failedOn) == 0 {
 		return rec
 	}
 	on := slices.Sorted(maps.Keys(j.failedOn))
-	rec.Failed = &job.Failures{On: on[:min(len(on), job.MostFailedOn)], Row: j.failures, Suspect: j.suspect}
+	rec.Failures = &job.FailureHistory{Machines: on[:min(len(on), job.MaxFailedMachines)], Consecutive: j.failures, Suspected: j.suspect}
 	if raw, err := json.Marshal(rec); err != nil || len(raw) > p.settings.StateLimits.MaxValueBytes {
-		rec.Failed = nil
+		rec.Failures = nil
 	}
 	return rec
 }
 
 // recall takes up what an earlier placer noted.
-func (j *jobState) recall(f *job.Failures, now time.Time) {
+func (j *jobState) recall(f *job.FailureHistory, now time.Time) {
 	if f == nil || j.doneCount > 0 {
 		return
 	}
 	j.failedOn = map[string]bool{}
-	for _, m := range f.On {
+	for _, m := range f.Machines {
 		j.failedOn[m] = true
 		j.avoid = append(j.avoid, m)
 	}
 	j.avoidTill = now.Add(avoidFor)
-	j.failures, j.suspect = f.Row, f.Suspect
-	j.nextTry = now.Add(backoff(f.Row))
+	j.failures, j.suspect = f.Consecutive, f.Suspected
+	j.nextTry = now.Add(backoff(f.Consecutive))
 }
 
 // backoff is the pause after so many failures in a row.
--- a/internal/scheduler/failures_test.go
+++ b/internal/scheduler/failures_test.go
@@ -17,7 +17,7 @@
 // at puts the fleet on a level.
 func (w *world) at(features ...rollout.Feature) {
 	w.t.Helper()
-	l := rollout.Level{Form: 1, N: len(features), Features: features}
+	l := rollout.ClusterVersion{Schema: 1, Number: len(features), Features: features}
 	if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Set: statekv.ClusterVersionKey, Value: l}}); err != nil {
 		w.t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 	for _, noted := range []bool{false, true} {
 		story(t, func(w *world) {
 			if noted {
-				w.at(rollout.Gated, rollout.Failures)
+				w.at(rollout.FeatureVersionGate, rollout.FeatureFailureHistory)
 			}
 			a := w.start("host-0")
 			w.run(3 * time.Second)
@@ -44,7 +44,7 @@
 				w.endAll(worker.CauseFailed)
 			}
 			w.run(3 * time.Second)
-			kv, err := w.state.Get(w.ctx, job.OpenKey("wk-1"))
+			kv, err := w.state.Get(w.ctx, job.RecordKey("wk-1"))
 			if err != nil || strings.Contains(string(kv.Value), `"failed"`) != noted {
 				t.Fatalf("noted %v: %s, %v", noted, kv.Value, err)
 			}
@@ -77,23 +77,23 @@
 		w.run(3 * time.Second)
 		w.submit(n, spec("wk-1", job.Array, 2, 1))
 		w.run(4 * time.Second)
-		w.at(rollout.Gated, rollout.Failures, rollout.Ended)
+		w.at(rollout.FeatureVersionGate, rollout.FeatureFailureHistory, rollout.FeatureTombstones)
 		w.endAll(worker.CauseDone)
 		w.run(5 * time.Second)
 		if w.final("wk-1") != job.Done {
 			t.Fatal("not recorded")
 		}
-		for _, key := range []string{tombstone.FormerKey("wk-1"), tombstone.Key("wk-1")} {
+		for _, key := range []string{tombstone.LegacyKey("wk-1"), tombstone.Key("wk-1")} {
 			if _, err := w.state.Get(w.ctx, key); err != nil {
 				t.Errorf("%s: %v", key, err)
 			}
 		}
-		w.at(rollout.Gated, rollout.Failures, rollout.Ended, rollout.EndedOnly)
+		w.at(rollout.FeatureVersionGate, rollout.FeatureFailureHistory, rollout.FeatureTombstones, rollout.FeatureCompactTombstonesOnly)
 		w.submit(n, spec("wk-2", job.Array, 2, 1))
 		w.run(4 * time.Second)
 		w.endAll(worker.CauseDone)
 		w.run(5 * time.Second)
-		if _, err := w.state.Get(w.ctx, tombstone.FormerKey("wk-2")); w.final("wk-2") != job.Done || err == nil {
+		if _, err := w.state.Get(w.ctx, tombstone.LegacyKey("wk-2")); w.final("wk-2") != job.Done || err == nil {
 			t.Error("the former form is written still")
 		}
 	})
@@ -103,7 +103,7 @@
 // than refused for ever.
 func TestNoteDoesNotMakeARecordTooLarge(t *testing.T) {
 	story(t, func(w *world) {
-		w.at(rollout.Gated, rollout.Failures)
+		w.at(rollout.FeatureVersionGate, rollout.FeatureFailureHistory)
 		n := w.start("host-0")
 		w.run(3 * time.Second)
 		s := spec("wk-1", job.Array, 4, 1)
@@ -120,7 +120,7 @@
 			w.endAll(worker.CauseFailed)
 		}
 		w.run(3 * time.Second)
-		kv, err := w.state.Get(w.ctx, job.OpenKey("wk-1"))
+		kv, err := w.state.Get(w.ctx, job.RecordKey("wk-1"))
 		if err != nil || len(kv.Value) > 8192 {
 			t.Fatal(len(kv.Value), err)
 		}
