--- a/internal/scheduler/flush.go
+++ b/internal/scheduler/flush.go
@@ -71,25 +71,25 @@
 	chunks := len(j.dirty)
 	// Under the level that its form goes by: after a change nothing is written any more
 	// in the form of before.
-	level, unchanged := p.levels.Now()
-	when := []statekv.Compare{{Key: job.OpenKey(id), Rev: j.rev}, {Key: statekv.JobShardPrefix + j.slot, Rev: s.epoch}, unchanged}
+	level, unchanged := p.levels.Current()
+	when := []statekv.Compare{{Key: job.RecordKey(id), Rev: j.rev}, {Key: statekv.JobShardPrefix + j.slot, Rev: s.epoch}, unchanged}
 	var then []statekv.Op
 	dirty, noted := j.dirty, j.noted
 	j.dirty, j.dirtyAt = map[int]bool{}, time.Time{}
 	over := len(j.ended)
-	pieces := j.rest.Pieces
+	pieces := j.rest.SpecFragments
 	if final {
 		r := tombstone.Tombstone{Status: j.over, Tasks: len(j.tasks)}
 		if j.over == job.Done {
-			r.AtMS = j.overAt.UnixMilli()
+			r.CompletedAtMS = j.overAt.UnixMilli()
 		}
-		then = append(then, statekv.Op{Delete: job.OpenKey(id)})
-		then = append(then, tombstone.Ops(id, r, level.Writes())...)
-		then = append(then, job.DropExtras(id, len(j.tasks), pieces, p.store.MaxTxnOps(p.settings.StateLimits.MaxTxnOps)-len(then))...)
+		then = append(then, statekv.Op{Delete: job.RecordKey(id)})
+		then = append(then, tombstone.WriteOps(id, r, level.TombstoneFormats())...)
+		then = append(then, job.DeleteAuxiliaryOps(id, len(j.tasks), pieces, p.store.MaxTxnOps(p.settings.StateLimits.MaxTxnOps)-len(then))...)
 	} else {
-		rec := p.record(j, level.Has(rollout.Failures))
+		rec := p.record(j, level.Enabled(rollout.FeatureFailureHistory))
 		then = p.recordOps(j, &rec, dirty, level)
-		pieces = rec.Pieces
+		pieces = rec.SpecFragments
 		j.noted = false
 	}
 	p.mu.Unlock()
@@ -113,7 +113,7 @@
 	defer p.mu.Unlock()
 	j.flushing = false
 	if err == nil && verdict == "" {
-		j.rev, j.rest.Pieces = rev, pieces
+		j.rev, j.rest.SpecFragments = rev, pieces
 		if final {
 			j.recorded = true
 			// Tasks that another attempt or member made superfluous stop now.
@@ -157,26 +157,26 @@
 // left for later, and puts them back into the job's own. A record that is too large,
 // which a version that knew a higher limit wrote, is brought into pieces. It returns
 // nothing where that cannot be done yet.
-func (p *Scheduler) recordOps(j *jobState, rec *job.Record, dirty map[int]bool, level rollout.Level) []statekv.Op {
+func (p *Scheduler) recordOps(j *jobState, rec *job.Record, dirty map[int]bool, level rollout.ClusterVersion) []statekv.Op {
 	var then []statekv.Op
 	limit, most := p.settings.StateLimits.MaxValueBytes, p.store.MaxTxnOps(p.settings.StateLimits.MaxTxnOps)
-	if rec.Pieces == 0 && rec.Large(limit) {
-		if !level.Has(rollout.Pipelines) {
+	if rec.SpecFragments == 0 && rec.ExceedsLimit(limit) {
+		if !level.Enabled(rollout.FeatureDependencies) {
 			return nil
 		}
-		ops, err := rec.Split(limit, most-1)
+		ops, err := rec.SplitSpec(limit, most-1)
 		if err != nil {
 			slog.Error("job record unusable", "job", rec.Spec.ID, "err", err)
 			return nil
 		}
 		then = ops
 	}
-	then = append(then, statekv.Op{Set: job.OpenKey(rec.Spec.ID), Value: *rec})
+	then = append(then, statekv.Op{Set: job.RecordKey(rec.Spec.ID), Value: *rec})
 	for k := range dirty {
 		switch {
 		case k == 0:
 		case len(then) < most:
-			then = append(then, statekv.Op{Set: job.PartKey(rec.Spec.ID, k), Value: j.done.Chunk(k)})
+			then = append(then, statekv.Op{Set: job.CompletedChunkKey(rec.Spec.ID, k), Value: j.done.EncodeChunk(k)})
 		default:
 			delete(dirty, k)
 			j.dirty[k], j.dirtyAt = true, time.Now()
@@ -190,7 +190,7 @@
 // readBack finds out what a job's record says after a write of ours met a
 // conflict or was lost.
 func (p *Scheduler) readBack(ctx context.Context, id string) (verdict string, rev uint64, err error) {
-	kv, err := p.store.Get(ctx, job.OpenKey(id))
+	kv, err := p.store.Get(ctx, job.RecordKey(id))
 	if err == nil {
 		return stillOpen, kv.Rev, nil
 	}
--- a/internal/scheduler/form0_test.go
+++ b/internal/scheduler/form0_test.go
@@ -36,7 +36,7 @@
 			if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Set: kv.Key, Value: kv.Value}}); err != nil {
 				t.Fatal(err)
 			}
-			if id, ok := strings.CutPrefix(kv.Key, job.OpenPrefix); ok {
+			if id, ok := strings.CutPrefix(kv.Key, job.RecordPrefix); ok {
 				open = append(open, id)
 			}
 			if id, r, ok, _ := tombstone.Parse(kv.Key, kv.Value); ok {
@@ -54,7 +54,7 @@
 			}
 		}
 		for _, id := range open {
-			kv, err := w.state.Get(w.ctx, tombstone.FormerKey(id))
+			kv, err := w.state.Get(w.ctx, tombstone.LegacyKey(id))
 			if err != nil || w.final(id) != job.Done {
 				t.Errorf("%s: %s %v", id, kv.Value, err)
 			}
@@ -64,7 +64,7 @@
 				t.Errorf("%s was started %d times", task, n)
 			}
 		}
-		if r, err := rollout.ReadStore(w.ctx, w.state); err != nil || !r.Readable() {
+		if r, err := rollout.CheckStore(w.ctx, w.state); err != nil || !r.Compatible() {
 			t.Errorf("%+v %v", r, err)
 		}
 	})
@@ -76,7 +76,7 @@
 	story(t, func(w *world) {
 		later := map[string]any{
 			statekv.JobShardPrefix + "host-9.1": map[string]any{"form": 1, "host": "host-9", "instance": 1},
-			job.OpenPrefix + "wk-7":             map[string]any{"form": 3, "what": "ever"},
+			job.RecordPrefix + "wk-7":           map[string]any{"form": 3, "what": "ever"},
 		}
 		for key, v := range later {
 			if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Set: key, Value: v}}); err != nil {
--- a/internal/scheduler/pipelines_test.go
+++ b/internal/scheduler/pipelines_test.go
@@ -21,7 +21,7 @@
 
 // upgraded has the fleet stand where all controllers know pipelines.
 func (w *world) upgraded() {
-	w.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.Level{Form: 1, N: 2, Features: []rollout.Feature{rollout.Gated, rollout.Pipelines}}})
+	w.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.ClusterVersion{Schema: 1, Number: 2, Features: []rollout.Feature{rollout.FeatureVersionGate, rollout.FeatureDependencies}}})
 }
 
 func (w *world) put(ops ...statekv.Op) {
@@ -34,11 +34,11 @@
 // cancel records a cancellation, as a gateway does.
 func (w *world) cancel(id string) {
 	w.t.Helper()
-	kv, err := w.state.Get(w.ctx, job.OpenKey(id))
+	kv, err := w.state.Get(w.ctx, job.RecordKey(id))
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if _, err := w.state.Txn(w.ctx, []statekv.Compare{{Key: job.OpenKey(id), Rev: kv.Rev}}, append(tombstone.Ops(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.Former), statekv.Op{Delete: job.OpenKey(id)})); err != nil {
+	if _, err := w.state.Txn(w.ctx, []statekv.Compare{{Key: job.RecordKey(id), Rev: kv.Rev}}, append(tombstone.WriteOps(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.LegacyOnly), statekv.Op{Delete: job.RecordKey(id)})); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -195,7 +195,7 @@
 // starts at once; one that names a cancelled one is withdrawn at once.
 func TestNamesOfLongAgo(t *testing.T) {
 	story(t, func(w *world) {
-		w.put(tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 3}, tombstone.Compact)...)
+		w.put(tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 3}, tombstone.CompactOnly)...)
 		w.put(statekv.Op{Set: "robin/final/wk-2", Value: map[string]any{"status": "done", "tasks": 2}})
 		w.put(statekv.Op{Set: "robin/ended/wk-3", Value: []any{1, "w", 2}})
 		time.Sleep(1000 * time.Hour)
@@ -299,7 +299,7 @@
 		w.run(2 * time.Second)
 		w.cancel("wk-0")
 		w.run(50 * time.Second)
-		left := len(w.state.Dir(job.OpenPrefix))
+		left := len(w.state.Dir(job.RecordPrefix))
 		if left > 0 || len(w.starts()) > 1 {
 			t.Errorf("%d are open, started %v", left, w.starts())
 		}
@@ -328,11 +328,11 @@
 		w.run(4 * time.Second)
 		w.endAll(worker.CauseDone)
 		w.run(6 * time.Second)
-		kv, err := w.state.Get(w.ctx, job.OpenKey("wk-1"))
+		kv, err := w.state.Get(w.ctx, job.RecordKey("wk-1"))
 		if err != nil || len(kv.Value) > 2048 {
 			t.Fatalf("%d bytes: %v", len(kv.Value), err)
 		}
-		pieces := len(w.state.Dir(job.PiecePrefix))
+		pieces := len(w.state.Dir(job.SpecFragmentPrefix))
 		w.crash(n, 1)
 		time.Sleep(40 * time.Second)
 		w.start("host-1")
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/placer.go
@@ -62,13 +62,13 @@
 	submitted time.Time
 	from      time.Time // when it could start: its submission, or the end of the last job that it needs
 	waits     bool      // for other jobs: nothing is done for it
-	verdict   dag.Verdict
+	verdict   dag.Result
 	urgency   dag.Urgency     // from those that need it
 	as        *job.Spec       // spec with the rank and deadline that it is treated as having
 	limits    []time.Duration // what the queue's order goes by
 	aims      []time.Duration // and the users' aims for when its tasks should have started
 	tasks     []taskState
-	done      job.Set
+	done      job.TaskBitmap
 	doneCount int
 	begun     bool        // a task of it has been placed
 	gathers   bool        // room is being gathered for it
@@ -126,7 +126,7 @@
 	member   *statekv.Session
 	call     peer.Caller
 	types    func() map[string]cloud.MachineType
-	levels   *rollout.Reader
+	levels   *rollout.VersionReader
 	pipes    *dag.Tracker
 	feed     *changefeed.Feed
 	ctx      context.Context
@@ -165,7 +165,7 @@
 
 // New returns a placer without slots.
 func New(settings *config.Settings, pol *policy.Policy, store statekv.Store, mirror *statekv.Mirror, member *statekv.Session, call peer.Caller, types func() map[string]cloud.MachineType, pipes *dag.Tracker) *Scheduler {
-	return &Scheduler{settings: settings, policy: pol, store: store, mirror: mirror, member: member, call: call, types: types, levels: rollout.NewReader(mirror), pipes: pipes,
+	return &Scheduler{settings: settings, policy: pol, store: store, mirror: mirror, member: member, call: call, types: types, levels: rollout.NewVersionReader(mirror), pipes: pipes,
 		jobs: map[string]*jobState{}, slots: map[string]*slotState{}, on: map[string]map[agentapi.TaskRef]bool{},
 		stops: map[agentapi.TaskRef]bool{}, others: map[string]bool{},
 		shapes: map[shapeKey]*shape{}, gone: map[string]deleted{}, kick: make(chan struct{}, 1)}
@@ -240,13 +240,13 @@
 
 // load takes up a job from its record.
 func (p *Scheduler) load(ctx context.Context, rec *job.Record, rev uint64, fresh bool) error {
-	j := &jobState{spec: &rec.Spec, slot: rec.Slot, rev: rev, submitted: rec.SubmittedAt(), tasks: make([]taskState, rec.Spec.Tasks),
-		done: job.NewSet(rec.Spec.Tasks), fresh: fresh, rest: rec, dirty: map[int]bool{}}
-	if err := j.done.Load(0, rec.Done); err != nil {
+	j := &jobState{spec: &rec.Spec, slot: rec.JobShard, rev: rev, submitted: rec.SubmittedAt(), tasks: make([]taskState, rec.Spec.Tasks),
+		done: job.NewTaskBitmap(rec.Spec.Tasks), fresh: fresh, rest: rec, dirty: map[int]bool{}}
+	if err := j.done.LoadChunk(0, rec.CompletedTasks); err != nil {
 		slog.Error("job record unusable", "job", rec.Spec.ID, "err", err)
 	}
-	for k := 1; k < job.Chunks(rec.Spec.Tasks) && !fresh; k++ {
-		kv, err := p.store.Get(ctx, job.PartKey(rec.Spec.ID, k))
+	for k := 1; k < job.ChunkCount(rec.Spec.Tasks) && !fresh; k++ {
+		kv, err := p.store.Get(ctx, job.CompletedChunkKey(rec.Spec.ID, k))
 		if errors.Is(err, statekv.ErrNotFound) {
 			continue
 		}
@@ -255,7 +255,7 @@
 			err = json.Unmarshal(kv.Value, &chunk)
 		}
 		if err == nil {
-			err = j.done.Load(k, chunk)
+			err = j.done.LoadChunk(k, chunk)
 		}
 		if err != nil {
 			return fmt.Errorf("loading finished tasks of %s: %w", rec.Spec.ID, err)
@@ -263,7 +263,7 @@
 	}
 	j.doneCount = j.done.Len()
 	j.begun = j.doneCount > 0
-	j.recall(rec.Failed, time.Now())
+	j.recall(rec.Failures, time.Now())
 	j.from, j.waits, j.as = j.submitted, len(j.spec.WaitsOn) > 0, j.spec
 	j.limits, j.aims = p.settings.CompletionTargets(j.spec.Class, j.spec.DeadlineS), p.settings.StartTargets(j.spec.Class)
 	p.mu.Lock()
@@ -272,7 +272,7 @@
 		return nil // cancelled since the record was read
 	}
 	j.shape = p.shapeOf(j.spec)
-	if old := p.jobs[rec.Spec.ID]; old == nil || rev > old.rev && !old.flushing && old.slot != rec.Slot {
+	if old := p.jobs[rec.Spec.ID]; old == nil || rev > old.rev && !old.flushing && old.slot != rec.JobShard {
 		p.jobs[rec.Spec.ID] = j
 		p.lookedAt = time.Time{}
 	}
@@ -301,7 +301,7 @@
 // OnJobEvent follows the job records: cancellations come from any controller,
 // and a submission of ours may turn out to have been applied after all.
 func (p *Scheduler) OnJobEvent(e statekv.Event) {
-	id, ok := strings.CutPrefix(e.Key(), job.OpenPrefix)
+	id, ok := strings.CutPrefix(e.Key(), job.RecordPrefix)
 	if !ok {
 		return
 	}
@@ -328,22 +328,22 @@
 	}
 	rec, err := job.ParseRecord(e.Value)
 	if err == nil {
-		err = rec.Join(p.mirror.Get)
+		err = rec.JoinSpec(p.mirror.Get)
 	}
 	if err != nil {
 		p.mirror.ReportUndecodable(e.Key(), err)
 		return
 	}
 	p.mu.Lock()
-	s := p.slots[rec.Slot]
+	s := p.slots[rec.JobShard]
 	if s == nil {
 		// Its later changes are folds, which need not be read here. A slot
 		// that is taken over is loaded from a list.
 		p.others[id] = true
 	}
 	p.mu.Unlock()
-	if s != nil && e.Rev > s.epoch && rec.Done == "" {
-		rec.Keep(e.Value)
+	if s != nil && e.Rev > s.epoch && rec.CompletedTasks == "" {
+		rec.KeepUnknownFields(e.Value)
 		p.OnJobAccepted(rec, e.Rev)
 	}
 }
@@ -374,7 +374,7 @@
 	defer p.mu.Unlock()
 	clear(p.others)
 	for id, j := range p.jobs {
-		if _, open := p.mirror.Get(job.OpenKey(id)); !open && rev >= j.rev {
+		if _, open := p.mirror.Get(job.RecordKey(id)); !open && rev >= j.rev {
 			p.cancel(id, j)
 		}
 	}
--- a/internal/scheduler/slots.go
+++ b/internal/scheduler/slots.go
@@ -66,7 +66,7 @@
 	types := p.types()
 	for k := range s.kinds {
 		t, known := types[k.typeName]
-		if j.spec.Allows(k.typeName, k.zone, k.spot) && (!known || j.spec.Fits(job.Capacity(t))) {
+		if j.spec.AllowsMachine(k.typeName, k.zone, k.spot) && (!known || j.spec.FitsIn(job.Capacity(t))) {
 			return false
 		}
 	}
@@ -211,19 +211,19 @@
 
 // loadSlots takes up the unfinished jobs of slots that were others'.
 func (p *Scheduler) loadSlots(ctx context.Context, slots map[string]*slotState) error {
-	for _, kv := range p.mirror.Dir(job.OpenPrefix) {
+	for _, kv := range p.mirror.Dir(job.RecordPrefix) {
 		rec, err := job.ParseRecord(kv.Value)
-		if err == nil && slots[rec.Slot] == nil {
+		if err == nil && slots[rec.JobShard] == nil {
 			continue
 		}
 		if err == nil {
-			err = rec.Join(p.mirror.Get)
+			err = rec.JoinSpec(p.mirror.Get)
 		}
 		if err != nil {
 			p.mirror.ReportUndecodable(kv.Key, err)
 			continue
 		}
-		rec.Keep(kv.Value)
+		rec.KeepUnknownFields(kv.Value)
 		if err := p.load(ctx, rec, kv.Rev, false); err != nil {
 			return err
 		}
--- a/internal/scheduler/slots_test.go
+++ b/internal/scheduler/slots_test.go
@@ -146,8 +146,8 @@
 		w.run(6 * time.Second)
 		slot, _, _ := a.placer.OwnJobShard()
 		w.crash(a, 2)
-		rec := job.Record{Spec: spec("wk-1", job.Array, 4, 1), Slot: slot} // accepted, and not placed yet
-		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Set: job.OpenKey("wk-1"), Value: rec}}); err != nil {
+		rec := job.Record{Spec: spec("wk-1", job.Array, 4, 1), JobShard: slot} // accepted, and not placed yet
+		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: rec}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
--- a/internal/scheduler/story_test.go
+++ b/internal/scheduler/story_test.go
@@ -141,7 +141,7 @@
 	}
 	ctx, stop := context.WithCancel(w.ctx)
 	n := &node{host: host, stop: stop, up: true}
-	mirror := statekv.NewMirror(w.state, []string{statekv.ClusterPrefix, job.OpenPrefix, job.PiecePrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
+	mirror := statekv.NewMirror(w.state, []string{statekv.ClusterPrefix, job.RecordPrefix, job.SpecFragmentPrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
 		for _, e := range events {
 			n.placer.OnJobEvent(e)
 		}
@@ -232,8 +232,8 @@
 	if !ok {
 		w.t.Fatal("no slot")
 	}
-	rec := &job.Record{Spec: spec, Slot: slot, Submitted: time.Now().UnixMilli()}
-	rev, err := n.member.Write(w.ctx, []statekv.Compare{{Key: job.OpenKey(spec.ID)}}, []statekv.Op{{Set: job.OpenKey(spec.ID), Value: rec}})
+	rec := &job.Record{Spec: spec, JobShard: slot, SubmittedMS: time.Now().UnixMilli()}
+	rev, err := n.member.Write(w.ctx, []statekv.Compare{{Key: job.RecordKey(spec.ID)}}, []statekv.Op{{Set: job.RecordKey(spec.ID), Value: rec}})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -341,7 +341,7 @@
 		w.run(3 * time.Second)
 		w.submit(n, spec("wk-1", job.Array, 6, 1))
 		w.run(4 * time.Second)
-		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: job.OpenKey("wk-1")}, tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Cancelled, Tasks: 6}, tombstone.Former)[0]}); err != nil {
+		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: job.RecordKey("wk-1")}, tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Cancelled, Tasks: 6}, tombstone.LegacyOnly)[0]}); err != nil {
 			t.Fatal(err)
 		}
 		w.run(6 * time.Second)
@@ -547,7 +547,7 @@
 		if _, done, _ := w.workers.Send(w.ctx, "m1", token, 1, []worker.Command{worker.StartCommand("wk-1/1", 7)}); done {
 			t.Error("a command under the old token was carried out")
 		}
-		if _, err := frozen.member.Write(w.ctx, nil, []statekv.Op{{Delete: job.OpenKey("wk-1")}}); !statekv.IsConflict(err) {
+		if _, err := frozen.member.Write(w.ctx, nil, []statekv.Op{{Delete: job.RecordKey("wk-1")}}); !statekv.IsConflict(err) {
 			t.Errorf("a write of the old life: %v", err)
 		}
 		w.run(3 * time.Second)
--- a/internal/scheduler/waits.go
+++ b/internal/scheduler/waits.go
@@ -19,7 +19,7 @@
 // lookAtWaits takes up what has become of the jobs that wait for others, and how urgent
 // those are that others wait for. The mutex is held.
 func (p *Scheduler) lookAtWaits(now time.Time) {
-	changes := p.pipes.Changes()
+	changes := p.pipes.Generation()
 	if changes == p.looked && now.Sub(p.lookedAt) < lookAgain {
 		return
 	}
@@ -40,7 +40,7 @@
 
 // follow takes up the verdict on a job that waits for others.
 func (p *Scheduler) follow(id string, j *jobState, now time.Time) {
-	v, known := p.pipes.Judge(id)
+	v, known := p.pipes.Evaluate(id)
 	if !known {
 		return // its record has not been seen yet
 	}
@@ -48,7 +48,7 @@
 	switch v.State {
 	case dag.Ready:
 		j.waits = false
-		if j.from = v.Since; j.from.IsZero() || j.from.After(now) {
+		if j.from = v.ReadySince; j.from.IsZero() || j.from.After(now) {
 			j.from = now
 		}
 		if j.from.Before(j.submitted) {
@@ -56,10 +56,10 @@
 		}
 		p.treatAs(j, j.urgency)
 		slog.Info(logline.JobReady, "job", id, "elapsed", j.from.Sub(j.submitted).Round(time.Millisecond))
-	case dag.Withdrawn:
+	case dag.Cancelled:
 		// Nothing of it has ever run: what it waits for cannot become done any more.
 		j.over = job.Cancelled
-		slog.Info(logline.JobWithdrawn, "job", id, "dependency", v.Cause)
+		slog.Info(logline.JobWithdrawn, "job", id, "dependency", v.CancelledBy)
 	}
 }
 
@@ -69,11 +69,11 @@
 func (p *Scheduler) treatAs(j *jobState, u dag.Urgency) {
 	j.urgency = u
 	as := *j.spec
-	if job.RankOf(u.Rank) > as.Priority() {
+	if job.PriorityOfRank(u.Rank) > as.Priority() {
 		as.Rank = u.Rank
 	}
-	due := u.Due
-	if own := j.submitted.Add(as.Due()); as.DeadlineS != nil && (due.IsZero() || own.Before(due)) {
+	due := u.Deadline
+	if own := j.submitted.Add(as.RelativeDeadline()); as.DeadlineS != nil && (due.IsZero() || own.Before(due)) {
 		due = own
 	}
 	if !due.IsZero() {
@@ -88,7 +88,7 @@
 const mostShown = 5
 
 func (j *jobState) waitsFor() string {
-	names := slices.Concat(j.verdict.On, j.verdict.Unread, j.verdict.Bad)
+	names := slices.Concat(j.verdict.WaitingOn, j.verdict.MissingTombstones, j.verdict.DamagedTombstones)
 	if len(names) == 0 {
 		return "waits for others; its record is being read"
 	}
--- a/internal/statekv/client.go
+++ b/internal/statekv/client.go
@@ -27,7 +27,7 @@
 	ErrRejected = errors.New("refused by the state service")
 	// ErrOutcomeUnknown: no answer; the request may be carried out now, later or never.
 	ErrOutcomeUnknown = errors.New("outcome unknown")
-	// ErrTooLarge: a transaction was refused as malformed: it, or a value in it, is larger
+	// ErrSpecTooLarge: a transaction was refused as malformed: it, or a value in it, is larger
 	// than the service takes now. It is an ErrRejected too.
 	ErrTooLarge = fmt.Errorf("%w: too large", ErrRejected)
 	// ErrCompacted: the watch's starting point is too old.
--- a/internal/tombstone/ended.go
+++ b/internal/tombstone/ended.go
@@ -24,90 +24,90 @@
 
 // Keys of the state service.
 const (
-	FormerPrefix = "robin/final/"
+	LegacyPrefix = "robin/final/"
 	Prefix       = "robin/ended/"
 )
 
-// Form is the form of the records under Prefix.
-const Form = 1
+// Schema is the form of the records under Prefix.
+const Schema = 1
 
 // Tombstone is what remains of a job that is over: its final record.
 type Tombstone struct {
 	Status string // job.Done or job.Cancelled
 	Tasks  int
 
-	// AtMS is when the job was found to be done, in milliseconds since 1970 by the
+	// CompletedAtMS is when the job was found to be done, in milliseconds since 1970 by the
 	// clock of the controller that recorded it: what waited for it counts its times from
 	// then. 0: not known; an earlier version recorded it, or it was cancelled.
-	AtMS int64
+	CompletedAtMS int64
 }
 
-// At is when the job was found to be done, or the zero time.
-func (r Tombstone) At() time.Time {
-	if r.AtMS == 0 {
+// CompletedAt is when the job was found to be done, or the zero time.
+func (r Tombstone) CompletedAt() time.Time {
+	if r.CompletedAtMS == 0 {
 		return time.Time{}
 	}
-	return time.UnixMilli(r.AtMS)
+	return time.UnixMilli(r.CompletedAtMS)
 }
 
-// former is a record under FormerPrefix.
+// former is a record under LegacyPrefix.
 type former struct {
-	Status string `json:"status"`
-	Tasks  int    `json:"tasks"`
-	AtMS   int64  `json:"ended_ms,omitempty"`
+	Status        string `json:"status"`
+	Tasks         int    `json:"tasks"`
+	CompletedAtMS int64  `json:"ended_ms,omitempty"`
 }
 
 // Letters of the compact form.
 var letters = map[string]string{job.Done: "d", job.Cancelled: "w"}
 
-// FormerKey and Key name a job's record in its two forms.
-func FormerKey(id string) string { return FormerPrefix + id }
+// LegacyKey and Key name a job's record in its two forms.
+func LegacyKey(id string) string { return LegacyPrefix + id }
 func Key(id string) string       { return Prefix + id }
 
-// Writing says in which forms records are written.
-type Writing int
+// Formats says in which forms records are written.
+type Formats int
 
-// Former only; Both, so that either form may be given up; Compact only.
+// LegacyOnly only; Both, so that either form may be given up; Compact only.
 const (
-	Former Writing = iota
-	Both
-	Compact
+	LegacyOnly Formats = iota
+	LegacyAndCompact
+	CompactOnly
 )
 
-// Ops are the changes that write a record.
-func Ops(id string, r Tombstone, w Writing) []statekv.Op {
+// WriteOps are the changes that write a record.
+func WriteOps(id string, r Tombstone, w Formats) []statekv.Op {
 	var ops []statekv.Op
-	if w != Compact {
+	if w != CompactOnly {
 		ops = append(ops, r.formerOp(id))
 	}
-	if w != Former {
+	if w != LegacyOnly {
 		ops = append(ops, r.op(id))
 	}
 	return ops
 }
 
 func (r Tombstone) formerOp(id string) statekv.Op {
-	return statekv.Op{Set: FormerKey(id), Value: former(r)}
+	return statekv.Op{Set: LegacyKey(id), Value: former(r)}
 }
 
 func (r Tombstone) op(id string) statekv.Op {
-	list := []any{Form, letters[r.Status], r.Tasks}
-	if r.AtMS != 0 {
-		list = append(list, r.AtMS) // readers of this form never minded more entries
+	list := []any{Schema, letters[r.Status], r.Tasks}
+	if r.CompletedAtMS != 0 {
+		list = append(list, r.CompletedAtMS) // readers of this form never minded more entries
 	}
 	return statekv.Op{Set: Key(id), Value: list}
 }
 
-// Absent are the conditions that a job is not over.
-func Absent(id string) []statekv.Compare {
-	return []statekv.Compare{{Key: FormerKey(id)}, {Key: Key(id)}}
+// AbsentCompares are the conditions that a job is not over.
+func AbsentCompares(id string) []statekv.Compare {
+	return []statekv.Compare{{Key: LegacyKey(id)}, {Key: Key(id)}}
 }
 
 // Parse reads a record by its key. ok is false where the key is no ended job's. An
 // error says that the value is damaged or has a form that this build does not read; a
 // *statekv.SchemaError is the latter.
 func Parse(key string, raw json.RawMessage) (id string, r Tombstone, ok bool, err error) {
-	if id, ok = strings.CutPrefix(key, FormerPrefix); ok {
+	if id, ok = strings.CutPrefix(key, LegacyPrefix); ok {
 		var f former
 		if err = statekv.CheckSchema("an ended job's record", raw, 0); err == nil {
 			err = json.Unmarshal(raw, &f)
@@ -135,7 +135,7 @@
 }
 
 // ParseValue is Parse for a mirror: a Change, or nil where the key is no ended job's.
-func ParseKey(key string, raw json.RawMessage) any {
+func ParseChange(key string, raw json.RawMessage) any {
 	id, r, ok, err := Parse(key, raw)
 	if !ok {
 		return nil
@@ -147,7 +147,7 @@
 // ParseValue has read it.
 func ChangeOf(e statekv.Event) (c Change, ok bool) {
 	if e.Parsed == nil {
-		e.Parsed = ParseKey(e.Set, e.Value)
+		e.Parsed = ParseChange(e.Set, e.Value)
 	}
 	c, ok = e.Parsed.(Change)
 	return c, ok
@@ -162,14 +162,14 @@
 	if err := json.Unmarshal(list[0], &form); err != nil {
 		return r, fmt.Errorf("its form: %w", err)
 	}
-	if form != Form {
-		return r, &statekv.SchemaError{Kind: "an ended job's record", Schema: form, MaxSchema: Form}
+	if form != Schema {
+		return r, &statekv.SchemaError{Kind: "an ended job's record", Schema: form, MaxSchema: Schema}
 	}
 	var letter string
 	if len(list) < 3 || json.Unmarshal(list[1], &letter) != nil || json.Unmarshal(list[2], &r.Tasks) != nil {
 		return r, errors.New("is not form, status and tasks")
 	}
-	if len(list) > 3 && json.Unmarshal(list[3], &r.AtMS) != nil {
+	if len(list) > 3 && json.Unmarshal(list[3], &r.CompletedAtMS) != nil {
 		return r, errors.New("its time is no number")
 	}
 	for status, l := range letters {
@@ -196,7 +196,7 @@
 // keeps it from telling a user that an accepted job is unknown.
 func Read(ctx context.Context, store Store, fence []statekv.Compare, id string) (Tombstone, error) {
 	for range 3 {
-		_, err := store.Txn(ctx, append(slices.Clone(fence), Absent(id)...), nil)
+		_, err := store.Txn(ctx, append(slices.Clone(fence), AbsentCompares(id)...), nil)
 		var conflict *statekv.ConflictError
 		switch {
 		case err == nil:
@@ -204,11 +204,11 @@
 		case !errors.As(err, &conflict):
 			return Tombstone{}, err
 		}
-		at := slices.IndexFunc([]string{Key(id), FormerKey(id)}, func(key string) bool { return slices.Contains(conflict.Failed, key) })
+		at := slices.IndexFunc([]string{Key(id), LegacyKey(id)}, func(key string) bool { return slices.Contains(conflict.Failed, key) })
 		if at < 0 {
 			return Tombstone{}, fmt.Errorf("%w: this life is over", statekv.ErrRejected)
 		}
-		kv, err := store.Get(ctx, [...]string{Key(id), FormerKey(id)}[at])
+		kv, err := store.Get(ctx, [...]string{Key(id), LegacyKey(id)}[at])
 		if errors.Is(err, statekv.ErrNotFound) {
 			continue // it changed its form meanwhile
 		}
--- a/internal/tombstone/ended_test.go
+++ b/internal/tombstone/ended_test.go
@@ -21,9 +21,9 @@
 func TestForms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := tombstone.Tombstone{Status: rapid.SampledFrom([]string{job.Done, job.Cancelled}).Draw(t, "status"), Tasks: rapid.IntRange(1, job.MaxTasks).Draw(t, "tasks"),
-			AtMS: rapid.SampledFrom([]int64{0, 1, 1764633600000}).Draw(t, "at")}
+			CompletedAtMS: rapid.SampledFrom([]int64{0, 1, 1764633600000}).Draw(t, "at")}
 		sizes := []int{}
-		for _, op := range tombstone.Ops("wk-7", r, tombstone.Both) {
+		for _, op := range tombstone.WriteOps("wk-7", r, tombstone.LegacyAndCompact) {
 			raw, err := json.Marshal(op.Value)
 			if err != nil {
 				t.Fatal(err)
@@ -43,7 +43,7 @@
 // What is damaged or of another form is an error that names the key, and never a record.
 func TestUnreadableRecords(t *testing.T) {
 	for key, values := range map[string][]string{
-		tombstone.FormerKey("wk-1"): {`"x"`, `{}`, `{"status":"running","tasks":3}`, `{"form":1,"status":"done","tasks":3}`, `{"status":"done","tasks":0}`},
+		tombstone.LegacyKey("wk-1"): {`"x"`, `{}`, `{"status":"running","tasks":3}`, `{"form":1,"status":"done","tasks":3}`, `{"status":"done","tasks":0}`},
 		tombstone.Key("wk-1"):       {`{}`, `[]`, `[2,"d",3]`, `[1,"x",3]`, `[1,"d"]`, `[1,"d",0]`, `["1","d",3]`, `null`},
 	} {
 		for _, v := range values {
@@ -89,12 +89,12 @@
 	write(statekv.Op{Set: "node", Value: 1})
 	alive := []statekv.Compare{{Key: "node", Rev: 2}}
 	r := tombstone.Tombstone{Status: job.Done, Tasks: 5}
-	write(tombstone.Ops("wk-1", r, tombstone.Former)...)
+	write(tombstone.WriteOps("wk-1", r, tombstone.LegacyOnly)...)
 	toNew := func() {
-		write(append(tombstone.Ops("wk-1", r, tombstone.Compact), statekv.Op{Delete: tombstone.FormerKey("wk-1")})...)
+		write(append(tombstone.WriteOps("wk-1", r, tombstone.CompactOnly), statekv.Op{Delete: tombstone.LegacyKey("wk-1")})...)
 	}
 	toFormer := func() {
-		write(append(tombstone.Ops("wk-1", r, tombstone.Former), statekv.Op{Delete: tombstone.Key("wk-1")})...)
+		write(append(tombstone.WriteOps("wk-1", r, tombstone.LegacyOnly), statekv.Op{Delete: tombstone.Key("wk-1")})...)
 	}
 	for _, change := range []func(){nil, toNew, toFormer, toNew} {
 		state.before = change
@@ -115,7 +115,7 @@
 // The version in production reads a record that tells when the job ended: it takes the
 // first three entries of the list, and the fields that it knows.
 func TestProductionReadsTheTime(t *testing.T) {
-	ops := tombstone.Ops("wk-7", tombstone.Tombstone{Status: job.Done, Tasks: 5, AtMS: 1764633600000}, tombstone.Both)
+	ops := tombstone.WriteOps("wk-7", tombstone.Tombstone{Status: job.Done, Tasks: 5, CompletedAtMS: 1764633600000}, tombstone.LegacyAndCompact)
 	var was struct {
 		Status string `json:"status"`
 		Tasks  int    `json:"tasks"`
@@ -144,13 +144,13 @@
 			}
 		}
 		for _, id := range []string{"wk-1", "wk-2", "wk-3"} {
-			for _, key := range job.Extras(id, job.MaxTasks, 5) {
+			for _, key := range job.AuxiliaryKeys(id, job.MaxTasks, 5) {
 				put(statekv.Op{Set: key, Value: "x"})
 			}
 		}
-		put(statekv.Op{Set: job.OpenKey("wk-2"), Value: 1})
+		put(statekv.Op{Set: job.RecordKey("wk-2"), Value: 1})
 		state.Limit(2048, 8)
-		mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.OpenPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+		mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.RecordPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		if err := mirror.Load(ctx); err != nil {
 			t.Fatal(err)
 		}
@@ -160,9 +160,9 @@
 		}
 		go mirror.Run(ctx)
 		var steward atomic.Uint64
-		s := &tombstone.Sweeper{Store: state, Mirror: mirror, Member: member, Steward: steward.Load, Ops: 8, Every: time.Minute}
+		s := &tombstone.GarbageCollector{Store: state, Mirror: mirror, Member: member, LeaderEpoch: steward.Load, TxnOps: 8, Interval: time.Minute}
 		go s.Run(ctx)
-		left := func() int { return len(state.Dir(job.PartPrefix)) + len(state.Dir(job.PiecePrefix)) }
+		left := func() int { return len(state.Dir(job.CompletedChunkPrefix)) + len(state.Dir(job.SpecFragmentPrefix)) }
 		all := left()
 		time.Sleep(3 * time.Minute)
 		if left() != all {
@@ -173,7 +173,7 @@
 		if left() != all/3 || len(state.Over()) > 0 {
 			t.Fatalf("%d of %d left, %v", left(), all, state.Over())
 		}
-		put(statekv.Op{Delete: job.OpenKey("wk-2")})
+		put(statekv.Op{Delete: job.RecordKey("wk-2")})
 		time.Sleep(2 * time.Minute)
 		if left() != 0 {
 			t.Fatal(left())
@@ -197,14 +197,14 @@
 	})
 	mirror.Parse = func(key string, raw json.RawMessage) any {
 		read++
-		return tombstone.ParseKey(key, raw)
+		return tombstone.ParseChange(key, raw)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
-	ops := append(tombstone.Ops("wk-7", tombstone.Tombstone{Status: job.Done, Tasks: 5}, tombstone.Former), statekv.Op{Set: "robin/job/wk-8", Value: 1})
+	ops := append(tombstone.WriteOps("wk-7", tombstone.Tombstone{Status: job.Done, Tasks: 5}, tombstone.LegacyOnly), statekv.Op{Set: "robin/job/wk-8", Value: 1})
 	rev, err := state.Txn(ctx, nil, ops)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tombstone/finder.go
+++ b/internal/tombstone/finder.go
@@ -11,11 +11,11 @@
 	"robinstack/internal/statekv"
 )
 
-// Finder answers questions about jobs that have no open record: they are over, or nobody
+// BatchedLookup answers questions about jobs that have no open record: they are over, or nobody
 // ever submitted them. However many come, each has its turn in the order of coming, and
 // the requests stay within their share: one transaction without changes sorts out those
 // that were never submitted, many at a time, and only the others are read.
-type Finder struct {
+type BatchedLookup struct {
 	store finderStore
 	conds int // conditions of one transaction
 	each  time.Duration
@@ -47,19 +47,19 @@
 	longestWait = 500 * time.Millisecond
 )
 
-// NewFinder returns a finder whose transactions have up to so many conditions and whose
+// NewBatchedLookup returns a finder whose transactions have up to so many conditions and whose
 // share allows so many requests a second.
-func NewFinder(store finderStore, conds int, perSecond float64) *Finder {
-	return &Finder{store: store, conds: conds, each: time.Duration(float64(time.Second) / max(1, perSecond)), wanted: map[string]*lookup{}}
+func NewBatchedLookup(store finderStore, conds int, perSecond float64) *BatchedLookup {
+	return &BatchedLookup{store: store, conds: conds, each: time.Duration(float64(time.Second) / max(1, perSecond)), wanted: map[string]*lookup{}}
 }
 
 // ErrBusy says that too many questions wait.
 var ErrBusy = fmt.Errorf("%w: too many questions about jobs that are over or unknown", statekv.ErrRejected)
 
-// Find returns the record of a job that is over; statekv.ErrNotFound says that it was
+// Lookup returns the record of a job that is over; statekv.ErrNotFound says that it was
 // not over at some moment since the call: see Read. Whatever is found goes to found,
 // also when nobody waits for it any more.
-func (f *Finder) Find(ctx context.Context, fence func() (statekv.Compare, bool), id string, found func(string, Tombstone)) (Tombstone, error) {
+func (f *BatchedLookup) Lookup(ctx context.Context, fence func() (statekv.Compare, bool), id string, found func(string, Tombstone)) (Tombstone, error) {
 	f.mu.Lock()
 	l := f.wanted[id]
 	if l == nil {
@@ -92,10 +92,10 @@
 }
 
 // group is how many jobs one transaction looks for.
-func (f *Finder) group() int { return max(1, (f.conds-1)/len(Absent(""))) }
+func (f *BatchedLookup) group() int { return max(1, (f.conds-1)/len(AbsentCompares(""))) }
 
 // work takes the questions in their order until there are none.
-func (f *Finder) work(fence func() (statekv.Compare, bool), found func(string, Tombstone)) {
+func (f *BatchedLookup) work(fence func() (statekv.Compare, bool), found func(string, Tombstone)) {
 	for {
 		// First the turn, then who has it: more may have come meanwhile.
 		for tries := 0; !f.store.Allow(statekv.ClassLookup, 1) && tries < mostTries; tries++ {
@@ -124,7 +124,7 @@
 	mostTries = 50
 )
 
-func (f *Finder) answer(group []*lookup, fence func() (statekv.Compare, bool), found func(string, Tombstone)) {
+func (f *BatchedLookup) answer(group []*lookup, fence func() (statekv.Compare, bool), found func(string, Tombstone)) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	finish := func(l *lookup, r Tombstone, err error) {
@@ -140,7 +140,7 @@
 		}
 		return
 	}
-	known, unknown, err := Split(ctx, f.store, own, ids(group), Absent)
+	known, unknown, err := PartitionByPresence(ctx, f.store, own, ids(group), AbsentCompares)
 	for _, l := range group {
 		switch {
 		case err != nil:
@@ -161,10 +161,10 @@
 	return out
 }
 
-// Split tells the jobs for which a condition of absent does not hold from those for which
+// PartitionByPresence tells the jobs for which a condition of absent does not hold from those for which
 // all do, each at some moment since the call at which the fence held, with few
 // transactions without changes.
-func Split(ctx context.Context, store Store, fence statekv.Compare, ids []string, absent func(id string) []statekv.Compare) (there, absentOnes []string, err error) {
+func PartitionByPresence(ctx context.Context, store Store, fence statekv.Compare, ids []string, absent func(id string) []statekv.Compare) (there, absentOnes []string, err error) {
 	for len(ids) > 0 {
 		when := []statekv.Compare{fence}
 		for _, id := range ids {
--- a/internal/tombstone/finder_test.go
+++ b/internal/tombstone/finder_test.go
@@ -50,10 +50,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		s := &slow{State: emulator.NewState(), every: 150 * time.Millisecond}
-		if _, err := s.State.Txn(ctx, nil, tombstone.Ops("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.Compact)); err != nil {
+		if _, err := s.State.Txn(ctx, nil, tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.CompactOnly)); err != nil {
 			t.Fatal(err)
 		}
-		f := tombstone.NewFinder(s, 32, 6.7)
+		f := tombstone.NewBatchedLookup(s, 32, 6.7)
 		fence := func() (statekv.Compare, bool) { return statekv.Compare{Key: "life"}, true }
 		var cached atomic.Bool
 		found := func(id string, _ tombstone.Tombstone) { cached.Store(cached.Load() || id == "wk-1") }
@@ -65,14 +65,14 @@
 					return
 				case <-time.After(4 * time.Millisecond): // 250 a second
 				}
-				go func() { _, _ = f.Find(ctx, fence, fmt.Sprintf("wk-9%d", k), found) }()
+				go func() { _, _ = f.Lookup(ctx, fence, fmt.Sprintf("wk-9%d", k), found) }()
 			}
 		}()
 		time.Sleep(10 * time.Second)
 		defer func() { close(stop); time.Sleep(2 * time.Minute) }()
 		began := time.Now()
 		for !cached.Load() {
-			if _, err := f.Find(ctx, fence, "wk-1", found); err != nil && !errors.Is(err, statekv.ErrRejected) {
+			if _, err := f.Lookup(ctx, fence, "wk-1", found); err != nil && !errors.Is(err, statekv.ErrRejected) {
 				t.Fatal(err)
 			}
 			time.Sleep(5 * time.Second)
@@ -94,12 +94,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		state := emulator.NewState()
-		for k, form := range []tombstone.Writing{tombstone.Former, tombstone.Both, tombstone.Compact} {
-			if _, err := state.Txn(ctx, nil, tombstone.Ops(fmt.Sprintf("wk-%d", k), tombstone.Tombstone{Status: job.Done, Tasks: k + 1}, form)); err != nil {
+		for k, form := range []tombstone.Formats{tombstone.LegacyOnly, tombstone.LegacyAndCompact, tombstone.CompactOnly} {
+			if _, err := state.Txn(ctx, nil, tombstone.WriteOps(fmt.Sprintf("wk-%d", k), tombstone.Tombstone{Status: job.Done, Tasks: k + 1}, form)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		f := tombstone.NewFinder(state, 96, 1000)
+		f := tombstone.NewBatchedLookup(state, 96, 1000)
 		lives, own := true, statekv.Compare{Key: "life"}
 		fence := func() (statekv.Compare, bool) { return own, lives }
 		ask := func() map[string]error {
@@ -112,7 +112,7 @@
 			for k := range 40 {
 				go func() {
 					id := fmt.Sprintf("wk-%d", k)
-					r, err := f.Find(ctx, fence, id, func(string, tombstone.Tombstone) {})
+					r, err := f.Lookup(ctx, fence, id, func(string, tombstone.Tombstone) {})
 					answers <- answer{id, r, err}
 				}()
 			}
--- a/internal/tombstone/sweep.go
+++ b/internal/tombstone/sweep.go
@@ -11,26 +11,26 @@
 	"robinstack/internal/statekv"
 )
 
-// Sweeper removes what is left beside the record of a job that is over: one transaction
+// GarbageCollector removes what is left beside the record of a job that is over: one transaction
 // may not take all its keys, and who wrote it may have died before the rest. It works
 // while its controller is steward.
-type Sweeper struct {
+type GarbageCollector struct {
 	Store interface {
 		Store
 		List(ctx context.Context, prefix, after string) (statekv.Page, error)
 		Allow(kind statekv.RequestClass, n int) bool
 		MaxTxnOps(ops int) int
 	}
-	Mirror  *statekv.Mirror
-	Member  *statekv.Session
-	Steward func() uint64
-	Ops     int           // changes of one transaction
-	Every   time.Duration // between two looks
+	Mirror      *statekv.Mirror
+	Member      *statekv.Session
+	LeaderEpoch func() uint64
+	TxnOps      int           // changes of one transaction
+	Interval    time.Duration // between two looks
 }
 
 // Run sweeps until ctx ends.
-func (s *Sweeper) Run(ctx context.Context) {
-	tick := time.NewTicker(s.Every)
+func (s *GarbageCollector) Run(ctx context.Context) {
+	tick := time.NewTicker(s.Interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -38,10 +38,10 @@
 			return
 		case <-tick.C:
 		}
-		if s.Steward() == 0 {
+		if s.LeaderEpoch() == 0 {
 			continue
 		}
-		for _, prefix := range []string{job.PartPrefix, job.PiecePrefix} {
+		for _, prefix := range []string{job.CompletedChunkPrefix, job.SpecFragmentPrefix} {
 			if err := s.sweep(ctx, prefix); err != nil {
 				slog.Debug("garbage collection of job state failed", "prefix", prefix, "err", err)
 			}
@@ -51,7 +51,7 @@
 
 // sweep removes the keys under prefix whose jobs have no open record. They are written
 // with the record or after it, so that where there is none, none will come.
-func (s *Sweeper) sweep(ctx context.Context, prefix string) error {
+func (s *GarbageCollector) sweep(ctx context.Context, prefix string) error {
 	for after, more := "", true; more; {
 		page, err := s.Store.List(ctx, prefix, after)
 		if err != nil {
@@ -65,13 +65,13 @@
 		for k, kv := range page.Items {
 			after = kv.Key
 			id, _, _ := strings.Cut(kv.Key[len(prefix):], "/")
-			if _, open := s.Mirror.Get(job.OpenKey(id)); !open {
-				if c := (statekv.Compare{Key: job.OpenKey(id)}); len(when) == 0 || when[len(when)-1] != c {
+			if _, open := s.Mirror.Get(job.RecordKey(id)); !open {
+				if c := (statekv.Compare{Key: job.RecordKey(id)}); len(when) == 0 || when[len(when)-1] != c {
 					when = append(when, c)
 				}
 				then = append(then, statekv.Op{Delete: kv.Key})
 			}
-			if len(then) >= s.Store.MaxTxnOps(s.Ops) || k == len(page.Items)-1 && len(then) > 0 {
+			if len(then) >= s.Store.MaxTxnOps(s.TxnOps) || k == len(page.Items)-1 && len(then) > 0 {
 				if !s.Store.Allow(statekv.ClassMaintenance, len(then)) {
 					return nil // the next look goes on
 				}
--- a/internal/tombstone/wire_test.go
+++ b/internal/tombstone/wire_test.go
@@ -14,12 +14,12 @@
 	var all []statekv.Op
 	tombstones := []Tombstone{{job.Done, 16, 1700000000123}, {job.Cancelled, 3, 0}}
 	for _, tombstone := range tombstones {
-		for _, forms := range []Writing{Former, Both, Compact} {
-			all = append(all, Ops("wk-1", tombstone, forms)...)
+		for _, forms := range []Formats{LegacyOnly, LegacyAndCompact, CompactOnly} {
+			all = append(all, WriteOps("wk-1", tombstone, forms)...)
 		}
 	}
 	wireformat.Golden(t, "tombstones", wireformat.Indent(t, all))
-	wireformat.Golden(t, "absent", wireformat.Indent(t, Absent("wk-1")))
+	wireformat.Golden(t, "absent", wireformat.Indent(t, AbsentCompares("wk-1")))
 
 	var recorded []statekv.Event
 	if err := json.Unmarshal([]byte(wireformat.Recorded(t, "tombstones")), &recorded); err != nil {
@@ -31,5 +31,5 @@
 			t.Errorf("%s %s reads as %s %+v %t %v, want %+v", e.Set, e.Value, id, got, ok, err, want)
 		}
 	}
-	wireformat.Golden(t, "keys", strings.Join([]string{FormerKey("wk-1"), Key("wk-1")}, "\n")+"\n")
+	wireformat.Golden(t, "keys", strings.Join([]string{LegacyKey("wk-1"), Key("wk-1")}, "\n")+"\n")
 }
--- a/test/integration/chains_test.go
+++ b/test/integration/chains_test.go
@@ -78,7 +78,7 @@
 				w.t.Fatalf("%s is told as %d %s", id, code, status)
 			}
 		}
-		w.until("all are recorded", 5*time.Minute, func() bool { return len(w.state.Dir(job.OpenPrefix)) == 0 })
+		w.until("all are recorded", 5*time.Minute, func() bool { return len(w.state.Dir(job.RecordPrefix)) == 0 })
 		w.t.Logf("all were recorded %v after the cancellation", time.Since(w.history.ToldAt(first.ID)))
 		w.check()
 	})
--- a/test/integration/close_test.go
+++ b/test/integration/close_test.go
@@ -221,7 +221,7 @@
 				w.t.Errorf("%s at %s, which is well, is put off", b.what, host)
 			}
 			if b.code == 422 || b.what[:2] != "id" {
-				if w.ask1("host-0", s.ID); w.rev(job.OpenKey(s.ID)) > 0 {
+				if w.ask1("host-0", s.ID); w.rev(job.RecordKey(s.ID)) > 0 {
 					w.t.Errorf("%s was taken in", b.what)
 				}
 			}
@@ -272,7 +272,7 @@
 				if code, _ := w.call(h, http.MethodPost, "/submissions", wireSpec(s), 5*time.Second); code != 503 {
 					w.t.Errorf("%s at %s: %d", s.ID, h, code)
 				}
-				if w.rev(job.OpenKey(s.ID)) > 0 {
+				if w.rev(job.RecordKey(s.ID)) > 0 {
 					w.t.Errorf("%s was taken in", s.ID)
 				}
 			}
--- a/test/integration/drawn_test.go
+++ b/test/integration/drawn_test.go
@@ -408,13 +408,13 @@
 
 // tellOpen logs who has what of the jobs that are still open: it tells why one does not end.
 func (w *world) tellOpen() {
-	for _, kv := range w.state.Dir(job.OpenPrefix) {
+	for _, kv := range w.state.Dir(job.RecordPrefix) {
 		rec, err := job.ParseRecord(kv.Value)
 		if err != nil {
 			w.t.Logf("%s: %v", kv.Key, err)
 			continue
 		}
-		slot := w.state.Dir(statekv.JobShardPrefix + rec.Slot)
+		slot := w.state.Dir(statekv.JobShardPrefix + rec.JobShard)
 		w.t.Logf("%s rev %d: slot %v, tasks on machines %d", kv.Key, kv.Rev, slot, w.history.On(rec.Spec.ID))
 	}
 	if w.t.Failed() {
--- a/test/integration/lost_test.go
+++ b/test/integration/lost_test.go
@@ -78,7 +78,7 @@
 				s := array(w.id(), 1)
 				w.history.Offers(s)
 				w.fleet.Runs(s.ID, time.Hour, 0)
-				path, key, want := "/submissions", job.OpenKey(s.ID), job.Queued
+				path, key, want := "/submissions", job.RecordKey(s.ID), job.Queued
 				if verb == "cancel" {
 					if !w.submit("host-0", s, time.Hour) {
 						w.t.Fatal("not accepted")
--- a/test/integration/meetings_test.go
+++ b/test/integration/meetings_test.go
@@ -192,9 +192,9 @@
 
 // placerOf is the host that has a job's slot, or one that is up.
 func (w *world) placerOf(id string) string {
-	for _, kv := range w.state.Dir(job.OpenKey(id)) {
-		if rec, err := job.ParseRecord(kv.Value); err == nil && kv.Key == job.OpenKey(id) {
-			if h := w.holder(statekv.JobShardPrefix + rec.Slot); h != "" {
+	for _, kv := range w.state.Dir(job.RecordKey(id)) {
+		if rec, err := job.ParseRecord(kv.Value); err == nil && kv.Key == job.RecordKey(id) {
+			if h := w.holder(statekv.JobShardPrefix + rec.JobShard); h != "" {
 				return h
 			}
 		}
--- a/tools/devcluster/dev.go
+++ b/tools/devcluster/dev.go
@@ -124,13 +124,13 @@
 
 // spec is what a job's owner submitted, as its record has it.
 func (f *Fleet) spec(id string) (*job.Spec, error) {
-	kv, err := f.State.Get(context.Background(), job.OpenKey(id))
+	kv, err := f.State.Get(context.Background(), job.RecordKey(id))
 	if err != nil {
 		return nil, err
 	}
 	rec, err := job.ParseRecord(kv.Value)
 	if err == nil {
-		err = rec.Join(func(key string) (statekv.KV, bool) {
+		err = rec.JoinSpec(func(key string) (statekv.KV, bool) {
 			kv, err := f.State.Get(context.Background(), key)
 			return kv, err == nil
 		})
--- a/tools/devcluster/rolls.go
+++ b/tools/devcluster/rolls.go
@@ -396,8 +396,8 @@
 // closed reports whether the way back from a level is closed: then the former version
 // must not be put back without lowering it.
 func closed(level int) bool {
-	for _, step := range rollout.Ladder[:level] {
-		if step.Closes {
+	for _, step := range rollout.FeatureGates[:level] {
+		if step.Irreversible {
 			return true
 		}
 	}
@@ -435,8 +435,8 @@
 // level is the fleet's level, as the state service has it.
 func (f *Fleet) level() int {
 	for _, kv := range f.State.Dir(statekv.ClusterVersionKey) {
-		if l, err := rollout.ParseLevel(kv.Value); err == nil {
-			return l.N
+		if l, err := rollout.ParseClusterVersion(kv.Value); err == nil {
+			return l.Number
 		}
 	}
 	return 0
