--- a/cmd/robinstack/audit.go
+++ b/cmd/robinstack/audit.go
@@ -45,7 +45,7 @@
 			}
 			bill := l.Bill()
 			if bill.Machines == 0 {
-				return fmt.Errorf("%w: no machine with a price in %d lines of controllers (%d others, %d cut): is LOG_LEVEL info or debug?", errUsage, l.Lines, l.Unknown, len(l.Problems))
+				return fmt.Errorf("%w: no machine with a price in %d lines of controllers (%d others, %d cut): is LOG_LEVEL info or debug?", errUsage, l.Lines, l.Unrecognized, len(l.Problems))
 			}
 			if asJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(bill)
@@ -53,7 +53,7 @@
 			if err := bill.Print(cmd.OutOrStdout(), charged); err != nil || !orders {
 				return err
 			}
-			return audit.PrintOrders(cmd.OutOrStdout(), l.Orders())
+			return audit.PrintDeadlineOutcomes(cmd.OutOrStdout(), l.DeadlineOutcomes())
 		},
 	}
 	cmd.Flags().Float64Var(&charged, "charged", 0, "what the cloud charged, to set against the sum of the parts")
@@ -69,7 +69,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	classes, teams := l.Served(func(class string, due time.Duration) time.Duration {
+	classes, teams := l.ServiceLevels(func(class string, due time.Duration) time.Duration {
 		var deadline *float64
 		if s := due.Seconds(); due > 0 {
 			deadline = &s
@@ -80,12 +80,12 @@
 		return 0
 	})
 	if len(classes) == 0 {
-		return fmt.Errorf("%w: no accepted job in %d lines of controllers (%d others, %d cut): is LOG_LEVEL info or debug?", errUsage, l.Lines, l.Unknown, len(l.Problems))
+		return fmt.Errorf("%w: no accepted job in %d lines of controllers (%d others, %d cut): is LOG_LEVEL info or debug?", errUsage, l.Lines, l.Unrecognized, len(l.Problems))
 	}
 	if asJSON {
-		return json.NewEncoder(w).Encode(map[string][]audit.Served{"classes": classes, "teams": teams})
+		return json.NewEncoder(w).Encode(map[string][]audit.ServiceLevel{"classes": classes, "teams": teams})
 	}
-	return audit.PrintServed(w, classes, teams)
+	return audit.PrintServiceLevels(w, classes, teams)
 }
 
 // openAll returns the files as one stream.
--- a/cmd/robinstack/scale.go
+++ b/cmd/robinstack/scale.go
@@ -38,8 +38,8 @@
 	cmd.Flags().StringVar(&flags.json, "json", "", "file to write what was measured to, as JSON")
 	cmd.Flags().BoolVar(&flags.sweep, "sweep", false, "run all sizes that the profile's sweep lists")
 	cmd.Flags().BoolVar(&flags.tables, "tables", false, "print the tables of docs/CAPACITY.md from what a sweep wrote with --json")
-	cmd.Flags().StringVar(&flags.workersOf, scaletest.WorkersFlag, "", "plan of the workers and users to run; scale itself uses it")
-	_ = cmd.Flags().MarkHidden(scaletest.WorkersFlag)
+	cmd.Flags().StringVar(&flags.workersOf, scaletest.LoadProcessFlag, "", "plan of the workers and users to run; scale itself uses it")
+	_ = cmd.Flags().MarkHidden(scaletest.LoadProcessFlag)
 	return cmd
 }
 
@@ -65,9 +65,9 @@
 	}
 	options := scaletest.Options{Program: program, Logs: flags.logs, Out: out}
 	if flags.sweep {
-		return scaletest.DoSweep(ctx, profile, options, func(s *scaletest.SweepResult) error { return writeJSON(flags.json, s) })
+		return scaletest.RunSweep(ctx, profile, options, func(s *scaletest.SweepResult) error { return writeJSON(flags.json, s) })
 	}
-	result, err := scaletest.Do(ctx, profile, options)
+	result, err := scaletest.RunProfile(ctx, profile, options)
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 	if err := writeJSON(flags.json, result); err != nil {
 		return err
 	}
-	if n := len(result.Load.Broken); n > 0 {
+	if n := len(result.Load.Violations); n > 0 {
 		return fmt.Errorf("%d rules were broken", n)
 	}
 	return nil
@@ -91,7 +91,7 @@
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return fmt.Errorf("%w: %s is not what a sweep wrote: %w", errUsage, path, err)
 	}
-	s.Tables(out)
+	s.WriteTables(out)
 	return nil
 }
 
@@ -116,7 +116,7 @@
 	if err != nil {
 		return fmt.Errorf("reading the plan: %w", err)
 	}
-	var plan scaletest.Plan
+	var plan scaletest.LoadPlan
 	if err := json.Unmarshal(raw, &plan); err != nil {
 		return fmt.Errorf("reading the plan: %w", err)
 	}
--- a/emulator/box.go
+++ b/emulator/box.go
@@ -19,9 +19,9 @@
 	"robinstack/internal/worker"
 )
 
-// Box is a machine of a farm with its worker.
-type Box struct {
-	farm    *Farm
+// LocalMachine is a machine of a farm with its worker.
+type LocalMachine struct {
+	farm    *LocalCloud
 	name    string
 	address string
 	typ     cloud.MachineType
@@ -37,7 +37,7 @@
 	tasks map[string]*run
 }
 
-func (b *Box) tell() {
+func (b *LocalMachine) tell() {
 	select {
 	case b.changed <- struct{}{}:
 	default:
@@ -45,7 +45,7 @@
 }
 
 // run is the worker: it reports to one controller at a time and takes commands.
-func (b *Box) run(ln net.Listener) {
+func (b *LocalMachine) run(ln net.Listener) {
 	select {
 	case <-b.ctx.Done():
 		ln.Close()
@@ -85,7 +85,7 @@
 }
 
 // reportTo sends one report and returns where to go next: "stay", a host, or nothing.
-func (b *Box) reportTo(client *http.Client, address string) (home string) {
+func (b *LocalMachine) reportTo(client *http.Client, address string) (home string) {
 	sent := time.Now()
 	report := b.report()
 	raw, err := json.Marshal(report)
@@ -111,7 +111,7 @@
 	return home
 }
 
-func (b *Box) report() worker.Heartbeat {
+func (b *LocalMachine) report() worker.Heartbeat {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seq++
@@ -124,7 +124,7 @@
 }
 
 // serve answers commands that come straight from controllers.
-func (b *Box) serve(w http.ResponseWriter, r *http.Request) {
+func (b *LocalMachine) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/do" {
 		var in struct {
 			Token   *uint64          `json:"baton"`
@@ -154,7 +154,7 @@
 }
 
 // carryOut executes commands in order. The mutex is held.
-func (b *Box) carryOut(orders []worker.Command) {
+func (b *LocalMachine) carryOut(orders []worker.Command) {
 	for _, o := range orders {
 		key := fmt.Sprint(o.Task, " ", o.Attempt)
 		t := b.tasks[key]
@@ -171,7 +171,7 @@
 	b.tell()
 }
 
-func (b *Box) start(key string, o worker.Command) {
+func (b *LocalMachine) start(key string, o worker.Command) {
 	t := &run{box: b, id: o.Task, attempt: o.Attempt, state: worker.TaskFetching, stop: make(chan struct{})}
 	id, _, _ := strings.Cut(o.Task, "/")
 	spec, err := b.farm.spec(id)
@@ -190,7 +190,7 @@
 		t.state, t.cause = worker.TaskExited, worker.CauseUnknownTask
 	case spec.GPUs > free:
 		t.state, t.cause = worker.TaskExited, worker.CauseNoCapacity
-	case b.farm.Completed(o.Task):
+	case b.farm.TaskCompleted(o.Task):
 		t.state, t.cause = worker.TaskExited, worker.CauseDone
 	}
 	t.spec = spec
@@ -201,7 +201,7 @@
 }
 
 // clear ends all tasks, as when the machine goes or its lease ends.
-func (b *Box) clear() {
+func (b *LocalMachine) clear() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for key, t := range b.tasks {
@@ -214,7 +214,7 @@
 	}
 }
 
-func (b *Box) watchLease() {
+func (b *LocalMachine) watchLease() {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
--- a/emulator/cloudserver_test.go
+++ b/emulator/cloudserver_test.go
@@ -55,9 +55,9 @@
 // from too far back so.
 func TestStateServerKeepsItsLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := NewState()
-		rates := NewRates(10, 4)
-		s.SetRates(rates)
+		s := NewStateService()
+		rates := NewRateLimits(10, 4)
+		s.SetRateLimits(rates)
 		if !rates.admits(3) || rates.admits(2) || !rates.admits(1) || rates.Refused.Load() != 1 {
 			t.Error("a second's worth of changes passes, and no more")
 		}
--- a/emulator/farm.go
+++ b/emulator/farm.go
@@ -14,9 +14,9 @@
 	"robinstack/internal/job"
 )
 
-// Farm is a cloud on loopback whose machines have workers that run small commands, by
+// LocalCloud is a cloud on loopback whose machines have workers that run small commands, by
 // the published protocols. It keeps a history and says what broke a rule.
-type Farm struct {
+type LocalCloud struct {
 	ctx         context.Context
 	types       []cloud.MachineType
 	most        int               // machines of each type, zone and kind
@@ -26,7 +26,7 @@
 	spec        func(job string) (*job.Spec, error) // what users uploaded
 
 	mu       sync.Mutex
-	boxes    map[string]*Box
+	boxes    map[string]*LocalMachine
 	requests map[string][]string
 	count    int
 	done     map[string]bool            // tasks that have completed
@@ -41,63 +41,63 @@
 	broken   []string
 }
 
-// FarmConfig says what a farm is like.
-type FarmConfig struct {
-	Types         []cloud.MachineType
-	Most          int
-	Controllers   map[string]string
-	Report, Lease time.Duration
-	Spec          func(job string) (*job.Spec, error)
+// LocalCloudConfig says what a farm is like.
+type LocalCloudConfig struct {
+	MachineTypes                     []cloud.MachineType
+	MaxPerPool                       int
+	Controllers                      map[string]string
+	HeartbeatInterval, LeaseDuration time.Duration
+	LookUpSpec                       func(job string) (*job.Spec, error)
 }
 
-// NewFarm returns a farm without machines, whose workers run until ctx ends.
-func NewFarm(ctx context.Context, c FarmConfig) *Farm {
-	return &Farm{ctx: ctx, types: c.Types, most: c.Most, controllers: c.Controllers, report: c.Report, lease: c.Lease, spec: c.Spec,
-		boxes: map[string]*Box{}, requests: map[string][]string{}, done: map[string]bool{}, on: map[string]*run{}, gangs: map[string]map[string]*run{}, before: map[string]bool{}}
+// NewLocalCloud returns a farm without machines, whose workers run until ctx ends.
+func NewLocalCloud(ctx context.Context, c LocalCloudConfig) *LocalCloud {
+	return &LocalCloud{ctx: ctx, types: c.MachineTypes, most: c.MaxPerPool, controllers: c.Controllers, report: c.HeartbeatInterval, lease: c.LeaseDuration, spec: c.LookUpSpec,
+		boxes: map[string]*LocalMachine{}, requests: map[string][]string{}, done: map[string]bool{}, on: map[string]*run{}, gangs: map[string]map[string]*run{}, before: map[string]bool{}}
 }
 
-// Broken lists the rules that were broken.
-func (f *Farm) Broken() []string {
+// Violations lists the rules that were broken.
+func (f *LocalCloud) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.broken)
 }
 
-// Starts counts the starts of tasks, and Completed tells whether one has completed.
-func (f *Farm) Starts() int {
+// TaskStarts counts the starts of tasks, and Completed tells whether one has completed.
+func (f *LocalCloud) TaskStarts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
-// Again counts the starts of tasks that had been started before, and tells the longest
+// Restarts counts the starts of tasks that had been started before, and tells the longest
 // time without a start.
-func (f *Farm) Again() (again int, gap time.Duration) {
+func (f *LocalCloud) Restarts() (again int, gap time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.again, f.gap
 }
 
-// Check has each start of a task checked: needs lists the tasks that have to be completed
+// CheckDependencies has each start of a task checked: needs lists the tasks that have to be completed
 // before. It must not ask the farm.
-func (f *Farm) Check(needs func(task string) []string) {
+func (f *LocalCloud) CheckDependencies(needs func(task string) []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.needs = needs
 }
 
-// Completed reports whether a task has completed.
-func (f *Farm) Completed(task string) bool {
+// TaskCompleted reports whether a task has completed.
+func (f *LocalCloud) TaskCompleted(task string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.done[task]
 }
 
 // MachineTypes lists the types on offer.
-func (f *Farm) MachineTypes(context.Context) ([]cloud.MachineType, error) { return f.types, nil }
+func (f *LocalCloud) MachineTypes(context.Context) ([]cloud.MachineType, error) { return f.types, nil }
 
 // ScaleIn returns machines, with all that is on them.
-func (f *Farm) ScaleIn(_ context.Context, names []string) error {
+func (f *LocalCloud) ScaleIn(_ context.Context, names []string) error {
 	for _, name := range names {
 		f.mu.Lock()
 		b := f.boxes[name]
@@ -112,7 +112,7 @@
 }
 
 // Machines lists the machines in the order of their names.
-func (f *Farm) Machines(context.Context) ([]cloud.Machine, error) {
+func (f *LocalCloud) Machines(context.Context) ([]cloud.Machine, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := []cloud.Machine{}
@@ -124,7 +124,7 @@
 }
 
 // ScaleOut rents machines, as many of those asked for as there is capacity for.
-func (f *Farm) ScaleOut(_ context.Context, r cloud.ScaleOutRequest) ([]string, error) {
+func (f *LocalCloud) ScaleOut(_ context.Context, r cloud.ScaleOutRequest) ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if names, again := f.requests[r.RequestID]; again {
@@ -148,7 +148,7 @@
 		}
 		f.count++
 		ctx, stop := context.WithCancel(f.ctx)
-		b := &Box{farm: f, name: fmt.Sprintf("vm-%06d", f.count), address: ln.Addr().String(), typ: f.types[at], zone: r.Zone, spot: r.Spot,
+		b := &LocalMachine{farm: f, name: fmt.Sprintf("vm-%06d", f.count), address: ln.Addr().String(), typ: f.types[at], zone: r.Zone, spot: r.Spot,
 			since: time.Now(), ctx: ctx, stop: stop, changed: make(chan struct{}, 1), lease: lease{session: 1}, tasks: map[string]*run{}}
 		f.boxes[b.name] = b
 		names = append(names, b.name)
@@ -162,7 +162,7 @@
 }
 
 // began books that a task is on a machine. The farm's mutex guards the history.
-func (f *Farm) began(r *run) {
+func (f *LocalCloud) began(r *run) {
 	f.mu.Lock()
 	needs, first := f.needs, []string(nil)
 	f.mu.Unlock()
@@ -199,7 +199,7 @@
 }
 
 // ended books that it is not any more.
-func (f *Farm) ended(r *run, done bool) {
+func (f *LocalCloud) ended(r *run, done bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.on[r.id] == r {
@@ -217,7 +217,7 @@
 }
 
 // together reports whether all tasks of a gang's attempt are on machines.
-func (f *Farm) together(r *run) bool {
+func (f *LocalCloud) together(r *run) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.gangs[r.gang()]) == r.spec.Tasks
@@ -225,7 +225,7 @@
 
 // run is one attempt at a task on a machine.
 type run struct {
-	box     *Box
+	box     *LocalMachine
 	id      string
 	attempt uint64
 	spec    *job.Spec
--- a/emulator/fleet.go
+++ b/emulator/fleet.go
@@ -17,9 +17,9 @@
 	"robinstack/internal/worker"
 )
 
-// Fleet is a cloud whose machines have workers that keep leases, by the published
+// SimulatedCloud is a cloud whose machines have workers that keep leases, by the published
 // protocols, in memory and in fake time. What happens on them goes to a history.
-type Fleet struct {
+type SimulatedCloud struct {
 	ctx      context.Context
 	settings *config.Settings
 	types    []cloud.MachineType
@@ -28,7 +28,7 @@
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	machines map[string]*Machine
+	machines map[string]*SimulatedMachine
 	requests map[string][]string
 	gangs    map[string]map[string]*piece // tasks on machines, by job and attempt
 	runs     map[string][2]time.Duration  // how long the tasks of a job run
@@ -37,7 +37,7 @@
 	deleted  int
 	broken   map[string]bool // gangs that lost a task with a returned machine
 	done     func(task string)
-	loopback *Loopback                // nil: all of it is in this process
+	loopback *LoopbackNetwork         // nil: all of it is in this process
 	fetch    time.Duration            // of an image that a machine does not have
 	spread   bool                     // boots take from 0.6 to 1.5 times what is usual
 	late     func(late time.Duration) // told how late each step of a worker is
@@ -46,40 +46,40 @@
 
 // Timing says how a fleet's machines behave in time beyond what their types say.
 type Timing struct {
-	Fetch      time.Duration            // of an image that a machine does not have
-	SpreadBoot bool                     // boots take from 0.6 to 1.5 times what is usual
-	OnStep     func(late time.Duration) // told how late each step of a worker is
+	ImageFetch   time.Duration            // of an image that a machine does not have
+	RandomBoot   bool                     // boots take from 0.6 to 1.5 times what is usual
+	OnWorkerStep func(late time.Duration) // told how late each step of a worker is
 }
 
 // SetTiming has the machines keep to a timing from now on.
-func (f *Fleet) SetTiming(t Timing) {
+func (f *SimulatedCloud) SetTiming(t Timing) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fetch, f.spread, f.late = t.Fetch, t.SpreadBoot, t.OnStep
+	f.fetch, f.spread, f.late = t.ImageFetch, t.RandomBoot, t.OnWorkerStep
 }
 
-// KilledByLease counts the tasks that ended because their worker's lease did.
-func (f *Fleet) KilledByLease() int {
+// TasksKilledByLeaseExpiry counts the tasks that ended because their worker's lease did.
+func (f *SimulatedCloud) TasksKilledByLeaseExpiry() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.killed
 }
 
-// OnDone has f called, in a goroutine of its own, at the moment at which a task completes.
-func (f *Fleet) OnDone(do func(task string)) {
+// OnTaskCompleted has f called, in a goroutine of its own, at the moment at which a task completes.
+func (f *SimulatedCloud) OnTaskCompleted(do func(task string)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.done = do
 }
 
-// Fits reports whether so many tasks of a job have room now on machines that nothing keeps
+// HasCapacity reports whether so many tasks of a job have room now on machines that nothing keeps
 // from serving.
-func (f *Fleet) Fits(spec job.Spec, tasks int) bool {
+func (f *SimulatedCloud) HasCapacity(spec job.Spec, tasks int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	room := map[string]int{} // by zone
 	for _, u := range f.machines {
-		if u.answered.IsZero() || u.Hung || u.Deaf || u.Lost || u.Mute || u.Hold > 0 || u.HoldAnswers > 0 || u.Cut != "" || u.Only != "" || !u.died.IsZero() || !spec.AllowsMachine(u.typ.Name, u.zone, false) {
+		if u.answered.IsZero() || u.Hung || u.InboundLost || u.CommandsLost || u.HeartbeatsLost || u.CommandDelay > 0 || u.AnswerDelay > 0 || u.UnreachableFrom != "" || u.OnlyController != "" || !u.died.IsZero() || !spec.AllowsMachine(u.typ.Name, u.zone, false) {
 			continue
 		}
 		free := job.Capacity(u.typ)
@@ -105,31 +105,31 @@
 	return sum >= tasks
 }
 
-// Deleted counts the tasks that were on machines when those were returned. A gang that
+// TasksLostToScaleIn counts the tasks that were on machines when those were returned. A gang that
 // loses one of its tasks loses all, so all of its attempt count, once.
-func (f *Fleet) Deleted() int {
+func (f *SimulatedCloud) TasksLostToScaleIn() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.deleted
 }
 
-// NewFleet returns a fleet without machines, whose workers run until ctx ends. ask carries
+// NewSimulatedCloud returns a fleet without machines, whose workers run until ctx ends. ask carries
 // a worker's report to a controller.
-func NewFleet(ctx context.Context, settings *config.Settings, types []cloud.MachineType, most int, seed uint64, h *History, ask func(host string, r *http.Request) (*http.Response, error)) *Fleet {
-	return &Fleet{ctx: ctx, settings: settings, types: types, most: most, history: h, ask: ask, rng: rand.New(rand.NewPCG(seed, 2)),
-		machines: map[string]*Machine{}, requests: map[string][]string{}, gangs: map[string]map[string]*piece{}, broken: map[string]bool{}, runs: map[string][2]time.Duration{}}
+func NewSimulatedCloud(ctx context.Context, settings *config.Settings, types []cloud.MachineType, most int, seed uint64, h *History, ask func(host string, r *http.Request) (*http.Response, error)) *SimulatedCloud {
+	return &SimulatedCloud{ctx: ctx, settings: settings, types: types, most: most, history: h, ask: ask, rng: rand.New(rand.NewPCG(seed, 2)),
+		machines: map[string]*SimulatedMachine{}, requests: map[string][]string{}, gangs: map[string]map[string]*piece{}, broken: map[string]bool{}, runs: map[string][2]time.Duration{}}
 }
 
-// Runs says how long the first task of a job runs, and by how much each of the others runs
+// SetRunTimes says how long the first task of a job runs, and by how much each of the others runs
 // longer than the one before it.
-func (f *Fleet) Runs(id string, d, apart time.Duration) {
+func (f *SimulatedCloud) SetRunTimes(id string, d, apart time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.runs[id] = [2]time.Duration{d, apart}
 }
 
-// Each calls do for every machine with the fleet held still, in the order of their names.
-func (f *Fleet) Each(do func(name string, u *Machine)) {
+// ForEachMachine calls do for every machine with the fleet held still, in the order of their names.
+func (f *SimulatedCloud) ForEachMachine(do func(name string, u *SimulatedMachine)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(f.machines)) {
@@ -137,21 +137,21 @@
 	}
 }
 
-// Offer has the cloud offer other types from now on.
-func (f *Fleet) Offer(types []cloud.MachineType) {
+// SetMachineTypes has the cloud offer other types from now on.
+func (f *SimulatedCloud) SetMachineTypes(types []cloud.MachineType) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.types = types
 }
 
 // MachineTypes, Rent, Delete and Machines are the cloud's.
-func (f *Fleet) MachineTypes(context.Context) ([]cloud.MachineType, error) {
+func (f *SimulatedCloud) MachineTypes(context.Context) ([]cloud.MachineType, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.types, nil
 }
 
-func (f *Fleet) ScaleOut(_ context.Context, r cloud.ScaleOutRequest) ([]string, error) {
+func (f *SimulatedCloud) ScaleOut(_ context.Context, r cloud.ScaleOutRequest) ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if names, known := f.requests[r.RequestID]; known {
@@ -180,8 +180,8 @@
 }
 
 // newMachine makes a machine that does not run yet. The fleet's mutex is held.
-func (f *Fleet) newMachine(t cloud.MachineType, zone string, boot time.Duration) (*Machine, error) {
-	u := &Machine{fleet: f, name: fmt.Sprintf("vm-%06d", f.count), typ: t, zone: zone, lease: lease{session: 1}, pieces: map[string]*piece{}, images: map[string]bool{}, boot: boot, since: time.Now(), changed: make(chan struct{}, 1)}
+func (f *SimulatedCloud) newMachine(t cloud.MachineType, zone string, boot time.Duration) (*SimulatedMachine, error) {
+	u := &SimulatedMachine{fleet: f, name: fmt.Sprintf("vm-%06d", f.count), typ: t, zone: zone, lease: lease{session: 1}, pieces: map[string]*piece{}, images: map[string]bool{}, boot: boot, since: time.Now(), changed: make(chan struct{}, 1)}
 	u.ctx, u.stop = context.WithCancel(f.ctx)
 	u.address, u.link = u.name, handlerTransport{f.ask}
 	if f.loopback == nil {
@@ -191,8 +191,8 @@
 	return u, u.listen()
 }
 
-// Begin puts so many machines into a zone that are up within some time, rented by nobody.
-func (f *Fleet) Begin(typeName, zone string, count int, within time.Duration) error {
+// AddMachines puts so many machines into a zone that are up within some time, rented by nobody.
+func (f *SimulatedCloud) AddMachines(typeName, zone string, count int, within time.Duration) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := slices.IndexFunc(f.types, func(t cloud.MachineType) bool { return t.Name == typeName })
@@ -212,19 +212,19 @@
 }
 
 // bootTime is how long a machine takes to come up. The fleet's mutex is held.
-func (f *Fleet) bootTime(t cloud.MachineType) time.Duration {
+func (f *SimulatedCloud) bootTime(t cloud.MachineType) time.Duration {
 	if !f.spread {
 		return t.ProvisioningTime()
 	}
 	return time.Duration(float64(t.ProvisioningTime()) * (0.6 + 0.9*f.rng.Float64()))
 }
 
-func (f *Fleet) isGang(id string) bool {
+func (f *SimulatedCloud) isGang(id string) bool {
 	spec, _ := f.history.Spec(id)
 	return spec.Shape == job.Gang
 }
 
-func (f *Fleet) ScaleIn(_ context.Context, names []string) error {
+func (f *SimulatedCloud) ScaleIn(_ context.Context, names []string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, name := range names {
@@ -252,7 +252,7 @@
 	return nil
 }
 
-func (f *Fleet) Machines(context.Context) ([]cloud.Machine, error) {
+func (f *SimulatedCloud) Machines(context.Context) ([]cloud.Machine, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []cloud.Machine
@@ -271,12 +271,12 @@
 
 // Commander is how a controller sends commands straight to workers.
 type Commander struct {
-	fleet *Fleet
+	fleet *SimulatedCloud
 	host  string
 }
 
 // Commander returns the commander of a controller.
-func (f *Fleet) Commander(host string) Commander { return Commander{f, host} }
+func (f *SimulatedCloud) Commander(host string) Commander { return Commander{f, host} }
 
 // Send carries commands to a machine. What is held up is carried out later, if token and
 // session still match.
@@ -284,12 +284,12 @@
 	f := c.fleet
 	f.mu.Lock()
 	u := f.machines[address]
-	if u == nil || u.Deaf || u.Lost || u.Cut == c.host || u.Only != "" && u.Only != c.host || u.answered.IsZero() || !u.died.IsZero() {
+	if u == nil || u.InboundLost || u.CommandsLost || u.UnreachableFrom == c.host || u.OnlyController != "" && u.OnlyController != c.host || u.answered.IsZero() || !u.died.IsZero() {
 		f.mu.Unlock()
 		sleep(ctx, patience)
 		return nil, false, errors.New("no answer")
 	}
-	hold := u.Hold
+	hold := u.CommandDelay
 	f.mu.Unlock()
 	type outcome struct {
 		r  worker.Heartbeat
--- a/emulator/history.go
+++ b/emulator/history.go
@@ -29,7 +29,7 @@
 	first  func(spec job.Spec, index int, waited time.Duration)
 	after  int // starts of tasks after their jobs were told as cancelled
 	stayed []time.Duration
-	order  Moment
+	order  LogicalTime
 	trace  []traced
 }
 
@@ -49,8 +49,8 @@
 	}
 }
 
-// Note notes a trouble, for the trace.
-func (h *History) Note(format string, args ...any) {
+// RecordFault notes a trouble, for the trace.
+func (h *History) RecordFault(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.note("", format, args...)
@@ -59,7 +59,7 @@
 // Trace lists, in their order, the troubles and what happened to the jobs that a rule was
 // broken for: enough to write a test from.
 func (h *History) Trace() (out []string) {
-	broken := strings.Join(h.Broken(), " ") + " "
+	broken := strings.Join(h.Violations(), " ") + " "
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, t := range h.trace {
@@ -70,12 +70,12 @@
 	return out
 }
 
-// Moment orders questions and answers, also within one instant of fake time: an answer
+// LogicalTime orders questions and answers, also within one instant of fake time: an answer
 // received at one is older than a question asked at a later one.
-type Moment uint64
+type LogicalTime uint64
 
-// Asking is the moment of a question that a user is about to ask.
-func (h *History) Asking() Moment {
+// StampRequest is the moment of a question that a user is about to ask.
+func (h *History) StampRequest() LogicalTime {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.order++
@@ -89,12 +89,12 @@
 	on       map[int]stay
 	started  map[int]bool // tasks that were on a machine
 	accepted bool
-	since    time.Time // since when it is
-	known    Moment    // when its user was told so
-	asked    bool      // its user asked for its cancellation
-	told     time.Time // when it was told as cancelled
-	done     bool      // told as done
-	final    Moment    // when it was told as either
+	since    time.Time   // since when it is
+	known    LogicalTime // when its user was told so
+	asked    bool        // its user asked for its cancellation
+	told     time.Time   // when it was told as cancelled
+	done     bool        // told as done
+	final    LogicalTime // when it was told as either
 	complete map[int]bool
 	answered time.Time // when a question about it was last answered
 	unfit    bool      // it can't run, or lacks a field
@@ -115,16 +115,16 @@
 	return &History{settings: settings, began: time.Now(), jobs: map[string]*past{}, used: map[string]job.Need{}}
 }
 
-// Began is when the history began.
-func (h *History) Began() time.Time { return h.began }
+// StartTime is when the history began.
+func (h *History) StartTime() time.Time { return h.began }
 
 func (h *History) breaks(rule, format string, args ...any) {
 	h.broken = append(h.broken, fmt.Sprintf("%s at %.1f s: %s", rule, time.Since(h.began).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// Broken lists the rules that were broken, and the tasks that are on machines although
+// Violations lists the rules that were broken, and the tasks that are on machines although
 // their jobs were told as cancelled too long ago.
-func (h *History) Broken() []string {
+func (h *History) Violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := slices.Clone(h.broken)
@@ -139,8 +139,8 @@
 	return out
 }
 
-// Stayed lists how long tasks were on machines after their jobs were told as cancelled.
-func (h *History) Stayed() []time.Duration {
+// TimesToStopAfterCancel lists how long tasks were on machines after their jobs were told as cancelled.
+func (h *History) TimesToStopAfterCancel() []time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Sorted(slices.Values(h.stayed))
@@ -154,14 +154,14 @@
 	return h.after
 }
 
-// Starts counts the starts of tasks, and On the tasks of a job that are on machines.
-func (h *History) Starts() int {
+// TaskStarts counts the starts of tasks, and On the tasks of a job that are on machines.
+func (h *History) TaskStarts() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.starts
 }
 
-func (h *History) On(id string) int {
+func (h *History) TasksOnMachines(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if p := h.jobs[id]; p != nil {
@@ -170,9 +170,9 @@
 	return 0
 }
 
-// Running counts the tasks of all jobs that are on machines, and StartedAgain the starts of
+// RunningTasks counts the tasks of all jobs that are on machines, and TaskRestarts the starts of
 // tasks that had been started before.
-func (h *History) Running() (n int) {
+func (h *History) RunningTasks() (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.jobs {
@@ -181,14 +181,14 @@
 	return n
 }
 
-func (h *History) StartedAgain() int {
+func (h *History) TaskRestarts() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.again
 }
 
-// Overshoot is the most GPUs by which a team was beyond its limit.
-func (h *History) Overshoot() float64 {
+// MaxQuotaOvershoot is the most GPUs by which a team was beyond its limit.
+func (h *History) MaxQuotaOvershoot() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.over
@@ -202,8 +202,8 @@
 	h.first = f
 }
 
-// Where is the machine that a job's first task found is on, or "".
-func (h *History) Where(id string) string {
+// MachineOfFirstTask is the machine that a job's first task found is on, or "".
+func (h *History) MachineOfFirstTask(id string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.jobs[id]
@@ -213,8 +213,8 @@
 	return p.on[slices.Min(slices.Collect(maps.Keys(p.on)))].machine
 }
 
-// Machine is the machine that a task is on, or "".
-func (h *History) Machine(task string) string {
+// MachineOfTask is the machine that a task is on, or "".
+func (h *History) MachineOfTask(task string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id, index, _ := job.SplitTaskID(task)
@@ -224,8 +224,8 @@
 	return ""
 }
 
-// Jobs lists the jobs that were accepted.
-func (h *History) Jobs() []string {
+// AcceptedJobs lists the jobs that were accepted.
+func (h *History) AcceptedJobs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []string
@@ -249,8 +249,8 @@
 	return p.spec, true
 }
 
-// Offers notes that a user is about to submit a job.
-func (h *History) Offers(spec job.Spec) {
+// RecordSubmission notes that a user is about to submit a job.
+func (h *History) RecordSubmission(spec job.Spec) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.jobs[spec.ID] == nil {
@@ -258,8 +258,8 @@
 	}
 }
 
-// Asks notes that a user is about to ask for a cancellation.
-func (h *History) Asks(id string) {
+// RecordCancelRequest notes that a user is about to ask for a cancellation.
+func (h *History) RecordCancelRequest(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if p := h.jobs[id]; p != nil {
@@ -267,18 +267,18 @@
 	}
 }
 
-// OffersUnfit notes that a user is about to submit what can never run, or lacks a field.
-func (h *History) OffersUnfit(spec job.Spec) {
-	h.Offers(spec)
+// RecordInvalidSubmission notes that a user is about to submit what can never run, or lacks a field.
+func (h *History) RecordInvalidSubmission(spec job.Spec) {
+	h.RecordSubmission(spec)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs[spec.ID].unfit = true
 }
 
-// Told takes an answer about a job as it is received: verb is "submit", "query" or
+// RecordResponse takes an answer about a job as it is received: verb is "submit", "query" or
 // "cancel", and asked the moment of the question. What was asked before the user had an
 // answer may be answered as of then; of two that overlap, neither is the older one.
-func (h *History) Told(verb, id string, asked Moment, code int, status string) {
+func (h *History) RecordResponse(verb, id string, asked LogicalTime, code int, status string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.order++
@@ -347,8 +347,8 @@
 	return p.asked || slices.ContainsFunc(p.spec.WaitsOn, func(id string) bool { return h.jobs[id] != nil && h.withdrawn(h.jobs[id]) })
 }
 
-// Start notes that a task has its image and is on a machine from now on.
-func (h *History) Start(task, machine, typeName, zone string, spot bool) {
+// RecordTaskStart notes that a task has its image and is on a machine from now on.
+func (h *History) RecordTaskStart(task, machine, typeName, zone string, spot bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.starts++
@@ -403,8 +403,8 @@
 	}
 }
 
-// Leave notes that a task is not on its machine any more.
-func (h *History) Leave(task, machine string) {
+// RecordTaskRemoval notes that a task is not on its machine any more.
+func (h *History) RecordTaskRemoval(task, machine string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id, index, _ := job.SplitTaskID(task)
@@ -428,8 +428,8 @@
 	}
 }
 
-// Complete notes that a task has completed.
-func (h *History) Complete(task string) {
+// RecordTaskCompletion notes that a task has completed.
+func (h *History) RecordTaskCompletion(task string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id, index, _ := job.SplitTaskID(task)
@@ -439,8 +439,8 @@
 	}
 }
 
-// Completed reports whether a task has completed.
-func (h *History) Completed(task string) bool {
+// TaskCompleted reports whether a task has completed.
+func (h *History) TaskCompleted(task string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id, index, _ := job.SplitTaskID(task)
@@ -448,8 +448,8 @@
 	return p != nil && p.complete[index]
 }
 
-// Calm notes that all troubles are over.
-func (h *History) Calm() {
+// RecordFaultsEnded notes that all troubles are over.
+func (h *History) RecordFaultsEnded() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calm = time.Now()
@@ -458,15 +458,15 @@
 	}
 }
 
-// ToldAt is when a job was told as cancelled.
-func (h *History) ToldAt(id string) time.Time {
+// CancelAcknowledgedAt is when a job was told as cancelled.
+func (h *History) CancelAcknowledgedAt(id string) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.jobs[id].told
 }
 
-// Unanswered is a job, not told as over, about which no question was answered for so long.
-func (h *History) Unanswered(d time.Duration) string {
+// UnansweredJob is a job, not told as over, about which no question was answered for so long.
+func (h *History) UnansweredJob(d time.Duration) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for id, p := range h.jobs {
@@ -477,10 +477,10 @@
 	return ""
 }
 
-// Look is to be called every second or so: it holds jobs that wait against what machines
+// CheckWaitingJobs is to be called every second or so: it holds jobs that wait against what machines
 // have room for. fits tells whether a job's tasks that are on no machine, or one of an
 // array's, find room now on machines that nothing keeps from serving.
-func (h *History) Look(fits func(spec job.Spec, tasks int) bool) {
+func (h *History) CheckWaitingJobs(fits func(spec job.Spec, tasks int) bool) {
 	// The fleet asks the history with its own books held still, so not the other way.
 	for id, w := range h.waiting() {
 		room := w.least > 0 && !w.limited && fits(w.spec, w.least)
@@ -579,9 +579,9 @@
 	return true
 }
 
-// End holds the end of a day against the rules: once all troubles have been over for
+// CheckFinalState holds the end of a day against the rules: once all troubles have been over for
 // long, every accepted job has come to its end, and questions about it are answered.
-func (h *History) End() {
+func (h *History) CheckFinalState() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(h.jobs)) {
--- a/emulator/loopback.go
+++ b/emulator/loopback.go
@@ -18,20 +18,20 @@
 // Traffic counts what passes between workers and controllers, HTTP headers included and
 // those of TCP and IP not.
 type Traffic struct {
-	Reports, Commands atomic.Uint64
-	Bytes             netcount.Counter // that workers sent and received
+	Heartbeats, Commands atomic.Uint64
+	Bytes                netcount.Counter // that workers sent and received
 }
 
-// Loopback puts a fleet's workers on the network of this machine: each has a listener and a
+// LoopbackNetwork puts a fleet's workers on the network of this machine: each has a listener and a
 // connection of its own.
-type Loopback struct {
-	Addresses map[string]string // of the controllers, by host
-	Traffic   Traffic
+type LoopbackNetwork struct {
+	ControllerAddresses map[string]string // of the controllers, by host
+	Traffic             Traffic
 }
 
-// Connect has the fleet's workers use the network from now on. It must be called before the
+// UseNetwork has the fleet's workers use the network from now on. It must be called before the
 // first machine is rented.
-func (f *Fleet) Connect(l *Loopback) {
+func (f *SimulatedCloud) UseNetwork(l *LoopbackNetwork) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loopback = l
@@ -52,7 +52,7 @@
 
 // connection is a worker's connection to the controller that it reports to.
 type connection struct {
-	loopback *Loopback
+	loopback *LoopbackNetwork
 
 	mu     sync.Mutex
 	host   string
@@ -82,7 +82,7 @@
 		c.client.CloseIdleConnections()
 	}
 	c.host = host
-	c.client = &fasthttp.HostClient{Addr: c.loopback.Addresses[host], MaxConns: 1, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true, ReadBufferSize: 2048, WriteBufferSize: 2048,
+	c.client = &fasthttp.HostClient{Addr: c.loopback.ControllerAddresses[host], MaxConns: 1, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true, ReadBufferSize: 2048, WriteBufferSize: 2048,
 		Dial: func(address string) (net.Conn, error) {
 			conn, err := net.DialTimeout("tcp4", address, dialTime)
 			if err != nil {
@@ -102,7 +102,7 @@
 	request.Header.SetContentType("application/json")
 	request.SetRequestURI("http://" + client.Addr + "/v1/report")
 	request.SetBodyRaw(body)
-	c.loopback.Traffic.Reports.Add(1)
+	c.loopback.Traffic.Heartbeats.Add(1)
 	if err := client.DoTimeout(request, response, answerWait); err != nil {
 		return 0, nil, fmt.Errorf("reporting to %s: %w", host, err)
 	}
@@ -111,7 +111,7 @@
 
 // listen opens the address at which a worker takes commands, and serve takes them until the
 // machine ends.
-func (u *Machine) listen() error {
+func (u *SimulatedMachine) listen() error {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("an address for %s: %w", u.name, err)
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func (u *Machine) serve() {
+func (u *SimulatedMachine) serve() {
 	server := &fasthttp.Server{Handler: u.handle, ReadBufferSize: 4096, WriteBufferSize: 2048, NoDefaultServerHeader: true, CloseOnShutdown: true}
 	go func() { _ = server.Serve(u.listener) }()
 	<-u.ctx.Done()
@@ -135,7 +135,7 @@
 	Orders  []worker.Command `json:"orders"`
 }
 
-func (u *Machine) handle(ctx *fasthttp.RequestCtx) {
+func (u *SimulatedMachine) handle(ctx *fasthttp.RequestCtx) {
 	var (
 		in       doRequest
 		report   worker.Heartbeat
--- a/emulator/loopback_test.go
+++ b/emulator/loopback_test.go
@@ -34,13 +34,13 @@
 	settings := &config.Settings{Host: "host-0", Workers: config.WorkerTiming{HeartbeatInterval: 200 * time.Millisecond, LeaseDuration: 1500 * time.Millisecond, CancellationDeadline: 10 * time.Second}}
 	history := NewHistory(settings)
 	types := []cloud.MachineType{{Name: "box", CPUs: 4, GPUs: 1, MemoryGB: 8, OnDemandPrice: 1, Zones: []string{"a"}}}
-	f := NewFleet(t.Context(), settings, types, 1, 1, history, nil)
-	l := &Loopback{Addresses: map[string]string{"host-0": strings.TrimPrefix(controller.URL, "http://")}}
-	f.Connect(l)
-	f.SetTiming(Timing{Fetch: 10 * time.Millisecond})
-	history.Offers(job.Spec{ID: "wk-1", Team: "t", Shape: job.Array, Tasks: 1})
-	f.Runs("wk-1", time.Hour, 0)
-	if err := f.Begin("box", "a", 1, 0); err != nil {
+	f := NewSimulatedCloud(t.Context(), settings, types, 1, 1, history, nil)
+	l := &LoopbackNetwork{ControllerAddresses: map[string]string{"host-0": strings.TrimPrefix(controller.URL, "http://")}}
+	f.UseNetwork(l)
+	f.SetTiming(Timing{ImageFetch: 10 * time.Millisecond})
+	history.RecordSubmission(job.Spec{ID: "wk-1", Team: "t", Shape: job.Array, Tasks: 1})
+	f.SetRunTimes("wk-1", time.Hour, 0)
+	if err := f.AddMachines("box", "a", 1, 0); err != nil {
 		t.Fatal(err)
 	}
 	eventually := func(what string, ok func() bool) {
@@ -78,9 +78,9 @@
 	if code := do(6, 1); code != http.StatusConflict {
 		t.Errorf("a command under a lower token: %d", code)
 	}
-	eventually("the task on its machine", func() bool { return history.On("wk-1") == 1 })
-	eventually("the end of its lease", func() bool { return f.KilledByLease() == 1 && history.On("wk-1") == 0 })
-	if reports := l.Traffic.Reports.Load(); reports < 2 || l.Traffic.Bytes.Received.Load() == 0 || l.Traffic.Commands.Load() != 3 {
+	eventually("the task on its machine", func() bool { return history.TasksOnMachines("wk-1") == 1 })
+	eventually("the end of its lease", func() bool { return f.TasksKilledByLeaseExpiry() == 1 && history.TasksOnMachines("wk-1") == 0 })
+	if reports := l.Traffic.Heartbeats.Load(); reports < 2 || l.Traffic.Bytes.Received.Load() == 0 || l.Traffic.Commands.Load() != 3 {
 		t.Error(fmt.Sprint("traffic: ", reports, l.Traffic.Bytes.Received.Load(), l.Traffic.Commands.Load()))
 	}
 }
--- a/emulator/machine.go
+++ b/emulator/machine.go
@@ -12,10 +12,10 @@
 	"robinstack/internal/worker"
 )
 
-// Machine is a machine with its worker. The fleet's mutex guards it.
-type Machine struct {
+// SimulatedMachine is a machine with its worker. The fleet's mutex guards it.
+type SimulatedMachine struct {
 	lease
-	fleet   *Fleet
+	fleet   *SimulatedCloud
 	name    string
 	typ     cloud.MachineType
 	zone    string
@@ -31,39 +31,39 @@
 	address  string
 	listener net.Listener // of its address, on a loopback network
 
-	Hung        bool               // it does nothing, and may go on within its lease
-	Deaf        bool               // its reports arrive; answers and direct commands to it are lost
-	Lost        bool               // direct commands to it are lost; answers to its reports arrive
-	Mute        bool               // its reports reach nobody; direct commands to it are carried out
-	Hold        time.Duration      // direct commands and their answers are held up for so long
-	HoldAnswers time.Duration      // answers to its reports are held up for so long
-	Cut         string             // the only controller that does not reach it directly
-	Only        string             // the only controller that it reaches, and that reaches it
-	died        time.Time          // it stopped with all that was on it
-	Carried     int                // direct commands that were carried out
-	late        []worker.Heartbeat // reports that came, for copies
-	kept        *worker.Heartbeat  // one that is kept for later
+	Hung             bool               // it does nothing, and may go on within its lease
+	InboundLost      bool               // its reports arrive; answers and direct commands to it are lost
+	CommandsLost     bool               // direct commands to it are lost; answers to its reports arrive
+	HeartbeatsLost   bool               // its reports reach nobody; direct commands to it are carried out
+	CommandDelay     time.Duration      // direct commands and their answers are held up for so long
+	AnswerDelay      time.Duration      // answers to its reports are held up for so long
+	UnreachableFrom  string             // the only controller that does not reach it directly
+	OnlyController   string             // the only controller that it reaches, and that reaches it
+	died             time.Time          // it stopped with all that was on it
+	CommandsExecuted int                // direct commands that were carried out
+	late             []worker.Heartbeat // reports that came, for copies
+	kept             *worker.Heartbeat  // one that is kept for later
 }
 
 // Kill has a machine stop, with all that is on it. It is listed as running for a while.
-func (u *Machine) Kill() {
+func (u *SimulatedMachine) Kill() {
 	u.clear()
 	u.stop()
 	u.died = time.Now()
 }
 
 // Zone is the machine's.
-func (u *Machine) Zone() string { return u.zone }
+func (u *SimulatedMachine) Zone() string { return u.zone }
 
 // age is how old a machine is said to be, in seconds.
-func (f *Fleet) age(u *Machine) float64 {
+func (f *SimulatedCloud) age(u *SimulatedMachine) float64 {
 	if f.loopback == nil {
 		return 60
 	}
 	return time.Since(u.since).Seconds()
 }
 
-func (u *Machine) tell() {
+func (u *SimulatedMachine) tell() {
 	select {
 	case u.changed <- struct{}{}:
 	default:
@@ -71,7 +71,7 @@
 }
 
 // run is the worker.
-func (u *Machine) run() {
+func (u *SimulatedMachine) run() {
 	f := u.fleet
 	if !sleep(u.ctx, u.boot) {
 		if u.listener != nil {
@@ -129,7 +129,7 @@
 const answerWait = 4 * time.Second
 
 // report sends one report and returns where to go next: "stay", a host, or nothing.
-func (u *Machine) report(host string) string {
+func (u *SimulatedMachine) report(host string) string {
 	f := u.fleet
 	f.mu.Lock()
 	if u.Hung {
@@ -140,7 +140,7 @@
 	if u.late = append(u.late, r); len(u.late) > 20 {
 		u.late = u.late[1:]
 	}
-	mute := u.Mute || u.Only != "" && u.Only != host
+	mute := u.HeartbeatsLost || u.OnlyController != "" && u.OnlyController != host
 	f.mu.Unlock()
 	if mute {
 		sleep(u.ctx, answerWait)
@@ -149,12 +149,12 @@
 	code, body := u.send(host, &r)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if hold := u.HoldAnswers; hold > 0 {
+	if hold := u.AnswerDelay; hold > 0 {
 		f.mu.Unlock()
 		sleep(u.ctx, hold)
 		f.mu.Lock()
 	}
-	if u.Deaf || u.Hung || time.Since(sent) > answerWait {
+	if u.InboundLost || u.Hung || time.Since(sent) > answerWait {
 		return ""
 	}
 	home, answer := u.take(r.WorkerEpoch, sent, code, body)
@@ -164,7 +164,7 @@
 	return home
 }
 
-func (u *Machine) send(host string, r *worker.Heartbeat) (code int, body []byte) {
+func (u *SimulatedMachine) send(host string, r *worker.Heartbeat) (code int, body []byte) {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return 0, nil
@@ -192,27 +192,27 @@
 	return 0, nil
 }
 
-// Again sends a copy of an earlier report, the oldest that is kept, to a controller. Its
+// SendDuplicateHeartbeat sends a copy of an earlier report, the oldest that is kept, to a controller. Its
 // answer reaches nobody.
-func (u *Machine) Again(host string) {
+func (u *SimulatedMachine) SendDuplicateHeartbeat(host string) {
 	if len(u.late) > 0 {
 		r := u.late[0]
 		go u.send(host, &r)
 	}
 }
 
-// Keep keeps the latest report for later, if there was one.
-func (u *Machine) Keep() {
+// CaptureHeartbeat keeps the latest report for later, if there was one.
+func (u *SimulatedMachine) CaptureHeartbeat() {
 	if len(u.late) > 0 {
 		r := u.late[len(u.late)-1]
 		u.kept = &r
 	}
 }
 
-// SendKept sends the report that was kept to a controller, and returns what it was
+// SendCapturedHeartbeat sends the report that was kept to a controller, and returns what it was
 // answered with, which reaches nobody; 0: nothing, or none was kept. It is not to be called
 // from Each.
-func (u *Machine) SendKept(host string) (code int) {
+func (u *SimulatedMachine) SendCapturedHeartbeat(host string) (code int) {
 	u.fleet.mu.Lock()
 	r := u.kept
 	u.fleet.mu.Unlock()
@@ -223,19 +223,19 @@
 	return code
 }
 
-// Session is the worker's.
-func (u *Machine) Session() uint64 { return u.session }
+// WorkerEpoch is the worker's.
+func (u *SimulatedMachine) WorkerEpoch() uint64 { return u.session }
 
-// Kept reports whether one of its reports is kept.
-func (u *Machine) Kept() bool { return u.kept != nil }
+// HasCapturedHeartbeat reports whether one of its reports is kept.
+func (u *SimulatedMachine) HasCapturedHeartbeat() bool { return u.kept != nil }
 
-// Lists reports whether the kept report lists a task that has not ended.
-func (u *Machine) Lists(task string) bool {
+// CapturedHeartbeatLists reports whether the kept report lists a task that has not ended.
+func (u *SimulatedMachine) CapturedHeartbeatLists(task string) bool {
 	return u.kept != nil && slices.ContainsFunc(u.kept.Tasks, func(t worker.Task) bool { return t.ID == task && t.State != worker.TaskExited })
 }
 
 // next is the worker's next report. The fleet's mutex is held.
-func (u *Machine) next() worker.Heartbeat {
+func (u *SimulatedMachine) next() worker.Heartbeat {
 	u.seq++
 	r := worker.Heartbeat{Machine: u.name, Address: u.address, Type: u.typ.Name, Zone: u.zone, WorkerEpoch: u.session, Sequence: u.seq, FencingToken: u.token, Tasks: []worker.Task{}}
 	for _, key := range slices.Sorted(maps.Keys(u.pieces)) {
@@ -244,5 +244,5 @@
 	return r
 }
 
-// Heard reports whether the worker is up. The fleet is to be held still.
-func (u *Machine) Heard() bool { return !u.answered.IsZero() && u.died.IsZero() }
+// IsUp reports whether the worker is up. The fleet is to be held still.
+func (u *SimulatedMachine) IsUp() bool { return !u.answered.IsZero() && u.died.IsZero() }
--- a/emulator/machinetasks.go
+++ b/emulator/machinetasks.go
@@ -23,13 +23,13 @@
 
 // execute carries out commands that came straight to the worker, as soon as it does not hang,
 // and returns its report after them. It is not ok if the machine ended before.
-func (u *Machine) execute(token, session uint64, orders []worker.Command) (r worker.Heartbeat, executed, ok bool) {
+func (u *SimulatedMachine) execute(token, session uint64, orders []worker.Command) (r worker.Heartbeat, executed, ok bool) {
 	for u.ctx.Err() == nil {
 		u.fleet.mu.Lock()
 		if !u.Hung {
 			defer u.fleet.mu.Unlock()
 			if executed = u.commands(token, session); executed {
-				u.Carried++
+				u.CommandsExecuted++
 				u.carryOut(token, orders)
 			}
 			return u.next(), executed, true
@@ -41,7 +41,7 @@
 }
 
 // carryOut executes commands in order. The fleet's mutex is held.
-func (u *Machine) carryOut(token uint64, orders []worker.Command) {
+func (u *SimulatedMachine) carryOut(token uint64, orders []worker.Command) {
 	if token > u.token {
 		u.token = token
 		u.tell()
@@ -60,7 +60,7 @@
 	}
 }
 
-func (u *Machine) start(key string, o worker.Command) {
+func (u *SimulatedMachine) start(key string, o worker.Command) {
 	f := u.fleet
 	id, index, _ := job.SplitTaskID(o.Task)
 	p := &piece{task: worker.Task{ID: o.Task, Attempt: o.Attempt, State: worker.TaskFetching}, since: time.Now(), group: fmt.Sprint(id, " ", o.Attempt)}
@@ -94,9 +94,9 @@
 }
 
 // end ends a task.
-func (u *Machine) end(p *piece, cause string) {
+func (u *SimulatedMachine) end(p *piece, cause string) {
 	if p.counted {
-		u.fleet.history.Leave(p.task.ID, u.name)
+		u.fleet.history.RecordTaskRemoval(p.task.ID, u.name)
 		delete(u.fleet.gangs[p.group], p.task.ID)
 	}
 	p.counted = false
@@ -104,7 +104,7 @@
 	u.tell()
 }
 
-func (u *Machine) kill(p *piece, o worker.Command) {
+func (u *SimulatedMachine) kill(p *piece, o worker.Command) {
 	grace := time.Duration(0)
 	if o.GraceS != nil {
 		grace = config.Seconds(*o.GraceS)
@@ -121,14 +121,14 @@
 	}
 }
 
-// Plant puts a task on the machine that no controller had started.
-func (u *Machine) Plant(task string, attempt uint64) {
+// PlantTask puts a task on the machine that no controller had started.
+func (u *SimulatedMachine) PlantTask(task string, attempt uint64) {
 	u.pieces[fmt.Sprint(task, " ", attempt)] = &piece{task: worker.Task{ID: task, Attempt: attempt, State: worker.TaskRunning}, since: time.Now(), runs: time.Hour}
 	u.tell()
 }
 
-// Has reports whether a task is listed in the machine's reports.
-func (u *Machine) Has(task string) bool {
+// ListsTask reports whether a task is listed in the machine's reports.
+func (u *SimulatedMachine) ListsTask(task string) bool {
 	for _, p := range u.pieces {
 		if p.task.ID == task {
 			return true
@@ -137,8 +137,8 @@
 	return false
 }
 
-// Save has the tasks that can save do so from now on, for so long.
-func (u *Machine) Save(d time.Duration) {
+// StartCheckpoints has the tasks that can save do so from now on, for so long.
+func (u *SimulatedMachine) StartCheckpoints(d time.Duration) {
 	for _, p := range u.pieces {
 		if p.task.State == worker.TaskRunning && p.saves > 0 {
 			p.task.State, p.since, p.saves = worker.TaskCheckpointing, time.Now(), d
@@ -148,7 +148,7 @@
 }
 
 // clear ends and forgets all tasks, as when the machine goes or its lease ends.
-func (u *Machine) clear() {
+func (u *SimulatedMachine) clear() {
 	for key, p := range u.pieces {
 		if p.task.State != worker.TaskExited {
 			u.end(p, worker.CauseStopped)
@@ -158,7 +158,7 @@
 }
 
 // unended counts the tasks that have not ended.
-func (u *Machine) unended() (n int) {
+func (u *SimulatedMachine) unended() (n int) {
 	for _, p := range u.pieces {
 		if p.task.State != worker.TaskExited {
 			n++
@@ -168,7 +168,7 @@
 }
 
 // fetchTime is how long the fetch of an image takes.
-func (u *Machine) fetchTime(image string) time.Duration {
+func (u *SimulatedMachine) fetchTime(image string) time.Duration {
 	switch {
 	case u.fleet.fetch == 0:
 		return time.Second
@@ -182,7 +182,7 @@
 const tickEvery = 250 * time.Millisecond
 
 // watch moves the tasks on, and ends the lease in time.
-func (u *Machine) watch() {
+func (u *SimulatedMachine) watch() {
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for {
@@ -213,7 +213,7 @@
 }
 
 // step moves one task on.
-func (u *Machine) step(p *piece) {
+func (u *SimulatedMachine) step(p *piece) {
 	f, now := u.fleet, time.Now()
 	id, _, _ := job.SplitTaskID(p.task.ID)
 	spec, _ := f.history.Spec(id)
@@ -225,11 +225,11 @@
 			return
 		}
 		u.images[spec.Image] = true
-		if f.history.Completed(p.task.ID) {
+		if f.history.TaskCompleted(p.task.ID) {
 			u.end(p, worker.CauseDone)
 			return
 		}
-		f.history.Start(p.task.ID, u.name, u.typ.Name, u.zone, false)
+		f.history.RecordTaskStart(p.task.ID, u.name, u.typ.Name, u.zone, false)
 		p.counted = true
 		if f.gangs[p.group] == nil {
 			f.gangs[p.group] = map[string]*piece{}
@@ -252,7 +252,7 @@
 		}
 	case worker.TaskRunning:
 		switch {
-		case gang && f.history.Completed(p.task.ID):
+		case gang && f.history.TaskCompleted(p.task.ID):
 			u.end(p, worker.CauseDone)
 		case gang && len(f.gangs[p.group]) < spec.Tasks && now.Sub(p.since) > f.settings.Workers.GangPeerTimeout:
 			u.end(p, worker.CauseGangPeerLost)
@@ -262,10 +262,10 @@
 			}
 			if gang {
 				for other := range f.gangs[p.group] {
-					f.history.Complete(other)
+					f.history.RecordTaskCompletion(other)
 				}
 			}
-			f.history.Complete(p.task.ID)
+			f.history.RecordTaskCompletion(p.task.ID)
 			u.end(p, worker.CauseDone)
 			if f.done != nil {
 				go f.done(p.task.ID)
--- a/emulator/port.go
+++ b/emulator/port.go
@@ -9,11 +9,11 @@
 	"robinstack/internal/statekv"
 )
 
-// Port is the state service as one controller reaches it: it may be refused alone, answered
+// FaultyStateClient is the state service as one controller reaches it: it may be refused alone, answered
 // slowly, or have transactions carried out late. Its leases end by themselves
 // (State.Watch).
-type Port struct {
-	*State
+type FaultyStateClient struct {
+	*StateService
 
 	mu           sync.Mutex
 	rng          *rand.Rand
@@ -34,97 +34,97 @@
 	dropsRevokes bool
 }
 
-// NewPort returns a port that serves; seed decides which transactions are late.
-func NewPort(s *State, seed uint64) *Port {
-	return &Port{State: s, rng: rand.New(rand.NewPCG(seed, 1))}
+// NewFaultyStateClient returns a port that serves; seed decides which transactions are late.
+func NewFaultyStateClient(s *StateService, seed uint64) *FaultyStateClient {
+	return &FaultyStateClient{StateService: s, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
 // patience is how long a controller's client waits for an answer.
 const patience = 2 * time.Second
 
-// Refuse has every request of this controller refused, or served again.
-func (p *Port) Refuse(on bool) {
+// SetRefuseAll has every request of this controller refused, or served again.
+func (p *FaultyStateClient) SetRefuseAll(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refused = on
 }
 
-// Trouble sets how long each request takes, and the share of transactions that get no
+// SetFaults sets how long each request takes, and the share of transactions that get no
 // answer and are carried out 2 to 12 s later, after newer ones.
-func (p *Port) Trouble(slow time.Duration, late float64) {
+func (p *FaultyStateClient) SetFaults(slow time.Duration, late float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.slow, p.late = slow, late
 }
 
-// LateBy sets how late those transactions are from now on, and whether the words to end a
+// SetTxnDelay sets how late those transactions are from now on, and whether the words to end a
 // lease are lost with them.
-func (p *Port) LateBy(d time.Duration, dropsRevokes bool) {
+func (p *FaultyStateClient) SetTxnDelay(d time.Duration, dropsRevokes bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lateBy, p.dropsRevokes = d, dropsRevokes
 }
 
-// AtOnce has transactions that would be late carried out at once, or late again: only
+// SetLoseAnswersOnly has transactions that would be late carried out at once, or late again: only
 // their answers are lost.
-func (p *Port) AtOnce(on bool) {
+func (p *FaultyStateClient) SetLoseAnswersOnly(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.atOnce = on
 }
 
-// Held counts the transactions that got no answer, whatever became of them.
-func (p *Port) Held() int {
+// UnansweredTxns counts the transactions that got no answer, whatever became of them.
+func (p *FaultyStateClient) UnansweredTxns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held
 }
 
-// Sent counts the changes that this controller asked for, whatever became of them.
-func (p *Port) Sent() int {
+// RequestedChanges counts the changes that this controller asked for, whatever became of them.
+func (p *FaultyStateClient) RequestedChanges() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sent
 }
 
-// LostAnswers counts the transactions that were carried out and got no answer.
-func (p *Port) LostAnswers() int {
+// AppliedUnansweredTxns counts the transactions that were carried out and got no answer.
+func (p *FaultyStateClient) AppliedUnansweredTxns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lost
 }
 
-// NoRenewals has the renewals of leases refused, and nothing else.
-func (p *Port) NoRenewals(on bool) {
+// SetRefuseRenewals has the renewals of leases refused, and nothing else.
+func (p *FaultyStateClient) SetRefuseRenewals(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.noRenewals = on
 }
 
-// Lag has watches show changes so much later.
-func (p *Port) Lag(d time.Duration) {
+// SetWatchLag has watches show changes so much later.
+func (p *FaultyStateClient) SetWatchLag(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lag = d
 }
 
-// LateNext has the next n transactions be late.
-func (p *Port) LateNext(n int) {
+// DelayNextTxns has the next n transactions be late.
+func (p *FaultyStateClient) DelayNextTxns(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lateNext = n
 }
 
-// Limit lets so many changes through in a second, with bursts of one second's worth, and
+// SetChangeRate lets so many changes through in a second, with bursts of one second's worth, and
 // refuses the others.
-func (p *Port) Limit(perSecond float64) {
+func (p *FaultyStateClient) SetChangeRate(perSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.perSecond, p.left, p.leftAt = perSecond, perSecond, time.Now()
 }
 
 // take takes n changes of what the limit lets through, if there are so many.
-func (p *Port) take(n int) bool {
+func (p *FaultyStateClient) take(n int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.perSecond == 0 {
@@ -141,17 +141,17 @@
 }
 
 // Allow reports whether half of what is left lets n changes through: chores leave the rest.
-func (p *Port) Allow(_ statekv.RequestClass, n int) bool {
+func (p *FaultyStateClient) Allow(_ statekv.RequestClass, n int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.perSecond == 0 || p.left+p.perSecond*time.Since(p.leftAt).Seconds() >= 2*float64(n)
 }
 
 // SetControllerCount divides nothing: a port has no limits.
-func (p *Port) SetControllerCount(int) {}
+func (p *FaultyStateClient) SetControllerCount(int) {}
 
 // turn waits as long as a request takes, and says whether it is refused or late.
-func (p *Port) turn(ctx context.Context) (refused, late bool, err error) {
+func (p *FaultyStateClient) turn(ctx context.Context) (refused, late bool, err error) {
 	p.mu.Lock()
 	slow, refused, late := p.slow, p.refused, p.late > 0 && p.rng.Float64() < p.late
 	p.mu.Unlock()
@@ -170,7 +170,7 @@
 	return refused, late, nil
 }
 
-func (p *Port) let(ctx context.Context) error {
+func (p *FaultyStateClient) let(ctx context.Context) error {
 	refused, _, err := p.turn(ctx)
 	if err == nil && refused {
 		err = statekv.ErrRejected
@@ -179,34 +179,34 @@
 }
 
 // Get, List, Grant, Renew and Revoke are the service's.
-func (p *Port) Get(ctx context.Context, key string) (statekv.KV, error) {
+func (p *FaultyStateClient) Get(ctx context.Context, key string) (statekv.KV, error) {
 	if err := p.let(ctx); err != nil {
 		return statekv.KV{}, err
 	}
-	return p.State.Get(ctx, key)
+	return p.StateService.Get(ctx, key)
 }
 
-func (p *Port) List(ctx context.Context, prefix, after string) (statekv.Page, error) {
+func (p *FaultyStateClient) List(ctx context.Context, prefix, after string) (statekv.Page, error) {
 	if err := p.let(ctx); err != nil {
 		return statekv.Page{}, err
 	}
-	return p.State.List(ctx, prefix, after)
+	return p.StateService.List(ctx, prefix, after)
 }
 
-func (p *Port) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (p *FaultyStateClient) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	if err := p.let(ctx); err != nil {
 		return 0, err
 	}
-	id, err := p.State.Grant(ctx, ttl)
+	id, err := p.StateService.Grant(ctx, ttl)
 	if err == nil {
-		p.State.mu.Lock()
-		p.State.ttls[id] = ttl
-		p.State.mu.Unlock()
+		p.StateService.mu.Lock()
+		p.StateService.ttls[id] = ttl
+		p.StateService.mu.Unlock()
 	}
 	return id, err
 }
 
-func (p *Port) Renew(ctx context.Context, lease uint64) error {
+func (p *FaultyStateClient) Renew(ctx context.Context, lease uint64) error {
 	if err := p.let(ctx); err != nil {
 		return err
 	}
@@ -216,27 +216,27 @@
 	if not {
 		return statekv.ErrRejected
 	}
-	err := p.State.Renew(ctx, lease)
+	err := p.StateService.Renew(ctx, lease)
 	if err == nil {
-		p.State.mu.Lock()
-		p.State.leases[lease] = time.Now().Add(p.State.ttls[lease])
-		p.State.mu.Unlock()
+		p.StateService.mu.Lock()
+		p.StateService.leases[lease] = time.Now().Add(p.StateService.ttls[lease])
+		p.StateService.mu.Unlock()
 	}
 	return err
 }
 
-func (p *Port) Revoke(ctx context.Context, lease uint64) error {
+func (p *FaultyStateClient) Revoke(ctx context.Context, lease uint64) error {
 	p.mu.Lock()
 	lost := p.dropsRevokes
 	p.mu.Unlock()
 	if err := p.let(ctx); err != nil || lost {
 		return err
 	}
-	return p.State.Revoke(ctx, lease)
+	return p.StateService.Revoke(ctx, lease)
 }
 
 // Txn applies a transaction, or gives no answer and applies it later.
-func (p *Port) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
+func (p *FaultyStateClient) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	statekv.NotifySent(ctx)
 	p.mu.Lock()
 	p.sent += len(then)
@@ -245,10 +245,10 @@
 	switch {
 	case err != nil:
 		return 0, err
-	case refused || p.State.IsDown() || !p.take(len(then)):
+	case refused || p.StateService.IsDown() || !p.take(len(then)):
 		return 0, statekv.ErrRejected
 	case len(then) == 0 || !p.isNextLate() && !late:
-		return p.State.Txn(ctx, when, then)
+		return p.StateService.Txn(ctx, when, then)
 	}
 	p.mu.Lock()
 	after := 2*time.Second + time.Duration(p.rng.Int64N(int64(10*time.Second)))
@@ -263,11 +263,11 @@
 	go func() {
 		time.Sleep(after)
 		for _, op := range then {
-			if op.Lease != 0 && !p.State.lives(op.Lease) {
+			if op.Lease != 0 && !p.StateService.lives(op.Lease) {
 				return // the service refuses it
 			}
 		}
-		if _, err := p.State.Txn(context.Background(), when, then); err == nil {
+		if _, err := p.StateService.Txn(context.Background(), when, then); err == nil {
 			p.mu.Lock()
 			p.lost++
 			p.mu.Unlock()
@@ -282,7 +282,7 @@
 	return 0, statekv.ErrOutcomeUnknown
 }
 
-func (p *Port) isNextLate() bool {
+func (p *FaultyStateClient) isNextLate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.lateNext == 0 {
@@ -294,7 +294,7 @@
 
 // Watch waits for changes. A watch that is open when the service begins to refuse waits
 // as in an outage: nothing comes until it is over.
-func (p *Port) Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.WatchResponse, error) {
+func (p *FaultyStateClient) Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.WatchResponse, error) {
 	if err := p.let(ctx); err != nil {
 		return statekv.WatchResponse{}, err
 	}
@@ -302,7 +302,7 @@
 	lag := p.lag
 	p.mu.Unlock()
 	until := time.Now().Add(block + lag + patience)
-	n, err := p.State.Watch(ctx, prefix, since, block)
+	n, err := p.StateService.Watch(ctx, prefix, since, block)
 	if lag > 0 && len(n.Events) > 0 && !sleep(ctx, lag) {
 		return statekv.WatchResponse{}, statekv.ErrOutcomeUnknown
 	}
@@ -310,7 +310,7 @@
 		p.mu.Lock()
 		refused := p.refused
 		p.mu.Unlock()
-		if !refused && !p.State.IsDown() {
+		if !refused && !p.StateService.IsDown() {
 			return n, err
 		}
 		if time.Now().After(until) || ctx.Err() != nil {
@@ -320,8 +320,8 @@
 		case <-ctx.Done():
 		case <-time.After(50 * time.Millisecond):
 		}
-		n, err = p.State.Watch(ctx, prefix, since, 0)
+		n, err = p.StateService.Watch(ctx, prefix, since, 0)
 	}
 }
 
-var _ statekv.Store = (*Port)(nil)
+var _ statekv.Store = (*FaultyStateClient)(nil)
--- a/emulator/state.go
+++ b/emulator/state.go
@@ -15,8 +15,8 @@
 	"robinstack/internal/statekv"
 )
 
-// State is a state service in memory.
-type State struct {
+// StateService is a state service in memory.
+type StateService struct {
 	mu      sync.Mutex
 	rev     uint64
 	keys    map[string]statekv.KV
@@ -39,33 +39,33 @@
 	over    []string      // what broke these limits
 	changes int
 
-	rates atomic.Pointer[Rates] // nil: none
+	rates atomic.Pointer[RateLimits] // nil: none
 }
 
 // Changes counts the puts and deletes that were made.
-func (s *State) Changes() int {
+func (s *StateService) Changes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changes
 }
 
-// Limit sets how large a value and how many changes a transaction may be from now on.
+// SetSizeLimits sets how large a value and how many changes a transaction may be from now on.
 // What is larger is refused.
-func (s *State) Limit(value, ops int) {
+func (s *StateService) SetSizeLimits(value, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.value, s.ops = value, ops
 }
 
-// Over lists what broke the limits.
-func (s *State) Over() []string {
+// SizeViolations lists what broke the limits.
+func (s *StateService) SizeViolations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.over
 }
 
 // fits checks a transaction against the limits.
-func (s *State) fits(when []statekv.Compare, then []statekv.Op) bool {
+func (s *StateService) fits(when []statekv.Compare, then []statekv.Op) bool {
 	if s.ops > 0 && (len(then) > s.ops || len(when) > 4*s.ops) {
 		s.over = append(s.over, fmt.Sprintf("%d changes under %d conditions", len(then), len(when)))
 		return false
@@ -79,27 +79,27 @@
 	return true
 }
 
-// NewState returns an empty store.
-func NewState() *State {
-	return &State{rev: 1, keys: map[string]statekv.KV{}, leased: map[string]uint64{}, leases: map[uint64]time.Time{}, ttls: map[uint64]time.Duration{}, changed: make(chan struct{})}
+// NewStateService returns an empty store.
+func NewStateService() *StateService {
+	return &StateService{rev: 1, keys: map[string]statekv.KV{}, leased: map[string]uint64{}, leases: map[uint64]time.Time{}, ttls: map[uint64]time.Duration{}, changed: make(chan struct{})}
 }
 
-// NewEmptyState returns a store in which nothing has ever been written.
-func NewEmptyState() *State {
-	s := NewState()
+// NewEmptyStateService returns a store in which nothing has ever been written.
+func NewEmptyStateService() *StateService {
+	s := NewStateService()
 	s.rev = 0
 	return s
 }
 
-// Delay sets how long transactions take from now on.
-func (s *State) Delay(d time.Duration) {
+// SetTxnLatency sets how long transactions take from now on.
+func (s *StateService) SetTxnLatency(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow = d
 }
 
-// Set changes what fails. Once an outage is over, every lease has its full time again.
-func (s *State) Set(down, loseAnswers bool) {
+// SetOutage changes what fails. Once an outage is over, every lease has its full time again.
+func (s *StateService) SetOutage(down, loseAnswers bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down && !down {
@@ -115,7 +115,7 @@
 }
 
 // IsDown reports whether every request fails.
-func (s *State) IsDown() bool {
+func (s *StateService) IsDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Down
@@ -124,7 +124,7 @@
 // keptEvents is how many changes are kept at least for those who follow.
 const keptEvents = 10_000
 
-func (s *State) record(e statekv.Event) {
+func (s *StateService) record(e statekv.Event) {
 	if len(s.events) >= 2*keptEvents {
 		drop := len(s.events) - keptEvents
 		s.compacted = s.events[drop-1].Rev
@@ -136,7 +136,7 @@
 }
 
 // Get reads a key.
-func (s *State) Get(_ context.Context, key string) (statekv.KV, error) {
+func (s *StateService) Get(_ context.Context, key string) (statekv.KV, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down {
@@ -150,7 +150,7 @@
 }
 
 // List reads keys under a prefix, few to a page to exercise paging.
-func (s *State) List(_ context.Context, prefix, after string) (statekv.Page, error) {
+func (s *StateService) List(_ context.Context, prefix, after string) (statekv.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down {
@@ -169,7 +169,7 @@
 }
 
 // Txn applies a transaction.
-func (s *State) Txn(_ context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
+func (s *StateService) Txn(_ context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	s.mu.Lock()
 	slow := s.slow
 	s.mu.Unlock()
@@ -217,7 +217,7 @@
 }
 
 // Grant makes a lease.
-func (s *State) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
+func (s *StateService) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down {
@@ -230,7 +230,7 @@
 }
 
 // Renew prolongs a lease.
-func (s *State) Renew(_ context.Context, lease uint64) error {
+func (s *StateService) Renew(_ context.Context, lease uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Down {
@@ -243,7 +243,7 @@
 }
 
 // Revoke ends a lease and drops its keys.
-func (s *State) Revoke(_ context.Context, lease uint64) error {
+func (s *StateService) Revoke(_ context.Context, lease uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.leases, lease)
@@ -259,7 +259,7 @@
 }
 
 // Watch waits for changes.
-func (s *State) Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.WatchResponse, error) {
+func (s *StateService) Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.WatchResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, block)
 	defer cancel()
 	for {
@@ -290,14 +290,14 @@
 	}
 }
 
-// Dir returns all keys under a prefix, in order.
-func (s *State) Dir(prefix string) []statekv.KV {
+// ListAll returns all keys under a prefix, in order.
+func (s *StateService) ListAll(prefix string) []statekv.KV {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dir(prefix)
 }
 
-func (s *State) dir(prefix string) []statekv.KV {
+func (s *StateService) dir(prefix string) []statekv.KV {
 	var out []statekv.KV
 	for k, kv := range s.keys {
 		if strings.HasPrefix(k, prefix) {
@@ -309,10 +309,10 @@
 }
 
 // MaxTxnOps says that a transaction may have as many changes as the settings say.
-func (s *State) MaxTxnOps(ops int) int { return ops }
+func (s *StateService) MaxTxnOps(ops int) int { return ops }
 
 // TxnBatchSize says the same.
-func (s *State) TxnBatchSize(ops int) int { return ops }
+func (s *StateService) TxnBatchSize(ops int) int { return ops }
 
 // Allow says that changes may always be made.
-func (s *State) Allow(statekv.RequestClass, int) bool { return true }
+func (s *StateService) Allow(statekv.RequestClass, int) bool { return true }
--- a/emulator/stateserver.go
+++ b/emulator/stateserver.go
@@ -15,9 +15,9 @@
 	"robinstack/internal/statekv"
 )
 
-// Rates are limits of the state service, in effect for what comes over HTTP, and what was
+// RateLimits are limits of the state service, in effect for what comes over HTTP, and what was
 // counted under them.
-type Rates struct {
+type RateLimits struct {
 	requests, changes *rate.Limiter
 
 	Requests, Changes atomic.Uint64 // that came
@@ -25,14 +25,14 @@
 	Renewals, Watches atomic.Uint64 // of the requests
 }
 
-// NewRates returns limits of so many requests and changes a second, with bursts of one
+// NewRateLimits returns limits of so many requests and changes a second, with bursts of one
 // second's worth.
-func NewRates(requests, changes float64) *Rates {
-	return &Rates{requests: rate.NewLimiter(rate.Limit(requests), max(1, int(requests))), changes: rate.NewLimiter(rate.Limit(changes), max(1, int(changes)))}
+func NewRateLimits(requests, changes float64) *RateLimits {
+	return &RateLimits{requests: rate.NewLimiter(rate.Limit(requests), max(1, int(requests))), changes: rate.NewLimiter(rate.Limit(changes), max(1, int(changes)))}
 }
 
 // admits counts a request with so many changes, and reports whether it is within the limits.
-func (r *Rates) admits(changes int) bool {
+func (r *RateLimits) admits(changes int) bool {
 	r.Requests.Add(1)
 	r.Changes.Add(uint64(changes))
 	now := time.Now()
@@ -43,11 +43,11 @@
 	return true
 }
 
-// SetRates limits what comes over HTTP from now on; nil: not at all.
-func (s *State) SetRates(r *Rates) { s.rates.Store(r) }
+// SetRateLimits limits what comes over HTTP from now on; nil: not at all.
+func (s *StateService) SetRateLimits(r *RateLimits) { s.rates.Store(r) }
 
 // Size is how many keys there are, and the bytes of their names and values.
-func (s *State) Size() (keys, bytes int) {
+func (s *StateService) Size() (keys, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, kv := range s.keys {
@@ -57,7 +57,7 @@
 }
 
 // admits holds a request other than a transaction against the limits.
-func (s *State) admits(r *http.Request) bool {
+func (s *StateService) admits(r *http.Request) bool {
 	rates := s.rates.Load()
 	if rates == nil || r.URL.Path == "/txn" {
 		return true
@@ -72,7 +72,7 @@
 }
 
 // ServeHTTP answers as the state service does, by its published protocol.
-func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.expire(time.Now())
 	if !s.admits(r) {
 		answer(w, http.StatusTooManyRequests, nil)
@@ -123,13 +123,13 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func (s *State) revision() uint64 {
+func (s *StateService) revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rev
 }
 
-func (s *State) page(prefix, after string, most int) statekv.Page {
+func (s *StateService) page(prefix, after string, most int) statekv.Page {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := statekv.Page{Rev: s.rev, Items: []statekv.KV{}}
@@ -146,7 +146,7 @@
 	return p
 }
 
-func (s *State) serveTxn(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var txn struct {
 		When []statekv.Compare `json:"when"`
 		Then []struct {
@@ -186,14 +186,14 @@
 	}
 }
 
-func (s *State) lives(lease uint64) bool {
+func (s *StateService) lives(lease uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, ok := s.leases[lease]
 	return ok
 }
 
-func (s *State) serveLeases(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) serveLeases(w http.ResponseWriter, r *http.Request) {
 	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	if len(parts) == 1 {
 		var in struct {
@@ -231,7 +231,7 @@
 }
 
 // expire ends the leases of those that came over HTTP and did not renew in time.
-func (s *State) expire(now time.Time) {
+func (s *StateService) expire(now time.Time) {
 	s.mu.Lock()
 	if s.Down {
 		s.mu.Unlock()
@@ -250,7 +250,7 @@
 }
 
 // ExpireLeases ends leases that nobody renews although no request comes, until stop is closed.
-func (s *State) ExpireLeases(stop <-chan struct{}) {
+func (s *StateService) ExpireLeases(stop <-chan struct{}) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for {
--- a/emulator/worker.go
+++ b/emulator/worker.go
@@ -17,12 +17,12 @@
 
 // Worker is one machine's worker.
 type Worker struct {
-	Report worker.Heartbeat
-	// Deaf loses commands; LoseAnswers carries them out but loses the answer.
-	Deaf, LoseAnswers bool
-	Lost              int      // commands to be lost without a word, from the next on
-	Starts            []string // every start that was carried out
-	late              []func()
+	Heartbeat worker.Heartbeat
+	// HoldCommands loses commands; LoseAnswers carries them out but loses the answer.
+	HoldCommands, LoseAnswers bool
+	TimeOutNext               int      // commands to be lost without a word, from the next on
+	Started                   []string // every start that was carried out
+	late                      []func()
 }
 
 // NewWorkers returns no workers.
@@ -32,41 +32,41 @@
 func (w *Workers) Add(name, typeName, zone string) *Worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	x := &Worker{Report: worker.Heartbeat{Machine: name, Address: name, Type: typeName, Zone: zone, WorkerEpoch: 1, Sequence: 1}}
+	x := &Worker{Heartbeat: worker.Heartbeat{Machine: name, Address: name, Type: typeName, Zone: zone, WorkerEpoch: 1, Sequence: 1}}
 	w.byID[name] = x
 	return x
 }
 
-// Do runs f with the worker's state held still.
-func (w *Workers) Do(f func()) {
+// WithLock runs f with the worker's state held still.
+func (w *Workers) WithLock(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
-// Next returns the worker's next report.
-func (w *Workers) Next(x *Worker) worker.Heartbeat {
+// NextHeartbeat returns the worker's next report.
+func (w *Workers) NextHeartbeat(x *Worker) worker.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return x.next()
 }
 
 func (x *Worker) next() worker.Heartbeat {
-	x.Report.Sequence++
-	r := x.Report
-	r.Tasks = append([]worker.Task(nil), x.Report.Tasks...)
+	x.Heartbeat.Sequence++
+	r := x.Heartbeat
+	r.Tasks = append([]worker.Task(nil), x.Heartbeat.Tasks...)
 	return r
 }
 
-// Answer has the worker take an answer to its report.
-func (w *Workers) Answer(x *Worker, a worker.HeartbeatResponse) {
+// DeliverAnswer has the worker take an answer to its report.
+func (w *Workers) DeliverAnswer(x *Worker, a worker.HeartbeatResponse) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	x.carryOut(a.FencingToken, x.Report.WorkerEpoch, a.Commands)
+	x.carryOut(a.FencingToken, x.Heartbeat.WorkerEpoch, a.Commands)
 }
 
-// DeliverLate carries out the commands that were lost on the way.
-func (w *Workers) DeliverLate(x *Worker) {
+// DeliverHeldCommands carries out the commands that were lost on the way.
+func (w *Workers) DeliverHeldCommands(x *Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, f := range x.late {
@@ -76,36 +76,36 @@
 }
 
 func (x *Worker) carryOut(token, session uint64, orders []worker.Command) bool {
-	if token < x.Report.FencingToken || session != x.Report.WorkerEpoch {
+	if token < x.Heartbeat.FencingToken || session != x.Heartbeat.WorkerEpoch {
 		return false
 	}
-	x.Report.FencingToken = token
+	x.Heartbeat.FencingToken = token
 	for _, o := range orders {
 		at := -1
-		for i, t := range x.Report.Tasks {
+		for i, t := range x.Heartbeat.Tasks {
 			if t.ID == o.Task && t.Attempt == o.Attempt {
 				at = i
 			}
 		}
 		switch {
 		case o.Op == "run" && at < 0:
-			x.Starts = append(x.Starts, o.Task)
-			x.Report.Tasks = append(x.Report.Tasks, worker.Task{ID: o.Task, Attempt: o.Attempt, State: worker.TaskRunning})
-		case o.Op == "kill" && at >= 0 && x.Report.Tasks[at].State != worker.TaskExited:
-			x.Report.Tasks[at].State, x.Report.Tasks[at].Cause = worker.TaskExited, worker.CauseStopped
+			x.Started = append(x.Started, o.Task)
+			x.Heartbeat.Tasks = append(x.Heartbeat.Tasks, worker.Task{ID: o.Task, Attempt: o.Attempt, State: worker.TaskRunning})
+		case o.Op == "kill" && at >= 0 && x.Heartbeat.Tasks[at].State != worker.TaskExited:
+			x.Heartbeat.Tasks[at].State, x.Heartbeat.Tasks[at].Cause = worker.TaskExited, worker.CauseStopped
 		case o.Op == "forget" && at >= 0:
-			x.Report.Tasks = append(x.Report.Tasks[:at], x.Report.Tasks[at+1:]...)
+			x.Heartbeat.Tasks = append(x.Heartbeat.Tasks[:at], x.Heartbeat.Tasks[at+1:]...)
 		}
 	}
 	return true
 }
 
-// End ends a task.
-func (w *Workers) End(x *Worker, task, cause string) {
+// EndTask ends a task.
+func (w *Workers) EndTask(x *Worker, task, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range x.Report.Tasks {
-		if t := &x.Report.Tasks[i]; t.ID == task && t.State != worker.TaskExited {
+	for i := range x.Heartbeat.Tasks {
+		if t := &x.Heartbeat.Tasks[i]; t.ID == task && t.State != worker.TaskExited {
 			t.State, t.Cause = worker.TaskExited, cause
 		}
 	}
@@ -119,8 +119,8 @@
 	if x == nil {
 		return nil, false, errors.New("no such worker")
 	}
-	if x.Lost > 0 {
-		x.Lost--
+	if x.TimeOutNext > 0 {
+		x.TimeOutNext--
 		w.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -129,7 +129,7 @@
 		w.mu.Lock()
 		return nil, false, errors.New("no answer in time")
 	}
-	if x.Deaf {
+	if x.HoldCommands {
 		x.late = append(x.late, func() { x.carryOut(token, session, orders) })
 		return nil, false, errors.New("no answer")
 	}
--- a/internal/autoscaler/steward_test.go
+++ b/internal/autoscaler/steward_test.go
@@ -27,9 +27,9 @@
 		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
 }
 
-func newSteward(t testing.TB, ctx context.Context) (*Leader, *emulator.State) {
+func newSteward(t testing.TB, ctx context.Context) (*Leader, *emulator.StateService) {
 	t.Helper()
-	state := emulator.NewState()
+	state := emulator.NewStateService()
 	machine := shard.MachineRecord{Shard: "host-9.1.0", Type: "box", Zone: "a"}
 	if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: statekv.MachinePrefix + "m1", Value: machine}}); err != nil {
 		t.Fatal(err)
--- a/internal/clusteragent/agent_test.go
+++ b/internal/clusteragent/agent_test.go
@@ -38,13 +38,13 @@
 	stop    context.CancelFunc
 }
 
-func start(t *testing.T, ctx context.Context, host string, state *emulator.State, workers *emulator.Workers) *node {
+func start(t *testing.T, ctx context.Context, host string, state *emulator.StateService, workers *emulator.Workers) *node {
 	t.Helper()
 	return startWith(t, ctx, settings(), host, state, workers)
 }
 
 // startIn starts one of three controllers in two zones, host-1 in b.
-func startIn(t *testing.T, ctx context.Context, host, zone string, state *emulator.State, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
+func startIn(t *testing.T, ctx context.Context, host, zone string, state *emulator.StateService, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
 	t.Helper()
 	s := settings()
 	s.Host, s.Zone, s.Zones = host, zone, []string{"a", "b"}
@@ -83,10 +83,10 @@
 
 // report has a worker report to n and take the answer.
 func (n *node) report(workers *emulator.Workers, w *emulator.Worker) clusteragent.HeartbeatReply {
-	r := workers.Next(w)
+	r := workers.NextHeartbeat(w)
 	reply := n.agent.Heartbeat(context.Background(), &r)
 	if reply.Owner {
-		workers.Answer(w, reply.Answer)
+		workers.DeliverAnswer(w, reply.Answer)
 	}
 	return reply
 }
@@ -113,15 +113,15 @@
 }
 
 func held(workers *emulator.Workers, w *emulator.Worker) (n int) {
-	workers.Do(func() { n = len(w.Report.Tasks) })
+	workers.WithLock(func() { n = len(w.Heartbeat.Tasks) })
 	return n
 }
 
-func story(t *testing.T, f func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers)) {
+func story(t *testing.T, f func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); synctest.Wait() }()
-		f(t, ctx, emulator.NewState(), emulator.NewWorkers())
+		f(t, ctx, emulator.NewStateService(), emulator.NewWorkers())
 	})
 }
 
@@ -141,36 +141,36 @@
 // the worker shows a token under which a late copy of it is dead. Guards
 // against ran_twice.
 func TestUnansweredStartIsFencedOff(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
-		workers.Do(func() { w.Deaf = true })
+		workers.WithLock(func() { w.HoldCommands = true })
 		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Unresolved {
 			t.Fatalf("verdict %q while the command is unanswered", got)
 		}
 		if len(n.entries()["m1"].Tasks) != 1 {
 			t.Fatal("the task must keep its place while it may still start")
 		}
-		workers.Do(func() { w.Deaf = false })
+		workers.WithLock(func() { w.HoldCommands = false })
 		n.report(workers, w)
 		time.Sleep(3 * time.Second)
 		n.report(workers, w)
 		if got := n.entries()["m1"].Tasks; len(got) != 0 {
 			t.Fatalf("task %v is still booked after the worker showed the raised token without it", got)
 		}
-		workers.DeliverLate(w)
-		if len(w.Starts) != 0 {
-			t.Fatalf("late command started %v", w.Starts)
+		workers.DeliverHeldCommands(w)
+		if len(w.Started) != 0 {
+			t.Fatalf("late command started %v", w.Started)
 		}
 	})
 }
 
 // A commit under an epoch older than the slot's latest is refused.
 func TestStalePlacerIsRefused(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		old := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -189,7 +189,7 @@
 // When an owner's life ends, a survivor takes its machines, and the earlier
 // owner's commands no longer pass at the worker.
 func TestSurvivorTakesOverAndFences(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, b := start(t, ctx, "host-0", state, workers), start(t, ctx, "host-1", state, workers)
 		epoch := slot(t, a, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -202,7 +202,7 @@
 			t.Fatalf("verdict %q", got)
 		}
 		var oldToken uint64
-		workers.Do(func() { oldToken = w.Report.FencingToken })
+		workers.WithLock(func() { oldToken = w.Heartbeat.FencingToken })
 		a.stop()
 		synctest.Wait()
 		if err := state.Revoke(ctx, 1); err != nil {
@@ -222,12 +222,12 @@
 // The first command of a new owner is lost on the way. It was sent again only when the
 // machine counted as silent already, and was deleted with all that ran there.
 func TestALostCommandIsNoSilence(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, b := start(t, ctx, "host-0", state, workers), start(t, ctx, "host-1", state, workers)
 		w := workers.Add("m1", "box", "a")
 		a.report(workers, w)
 		time.Sleep(time.Second)
-		workers.Do(func() { w.Lost = 1 })
+		workers.WithLock(func() { w.TimeOutNext = 1 })
 		a.stop()
 		synctest.Wait()
 		if err := state.Revoke(ctx, 1); err != nil {
@@ -248,11 +248,11 @@
 // Tasks found on a machine whose job is over, or was never known, are stopped
 // and forgotten by the machine's new owner. Guards against ran_cancelled.
 func TestTasksOfEndedJobsAreStopped(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
-		workers.Do(func() {
-			w.Report.Tasks = []worker.Task{{ID: "wk-1/0", Attempt: 7, State: worker.TaskRunning}}
+		workers.WithLock(func() {
+			w.Heartbeat.Tasks = []worker.Task{{ID: "wk-1/0", Attempt: 7, State: worker.TaskRunning}}
 		})
 		n.report(workers, w)
 		time.Sleep(3 * time.Second)
@@ -265,7 +265,7 @@
 
 // Room that is reserved or may be taken by a start under way is not given twice.
 func TestNoRoomTwice(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -281,14 +281,14 @@
 // An ended task is forgotten only when that was asked for, which placers do
 // once its end is durable.
 func TestForgottenOnlyWhenAsked(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
 		time.Sleep(time.Second)
 		n.commit(t, "m1", "s", epoch, 0, 1)
-		workers.End(w, "wk-1/0", worker.CauseDone)
+		workers.EndTask(w, "wk-1/0", worker.CauseDone)
 		n.report(workers, w)
 		time.Sleep(2 * time.Second)
 		if held(workers, w) != 1 {
@@ -307,7 +307,7 @@
 // An agent without machines must not answer a watch at once again and again:
 // its own feed then asked in a loop that used up the processor.
 func TestWatchWithoutMachinesWaits(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		began := time.Now()
 		var reply agentapi.WatchReply
@@ -323,14 +323,14 @@
 // Claims that meet a conflict, because another controller was faster for some
 // of the machines, ended the process: the rest must be claimed.
 func TestClaimsThatMeetAConflict(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w1, w2 := workers.Add("m1", "box", "a"), workers.Add("m2", "box", "a")
-		state.Set(false, true) // claims are written, but their answers are lost
+		state.SetOutage(false, true) // claims are written, but their answers are lost
 		go n.report(workers, w1)
 		go n.report(workers, w2)
 		synctest.Wait()
-		state.Set(false, false)
+		state.SetOutage(false, false)
 		time.Sleep(3 * time.Second)
 		n.report(workers, w1)
 		n.report(workers, w2)
@@ -343,7 +343,7 @@
 // A machine that was deleted and whose late report another controller met is
 // given up once more: that must not end the process.
 func TestDeletedMachineClaimedAgain(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n, other := start(t, ctx, "host-0", state, workers), start(t, ctx, "host-1", state, workers)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
@@ -364,7 +364,7 @@
 // A worker that nobody can have answered for longer than its lease has ended
 // its tasks; before that they keep their places.
 func TestSilentMachineKeepsItsTasksForTheLease(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -372,7 +372,7 @@
 		time.Sleep(time.Second)
 		n.commit(t, "m1", "s", epoch, 0, 1)
 		n.report(workers, w)
-		workers.Do(func() { w.Deaf = true })
+		workers.WithLock(func() { w.HoldCommands = true })
 		time.Sleep(28 * time.Second)
 		if e := n.entries()["m1"]; !e.Silent || len(e.Tasks) != 1 {
 			t.Fatalf("within the lease: %+v", e)
@@ -389,7 +389,7 @@
 // processor time, no reports, counted from the last report of the session before:
 // they gave tasks up that went on running. Guards against ran_twice.
 func TestANewSessionHasItsLeaseFromItsBeginning(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -397,10 +397,10 @@
 			n.report(workers, w)
 			time.Sleep(time.Second)
 		}
-		workers.Do(func() { w.Deaf = true })
+		workers.WithLock(func() { w.HoldCommands = true })
 		n.commit(t, "m1", "s", epoch, 0, 1)
 		time.Sleep(14 * time.Second) // after 20 s without a report it would get nothing new
-		workers.Do(func() { w.Deaf, w.Report.WorkerEpoch, w.Report.Tasks = false, 2, nil })
+		workers.WithLock(func() { w.HoldCommands, w.Heartbeat.WorkerEpoch, w.Heartbeat.Tasks = false, 2, nil })
 		time.Sleep(3 * time.Second)
 		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
@@ -419,7 +419,7 @@
 // Commands reach a machine, and its reports come no more: before its lease can be over it
 // gets nothing new, however well it answers. Its next report opens it again.
 func TestMachineWhoseReportsDoNotComeGetsNothingNew(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -429,7 +429,7 @@
 			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != agentapi.Started {
 				t.Fatalf("verdict %q", got)
 			}
-			workers.Do(func() { w.Report.Tasks = nil })
+			workers.WithLock(func() { w.Heartbeat.Tasks = nil })
 			time.Sleep(6 * time.Second)
 		}
 		if e := n.entries()["m1"]; !e.Silent {
@@ -448,7 +448,7 @@
 // Tasks of arrays are stopped for a gang of higher priority, never for one of
 // the same, and the machine is kept for that gang.
 func TestClearingStopsOnlyLowerPriority(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -484,7 +484,7 @@
 // Small tasks that are not in the gang's way go on: they were stopped first, being
 // the cheapest to stop, and those that do not save began anew again and again.
 func TestClearingSparesWhatIsNotInTheWay(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -522,13 +522,13 @@
 // worker never reports again: until somebody looks after the machine, no slot
 // that is adopted can settle.
 func TestLostClaimIsTakenUp(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
-		state.Set(false, true)
+		state.SetOutage(false, true)
 		go n.report(workers, w)
 		synctest.Wait()
-		state.Set(false, false)
+		state.SetOutage(false, false)
 		time.Sleep(5 * time.Second)
 		if e, ok := n.entries()["m1"]; !ok || !e.Settled {
 			t.Fatalf("nobody looks after the machine: %+v", e)
@@ -543,7 +543,7 @@
 func TestOwnerAnswersWithLittleHoldTime(t *testing.T) {
 	cancelGone = 33 * time.Second
 	defer func() { cancelGone = 60 * time.Second }()
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
@@ -560,7 +560,7 @@
 // time those were made, workers' leases had run out and slots had waited for
 // minutes. Their work goes on, and every machine is settled within seconds.
 func TestThousandMachinesChangeHandsWithFewWrites(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, a, "s", 0)
 		before := state.Changes()
@@ -573,7 +573,7 @@
 			time.Sleep(5 * time.Second)
 			owned := a.entries()
 			for _, w := range all {
-				if _, ok := owned[w.Report.Machine]; !ok {
+				if _, ok := owned[w.Heartbeat.Machine]; !ok {
 					go a.report(workers, w)
 				}
 			}
@@ -632,7 +632,7 @@
 // started: asked to void a commit, it must not say that the task never came.
 // That had the task started a second time elsewhere (ran_twice).
 func TestVoidIsForTheOwnerThatWasAsked(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -654,7 +654,7 @@
 		if err := state.Revoke(ctx, 1); err != nil {
 			t.Fatal(err)
 		}
-		workers.Do(func() { w.Deaf = true })
+		workers.WithLock(func() { w.HoldCommands = true })
 		if reply, err := void(start(t, ctx, "host-0", state, workers)); err == nil {
 			t.Fatalf("the next life answered %v", reply)
 		}
@@ -665,7 +665,7 @@
 // came back under a later revision; the entry under the earlier one was taken
 // for unsettled for ever, and no slot that was adopted settled any more.
 func TestMachineThatCameBackIsTakenUpAnew(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		n.report(workers, w)
@@ -691,7 +691,7 @@
 // A machine that a gang has just left is kept for the next gang for a moment:
 // arrays filled it at once and were stopped for that gang, their work lost.
 func TestMachineThatAGangLeftIsKeptForGangs(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -711,7 +711,7 @@
 			if got := gang(attempt); got != agentapi.Started {
 				t.Fatalf("gang, attempt %d: %q", attempt, got)
 			}
-			workers.End(w, "wk-2/0", worker.CauseDone)
+			workers.EndTask(w, "wk-2/0", worker.CauseDone)
 			n.report(workers, w)
 			if got := n.commit(t, "m1", "s", epoch, 0, 10+attempt); got != agentapi.Refused {
 				t.Fatalf("array at once: %q", got)
@@ -729,7 +729,7 @@
 // show yet. Its machine, once given up, was taken up again under the same
 // revision, without its tasks, and they were started elsewhere (ran_twice).
 func TestMachineGivenUpIsNotTakenUpUnderTheSameRevision(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
@@ -739,7 +739,7 @@
 			t.Fatalf("verdict %q", got)
 		}
 		before := n.entries()["m1"].Rev
-		workers.Do(func() { w.Report.FencingToken += 1 << 10 })
+		workers.WithLock(func() { w.Heartbeat.FencingToken += 1 << 10 })
 		n.report(workers, w)
 		for range 5 {
 			if e, ok := n.entries()["m1"]; ok && e.Rev == before {
--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -33,7 +33,7 @@
 // them until their leases run out: those come to the others, which take whole
 // shards. Machine by machine that took longer than the leases of hundreds.
 func TestOwnerThatLostItsWorkersLosesTheirShards(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, a, "s", 0)
 		all := fleet(workers, a, 200)
@@ -74,12 +74,12 @@
 // A controller that is back owns part of the fleet again after a while, but not
 // machines that it cannot reach.
 func TestMachinesAreEvenedOut(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a := start(t, ctx, "host-0", state, workers)
 		all := fleet(workers, a, 40)
-		workers.Do(func() {
+		workers.WithLock(func() {
 			for _, w := range all {
-				w.Deaf = true
+				w.HoldCommands = true
 			}
 		})
 		b := start(t, ctx, "host-1", state, workers)
@@ -87,9 +87,9 @@
 		if n := len(b.entries()); n != 0 {
 			t.Fatalf("took %d machines that it cannot reach", n)
 		}
-		workers.Do(func() {
+		workers.WithLock(func() {
 			for _, w := range all {
-				w.Deaf = false
+				w.HoldCommands = false
 			}
 		})
 		time.Sleep(5 * time.Second)
@@ -102,7 +102,7 @@
 // A machine whose shard has vanished is claimed anew, also by the controller that
 // still looks after it: the jobs of a dead placer waited for such machines for ever.
 func TestMachineWithoutShardIsClaimedAnew(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a := start(t, ctx, "host-0", state, workers)
 		fleet(workers, a, 1)
 		kv, ok := a.mirror.Get(statekv.MachinePrefix + "m0")
@@ -121,7 +121,7 @@
 }
 
 // stingy is a state service that makes no new shards for now.
-type stingy struct{ *emulator.State }
+type stingy struct{ *emulator.StateService }
 
 func (s stingy) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	for _, c := range when {
@@ -129,14 +129,14 @@
 			return 0, statekv.ErrRejected
 		}
 	}
-	return s.State.Txn(ctx, when, then)
+	return s.StateService.Txn(ctx, when, then)
 }
 
 // After a crash of all controllers the state service's write limit keeps a life
 // from making shards for new machines for a second or two. The machines that it
 // took over had to wait for that: all slots settled 3 s later.
 func TestMachinesTakenOverDoNotWaitForNewShards(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a := start(t, ctx, "host-0", state, workers)
 		fleet(workers, a, 1)
 		a.stop()
--- a/internal/clusteragent/bench_test.go
+++ b/internal/clusteragent/bench_test.go
@@ -21,7 +21,7 @@
 	level := slog.SetLogLoggerLevel(slog.LevelError)
 	b.Cleanup(func() { slog.SetLogLoggerLevel(level) })
 	workers = emulator.NewWorkers()
-	n = startWith(b, b.Context(), settings(), "host-0", emulator.NewState(), workers)
+	n = startWith(b, b.Context(), settings(), "host-0", emulator.NewStateService(), workers)
 	var claims sync.WaitGroup
 	for k := range benchMachines {
 		w := workers.Add(fmt.Sprintf("vm-%06d", k), "box", "a")
@@ -31,7 +31,7 @@
 	claims.Wait()
 	for _, w := range machines {
 		if reply := n.report(workers, w); !reply.Owner {
-			b.Fatalf("%s is not owned: %+v", w.Report.Machine, reply)
+			b.Fatalf("%s is not owned: %+v", w.Heartbeat.Machine, reply)
 		}
 	}
 	return n, workers, machines, slot(b, n, "s", 0)
@@ -71,12 +71,12 @@
 	var revs []uint64
 	entries := n.entries()
 	for _, w := range machines {
-		revs = append(revs, entries[w.Report.Machine].Rev)
+		revs = append(revs, entries[w.Heartbeat.Machine].Rev)
 	}
 	b.ReportAllocs()
 	for k := 0; b.Loop(); k++ {
 		at, ref := k%len(machines), agentapi.TaskRef{Job: "wk-1", Attempt: uint64(k + 1)}
-		machine := machines[at].Report.Machine
+		machine := machines[at].Heartbeat.Machine
 		request := agentapi.CommitRequest{Request: benchRequest(epoch), Machine: machine, Rev: revs[at], Hold: true}
 		request.Refs = []agentapi.TaskRef{ref}
 		var reply agentapi.CommitReply
--- a/internal/clusteragent/clear_test.go
+++ b/internal/clusteragent/clear_test.go
@@ -14,7 +14,7 @@
 // done with its last task, so a fifth of all tasks stopped, spread over all jobs,
 // made nearly every job late.
 func TestClearingSparesJobsThatWouldBecomeLate(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		due := 100.0
--- a/internal/clusteragent/late_test.go
+++ b/internal/clusteragent/late_test.go
@@ -14,7 +14,7 @@
 )
 
 // pair starts two controllers; the first owns machine m1, on which task wk-1/0 runs.
-func pair(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) (a, b *node, w *emulator.Worker, epoch uint64) {
+func pair(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) (a, b *node, w *emulator.Worker, epoch uint64) {
 	t.Helper()
 	with := func(host, peer string) *node {
 		s := settings()
@@ -36,9 +36,9 @@
 
 // copyOf is the report that the worker sent last, once more.
 func copyOf(workers *emulator.Workers, w *emulator.Worker) (r worker.Heartbeat) {
-	workers.Do(func() {
-		r = w.Report
-		r.Tasks = append([]worker.Task(nil), w.Report.Tasks...)
+	workers.WithLock(func() {
+		r = w.Heartbeat
+		r.Tasks = append([]worker.Task(nil), w.Heartbeat.Tasks...)
 	})
 	return r
 }
@@ -48,10 +48,10 @@
 // them, and it does not count as heard. Guards against a lease counted from whatever
 // comes in.
 func TestLateCopiesRenewNothing(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, _, w, _ := pair(t, ctx, state, workers)
 		last := copyOf(workers, w)
-		workers.Do(func() { w.Deaf = true })
+		workers.WithLock(func() { w.HoldCommands = true })
 		died := time.Now()
 		for time.Since(died) < 36*time.Second {
 			time.Sleep(2 * time.Second)
@@ -72,10 +72,10 @@
 // Copies of an earlier session, and of an earlier moment of this one, prove nothing: what
 // came since stays, and what has gone does not come back.
 func TestLateCopiesProveNothing(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, _, w, epoch := pair(t, ctx, state, workers)
-		before := copyOf(workers, w) // with the first task only
-		overtaken := workers.Next(w) // a report that the answer to a command overtakes
+		before := copyOf(workers, w)          // with the first task only
+		overtaken := workers.NextHeartbeat(w) // a report that the answer to a command overtakes
 		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
@@ -89,7 +89,7 @@
 			t.Fatalf("a copy of before left %d tasks of 2", n)
 		}
 		// Its lease runs out: a new session, without tasks.
-		workers.Do(func() { w.Report.WorkerEpoch, w.Report.Tasks = 2, nil })
+		workers.WithLock(func() { w.Heartbeat.WorkerEpoch, w.Heartbeat.Tasks = 2, nil })
 		a.report(workers, w)
 		for range 5 {
 			a.agent.Heartbeat(ctx, &before)
@@ -104,7 +104,7 @@
 // Copies that reach another controller are no workers that cannot reach their owner: it
 // takes nothing, however many come; one whose reports do come is taken.
 func TestLateCopiesElsewhereTakeNothing(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, b, w, _ := pair(t, ctx, state, workers)
 		rev := a.entries()["m1"].Rev
 		last := copyOf(workers, w)
@@ -117,7 +117,7 @@
 			t.Fatalf("a machine was taken for copies of its report: %+v", kv)
 		}
 		for range 6 {
-			r := workers.Next(w)
+			r := workers.NextHeartbeat(w)
 			b.agent.Heartbeat(ctx, &r)
 			time.Sleep(4 * time.Second)
 		}
@@ -130,7 +130,7 @@
 // Copies for a machine that was deleted revive nothing: no key is written for it, by
 // whichever controller they reach.
 func TestLateCopiesOfADeletedMachine(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, b, w, _ := pair(t, ctx, state, workers)
 		last := copyOf(workers, w)
 		if err := a.service.Removed(agentapi.MachinesRequest{Names: []string{"m1"}}, &agentapi.MachinesReply{}); err != nil {
@@ -160,12 +160,12 @@
 // next session proves it gone and not before. It is used again once commands get
 // through.
 func TestOneWayMachine(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, _, w, epoch := pair(t, ctx, state, workers)
-		workers.Do(func() { w.Deaf = true })
+		workers.WithLock(func() { w.HoldCommands = true })
 		began := time.Now()
 		hear := func() { // its reports arrive; what is answered does not
-			r := workers.Next(w)
+			r := workers.NextHeartbeat(w)
 			a.agent.Heartbeat(ctx, &r)
 			time.Sleep(3 * time.Second)
 		}
@@ -188,7 +188,7 @@
 				t.Fatalf("after %v: %d tasks are booked, and nothing is proven", time.Since(began), n)
 			}
 		}
-		workers.Do(func() { w.Report.WorkerEpoch, w.Report.Tasks = 2, nil }) // by its own clock
+		workers.WithLock(func() { w.Heartbeat.WorkerEpoch, w.Heartbeat.Tasks = 2, nil }) // by its own clock
 		hear()
 		if got := a.entries()["m1"].Tasks; len(got) != 0 {
 			t.Fatalf("the next session proves %v gone", got)
@@ -196,7 +196,7 @@
 		if !a.entries()["m1"].Silent {
 			t.Fatal("it counts as one that serves, and commands still do not reach it")
 		}
-		workers.Do(func() { w.Deaf = false })
+		workers.WithLock(func() { w.HoldCommands = false })
 		time.Sleep(3 * time.Second)
 		a.report(workers, w)
 		if a.entries()["m1"].Silent {
@@ -205,7 +205,7 @@
 		if got := a.commit(t, "m1", "s", epoch, 2, 4); got != agentapi.Started {
 			t.Fatalf("it is not used again: %q", got)
 		}
-		workers.DeliverLate(w)
+		workers.DeliverHeldCommands(w)
 		if n := held(workers, w); n != 1 {
 			t.Errorf("%d tasks run: a command that was lost was carried out late", n)
 		}
@@ -215,14 +215,14 @@
 // Reports that cannot be a machine's change nothing, and its own go on to count: numbers
 // that leap out of range would make all later ones old.
 func TestReportsThatCannotBe(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, _, w, epoch := pair(t, ctx, state, workers)
 		for what, change := range map[string]func(*worker.Heartbeat){
 			"a huge serial":             func(r *worker.Heartbeat) { r.Sequence = 1 << 63 },
 			"a huge tenure":             func(r *worker.Heartbeat) { r.WorkerEpoch = 1 << 62 },
 			"another machine's address": func(r *worker.Heartbeat) { r.Address = "m7" },
 		} {
-			r := workers.Next(w)
+			r := workers.NextHeartbeat(w)
 			r.Tasks = nil
 			change(&r)
 			if reply := a.agent.Heartbeat(ctx, &r); reply.Malformed == "" {
@@ -246,8 +246,8 @@
 // nothing, answers them for its hold time and no longer, and its successor counts that
 // in.
 func TestOwnerWithWorkersOnly(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
-		cut := &cutOff{State: state}
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		cut := &cutOff{StateService: state}
 		a := startWith(t, ctx, settings(), "host-0", cut, workers)
 		b := start(t, ctx, "host-1", state, workers)
 		epoch := slot(t, a, "s", 0)
@@ -258,7 +258,7 @@
 			t.Fatalf("verdict %q", got)
 		}
 		cut.off.Store(true)
-		workers.Do(func() { w.Deaf = true }) // the zone is cut off with it: nobody else reaches them
+		workers.WithLock(func() { w.HoldCommands = true }) // the zone is cut off with it: nobody else reaches them
 		began := time.Now()
 		time.Sleep(4 * time.Second)
 		if err := state.Revoke(ctx, 1); err != nil { // its state lease is over
@@ -289,7 +289,7 @@
 
 // cutOff is a state service that one controller does not reach any more.
 type cutOff struct {
-	*emulator.State
+	*emulator.StateService
 	off atomic.Bool
 }
 
@@ -297,28 +297,28 @@
 	if c.off.Load() {
 		return statekv.KV{}, statekv.ErrOutcomeUnknown
 	}
-	return c.State.Get(ctx, key)
+	return c.StateService.Get(ctx, key)
 }
 
 func (c *cutOff) List(ctx context.Context, prefix, after string) (statekv.Page, error) {
 	if c.off.Load() {
 		return statekv.Page{}, statekv.ErrOutcomeUnknown
 	}
-	return c.State.List(ctx, prefix, after)
+	return c.StateService.List(ctx, prefix, after)
 }
 
 func (c *cutOff) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	if c.off.Load() {
 		return 0, statekv.ErrOutcomeUnknown
 	}
-	return c.State.Txn(ctx, when, then)
+	return c.StateService.Txn(ctx, when, then)
 }
 
 func (c *cutOff) Renew(ctx context.Context, lease uint64) error {
 	if c.off.Load() {
 		return statekv.ErrOutcomeUnknown
 	}
-	return c.State.Renew(ctx, lease)
+	return c.StateService.Renew(ctx, lease)
 }
 
 func (c *cutOff) Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.WatchResponse, error) {
@@ -329,5 +329,5 @@
 		}
 		return statekv.WatchResponse{}, statekv.ErrOutcomeUnknown
 	}
-	return c.State.Watch(ctx, prefix, since, block)
+	return c.StateService.Watch(ctx, prefix, since, block)
 }
--- a/internal/clusteragent/learn_test.go
+++ b/internal/clusteragent/learn_test.go
@@ -15,7 +15,7 @@
 // so that the tasks of every job that it had taken over stayed unknown to it. It is
 // listed and left, and its task goes on.
 func TestUnreadableRecordDoesNotKeepOthersFromBeingRead(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		good := job.Record{JobShard: "s", Spec: job.Spec{ID: "wk-2", Team: "t", Shape: job.Array, Rank: "normal", Tasks: 1, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
 		for key, v := range map[string]any{job.RecordKey("wk-1"): "mangled", job.RecordKey("wk-2"): good} {
 			if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: key, Value: v}}); err != nil {
@@ -24,9 +24,9 @@
 		}
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
-		workers.Do(func() {
+		workers.WithLock(func() {
 			for _, id := range []string{"wk-1/0", "wk-2/0"} {
-				w.Report.Tasks = append(w.Report.Tasks, worker.Task{ID: id, Attempt: 1, State: worker.TaskRunning})
+				w.Heartbeat.Tasks = append(w.Heartbeat.Tasks, worker.Task{ID: id, Attempt: 1, State: worker.TaskRunning})
 			}
 		})
 		for range 5 {
--- a/internal/clusteragent/parts_test.go
+++ b/internal/clusteragent/parts_test.go
@@ -17,7 +17,7 @@
 // having arrays stopped that held a fifth of it and could not get on. It is where the
 // class does not wait, and by one that has less than its part as well.
 func TestWaitingClassWithLessThanItsPartIsNotStopped(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		set := settings()
 		set.Objectives = []config.Objective{{Kind: "wait", Class: "gangs", Within: 30 * time.Second}, {Kind: "wait", Class: "gangs", Within: 200 * time.Second}}
 		n := startWith(t, ctx, set, "host-0", state, workers)
@@ -33,7 +33,7 @@
 			boxes = append(boxes, w)
 			n.report(workers, w)
 			time.Sleep(time.Second)
-			req := agentapi.CommitRequest{Request: request("gangs", job.Gang, "high", 2, 1), Machine: w.Report.Machine, Rev: n.entries()[w.Report.Machine].Rev,
+			req := agentapi.CommitRequest{Request: request("gangs", job.Gang, "high", 2, 1), Machine: w.Heartbeat.Machine, Rev: n.entries()[w.Heartbeat.Machine].Rev,
 				Refs: []agentapi.TaskRef{{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}}}
 			if k == 3 {
 				req.Request = request("arrays", job.Array, "normal", 2, 1)
--- a/internal/clusteragent/register_test.go
+++ b/internal/clusteragent/register_test.go
@@ -18,15 +18,15 @@
 // killed with it. It gets tasks from its next answered report on. At 3,000 machines 150 to
 // 400 tasks were killed so in four minutes.
 func TestNewMachineServesFromItsFirstAnsweredReport(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		state.Delay(3200 * time.Millisecond)
+		state.SetTxnLatency(3200 * time.Millisecond)
 		if reply := n.report(workers, w); reply.Owner {
 			t.Fatal("the claim was in time: this shows nothing")
 		}
-		state.Delay(0)
+		state.SetTxnLatency(0)
 		time.Sleep(2 * time.Second)
 		if _, owned := n.entries()["m1"]; !owned {
 			t.Fatal("it is not owned: this shows nothing")
@@ -45,7 +45,7 @@
 
 // closing is a state service with room for changes that can wait, or not.
 type closing struct {
-	*emulator.State
+	*emulator.StateService
 	closed atomic.Bool
 }
 
@@ -55,8 +55,8 @@
 // room, and what is stopped is placed again on the few machines that are registered. At 3,000
 // machines and 16 controllers 7,890 tasks were stopped in 94 s, and 10 done.
 func TestNothingIsStoppedWhileMachinesWaitForRegistration(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
-		store := &closing{State: state}
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		store := &closing{StateService: state}
 		n := startWith(t, ctx, settings(), "host-0", store, workers)
 		epoch := slot(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
--- a/internal/clusteragent/zone_test.go
+++ b/internal/clusteragent/zone_test.go
@@ -19,21 +19,21 @@
 // With a margin of 4 s, and workers that reported when they pleased, 277 machines
 // were given up a second before their zone came back.
 func TestHoldTimeGoesToItsBoundAndNoFurther(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		n := start(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		for range 3 {
 			n.report(workers, w)
 			time.Sleep(time.Second)
 		}
-		state.Set(true, false)
+		state.SetOutage(true, false)
 		lost := time.Now() // a cancellation may be written from now on
 		var kept time.Time // when the last report was sent that was answered
 		var seen uint64
 		next := time.Now()
 		for time.Since(lost) < cancelGone {
 			var token uint64
-			workers.Do(func() { token = w.Report.FencingToken })
+			workers.WithLock(func() { token = w.Heartbeat.FencingToken })
 			// Workers report at intervals, and within half a second of a higher token.
 			if time.Now().After(next) || token > seen {
 				seen, next = token, time.Now().Add(8*time.Second)
@@ -57,22 +57,22 @@
 // machine's worker is sent to a controller of its zone, and taken by whoever it
 // comes to if it is not taken there.
 func TestNewMachinesGoToOwnersInTheirZone(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a := startIn(t, ctx, "host-0", "a", state, workers)
 		b := startIn(t, ctx, "host-1", "b", state, workers)
 		time.Sleep(2 * time.Second)
 		w := workers.Add("m1", "box", "b")
-		r := workers.Next(w)
+		r := workers.NextHeartbeat(w)
 		if reply := a.agent.Heartbeat(ctx, &r); reply.Owner || reply.RedirectTo != "host-1" {
 			t.Fatalf("another zone's machine: %+v", reply)
 		}
-		r = workers.Next(w)
+		r = workers.NextHeartbeat(w)
 		if reply := b.agent.Heartbeat(ctx, &r); !reply.Owner {
 			t.Fatalf("its own zone's controller: %+v", reply)
 		}
 		w = workers.Add("m2", "box", "b")
 		for range 4 { // host-1 does not answer it
-			r = workers.Next(w)
+			r = workers.NextHeartbeat(w)
 			a.agent.Heartbeat(ctx, &r)
 			time.Sleep(time.Second)
 		}
@@ -86,7 +86,7 @@
 // machines that are silent or not confirmed stay where they are: with another owner
 // the wait for their leases would begin anew, and slots wait for it.
 func TestShardsStayInTheirZoneAndWithTheirDoubts(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.State, workers *emulator.Workers) {
+	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a := startIn(t, ctx, "host-0", "a", state, workers)
 		var all []*emulator.Worker
 		for i := range 40 {
--- a/internal/controller/wire_test.go
+++ b/internal/controller/wire_test.go
@@ -35,7 +35,7 @@
 	settings := &config.Settings{Host: "host-0", Controllers: 1, Zones: []string{"a"}, Zone: "a",
 		Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, CancellationDeadline: time.Minute},
 		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
-	store := emulator.NewPort(emulator.NewState(), 1)
+	store := emulator.NewFaultyStateClient(emulator.NewStateService(), 1)
 	c := Assemble(settings, policy.Default(), ExternalSystems{StateStore: store, MigrationStore: store,
 		Connect: func(s *rpc.Server, g *peer.Service) Network {
 			server, greeter = s, g
--- a/internal/dag/tracker_test.go
+++ b/internal/dag/tracker_test.go
@@ -18,7 +18,7 @@
 type world struct {
 	t     *testing.T
 	ctx   context.Context
-	state *emulator.State
+	state *emulator.StateService
 	keys  *statekv.Mirror
 	pipes *dag.Tracker
 	known map[string]tombstone.Tombstone
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
-		tell(&world{t: t, ctx: ctx, state: emulator.NewState(), known: map[string]tombstone.Tombstone{}})
+		tell(&world{t: t, ctx: ctx, state: emulator.NewStateService(), known: map[string]tombstone.Tombstone{}})
 	})
 }
 
@@ -166,13 +166,13 @@
 		w.write(statekv.Op{Set: job.RecordKey("wk-8"), Value: "mangled"})
 		w.open("wk-9", "wk-8")
 		w.begin()
-		w.state.Set(true, false)
+		w.state.SetOutage(true, false)
 		for range 60 {
 			w.is("wk-5", dag.Unresolved)
 			w.is("wk-6", dag.Unresolved)
 			time.Sleep(time.Second)
 		}
-		w.state.Set(false, false)
+		w.state.SetOutage(false, false)
 		for range 5 {
 			w.pipes.Evaluate("wk-5")
 			w.pipes.Evaluate("wk-6")
--- a/internal/gateway/connections_test.go
+++ b/internal/gateway/connections_test.go
@@ -21,7 +21,7 @@
 // load balancer's questions were cut off, and for two minutes no user found a
 // controller, though all were well.
 func TestWorkersLeaveConnectionsForOthers(t *testing.T) {
-	g := New(&config.Settings{Host: "host-0", MaxConnections: 200}, emulator.NewState(), &cloud.Catalogue{}, func() (int, time.Duration) { return 0, 0 })
+	g := New(&config.Settings{Host: "host-0", MaxConnections: 200}, emulator.NewStateService(), &cloud.Catalogue{}, func() (int, time.Duration) { return 0, 0 })
 	ln := fasthttputil.NewInmemoryListener()
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -14,7 +14,7 @@
 )
 
 // tight is a state service whose share for lookups is used up.
-type tight struct{ *emulator.State }
+type tight struct{ *emulator.StateService }
 
 func (tight) Allow(kind statekv.RequestClass, _ int) bool { return kind != statekv.ClassLookup }
 
@@ -22,7 +22,7 @@
 // the time to come back, and neither they nor questions about jobs that nobody
 // submitted use up what submissions need. What is known for ever is answered.
 func TestSurplusQueriesAreRefusedEarly(t *testing.T) {
-	g := New(&config.Settings{Host: "host-0"}, tight{emulator.NewState()}, &cloud.Catalogue{}, func() (int, time.Duration) { return 0, 0 })
+	g := New(&config.Settings{Host: "host-0"}, tight{emulator.NewStateService()}, &cloud.Catalogue{}, func() (int, time.Duration) { return 0, 0 })
 	ask := func(id string) (status int, retryAfter string) {
 		resp, err := g.app.Test(httptest.NewRequest("GET", "/submissions/"+id, nil), -1)
 		if err != nil {
--- a/internal/gateway/main_test.go
+++ b/internal/gateway/main_test.go
@@ -8,6 +8,6 @@
 )
 
 func TestMain(m *testing.M) {
-	emulator.WarmHTTP()
+	emulator.WarmUpHTTPServer()
 	os.Exit(m.Run())
 }
--- a/internal/gateway/pipelines_test.go
+++ b/internal/gateway/pipelines_test.go
@@ -38,7 +38,7 @@
 
 // learning is a state service whose client learns how many changes it takes.
 type learning struct {
-	*emulator.State
+	*emulator.StateService
 	most   int
 	refuse atomic.Bool // every transaction
 }
@@ -47,7 +47,7 @@
 	if l.refuse.Load() {
 		return 0, statekv.ErrRejected
 	}
-	rev, err := l.State.Txn(ctx, when, then)
+	rev, err := l.StateService.Txn(ctx, when, then)
 	if errors.Is(err, statekv.ErrTooLarge) {
 		l.most = max(1, len(then)/2)
 	}
@@ -76,8 +76,8 @@
 			StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 2048, MaxTxnOps: 8}}
 		catalogue := &cloud.Catalogue{}
 		catalogue.Set([]cloud.MachineType{{Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []string{"a"}}})
-		state := &learning{State: emulator.NewState()}
-		state.Limit(2048, 8)
+		state := &learning{StateService: emulator.NewStateService()}
+		state.SetSizeLimits(2048, 8)
 		d := &door{t: t, ctx: ctx, state: state, g: New(settings, state, catalogue, func() (int, time.Duration) { return 0, 0 })}
 		l := &Session{Peers: alone{}, Clock: recovery.NewTimeline(time.Now())}
 		l.Mirror = statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.RecordPrefix, job.SpecFragmentPrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
@@ -181,14 +181,14 @@
 	open(t, func(d *door) {
 		d.upgraded()
 		d.submit(201, "wk-1")
-		d.state.Delay(300 * time.Millisecond)
+		d.state.SetTxnLatency(300 * time.Millisecond)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			d.submit(503, "wk-2", "wk-1")
 		}()
 		time.Sleep(100 * time.Millisecond)
-		d.state.Delay(0)
+		d.state.SetTxnLatency(0)
 		d.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.ClusterVersion{Schema: 1, Number: 1, Features: []rollout.Feature{rollout.FeatureVersionGate}}})
 		<-done
 		if _, err := d.state.Get(d.ctx, job.RecordKey("wk-2")); err == nil {
@@ -209,7 +209,7 @@
 			t.Fatal("a job that was refused is known")
 		}
 		// Another controller has accepted it a moment ago; it ended long ago, in three forms.
-		d.state.Delay(0)
+		d.state.SetTxnLatency(0)
 		d.put(statekv.Op{Set: job.RecordKey("wk-11"), Value: job.Record{Spec: job.Spec{ID: "wk-11", Tasks: 1}, JobShard: "host-9.1"}})
 		d.put(statekv.Op{Set: tombstone.LegacyKey("wk-12"), Value: map[string]any{"status": "done", "tasks": 1}})
 		d.put(tombstone.WriteOps("wk-13", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.CompactOnly)...)
@@ -221,10 +221,10 @@
 			t.Error(answer)
 		}
 		// In doubt it is neither taken nor refused.
-		d.state.Set(true, false)
+		d.state.SetOutage(true, false)
 		d.submit(503, "wk-5", "wk-404")
 		d.submit(503, "wk-5", "wk-1")
-		d.state.Set(false, false)
+		d.state.SetOutage(false, false)
 		// Hundreds of names, in pieces; and one among them that nobody submitted.
 		var many []string
 		for k := range 400 {
@@ -234,7 +234,7 @@
 		d.submit(201, "wk-6", many...)
 		d.submit(200, "wk-6", many...)
 		d.submit(422, "wk-7", append(many, "wk-404")...)
-		if over := d.state.Over(); len(over) > 0 {
+		if over := d.state.SizeViolations(); len(over) > 0 {
 			t.Error(over)
 		}
 	})
@@ -252,9 +252,9 @@
 		}
 		d.submit(200, "wk-2") // it waits all the same
 		d.is("wk-2", job.Queued)
-		d.state.Set(false, true) // its answer is lost, and its user tries again
+		d.state.SetOutage(false, true) // its answer is lost, and its user tries again
 		d.submit(200, "wk-3", "wk-2")
-		d.state.Set(false, false)
+		d.state.SetOutage(false, false)
 		d.ask("POST", "/submissions/wk-1/abort", "")
 		if a := d.submit(200, "wk-3", "wk-2"); a["status"] != job.Cancelled {
 			t.Fatal(a)
@@ -280,7 +280,7 @@
 		if code, answer, _ := d.ask("POST", "/submissions/wk-1/abort", ""); code != 200 || answer["status"] != job.Cancelled {
 			t.Fatal(code, answer)
 		}
-		d.state.Delay(time.Hour) // no write comes through from now on
+		d.state.SetTxnLatency(time.Hour) // no write comes through from now on
 		for k := 300; k > 0; k-- {
 			d.is(fmt.Sprintf("wk-%d", k), job.Cancelled)
 		}
@@ -360,7 +360,7 @@
 		if code, _, _ := d.ask("GET", "/ready", ""); code != 200 {
 			t.Fatal(code)
 		}
-		d.state.Set(true, false)
+		d.state.SetOutage(true, false)
 		time.Sleep(4 * time.Second)
 		began := time.Now()
 		d.submit(503, "wk-3")
@@ -376,7 +376,7 @@
 		if took := time.Since(began); took > 0 {
 			t.Errorf("its users waited %v", took)
 		}
-		d.state.Set(false, false)
+		d.state.SetOutage(false, false)
 		time.Sleep(2 * time.Second)
 		d.is("wk-1", job.Queued)
 		if code, _, _ := d.ask("GET", "/ready", ""); code != 200 {
@@ -396,7 +396,7 @@
 			d.put(statekv.Op{Set: key, Value: "x"})
 		}
 		time.Sleep(time.Second)
-		d.state.Limit(2048, 5)
+		d.state.SetSizeLimits(2048, 5)
 		if code, answer, again := d.ask("POST", "/submissions/wk-1/abort", ""); code != 503 || again == "" {
 			t.Fatal(code, answer)
 		}
@@ -404,7 +404,7 @@
 			t.Fatal(code, answer)
 		}
 		d.is("wk-1", job.Cancelled)
-		if left := len(d.state.Dir(job.CompletedChunkPrefix)); left == 0 || left == job.ChunkCount(job.MaxTasks)-1 {
+		if left := len(d.state.ListAll(job.CompletedChunkPrefix)); left == 0 || left == job.ChunkCount(job.MaxTasks)-1 {
 			t.Errorf("%d keys are left for the sweep", left)
 		}
 	})
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -21,7 +21,7 @@
 // with what stands in their way if they cannot be, and with the reason where this
 // controller has no life, for instance because it must not join.
 func TestRolloutCommands(t *testing.T) {
-	state := emulator.NewState()
+	state := emulator.NewStateService()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
--- a/internal/rollout/pipelines_test.go
+++ b/internal/rollout/pipelines_test.go
@@ -179,7 +179,7 @@
 		// The record is written under the level as it was before.
 		f.write(statekv.Op{Delete: job.RecordKey("wk-7")})
 		kv, _ := f.state.Get(f.ctx, statekv.ClusterVersionKey)
-		f.state.Delay(300 * time.Millisecond)
+		f.state.SetTxnLatency(300 * time.Millisecond)
 		done := make(chan error)
 		go func() { done <- lower() }()
 		time.Sleep(100 * time.Millisecond)
@@ -190,7 +190,7 @@
 		if _, err := f.state.Txn(f.ctx, []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: kv.Rev}}, []statekv.Op{{Set: job.RecordKey("wk-8"), Value: waiting}}); !statekv.IsConflict(err) {
 			t.Fatalf("taken although pipelines are to go: %v", err)
 		}
-		f.state.Delay(0)
+		f.state.SetTxnLatency(0)
 		time.Sleep(3 * time.Second)
 		if !f.has(rollout.FeatureDependencies) {
 			t.Fatal("gone with a job that needs them")
@@ -223,7 +223,7 @@
 		if !f.has(rollout.FeatureDependencies) {
 			t.Fatal(f.features())
 		}
-		f.state.Delay(150 * time.Millisecond)
+		f.state.SetTxnLatency(150 * time.Millisecond)
 		before, _ := f.state.Get(f.ctx, statekv.ClusterVersionKey)
 		writes := 0
 		for end := time.Now().Add(20 * time.Second); f.has(rollout.FeatureDependencies) && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
--- a/internal/rollout/story_test.go
+++ b/internal/rollout/story_test.go
@@ -24,7 +24,7 @@
 type fleet struct {
 	t     *testing.T
 	ctx   context.Context
-	state *emulator.State
+	state *emulator.StateService
 	lives map[string]*life
 	pace  float64 // changes a second of a move
 
@@ -104,12 +104,12 @@
 // movers' clients learn that from the first refusal.
 func (f *fleet) lower(ops int) {
 	f.learned.Store(int64(ops))
-	f.state.Limit(2048, ops)
+	f.state.SetSizeLimits(2048, ops)
 }
 
 // learning is the state service as a client sees it that learns how many changes it takes.
 type learning struct {
-	*emulator.State
+	*emulator.StateService
 	most *atomic.Int64
 }
 
@@ -159,7 +159,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		tell(&fleet{t: t, ctx: ctx, state: emulator.NewState(), lives: map[string]*life{}, pace: 8})
+		tell(&fleet{t: t, ctx: ctx, state: emulator.NewStateService(), lives: map[string]*life{}, pace: 8})
 	})
 }
 
@@ -341,7 +341,7 @@
 		time.Sleep(soak + 6*time.Second)
 		f.is(3, "after the soak")
 		time.Sleep(soak - 3*time.Second)
-		f.state.Delay(2 * time.Second) // the rise takes that long
+		f.state.SetTxnLatency(2 * time.Second) // the rise takes that long
 		time.Sleep(2 * time.Second)
 		do := func(host, verb string) error {
 			return f.lives[host].gate.Execute(f.ctx, verb, "", "told so")
@@ -349,7 +349,7 @@
 		if err := do("host-2", rollout.CommandHold); err != nil {
 			t.Fatal(err)
 		}
-		f.state.Delay(0)
+		f.state.SetTxnLatency(0)
 		held := f.level()
 		time.Sleep(3 * soak)
 		f.is(held, "while it is held")
@@ -414,14 +414,14 @@
 			return took, float64(f.state.Changes()-changes) / took.Seconds()
 		}
 		wait("the rise", func() bool { return f.level() == 4 })
-		count := func(prefix string) int { return len(f.state.Dir(prefix)) }
+		count := func(prefix string) int { return len(f.state.ListAll(prefix)) }
 
 		wait("half of the move", func() bool { return count(tombstone.Prefix) > jobs/2 })
-		f.state.Set(true, false)
+		f.state.SetOutage(true, false)
 		time.Sleep(20 * time.Second)
-		f.state.Set(false, true) // answers are lost: what was sent is carried out
+		f.state.SetOutage(false, true) // answers are lost: what was sent is carried out
 		time.Sleep(20 * time.Second)
-		f.state.Set(false, false)
+		f.state.SetOutage(false, false)
 		if err := f.start("host-1", true); err != nil { // which is steward now
 			t.Fatal(err)
 		}
--- a/internal/scheduler/begin_test.go
+++ b/internal/scheduler/begin_test.go
@@ -36,9 +36,9 @@
 			id  string
 		}
 		var over []on
-		b.workers.Do(func() {
+		b.workers.WithLock(func() {
 			for _, box := range b.boxes {
-				for _, t := range box.Report.Tasks {
+				for _, t := range box.Heartbeat.Tasks {
 					key := fmt.Sprint(t.ID, t.Attempt)
 					if b.began[key].IsZero() {
 						b.began[key] = time.Now()
@@ -50,7 +50,7 @@
 			}
 		})
 		for _, o := range over {
-			b.workers.End(o.box, o.id, worker.CauseDone)
+			b.workers.EndTask(o.box, o.id, worker.CauseDone)
 		}
 	}
 }
--- a/internal/scheduler/chunks_test.go
+++ b/internal/scheduler/chunks_test.go
@@ -13,7 +13,7 @@
 // takes what it may, and the rest goes with the next ones; nothing is left out.
 func TestChunksAreFoldedWithinTheLimit(t *testing.T) {
 	const most = 8
-	p := &Scheduler{settings: &config.Settings{StateLimits: config.StateLimits{MaxValueBytes: 2048, MaxTxnOps: most}}, store: emulator.NewState()}
+	p := &Scheduler{settings: &config.Settings{StateLimits: config.StateLimits{MaxValueBytes: 2048, MaxTxnOps: most}}, store: emulator.NewStateService()}
 	spec := job.Spec{ID: "wk-1", Class: "c", Team: "t", Shape: job.Array, Rank: "normal", Tasks: job.MaxTasks, Image: "i"}
 	j := &jobState{spec: &spec, rest: &job.Record{}, done: job.NewTaskBitmap(spec.Tasks), dirty: map[int]bool{}}
 	all := job.ChunkCount(spec.Tasks)
--- a/internal/scheduler/drawn_test.go
+++ b/internal/scheduler/drawn_test.go
@@ -45,11 +45,11 @@
 func (c *checker) look() {
 	on := map[string][]string{}
 	completed := map[string]bool{}
-	c.workers.Do(func() {
+	c.workers.WithLock(func() {
 		for _, b := range c.boxes {
-			for _, t := range b.Report.Tasks {
+			for _, t := range b.Heartbeat.Tasks {
 				if t.State != worker.TaskExited {
-					on[t.ID] = append(on[t.ID], b.Report.Machine)
+					on[t.ID] = append(on[t.ID], b.Heartbeat.Machine)
 				} else if t.Cause == worker.CauseDone {
 					completed[t.ID] = true
 				}
@@ -85,11 +85,11 @@
 
 // openStill and stored tell what the records say, also while nobody can read them.
 func (c *checker) openStill(id string) bool {
-	return slices.ContainsFunc(c.state.Dir(job.RecordKey(id)), func(kv statekv.KV) bool { return kv.Key == job.RecordKey(id) })
+	return slices.ContainsFunc(c.state.ListAll(job.RecordKey(id)), func(kv statekv.KV) bool { return kv.Key == job.RecordKey(id) })
 }
 
 func (c *checker) stored(id string) string {
-	for _, kv := range append(c.state.Dir(tombstone.LegacyKey(id)), c.state.Dir(tombstone.Key(id))...) {
+	for _, kv := range append(c.state.ListAll(tombstone.LegacyKey(id)), c.state.ListAll(tombstone.Key(id))...) {
 		if of, r, ok, err := tombstone.Parse(kv.Key, kv.Value); ok && err == nil && of == id {
 			return r.Status
 		}
@@ -164,30 +164,30 @@
 				w.mu.Unlock()
 				n.stop()
 				time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
-				w.state.Set(false, false)
+				w.state.SetOutage(false, false)
 				begin(host)
 			}
 		case 1: // away for a while
 			if n := w.node(host); n != nil && w.node(other(host)) != nil {
 				w.crash(n, up[host])
 				w.run(time.Duration(rng.IntN(10)) * time.Second)
-				w.state.Set(false, false)
+				w.state.SetOutage(false, false)
 				begin(host)
 			}
 		case 2:
-			w.state.Set(true, false)
+			w.state.SetOutage(true, false)
 		case 3:
-			w.state.Set(false, true)
+			w.state.SetOutage(false, true)
 		case 4, 5:
-			w.state.Set(false, false)
+			w.state.SetOutage(false, false)
 		case 6:
-			w.workers.Do(func() { box.Deaf = !box.Deaf })
+			w.workers.WithLock(func() { box.HoldCommands = !box.HoldCommands })
 		case 7:
-			w.workers.Do(func() { box.Deaf = false })
-			w.workers.DeliverLate(box)
+			w.workers.WithLock(func() { box.HoldCommands = false })
+			w.workers.DeliverHeldCommands(box)
 		case 8:
 			var r worker.Heartbeat
-			w.workers.Do(func() { r = box.Report; r.Tasks = slices.Clone(box.Report.Tasks) })
+			w.workers.WithLock(func() { r = box.Heartbeat; r.Tasks = slices.Clone(box.Heartbeat.Tasks) })
 			copies = append(copies, late{r, time.Now().Add(time.Duration(rng.IntN(60)) * time.Second)})
 		case 9:
 			if len(ids) > 0 {
@@ -211,10 +211,10 @@
 			w.endAll(worker.CauseDone)
 		}
 	}
-	w.state.Set(false, false)
+	w.state.SetOutage(false, false)
 	for _, b := range w.boxes {
-		w.workers.Do(func() { b.Deaf = false })
-		w.workers.DeliverLate(b)
+		w.workers.WithLock(func() { b.HoldCommands = false })
+		w.workers.DeliverHeldCommands(b)
 	}
 	for range 60 {
 		w.run(5 * time.Second)
@@ -281,8 +281,8 @@
 				for _, p := range s.WaitsOn {
 					if c.openStill(p) && !c.began[id] && c.cancelled[p].IsZero() {
 						c.put(tombstone.WriteOps(p, tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.LegacyOnly)...)
-						c.workers.Do(func() {
-							c.boxes[0].Report.Tasks = append(c.boxes[0].Report.Tasks, worker.Task{ID: id + "/0", Attempt: 1 << 50, State: worker.TaskRunning})
+						c.workers.WithLock(func() {
+							c.boxes[0].Heartbeat.Tasks = append(c.boxes[0].Heartbeat.Tasks, worker.Task{ID: id + "/0", Attempt: 1 << 50, State: worker.TaskRunning})
 						})
 						return true
 					}
@@ -292,12 +292,12 @@
 		},
 		"ran_twice": func(c *checker) bool {
 			done := false
-			c.workers.Do(func() {
+			c.workers.WithLock(func() {
 				for k, b := range c.boxes {
-					for _, t := range b.Report.Tasks {
+					for _, t := range b.Heartbeat.Tasks {
 						if t.State == worker.TaskRunning && !done {
 							other := c.boxes[1-k]
-							other.Report.Tasks = append(other.Report.Tasks, worker.Task{ID: t.ID, Attempt: t.Attempt + 1, State: worker.TaskRunning})
+							other.Heartbeat.Tasks = append(other.Heartbeat.Tasks, worker.Task{ID: t.ID, Attempt: t.Attempt + 1, State: worker.TaskRunning})
 							done = true
 						}
 					}
--- a/internal/scheduler/patience_test.go
+++ b/internal/scheduler/patience_test.go
@@ -28,15 +28,15 @@
 	w.run(3 * time.Second)
 	w.boxes = append(w.boxes, m2)
 	w.run(4 * time.Second)
-	if w.startsOf("wk-2") != 1 || len(w.boxes[0].Starts) != 2 {
+	if w.startsOf("wk-2") != 1 || len(w.boxes[0].Started) != 2 {
 		w.t.Fatal("the first machine is not full")
 	}
 	return n
 }
 
 func (w *world) startedOn(box int, task string) (yes bool) {
-	w.workers.Do(func() {
-		for _, s := range w.boxes[box].Starts {
+	w.workers.WithLock(func() {
+		for _, s := range w.boxes[box].Started {
 			yes = yes || s == task
 		}
 	})
--- a/internal/scheduler/pipelines_test.go
+++ b/internal/scheduler/pipelines_test.go
@@ -132,13 +132,13 @@
 			w.submit(n, after("wk-1"))
 			w.submit(n, after("wk-2", "wk-1"))
 			w.run(4 * time.Second)
-			w.state.Set(true, false)
+			w.state.SetOutage(true, false)
 			w.endAll(worker.CauseDone)
 			w.run(2 * time.Second)
 			if w.started("wk-2") {
 				t.Fatal("it was started on a belief")
 			}
-			w.state.Set(false, false)
+			w.state.SetOutage(false, false)
 			if cancelled {
 				w.cancel("wk-1")
 			}
@@ -238,8 +238,8 @@
 		}
 		w.submit(n, withGPUs(after("wk-5", "wk-20"), 2))
 		w.run(20 * time.Second)
-		w.workers.End(w.boxes[0], "wk-20/0", worker.CauseDone)
-		w.workers.End(w.boxes[1], "wk-20/0", worker.CauseDone)
+		w.workers.EndTask(w.boxes[0], "wk-20/0", worker.CauseDone)
+		w.workers.EndTask(w.boxes[1], "wk-20/0", worker.CauseDone)
 		w.run(5 * time.Second)
 		was := n.queue(w)["wk-5"]
 		w.crash(n, 1)
@@ -288,7 +288,7 @@
 // nothing started, at the limits to come; who asks is told long before (package pipeline).
 func TestThousandsWithdrawn(t *testing.T) {
 	story(t, func(w *world) {
-		w.state.Limit(2048, 8)
+		w.state.SetSizeLimits(2048, 8)
 		n := w.start("host-0")
 		w.run(3 * time.Second)
 		w.submit(n, after("wk-0"))
@@ -299,11 +299,11 @@
 		w.run(2 * time.Second)
 		w.cancel("wk-0")
 		w.run(50 * time.Second)
-		left := len(w.state.Dir(job.RecordPrefix))
+		left := len(w.state.ListAll(job.RecordPrefix))
 		if left > 0 || len(w.starts()) > 1 {
 			t.Errorf("%d are open, started %v", left, w.starts())
 		}
-		if over := w.state.Over(); len(over) > 0 {
+		if over := w.state.SizeViolations(); len(over) > 0 {
 			t.Error(over)
 		}
 	})
@@ -324,7 +324,7 @@
 		}
 		s.Types = append(s.Types, "box")
 		w.submit(n, s)
-		w.state.Limit(2048, 8)
+		w.state.SetSizeLimits(2048, 8)
 		w.run(4 * time.Second)
 		w.endAll(worker.CauseDone)
 		w.run(6 * time.Second)
@@ -332,7 +332,7 @@
 		if err != nil || len(kv.Value) > 2048 {
 			t.Fatalf("%d bytes: %v", len(kv.Value), err)
 		}
-		pieces := len(w.state.Dir(job.SpecFragmentPrefix))
+		pieces := len(w.state.ListAll(job.SpecFragmentPrefix))
 		w.crash(n, 1)
 		time.Sleep(40 * time.Second)
 		w.start("host-1")
@@ -340,7 +340,7 @@
 		if len(w.starts()) <= 4 || pieces == 0 {
 			t.Fatalf("%d pieces; it did not go on: %v", pieces, w.starts())
 		}
-		if over := w.state.Over(); len(over) > 0 {
+		if over := w.state.SizeViolations(); len(over) > 0 {
 			t.Error(over)
 		}
 	})
--- a/internal/scheduler/slots_test.go
+++ b/internal/scheduler/slots_test.go
@@ -41,7 +41,7 @@
 		w.t.Fatalf("%d and %d tasks started", w.startsOf("wk-1"), w.startsOf("wk-2"))
 	}
 	silent = w.boxes[1]
-	w.workers.Do(func() { silent.Deaf = true })
+	w.workers.WithLock(func() { silent.HoldCommands = true })
 	w.boxes = w.boxes[:1]
 	w.crash(a, 1)
 	return survivor, silent
@@ -78,8 +78,8 @@
 		b, silent := crashWithSilent(w)
 		w.run(4 * time.Second)
 		young := w.workers.Add("m3", "box", "a")
-		w.workers.Do(func() { young.Deaf, silent.Deaf = true, false })
-		r := w.workers.Next(young)
+		w.workers.WithLock(func() { young.HoldCommands, silent.HoldCommands = true, false })
+		r := w.workers.NextHeartbeat(young)
 		b.agent.Heartbeat(w.ctx, &r) // claimed, and not heard of again
 		w.boxes = append(w.boxes, silent)
 		w.run(3 * time.Second)
@@ -118,10 +118,10 @@
 		w.run(5 * time.Second)
 		w.endAll(worker.CauseDone)
 		w.run(20 * time.Second)
-		if slots := w.state.Dir(statekv.JobShardPrefix); len(slots) != 2 {
+		if slots := w.state.ListAll(statekv.JobShardPrefix); len(slots) != 2 {
 			t.Errorf("%d slots for two controllers", len(slots))
 		}
-		if shards := w.state.Dir(statekv.MachineShardPrefix); len(shards) > 12 {
+		if shards := w.state.ListAll(statekv.MachineShardPrefix); len(shards) > 12 {
 			t.Errorf("%d shards for two controllers in two zones", len(shards))
 		}
 		for _, n := range []*node{a, b} {
@@ -165,9 +165,9 @@
 		w.run(3 * time.Second)
 		w.start("host-1")
 		w.run(3 * time.Second)
-		w.workers.Do(func() {
+		w.workers.WithLock(func() {
 			for _, b := range w.boxes {
-				b.Deaf = true // reports get through, commands are held
+				b.HoldCommands = true // reports get through, commands are held
 			}
 		})
 		w.submit(a, spec("wk-1", job.Array, 1, 1))
@@ -177,8 +177,8 @@
 		w.boxes = nil
 		w.run(6 * time.Second)
 		for _, b := range boxes {
-			w.workers.DeliverLate(b)
-			w.workers.Do(func() { b.Deaf = false })
+			w.workers.DeliverHeldCommands(b)
+			w.workers.WithLock(func() { b.HoldCommands = false })
 		}
 		w.boxes = boxes
 		w.run(8 * time.Second)
--- a/internal/scheduler/story_test.go
+++ b/internal/scheduler/story_test.go
@@ -30,7 +30,7 @@
 type world struct {
 	t       *testing.T
 	ctx     context.Context
-	state   *emulator.State
+	state   *emulator.StateService
 	workers *emulator.Workers
 	mu      sync.Mutex
 	nodes   map[string]*node
@@ -199,10 +199,10 @@
 					host = other(host)
 					continue
 				}
-				r := w.workers.Next(box)
+				r := w.workers.NextHeartbeat(box)
 				reply := n.agent.Heartbeat(w.ctx, &r)
 				if reply.Owner {
-					w.workers.Answer(box, reply.Answer)
+					w.workers.DeliverAnswer(box, reply.Answer)
 					break
 				}
 				host = other(host)
@@ -252,9 +252,9 @@
 // are on machines.
 func (w *world) starts() map[string]int {
 	out := map[string]int{}
-	w.workers.Do(func() {
+	w.workers.WithLock(func() {
 		for _, b := range w.boxes {
-			for _, s := range b.Starts {
+			for _, s := range b.Started {
 				out[s]++
 			}
 		}
@@ -263,9 +263,9 @@
 }
 
 func (w *world) tasks() (n int) {
-	w.workers.Do(func() {
+	w.workers.WithLock(func() {
 		for _, b := range w.boxes {
-			n += len(b.Report.Tasks)
+			n += len(b.Heartbeat.Tasks)
 		}
 	})
 	return n
@@ -273,16 +273,16 @@
 
 func (w *world) endAll(cause string) {
 	var ids []string
-	w.workers.Do(func() {
+	w.workers.WithLock(func() {
 		for _, b := range w.boxes {
-			for _, t := range b.Report.Tasks {
+			for _, t := range b.Heartbeat.Tasks {
 				ids = append(ids, t.ID)
 			}
 		}
 	})
 	for _, b := range w.boxes {
 		for _, id := range ids {
-			w.workers.End(b, id, cause)
+			w.workers.EndTask(b, id, cause)
 		}
 	}
 }
@@ -294,7 +294,7 @@
 func story(t *testing.T, f func(w *world)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &world{t: t, ctx: ctx, state: emulator.NewState(), workers: emulator.NewWorkers(), nodes: map[string]*node{}, homes: map[*emulator.Worker]string{}}
+		w := &world{t: t, ctx: ctx, state: emulator.NewStateService(), workers: emulator.NewWorkers(), nodes: map[string]*node{}, homes: map[*emulator.Worker]string{}}
 		defer func() { cancel(); time.Sleep(10 * time.Second); synctest.Wait() }()
 		w.boxes = []*emulator.Worker{w.workers.Add("m1", "box", "a"), w.workers.Add("m2", "box", "b")}
 		f(w)
@@ -388,11 +388,11 @@
 		w.submit(n, spec("wk-1", job.Array, 1, 2))
 		w.run(3 * time.Second)
 		lost, other := w.boxes[0], w.boxes[1]
-		w.workers.Do(func() {
-			if len(lost.Starts) == 0 {
+		w.workers.WithLock(func() {
+			if len(lost.Started) == 0 {
 				lost, other = other, lost
 			}
-			lost.Deaf = true
+			lost.HoldCommands = true
 		})
 		w.boxes = []*emulator.Worker{other}
 		w.run(25 * time.Second)
@@ -424,8 +424,8 @@
 		if s := w.starts(); s["wk-2/0"] != 1 || s["wk-2/1"] != 1 {
 			t.Fatalf("the gang did not start: %v", s)
 		}
-		w.workers.End(w.boxes[0], "wk-2/0", worker.CauseFailed)
-		w.workers.End(w.boxes[0], "wk-2/1", worker.CauseFailed)
+		w.workers.EndTask(w.boxes[0], "wk-2/0", worker.CauseFailed)
+		w.workers.EndTask(w.boxes[0], "wk-2/1", worker.CauseFailed)
 		w.run(2 * time.Second)
 		if got := w.tasks(); got > 1 {
 			t.Fatalf("%d tasks of a broken gang left", got)
@@ -489,20 +489,20 @@
 		}
 		bad := w.boxes[0]
 		var failing []string
-		w.workers.Do(func() {
-			for _, x := range bad.Report.Tasks {
+		w.workers.WithLock(func() {
+			for _, x := range bad.Heartbeat.Tasks {
 				failing = append(failing, x.ID)
 			}
 		})
 		for _, id := range failing {
-			w.workers.End(bad, id, worker.CauseFailed)
+			w.workers.EndTask(bad, id, worker.CauseFailed)
 		}
 		w.run(2 * time.Second)
 		w.endAll(worker.CauseDone)
 		w.run(3 * time.Second)
 		_, entries = n.agent.Snapshot()
 		for _, e := range entries {
-			if e.Faulty != (e.Machine == bad.Report.Machine) {
+			if e.Faulty != (e.Machine == bad.Heartbeat.Machine) {
 				t.Fatalf("%s: faulty is %v", e.Machine, e.Faulty)
 			}
 		}
@@ -520,7 +520,7 @@
 		w.run(2 * time.Second)
 		slot, epoch, _ := frozen.placer.OwnJobShard()
 		var token uint64
-		w.workers.Do(func() { token = w.boxes[0].Report.FencingToken })
+		w.workers.WithLock(func() { token = w.boxes[0].Heartbeat.FencingToken })
 		n := w.start("host-1")
 		w.run(2 * time.Second)
 		w.mu.Lock()
@@ -569,19 +569,19 @@
 		w.submit(n, spec("wk-1", job.Array, 1, 1))
 		w.run(2 * time.Second)
 		left, gone := w.boxes[0], w.boxes[1]
-		if len(left.Starts) > 0 {
+		if len(left.Started) > 0 {
 			left, gone = gone, left
 		}
-		if len(gone.Starts) != 1 {
+		if len(gone.Started) != 1 {
 			t.Fatal("not started")
 		}
 		w.boxes = []*emulator.Worker{left}
-		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: statekv.MachinePrefix + gone.Report.Machine}}); err != nil {
+		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: statekv.MachinePrefix + gone.Heartbeat.Machine}}); err != nil {
 			t.Fatal(err)
 		}
 		w.crash(owner, 1)
 		w.run(10 * time.Second)
-		if len(left.Starts) != 1 {
+		if len(left.Started) != 1 {
 			t.Fatal("the task was not started on the other machine")
 		}
 	})
@@ -637,10 +637,10 @@
 		w.run(3 * time.Second)
 		w.submit(n, spec("wk-1", job.Gang, 2, 2))
 		w.run(4 * time.Second)
-		w.state.Delay(1500 * time.Millisecond)
+		w.state.SetTxnLatency(1500 * time.Millisecond)
 		for i, box := range w.boxes {
 			for k := range 2 {
-				w.workers.End(box, job.TaskID("wk-1", k), worker.CauseDone)
+				w.workers.EndTask(box, job.TaskID("wk-1", k), worker.CauseDone)
 			}
 			if i == 0 {
 				w.run(time.Second)
@@ -691,7 +691,7 @@
 		for k := range 3 {
 			time.Sleep(800 * time.Millisecond)
 			for _, box := range w.boxes {
-				w.workers.End(box, job.TaskID("wk-1", k), worker.CauseDone)
+				w.workers.EndTask(box, job.TaskID("wk-1", k), worker.CauseDone)
 			}
 			w.run(2 * time.Second)
 		}
--- a/internal/statekv/limits_test.go
+++ b/internal/statekv/limits_test.go
@@ -15,7 +15,7 @@
 // as too large is written in smaller transactions, and nothing is left out. What is
 // refused for another reason teaches nothing.
 func TestLimitsLoweredWithoutNotice(t *testing.T) {
-	state := emulator.NewState()
+	state := emulator.NewStateService()
 	server := httptest.NewServer(state)
 	defer server.Close()
 	client := statekv.NewClient(strings.TrimPrefix(server.URL, "http://"), 1e4, 1e5, 1)
@@ -35,16 +35,16 @@
 	for k := range 50 {
 		roles = append(roles, statekv.Role{Key: fmt.Sprintf("%s%d", statekv.JobShardPrefix, k), Value: member.Holder})
 	}
-	state.Limit(2048, 5)
+	state.SetSizeLimits(2048, 5)
 	taken, err := member.AcquireAll(ctx, roles, 24)
 	if err != nil || len(taken) != 50 || client.MaxTxnOps(24) > 5+1 {
 		t.Fatalf("%d taken: %v; %d changes from then on", len(taken), err, client.MaxTxnOps(24))
 	}
-	if over := state.Over(); len(over) > 6 {
+	if over := state.SizeViolations(); len(over) > 6 {
 		t.Errorf("it was refused %d times before it learned: %v", len(over), over)
 	}
 	// Larger again: it finds out by and by.
-	state.Limit(0, 0)
+	state.SetSizeLimits(0, 0)
 	for range 40 {
 		if _, err := client.Txn(ctx, nil, make([]statekv.Op, 0)); err != nil {
 			t.Fatal(err)
--- a/internal/statekv/mirror_test.go
+++ b/internal/statekv/mirror_test.go
@@ -15,12 +15,12 @@
 
 // between does something once, after the first page has been read.
 type between struct {
-	*emulator.State
+	*emulator.StateService
 	then func()
 }
 
 func (b *between) List(ctx context.Context, prefix, after string) (statekv.Page, error) {
-	p, err := b.State.List(ctx, prefix, after)
+	p, err := b.StateService.List(ctx, prefix, after)
 	if then := b.then; then != nil {
 		b.then = nil
 		then()
@@ -35,8 +35,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
-		state := emulator.NewEmptyState()
-		store := &between{State: state}
+		state := emulator.NewEmptyStateService()
+		store := &between{StateService: state}
 		mirror := statekv.NewMirror(store, []string{statekv.ClusterPrefix, jobs}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		var other *statekv.Session
 		store.then = func() {
@@ -66,7 +66,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
-		state := emulator.NewState()
+		state := emulator.NewStateService()
 		blind := statekv.NewMirror(state, nil, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		holder, err := statekv.OpenSession(ctx, state, blind, "host-1", time.Hour, statekv.Registration{})
 		if err != nil {
@@ -102,7 +102,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); synctest.Wait() }()
-		state := emulator.NewState()
+		state := emulator.NewStateService()
 		mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		join := func(host string) *statekv.Session {
 			m, err := statekv.OpenSession(ctx, state, mirror, host, time.Hour, statekv.Registration{})
@@ -137,7 +137,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
-		state := emulator.NewState()
+		state := emulator.NewStateService()
 		mirror := statekv.NewMirror(state, []string{jobs}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		heard := 0
 		mirror.OnApply = func(events []statekv.Event) {
--- a/internal/statekv/rest_test.go
+++ b/internal/statekv/rest_test.go
@@ -59,7 +59,7 @@
 // Roles are taken over with the unknown fields of their keys; one of a form that this
 // build does not know is told from a damaged one.
 func TestRolesKeepWhatTheyDoNotKnow(t *testing.T) {
-	state, ctx := emulator.NewState(), context.Background()
+	state, ctx := emulator.NewStateService(), context.Background()
 	for k := range 3 {
 		key := fmt.Sprintf("%ss%d", statekv.JobShardPrefix, k)
 		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: key, Value: map[string]any{"host": "host-9", "instance": 1, "colour": "blue"}}}); err != nil {
@@ -84,7 +84,7 @@
 	if taken, err := m.AcquireAll(ctx, roles[1:], 24); err != nil || len(taken) != 2 {
 		t.Fatal(taken, err)
 	}
-	for _, kv := range state.Dir(statekv.JobShardPrefix) {
+	for _, kv := range state.ListAll(statekv.JobShardPrefix) {
 		var v struct {
 			statekv.Holder
 			Colour string `json:"colour"`
--- a/internal/tombstone/ended_test.go
+++ b/internal/tombstone/ended_test.go
@@ -63,7 +63,7 @@
 
 // moving has a record change its form right before it is read.
 type moving struct {
-	*emulator.State
+	*emulator.StateService
 	before func()
 }
 
@@ -72,13 +72,13 @@
 		m.before = nil
 		f()
 	}
-	return m.State.Get(ctx, key)
+	return m.StateService.Get(ctx, key)
 }
 
 // A record is found whichever form it has, also if that changes between two reads; that
 // there is none is said only by one whose life goes on.
 func TestRead(t *testing.T) {
-	state := &moving{State: emulator.NewState()}
+	state := &moving{StateService: emulator.NewStateService()}
 	ctx := t.Context()
 	write := func(ops ...statekv.Op) {
 		t.Helper()
@@ -137,7 +137,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
-		state := emulator.NewState()
+		state := emulator.NewStateService()
 		put := func(ops ...statekv.Op) {
 			if _, err := state.Txn(ctx, nil, ops); err != nil {
 				t.Fatal(err)
@@ -149,7 +149,7 @@
 			}
 		}
 		put(statekv.Op{Set: job.RecordKey("wk-2"), Value: 1})
-		state.Limit(2048, 8)
+		state.SetSizeLimits(2048, 8)
 		mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.RecordPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 		if err := mirror.Load(ctx); err != nil {
 			t.Fatal(err)
@@ -162,7 +162,9 @@
 		var steward atomic.Uint64
 		s := &tombstone.GarbageCollector{Store: state, Mirror: mirror, Member: member, LeaderEpoch: steward.Load, TxnOps: 8, Interval: time.Minute}
 		go s.Run(ctx)
-		left := func() int { return len(state.Dir(job.CompletedChunkPrefix)) + len(state.Dir(job.SpecFragmentPrefix)) }
+		left := func() int {
+			return len(state.ListAll(job.CompletedChunkPrefix)) + len(state.ListAll(job.SpecFragmentPrefix))
+		}
 		all := left()
 		time.Sleep(3 * time.Minute)
 		if left() != all {
@@ -170,8 +172,8 @@
 		}
 		steward.Store(1)
 		time.Sleep(3 * time.Minute)
-		if left() != all/3 || len(state.Over()) > 0 {
-			t.Fatalf("%d of %d left, %v", left(), all, state.Over())
+		if left() != all/3 || len(state.SizeViolations()) > 0 {
+			t.Fatalf("%d of %d left, %v", left(), all, state.SizeViolations())
 		}
 		put(statekv.Op{Delete: job.RecordKey("wk-2")})
 		time.Sleep(2 * time.Minute)
@@ -184,7 +186,7 @@
 // A mirror reads each tombstone once, for all who follow it.
 func TestChangeIsReadOnce(t *testing.T) {
 	read := 0
-	state := emulator.NewState()
+	state := emulator.NewStateService()
 	var got []tombstone.Change
 	mirror := statekv.NewMirror(state, nil, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
 		for _, e := range events {
--- a/internal/tombstone/finder_test.go
+++ b/internal/tombstone/finder_test.go
@@ -18,7 +18,7 @@
 
 // slow is a state service that allows so many lookups a second, and counts requests.
 type slow struct {
-	*emulator.State
+	*emulator.StateService
 	every    time.Duration
 	mu       sync.Mutex
 	next     time.Time
@@ -39,7 +39,7 @@
 	s.mu.Lock()
 	s.requests++
 	s.mu.Unlock()
-	return s.State.Txn(ctx, when, then)
+	return s.StateService.Txn(ctx, when, then)
 }
 
 // Hundreds of questions about jobs that nobody submitted come every second; one about a
@@ -49,8 +49,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		s := &slow{State: emulator.NewState(), every: 150 * time.Millisecond}
-		if _, err := s.State.Txn(ctx, nil, tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.CompactOnly)); err != nil {
+		s := &slow{StateService: emulator.NewStateService(), every: 150 * time.Millisecond}
+		if _, err := s.StateService.Txn(ctx, nil, tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.CompactOnly)); err != nil {
 			t.Fatal(err)
 		}
 		f := tombstone.NewBatchedLookup(s, 32, 6.7)
@@ -93,7 +93,7 @@
 func TestFinderTellsThemApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
-		state := emulator.NewState()
+		state := emulator.NewStateService()
 		for k, form := range []tombstone.Formats{tombstone.LegacyOnly, tombstone.LegacyAndCompact, tombstone.CompactOnly} {
 			if _, err := state.Txn(ctx, nil, tombstone.WriteOps(fmt.Sprintf("wk-%d", k), tombstone.Tombstone{Status: job.Done, Tasks: k + 1}, form)); err != nil {
 				t.Fatal(err)
--- a/test/integration/chains_test.go
+++ b/test/integration/chains_test.go
@@ -28,14 +28,14 @@
 					chain = append(chain, s)
 				}
 				for k, s := range chain[:len(chain)-1] {
-					w.until("it has run", 3*time.Minute, func() bool { return w.history.Completed(job.TaskID(s.ID, s.Tasks-1)) })
+					w.until("it has run", 3*time.Minute, func() bool { return w.history.TaskCompleted(job.TaskID(s.ID, s.Tasks-1)) })
 					h := w.hosts[(k+1)%3]
 					w.crash(h)
 					time.Sleep(back)
 					w.start(h)
 				}
 				time.Sleep(2 * time.Minute)
-				w.history.End()
+				w.history.CheckFinalState()
 				w.check()
 			})
 		})
@@ -54,32 +54,32 @@
 		for k := range 1000 {
 			s := array(w.id(), 1)
 			s.WaitsOn = []string{first.ID}
-			w.history.Offers(s)
-			asked := w.history.Asking()
+			w.history.RecordSubmission(s)
+			asked := w.history.StampRequest()
 			code, status := w.call(w.hosts[k%3], http.MethodPost, "/submissions", wireSpec(s), 5*time.Second)
-			w.history.Told("submit", s.ID, asked, code, status)
+			w.history.RecordResponse("submit", s.ID, asked, code, status)
 			if code != 201 {
 				w.t.Fatalf("%s was answered with %d", s.ID, code)
 			}
 			ids = append(ids, s.ID)
 		}
 		for _, h := range w.hosts {
-			w.port(h).Limit(20)
+			w.port(h).SetChangeRate(20)
 		}
 		if !w.cancel("host-1", first.ID) {
 			w.t.Fatal("not told as cancelled")
 		}
 		time.Sleep(workers.CancellationDeadline - 20*time.Second)
 		for k, id := range ids {
-			asked := w.history.Asking()
+			asked := w.history.StampRequest()
 			code, status := w.call(w.hosts[k%3], http.MethodGet, "/submissions/"+id, nil, 2*time.Second)
-			w.history.Told("query", id, asked, code, status)
+			w.history.RecordResponse("query", id, asked, code, status)
 			if status != job.Cancelled {
 				w.t.Fatalf("%s is told as %d %s", id, code, status)
 			}
 		}
-		w.until("all are recorded", 5*time.Minute, func() bool { return len(w.state.Dir(job.RecordPrefix)) == 0 })
-		w.t.Logf("all were recorded %v after the cancellation", time.Since(w.history.ToldAt(first.ID)))
+		w.until("all are recorded", 5*time.Minute, func() bool { return len(w.state.ListAll(job.RecordPrefix)) == 0 })
+		w.t.Logf("all were recorded %v after the cancellation", time.Since(w.history.CancelAcknowledgedAt(first.ID)))
 		w.check()
 	})
 }
--- a/test/integration/close_test.go
+++ b/test/integration/close_test.go
@@ -18,13 +18,13 @@
 func TestCloseLooks(t *testing.T) {
 	for name, one := range map[string]func(w *world){
 		"all are well":              func(*world) {},
-		"one's watches lag":         func(w *world) { w.port("host-1").Lag(1500 * time.Millisecond) },
-		"one is answered slowly":    func(w *world) { w.port("host-1").Trouble(700*time.Millisecond, 0) },
-		"one is refused":            func(w *world) { w.port("host-1").Refuse(true) },
+		"one's watches lag":         func(w *world) { w.port("host-1").SetWatchLag(1500 * time.Millisecond) },
+		"one is answered slowly":    func(w *world) { w.port("host-1").SetFaults(700*time.Millisecond, 0) },
+		"one is refused":            func(w *world) { w.port("host-1").SetRefuseAll(true) },
 		"one joins again and again": func(w *world) { go w.rejoin("host-1") },
-		"one has answers lost":      func(w *world) { w.port("host-1").AtOnce(true); w.port("host-1").Trouble(0, 0.5) },
+		"one has answers lost":      func(w *world) { w.port("host-1").SetLoseAnswersOnly(true); w.port("host-1").SetFaults(0, 0.5) },
 		"one does not reach peers":  func(w *world) { w.notSteward("host-1"); w.hub.set("host-1", true) },
-		"one has late transactions": func(w *world) { w.port("host-1").Trouble(0, 0.5) },
+		"one has late transactions": func(w *world) { w.port("host-1").SetFaults(0, 0.5) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -53,9 +53,9 @@
 							return
 						}
 						for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-							asked := w.history.Asking()
+							asked := w.history.StampRequest()
 							code, status := w.call(w.hosts[k%3], http.MethodGet, "/submissions/"+s.ID, nil, 2*time.Second)
-							w.history.Told("query", s.ID, asked, code, status)
+							w.history.RecordResponse("query", s.ID, asked, code, status)
 							if status == job.Done {
 								w.lookClosely(s, &ended)
 								return
@@ -107,14 +107,14 @@
 		if !w.submit("host-0", open, time.Hour) || !w.submit("host-1", over, time.Second) {
 			w.t.Fatal("not accepted")
 		}
-		w.until("one is done", time.Minute, func() bool { return w.history.Completed(job.TaskID(over.ID, 0)) })
+		w.until("one is done", time.Minute, func() bool { return w.history.TaskCompleted(job.TaskID(over.ID, 0)) })
 		time.Sleep(5 * time.Second)
-		w.fleet.Offer([]cloud.MachineType{{Name: "tiny", CPUs: 0.5, GPUs: 0.5, MemoryGB: 0.5, CacheGB: 100, FetchGBPerS: 1, OnDemandPrice: 2, SpotPrice: 1, ProvisioningS: 5, Zones: zones}})
+		w.fleet.SetMachineTypes([]cloud.MachineType{{Name: "tiny", CPUs: 0.5, GPUs: 0.5, MemoryGB: 0.5, CacheGB: 100, FetchGBPerS: 1, OnDemandPrice: 2, SpotPrice: 1, ProvisioningS: 5, Zones: zones}})
 		var refusing []string
 		w.until("one of the controllers refuses a new job of that kind", 2*time.Minute, func() bool {
 			for _, h := range w.hosts {
 				s := array(w.id(), 1)
-				w.history.OffersUnfit(s)
+				w.history.RecordInvalidSubmission(s)
 				if code, _ := w.call(h, http.MethodPost, "/submissions", wireSpec(s), 5*time.Second); code == 422 && !slices.Contains(refusing, h) {
 					refusing = append(refusing, h)
 				}
@@ -172,7 +172,7 @@
 // sent counts the changes that controllers sent to the state service, carried out or not.
 func (w *world) sent() (n int) {
 	for _, h := range w.hosts {
-		n += w.port(h).Sent()
+		n += w.port(h).RequestedChanges()
 	}
 	return n
 }
@@ -208,12 +208,12 @@
 			bad{"waits for none", 422, set("waits_on", []string{"wk-999999"})}, bad{"waits for itself", 422, func(m map[string]any) { m["waits_on"] = []any{m["id"]} }})
 		send := func(host string, b bad) {
 			s := array(w.id(), 1)
-			w.history.OffersUnfit(s)
+			w.history.RecordInvalidSubmission(s)
 			m := wireSpec(s).(map[string]any)
 			b.edit(m)
-			asked := w.history.Asking()
+			asked := w.history.StampRequest()
 			code, status := w.call(host, http.MethodPost, "/submissions", m, 5*time.Second)
-			w.history.Told("submit", s.ID, asked, code, status)
+			w.history.RecordResponse("submit", s.ID, asked, code, status)
 			if code != b.code && code != 503 {
 				w.t.Errorf("%s at %s: %d", b.what, host, code)
 			}
@@ -241,7 +241,7 @@
 			w.t.Fatal("one that is well is not accepted")
 		}
 		time.Sleep(20 * time.Second)
-		w.history.End()
+		w.history.CheckFinalState()
 		w.check()
 	})
 }
@@ -256,7 +256,7 @@
 		}
 		w.until("types are kept", time.Minute, func() bool { return w.rev(statekv.MachineTypesKey) > 0 })
 		w.end(w.hosts, never)
-		w.fleet.Offer(nil)
+		w.fleet.SetMachineTypes(nil)
 		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: statekv.MachineTypesKey}}); err != nil {
 			w.t.Fatal(err)
 		}
@@ -268,7 +268,7 @@
 			good, unfit := array(w.id(), 1), array(w.id(), 1)
 			unfit.GPUs = 100
 			for _, s := range []job.Spec{good, unfit} {
-				w.history.Offers(s)
+				w.history.RecordSubmission(s)
 				if code, _ := w.call(h, http.MethodPost, "/submissions", wireSpec(s), 5*time.Second); code != 503 {
 					w.t.Errorf("%s at %s: %d", s.ID, h, code)
 				}
@@ -281,9 +281,9 @@
 			if code, _ := w.call(h, http.MethodPost, "/submissions", m, 5*time.Second); code != 400 {
 				w.t.Errorf("one that lacks a field at %s: %d", h, code)
 			}
-			asked := w.history.Asking()
+			asked := w.history.StampRequest()
 			code, status := w.call(h, http.MethodPost, "/submissions", wireSpec(known), 5*time.Second)
-			w.history.Told("submit", known.ID, asked, code, status)
+			w.history.RecordResponse("submit", known.ID, asked, code, status)
 			if code == 400 || code == 422 {
 				w.t.Errorf("a known job, submitted again at %s: %d", h, code)
 			}
--- a/test/integration/drawn_test.go
+++ b/test/integration/drawn_test.go
@@ -26,17 +26,17 @@
 func anyHost(w *world, rng *rand.Rand) string { return w.hosts[rng.IntN(len(w.hosts))] }
 
 // machines has some of the machines changed, and changed back.
-func machines(share float64, set func(u *emulator.Machine, on bool)) func(w *world, rng *rand.Rand) func() {
+func machines(share float64, set func(u *emulator.SimulatedMachine, on bool)) func(w *world, rng *rand.Rand) func() {
 	return func(w *world, rng *rand.Rand) func() {
-		hit := map[*emulator.Machine]bool{}
-		w.fleet.Each(func(_ string, u *emulator.Machine) {
+		hit := map[*emulator.SimulatedMachine]bool{}
+		w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
 			if rng.Float64() < share {
 				hit[u] = true
 				set(u, true)
 			}
 		})
 		return func() {
-			w.fleet.Each(func(_ string, u *emulator.Machine) {
+			w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
 				if hit[u] {
 					set(u, false)
 				}
@@ -71,40 +71,40 @@
 	}, 1},
 	{"the state service refuses one", [2]int{1, 90}, func(w *world, rng *rand.Rand) func() {
 		h := anyHost(w, rng)
-		w.port(h).Refuse(true)
-		return func() { w.port(h).Refuse(false) }
+		w.port(h).SetRefuseAll(true)
+		return func() { w.port(h).SetRefuseAll(false) }
 	}, 3},
 	{"the state service is down", [2]int{1, 80}, func(w *world, rng *rand.Rand) func() {
-		w.state.Set(true, false)
-		return func() { w.state.Set(false, false) }
+		w.state.SetOutage(true, false)
+		return func() { w.state.SetOutage(false, false) }
 	}, 2},
 	{"the state service is slow", [2]int{5, 40}, func(w *world, rng *rand.Rand) func() {
 		slow := time.Duration(100+rng.IntN(1500)) * time.Millisecond
 		for _, h := range w.hosts {
-			w.port(h).Trouble(slow, 0)
+			w.port(h).SetFaults(slow, 0)
 		}
 		return func() {
 			for _, h := range w.hosts {
-				w.port(h).Trouble(0, 0)
+				w.port(h).SetFaults(0, 0)
 			}
 		}
 	}, 1},
 	{"transactions are late", [2]int{10, 60}, func(w *world, rng *rand.Rand) func() {
 		share := 0.1 + 0.5*rng.Float64()
 		for _, h := range w.hosts {
-			w.port(h).Trouble(0, share)
+			w.port(h).SetFaults(0, share)
 		}
 		return func() {
 			for _, h := range w.hosts {
-				w.port(h).Trouble(0, 0)
+				w.port(h).SetFaults(0, 0)
 			}
 		}
 	}, 3},
 	{"one is cut from state and peers", [2]int{5, 90}, func(w *world, rng *rand.Rand) func() {
 		h := anyHost(w, rng)
-		w.port(h).Refuse(true)
+		w.port(h).SetRefuseAll(true)
 		w.hub.set(h, true)
-		return func() { w.port(h).Refuse(false); w.hub.set(h, false) }
+		return func() { w.port(h).SetRefuseAll(false); w.hub.set(h, false) }
 	}, 3},
 	{"one is cut from peers", [2]int{5, 90}, func(w *world, rng *rand.Rand) func() {
 		h := anyHost(w, rng)
@@ -121,24 +121,24 @@
 		w.cutWork(h, true)
 		return func() { w.cutWork(h, false) }
 	}, 1},
-	{"machines hear nothing", [2]int{3, 60}, machines(0.4, func(u *emulator.Machine, on bool) { u.Deaf = on }), 2},
-	{"commands are lost", [2]int{3, 60}, machines(0.4, func(u *emulator.Machine, on bool) { u.Lost = on }), 2},
-	{"machines hang", [2]int{2, 60}, machines(0.3, func(u *emulator.Machine, on bool) { u.Hung = on }), 2},
-	{"commands are held up", [2]int{5, 30}, machines(0.5, func(u *emulator.Machine, on bool) {
-		if u.Hold = 0; on {
-			u.Hold = 3500 * time.Millisecond
+	{"machines hear nothing", [2]int{3, 60}, machines(0.4, func(u *emulator.SimulatedMachine, on bool) { u.InboundLost = on }), 2},
+	{"commands are lost", [2]int{3, 60}, machines(0.4, func(u *emulator.SimulatedMachine, on bool) { u.CommandsLost = on }), 2},
+	{"machines hang", [2]int{2, 60}, machines(0.3, func(u *emulator.SimulatedMachine, on bool) { u.Hung = on }), 2},
+	{"commands are held up", [2]int{5, 30}, machines(0.5, func(u *emulator.SimulatedMachine, on bool) {
+		if u.CommandDelay = 0; on {
+			u.CommandDelay = 3500 * time.Millisecond
 		}
 	}), 2},
-	{"answers are held up", [2]int{5, 30}, machines(0.5, func(u *emulator.Machine, on bool) {
-		if u.HoldAnswers = 0; on {
-			u.HoldAnswers = 3 * time.Second
+	{"answers are held up", [2]int{5, 30}, machines(0.5, func(u *emulator.SimulatedMachine, on bool) {
+		if u.AnswerDelay = 0; on {
+			u.AnswerDelay = 3 * time.Second
 		}
 	}), 2},
 	{"copies of reports come late", [2]int{0, 0}, func(w *world, rng *rand.Rand) func() {
 		h := anyHost(w, rng)
-		w.fleet.Each(func(_ string, u *emulator.Machine) {
+		w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
 			if rng.IntN(2) == 0 {
-				u.Again(h)
+				u.SendDuplicateHeartbeat(h)
 			}
 		})
 		return func() {}
@@ -146,19 +146,19 @@
 	{"only answers are lost", [2]int{10, 60}, func(w *world, rng *rand.Rand) func() {
 		share := 0.1 + 0.6*rng.Float64()
 		for _, h := range w.hosts {
-			w.port(h).AtOnce(true)
-			w.port(h).Trouble(0, share)
+			w.port(h).SetLoseAnswersOnly(true)
+			w.port(h).SetFaults(0, share)
 		}
 		return func() {
 			for _, h := range w.hosts {
-				w.port(h).AtOnce(false)
-				w.port(h).Trouble(0, 0)
+				w.port(h).SetLoseAnswersOnly(false)
+				w.port(h).SetFaults(0, 0)
 			}
 		}
 	}, 3},
-	{"machines are mute", [2]int{3, 70}, machines(0.4, func(u *emulator.Machine, on bool) { u.Mute = on }), 2},
+	{"machines are mute", [2]int{3, 70}, machines(0.4, func(u *emulator.SimulatedMachine, on bool) { u.HeartbeatsLost = on }), 2},
 	{"reports are kept for the next leader", [2]int{5, 50}, func(w *world, rng *rand.Rand) func() {
-		w.fleet.Each(func(_ string, u *emulator.Machine) { u.Keep() })
+		w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.CaptureHeartbeat() })
 		return func() {
 			if h := anyHost(w, rng); w.isUp(h) {
 				w.crash(h)
@@ -177,35 +177,35 @@
 	}, 3},
 	{"jobs are called off as their machines hang", [2]int{5, 45}, func(w *world, rng *rand.Rand) func() {
 		hung := map[string]bool{}
-		for _, id := range w.history.Jobs() {
-			if m := w.history.Where(id); m != "" && len(hung) < 4 && rng.IntN(2) == 0 {
+		for _, id := range w.history.AcceptedJobs() {
+			if m := w.history.MachineOfFirstTask(id); m != "" && len(hung) < 4 && rng.IntN(2) == 0 {
 				hung[m] = true
-				w.unitOf(m, func(u *emulator.Machine) { u.Hung = true })
+				w.unitOf(m, func(u *emulator.SimulatedMachine) { u.Hung = true })
 				go w.cancel("", id)
 			}
 		}
 		return func() {
 			for m := range hung {
-				w.unitOf(m, func(u *emulator.Machine) { u.Hung = false })
+				w.unitOf(m, func(u *emulator.SimulatedMachine) { u.Hung = false })
 			}
 		}
 	}, 2},
 	{"ends are called off", [2]int{5, 40}, func(w *world, rng *rand.Rand) func() {
 		k := 0
-		w.fleet.OnDone(func(task string) {
+		w.fleet.OnTaskCompleted(func(task string) {
 			id, _, _ := job.SplitTaskID(task)
 			k++
 			time.Sleep(time.Duration(k*37%400) * time.Millisecond)
 			w.cancel("", id)
 		})
-		return func() { w.fleet.OnDone(nil) }
+		return func() { w.fleet.OnTaskCompleted(nil) }
 	}, 2},
 	{"users look closely", [2]int{5, 30}, func(w *world, rng *rand.Rand) func() {
 		ctx, stop := context.WithCancel(w.ctx)
 		first := rng.IntN(1000)
 		go func() {
 			for k := first; ctx.Err() == nil; k++ {
-				if ids := w.history.Jobs(); len(ids) > 0 {
+				if ids := w.history.AcceptedJobs(); len(ids) > 0 {
 					s, _ := w.history.Spec(ids[k*7%len(ids)])
 					if k%3 == 0 {
 						w.cancelSoon(w.hosts[k%3], s.ID)
@@ -223,16 +223,16 @@
 		first := rng.IntN(1000)
 		go func() {
 			for k := first; ctx.Err() == nil; k++ {
-				if ids := w.history.Jobs(); len(ids) > 0 {
+				if ids := w.history.AcceptedJobs(); len(ids) > 0 {
 					s, _ := w.history.Spec(ids[k*5%len(ids)])
 					w.resubmit(w.hosts[k%3], s)
 				}
 				bad := array(w.id(), 1)
-				w.history.OffersUnfit(bad)
+				w.history.RecordInvalidSubmission(bad)
 				bad.Need.GPUs = 3
-				asked := w.history.Asking()
+				asked := w.history.StampRequest()
 				code, status := w.call(w.hosts[(k+1)%3], "POST", "/submissions", wireSpec(bad), 5*time.Second)
-				w.history.Told("submit", bad.ID, asked, code, status)
+				w.history.RecordResponse("submit", bad.ID, asked, code, status)
 				time.Sleep(700 * time.Millisecond)
 			}
 		}()
@@ -255,7 +255,7 @@
 	}, 1},
 	{"a machine stops with all that is on it", [2]int{0, 0}, func(w *world, rng *rand.Rand) func() {
 		at := rng.IntN(8)
-		w.fleet.Each(func(_ string, u *emulator.Machine) {
+		w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
 			if at--; at == 0 {
 				u.Kill()
 			}
@@ -300,13 +300,13 @@
 		if rng.IntN(2) == 0 {
 			w.drawJob(rng)
 		}
-		if ids := w.history.Jobs(); rng.IntN(6) == 0 && len(ids) > 0 {
+		if ids := w.history.AcceptedJobs(); rng.IntN(6) == 0 && len(ids) > 0 {
 			go w.cancel("", ids[rng.IntN(len(ids))])
 		}
 		still := on[:0]
 		for _, x := range on {
 			if time.Now().After(x.at) {
-				w.history.Note("over: %s", x.name)
+				w.history.RecordFault("over: %s", x.name)
 				x.end()
 			} else {
 				still = append(still, x)
@@ -324,7 +324,7 @@
 				if more := x.for_[1] - d; more > 0 {
 					d += rng.IntN(more)
 				}
-				w.history.Note("%s for %d s", x.name, d)
+				w.history.RecordFault("%s for %d s", x.name, d)
 				on = append(on, running{x.name, x.begin(w, rng), time.Now().Add(time.Duration(d) * time.Second)})
 			}
 		}
@@ -333,11 +333,11 @@
 	for _, x := range on {
 		x.end()
 	}
-	w.history.Note("all troubles are over")
+	w.history.RecordFault("all troubles are over")
 	time.Sleep(5 * time.Second)
-	w.history.Calm()
+	w.history.RecordFaultsEnded()
 	time.Sleep(10 * time.Minute)
-	w.history.End()
+	w.history.CheckFinalState()
 }
 
 // drawJob has a user submit a job: often of two or three tasks that end far apart.
@@ -356,7 +356,7 @@
 	case 4:
 		s.Spread = true
 	}
-	if ids := w.history.Jobs(); rng.IntN(4) == 0 && len(ids) > 0 {
+	if ids := w.history.AcceptedJobs(); rng.IntN(4) == 0 && len(ids) > 0 {
 		s.WaitsOn = []string{ids[rng.IntN(len(ids))]}
 	}
 	runs := time.Duration(2+rng.IntN(60)) * time.Second
@@ -393,8 +393,8 @@
 			}
 			storyWithBoots(t, seed, boot, func(w *world) {
 				w.day(seed)
-				if n := len(w.history.Jobs()); n < 15 || w.history.Starts() < 20 {
-					w.t.Errorf("only %d jobs and %d starts: this shows little", n, w.history.Starts())
+				if n := len(w.history.AcceptedJobs()); n < 15 || w.history.TaskStarts() < 20 {
+					w.t.Errorf("only %d jobs and %d starts: this shows little", n, w.history.TaskStarts())
 				}
 				w.check()
 				if w.t.Failed() {
@@ -408,17 +408,17 @@
 
 // tellOpen logs who has what of the jobs that are still open: it tells why one does not end.
 func (w *world) tellOpen() {
-	for _, kv := range w.state.Dir(job.RecordPrefix) {
+	for _, kv := range w.state.ListAll(job.RecordPrefix) {
 		rec, err := job.ParseRecord(kv.Value)
 		if err != nil {
 			w.t.Logf("%s: %v", kv.Key, err)
 			continue
 		}
-		slot := w.state.Dir(statekv.JobShardPrefix + rec.JobShard)
-		w.t.Logf("%s rev %d: slot %v, tasks on machines %d", kv.Key, kv.Rev, slot, w.history.On(rec.Spec.ID))
+		slot := w.state.ListAll(statekv.JobShardPrefix + rec.JobShard)
+		w.t.Logf("%s rev %d: slot %v, tasks on machines %d", kv.Key, kv.Rev, slot, w.history.TasksOnMachines(rec.Spec.ID))
 	}
 	if w.t.Failed() {
-		for _, kv := range w.state.Dir(statekv.ClusterPrefix) {
+		for _, kv := range w.state.ListAll(statekv.ClusterPrefix) {
 			w.t.Logf("%s rev %d: %s", kv.Key, kv.Rev, kv.Value)
 		}
 	}
--- a/test/integration/ends_test.go
+++ b/test/integration/ends_test.go
@@ -16,7 +16,7 @@
 func TestEndMeetsCancellationQuestionAndRepetition(t *testing.T) {
 	storyOfMachines(t, 91, 5, 40, func(w *world) {
 		for _, h := range w.hosts {
-			w.port(h).Trouble(25*time.Millisecond, 0) // between a look and a write there is time
+			w.port(h).SetFaults(25*time.Millisecond, 0) // between a look and a write there is time
 		}
 		var mu sync.Mutex
 		specs := map[string]job.Spec{}
@@ -26,10 +26,10 @@
 			host := w.hosts[k%3]
 			switch k / 3 % 3 {
 			case 0, 1:
-				w.history.Asks(s.ID)
-				asked := w.history.Asking()
+				w.history.RecordCancelRequest(s.ID)
+				asked := w.history.StampRequest()
 				code, status := w.call(host, http.MethodPost, "/submissions/"+s.ID+"/abort", nil, 5*time.Second)
-				w.history.Told("cancel", s.ID, asked, code, status)
+				w.history.RecordResponse("cancel", s.ID, asked, code, status)
 				if code == 200 {
 					mu.Lock()
 					finals[status]++
@@ -41,7 +41,7 @@
 			}
 			w.ask1(w.hosts[(k+2)%3], s.ID)
 		}
-		w.fleet.OnDone(func(task string) {
+		w.fleet.OnTaskCompleted(func(task string) {
 			id, _, _ := strings.Cut(task, "/")
 			mu.Lock()
 			s, known := specs[id]
@@ -63,7 +63,7 @@
 				if !w.submit(w.hosts[k%3], s, 2*time.Second) || k%2 == 0 {
 					return
 				}
-				for w.history.On(s.ID) == 0 && w.ctx.Err() == nil && !w.history.Completed(job.TaskID(s.ID, 0)) {
+				for w.history.TasksOnMachines(s.ID) == 0 && w.ctx.Err() == nil && !w.history.TaskCompleted(job.TaskID(s.ID, 0)) {
 					time.Sleep(5 * time.Millisecond)
 				}
 				// About the end: from 0.15 s before to 0.15 s after.
@@ -77,9 +77,9 @@
 		for _, s := range specs {
 			seen := map[string]bool{}
 			for _, h := range w.hosts {
-				asked := w.history.Asking()
+				asked := w.history.StampRequest()
 				code, status := w.call(h, http.MethodGet, "/submissions/"+s.ID, nil, 2*time.Second)
-				w.history.Told("query", s.ID, asked, code, status)
+				w.history.RecordResponse("query", s.ID, asked, code, status)
 				seen[status] = true
 			}
 			if len(seen) != 1 || !seen[job.Done] && !seen[job.Cancelled] {
