--- a/test/integration/handover_test.go
+++ b/test/integration/handover_test.go
@@ -16,9 +16,9 @@
 // leader ends: what they held is given out when it is proven gone, by nobody sooner, and it
 // is given out then.
 func TestTeamsAtTheirLimitsWhileTheCancelledCannotBeReached(t *testing.T) {
-	for what, set := range map[string]func(u *emulator.Machine, on bool){
-		"cut off": func(u *emulator.Machine, on bool) { u.Mute, u.Lost = on, on },
-		"hung":    func(u *emulator.Machine, on bool) { u.Hung = on },
+	for what, set := range map[string]func(u *emulator.SimulatedMachine, on bool){
+		"cut off": func(u *emulator.SimulatedMachine, on bool) { u.HeartbeatsLost, u.CommandsLost = on, on },
+		"hung":    func(u *emulator.SimulatedMachine, on bool) { u.Hung = on },
 	} {
 		for _, for_ := range []time.Duration{28 * time.Second, 45 * time.Second} { // within a lease, and beyond it
 			for _, role := range leaders {
@@ -61,9 +61,9 @@
 							time.Sleep(10 * time.Second)
 							cancelled := first[:2]
 							hit := map[string]bool{}
-							w.fleet.Each(func(name string, _ *emulator.Machine) { hit[name] = true })
+							w.fleet.ForEachMachine(func(name string, _ *emulator.SimulatedMachine) { hit[name] = true })
 							for name := range hit {
-								w.unitOf(name, func(u *emulator.Machine) { set(u, true) })
+								w.unitOf(name, func(u *emulator.SimulatedMachine) { set(u, true) })
 							}
 							roles, lives := w.leading(role, first[0].ID), w.lives()
 							bring := w.end(roles, back)
@@ -76,10 +76,10 @@
 							}
 							time.Sleep(for_)
 							for name := range hit {
-								w.unitOf(name, func(u *emulator.Machine) { set(u, false) })
+								w.unitOf(name, func(u *emulator.SimulatedMachine) { set(u, false) })
 							}
 							for _, s := range cancelled {
-								if back < workersAway && w.history.ToldAt(s.ID).IsZero() {
+								if back < workersAway && w.history.CancelAcknowledgedAt(s.ID).IsZero() {
 									w.t.Errorf("%s was not told as cancelled while its machine could not be reached", s.ID)
 								}
 							}
@@ -87,17 +87,17 @@
 								w.t.Error("no leader changed: this shows nothing")
 							}
 							bring()
-							w.history.Calm()
+							w.history.RecordFaultsEnded()
 							time.Sleep(4 * time.Minute)
-							if stayed := w.history.Stayed(); back < workersAway && (len(stayed) == 0 || stayed[len(stayed)-1] < 5*time.Second) {
+							if stayed := w.history.TimesToStopAfterCancel(); back < workersAway && (len(stayed) == 0 || stayed[len(stayed)-1] < 5*time.Second) {
 								w.t.Errorf("tasks stayed for %v after they were told: this shows nothing", stayed)
 							}
 							for _, s := range append(fill, first[2:]...) { // the rest ends
 								w.cancel("", s.ID)
 							}
 							time.Sleep(2 * time.Minute)
-							w.t.Logf("tasks stayed for %v; %d starts after a confirmed cancellation", w.history.Stayed(), w.history.StartsAfterCancel())
-							w.history.End()
+							w.t.Logf("tasks stayed for %v; %d starts after a confirmed cancellation", w.history.TimesToStopAfterCancel(), w.history.StartsAfterCancel())
+							w.history.CheckFinalState()
 							w.check()
 						})
 					})
@@ -146,14 +146,14 @@
 						})
 					}
 					users.Wait()
-					took := time.Since(w.history.ToldAt(jobs[0].ID))
+					took := time.Since(w.history.CancelAcknowledgedAt(jobs[0].ID))
 					time.Sleep(workers.CancellationDeadline)
 					if now := w.rev(statekv.SessionPrefix + lead[0]); now == began {
 						w.t.Error("its life goes on: this shows nothing")
 					}
 					told := 0
 					for _, s := range jobs[1:] {
-						if at := w.history.ToldAt(s.ID); !at.IsZero() && at.Sub(w.history.ToldAt(jobs[0].ID)) < 8*time.Second {
+						if at := w.history.CancelAcknowledgedAt(s.ID); !at.IsZero() && at.Sub(w.history.CancelAcknowledgedAt(jobs[0].ID)) < 8*time.Second {
 							told++
 						}
 					}
@@ -161,8 +161,8 @@
 						w.t.Errorf("%d cancellations were told within 8 s of the end: this shows little", told)
 					}
 					bring()
-					w.t.Logf("%d told within 8 s, all in %v; tasks stayed for %v; %d starts after it", told, took, w.history.Stayed(), w.history.StartsAfterCancel())
-					w.history.Calm()
+					w.t.Logf("%d told within 8 s, all in %v; tasks stayed for %v; %d starts after it", told, took, w.history.TimesToStopAfterCancel(), w.history.StartsAfterCancel())
+					w.history.RecordFaultsEnded()
 					time.Sleep(2 * time.Minute)
 					w.check()
 				})
@@ -182,8 +182,8 @@
 					t.Parallel()
 					storyWithBoots(t, 63, 1, func(w *world) {
 						for _, h := range w.hosts {
-							w.port(h).AtOnce(atOnce)
-							w.port(h).Trouble(0, 0.5)
+							w.port(h).SetLoseAnswersOnly(atOnce)
+							w.port(h).SetFaults(0, 0.5)
 						}
 						var jobs []job.Spec
 						for k := range 5 {
@@ -196,10 +196,10 @@
 						}
 						w.until("some run", 2*time.Minute, func() bool { return w.on(jobs) >= 2 })
 						up := 0
-						w.fleet.Each(func(string, *emulator.Machine) { up++ })
+						w.fleet.ForEachMachine(func(string, *emulator.SimulatedMachine) { up++ })
 						on := ""
 						for _, s := range jobs {
-							if on == "" && w.history.On(s.ID) > 0 {
+							if on == "" && w.history.TasksOnMachines(s.ID) > 0 {
 								on = s.ID
 							}
 						}
@@ -211,7 +211,7 @@
 						time.Sleep(max(25*time.Second, back+15*time.Second)) // those who are back meet it too
 						held := 0
 						for _, h := range w.hosts {
-							held += w.port(h).Held()
+							held += w.port(h).UnansweredTxns()
 						}
 						if w.t.Logf("%d transactions got no answer", held); held < 5 {
 							w.t.Error("writes hardly lagged: this shows little")
@@ -223,15 +223,15 @@
 							w.t.Error("no machine was up when the leader ended: this shows nothing")
 						}
 						for _, h := range w.hosts {
-							w.port(h).Trouble(0, 0)
+							w.port(h).SetFaults(0, 0)
 						}
 						more := 0
-						w.fleet.Each(func(string, *emulator.Machine) { more++ })
+						w.fleet.ForEachMachine(func(string, *emulator.SimulatedMachine) { more++ })
 						w.t.Logf("%d machines when it ended, %d later", up, more)
 						bring()
-						w.history.Calm()
+						w.history.RecordFaultsEnded()
 						time.Sleep(5 * time.Minute)
-						w.history.End()
+						w.history.CheckFinalState()
 						w.check()
 					})
 				})
@@ -246,14 +246,14 @@
 func TestLateClaimOfAMachineThatIsGone(t *testing.T) {
 	storyWithBoots(t, 64, 1, func(w *world) {
 		for _, h := range w.hosts {
-			w.port(h).LateBy(25*time.Second, false)
+			w.port(h).SetTxnDelay(25*time.Second, false)
 		}
 		s := array(w.id(), 2)
 		go w.submit("", s, 5*time.Second)
 		name := ""
 		w.until("a machine is up", 30*time.Second, func() bool {
-			w.fleet.Each(func(n string, u *emulator.Machine) {
-				if name == "" && u.Session() > 0 {
+			w.fleet.ForEachMachine(func(n string, u *emulator.SimulatedMachine) {
+				if name == "" && u.WorkerEpoch() > 0 {
 					name = n
 				}
 			})
@@ -261,18 +261,18 @@
 		})
 		// Its claim is carried out late: all are, for a while.
 		for _, h := range w.hosts {
-			w.port(h).Trouble(0, 1)
+			w.port(h).SetFaults(0, 1)
 		}
 		time.Sleep(8 * time.Second)
 		for _, h := range w.hosts {
-			w.port(h).Trouble(0, 0)
+			w.port(h).SetFaults(0, 0)
 		}
 		_ = w.fleet.ScaleIn(w.ctx, []string{name})
 		w.until("its key is there", 40*time.Second, func() bool { return w.rev(statekv.MachinePrefix+name) > 0 })
 		w.until("its key is removed", 2*time.Minute, func() bool { return w.rev(statekv.MachinePrefix+name) == 0 })
-		w.history.Calm()
+		w.history.RecordFaultsEnded()
 		time.Sleep(3 * time.Minute)
-		w.history.End()
+		w.history.CheckFinalState()
 		w.check()
 	})
 }
@@ -286,15 +286,15 @@
 		w.submit("", array(w.id(), 2), 5*time.Second)
 		name, shardID := "", ""
 		w.until("a machine is owned", 30*time.Second, func() bool {
-			for _, kv := range w.state.Dir(statekv.MachinePrefix) {
+			for _, kv := range w.state.ListAll(statekv.MachinePrefix) {
 				name = kv.Key[len(statekv.MachinePrefix):]
 			}
 			return name != ""
 		})
-		key := *shard.ParseMachineRecord(w.state.Dir(statekv.MachinePrefix + name)[0])
+		key := *shard.ParseMachineRecord(w.state.ListAll(statekv.MachinePrefix + name)[0])
 		w.until("its key is removed", 3*time.Minute, func() bool { return w.rev(statekv.MachinePrefix+name) == 0 })
 		steward := w.holder(statekv.LeaderKey)
-		for _, kv := range w.state.Dir(statekv.MachineShardPrefix) {
+		for _, kv := range w.state.ListAll(statekv.MachineShardPrefix) {
 			if h := w.holder(kv.Key); h != steward && h != "" {
 				shardID = kv.Key[len(statekv.MachineShardPrefix):]
 			}
@@ -327,38 +327,42 @@
 						w.submit("host-0", long, 3*time.Minute)
 						first := in("a", array(w.id(), 6))
 						w.submit("host-0", first, 5*time.Second)
-						w.until("both run", time.Minute, func() bool { return w.history.On(short.ID) == 2 && w.history.On(long.ID) == 2 })
-						w.until("the first is over", time.Minute, func() bool { return w.history.Completed(job.TaskID(first.ID, 5)) && w.history.On(first.ID) == 0 })
+						w.until("both run", time.Minute, func() bool {
+							return w.history.TasksOnMachines(short.ID) == 2 && w.history.TasksOnMachines(long.ID) == 2
+						})
+						w.until("the first is over", time.Minute, func() bool {
+							return w.history.TaskCompleted(job.TaskID(first.ID, 5)) && w.history.TasksOnMachines(first.ID) == 0
+						})
 						time.Sleep(4 * time.Second)
-						w.fleet.Each(func(_ string, u *emulator.Machine) { u.Keep() })
+						w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.CaptureHeartbeat() })
 						if session == "before its work began" {
 							// What has begun since is in no kept report, and a new owner gets
 							// those before it hears from anybody else.
 							long = in("a", array(w.id(), 6))
 							w.submit("host-0", long, 3*time.Minute)
-							w.until("the long one runs too", time.Minute, func() bool { return w.history.On(long.ID) == 6 })
+							w.until("the long one runs too", time.Minute, func() bool { return w.history.TasksOnMachines(long.ID) == 6 })
 							time.Sleep(4 * time.Second)
 						} else if session == "an ended session" {
 							// Answers come too late for the workers: their leases run out.
-							w.fleet.Each(func(_ string, u *emulator.Machine) { u.HoldAnswers = 4500 * time.Millisecond })
+							w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.AnswerDelay = 4500 * time.Millisecond })
 							time.Sleep(workers.LeaseDuration + 6*time.Second)
-							w.fleet.Each(func(_ string, u *emulator.Machine) { u.HoldAnswers = 0 })
-							w.until("they run again", 3*time.Minute, func() bool { return w.history.On(short.ID)+w.history.On(long.ID) > 1 })
+							w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.AnswerDelay = 0 })
+							w.until("they run again", 3*time.Minute, func() bool { return w.history.TasksOnMachines(short.ID)+w.history.TasksOnMachines(long.ID) > 1 })
 						} else {
 							w.until("the short one has run", 3*time.Minute, func() bool {
-								return w.history.Completed(job.TaskID(short.ID, 0)) && w.history.Completed(job.TaskID(short.ID, 1))
+								return w.history.TaskCompleted(job.TaskID(short.ID, 0)) && w.history.TaskCompleted(job.TaskID(short.ID, 1))
 							})
 							time.Sleep(8 * time.Second) // it is forgotten
 						}
-						before, lives := w.history.Starts(), w.lives()
+						before, lives := w.history.TaskStarts(), w.lives()
 						if session == "before its work began" {
 							if n := w.keptWithout(long.ID); n == 0 {
 								w.t.Fatal("no kept report was made before its machine's work began: this shows nothing")
 							}
-							w.fleet.Each(func(_ string, u *emulator.Machine) { u.Mute, u.Lost = true, true })
+							w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.HeartbeatsLost, u.CommandsLost = true, true })
 							go func() {
 								time.Sleep(max(0, back) + 10*time.Second)
-								w.fleet.Each(func(_ string, u *emulator.Machine) { u.Mute, u.Lost = false, false })
+								w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.HeartbeatsLost, u.CommandsLost = false, false })
 							}()
 						} else if n := w.kept(short.ID, session == "an ended session"); n == 0 {
 							w.t.Fatal("no kept report lists a task that is over: this shows nothing")
@@ -383,13 +387,13 @@
 							w.t.Errorf("%d copies arrived: this shows little", arrived)
 						}
 						bring()
-						w.history.Calm()
+						w.history.RecordFaultsEnded()
 						time.Sleep(30 * time.Second)
-						if again := w.history.Starts() - before - w.fleet.Deleted(); again > 0 && back != workersAway && session == "the same session" {
+						if again := w.history.TaskStarts() - before - w.fleet.TasksLostToScaleIn(); again > 0 && back != workersAway && session == "the same session" {
 							w.t.Errorf("%d tasks were started again", again)
 						}
 						time.Sleep(6 * time.Minute)
-						w.history.End()
+						w.history.CheckFinalState()
 						w.check()
 					})
 				})
@@ -404,9 +408,9 @@
 // kept counts the machines that are there and whose kept report lists a task of a job: of
 // an earlier session, or of this one and the task is not listed any more.
 func (w *world) kept(id string, earlier bool) (n int) {
-	w.fleet.Each(func(_ string, u *emulator.Machine) {
+	w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
 		for _, task := range []string{job.TaskID(id, 0), job.TaskID(id, 1)} {
-			if u.Lists(task) && (earlier && u.Session() > 1 || !earlier && !u.Has(task)) {
+			if u.CapturedHeartbeatLists(task) && (earlier && u.WorkerEpoch() > 1 || !earlier && !u.ListsTask(task)) {
 				n++
 			}
 		}
@@ -417,9 +421,9 @@
 // keptWithout counts the machines that have a task of a job and whose kept report does not
 // list it.
 func (w *world) keptWithout(id string) (n int) {
-	w.fleet.Each(func(_ string, u *emulator.Machine) {
+	w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
 		for k := range 6 {
-			if task := job.TaskID(id, k); u.Kept() && u.Has(task) && !u.Lists(task) {
+			if task := job.TaskID(id, k); u.HasCapturedHeartbeat() && u.ListsTask(task) && !u.CapturedHeartbeatLists(task) {
 				n++
 			}
 		}
@@ -430,14 +434,14 @@
 // sendKept sends the kept reports of all machines to all controllers at once, and returns
 // how many reached one that answered.
 func (w *world) sendKept() (arrived int) {
-	var machines []*emulator.Machine
-	w.fleet.Each(func(_ string, u *emulator.Machine) { machines = append(machines, u) })
+	var machines []*emulator.SimulatedMachine
+	w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { machines = append(machines, u) })
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for _, u := range machines {
 		for _, h := range w.hosts {
 			all.Go(func() {
-				if u.SendKept(h) != 0 {
+				if u.SendCapturedHeartbeat(h) != 0 {
 					mu.Lock()
 					arrived++
 					mu.Unlock()
--- a/test/integration/input_test.go
+++ b/test/integration/input_test.go
@@ -14,14 +14,14 @@
 func TestTasksThatNobodySubmitted(t *testing.T) {
 	story(t, 31, func(w *world) {
 		w.running("host-0", "a", job.Array)
-		w.fleet.Each(func(_ string, u *emulator.Machine) {
-			u.Plant("wk-777777/0", 3)
-			u.Plant("nobody's", 1)
-			u.Plant("wk-000001/99999999999999999999", 1)
+		w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
+			u.PlantTask("wk-777777/0", 3)
+			u.PlantTask("nobody's", 1)
+			u.PlantTask("wk-000001/99999999999999999999", 1)
 		})
 		left := func(task string) (n int) {
-			w.fleet.Each(func(_ string, u *emulator.Machine) {
-				if u.Has(task) {
+			w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
+				if u.ListsTask(task) {
 					n++
 				}
 			})
@@ -40,7 +40,7 @@
 		}
 		w.cancel("", "wk-000001")
 		time.Sleep(2 * time.Minute)
-		w.history.End()
+		w.history.CheckFinalState()
 		w.check()
 	})
 }
--- a/test/integration/late_test.go
+++ b/test/integration/late_test.go
@@ -10,7 +10,7 @@
 )
 
 func (w *world) rev(key string) uint64 {
-	for _, kv := range w.state.Dir(key) {
+	for _, kv := range w.state.ListAll(key) {
 		if kv.Key == key {
 			return kv.Rev
 		}
@@ -25,11 +25,11 @@
 	story(t, 1, func(w *world) {
 		w.crash("host-0")
 		time.Sleep(6 * time.Second)
-		w.port("host-0").Trouble(0, 1)
-		w.port("host-0").LateBy(3*time.Second, true)
+		w.port("host-0").SetFaults(0, 1)
+		w.port("host-0").SetTxnDelay(3*time.Second, true)
 		w.start("host-0")
 		time.Sleep(time.Second)
-		w.port("host-0").Trouble(0, 0)
+		w.port("host-0").SetFaults(0, 0)
 		w.until("the next life is registered", 10*time.Second, func() bool { return w.rev(statekv.SessionPrefix+"host-0") > 0 })
 		began := w.rev(statekv.SessionPrefix + "host-0")
 		for range 20 {
@@ -48,15 +48,15 @@
 	story(t, 2, func(w *world) {
 		w.until("types are kept", time.Minute, func() bool { return w.rev(statekv.MachineTypesKey) > 0 })
 		for _, h := range w.hosts {
-			w.port(h).Trouble(0, 1)
-			w.port(h).LateBy(30*time.Second, false)
+			w.port(h).SetFaults(0, 1)
+			w.port(h).SetTxnDelay(30*time.Second, false)
 		}
 		if _, err := w.state.Txn(w.ctx, nil, []statekv.Op{{Delete: statekv.MachineTypesKey}}); err != nil {
 			w.t.Fatal(err)
 		}
 		time.Sleep(23 * time.Second)
 		for _, h := range w.hosts {
-			w.port(h).Trouble(0, 0)
+			w.port(h).SetFaults(0, 0)
 		}
 		w.until("they are written again", 30*time.Second, func() bool { return w.rev(statekv.MachineTypesKey) > 0 })
 		kept := w.rev(statekv.MachineTypesKey)
@@ -70,7 +70,7 @@
 
 // holder is the host that a role's key names.
 func (w *world) holder(key string) string {
-	for _, kv := range w.state.Dir(key) {
+	for _, kv := range w.state.ListAll(key) {
 		var h statekv.Holder
 		if kv.Key == key && json.Unmarshal(kv.Value, &h) == nil {
 			return h.Host
@@ -86,8 +86,8 @@
 	story(t, 3, func(w *world) {
 		first := w.holder(statekv.LeaderKey)
 		for _, h := range w.hosts {
-			w.port(h).Trouble(0, 1)
-			w.port(h).LateBy(3*time.Second, false)
+			w.port(h).SetFaults(0, 1)
+			w.port(h).SetTxnDelay(3*time.Second, false)
 		}
 		w.crash(first)
 		w.until("another has the role", 20*time.Second, func() bool {
@@ -95,7 +95,7 @@
 			return h != first && h != ""
 		})
 		for _, h := range w.hosts {
-			w.port(h).Trouble(0, 0)
+			w.port(h).SetFaults(0, 0)
 		}
 		w.start(first)
 		time.Sleep(15 * time.Second)
@@ -105,7 +105,7 @@
 			w.t.Fatal("not accepted")
 		}
 		time.Sleep(2 * time.Minute)
-		w.history.End()
+		w.history.CheckFinalState()
 		w.check()
 	})
 }
@@ -115,22 +115,22 @@
 func TestLateSubmissionAndCancellationAreAnsweredSoon(t *testing.T) {
 	story(t, 4, func(w *world) {
 		s := array(w.id(), 1)
-		w.history.Offers(s)
-		w.fleet.Runs(s.ID, time.Hour, 0)
+		w.history.RecordSubmission(s)
+		w.fleet.SetRunTimes(s.ID, time.Hour, 0)
 		time.Sleep(15 * time.Second) // nothing else is written
 		for _, step := range []struct{ verb, method, path, status string }{
 			{"submit", "POST", "/submissions", job.Queued},
 			{"cancel", "POST", "/submissions/" + s.ID + "/abort", job.Cancelled},
 		} {
-			w.port("host-1").LateBy(4*time.Second, false)
-			w.port("host-1").LateNext(2)
+			w.port("host-1").SetTxnDelay(4*time.Second, false)
+			w.port("host-1").DelayNextTxns(2)
 			if step.verb == "cancel" {
-				w.history.Asks(s.ID)
+				w.history.RecordCancelRequest(s.ID)
 			}
-			asked, sent := w.history.Asking(), time.Now()
+			asked, sent := w.history.StampRequest(), time.Now()
 			code, status := w.call("host-1", step.method, step.path, wireSpec(s), 5*time.Second)
 			took := time.Since(sent)
-			w.history.Told(step.verb, s.ID, asked, code, status)
+			w.history.RecordResponse(step.verb, s.ID, asked, code, status)
 			if code/100 != 2 || status != step.status || took > time.Second {
 				w.t.Errorf("%s: %d %s after %v", step.verb, code, status, took)
 			}
--- a/test/integration/lost_test.go
+++ b/test/integration/lost_test.go
@@ -23,8 +23,8 @@
 					story(t, 51, func(w *world) {
 						long := w.running("host-0", "b", job.Array)
 						for _, h := range w.hosts {
-							w.port(h).AtOnce(true)
-							w.port(h).Trouble(0, share)
+							w.port(h).SetLoseAnswersOnly(true)
+							w.port(h).SetFaults(0, share)
 						}
 						lost := w.lostAnswers()
 						for k := range 12 {
@@ -43,17 +43,17 @@
 						}
 						time.Sleep(15 * time.Second)
 						for _, h := range w.hosts {
-							w.port(h).Trouble(0, 0)
+							w.port(h).SetFaults(0, 0)
 						}
 						n := w.lostAnswers() - lost
 						if w.t.Logf("%d transactions were carried out without an answer", n); n < 10 {
 							w.t.Error("this shows little")
 						}
 						bring()
-						w.history.Calm()
+						w.history.RecordFaultsEnded()
 						w.cancel("", long.ID) // its user may have given up
 						time.Sleep(5 * time.Minute)
-						w.history.End()
+						w.history.CheckFinalState()
 						w.check()
 					})
 				})
@@ -64,7 +64,7 @@
 
 func (w *world) lostAnswers() (n int) {
 	for _, h := range w.hosts {
-		n += w.port(h).LostAnswers()
+		n += w.port(h).AppliedUnansweredTxns()
 	}
 	return n
 }
@@ -76,29 +76,29 @@
 		t.Run(verb, func(t *testing.T) {
 			story(t, 52, func(w *world) {
 				s := array(w.id(), 1)
-				w.history.Offers(s)
-				w.fleet.Runs(s.ID, time.Hour, 0)
+				w.history.RecordSubmission(s)
+				w.fleet.SetRunTimes(s.ID, time.Hour, 0)
 				path, key, want := "/submissions", job.RecordKey(s.ID), job.Queued
 				if verb == "cancel" {
 					if !w.submit("host-0", s, time.Hour) {
 						w.t.Fatal("not accepted")
 					}
-					w.until("it runs", time.Minute, func() bool { return w.history.On(s.ID) == 1 })
+					w.until("it runs", time.Minute, func() bool { return w.history.TasksOnMachines(s.ID) == 1 })
 					time.Sleep(15 * time.Second)
-					w.history.Asks(s.ID)
+					w.history.RecordCancelRequest(s.ID)
 					path, key, want = path+"/"+s.ID+"/abort", statekv.RootPrefix+"final/"+s.ID, job.Cancelled
 				} else {
 					time.Sleep(15 * time.Second)
 				}
-				w.port("host-1").AtOnce(true)
-				w.port("host-1").LateNext(3)
-				before := w.port("host-1").LostAnswers()
-				asked := w.history.Asking()
+				w.port("host-1").SetLoseAnswersOnly(true)
+				w.port("host-1").DelayNextTxns(3)
+				before := w.port("host-1").AppliedUnansweredTxns()
+				asked := w.history.StampRequest()
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
 					code, status := w.call("host-1", http.MethodPost, path, wireSpec(s), 5*time.Second)
-					w.history.Told(verb, s.ID, asked, code, status)
+					w.history.RecordResponse(verb, s.ID, asked, code, status)
 					if code/100 != 2 || status != want {
 						w.t.Errorf("its writer answers %d %s", code, status)
 					}
@@ -106,7 +106,7 @@
 				for end := time.Now().Add(2 * time.Second); w.rev(key) == 0 && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
-				if w.port("host-1").LostAnswers() == before {
+				if w.port("host-1").AppliedUnansweredTxns() == before {
 					w.t.Fatal("no answer was lost: this shows nothing")
 				}
 				var l looks
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestMain(m *testing.M) {
-	emulator.WarmHTTP()
+	emulator.WarmUpHTTPServer()
 	if os.Getenv("LOG_LEVEL") == "" {
 		slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
--- a/test/integration/meetings_test.go
+++ b/test/integration/meetings_test.go
@@ -19,7 +19,7 @@
 			t.Parallel()
 			story(t, 11, func(w *world) {
 				own, foreign := w.running("host-0", "a", job.Array), w.running("host-0", "b", job.Gang)
-				w.port("host-0").Refuse(true)
+				w.port("host-0").SetRefuseAll(true)
 				if oneWay {
 					w.hub.silence("host-0", true)
 				} else {
@@ -31,28 +31,28 @@
 					}
 				}
 				late := array(w.id(), 1)
-				w.history.Offers(late)
+				w.history.RecordSubmission(late)
 				answered := 0
 				for range 90 {
 					time.Sleep(time.Second)
 					for _, id := range []string{own.ID, foreign.ID, "wk-999999"} {
-						asked := w.history.Asking()
+						asked := w.history.StampRequest()
 						code, status := w.call("host-0", "GET", "/submissions/"+id, nil, 2*time.Second)
-						w.history.Told("query", id, asked, code, status)
+						w.history.RecordResponse("query", id, asked, code, status)
 						if code == 0 {
 							w.t.Fatalf("a question about %s was not answered at once", id)
 						}
 						answered++
 					}
-					asked := w.history.Asking()
+					asked := w.history.StampRequest()
 					code, status := w.call("host-0", "POST", "/submissions", wireSpec(late), 5*time.Second)
-					w.history.Told("submit", late.ID, asked, code, status)
+					w.history.RecordResponse("submit", late.ID, asked, code, status)
 				}
-				w.port("host-0").Refuse(false)
+				w.port("host-0").SetRefuseAll(false)
 				w.hub.set("host-0", false)
 				w.hub.silence("host-0", false)
 				time.Sleep(30 * time.Second)
-				w.t.Logf("%d answers by the cut one; tasks stayed for %v", answered, w.history.Stayed())
+				w.t.Logf("%d answers by the cut one; tasks stayed for %v", answered, w.history.TimesToStopAfterCancel())
 				w.check()
 			})
 		})
@@ -63,10 +63,10 @@
 // hear what its successor answers. Nothing starts elsewhere before it is proven gone, and
 // machines that are back within their lease lose nothing.
 func TestOwnerEndsWhileMachinesCannotBeReached(t *testing.T) {
-	for name, set := range map[string]func(u *emulator.Machine, on bool){
-		"hear nothing":      func(u *emulator.Machine, on bool) { u.Deaf = on },
-		"commands are lost": func(u *emulator.Machine, on bool) { u.Lost = on },
-		"hang":              func(u *emulator.Machine, on bool) { u.Hung = on },
+	for name, set := range map[string]func(u *emulator.SimulatedMachine, on bool){
+		"hear nothing":      func(u *emulator.SimulatedMachine, on bool) { u.InboundLost = on },
+		"commands are lost": func(u *emulator.SimulatedMachine, on bool) { u.CommandsLost = on },
+		"hang":              func(u *emulator.SimulatedMachine, on bool) { u.Hung = on },
 	} {
 		for _, away := range []time.Duration{15 * time.Second, 45 * time.Second} {
 			for _, back := range []bool{false, true} {
@@ -79,29 +79,29 @@
 								w.t.Fatal("not accepted")
 							}
 						}
-						w.until("they run", time.Minute, func() bool { return w.history.On(a.ID) == 2 && w.history.On(g.ID) == 2 })
+						w.until("they run", time.Minute, func() bool { return w.history.TasksOnMachines(a.ID) == 2 && w.history.TasksOnMachines(g.ID) == 2 })
 						time.Sleep(10 * time.Second)
-						before := w.history.Starts()
-						w.fleet.Each(func(_ string, u *emulator.Machine) { set(u, true) })
+						before := w.history.TaskStarts()
+						w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { set(u, true) })
 						w.crash("host-0")
 						if back {
 							time.Sleep(200 * time.Millisecond)
 							w.start("host-0")
 						}
 						time.Sleep(away)
-						w.fleet.Each(func(_ string, u *emulator.Machine) { set(u, false) })
+						w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { set(u, false) })
 						if !back {
 							w.start("host-0")
 						}
 						time.Sleep(8 * time.Minute)
 						// The steward returns a few machines that leave their new owner
 						// unanswered: that proves soonest what runs there.
-						again := w.history.Starts() - before - w.fleet.Deleted()
+						again := w.history.TaskStarts() - before - w.fleet.TasksLostToScaleIn()
 						if again > 0 && (away < workers.LeaseDuration || name == "commands are lost") {
 							w.t.Errorf("%d tasks were started again although their machines were back in time", again)
 						}
-						w.t.Logf("%d tasks were on machines that were returned", w.fleet.Deleted())
-						w.history.End()
+						w.t.Logf("%d tasks were on machines that were returned", w.fleet.TasksLostToScaleIn())
+						w.history.CheckFinalState()
 						w.check()
 					})
 				})
@@ -118,9 +118,9 @@
 		"owner": func(w *world) { w.crash("host-0"); time.Sleep(10 * time.Second); w.start("host-0") },
 		"life":  func(w *world) { w.crash("host-0"); time.Sleep(200 * time.Millisecond); w.start("host-0") },
 		"session": func(w *world) {
-			w.fleet.Each(func(_ string, u *emulator.Machine) { u.Deaf = true })
+			w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.InboundLost = true })
 			time.Sleep(35 * time.Second)
-			w.fleet.Each(func(_ string, u *emulator.Machine) { u.Deaf = false })
+			w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.InboundLost = false })
 		},
 	} {
 		for _, hold := range []time.Duration{2500 * time.Millisecond, 6 * time.Second, 20 * time.Second} {
@@ -128,7 +128,9 @@
 				t.Parallel()
 				story(t, 13, func(w *world) {
 					w.running("host-0", "a", job.Array) // machines are up
-					w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hold, u.HoldAnswers = hold, min(hold, 3*time.Second) })
+					w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
+						u.CommandDelay, u.AnswerDelay = hold, min(hold, 3*time.Second)
+					})
 					var ids []string
 					for k := range 6 {
 						s := in("a", array(w.id(), 1+k%2))
@@ -142,10 +144,10 @@
 					change(w)
 					go w.cancel("", ids[0])
 					time.Sleep(25 * time.Second)
-					w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hold, u.HoldAnswers = 0, 0 })
+					w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.CommandDelay, u.AnswerDelay = 0, 0 })
 					w.cancel("", "wk-000001")
 					time.Sleep(6 * time.Minute)
-					w.history.End()
+					w.history.CheckFinalState()
 					w.check()
 				})
 			})
@@ -166,23 +168,23 @@
 					if !w.submitApart("host-0", s, 15*time.Second, 25*time.Second) {
 						w.t.Fatal("not accepted")
 					}
-					w.until("it runs", time.Minute, func() bool { return w.history.On(s.ID) == 3 })
+					w.until("it runs", time.Minute, func() bool { return w.history.TasksOnMachines(s.ID) == 3 })
 					for left := 2; left >= 0; left-- {
-						w.until("a task ends", time.Minute, func() bool { return w.history.On(s.ID) == left })
+						w.until("a task ends", time.Minute, func() bool { return w.history.TasksOnMachines(s.ID) == left })
 						time.Sleep(after)
 						host := w.placerOf(s.ID)
 						w.crash(host)
 						time.Sleep(back)
 						w.start(host)
 						if back > 10*time.Second {
-							left = min(left, w.history.On(s.ID))
+							left = min(left, w.history.TasksOnMachines(s.ID))
 						}
 					}
 					time.Sleep(2 * time.Minute)
-					if n := w.history.Starts(); n != 3 {
+					if n := w.history.TaskStarts(); n != 3 {
 						w.t.Errorf("three tasks were started %d times", n)
 					}
-					w.history.End()
+					w.history.CheckFinalState()
 					w.check()
 				})
 			})
@@ -192,7 +194,7 @@
 
 // placerOf is the host that has a job's slot, or one that is up.
 func (w *world) placerOf(id string) string {
-	for _, kv := range w.state.Dir(job.RecordKey(id)) {
+	for _, kv := range w.state.ListAll(job.RecordKey(id)) {
 		if rec, err := job.ParseRecord(kv.Value); err == nil && kv.Key == job.RecordKey(id) {
 			if h := w.holder(statekv.JobShardPrefix + rec.JobShard); h != "" {
 				return h
@@ -216,7 +218,7 @@
 					time.Sleep(15 * time.Second)
 					for round := range 4 {
 						for _, h := range w.hosts {
-							w.port(h).Trouble(0, late)
+							w.port(h).SetFaults(0, late)
 							w.crash(h)
 						}
 						time.Sleep(first)
@@ -228,11 +230,11 @@
 						time.Sleep(10 * time.Second)
 					}
 					for _, h := range w.hosts {
-						w.port(h).Trouble(0, 0)
+						w.port(h).SetFaults(0, 0)
 					}
-					w.history.Calm()
+					w.history.RecordFaultsEnded()
 					time.Sleep(6 * time.Minute)
-					w.history.End()
+					w.history.CheckFinalState()
 					w.check()
 				})
 			})
@@ -256,28 +258,28 @@
 				}
 				time.Sleep(20 * time.Second)
 				for _, h := range w.hosts {
-					w.port(h).Trouble(slow, 0)
+					w.port(h).SetFaults(slow, 0)
 				}
 				go w.cancel("", ids[0])
 				time.Sleep(15 * time.Second)
-				w.port("host-0").Refuse(true)
+				w.port("host-0").SetRefuseAll(true)
 				go w.cancel("", ids[1])
 				time.Sleep(3 * time.Second)
-				w.state.Set(true, false)
+				w.state.SetOutage(true, false)
 				go w.cancel("", ids[2])
 				time.Sleep(workers.CancellationDeadline + 20*time.Second)
-				w.state.Set(false, false)
-				w.port("host-0").Refuse(false)
+				w.state.SetOutage(false, false)
+				w.port("host-0").SetRefuseAll(false)
 				for _, h := range w.hosts {
-					w.port(h).Trouble(0, 0)
+					w.port(h).SetFaults(0, 0)
 				}
-				w.history.Calm()
+				w.history.RecordFaultsEnded()
 				time.Sleep(30 * time.Second)
-				if id := w.history.Unanswered(30 * time.Second); id != "" {
+				if id := w.history.UnansweredJob(30 * time.Second); id != "" {
 					w.t.Errorf("no question about %s has been answered for 30 s", id)
 				}
 				time.Sleep(5 * time.Minute)
-				w.history.End()
+				w.history.CheckFinalState()
 				w.check()
 			})
 		})
@@ -293,9 +295,9 @@
 		}
 		for step := range 100 {
 			time.Sleep(1500 * time.Millisecond)
-			w.fleet.Each(func(_ string, u *emulator.Machine) {
-				u.Again(w.hosts[step%3])
-				u.Deaf = step >= 30 && step < 54 // their sessions end
+			w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
+				u.SendDuplicateHeartbeat(w.hosts[step%3])
+				u.InboundLost = step >= 30 && step < 54 // their sessions end
 			})
 			if step%10 == 5 {
 				go w.submit("", shaped(job.Gang, array(w.id(), 2)), 8*time.Second)
@@ -306,9 +308,9 @@
 				w.start(w.hosts[step/20%3])
 			}
 		}
-		w.history.Calm()
+		w.history.RecordFaultsEnded()
 		time.Sleep(5 * time.Minute)
-		w.history.End()
+		w.history.CheckFinalState()
 		w.check()
 	})
 }
--- a/test/integration/more_test.go
+++ b/test/integration/more_test.go
@@ -26,23 +26,25 @@
 						w.t.Fatal("not accepted")
 					}
 				}
-				w.until("they run", 3*time.Minute, func() bool { return w.history.On(inside.ID) == 2 && w.history.On(called.ID) == 2 })
+				w.until("they run", 3*time.Minute, func() bool {
+					return w.history.TasksOnMachines(inside.ID) == 2 && w.history.TasksOnMachines(called.ID) == 2
+				})
 				time.Sleep(10 * time.Second)
-				if h := w.ownerOf(w.history.Where(inside.ID)); h != "host-1" {
+				if h := w.ownerOf(w.history.MachineOfFirstTask(inside.ID)); h != "host-1" {
 					w.t.Fatalf("the owner is %s: this shows nothing", h)
 				}
 				cut := func(on bool) {
 					w.hub.set("host-1", on)
-					w.port("host-1").Refuse(on)
+					w.port("host-1").SetRefuseAll(on)
 					w.cutUsers("host-1", on)
-					w.fleet.Each(func(_ string, u *emulator.Machine) {
+					w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
 						switch {
 						case u.Zone() != "b":
-							u.Cut = map[bool]string{true: "host-1"}[on]
+							u.UnreachableFrom = map[bool]string{true: "host-1"}[on]
 						case on:
-							u.Only = "host-1"
+							u.OnlyController = "host-1"
 						default:
-							u.Only = ""
+							u.OnlyController = ""
 						}
 					})
 				}
@@ -50,19 +52,19 @@
 				if !w.cancel("host-2", called.ID) {
 					w.t.Fatal("not told as cancelled")
 				}
-				if w.history.On(called.ID) == 0 {
+				if w.history.TasksOnMachines(called.ID) == 0 {
 					w.t.Error("nothing was on machines: this shows nothing")
 				}
 				go w.submit("host-2", in("b", array(w.id(), 1)), 10*time.Second)
 				time.Sleep(for_)
-				if n := w.history.On(inside.ID); n == 0 && for_ < 25*time.Second {
+				if n := w.history.TasksOnMachines(inside.ID); n == 0 && for_ < 25*time.Second {
 					w.t.Errorf("%d tasks run on in the zone", n)
 				}
 				cut(false)
-				w.history.Calm()
+				w.history.RecordFaultsEnded()
 				time.Sleep(8 * time.Minute)
-				w.t.Logf("tasks stayed for %v", w.history.Stayed())
-				w.history.End()
+				w.t.Logf("tasks stayed for %v", w.history.TimesToStopAfterCancel())
+				w.history.CheckFinalState()
 				w.check()
 			})
 		})
@@ -88,16 +90,18 @@
 							w.t.Fatal("not accepted")
 						}
 					}
-					w.until("they run", time.Minute, func() bool { return w.history.On(jobs[0].ID) == 2 && w.history.On(jobs[3].ID) == 2 })
+					w.until("they run", time.Minute, func() bool {
+						return w.history.TasksOnMachines(jobs[0].ID) == 2 && w.history.TasksOnMachines(jobs[3].ID) == 2
+					})
 					time.Sleep(5 * time.Second)
 					if !w.cancelSoon("host-1", jobs[2].ID) {
 						w.t.Fatal("not told as cancelled")
 					}
-					var machines []*emulator.Machine
-					w.fleet.Each(func(_ string, u *emulator.Machine) { machines = append(machines, u) })
+					var machines []*emulator.SimulatedMachine
+					w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { machines = append(machines, u) })
 					bring := w.end(w.hosts, never)
 					time.Sleep(away)
-					if away > workers.LeaseDuration+2*time.Second && machines[0].Session() == 1 {
+					if away > workers.LeaseDuration+2*time.Second && machines[0].WorkerEpoch() == 1 {
 						w.t.Error("no lease ran out: this shows nothing")
 					}
 					if alone {
@@ -108,9 +112,9 @@
 					} else {
 						bring()
 					}
-					w.history.Calm()
+					w.history.RecordFaultsEnded()
 					time.Sleep(6 * time.Minute)
-					w.history.End()
+					w.history.CheckFinalState()
 					w.check()
 				})
 			})
@@ -130,18 +134,18 @@
 					if !w.submit("host-0", long, 5*time.Minute) {
 						w.t.Fatal("not accepted")
 					}
-					w.until("it runs", time.Minute, func() bool { return w.history.On(long.ID) == 2 })
+					w.until("it runs", time.Minute, func() bool { return w.history.TasksOnMachines(long.ID) == 2 })
 					changes := 0
 					for k := range 10 {
 						if k == 4 && outage {
-							w.state.Set(true, false)
+							w.state.SetOutage(true, false)
 						}
 						if k == 7 {
-							w.state.Set(false, false)
+							w.state.SetOutage(false, false)
 						}
 						go w.submitApart("", array(w.id(), 1+k%3), 10*time.Second, 5*time.Second)
 						if k%3 == 1 {
-							if ids := w.history.Jobs(); len(ids) > 2 {
+							if ids := w.history.AcceptedJobs(); len(ids) > 2 {
 								go w.cancel("", ids[1+k%(len(ids)-1)])
 							}
 						}
@@ -159,9 +163,9 @@
 					if changes < 6 {
 						w.t.Errorf("%d changes: this shows little", changes)
 					}
-					w.history.Calm()
+					w.history.RecordFaultsEnded()
 					time.Sleep(8 * time.Minute)
-					w.history.End()
+					w.history.CheckFinalState()
 					w.check()
 				})
 			})
@@ -174,18 +178,18 @@
 func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
 	story(t, 104, func(w *world) {
 		for _, h := range w.hosts {
-			w.port(h).Trouble(300*time.Millisecond, 0)
+			w.port(h).SetFaults(300*time.Millisecond, 0)
 		}
 		slow := func(on bool) {
-			w.fleet.Each(func(_ string, u *emulator.Machine) {
-				u.Hold, u.HoldAnswers = 0, 0
+			w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
+				u.CommandDelay, u.AnswerDelay = 0, 0
 				if on {
-					u.Hold, u.HoldAnswers = time.Second, 700*time.Millisecond
+					u.CommandDelay, u.AnswerDelay = time.Second, 700*time.Millisecond
 				}
 			})
 		}
 		go func() {
-			for w.ctx.Err() == nil && time.Since(w.history.Began()) < 3*time.Minute {
+			for w.ctx.Err() == nil && time.Since(w.history.StartTime()) < 3*time.Minute {
 				slow(true)
 				time.Sleep(time.Second)
 			}
@@ -210,7 +214,7 @@
 		for range 60 {
 			time.Sleep(time.Second)
 			for _, s := range other {
-				if w.history.On(s.ID) == 0 {
+				if w.history.TasksOnMachines(s.ID) == 0 {
 					waiting++
 				}
 			}
@@ -219,17 +223,17 @@
 			w.t.Errorf("work hardly waited: this shows little")
 		}
 		for _, s := range urgent {
-			if w.history.On(s.ID) == 0 && !w.history.Completed(job.TaskID(s.ID, 0)) {
+			if w.history.TasksOnMachines(s.ID) == 0 && !w.history.TaskCompleted(job.TaskID(s.ID, 0)) {
 				w.t.Errorf("%s is urgent and has not begun after a minute", s.ID)
 			}
 		}
 		time.Sleep(2 * time.Minute)
 		for _, h := range w.hosts {
-			w.port(h).Trouble(0, 0)
+			w.port(h).SetFaults(0, 0)
 		}
-		w.history.Calm()
+		w.history.RecordFaultsEnded()
 		time.Sleep(8 * time.Minute)
-		w.history.End()
+		w.history.CheckFinalState()
 		w.check()
 	})
 }
@@ -253,18 +257,18 @@
 					}
 				}
 				w.until("they run", time.Minute, func() bool {
-					return w.history.On(bound.ID) == 3 && w.history.On(one.ID) == 3 && w.history.On(gang.ID) == 2
+					return w.history.TasksOnMachines(bound.ID) == 3 && w.history.TasksOnMachines(one.ID) == 3 && w.history.TasksOnMachines(gang.ID) == 2
 				})
 				killed := 0
 				for _, s := range jobs {
-					w.unitOf(w.history.Where(s.ID), func(u *emulator.Machine) { u.Kill(); killed++ })
+					w.unitOf(w.history.MachineOfFirstTask(s.ID), func(u *emulator.SimulatedMachine) { u.Kill(); killed++ })
 					if s.ID == bound.ID && role != "nobody" {
 						w.end(w.leading(role, one.ID), 400*time.Millisecond)
 					}
 					time.Sleep(7 * time.Second)
 				}
 				time.Sleep(20 * time.Second)
-				w.fleet.Each(func(_ string, u *emulator.Machine) {
+				w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
 					if u.Zone() == "b" {
 						u.Kill()
 						killed++
@@ -274,9 +278,9 @@
 					w.t.Errorf("%d machines were lost: this shows little", killed)
 				}
 				time.Sleep(time.Minute)
-				w.history.Calm()
+				w.history.RecordFaultsEnded()
 				time.Sleep(8 * time.Minute)
-				w.history.End()
+				w.history.CheckFinalState()
 				w.check()
 			})
 		})
@@ -293,14 +297,14 @@
 		if !w.submit("", one, 10*time.Minute) {
 			w.t.Fatal("not accepted")
 		}
-		w.until("it runs", time.Minute, func() bool { return w.history.On(one.ID) == 3 })
+		w.until("it runs", time.Minute, func() bool { return w.history.TasksOnMachines(one.ID) == 3 })
 		zone, lost := "", ""
 		tasks := map[string]int{}
 		for index := range one.Tasks {
-			tasks[w.history.Machine(job.TaskID(one.ID, index))]++
+			tasks[w.history.MachineOfTask(job.TaskID(one.ID, index))]++
 		}
 		for machine, n := range tasks {
-			w.unitOf(machine, func(u *emulator.Machine) { zone = u.Zone() })
+			w.unitOf(machine, func(u *emulator.SimulatedMachine) { zone = u.Zone() })
 			if n == 2 {
 				lost = machine
 			}
@@ -308,19 +312,21 @@
 		if lost == "" {
 			w.t.Fatalf("its tasks are on %v: no machine has two", tasks)
 		}
-		for w.fleet.Fits(in(zone, array("", 1)), 1) { // no other machine of its zone has room
+		for w.fleet.HasCapacity(in(zone, array("", 1)), 1) { // no other machine of its zone has room
 			filler := in(zone, array(w.id(), 1))
 			w.submit("", filler, 10*time.Minute)
-			w.until("the zone's room is taken", time.Minute, func() bool { return w.history.On(filler.ID) == 1 })
+			w.until("the zone's room is taken", time.Minute, func() bool { return w.history.TasksOnMachines(filler.ID) == 1 })
 		}
 		other := zones[(slices.Index(zones, zone)+1)%len(zones)]
 		elsewhere := in(other, array(w.id(), 1))
 		elsewhere.CPUs, elsewhere.GPUs = 5, 0 // its machine has room for two of the others all the time
 		w.submit("", elsewhere, 10*time.Minute)
-		w.until("a machine of another zone has room", time.Minute, func() bool { return w.history.On(elsewhere.ID) == 1 && w.fleet.Fits(in(other, array("", 2)), 2) })
-		w.unitOf(lost, func(u *emulator.Machine) { u.Kill() })
-		w.until("it has lost two tasks", 90*time.Second, func() bool { return w.history.On(one.ID) == 1 })
-		w.until("it runs whole again", 90*time.Second, func() bool { return w.history.On(one.ID) == 3 })
+		w.until("a machine of another zone has room", time.Minute, func() bool {
+			return w.history.TasksOnMachines(elsewhere.ID) == 1 && w.fleet.HasCapacity(in(other, array("", 2)), 2)
+		})
+		w.unitOf(lost, func(u *emulator.SimulatedMachine) { u.Kill() })
+		w.until("it has lost two tasks", 90*time.Second, func() bool { return w.history.TasksOnMachines(one.ID) == 1 })
+		w.until("it runs whole again", 90*time.Second, func() bool { return w.history.TasksOnMachines(one.ID) == 3 })
 		w.check()
 	})
 }
@@ -338,14 +344,16 @@
 					w.submit("host-0", in("a", array(w.id(), 2)), 3*time.Minute)
 				}
 				w.submit("host-0", short, 20*time.Second)
-				w.until("they run", time.Minute, func() bool { return w.history.On(long.ID) == 2 && w.history.On(short.ID) == 2 })
-				w.fleet.Each(func(_ string, u *emulator.Machine) { u.Mute, u.Lost = true, true })
+				w.until("they run", time.Minute, func() bool {
+					return w.history.TasksOnMachines(long.ID) == 2 && w.history.TasksOnMachines(short.ID) == 2
+				})
+				w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.HeartbeatsLost, u.CommandsLost = true, true })
 				time.Sleep(4 * time.Second)
-				w.fleet.Each(func(_ string, u *emulator.Machine) { u.Keep() })
+				w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.CaptureHeartbeat() })
 				lives := w.lives()
 				w.end(w.leading(role, long.ID), 400*time.Millisecond)
-				w.until("the short one has run", 30*time.Second, func() bool { return w.history.Completed(job.TaskID(short.ID, 1)) })
-				w.fleet.Each(func(_ string, u *emulator.Machine) { u.Mute, u.Lost = false, false })
+				w.until("the short one has run", 30*time.Second, func() bool { return w.history.TaskCompleted(job.TaskID(short.ID, 1)) })
+				w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.HeartbeatsLost, u.CommandsLost = false, false })
 				time.Sleep(6 * time.Second)
 				if w.lives() == lives {
 					w.t.Error("no leader changed: this shows nothing")
@@ -355,9 +363,9 @@
 				}
 				time.Sleep(500 * time.Millisecond)
 				w.sendKept()
-				w.history.Calm()
+				w.history.RecordFaultsEnded()
 				time.Sleep(6 * time.Minute)
-				w.history.End()
+				w.history.CheckFinalState()
 				w.check()
 			})
 		})
--- a/test/integration/outage_test.go
+++ b/test/integration/outage_test.go
@@ -14,7 +14,7 @@
 // owners are the shards' holders, with the revisions of their keys.
 func (w *world) owners() string {
 	out := ""
-	for _, kv := range w.state.Dir(statekv.MachineShardPrefix) {
+	for _, kv := range w.state.ListAll(statekv.MachineShardPrefix) {
 		out += fmt.Sprint(kv.Key, " ", kv.Rev, " ", w.holder(kv.Key), "; ")
 	}
 	return out
@@ -33,9 +33,9 @@
 		}
 		time.Sleep(40 * time.Second)
 		before := strings.Split(w.owners(), "; ")
-		w.state.Set(true, false)
+		w.state.SetOutage(true, false)
 		time.Sleep(80 * time.Second)
-		w.state.Set(false, false)
+		w.state.SetOutage(false, false)
 		time.Sleep(10 * time.Second)
 		after := w.owners()
 		for _, shard := range before {
@@ -60,21 +60,21 @@
 		}
 		time.Sleep(30 * time.Second)
 		for range 2 {
-			w.state.Set(true, false)
+			w.state.SetOutage(true, false)
 			time.Sleep(workers.CancellationDeadline + 40*time.Second)
 			for _, id := range ids {
-				if w.history.On(id) != 2 {
-					w.t.Errorf("%d tasks of %s are on machines after the outage", w.history.On(id), id)
+				if w.history.TasksOnMachines(id) != 2 {
+					w.t.Errorf("%d tasks of %s are on machines after the outage", w.history.TasksOnMachines(id), id)
 				}
 			}
-			w.state.Set(false, false)
+			w.state.SetOutage(false, false)
 			time.Sleep(10 * time.Second)
 		}
 		time.Sleep(2 * time.Minute)
-		if n := w.history.Starts(); n != 6 {
+		if n := w.history.TaskStarts(); n != 6 {
 			w.t.Errorf("six tasks were started %d times", n)
 		}
-		w.history.End()
+		w.history.CheckFinalState()
 		w.check()
 	})
 }
@@ -95,21 +95,21 @@
 			story(t, 20, func(w *world) {
 				s := w.running("host-0", "a", job.Array)
 				for _, h := range w.hosts {
-					w.port(h).Lag(5 * time.Second)
+					w.port(h).SetWatchLag(5 * time.Second)
 				}
 				time.Sleep(7 * time.Second)
 				if !w.cancelSoon("host-2", s.ID) {
 					w.t.Fatal("not told as cancelled")
 				}
-				w.state.Set(true, false)
+				w.state.SetOutage(true, false)
 				one(w)
 				time.Sleep(workers.CancellationDeadline + 40*time.Second)
-				w.t.Logf("tasks stayed for %v", w.history.Stayed())
+				w.t.Logf("tasks stayed for %v", w.history.TimesToStopAfterCancel())
 				w.check()
-				w.state.Set(false, false)
+				w.state.SetOutage(false, false)
 				w.hub.set("host-2", false)
 				for _, h := range w.hosts {
-					w.port(h).Lag(0)
+					w.port(h).SetWatchLag(0)
 				}
 				time.Sleep(20 * time.Second)
 				w.check()
@@ -120,11 +120,11 @@
 
 // cancelSoon is cancel that returns the moment the user is told.
 func (w *world) cancelSoon(host, id string) bool {
-	w.history.Asks(id)
+	w.history.RecordCancelRequest(id)
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		asked := w.history.Asking()
+		asked := w.history.StampRequest()
 		code, status := w.call(host, "POST", "/submissions/"+id+"/abort", nil, 5*time.Second)
-		w.history.Told("cancel", id, asked, code, status)
+		w.history.RecordResponse("cancel", id, asked, code, status)
 		if code == 200 {
 			return status == job.Cancelled
 		}
@@ -142,14 +142,14 @@
 		if !w.submit("host-1", s, 10*time.Minute) {
 			w.t.Fatal("not accepted")
 		}
-		w.until("it runs", 3*time.Minute, func() bool { return w.history.On(s.ID) == 10 })
-		w.fleet.Each(func(_ string, u *emulator.Machine) { u.Lost = true })
-		w.port("host-0").NoRenewals(true)
+		w.until("it runs", 3*time.Minute, func() bool { return w.history.TasksOnMachines(s.ID) == 10 })
+		w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.CommandsLost = true })
+		w.port("host-0").SetRefuseRenewals(true)
 		time.Sleep(3 * time.Minute)
-		w.port("host-0").NoRenewals(false)
-		w.fleet.Each(func(_ string, u *emulator.Machine) { u.Lost = false })
+		w.port("host-0").SetRefuseRenewals(false)
+		w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.CommandsLost = false })
 		time.Sleep(15 * time.Minute)
-		w.history.End()
+		w.history.CheckFinalState()
 		w.check()
 	})
 }
--- a/test/integration/refused_test.go
+++ b/test/integration/refused_test.go
@@ -21,16 +21,16 @@
 		}
 		long := array(w.id(), 2)
 		w.submit("host-0", long, time.Hour)
-		w.until("it runs", time.Minute, func() bool { return w.history.On(long.ID) == 2 })
+		w.until("it runs", time.Minute, func() bool { return w.history.TasksOnMachines(long.ID) == 2 })
 		if !w.cancel("host-1", long.ID) {
 			w.t.Fatal("not cancelled")
 		}
 		time.Sleep(5 * time.Second)
-		if n := w.history.On(long.ID); n > 0 {
+		if n := w.history.TasksOnMachines(long.ID); n > 0 {
 			w.t.Errorf("%d tasks of the cancelled job stayed for 5 s", n)
 		}
 		time.Sleep(85 * time.Second)
-		w.history.End()
+		w.history.CheckFinalState()
 		w.check()
 	})
 }
@@ -55,7 +55,7 @@
 	if !w.submit(placer, s, time.Hour) {
 		w.t.Fatal("not accepted")
 	}
-	w.until("it runs", time.Minute, func() bool { return w.history.On(s.ID) == 2 })
+	w.until("it runs", time.Minute, func() bool { return w.history.TasksOnMachines(s.ID) == 2 })
 	time.Sleep(5 * time.Second)
 	return s
 }
@@ -72,8 +72,8 @@
 	if before != nil {
 		before()
 	}
-	w.port(c.refused).Refuse(true)
-	on := w.history.On(s.ID)
+	w.port(c.refused).SetRefuseAll(true)
+	on := w.history.TasksOnMachines(s.ID)
 	if on == 0 {
 		w.t.Fatal("nothing was on machines: this shows nothing")
 	}
@@ -84,12 +84,12 @@
 		go twist()
 	}
 	time.Sleep(gap)
-	w.state.Set(true, false)
+	w.state.SetOutage(true, false)
 	time.Sleep(workers.CancellationDeadline + 40*time.Second)
-	w.state.Set(false, false)
-	w.port(c.refused).Refuse(false)
+	w.state.SetOutage(false, false)
+	w.port(c.refused).SetRefuseAll(false)
 	time.Sleep(40 * time.Second)
-	w.t.Logf("%d tasks on machines when told; they stayed for %v", on, w.history.Stayed())
+	w.t.Logf("%d tasks on machines when told; they stayed for %v", on, w.history.TimesToStopAfterCancel())
 	if code, status := w.call("host-2", "GET", "/submissions/"+next.ID, nil, 2*time.Second); waits && status != job.Cancelled {
 		w.t.Errorf("orphaned: the job after it is told as %d %s", code, status)
 	}
@@ -113,9 +113,9 @@
 	hang := func(w *world, for_ time.Duration) func() {
 		return func() {
 			time.Sleep(50 * time.Millisecond)
-			w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hung = true })
+			w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.Hung = true })
 			time.Sleep(for_)
-			w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hung = false })
+			w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.Hung = false })
 		}
 	}
 	twists := map[string]func(w *world, c refusal) (before, twist func()){
@@ -130,7 +130,7 @@
 			return func() { w.hub.set(c.refused, true) }, func() { time.Sleep(80 * time.Second); w.hub.set(c.refused, false) }
 		},
 		"commands are lost": func(w *world, _ refusal) (func(), func()) {
-			return func() { w.fleet.Each(func(_ string, u *emulator.Machine) { u.Lost = true }) }, nil
+			return func() { w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.CommandsLost = true }) }, nil
 		},
 	}
 	for name, c := range refusals {
@@ -153,12 +153,12 @@
 func TestSavingGangIsCancelled(t *testing.T) {
 	story(t, 5, func(w *world) {
 		s := w.running("host-0", "b", job.Gang)
-		w.fleet.Each(func(_ string, u *emulator.Machine) { u.Save(time.Minute) })
+		w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.StartCheckpoints(time.Minute) })
 		if !w.cancel("host-2", s.ID) {
 			w.t.Fatal("not told as cancelled")
 		}
 		time.Sleep(5 * time.Second)
-		if n := w.history.On(s.ID); n > 0 {
+		if n := w.history.TasksOnMachines(s.ID); n > 0 {
 			w.t.Errorf("%d of its tasks save on", n)
 		}
 		w.check()
@@ -179,7 +179,7 @@
 				time.Sleep(workers.CancellationDeadline + 10*time.Second)
 				w.hub.set("host-1", false)
 				time.Sleep(30 * time.Second)
-				w.t.Logf("tasks stayed for %v", w.history.Stayed())
+				w.t.Logf("tasks stayed for %v", w.history.TimesToStopAfterCancel())
 				w.check()
 			})
 		})
@@ -204,11 +204,11 @@
 					}
 				}
 				time.Sleep(after)
-				w.state.Set(true, false)
+				w.state.SetOutage(true, false)
 				time.Sleep(workers.CancellationDeadline + 40*time.Second)
-				w.state.Set(false, false)
+				w.state.SetOutage(false, false)
 				time.Sleep(20 * time.Second)
-				w.t.Logf("tasks stayed for %v", w.history.Stayed())
+				w.t.Logf("tasks stayed for %v", w.history.TimesToStopAfterCancel())
 				w.check()
 			})
 		})
@@ -217,7 +217,7 @@
 
 // holds reports whether a controller has shards.
 func (w *world) holds(host string) bool {
-	for _, kv := range w.state.Dir(statekv.MachineShardPrefix) {
+	for _, kv := range w.state.ListAll(statekv.MachineShardPrefix) {
 		var h statekv.Holder
 		if json.Unmarshal(kv.Value, &h) == nil && h.Host == host {
 			return true
--- a/test/integration/roles_test.go
+++ b/test/integration/roles_test.go
@@ -37,7 +37,7 @@
 	case "placer":
 		return []string{w.placerOf(id)}
 	case "owner":
-		return []string{w.ownerOf(w.history.Where(id))}
+		return []string{w.ownerOf(w.history.MachineOfFirstTask(id))}
 	case "steward":
 		return []string{w.holder(statekv.LeaderKey)}
 	}
@@ -46,7 +46,7 @@
 
 // ownerOf is the host that owns a machine by its key, or "".
 func (w *world) ownerOf(machine string) string {
-	for _, kv := range w.state.Dir(statekv.MachinePrefix + machine) {
+	for _, kv := range w.state.ListAll(statekv.MachinePrefix + machine) {
 		if key := shard.ParseMachineRecord(kv); key != nil && kv.Key == statekv.MachinePrefix+machine {
 			return w.holder(statekv.MachineShardPrefix + key.Shard)
 		}
@@ -78,7 +78,7 @@
 // on counts the tasks of jobs that are on machines.
 func (w *world) on(jobs []job.Spec) (n int) {
 	for _, s := range jobs {
-		n += w.history.On(s.ID)
+		n += w.history.TasksOnMachines(s.ID)
 	}
 	return n
 }
@@ -92,8 +92,8 @@
 }
 
 // unitOf calls do for the machine of that name, with the fleet held still.
-func (w *world) unitOf(machine string, do func(u *emulator.Machine)) {
-	w.fleet.Each(func(name string, u *emulator.Machine) {
+func (w *world) unitOf(machine string, do func(u *emulator.SimulatedMachine)) {
+	w.fleet.ForEachMachine(func(name string, u *emulator.SimulatedMachine) {
 		if name == machine {
 			do(u)
 		}
@@ -102,17 +102,17 @@
 
 // ask1 asks one controller once about a job, and returns whether it was answered.
 func (w *world) ask1(host, id string) bool {
-	asked := w.history.Asking()
+	asked := w.history.StampRequest()
 	code, status := w.call(host, http.MethodGet, "/submissions/"+id, nil, 2*time.Second)
-	w.history.Told("query", id, asked, code, status)
+	w.history.RecordResponse("query", id, asked, code, status)
 	return code == 200 || code == 404
 }
 
 // resubmit submits a job at one controller once more, and returns whether it was answered.
 func (w *world) resubmit(host string, spec job.Spec) bool {
-	asked := w.history.Asking()
+	asked := w.history.StampRequest()
 	code, status := w.call(host, http.MethodPost, "/submissions", wireSpec(spec), 5*time.Second)
-	w.history.Told("submit", spec.ID, asked, code, status)
+	w.history.RecordResponse("submit", spec.ID, asked, code, status)
 	return code == 200 || code == 201
 }
 
--- a/test/integration/small_test.go
+++ b/test/integration/small_test.go
@@ -22,42 +22,42 @@
 		"all end": func(w *world) func() { return w.end(w.hosts, time.Second) },
 		"transactions are late": func(w *world) func() {
 			for _, h := range w.hosts {
-				w.port(h).Trouble(0, 0.2)
+				w.port(h).SetFaults(0, 0.2)
 			}
 			return func() {
 				for _, h := range w.hosts {
-					w.port(h).Trouble(0, 0)
+					w.port(h).SetFaults(0, 0)
 				}
 			}
 		},
 		"answers are lost": func(w *world) func() {
 			for _, h := range w.hosts {
-				w.port(h).AtOnce(true)
-				w.port(h).Trouble(0, 0.2)
+				w.port(h).SetLoseAnswersOnly(true)
+				w.port(h).SetFaults(0, 0.2)
 			}
 			return func() {
 				for _, h := range w.hosts {
-					w.port(h).Trouble(0, 0)
+					w.port(h).SetFaults(0, 0)
 				}
 			}
 		},
 		"one is refused": func(w *world) func() {
-			w.port("host-1").Refuse(true)
-			return func() { w.port("host-1").Refuse(false) }
+			w.port("host-1").SetRefuseAll(true)
+			return func() { w.port("host-1").SetRefuseAll(false) }
 		},
 		"the state service is down": func(w *world) func() {
-			w.state.Set(true, false)
-			return func() { w.state.Set(false, false) }
+			w.state.SetOutage(true, false)
+			return func() { w.state.SetOutage(false, false) }
 		},
 		"machines hang": func(w *world) func() {
-			hung := map[*emulator.Machine]bool{}
-			w.fleet.Each(func(_ string, u *emulator.Machine) {
+			hung := map[*emulator.SimulatedMachine]bool{}
+			w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
 				if len(hung) < 5 {
 					u.Hung, hung[u] = true, true
 				}
 			})
 			return func() {
-				w.fleet.Each(func(_ string, u *emulator.Machine) {
+				w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
 					if hung[u] {
 						u.Hung = false
 					}
@@ -69,7 +69,7 @@
 			t.Parallel()
 			storyOfMachines(t, 92, 5, 30, func(w *world) {
 				for _, h := range w.hosts {
-					w.port(h).Limit(20)
+					w.port(h).SetChangeRate(20)
 				}
 				before := w.state.Changes()
 				began := time.Now()
@@ -78,13 +78,13 @@
 				all, soon, cancelled := 0, 0, 0
 				one := func(k int) {
 					s := array(w.id(), 1)
-					w.history.Offers(s)
-					w.fleet.Runs(s.ID, 4*time.Second, 0)
+					w.history.RecordSubmission(s)
+					w.fleet.SetRunTimes(s.ID, 4*time.Second, 0)
 					sent := time.Now()
 					for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
-						asked := w.history.Asking()
+						asked := w.history.StampRequest()
 						code, status := w.call(w.any(), http.MethodPost, "/submissions", wireSpec(s), 5*time.Second)
-						w.history.Told("submit", s.ID, asked, code, status)
+						w.history.RecordResponse("submit", s.ID, asked, code, status)
 						if code/100 == 2 {
 							break
 						}
@@ -126,12 +126,12 @@
 				if cancelled < 120 {
 					w.t.Errorf("%d jobs were cancelled: this shows little", cancelled)
 				}
-				w.history.Calm()
+				w.history.RecordFaultsEnded()
 				time.Sleep(2 * time.Minute)
-				if id := w.history.Unanswered(10 * time.Second); id != "" {
+				if id := w.history.UnansweredJob(10 * time.Second); id != "" {
 					w.t.Errorf("no question about %s has been answered for 10 s", id)
 				}
-				w.history.End()
+				w.history.CheckFinalState()
 				w.check()
 			})
 		})
--- a/test/integration/told_test.go
+++ b/test/integration/told_test.go
@@ -18,18 +18,18 @@
 				story(t, 71, func(w *world) {
 					s := w.running("host-0", "b", shape)
 					for _, h := range w.hosts {
-						w.port(h).Lag(3 * time.Second)
+						w.port(h).SetWatchLag(3 * time.Second)
 					}
 					time.Sleep(10 * time.Second)
 					if !w.cancelSoon(teller, s.ID) {
 						w.t.Fatal("not told as cancelled")
 					}
 					time.Sleep(200 * time.Millisecond)
-					if n := w.history.On(s.ID); n > 0 {
+					if n := w.history.TasksOnMachines(s.ID); n > 0 {
 						w.t.Errorf("%d tasks are on machines 0.2 s after it, where watches take 3 s", n)
 					}
 					for _, h := range w.hosts {
-						w.port(h).Lag(0)
+						w.port(h).SetWatchLag(0)
 					}
 					time.Sleep(20 * time.Second)
 					w.check()
@@ -46,7 +46,7 @@
 		w.running("host-0", "a", job.Array)
 		time.Sleep(5 * time.Second)
 		for _, h := range w.hosts {
-			w.port(h).Lag(500 * time.Millisecond)
+			w.port(h).SetWatchLag(500 * time.Millisecond)
 		}
 		told := 0
 		for k := range 60 {
@@ -58,7 +58,7 @@
 			if !w.cancelSoon(w.hosts[(k/3)%3], s.ID) {
 				w.t.Fatal("not told as cancelled")
 			}
-			if w.history.On(s.ID) < 2 { // some fetch their images
+			if w.history.TasksOnMachines(s.ID) < 2 { // some fetch their images
 				told++
 			}
 			time.Sleep(3 * time.Second)
--- a/test/integration/unreachable_test.go
+++ b/test/integration/unreachable_test.go
@@ -21,19 +21,19 @@
 				if !w.submit("host-0", long, 50*time.Second) {
 					w.t.Fatal("not accepted")
 				}
-				w.until("it runs", time.Minute, func() bool { return w.history.On(long.ID) == 2 })
+				w.until("it runs", time.Minute, func() bool { return w.history.TasksOnMachines(long.ID) == 2 })
 				time.Sleep(5 * time.Second)
-				var mute []*emulator.Machine
-				w.fleet.Each(func(_ string, u *emulator.Machine) {
-					u.Mute = true
+				var mute []*emulator.SimulatedMachine
+				w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
+					u.HeartbeatsLost = true
 					mute = append(mute, u)
 				})
-				session, carried := mute[0].Session(), mute[0].Carried
+				session, carried := mute[0].WorkerEpoch(), mute[0].CommandsExecuted
 				if role != "nobody" {
 					w.end(w.leading(role, long.ID), 400*time.Millisecond)
 				}
 				time.Sleep(workers.LeaseDuration*2/3 + 5*time.Second)
-				starts := w.history.Starts()
+				starts := w.history.TaskStarts()
 				var more []job.Spec
 				for range 4 {
 					s := array(w.id(), 2)
@@ -44,24 +44,24 @@
 				time.Sleep(2 * time.Minute)
 				for _, s := range more {
 					for k := range s.Tasks {
-						if !w.history.Completed(job.TaskID(s.ID, k)) {
+						if !w.history.TaskCompleted(job.TaskID(s.ID, k)) {
 							w.t.Errorf("%s/%d is not done while machines are mute", s.ID, k)
 						}
 					}
 				}
 				// Eight tasks, and the two of the long one once or twice more.
-				if n := w.history.Starts() - starts; n > 12 {
+				if n := w.history.TaskStarts() - starts; n > 12 {
 					w.t.Errorf("%d starts for eight tasks: they are placed where they are killed", n)
 				}
-				w.fleet.Each(func(_ string, u *emulator.Machine) {
-					if u == mute[0] && (u.Session() == session || u.Carried == carried) {
-						w.t.Errorf("session %d, %d commands carried out: this shows nothing", u.Session(), u.Carried)
+				w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
+					if u == mute[0] && (u.WorkerEpoch() == session || u.CommandsExecuted == carried) {
+						w.t.Errorf("session %d, %d commands carried out: this shows nothing", u.WorkerEpoch(), u.CommandsExecuted)
 					}
-					u.Mute = false
+					u.HeartbeatsLost = false
 				})
-				w.history.Calm()
+				w.history.RecordFaultsEnded()
 				time.Sleep(4 * time.Minute)
-				w.history.End()
+				w.history.CheckFinalState()
 				w.check()
 			})
 		})
@@ -81,8 +81,8 @@
 			"all end":         func(w *world, id string) func() { return w.end(w.hosts, time.Second) },
 			"the owner is refused": func(w *world, id string) func() {
 				h := w.leading("owner", id)[0]
-				w.port(h).Refuse(true)
-				return func() { w.port(h).Refuse(false) }
+				w.port(h).SetRefuseAll(true)
+				return func() { w.port(h).SetRefuseAll(false) }
 			},
 		} {
 			t.Run(fmt.Sprint("for ", hang, ", ", name), func(t *testing.T) {
@@ -93,21 +93,21 @@
 					for _, s := range []job.Spec{array, gang} {
 						go func() { told <- w.cancel("host-2", s.ID) }()
 					}
-					w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hung = true })
+					w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.Hung = true })
 					bring := trouble(w, array.ID)
 					for range cap(told) {
 						if !<-told {
 							w.t.Fatal("not told as cancelled")
 						}
 					}
-					if w.history.On(array.ID)+w.history.On(gang.ID) == 0 {
+					if w.history.TasksOnMachines(array.ID)+w.history.TasksOnMachines(gang.ID) == 0 {
 						w.t.Fatal("nothing was on machines: this shows nothing")
 					}
 					time.Sleep(hang)
-					w.fleet.Each(func(_ string, u *emulator.Machine) { u.Hung = false })
+					w.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) { u.Hung = false })
 					bring()
 					time.Sleep(workers.CancellationDeadline + 10*time.Second)
-					w.t.Logf("tasks stayed for %v", w.history.Stayed())
+					w.t.Logf("tasks stayed for %v", w.history.TimesToStopAfterCancel())
 					w.check()
 				})
 			})
--- a/test/integration/world_test.go
+++ b/test/integration/world_test.go
@@ -32,8 +32,8 @@
 type world struct {
 	t       *testing.T
 	ctx     context.Context
-	state   *emulator.State
-	fleet   *emulator.Fleet
+	state   *emulator.StateService
+	fleet   *emulator.SimulatedCloud
 	history *emulator.History
 	hub     *hub
 	hosts   []string
@@ -41,7 +41,7 @@
 	mu      sync.Mutex
 	rng     *rand.Rand
 	nodes   map[string]*node
-	ports   map[string]*emulator.Port
+	ports   map[string]*emulator.FaultyStateClient
 	ready   map[string]bool
 	noUsers map[string]bool // controllers that users do not reach
 	noWork  map[string]bool // and workers
@@ -88,8 +88,8 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &world{t: t, ctx: ctx, state: emulator.NewState(), hosts: []string{"host-0", "host-1", "host-2"}, rng: rand.New(rand.NewPCG(seed, 3)),
-			nodes: map[string]*node{}, ports: map[string]*emulator.Port{}, ready: map[string]bool{}, noUsers: map[string]bool{}, noWork: map[string]bool{},
+		w := &world{t: t, ctx: ctx, state: emulator.NewStateService(), hosts: []string{"host-0", "host-1", "host-2"}, rng: rand.New(rand.NewPCG(seed, 3)),
+			nodes: map[string]*node{}, ports: map[string]*emulator.FaultyStateClient{}, ready: map[string]bool{}, noUsers: map[string]bool{}, noWork: map[string]bool{},
 			hub: &hub{lives: map[string]*wire{}, cut: map[string]bool{}, deaf: map[string]bool{}}}
 		stop := make(chan struct{})
 		go w.state.ExpireLeases(stop)
@@ -97,7 +97,7 @@
 		s := w.settings("host-0")
 		w.history = emulator.NewHistory(s)
 		types := []cloud.MachineType{{Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 1, OnDemandPrice: 2, SpotPrice: 1, ProvisioningS: bootS, Zones: zones}}
-		w.fleet = emulator.NewFleet(ctx, s, types, most, seed, w.history, w.work)
+		w.fleet = emulator.NewSimulatedCloud(ctx, s, types, most, seed, w.history, w.work)
 		for _, h := range w.hosts {
 			w.start(h)
 		}
@@ -117,7 +117,7 @@
 		return
 	}
 	if w.ports[host] == nil {
-		w.ports[host] = emulator.NewPort(w.state, w.rng.Uint64())
+		w.ports[host] = emulator.NewFaultyStateClient(w.state, w.rng.Uint64())
 	}
 	ctx, stop := context.WithCancel(w.ctx)
 	c := controller.Assemble(w.settings(host), policy.Default(), controller.ExternalSystems{StateStore: w.ports[host], MigrationStore: w.ports[host], Cloud: w.fleet, Workers: w.fleet.Commander(host),
@@ -193,7 +193,7 @@
 // lookOn has the history look at who waits, all the time.
 func (w *world) lookOn() {
 	for w.ctx.Err() == nil {
-		w.history.Look(w.fleet.Fits)
+		w.history.CheckWaitingJobs(w.fleet.HasCapacity)
 		time.Sleep(time.Second)
 	}
 }
@@ -237,12 +237,12 @@
 
 // submitApart is submit of a job whose tasks end far apart.
 func (w *world) submitApart(host string, spec job.Spec, runs, apart time.Duration) bool {
-	w.history.Offers(spec)
-	w.fleet.Runs(spec.ID, runs, apart)
+	w.history.RecordSubmission(spec)
+	w.fleet.SetRunTimes(spec.ID, runs, apart)
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
-		asked := w.history.Asking()
+		asked := w.history.StampRequest()
 		code, status := w.call(w.one(host), http.MethodPost, "/submissions", wireSpec(spec), 5*time.Second)
-		w.history.Told("submit", spec.ID, asked, code, status)
+		w.history.RecordResponse("submit", spec.ID, asked, code, status)
 		switch code {
 		case 200, 201:
 			go w.ask(spec.ID)
@@ -266,9 +266,9 @@
 func (w *world) ask(id string) {
 	for w.ctx.Err() == nil {
 		time.Sleep(5 * time.Second)
-		asked := w.history.Asking()
+		asked := w.history.StampRequest()
 		code, status := w.call(w.any(), http.MethodGet, "/submissions/"+id, nil, 2*time.Second)
-		w.history.Told("query", id, asked, code, status)
+		w.history.RecordResponse("query", id, asked, code, status)
 		if code == 200 && (status == job.Done || status == job.Cancelled) {
 			return
 		}
@@ -277,11 +277,11 @@
 
 // cancel has a user cancel a job at a controller, and returns whether it was told so.
 func (w *world) cancel(host, id string) bool {
-	w.history.Asks(id)
+	w.history.RecordCancelRequest(id)
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
-		asked := w.history.Asking()
+		asked := w.history.StampRequest()
 		code, status := w.call(w.one(host), http.MethodPost, "/submissions/"+id+"/abort", nil, 5*time.Second)
-		w.history.Told("cancel", id, asked, code, status)
+		w.history.RecordResponse("cancel", id, asked, code, status)
 		if code == 200 {
 			return status == job.Cancelled
 		}
@@ -289,7 +289,7 @@
 	return false
 }
 
-func (w *world) port(host string) *emulator.Port {
+func (w *world) port(host string) *emulator.FaultyStateClient {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.ports[host]
@@ -329,7 +329,7 @@
 // check fails the test for every rule that was broken.
 func (w *world) check() {
 	w.t.Helper()
-	if broken := w.history.Broken(); len(broken) > 0 {
+	if broken := w.history.Violations(); len(broken) > 0 {
 		w.t.Errorf("%d broken: %s", len(broken), strings.Join(broken[:min(5, len(broken))], "; "))
 	}
 }
--- a/tools/audit/audit_test.go
+++ b/tools/audit/audit_test.go
@@ -73,14 +73,14 @@
 			line(150*time.Second, `msg="task over" task=wk-2/0 attempt=1 machine=m1 cause=peers saved=false cpus=6 gpus=4 mem_gb=1 fetch_s=0 wait_s=10 run_s=90 save_s=0 saves_every_s=40`)+
 			line(200*time.Second, `msg=returned machines=[m1]`))
 		b := l.Bill()
-		want := map[string]float64{Boot: 0.4, Fresh: 0.1, Fetch: 0.1, Useful: 0.4 + 0.4, Wait: 0.05, Repeated: 0.05, Ended: 0.5}
-		for _, part := range Parts {
-			if math.Abs(b.By[part]-want[part]) > 1e-9 {
-				t.Errorf("%s: %v, want %v", part, b.By[part], want[part])
+		want := map[string]float64{Boot: 0.4, IdleBeforeFirstTask: 0.1, Fetch: 0.1, Useful: 0.4 + 0.4, GangWait: 0.05, LostWork: 0.05, IdleAfterLastTask: 0.5}
+		for _, part := range Categories {
+			if math.Abs(b.ByCategory[part]-want[part]) > 1e-9 {
+				t.Errorf("%s: %v, want %v", part, b.ByCategory[part], want[part])
 			}
 		}
-		if math.Abs(b.Money-2) > 1e-9 {
-			t.Errorf("in all %v, want 2", b.Money)
+		if math.Abs(b.Cost-2) > 1e-9 {
+			t.Errorf("in all %v, want 2", b.Cost)
 		}
 	})
 }
@@ -94,7 +94,7 @@
 			line(10*time.Second, `msg=returned machines=[m2]`)+
 			line(100*time.Second, "%s", strings.Replace(reef, "spot=18", "spot=36", 1))+
 			line(300*time.Second, `msg=returned machines=[m1]`))
-		if b := l.Bill(); math.Abs(b.Money-(0.5+2+0.3)) > 1e-9 || b.Unseen != 2 {
+		if b := l.Bill(); math.Abs(b.Cost-(0.5+2+0.3)) > 1e-9 || b.NeverRegistered != 2 {
 			t.Fatalf("%+v", b)
 		}
 	})
@@ -120,11 +120,11 @@
 			if len(l.Problems) != 1 || !strings.HasPrefix(l.Problems[0].String(), format(c.reason)) {
 				t.Errorf("%s: %v", name, l.Problems)
 			}
-			if b := l.Bill(); math.Abs(b.Money-1) > 1e-9 {
-				t.Errorf("%s: the rest adds up to %v", name, b.Money)
+			if b := l.Bill(); math.Abs(b.Cost-1) > 1e-9 {
+				t.Errorf("%s: the rest adds up to %v", name, b.Cost)
 			}
 		}
-		if l := read(t, format, "nothing of ours\n\x00\xff\n"); l.Unknown != 2 || l.Bill().Machines != 0 {
+		if l := read(t, format, "nothing of ours\n\x00\xff\n"); l.Unrecognized != 2 || l.Bill().Machines != 0 {
 			t.Errorf("%+v", l)
 		}
 	})
@@ -163,14 +163,14 @@
 			}
 			b := l.Bill()
 			sum := 0.0
-			for part, money := range b.By {
+			for part, money := range b.ByCategory {
 				if money < 0 {
 					t.Fatalf("%s: %v", part, money)
 				}
 				sum += money
 			}
-			if math.Abs(sum-want) > 1e-6 || math.Abs(b.Money-want) > 1e-6 {
-				t.Fatalf("parts add up to %v, the bill is %v, the machines cost %v", sum, b.Money, want)
+			if math.Abs(sum-want) > 1e-6 || math.Abs(b.Cost-want) > 1e-6 {
+				t.Fatalf("parts add up to %v, the bill is %v, the machines cost %v", sum, b.Cost, want)
 			}
 		})
 	})
@@ -188,11 +188,11 @@
 		}
 		log := line(0, reef) + accepted("wk-1", 50) + accepted("wk-2", 40) + accepted("wk-3", 40) + accepted("wk-4", 0) +
 			over(60, 60, "wk-1") + over(80, 20, "wk-2") + over(100, 20, "wk-3")
-		got := read(t, format, log).Orders()
-		if want := (Order{Class: "read", Jobs: 3, Kept: 0, Could: 2}); len(got) != 1 || got[0] != want {
+		got := read(t, format, log).DeadlineOutcomes()
+		if want := (DeadlineOutcome{Class: "read", Jobs: 3, Kept: 0, Achievable: 2}); len(got) != 1 || got[0] != want {
 			t.Fatalf("%+v, want %+v", got, want)
 		}
-		if got := read(t, format, line(0, reef)).Orders(); got != nil {
+		if got := read(t, format, line(0, reef)).DeadlineOutcomes(); got != nil {
 			t.Fatalf("without jobs: %+v", got)
 		}
 	})
@@ -214,17 +214,17 @@
 			line(140*time.Second, `msg="job complete" job=wk-2 age=140s`)+
 			line(50*time.Second, `msg="job cancelled" job=wk-6`)+
 			line(180*time.Second, `msg=fleet machines=1`))
-		classes, teams := l.Served(func(_ string, due time.Duration) time.Duration { return due })
-		want := Served{Name: "read", Jobs: 4, Cancelled: 1, Started: 2, Done: 2, Tasks: 8, By: [3]Part{{3, 1}, {3, 2}, {2, 2}}, LongestS: 180,
-			Largest: Part{4, 2}, LargestBegun: Part{2, 2}, LargestTasks: 2, LargestWaitsS: 180}
+		classes, teams := l.ServiceLevels(func(_ string, due time.Duration) time.Duration { return due })
+		want := ServiceLevel{Name: "read", Jobs: 4, Cancelled: 1, Started: 2, Done: 2, Tasks: 8, DoneBy: [3]Ratio{{3, 1}, {3, 2}, {2, 2}}, LongestWaitS: 180,
+			Largest: Ratio{4, 2}, LargestStartedInTime: Ratio{2, 2}, LargestMinTasks: 2, LargestLongestWaitS: 180}
 		if len(classes) != 2 || !reflect.DeepEqual(classes[0], want) || teams[0].Jobs != 4 || teams[0].Name != "t-read" {
 			t.Fatalf("%+v\n%+v", classes, teams)
 		}
-		if train := classes[1]; train.Jobs != 1 || train.Started != 0 || train.By != [3]Part{} {
+		if train := classes[1]; train.Jobs != 1 || train.Started != 0 || train.DoneBy != [3]Ratio{} {
 			t.Fatalf("%+v", train)
 		}
 		var out strings.Builder
-		if err := PrintServed(&out, classes, teams); err != nil || !strings.Contains(out.String(), "0.33") {
+		if err := PrintServiceLevels(&out, classes, teams); err != nil || !strings.Contains(out.String(), "0.33") {
 			t.Fatal(out.String(), err)
 		}
 	})
@@ -255,12 +255,12 @@
 		log.WriteString(line(20*time.Second, `msg="job withdrawn" job=wk-92 because=wk-7`))
 		accepted(0, "wk-93", 80, 2) // waits still
 		log.WriteString(line(700*time.Second, `msg=fleet machines=1`))
-		classes, _ := read(t, format, log.String()).Served(func(string, time.Duration) time.Duration { return 0 })
+		classes, _ := read(t, format, log.String()).ServiceLevels(func(string, time.Duration) time.Duration { return 0 })
 		v := classes[0]
 		if v.Jobs != 20 || v.Cancelled != 1 || v.Waiting != 1 || v.Started != 19 {
 			t.Errorf("%+v", v)
 		}
-		if v.LargestTasks != 50 || v.Largest != (Part{2, 1}) || v.LargestBegun != (Part{2, 1}) || v.LargestWaitsS != 700 || v.LongestS != 700 {
+		if v.LargestMinTasks != 50 || v.Largest != (Ratio{2, 1}) || v.LargestStartedInTime != (Ratio{2, 1}) || v.LargestLongestWaitS != 700 || v.LongestWaitS != 700 {
 			t.Errorf("%+v", v)
 		}
 	})
@@ -282,8 +282,8 @@
 	}
 	former := func(log string) string { return log }
 	want := read(t, former, strings.Join(lines, ""))
-	wantClasses, wantTeams := want.Served(func(string, time.Duration) time.Duration { return time.Minute })
-	if bill := want.Bill(); math.Abs(bill.Money-2) > 1e-9 || bill.By[Silent] == 0 || bill.By[Repeated] == 0 || bill.By[Save] == 0 {
+	wantClasses, wantTeams := want.ServiceLevels(func(string, time.Duration) time.Duration { return time.Minute })
+	if bill := want.Bill(); math.Abs(bill.Cost-2) > 1e-9 || bill.ByCategory[Unresponsive] == 0 || bill.ByCategory[LostWork] == 0 || bill.ByCategory[Checkpoint] == 0 {
 		t.Fatalf("%+v", bill)
 	}
 	for versions := range 1 << len(lines) {
@@ -298,7 +298,7 @@
 		if len(got.Problems) > 0 || !reflect.DeepEqual(got.Bill(), want.Bill()) {
 			t.Fatalf("%+v %v, want %+v from\n%s", got.Bill(), got.Problems, want.Bill(), log.String())
 		}
-		classes, teams := got.Served(func(string, time.Duration) time.Duration { return time.Minute })
+		classes, teams := got.ServiceLevels(func(string, time.Duration) time.Duration { return time.Minute })
 		if !reflect.DeepEqual(classes, wantClasses) || !reflect.DeepEqual(teams, wantTeams) {
 			t.Fatalf("%+v %+v, want %+v %+v from\n%s", classes, teams, wantClasses, wantTeams, log.String())
 		}
--- a/tools/audit/order.go
+++ b/tools/audit/order.go
@@ -35,38 +35,38 @@
 	return s.ready, !s.ready.IsZero()
 }
 
-// Order is what the deadlines of a class became, and what another order could have
+// DeadlineOutcome is what the deadlines of a class became, and what another order could have
 // made of them with the GPU time that the class had.
-type Order struct {
-	Class string `json:"class"`
-	Jobs  int    `json:"jobs_completed"` // with a deadline; of others the work is not known
-	Kept  int    `json:"deadlines_kept"`
-	Could int    `json:"deadlines_another_order_keeps"`
+type DeadlineOutcome struct {
+	Class      string `json:"class"`
+	Jobs       int    `json:"jobs_completed"` // with a deadline; of others the work is not known
+	Kept       int    `json:"deadlines_kept"`
+	Achievable int    `json:"deadlines_another_order_keeps"`
 }
 
-// Orders works out, for each class with deadlines, how many of them some order keeps
+// DeadlineOutcomes works out, for each class with deadlines, how many of them some order keeps
 // that knows every run time beforehand and never fetches an image or saves: what is
 // beyond that is lost to the machines there were, not to the order. Jobs are taken up
 // from the smallest on, as long as serving the earliest deadline first still keeps
 // all that were taken; a job gets at most all its tasks' GPUs at a time, and of the
 // GPUs of the class what its tasks had at that moment, second by second.
-func (l *Log) Orders() []Order {
+func (l *Log) DeadlineOutcomes() []DeadlineOutcome {
 	byClass := map[string][]*submission{}
 	for _, s := range l.jobs {
 		if s.done == s.tasks && !s.due.IsZero() {
 			byClass[s.class] = append(byClass[s.class], s)
 		}
 	}
-	var out []Order
+	var out []DeadlineOutcome
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		jobs := byClass[class]
-		o := Order{Class: class, Jobs: len(jobs)}
+		o := DeadlineOutcome{Class: class, Jobs: len(jobs)}
 		for _, s := range jobs {
 			if !s.last.After(s.due) {
 				o.Kept++
 			}
 		}
-		o.Could = most(jobs, l.had(class), l.first)
+		o.Achievable = most(jobs, l.had(class), l.first)
 		out = append(out, o)
 	}
 	return out
@@ -147,12 +147,12 @@
 	return !slices.ContainsFunc(left, func(x float64) bool { return x > 1e-6 })
 }
 
-// PrintOrders writes the orders as a table.
-func PrintOrders(w io.Writer, orders []Order) error {
+// PrintDeadlineOutcomes writes the orders as a table.
+func PrintDeadlineOutcomes(w io.Writer, orders []DeadlineOutcome) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "\nclass\tjobs with a deadline\tkept\tanother order keeps")
 	for _, o := range orders {
-		fmt.Fprintf(t, "%s\t%d\t%d (%.2f)\t%d (%.2f)\n", o.Class, o.Jobs, o.Kept, float64(o.Kept)/float64(o.Jobs), o.Could, float64(o.Could)/float64(o.Jobs))
+		fmt.Fprintf(t, "%s\t%d\t%d (%.2f)\t%d (%.2f)\n", o.Class, o.Jobs, o.Kept, float64(o.Kept)/float64(o.Jobs), o.Achievable, float64(o.Achievable)/float64(o.Jobs))
 	}
 	return t.Flush()
 }
--- a/tools/audit/parts.go
+++ b/tools/audit/parts.go
@@ -12,21 +12,21 @@
 
 // What machine time goes into. The parts of a machine add up to its life.
 const (
-	Boot     = "boot"
-	Fetch    = "fetch"    // a task waits for its image
-	Wait     = "wait"     // a member of a gang waits for the others
-	Useful   = "useful"   // runs that count in the end
-	Repeated = "repeated" // runs that were lost and done again
-	Save     = "save"
-	Unfilled = "unfilled" // room left beside tasks
-	Fresh    = "fresh"    // no task yet since it came up
-	Between  = "between"  // no task, and one came later
-	Ended    = "ended"    // no task came any more until it was returned
-	Silent   = "silent"   // not heard from until it was given up
+	Boot                = "boot"
+	Fetch               = "fetch"    // a task waits for its image
+	GangWait            = "wait"     // a member of a gang waits for the others
+	Useful              = "useful"   // runs that count in the end
+	LostWork            = "repeated" // runs that were lost and done again
+	Checkpoint          = "save"
+	UnusedCapacity      = "unfilled" // room left beside tasks
+	IdleBeforeFirstTask = "fresh"    // no task yet since it came up
+	IdleBetweenTasks    = "between"  // no task, and one came later
+	IdleAfterLastTask   = "ended"    // no task came any more until it was returned
+	Unresponsive        = "silent"   // not heard from until it was given up
 )
 
-// Parts lists them in the order of a machine's life.
-var Parts = []string{Boot, Fetch, Wait, Useful, Repeated, Save, Unfilled, Fresh, Between, Ended, Silent}
+// Categories lists them in the order of a machine's life.
+var Categories = []string{Boot, Fetch, GangWait, Useful, LostWork, Checkpoint, UnusedCapacity, IdleBeforeFirstTask, IdleBetweenTasks, IdleAfterLastTask, Unresponsive}
 
 // Pool is a kind of machine in a zone.
 type Pool struct {
@@ -37,13 +37,13 @@
 
 // Bill is where the money went.
 type Bill struct {
-	Machines int                         `json:"machines"`
-	Money    float64                     `json:"money"`
-	Hours    float64                     `json:"machine_hours"`
-	By       map[string]float64          `json:"by_part"` // money
-	Pools    map[Pool]map[string]float64 `json:"-"`
-	Unpriced int                         `json:"machines_without_price"`
-	Unseen   int                         `json:"machines_never_up"` // rented and returned without having come up
+	Machines        int                         `json:"machines"`
+	Cost            float64                     `json:"money"`
+	Hours           float64                     `json:"machine_hours"`
+	ByCategory      map[string]float64          `json:"by_part"` // money
+	Pools           map[Pool]map[string]float64 `json:"-"`
+	Unpriced        int                         `json:"machines_without_price"`
+	NeverRegistered int                         `json:"machines_never_up"` // rented and returned without having come up
 }
 
 // least is what a machine that is returned is charged for at least.
@@ -51,7 +51,7 @@
 
 // Bill adds up the log. The parts of each machine add up to what it cost.
 func (l *Log) Bill() *Bill {
-	b := &Bill{By: map[string]float64{}, Pools: map[Pool]map[string]float64{}}
+	b := &Bill{ByCategory: map[string]float64{}, Pools: map[Pool]map[string]float64{}}
 	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
 		m := l.machines[name]
 		if m.typeName == "" {
@@ -63,7 +63,7 @@
 		}
 		b.Machines++
 		if m.up.IsZero() {
-			b.Unseen++
+			b.NeverRegistered++
 		}
 		p := Pool{m.typeName, m.zone, m.spot}
 		if b.Pools[p] == nil {
@@ -71,10 +71,10 @@
 		}
 		for _, piece := range m.pieces(l) {
 			money := l.cost(m, piece.from, piece.to)
-			b.Money += money
+			b.Cost += money
 			b.Hours += piece.to.Sub(piece.from).Hours()
 			for part, share := range piece.shares {
-				b.By[part] += share * money
+				b.ByCategory[part] += share * money
 				b.Pools[p][part] += share * money
 			}
 		}
@@ -122,10 +122,10 @@
 			}
 		}
 		add(Fetch, s.spent[fetching])
-		add(Wait, s.spent[gathering])
+		add(GangWait, s.spent[gathering])
 		add(Useful, min(s.useful, s.spent[running]))
-		add(Repeated, s.spent[running]-min(s.useful, s.spent[running]))
-		add(Save, s.spent[saving])
+		add(LostWork, s.spent[running]-min(s.useful, s.spent[running]))
+		add(Checkpoint, s.spent[saving])
 	}
 	return out
 }
@@ -189,17 +189,17 @@
 		rest := max(0, 1-total)
 		switch {
 		case total > 0:
-			p.shares[Unfilled] += rest
+			p.shares[UnusedCapacity] += rest
 		case p.from.Before(up):
 			p.shares[Boot] = 1
 		case !m.silent.IsZero() && !p.from.Before(m.silent):
-			p.shares[Silent] = 1
+			p.shares[Unresponsive] = 1
 		case p.from.Before(firstUse):
-			p.shares[Fresh] = 1
+			p.shares[IdleBeforeFirstTask] = 1
 		case p.from.Before(lastUse):
-			p.shares[Between] = 1
+			p.shares[IdleBetweenTasks] = 1
 		default:
-			p.shares[Ended] = 1
+			p.shares[IdleAfterLastTask] = 1
 		}
 		out = append(out, p)
 	}
@@ -241,12 +241,12 @@
 func (b *Bill) Print(w io.Writer, charged float64) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "part\tmoney\tshare\t\n")
-	for _, part := range Parts {
-		fmt.Fprintf(t, "%s\t%.1f\t%.1f%%\t\n", part, b.By[part], 100*b.By[part]/max(b.Money, 1e-9))
+	for _, part := range Categories {
+		fmt.Fprintf(t, "%s\t%.1f\t%.1f%%\t\n", part, b.ByCategory[part], 100*b.ByCategory[part]/max(b.Cost, 1e-9))
 	}
-	fmt.Fprintf(t, "all\t%.1f\t%d machines, %.1f machine hours\t\n", b.Money, b.Machines, b.Hours)
+	fmt.Fprintf(t, "all\t%.1f\t%d machines, %.1f machine hours\t\n", b.Cost, b.Machines, b.Hours)
 	if charged > 0 {
-		fmt.Fprintf(t, "charged\t%.1f\t%+.1f%% not accounted for\t\n", charged, 100*(charged-b.Money)/charged)
+		fmt.Fprintf(t, "charged\t%.1f\t%+.1f%% not accounted for\t\n", charged, 100*(charged-b.Cost)/charged)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/tools/audit/read.go
+++ b/tools/audit/read.go
@@ -74,9 +74,9 @@
 	jobs        map[string]*submission
 	first, last time.Time
 
-	Lines    int       // lines of controllers that were read
-	Unknown  int       // lines that are none, such as those of a wrapper around them
-	Problems []Problem // lines of controllers that are cut or make no sense
+	Lines        int       // lines of controllers that were read
+	Unrecognized int       // lines that are none, such as those of a wrapper around them
+	Problems     []Problem // lines of controllers that are cut or make no sense
 }
 
 // longestLine bounds a line; longer ones are reported and left out.
@@ -116,7 +116,7 @@
 	start := bytes.Index(line, []byte("time="))
 	if start < 0 {
 		if len(line) > 0 {
-			l.Unknown++
+			l.Unrecognized++
 		}
 		return
 	}
--- a/tools/audit/served.go
+++ b/tools/audit/served.go
@@ -12,57 +12,57 @@
 	"robinstack/internal/logline"
 )
 
-// Times are the multiples of what its aims ask by which a job is looked for.
-var Times = [...]float64{1, 1.5, 2}
-
-// Served is what became of the jobs of a class or a team.
-type Served struct {
-	Name      string  `json:"name"`
-	Jobs      int     `json:"jobs"`      // accepted, without those that their users cancelled
-	Cancelled int     `json:"cancelled"` // by their users, or with one before them
-	Waiting   int     `json:"waiting"`   // for other jobs when the log ends; not among Jobs
-	Started   int     `json:"started"`   // with at least one task on a machine
-	Done      int     `json:"done"`
-	Tasks     int     `json:"tasks"`
-	TasksDone int     `json:"tasks_done"`
-	By        [3]Part `json:"done_by"`        // by each of Times
-	LongestS  float64 `json:"longest_wait_s"` // from when it could start until the first start, or until the log's end
+// SLOMultiples are the multiples of what its aims ask by which a job is looked for.
+var SLOMultiples = [...]float64{1, 1.5, 2}
+
+// ServiceLevel is what became of the jobs of a class or a team.
+type ServiceLevel struct {
+	Name         string   `json:"name"`
+	Jobs         int      `json:"jobs"`      // accepted, without those that their users cancelled
+	Cancelled    int      `json:"cancelled"` // by their users, or with one before them
+	Waiting      int      `json:"waiting"`   // for other jobs when the log ends; not among Jobs
+	Started      int      `json:"started"`   // with at least one task on a machine
+	Done         int      `json:"done"`
+	Tasks        int      `json:"tasks"`
+	TasksDone    int      `json:"tasks_done"`
+	DoneBy       [3]Ratio `json:"done_by"`        // by each of Times
+	LongestWaitS float64  `json:"longest_wait_s"` // from when it could start until the first start, or until the log's end
 
 	// The largest jobs are the tenth with the most tasks, at least one, and any as large
 	// as the smallest of those. Begun are those that had a task on a machine within
-	// LargestWithin of when they could start, of those for which that has passed.
-	Largest       Part    `json:"largest_started"`
-	LargestBegun  Part    `json:"largest_begun_in_time"`
-	LargestTasks  int     `json:"largest_from_tasks"`
-	LargestWaitsS float64 `json:"largest_longest_wait_s"`
-	sized         []*submission
+	// LargestStartLimit of when they could start, of those for which that has passed.
+	Largest              Ratio   `json:"largest_started"`
+	LargestStartedInTime Ratio   `json:"largest_begun_in_time"`
+	LargestMinTasks      int     `json:"largest_from_tasks"`
+	LargestLongestWaitS  float64 `json:"largest_longest_wait_s"`
+	sized                []*submission
 }
 
-// LargestWithin is the time within which the largest jobs have to begin.
-const LargestWithin = 4 * time.Minute
+// LargestStartLimit is the time within which the largest jobs have to begin.
+const LargestStartLimit = 4 * time.Minute
 
-// Part is how many of so many.
-type Part struct {
+// Ratio is how many of so many.
+type Ratio struct {
 	Of   int `json:"of"`
 	Kept int `json:"kept"`
 }
 
-func (p Part) String() string {
+func (p Ratio) String() string {
 	if p.Of == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.2f", float64(p.Kept)/float64(p.Of))
 }
 
-// Served tells for each class and each team what became of its jobs. Aim returns how
+// ServiceLevels tells for each class and each team what became of its jobs. Aim returns how
 // long after its submission a job should be done by the users' tightest aim, given
 // its class and deadline (0: none); 0 is none. A job counts towards a reading once
 // its time for it has passed by the log's end, or it is done.
-func (l *Log) Served(aim func(class string, due time.Duration) time.Duration) (classes, teams []Served) {
-	byClass, byTeam := map[string]*Served{}, map[string]*Served{}
-	of := func(m map[string]*Served, name string) *Served {
+func (l *Log) ServiceLevels(aim func(class string, due time.Duration) time.Duration) (classes, teams []ServiceLevel) {
+	byClass, byTeam := map[string]*ServiceLevel{}, map[string]*ServiceLevel{}
+	of := func(m map[string]*ServiceLevel, name string) *ServiceLevel {
 		if m[name] == nil {
-			m[name] = &Served{Name: name}
+			m[name] = &ServiceLevel{Name: name}
 		}
 		return m[name]
 	}
@@ -72,11 +72,11 @@
 			due = s.due.Sub(s.at)
 		}
 		limit := aim(s.class, due)
-		for _, v := range []*Served{of(byClass, s.class), of(byTeam, s.team)} {
+		for _, v := range []*ServiceLevel{of(byClass, s.class), of(byTeam, s.team)} {
 			v.add(s, limit, l.last)
 		}
 	}
-	list := func(m map[string]*Served) (out []Served) {
+	list := func(m map[string]*ServiceLevel) (out []ServiceLevel) {
 		for _, name := range slices.Sorted(maps.Keys(m)) {
 			m[name].largest(l.last)
 			out = append(out, *m[name])
@@ -86,7 +86,7 @@
 	return list(byClass), list(byTeam)
 }
 
-func (v *Served) add(s *submission, limit time.Duration, end time.Time) {
+func (v *ServiceLevel) add(s *submission, limit time.Duration, end time.Time) {
 	if !s.cancelled.IsZero() {
 		v.Cancelled++
 		return
@@ -103,19 +103,19 @@
 	if !s.started.IsZero() {
 		v.Started++
 	}
-	v.LongestS = max(v.LongestS, s.waited(ready, end).Seconds())
+	v.LongestWaitS = max(v.LongestWaitS, s.waited(ready, end).Seconds())
 	if !s.complete.IsZero() {
 		v.Done++
 	}
-	for k, times := range Times {
+	for k, times := range SLOMultiples {
 		by := s.at.Add(time.Duration(times * float64(limit)))
 		switch {
 		case limit == 0:
 		case !s.complete.IsZero() && !s.complete.After(by):
-			v.By[k].Of++
-			v.By[k].Kept++
+			v.DoneBy[k].Of++
+			v.DoneBy[k].Kept++
 		case !s.complete.IsZero() || by.Before(end):
-			v.By[k].Of++
+			v.DoneBy[k].Of++
 		}
 	}
 }
@@ -129,59 +129,59 @@
 }
 
 // largest tells what became of the largest jobs.
-func (v *Served) largest(end time.Time) {
+func (v *ServiceLevel) largest(end time.Time) {
 	if len(v.sized) == 0 {
 		return
 	}
 	slices.SortFunc(v.sized, func(a, b *submission) int { return b.tasks - a.tasks })
-	v.LargestTasks = v.sized[(len(v.sized)-1)/10].tasks
+	v.LargestMinTasks = v.sized[(len(v.sized)-1)/10].tasks
 	for _, s := range v.sized {
-		if s.tasks < v.LargestTasks {
+		if s.tasks < v.LargestMinTasks {
 			break
 		}
 		ready, _ := s.from()
 		wait := s.waited(ready, end)
-		v.LargestWaitsS = max(v.LargestWaitsS, wait.Seconds())
+		v.LargestLongestWaitS = max(v.LargestLongestWaitS, wait.Seconds())
 		v.Largest.Of++
 		if !s.started.IsZero() {
 			v.Largest.Kept++
 		}
 		switch {
-		case !s.started.IsZero() && wait <= LargestWithin:
-			v.LargestBegun.Of++
-			v.LargestBegun.Kept++
-		case !s.started.IsZero() || wait > LargestWithin:
-			v.LargestBegun.Of++
+		case !s.started.IsZero() && wait <= LargestStartLimit:
+			v.LargestStartedInTime.Of++
+			v.LargestStartedInTime.Kept++
+		case !s.started.IsZero() || wait > LargestStartLimit:
+			v.LargestStartedInTime.Of++
 		}
 	}
 	v.sized = nil
 }
 
 // worst orders the least served first, by the tightest reading.
-func worst(a, b Served) int {
-	share := func(p Part) float64 {
+func worst(a, b ServiceLevel) int {
+	share := func(p Ratio) float64 {
 		if p.Of == 0 {
 			return 1
 		}
 		return float64(p.Kept) / float64(p.Of)
 	}
-	return cmp.Or(cmp.Compare(share(a.By[0]), share(b.By[0])), cmp.Compare(a.Name, b.Name))
+	return cmp.Or(cmp.Compare(share(a.DoneBy[0]), share(b.DoneBy[0])), cmp.Compare(a.Name, b.Name))
 }
 
-// PrintServed writes classes and teams as a table, the least served first.
-func PrintServed(w io.Writer, classes, teams []Served) error {
+// PrintServiceLevels writes classes and teams as a table, the least served first.
+func PrintServiceLevels(w io.Writer, classes, teams []ServiceLevel) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	for k, list := range [][]Served{classes, teams} {
+	for k, list := range [][]ServiceLevel{classes, teams} {
 		slices.SortFunc(list, worst)
 		fmt.Fprintf(t, "%s\tjobs\tcancelled\tstarted\tdone\ttasks done", [...]string{"class", "team"}[k])
-		for _, times := range Times {
+		for _, times := range SLOMultiples {
 			fmt.Fprintf(t, "\tby %g times its aim", times)
 		}
 		fmt.Fprintln(t, "\tlongest wait\tlargest, tasks\tstarted\tbegun in 4 min\tlongest wait")
 		for _, v := range list {
-			fmt.Fprintf(t, "%s\t%d\t%d\t%v\t%v\t%v\t%v\t%v\t%v\t%.1f s\t%d of %d\t%v\t%v\t%.1f s\n", v.Name, v.Jobs, v.Cancelled, Part{v.Jobs, v.Started}, Part{v.Jobs, v.Done},
-				Part{v.Tasks, v.TasksDone}, v.By[0], v.By[1], v.By[2], v.LongestS,
-				v.Largest.Of, v.LargestTasks, v.Largest, v.LargestBegun, v.LargestWaitsS)
+			fmt.Fprintf(t, "%s\t%d\t%d\t%v\t%v\t%v\t%v\t%v\t%v\t%.1f s\t%d of %d\t%v\t%v\t%.1f s\n", v.Name, v.Jobs, v.Cancelled, Ratio{v.Jobs, v.Started}, Ratio{v.Jobs, v.Done},
+				Ratio{v.Tasks, v.TasksDone}, v.DoneBy[0], v.DoneBy[1], v.DoneBy[2], v.LongestWaitS,
+				v.Largest.Of, v.LargestMinTasks, v.Largest, v.LargestStartedInTime, v.LargestLongestWaitS)
 		}
 	}
 	return t.Flush()
--- a/tools/devcluster/dev.go
+++ b/tools/devcluster/dev.go
@@ -20,21 +20,21 @@
 
 // Options say what to run.
 type Options struct {
-	Port        int      // first of the ports: state service, cloud, then two for each controller
-	Controllers int      // how many
-	Programs    []string // of single controllers, in their order; the others run Program
-	Program     string
-	Policy      string  // policy file for those that run Program, or ""
-	Logs        string  // directory for their logs, or "" for a temporary one
-	Machines    int     // how many the cloud has
-	GPUs        float64 // of each machine
+	Port         int      // first of the ports: state service, cloud, then two for each controller
+	Controllers  int      // how many
+	Programs     []string // of single controllers, in their order; the others run Program
+	Program      string
+	Policy       string  // policy file for those that run Program, or ""
+	LogDirectory string  // directory for their logs, or "" for a temporary one
+	MaxMachines  int     // how many the cloud has
+	GPUs         float64 // of each machine
 }
 
-// Fleet is a running service.
-type Fleet struct {
+// Cluster is a running service.
+type Cluster struct {
 	*Controllers
-	State *emulator.State
-	Farm  *emulator.Farm
+	State *emulator.StateService
+	Cloud *emulator.LocalCloud
 
 	opts    Options
 	servers []io.Closer // and their listeners
@@ -52,28 +52,28 @@
 
 func (o *Options) address(k int) string { return fmt.Sprintf("127.0.0.1:%d", o.Port+k) }
 
-// Listen is where a controller answers users.
-func (f *Fleet) Listen(k int) string { return f.setup.Nodes[k].Listen }
+// ControllerAddress is where a controller answers users.
+func (f *Cluster) ControllerAddress(k int) string { return f.setup.Nodes[k].Listen }
 
-// Listens lists where the controllers answer users.
-func (f *Fleet) Listens() []string {
+// ControllerAddresses lists where the controllers answer users.
+func (f *Cluster) ControllerAddresses() []string {
 	var out []string
 	for k := range f.opts.Controllers {
-		out = append(out, f.Listen(k))
+		out = append(out, f.ControllerAddress(k))
 	}
 	return out
 }
 
-// Logs is the directory with the controllers' logs.
-func (f *Fleet) Logs() string { return f.setup.Logs }
+// LogDirectory is the directory with the controllers' logs.
+func (f *Cluster) LogDirectory() string { return f.setup.LogDirectory }
 
 // Start starts everything and returns once the controllers run. An error leaves
 // nothing running.
-func Start(ctx context.Context, o Options) (*Fleet, error) {
+func Start(ctx context.Context, o Options) (*Cluster, error) {
 	if o.Controllers < 1 || o.Controllers > most || len(o.Programs) > o.Controllers {
 		return nil, fmt.Errorf("%d controllers: 1 to %d are possible", o.Controllers, most)
 	}
-	setup := Setup{State: o.address(0), Cloud: o.address(1), Facts: facts(o.Controllers), Policy: o.Policy, Program: o.Program, Logs: o.Logs}
+	setup := ControllersConfig{State: o.address(0), Cloud: o.address(1), Deployment: facts(o.Controllers), Policy: o.Policy, Program: o.Program, LogDirectory: o.LogDirectory}
 	addresses := map[string]string{}
 	for k := range o.Controllers {
 		n := Node{Host: fmt.Sprintf("host-%d", k), Zone: zones[k%len(zones)], Listen: o.address(2 + 2*k), PeerListen: o.address(3 + 2*k)}
@@ -84,9 +84,9 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Controllers: controllers, State: emulator.NewState(), opts: o, stop: make(chan struct{})}
+	f := &Cluster{Controllers: controllers, State: emulator.NewStateService(), opts: o, stop: make(chan struct{})}
 	types := []cloud.MachineType{{Name: "box", CPUs: 16, GPUs: o.GPUs, MemoryGB: 128, CacheGB: 100, FetchGBPerS: 10, OnDemandPrice: 10, SpotPrice: 4, ProvisioningS: 0.5, Zones: zones}}
-	f.Farm = emulator.NewFarm(ctx, emulator.FarmConfig{Types: types, Most: max(1, o.Machines/pools), Controllers: addresses, Report: time.Second, Lease: 8 * time.Second, Spec: f.spec})
+	f.Cloud = emulator.NewLocalCloud(ctx, emulator.LocalCloudConfig{MachineTypes: types, MaxPerPool: max(1, o.MaxMachines/pools), Controllers: addresses, HeartbeatInterval: time.Second, LeaseDuration: 8 * time.Second, LookUpSpec: f.spec})
 	if err := f.start(); err != nil {
 		f.Stop()
 		return nil, err
@@ -94,11 +94,11 @@
 	return f, nil
 }
 
-func (f *Fleet) start() error {
+func (f *Cluster) start() error {
 	if err := f.CheckPorts(); err != nil {
 		return err
 	}
-	for k, handler := range []http.Handler{f.State, emulator.NewCloudServer(f.Farm, 0, 0)} {
+	for k, handler := range []http.Handler{f.State, emulator.NewCloudServer(f.Cloud, 0, 0)} {
 		ln, err := net.Listen("tcp4", f.opts.address(k))
 		if err != nil {
 			return fmt.Errorf("a port for the %s: %w", [...]string{"state service", "cloud"}[k], err)
@@ -123,7 +123,7 @@
 }
 
 // spec is what a job's owner submitted, as its record has it.
-func (f *Fleet) spec(id string) (*job.Spec, error) {
+func (f *Cluster) spec(id string) (*job.Spec, error) {
 	kv, err := f.State.Get(context.Background(), job.RecordKey(id))
 	if err != nil {
 		return nil, err
@@ -158,7 +158,7 @@
 }
 
 // Stop ends everything. With logs in the temporary directory they go too.
-func (f *Fleet) Stop() {
+func (f *Cluster) Stop() {
 	f.Controllers.Stop()
 	for _, s := range f.servers {
 		s.Close()
--- a/tools/devcluster/dev_test.go
+++ b/tools/devcluster/dev_test.go
@@ -56,7 +56,7 @@
 		"too many for the ports": {no, -2, "controllers"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := Options{Port: base(t), Controllers: 3, Program: c.program, Machines: 4, GPUs: 8}
+			o := Options{Port: base(t), Controllers: 3, Program: c.program, MaxMachines: 4, GPUs: 8}
 			if c.taken >= 0 {
 				ln, err := net.Listen("tcp4", o.address(c.taken))
 				if err != nil {
@@ -69,7 +69,7 @@
 			}
 			f, err := Start(t.Context(), o)
 			if err == nil {
-				err = f.Ready(t.Context())
+				err = f.WaitUntilReady(t.Context())
 				f.Stop()
 			}
 			if err == nil || !strings.Contains(err.Error(), c.why) {
--- a/tools/devcluster/processes.go
+++ b/tools/devcluster/processes.go
@@ -21,20 +21,20 @@
 	Listen, PeerListen string // host:port for users and workers, and for other controllers
 }
 
-// Setup says what controllers are told.
-type Setup struct {
+// ControllersConfig says what controllers are told.
+type ControllersConfig struct {
 	Nodes        []Node
 	State, Cloud string // addresses
-	Facts        any    // of the deployment, as the settings file has them
+	Deployment   any    // of the deployment, as the settings file has them
 	Policy       string // policy file for those that run Program, or ""
 	Program      string
-	Logs         string // directory for their logs; "": with the settings
+	LogDirectory string // directory for their logs; "": with the settings
 	LogLevel     string // "": that of this process
 }
 
 // Controllers runs controllers as processes of their own. Its mutex guards the processes.
 type Controllers struct {
-	setup Setup
+	setup ControllersConfig
 	dir   string // of the settings files
 
 	mu   sync.Mutex
@@ -49,14 +49,14 @@
 }
 
 // NewControllers writes the settings files. Nothing runs yet.
-func NewControllers(s Setup) (*Controllers, error) {
+func NewControllers(s ControllersConfig) (*Controllers, error) {
 	dir, err := os.MkdirTemp("", "robinstack-dev-")
 	if err != nil {
 		return nil, fmt.Errorf("making a directory for settings: %w", err)
 	}
 	c := &Controllers{setup: s, dir: dir, runs: make([]*process, len(s.Nodes))}
-	if c.setup.Logs == "" {
-		c.setup.Logs = dir
+	if c.setup.LogDirectory == "" {
+		c.setup.LogDirectory = dir
 	}
 	for k := range s.Nodes {
 		if err := c.writeSettings(k); err != nil {
@@ -103,7 +103,7 @@
 	}
 	raw, err := json.MarshalIndent(map[string]any{
 		"host_name": own.Host, "area": own.Zone, "listen": own.Listen, "peer_bind": own.PeerListen, "peers": peers,
-		"external": map[string]string{"state": c.setup.State, "cloud": c.setup.Cloud}, "facts": c.setup.Facts,
+		"external": map[string]string{"state": c.setup.State, "cloud": c.setup.Cloud}, "facts": c.setup.Deployment,
 	}, "", "  ")
 	if err == nil {
 		err = os.WriteFile(c.SettingsFile(k), raw, 0o600)
@@ -121,7 +121,7 @@
 	if c.setup.Policy != "" && program == c.setup.Program {
 		args = append(args, "--policy", c.setup.Policy)
 	}
-	log, err := os.OpenFile(filepath.Join(c.setup.Logs, host+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(c.setup.LogDirectory, host+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("a log for %s: %w", host, err)
 	}
@@ -174,8 +174,8 @@
 	}
 }
 
-// Ended reports a controller that ended by itself, with its name.
-func (c *Controllers) Ended() error {
+// UnexpectedExit reports a controller that ended by itself, with its name.
+func (c *Controllers) UnexpectedExit() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k, p := range c.runs {
@@ -185,18 +185,18 @@
 		select {
 		case <-p.over:
 			host := c.setup.Nodes[k].Host
-			return fmt.Errorf("%s has ended (%w); its log is %s", host, errors.Join(p.err, errors.New("by itself")), filepath.Join(c.setup.Logs, host+".log"))
+			return fmt.Errorf("%s has ended (%w); its log is %s", host, errors.Join(p.err, errors.New("by itself")), filepath.Join(c.setup.LogDirectory, host+".log"))
 		default:
 		}
 	}
 	return nil
 }
 
-// Ready waits until a controller takes jobs, or one has ended.
-func (c *Controllers) Ready(ctx context.Context) error {
+// WaitUntilReady waits until a controller takes jobs, or one has ended.
+func (c *Controllers) WaitUntilReady(ctx context.Context) error {
 	client := http.Client{Timeout: time.Second}
 	for ctx.Err() == nil {
-		if err := c.Ended(); err != nil {
+		if err := c.UnexpectedExit(); err != nil {
 			return err
 		}
 		for _, n := range c.setup.Nodes {
--- a/tools/devcluster/rolls.go
+++ b/tools/devcluster/rolls.go
@@ -16,18 +16,18 @@
 	"robinstack/internal/statekv"
 )
 
-// Example is a submission to try by hand.
-const Example = `{"id":"wk-1","job_class":"try","owner":"crew","shape":"sweep","rank":"normal","pieces":4,"cpus":1,"gpus":1,"mem_gb":1,"bundle":"sh:echo tried; sleep 3","pull_gb":0.1,"host_kinds":null,"site":null,"one_zone":false,"spread":false,"loaners":true,"guess_s":3,"snapshot_every_s":0,"snapshot_s":0,"due_s":null}`
+// ExampleSubmission is a submission to try by hand.
+const ExampleSubmission = `{"id":"wk-1","job_class":"try","owner":"crew","shape":"sweep","rank":"normal","pieces":4,"cpus":1,"gpus":1,"mem_gb":1,"bundle":"sh:echo tried; sleep 3","pull_gb":0.1,"host_kinds":null,"site":null,"one_zone":false,"spread":false,"loaners":true,"guess_s":3,"snapshot_every_s":0,"snapshot_s":0,"due_s":null}`
 
-// Load says how often to roll, from and to what, and what goes on meanwhile.
-type Load struct {
-	Rolls   int
-	Former  string // program of the former version
-	Running int    // tasks that are to run at a time
-	Tasks   float64
-	Seconds float64
-	Pause   time.Duration
-	Warmup  time.Duration
+// RolloutPlan says how often to roll, from and to what, and what goes on meanwhile.
+type RolloutPlan struct {
+	Rollouts      int
+	FormerProgram string // program of the former version
+	RunningTasks  int    // tasks that are to run at a time
+	MeanTasks     float64
+	MeanSeconds   float64
+	MaxPause      time.Duration
+	Warmup        time.Duration
 }
 
 // known is what a user was told of a job.
@@ -44,8 +44,8 @@
 // load is users that submit, ask and cancel for as long as the rolls go on, and remember
 // what they were told.
 type load struct {
-	f      *Fleet
-	of     Load
+	f      *Cluster
+	of     RolloutPlan
 	client *Client
 
 	mu      sync.Mutex
@@ -61,7 +61,7 @@
 	broken  []string
 }
 
-func (l *load) address() string { return l.f.Listen(rand.IntN(l.f.opts.Controllers)) }
+func (l *load) address() string { return l.f.ControllerAddress(rand.IntN(l.f.opts.Controllers)) }
 
 func (l *load) breaks(format string, args ...any) {
 	l.broken = append(l.broken, fmt.Sprintf(format, args...))
@@ -77,11 +77,11 @@
 	if len(needs) > 0 {
 		defer l.waiting.Done()
 	}
-	id, tasks, shape := fmt.Sprintf("wk-%08d", n), 1+rand.IntN(int(2*l.of.Tasks)), "sweep"
+	id, tasks, shape := fmt.Sprintf("wk-%08d", n), 1+rand.IntN(int(2*l.of.MeanTasks)), "sweep"
 	if n%4 == 0 {
 		shape, tasks = "gang", 1+rand.IntN(3)
 	}
-	s := Submission(id, shape, "", tasks, 1, l.of.Seconds*(0.25+1.5*rand.Float64()))
+	s := NewSubmission(id, shape, "", tasks, 1, l.of.MeanSeconds*(0.25+1.5*rand.Float64()))
 	if len(needs) > 0 {
 		s["waits_on"] = needs
 	}
@@ -198,13 +198,13 @@
 	before := j.final
 	j.cancelled = j.cancelled || cancel
 	l.mu.Unlock()
-	var a Answer
+	var a Response
 	var err error
 	asked := time.Now()
 	if cancel {
 		a, err = l.client.Cancel(ctx, l.address(), id)
 	} else {
-		a, err = l.client.Ask(ctx, l.address(), id)
+		a, err = l.client.Query(ctx, l.address(), id)
 	}
 	if err != nil || a.Code != http.StatusOK && a.Code != http.StatusNotFound {
 		return
@@ -218,7 +218,7 @@
 		l.breaks("went_back: %s was %s and is %s", id, before, a.Status)
 	case a.Status == "done" && before == "":
 		for k := range j.tasks {
-			if task := fmt.Sprintf("%s/%d", id, k); !l.f.Farm.Completed(task) {
+			if task := fmt.Sprintf("%s/%d", id, k); !l.f.Cloud.TaskCompleted(task) {
 				l.breaks("not_done: %s is called done before %s is", id, task)
 			}
 		}
@@ -260,7 +260,7 @@
 			}
 		})
 	}
-	rate := float64(l.of.Running) / (l.of.Tasks * l.of.Seconds) // jobs a second
+	rate := float64(l.of.RunningTasks) / (l.of.MeanTasks * l.of.MeanSeconds) // jobs a second
 	every(time.Duration(float64(time.Second)/rate), func() { l.submit(ctx) })
 	every(50*time.Millisecond, func() {
 		open, over := l.open()
@@ -274,16 +274,16 @@
 	users.Wait()
 }
 
-// Roll replaces the controllers, one after the other, by this program and back by the
+// RunRollouts replaces the controllers, one after the other, by this program and back by the
 // former one, so many times, under load; each is killed at any moment, some twice. On the
 // way back the level is lowered first, or, every third time, not: then the former ones
 // must be refused without harm, and are replaced again. It tells what was lost.
-func (f *Fleet) Roll(ctx context.Context, out io.Writer, of Load) error {
-	if of.Former == "" || of.Running < 1 || of.Tasks < 1 || of.Seconds <= 0 {
+func (f *Cluster) RunRollouts(ctx context.Context, out io.Writer, of RolloutPlan) error {
+	if of.FormerProgram == "" || of.RunningTasks < 1 || of.MeanTasks < 1 || of.MeanSeconds <= 0 {
 		return errors.New("--former is missing, or the load is none")
 	}
 	l := &load{f: f, of: of, client: NewClient(), jobs: map[string]*known{}}
-	f.Farm.Check(l.before)
+	f.Cloud.CheckDependencies(l.before)
 	lctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var users sync.WaitGroup
@@ -302,7 +302,7 @@
 				if err := f.Launch(k, program); err != nil {
 					return err
 				}
-				pause(of.Pause)
+				pause(of.MaxPause)
 			}
 		}
 		return ctx.Err()
@@ -313,14 +313,14 @@
 	case <-time.After(of.Warmup):
 	}
 	began := time.Now()
-	for n := range of.Rolls {
+	for n := range of.Rollouts {
 		if err := replace(f.opts.Program); err != nil {
 			return err
 		}
 		f.command("raise")
 		// As soon as all are new, users send pipelines, and the limits are lowered.
 		l.link(true)
-		f.State.Limit(limitsToCome["value_kb"]*1024, limitsToCome["txn_ops"])
+		f.State.SetSizeLimits(limitsToCome["value_kb"]*1024, limitsToCome["txn_ops"])
 		pause(12 * time.Second)
 		level := f.level()
 		if n%3 == 2 && level > 0 && !closed(level) {
@@ -332,14 +332,14 @@
 				return err
 			}
 		}
-		f.State.Limit(0, 0) // the former version keeps to those of before
-		if err := replace(of.Former); err != nil {
+		f.State.SetSizeLimits(0, 0) // the former version keeps to those of before
+		if err := replace(of.FormerProgram); err != nil {
 			return err
 		}
 		pause(2 * time.Second)
-		if (n+1)%5 == 0 || n+1 == of.Rolls {
+		if (n+1)%5 == 0 || n+1 == of.Rollouts {
 			l.mu.Lock()
-			fmt.Fprintf(out, "%d rolls in %v: %d jobs accepted, %d starts, broken: %d here, %d seen by workers %v\n", n+1, time.Since(began).Round(time.Second), len(l.jobs), f.Farm.Starts(), len(l.broken), len(f.Farm.Broken()), l.broken[:min(5, len(l.broken))])
+			fmt.Fprintf(out, "%d rolls in %v: %d jobs accepted, %d starts, broken: %d here, %d seen by workers %v\n", n+1, time.Since(began).Round(time.Second), len(l.jobs), f.Cloud.TaskStarts(), len(l.broken), len(f.Cloud.Violations()), l.broken[:min(5, len(l.broken))])
 			l.mu.Unlock()
 		}
 	}
@@ -348,12 +348,12 @@
 	}
 	stop()
 	users.Wait()
-	return l.finish(ctx, out, of.Rolls, refusedAt, loweredFrom)
+	return l.finish(ctx, out, of.Rollouts, refusedAt, loweredFrom)
 }
 
 // finish waits until all accepted jobs are over, and tells what became of them.
 func (l *load) finish(ctx context.Context, out io.Writer, rolls int, refusedAt, loweredFrom []int) error {
-	longest := time.Minute + time.Duration(4*l.of.Seconds*float64(time.Second))
+	longest := time.Minute + time.Duration(4*l.of.MeanSeconds*float64(time.Second))
 	for deadline := time.Now().Add(longest); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		open, _ := l.open()
 		if len(open) == 0 {
@@ -373,11 +373,11 @@
 	}
 	fmt.Fprintf(out, "%d rolls forward and back; levels lowered from %v, former ones refused at %v\n", rolls, counts(loweredFrom), counts(refusedAt))
 	fmt.Fprintf(out, "submissions: %d accepted, %d over 1 s, slowest %v, %d given up by their users\n", len(l.jobs), l.over1s, l.slowest.Round(time.Millisecond), l.refused)
-	again, gap := l.f.Farm.Again()
-	fmt.Fprintf(out, "tasks: %d starts, %d of them of tasks that had been started before; longest time without a start %v\n", l.f.Farm.Starts(), again, gap.Round(time.Millisecond))
+	again, gap := l.f.Cloud.Restarts()
+	fmt.Fprintf(out, "tasks: %d starts, %d of them of tasks that had been started before; longest time without a start %v\n", l.f.Cloud.TaskStarts(), again, gap.Round(time.Millisecond))
 	fmt.Fprintf(out, "jobs: %d done, %d cancelled, %d lost %v\n", byStatus["done"], byStatus["withdrawn"], len(open), open[:min(10, len(open))])
-	fmt.Fprintf(out, "pipelines: %d jobs waited for others; refused as too large: %d %v\n", l.named, len(l.f.State.Over()), l.f.State.Over()[:min(3, len(l.f.State.Over()))])
-	broken := append(l.broken, l.f.Farm.Broken()...)
+	fmt.Fprintf(out, "pipelines: %d jobs waited for others; refused as too large: %d %v\n", l.named, len(l.f.State.SizeViolations()), l.f.State.SizeViolations()[:min(3, len(l.f.State.SizeViolations()))])
+	broken := append(l.broken, l.f.Cloud.Violations()...)
 	fmt.Fprintf(out, "rules broken: %d %s\n", len(broken), strings.Join(broken[:min(10, len(broken))], "; "))
 	if len(broken) > 0 || len(open) > 0 {
 		return errors.New("something was lost or broken")
@@ -405,7 +405,7 @@
 }
 
 // lower lowers the level to 0, however long it takes to bring stored values back.
-func (f *Fleet) lower(ctx context.Context) error {
+func (f *Cluster) lower(ctx context.Context) error {
 	for deadline := time.Now().Add(10 * time.Minute); f.level() > 0; time.Sleep(100 * time.Millisecond) {
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -419,9 +419,9 @@
 }
 
 // command gives a person's command to any controller that takes it.
-func (f *Fleet) command(verb string) {
+func (f *Cluster) command(verb string) {
 	for k := range f.opts.Controllers {
-		resp, err := (&http.Client{Timeout: 3 * time.Second}).Post("http://"+f.Listen(k)+"/rollout/"+verb, "", nil)
+		resp, err := (&http.Client{Timeout: 3 * time.Second}).Post("http://"+f.ControllerAddress(k)+"/rollout/"+verb, "", nil)
 		if err != nil {
 			continue
 		}
@@ -433,8 +433,8 @@
 }
 
 // level is the fleet's level, as the state service has it.
-func (f *Fleet) level() int {
-	for _, kv := range f.State.Dir(statekv.ClusterVersionKey) {
+func (f *Cluster) level() int {
+	for _, kv := range f.State.ListAll(statekv.ClusterVersionKey) {
 		if l, err := rollout.ParseClusterVersion(kv.Value); err == nil {
 			return l.Number
 		}
--- a/tools/devcluster/users.go
+++ b/tools/devcluster/users.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Answer is what a controller says of a job.
-type Answer struct {
+// Response is what a controller says of a job.
+type Response struct {
 	Code    int
 	Status  string `json:"status"`
 	Done    int    `json:"done"`
@@ -25,7 +25,7 @@
 // NewClient returns a client.
 func NewClient() *Client { return &Client{http.Client{Timeout: 5 * time.Second}} }
 
-func (c *Client) call(ctx context.Context, method, url string, body any) (a Answer, err error) {
+func (c *Client) call(ctx context.Context, method, url string, body any) (a Response, err error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return a, fmt.Errorf("encoding a request: %w", err)
@@ -48,8 +48,8 @@
 	return a, nil
 }
 
-// Submission is a job of the crew whose tasks take some seconds each, or run a command.
-func Submission(id, shape, command string, tasks int, gpus, seconds float64) map[string]any {
+// NewSubmission is a job of the crew whose tasks take some seconds each, or run a command.
+func NewSubmission(id, shape, command string, tasks int, gpus, seconds float64) map[string]any {
 	image := "plain"
 	if command != "" {
 		image = "sh:" + command
@@ -60,36 +60,36 @@
 }
 
 // Submit submits a job.
-func (c *Client) Submit(ctx context.Context, address string, submission any) (Answer, error) {
+func (c *Client) Submit(ctx context.Context, address string, submission any) (Response, error) {
 	return c.call(ctx, http.MethodPost, "http://"+address+"/submissions", submission)
 }
 
-// Ask asks for a job.
-func (c *Client) Ask(ctx context.Context, address, id string) (Answer, error) {
+// Query asks for a job.
+func (c *Client) Query(ctx context.Context, address, id string) (Response, error) {
 	return c.call(ctx, http.MethodGet, "http://"+address+"/submissions/"+id, nil)
 }
 
 // Cancel cancels a job.
-func (c *Client) Cancel(ctx context.Context, address, id string) (Answer, error) {
+func (c *Client) Cancel(ctx context.Context, address, id string) (Response, error) {
 	return c.call(ctx, http.MethodPost, "http://"+address+"/submissions/"+id+"/abort", nil)
 }
 
-// Try submits a job of four small commands and tells how it goes until it is done.
-func (f *Fleet) Try(ctx context.Context, out io.Writer) error {
+// RunSampleJob submits a job of four small commands and tells how it goes until it is done.
+func (f *Cluster) RunSampleJob(ctx context.Context, out io.Writer) error {
 	client, id := NewClient(), fmt.Sprintf("wk-%d", time.Now().Unix())
 	last := ""
 	for accepted := false; ctx.Err() == nil; {
-		if err := f.Ended(); err != nil {
+		if err := f.UnexpectedExit(); err != nil {
 			return err
 		}
-		for _, address := range f.Listens() {
-			var a Answer
+		for _, address := range f.ControllerAddresses() {
+			var a Response
 			var err error
 			if !accepted {
-				a, err = client.Submit(ctx, address, Submission(id, "sweep", "echo tried; sleep 1", 4, 1, 1))
+				a, err = client.Submit(ctx, address, NewSubmission(id, "sweep", "echo tried; sleep 1", 4, 1, 1))
 				accepted = err == nil && (a.Code == http.StatusOK || a.Code == http.StatusCreated)
 			} else {
-				a, err = client.Ask(ctx, address, id)
+				a, err = client.Query(ctx, address, id)
 			}
 			if err != nil || a.Status == "" {
 				continue
--- a/tools/scaletest/fit.go
+++ b/tools/scaletest/fit.go
@@ -24,11 +24,11 @@
 
 // Fit is a cost as a sum of slopes times what it grows with, by least squares.
 type Fit struct {
-	Terms    []string
-	Slopes   []float64
-	RSquared float64
-	Points   int
-	Worst    float64 // largest difference between a point and the fit
+	Terms       []string
+	Slopes      []float64
+	RSquared    float64
+	Points      int
+	MaxResidual float64 // largest difference between a point and the fit
 
 	terms []term
 }
@@ -56,7 +56,7 @@
 	estimates, values := make([]float64, len(points)), make([]float64, len(points))
 	for k, p := range points {
 		estimates[k], values[k] = f.at(p.Machines, p.Controllers), y.AtVec(k)
-		f.Worst = max(f.Worst, math.Abs(estimates[k]-values[k]))
+		f.MaxResidual = max(f.MaxResidual, math.Abs(estimates[k]-values[k]))
 	}
 	f.RSquared = stat.RSquaredFrom(estimates, values, nil)
 	return f, true
--- a/tools/scaletest/fit_test.go
+++ b/tools/scaletest/fit_test.go
@@ -9,12 +9,12 @@
 
 // measured is a point whose processor time is a sum of known slopes.
 func measured(machines, controllers int) Point {
-	r := &Result{Machines: machines, Count: controllers, Duration: 10}
+	r := &Result{Machines: machines, ControllerCount: controllers, DurationS: 10}
 	own := float64(machines) / float64(controllers)
 	for k := range controllers {
-		c := ControllerResult{Steward: k == 0, Usage: Usage{Cores: 0.0102 + 0.0002*own + 0.00003*float64(machines)}, Sent: uint64(machines) * 100}
-		if c.Steward {
-			c.Cores += 0.002 + 0.00001*float64(machines)
+		c := ControllerResult{Leader: k == 0, Usage: Usage{MeanCores: 0.0102 + 0.0002*own + 0.00003*float64(machines)}, SentBytes: uint64(machines) * 100}
+		if c.Leader {
+			c.MeanCores += 0.002 + 0.00001*float64(machines)
 		}
 		r.Controllers = append(r.Controllers, c)
 	}
@@ -40,9 +40,9 @@
 		slopes   []float64
 	}{
 		{func(r *Result) float64 {
-			return r.mean(noSteward, func(c *ControllerResult) float64 { return c.Cores })
+			return r.mean(noSteward, func(c *ControllerResult) float64 { return c.MeanCores })
 		}, []term{fixed, owned, followed}, []float64{0.0102, 0.0002, 0.00003}},
-		{func(r *Result) float64 { return float64(r.Count) * float64(r.Machines) * 7 }, []term{fixed, pairs}, []float64{0, 7}},
+		{func(r *Result) float64 { return float64(r.ControllerCount) * float64(r.Machines) * 7 }, []term{fixed, pairs}, []float64{0, 7}},
 	} {
 		f, ok := fit(s.Points, c.quantity, c.terms)
 		if !ok || f.RSquared < 0.999999 {
@@ -63,7 +63,7 @@
 // its limit.
 func TestTablesOfASweep(t *testing.T) {
 	var out strings.Builder
-	sweep().Tables(&out)
+	sweep().WriteTables(&out)
 	planned := 0.0102 + 0.0002*3000/16 + 0.00003*3000
 	for _, want := range []string{"500/3", "2000/7", "| " + figure(planned) + " | 0.25 | 0.55 |", "a machine of the fleet"} {
 		if !strings.Contains(out.String(), want) {
@@ -91,7 +91,7 @@
 		h.add(time.Duration(k+1) * 50 * time.Millisecond)
 	}
 	l := h.latency()
-	if l.Count != 100 || math.Abs(l.P50-2.5) > 0.01 || math.Abs(l.Most-5) > 0.01 || math.Abs(l.Within-0.6) > 0.011 {
+	if l.Count != 100 || math.Abs(l.P50-2.5) > 0.01 || math.Abs(l.Max-5) > 0.01 || math.Abs(l.ShareWithin-0.6) > 0.011 {
 		t.Errorf("%+v", l)
 	}
 }
--- a/tools/scaletest/histogram.go
+++ b/tools/scaletest/histogram.go
@@ -9,12 +9,12 @@
 
 // Latency sums up times, in seconds.
 type Latency struct {
-	Count  int64   `json:"count"`
-	P50    float64 `json:"p50_s"`
-	P90    float64 `json:"p90_s"`
-	P99    float64 `json:"p99_s"`
-	Most   float64 `json:"max_s"`
-	Within float64 `json:"share_within_3_s"`
+	Count       int64   `json:"count"`
+	P50         float64 `json:"p50_s"`
+	P90         float64 `json:"p90_s"`
+	P99         float64 `json:"p99_s"`
+	Max         float64 `json:"max_s"`
+	ShareWithin float64 `json:"share_within_3_s"`
 }
 
 // histogram collects times, from a tenth of a millisecond to an hour, from any goroutine.
@@ -51,7 +51,7 @@
 	at := func(percent float64) float64 {
 		return (time.Duration(h.h.ValueAtPercentile(percent)) * unit).Seconds()
 	}
-	l := Latency{Count: h.h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Most: at(100)}
+	l := Latency{Count: h.h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Max: at(100)}
 	if l.Count == 0 {
 		return l
 	}
@@ -61,6 +61,6 @@
 			within += bar.Count
 		}
 	}
-	l.Within = float64(within) / float64(l.Count)
+	l.ShareWithin = float64(within) / float64(l.Count)
 	return l
 }
--- a/tools/scaletest/load.go
+++ b/tools/scaletest/load.go
@@ -18,8 +18,8 @@
 	"robinstack/internal/job"
 )
 
-// Plan is what the process of the workers and users is told.
-type Plan struct {
+// LoadPlan is what the process of the workers and users is told.
+type LoadPlan struct {
 	Profile     Profile
 	Settings    string            // a controller's settings file
 	Controllers map[string]string // addresses for users and workers, by host
@@ -28,18 +28,18 @@
 
 // Progress is what that process says each second.
 type Progress struct {
-	Second  int `json:"second"`
-	Up      int `json:"machines_up"`
-	Running int `json:"tasks_running"`
-	Starts  int `json:"starts"` // since the last second
-	Open    int `json:"jobs_open"`
+	Second       int `json:"second"`
+	MachinesUp   int `json:"machines_up"`
+	TasksRunning int `json:"tasks_running"`
+	Starts       int `json:"starts"` // since the last second
+	OpenJobs     int `json:"jobs_open"`
 }
 
 // LoadResult is what that process measured.
 type LoadResult struct {
 	Classes     []ClassResult `json:"classes"`
-	Urgent      Latency       `json:"urgent_start"`
-	Other       Latency       `json:"other_start"`
+	UrgentStart Latency       `json:"urgent_start"`
+	OtherStart  Latency       `json:"other_start"`
 	Submissions Latency       `json:"submissions"`
 
 	Submitted int `json:"jobs_submitted"`
@@ -48,15 +48,15 @@
 	Done      int `json:"jobs_done"`
 	Cancelled int `json:"jobs_cancelled"`
 
-	Starts        int     `json:"task_starts"`
-	StartedAgain  int     `json:"task_starts_again"`
-	KilledByLease int     `json:"tasks_killed_by_lease"`
-	MostRunning   int     `json:"most_tasks_running"`
-	PeakStarts    int     `json:"peak_starts_a_second"`
-	BestTenS      float64 `json:"starts_a_second_best_10_s"`
-	Overshoot     float64 `json:"quota_overshoot_gpus"`
+	TaskStarts               int     `json:"task_starts"`
+	TaskRestarts             int     `json:"task_starts_again"`
+	TasksKilledByLeaseExpiry int     `json:"tasks_killed_by_lease"`
+	MaxRunningTasks          int     `json:"most_tasks_running"`
+	MaxStartsPerSecond       int     `json:"peak_starts_a_second"`
+	MaxMeanStartsOver10S     float64 `json:"starts_a_second_best_10_s"`
+	MaxQuotaOvershoot        float64 `json:"quota_overshoot_gpus"`
 
-	Reports       uint64 `json:"worker_reports"`
+	Heartbeats    uint64 `json:"worker_reports"`
 	Commands      uint64 `json:"worker_commands"`
 	WorkerBytes   uint64 `json:"worker_bytes"`
 	CloudRequests uint64 `json:"cloud_requests"`
@@ -65,7 +65,7 @@
 	WorkerLateness Latency `json:"worker_lateness"`
 	UserLateness   Latency `json:"user_lateness"`
 
-	Broken []string `json:"rules_broken"`
+	Violations []string `json:"rules_broken"`
 }
 
 // ClassResult is how the jobs of a class fared, from the warm-up's end on.
@@ -77,11 +77,11 @@
 
 // load is the process of the workers and users.
 type load struct {
-	plan     *Plan
+	plan     *LoadPlan
 	settings *config.Settings
-	fleet    *emulator.Fleet
+	fleet    *emulator.SimulatedCloud
 	history  *emulator.History
-	loopback *emulator.Loopback
+	loopback *emulator.LoopbackNetwork
 	cloud    *emulator.CloudServer
 	users    *users
 	begun    time.Time
@@ -97,7 +97,7 @@
 // RunLoad serves the cloud. From the first line that comes from in it runs the workers and
 // users, and writes a line of JSON to out each second, until the second line, or the end of
 // in: then it writes the results.
-func RunLoad(ctx context.Context, plan *Plan, in io.Reader, out io.Writer) error {
+func RunLoad(ctx context.Context, plan *LoadPlan, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	settings, err := config.Load(plan.Settings)
@@ -133,18 +133,18 @@
 	return json.NewEncoder(out).Encode(map[string]*LoadResult{"result": l.result()})
 }
 
-func newLoad(ctx context.Context, plan *Plan, settings *config.Settings) *load {
+func newLoad(ctx context.Context, plan *LoadPlan, settings *config.Settings) *load {
 	p := &plan.Profile
-	l := &load{plan: plan, settings: settings, history: emulator.NewHistory(settings), loopback: &emulator.Loopback{Addresses: plan.Controllers},
+	l := &load{plan: plan, settings: settings, history: emulator.NewHistory(settings), loopback: &emulator.LoopbackNetwork{ControllerAddresses: plan.Controllers},
 		steps: newHistogram(), waits: map[string]*histogram{}}
 	var types []cloud.MachineType
 	for _, t := range p.Types {
 		types = append(types, cloud.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: 1000, FetchGBPerS: 1, OnDemandPrice: t.Price, ProvisioningS: t.Boot, Zones: p.Zones()})
 	}
 	// As many again may be rented as fail.
-	l.fleet = emulator.NewFleet(ctx, settings, types, p.Machines()+p.Machines()/4, p.Seed, l.history, nil)
-	l.fleet.Connect(l.loopback)
-	l.fleet.SetTiming(emulator.Timing{Fetch: seconds(p.Workers.Fetch), SpreadBoot: true, OnStep: l.steps.add})
+	l.fleet = emulator.NewSimulatedCloud(ctx, settings, types, p.Machines()+p.Machines()/4, p.Seed, l.history, nil)
+	l.fleet.UseNetwork(l.loopback)
+	l.fleet.SetTiming(emulator.Timing{ImageFetch: seconds(p.Workers.Fetch), RandomBoot: true, OnWorkerStep: l.steps.add})
 	l.cloud = emulator.NewCloudServer(l.fleet, p.Cloud.RPS, seconds(p.Cloud.ListLag))
 	l.users = newUsers(p, plan.Controllers, l.history, l.fleet)
 	urgent := map[string]bool{}
@@ -176,7 +176,7 @@
 			if k < t.Count%len(zones) {
 				count++
 			}
-			if err := l.fleet.Begin(t.Name, zone, count, upWithin); err != nil {
+			if err := l.fleet.AddMachines(t.Name, zone, count, upWithin); err != nil {
 				return err
 			}
 		}
@@ -197,15 +197,15 @@
 			return
 		case <-tick.C:
 		}
-		starts, running := l.history.Starts(), l.history.Running()
+		starts, running := l.history.TaskStarts(), l.history.RunningTasks()
 		l.mu.Lock()
 		l.seconds = append(l.seconds, starts-last)
 		l.most = max(l.most, running)
 		l.mu.Unlock()
-		p := Progress{Second: second, Running: running, Starts: starts - last, Open: l.users.open()}
-		l.fleet.Each(func(_ string, u *emulator.Machine) {
-			if u.Session() > 0 && u.Heard() {
-				p.Up++
+		p := Progress{Second: second, TasksRunning: running, Starts: starts - last, OpenJobs: l.users.open()}
+		l.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
+			if u.WorkerEpoch() > 0 && u.IsUp() {
+				p.MachinesUp++
 			}
 		})
 		last = starts
@@ -220,18 +220,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	traffic := &l.loopback.Traffic
-	r := &LoadResult{Starts: l.history.Starts(), StartedAgain: l.history.StartedAgain(), KilledByLease: l.fleet.KilledByLease(), MostRunning: l.most, Overshoot: l.history.Overshoot(),
-		Reports: traffic.Reports.Load(), Commands: traffic.Commands.Load(), WorkerBytes: traffic.Bytes.Received.Load() + traffic.Bytes.Sent.Load(),
-		CloudRequests: l.cloud.Requests(), CloudRefused: l.cloud.Refused(), WorkerLateness: l.steps.latency(), Broken: l.history.Broken()}
+	r := &LoadResult{TaskStarts: l.history.TaskStarts(), TaskRestarts: l.history.TaskRestarts(), TasksKilledByLeaseExpiry: l.fleet.TasksKilledByLeaseExpiry(), MaxRunningTasks: l.most, MaxQuotaOvershoot: l.history.MaxQuotaOvershoot(),
+		Heartbeats: traffic.Heartbeats.Load(), Commands: traffic.Commands.Load(), WorkerBytes: traffic.Bytes.Received.Load() + traffic.Bytes.Sent.Load(),
+		CloudRequests: l.cloud.Requests(), CloudRefused: l.cloud.Refused(), WorkerLateness: l.steps.latency(), Violations: l.history.Violations()}
 	l.users.sum(r)
 	const span = 10
 	sum := 0
 	for k, n := range l.seconds {
-		r.PeakStarts = max(r.PeakStarts, n)
+		r.MaxStartsPerSecond = max(r.MaxStartsPerSecond, n)
 		if sum += n; k >= span {
 			sum -= l.seconds[k-span]
 		}
-		r.BestTenS = max(r.BestTenS, float64(sum)/span)
+		r.MaxMeanStartsOver10S = max(r.MaxMeanStartsOver10S, float64(sum)/span)
 	}
 	urgent, other := newHistogram(), newHistogram()
 	for _, c := range l.plan.Profile.Jobs {
@@ -243,7 +243,7 @@
 			other.merge(h)
 		}
 	}
-	r.Urgent, r.Other = urgent.latency(), other.latency()
+	r.UrgentStart, r.OtherStart = urgent.latency(), other.latency()
 	return r
 }
 
@@ -264,9 +264,9 @@
 // strike has a fault's machines fail: drawn ones, those rented one after the other from a
 // drawn one on, or all of a zone.
 func (l *load) strike(f Fault) {
-	var machines []*emulator.Machine
-	l.fleet.Each(func(_ string, u *emulator.Machine) {
-		if u.Heard() && (f.Zone == "" || u.Zone() == f.Zone) {
+	var machines []*emulator.SimulatedMachine
+	l.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
+		if u.IsUp() && (f.Zone == "" || u.Zone() == f.Zone) {
 			machines = append(machines, u)
 		}
 	})
@@ -279,23 +279,23 @@
 	if f.Kind != ZoneFails {
 		machines = machines[:min(len(machines), f.Count)]
 	}
-	hit := map[*emulator.Machine]bool{}
+	hit := map[*emulator.SimulatedMachine]bool{}
 	for _, u := range machines {
 		hit[u] = true
 	}
-	change := func(do func(u *emulator.Machine)) {
-		l.fleet.Each(func(_ string, u *emulator.Machine) {
+	change := func(do func(u *emulator.SimulatedMachine)) {
+		l.fleet.ForEachMachine(func(_ string, u *emulator.SimulatedMachine) {
 			if hit[u] {
 				do(u)
 			}
 		})
 	}
 	if f.Kind != WorkerHangs {
-		change(func(u *emulator.Machine) { u.Kill() })
+		change(func(u *emulator.SimulatedMachine) { u.Kill() })
 		return
 	}
-	change(func(u *emulator.Machine) { u.Hung = true })
-	time.AfterFunc(seconds(f.For), func() { change(func(u *emulator.Machine) { u.Hung = false }) })
+	change(func(u *emulator.SimulatedMachine) { u.Hung = true })
+	time.AfterFunc(seconds(f.For), func() { change(func(u *emulator.SimulatedMachine) { u.Hung = false }) })
 }
 
 func seconds(s float64) time.Duration { return config.Seconds(s) }
--- a/tools/scaletest/profile.go
+++ b/tools/scaletest/profile.go
@@ -34,9 +34,9 @@
 	Cloud         Cloud         `toml:"cloud"`
 	Workers       Workers       `toml:"workers"`
 	Regions       []Region      `toml:"regions"`
-	Types         []Type        `toml:"types"`
+	Types         []MachineType `toml:"types"`
 	Teams         Teams         `toml:"teams"`
-	Jobs          []Class       `toml:"jobs"`
+	Jobs          []JobClass    `toml:"jobs"`
 	Configuration Configuration `toml:"configuration"`
 	Faults        []Fault       `toml:"faults"`
 	Sweep         Sweep         `toml:"sweep"`
@@ -81,8 +81,8 @@
 	Zones []string `toml:"zones"`
 }
 
-// Type is a type of machine; Count of it are there from the beginning.
-type Type struct {
+// MachineType is a type of machine; Count of it are there from the beginning.
+type MachineType struct {
 	Name     string  `toml:"name"`
 	Count    int     `toml:"count"`
 	CPUs     float64 `toml:"cpus"`
@@ -99,8 +99,8 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Class is a class of jobs. One of Tasks is drawn for each job.
-type Class struct {
+// JobClass is a class of jobs. One of Tasks is drawn for each job.
+type JobClass struct {
 	Name      string  `toml:"class"`
 	Shape     string  `toml:"shape"`
 	Rank      string  `toml:"rank"`
@@ -278,7 +278,7 @@
 	return out
 }
 
-func (c *Class) faults(at string) []finding {
+func (c *JobClass) faults(at string) []finding {
 	return []finding{
 		{c.Name == "", at + "class", "is missing"},
 		{c.Shape != "sweep" && c.Shape != "gang", at + "shape", `must be "sweep" or "gang"`},
--- a/tools/scaletest/profile_test.go
+++ b/tools/scaletest/profile_test.go
@@ -67,18 +67,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	large := Room{MemoryMB: 12_000, Processes: 200, Files: 30_000}
-	if err := p.Fits(large); err != nil {
+	large := HostCapacity{MemoryMB: 12_000, Processes: 200, Files: 30_000}
+	if err := p.CheckCapacity(large); err != nil {
 		t.Errorf("on a machine with room: %v", err)
 	}
-	for says, shrink := range map[string]func(r *Room){
-		"MB of memory are needed, 1000 MB": func(r *Room) { r.MemoryMB = 1000 },
-		"18 processes are needed, 10":      func(r *Room) { r.Processes = 10 },
-		"open files are needed in one":     func(r *Room) { r.Files = 1024 },
+	for says, shrink := range map[string]func(r *HostCapacity){
+		"MB of memory are needed, 1000 MB": func(r *HostCapacity) { r.MemoryMB = 1000 },
+		"18 processes are needed, 10":      func(r *HostCapacity) { r.Processes = 10 },
+		"open files are needed in one":     func(r *HostCapacity) { r.Files = 1024 },
 	} {
 		room := large
 		shrink(&room)
-		if err := p.Fits(room); !errors.Is(err, ErrDoesNotFit) || !strings.Contains(err.Error(), says) {
+		if err := p.CheckCapacity(room); !errors.Is(err, ErrDoesNotFit) || !strings.Contains(err.Error(), says) {
 			t.Errorf("%v, not %q", err, says)
 		}
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	half := p.At(Size{1500, 7})
+	half := p.ScaledTo(Size{1500, 7})
 	if half.Machines() != 1500 || half.Controllers.Count != 7 || len(half.Faults) != 0 || half.Jobs[0].PerSecond != p.Jobs[0].PerSecond/2 {
 		t.Errorf("%d machines, %d controllers, %v jobs a second", half.Machines(), half.Controllers.Count, half.Jobs[0].PerSecond)
 	}
--- a/tools/scaletest/run.go
+++ b/tools/scaletest/run.go
@@ -32,10 +32,10 @@
 type Run struct {
 	profile *Profile
 	options Options
-	room    Room
+	room    HostCapacity
 
-	state       *emulator.State
-	rates       *emulator.Rates
+	state       *emulator.StateService
+	rates       *emulator.RateLimits
 	server      *http.Server
 	controllers *devcluster.Controllers
 	nodes       []devcluster.Node
@@ -59,17 +59,17 @@
 	registered registration
 }
 
-// Do runs a profile to its end and returns what was measured. Whatever happens, all that it
+// RunProfile runs a profile to its end and returns what was measured. Whatever happens, all that it
 // started has ended when it returns.
-func Do(ctx context.Context, p *Profile, o Options) (*Result, error) {
-	room, err := RoomHere()
+func RunProfile(ctx context.Context, p *Profile, o Options) (*Result, error) {
+	room, err := MeasureHostCapacity()
 	if err != nil {
 		return nil, err
 	}
-	if err := p.Fits(room); err != nil {
+	if err := p.CheckCapacity(room); err != nil {
 		return nil, err
 	}
-	r := &Run{profile: p, options: o, room: room, state: emulator.NewState(), rates: emulator.NewRates(p.State.RPS, p.State.WriteRPS),
+	r := &Run{profile: p, options: o, room: room, state: emulator.NewStateService(), rates: emulator.NewRateLimits(p.State.RPS, p.State.WriteRPS),
 		result: make(chan *LoadResult, 1), down: map[int]bool{}, loadMeter: &meter{}, selfMeter: &meter{}}
 	defer r.stop()
 	if err := r.start(ctx); err != nil {
@@ -119,7 +119,7 @@
 	if err := os.WriteFile(policyFile, []byte(p.Controllers.Policy), 0o600); err != nil {
 		return fmt.Errorf("writing the policy: %w", err)
 	}
-	r.controllers, err = devcluster.NewControllers(devcluster.Setup{Nodes: r.nodes, State: stateAddress, Cloud: cloudAddress, Facts: p.facts(), Policy: policyFile, Program: r.options.Program, Logs: logs, LogLevel: "error"})
+	r.controllers, err = devcluster.NewControllers(devcluster.ControllersConfig{Nodes: r.nodes, State: stateAddress, Cloud: cloudAddress, Deployment: p.facts(), Policy: policyFile, Program: r.options.Program, LogDirectory: logs, LogLevel: "error"})
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return fmt.Errorf("serving the state service: %w", err)
 	}
-	r.state.SetRates(r.rates)
+	r.state.SetRateLimits(r.rates)
 	r.server = &http.Server{Handler: r.state}
 	go func() { _ = r.server.Serve(ln) }()
 	go r.state.ExpireLeases(ctx.Done())
@@ -136,12 +136,12 @@
 			return err
 		}
 	}
-	if err := r.startWorkers(ctx, Plan{Profile: *p, Settings: r.controllers.SettingsFile(0), Controllers: listens, Cloud: cloudAddress}, logs); err != nil {
+	if err := r.startWorkers(ctx, LoadPlan{Profile: *p, Settings: r.controllers.SettingsFile(0), Controllers: listens, Cloud: cloudAddress}, logs); err != nil {
 		return err
 	}
 	rctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
-	if err := r.controllers.Ready(rctx); err != nil {
+	if err := r.controllers.WaitUntilReady(rctx); err != nil {
 		return err
 	}
 	r.begun = time.Now()
@@ -152,11 +152,11 @@
 // readyWithin is how long the controllers may take until the first takes jobs.
 const readyWithin = 30 * time.Second
 
-// WorkersFlag is the flag under which this program runs the workers and users of a plan.
-const WorkersFlag = "workers-of"
+// LoadProcessFlag is the flag under which this program runs the workers and users of a plan.
+const LoadProcessFlag = "workers-of"
 
 // startWorkers starts the process of the workers and users.
-func (r *Run) startWorkers(ctx context.Context, plan Plan, logs string) error {
+func (r *Run) startWorkers(ctx context.Context, plan LoadPlan, logs string) error {
 	raw, err := json.Marshal(plan)
 	if err != nil {
 		return fmt.Errorf("writing the plan: %w", err)
@@ -170,7 +170,7 @@
 		return fmt.Errorf("a log for the workers: %w", err)
 	}
 	defer log.Close()
-	r.workers = exec.CommandContext(ctx, r.options.Program, "scale", "--"+WorkersFlag, file)
+	r.workers = exec.CommandContext(ctx, r.options.Program, "scale", "--"+LoadProcessFlag, file)
 	r.workers.Stderr, r.workers.SysProcAttr = log, devcluster.ChildAttributes()
 	if r.stdin, err = r.workers.StdinPipe(); err != nil {
 		return err
@@ -254,13 +254,13 @@
 			r.mu.Lock()
 			g := r.progress
 			r.mu.Unlock()
-			fmt.Fprintf(r.options.Out, "%4d s: %d machines up, %d registered, %d tasks running, %d starts in the last second, %d jobs open\n", g.Second, g.Up, r.machineKeys(), g.Running, g.Starts, g.Open)
+			fmt.Fprintf(r.options.Out, "%4d s: %d machines up, %d registered, %d tasks running, %d starts in the last second, %d jobs open\n", g.Second, g.MachinesUp, r.machineKeys(), g.TasksRunning, g.Starts, g.OpenJobs)
 		}
 	}
 	return nil
 }
 
-func (r *Run) machineKeys() int { return len(r.state.Dir(statekv.MachinePrefix)) }
+func (r *Run) machineKeys() int { return len(r.state.ListAll(statekv.MachinePrefix)) }
 
 // sample looks at all processes, and ends the run if it has grown beyond its room.
 func (r *Run) sample(now time.Time) error {
@@ -268,7 +268,7 @@
 	for k, m := range r.meters {
 		pid := r.controllers.PID(k)
 		if pid == 0 && !r.isDown(k) {
-			return fmt.Errorf("a controller failed: %w", r.controllers.Ended())
+			return fmt.Errorf("a controller failed: %w", r.controllers.UnexpectedExit())
 		}
 		m.look(pid, now)
 		sum += m.resident()
@@ -368,7 +368,7 @@
 
 // steward is the host that has the steward's role.
 func (r *Run) steward() string {
-	for _, kv := range r.state.Dir(statekv.LeaderKey) {
+	for _, kv := range r.state.ListAll(statekv.LeaderKey) {
 		if h, err := statekv.HolderOf(kv); err == nil {
 			return h.Host
 		}
@@ -379,12 +379,12 @@
 // owned counts the machines of each controller, by the keys.
 func (r *Run) owned() map[string]int {
 	owners, out := map[string]string{}, map[string]int{}
-	for _, kv := range r.state.Dir(statekv.MachineShardPrefix) {
+	for _, kv := range r.state.ListAll(statekv.MachineShardPrefix) {
 		if h, err := statekv.HolderOf(kv); err == nil {
 			owners[kv.Key[len(statekv.MachineShardPrefix):]] = h.Host
 		}
 	}
-	for _, kv := range r.state.Dir(statekv.MachinePrefix) {
+	for _, kv := range r.state.ListAll(statekv.MachinePrefix) {
 		if key := shard.ParseMachineRecord(kv); key != nil {
 			out[owners[key.Shard]]++
 		}
--- a/tools/scaletest/sample.go
+++ b/tools/scaletest/sample.go
@@ -12,12 +12,12 @@
 
 // Usage is what a process used, by the system's own accounts.
 type Usage struct {
-	CPUSeconds float64 `json:"cpu_s"`
-	Cores      float64 `json:"cores_mean"` // from the warm-up's end on
-	CoresMost  float64 `json:"cores_most"` // in one second
-	MemoryMB   float64 `json:"memory_mb_most"`
-	Files      int32   `json:"files_most"` // open files, sockets among them
-	Threads    int32   `json:"threads_most"`
+	CPUSeconds   float64 `json:"cpu_s"`
+	MeanCores    float64 `json:"cores_mean"` // from the warm-up's end on
+	MaxCores     float64 `json:"cores_most"` // in one second
+	MaxMemoryMB  float64 `json:"memory_mb_most"`
+	MaxOpenFiles int32   `json:"files_most"` // open files, sockets among them
+	MaxThreads   int32   `json:"threads_most"`
 }
 
 // meter follows what a process uses. A process that was replaced goes on under its meter.
@@ -52,17 +52,17 @@
 	}
 	total := m.before + times.User + times.System
 	if !m.lastAt.IsZero() {
-		m.usage.CoresMost = max(m.usage.CoresMost, (total-m.last)/now.Sub(m.lastAt).Seconds())
+		m.usage.MaxCores = max(m.usage.MaxCores, (total-m.last)/now.Sub(m.lastAt).Seconds())
 	}
 	m.last, m.lastAt, m.usage.CPUSeconds = total, now, total
 	if memory, err := m.process.MemoryInfo(); err == nil {
-		m.usage.MemoryMB = max(m.usage.MemoryMB, float64(memory.RSS)/megabyte)
+		m.usage.MaxMemoryMB = max(m.usage.MaxMemoryMB, float64(memory.RSS)/megabyte)
 	}
 	if files, err := m.process.NumFDs(); err == nil {
-		m.usage.Files = max(m.usage.Files, files)
+		m.usage.MaxOpenFiles = max(m.usage.MaxOpenFiles, files)
 	}
 	if threads, err := m.process.NumThreads(); err == nil {
-		m.usage.Threads = max(m.usage.Threads, threads)
+		m.usage.MaxThreads = max(m.usage.MaxThreads, threads)
 	}
 }
 
@@ -72,7 +72,7 @@
 func (m *meter) result() Usage {
 	u := m.usage
 	if d := m.lastAt.Sub(m.warmAt).Seconds(); d > 0 && !m.warmAt.IsZero() {
-		u.Cores = (m.last - m.warm) / d
+		u.MeanCores = (m.last - m.warm) / d
 	}
 	return u
 }
@@ -89,8 +89,8 @@
 	return float64(memory.RSS) / megabyte
 }
 
-// Room is what a run may use of this machine.
-type Room struct {
+// HostCapacity is what a run may use of this machine.
+type HostCapacity struct {
 	MemoryMB  float64
 	Processes int
 	Files     int
@@ -102,13 +102,13 @@
 	mostProcesses = 200
 )
 
-// RoomHere is the room of this machine.
-func RoomHere() (Room, error) {
+// MeasureHostCapacity is the room of this machine.
+func MeasureHostCapacity() (HostCapacity, error) {
 	memory, err := mem.VirtualMemory()
 	if err != nil {
-		return Room{}, fmt.Errorf("reading the machine's memory: %w", err)
+		return HostCapacity{}, fmt.Errorf("reading the machine's memory: %w", err)
 	}
-	return Room{MemoryMB: memoryShare * float64(memory.Total) / megabyte, Processes: mostProcesses, Files: openFiles()}, nil
+	return HostCapacity{MemoryMB: memoryShare * float64(memory.Total) / megabyte, Processes: mostProcesses, Files: openFiles()}, nil
 }
 
 // What a run was seen to take at least; checked again while it runs.
@@ -121,9 +121,9 @@
 	processesBesides = 2     // the workers' and this one
 )
 
-// Fits says what of a run has no room, with the figure, or nothing. It knows what it takes
+// CheckCapacity says what of a run has no room, with the figure, or nothing. It knows what it takes
 // before it begins only roughly.
-func (p *Profile) Fits(room Room) error {
+func (p *Profile) CheckCapacity(room HostCapacity) error {
 	workers, controllers := float64(p.Machines()), float64(p.Controllers.Count)
 	memory := controllers*math.Min(p.Controllers.MemoryMB, controllerMB+perMachineMB*workers) + hollowMB*workers
 	files := filesPerWorker*p.Machines() + filesBeside
--- a/tools/scaletest/sweep.go
+++ b/tools/scaletest/sweep.go
@@ -36,9 +36,9 @@
 	WriteRPS float64 `json:"state_write_rps"`
 }
 
-// At is the profile scaled to other numbers of machines and controllers: as many jobs for
+// ScaledTo is the profile scaled to other numbers of machines and controllers: as many jobs for
 // each machine, and no faults.
-func (p *Profile) At(size Size) *Profile {
+func (p *Profile) ScaledTo(size Size) *Profile {
 	scaled := *p
 	factor := float64(size.Machines) / float64(p.Machines())
 	times := func(n int) int { return int(math.Round(float64(n) * factor)) }
@@ -61,9 +61,9 @@
 	return &scaled
 }
 
-// DoSweep runs all sizes of a profile's sweep, one after the other, and tells each result
+// RunSweep runs all sizes of a profile's sweep, one after the other, and tells each result
 // as soon as it is there.
-func DoSweep(ctx context.Context, p *Profile, o Options, tell func(*SweepResult) error) error {
+func RunSweep(ctx context.Context, p *Profile, o Options, tell func(*SweepResult) error) error {
 	if len(p.Sweep.Workers) == 0 || len(p.Sweep.Controllers) == 0 {
 		return fmt.Errorf("%w: sweep: lists no sizes", ErrProfile)
 	}
@@ -71,8 +71,8 @@
 		Limits: Limits{Cores: p.Controllers.Cores, MemoryMB: p.Controllers.MemoryMB, Sockets: float64(p.Controllers.Sockets), RPS: p.State.RPS, WriteRPS: p.State.WriteRPS}}
 	for _, machines := range p.Sweep.Workers {
 		for _, controllers := range p.Sweep.Controllers {
-			scaled := p.At(Size{machines, controllers})
-			result, err := Do(ctx, scaled, o)
+			scaled := p.ScaledTo(Size{machines, controllers})
+			result, err := RunProfile(ctx, scaled, o)
 			if err != nil {
 				return fmt.Errorf("%s: %w", scaled.Name, err)
 			}
--- a/tools/scaletest/tables.go
+++ b/tools/scaletest/tables.go
@@ -30,27 +30,27 @@
 		return perSecond(func(r *Result) float64 { return float64(r.sumCalls(method)) })
 	}
 	return []cost{
-		{"controller (placer, machine owner, gateway)", "processor time", "cores", others(func(c *ControllerResult) float64 { return c.Cores }), []term{fixed, owned, followed}, func(l Limits) float64 { return l.Cores }, "machines divided among controllers by shards; samples answered from memory"},
-		{"controller (placer, machine owner, gateway)", "processor time, worst second", "cores", others(func(c *ControllerResult) float64 { return c.CoresMost }), []term{fixed, owned, followed}, func(l Limits) float64 { return l.Cores }, "the same; a second beyond the share is worked off later"},
-		{"controller (placer, machine owner, gateway)", "memory", "MB", others(func(c *ControllerResult) float64 { return c.MemoryMB }), []term{fixed, owned, followed}, func(l Limits) float64 { return l.MemoryMB }, "entries of all machines; the collector's limit at 0.6 of the quota"},
-		{"controller (placer, machine owner, gateway)", "open files", "", others(func(c *ControllerResult) float64 { return float64(c.Files) }), []term{fixed, owned, controller}, func(l Limits) float64 { return l.Sockets }, "one connection from each owned worker; those for commands close after 3 s"},
+		{"controller (placer, machine owner, gateway)", "processor time", "cores", others(func(c *ControllerResult) float64 { return c.MeanCores }), []term{fixed, owned, followed}, func(l Limits) float64 { return l.Cores }, "machines divided among controllers by shards; samples answered from memory"},
+		{"controller (placer, machine owner, gateway)", "processor time, worst second", "cores", others(func(c *ControllerResult) float64 { return c.MaxCores }), []term{fixed, owned, followed}, func(l Limits) float64 { return l.Cores }, "the same; a second beyond the share is worked off later"},
+		{"controller (placer, machine owner, gateway)", "memory", "MB", others(func(c *ControllerResult) float64 { return c.MaxMemoryMB }), []term{fixed, owned, followed}, func(l Limits) float64 { return l.MemoryMB }, "entries of all machines; the collector's limit at 0.6 of the quota"},
+		{"controller (placer, machine owner, gateway)", "open files", "", others(func(c *ControllerResult) float64 { return float64(c.MaxOpenFiles) }), []term{fixed, owned, controller}, func(l Limits) float64 { return l.Sockets }, "one connection from each owned worker; those for commands close after 3 s"},
 		{"steward, beyond that", "processor time", "cores", func(r *Result) float64 {
-			get := func(c *ControllerResult) float64 { return c.Cores }
+			get := func(c *ControllerResult) float64 { return c.MeanCores }
 			return r.mean(steward, get) - r.mean(noSteward, get)
 		}, []term{fixed, followed}, func(l Limits) float64 { return l.Cores }, "one steward: ledger of permits, plan of the fleet"},
 		{"steward", "permits", "calls/s", calls("Steward.Permit"), []term{fixed, followed}, noLimit, "one steward answers all"},
 		{"links between controllers", "all bytes", "bytes/s", perSecond(func(r *Result) float64 {
-			return float64(r.Count) * r.mean(anyone, func(c *ControllerResult) float64 { return float64(c.Sent + c.Received) })
+			return float64(r.ControllerCount) * r.mean(anyone, func(c *ControllerResult) float64 { return float64(c.SentBytes + c.ReceivedBytes) })
 		}), []term{fixed, pairs}, noLimit, "each controller follows every machine's entry"},
 		{"links between controllers", "feeds", "calls/s", calls("Agent.Watch"), []term{fixed, pairs}, noLimit, "long polls, at most 300 entries each"},
 		{"links between controllers", "samples", "calls/s", calls("Agent.Sample"), []term{fixed, pairs}, noLimit, "every owner is asked for each placement (C_p is 1)"},
 		{"links between controllers", "commits", "calls/s", calls("Agent.Commit"), []term{fixed, followed}, noLimit, "one for each job and machine"},
-		{"state service", "requests", "requests/s", perSecond(func(r *Result) float64 { return float64(r.Service.Requests) }), []term{fixed, followed, controller}, func(l Limits) float64 { return l.RPS }, "shared watches and reads; a paced client in each controller"},
-		{"state service", "changes", "changes/s", perSecond(func(r *Result) float64 { return float64(r.Service.Changes) }), []term{fixed, followed, controller}, func(l Limits) float64 { return l.WriteRPS }, "shares of the write limit; jobs, ends and registrations only, nothing for a start"},
-		{"state service", "keys", "", func(r *Result) float64 { return float64(r.Service.Keys) }, []term{fixed, followed, controller}, noLimit, "one for each machine and open job"},
-		{"state service", "bytes kept", "bytes", func(r *Result) float64 { return float64(r.Service.Bytes) }, []term{fixed, followed, controller}, noLimit, "values of some hundred bytes"},
-		{"workers' process", "processor time", "cores", func(r *Result) float64 { return r.Workers.Cores }, []term{fixed, followed}, noLimit, "hollow workers; users and the cloud are the fixed part and grow with them"},
-		{"workers' process", "memory", "MB", func(r *Result) float64 { return r.Workers.MemoryMB }, []term{fixed, followed}, noLimit, "hollow workers"},
+		{"state service", "requests", "requests/s", perSecond(func(r *Result) float64 { return float64(r.StateService.Requests) }), []term{fixed, followed, controller}, func(l Limits) float64 { return l.RPS }, "shared watches and reads; a paced client in each controller"},
+		{"state service", "changes", "changes/s", perSecond(func(r *Result) float64 { return float64(r.StateService.Changes) }), []term{fixed, followed, controller}, func(l Limits) float64 { return l.WriteRPS }, "shares of the write limit; jobs, ends and registrations only, nothing for a start"},
+		{"state service", "keys", "", func(r *Result) float64 { return float64(r.StateService.MaxKeys) }, []term{fixed, followed, controller}, noLimit, "one for each machine and open job"},
+		{"state service", "bytes kept", "bytes", func(r *Result) float64 { return float64(r.StateService.MaxBytes) }, []term{fixed, followed, controller}, noLimit, "values of some hundred bytes"},
+		{"workers' process", "processor time", "cores", func(r *Result) float64 { return r.Workers.MeanCores }, []term{fixed, followed}, noLimit, "hollow workers; users and the cloud are the fixed part and grow with them"},
+		{"workers' process", "memory", "MB", func(r *Result) float64 { return r.Workers.MaxMemoryMB }, []term{fixed, followed}, noLimit, "hollow workers"},
 		{"worker", "traffic, HTTP headers included", "bytes/s each", func(r *Result) float64 {
 			return r.perSecond(float64(r.Load.WorkerBytes)) / float64(r.Machines)
 		}, []term{fixed, followed}, func(Limits) float64 { return workerBytes }, "reports each 6 s and after changes; commands"},
@@ -60,8 +60,8 @@
 // workerBytes is what a worker may spend on traffic, in bytes a second: the operators' 2 KB.
 const workerBytes = 2000
 
-// Tables writes the tables of docs/CAPACITY.md from a sweep.
-func (s *SweepResult) Tables(out io.Writer) {
+// WriteTables writes the tables of docs/CAPACITY.md from a sweep.
+func (s *SweepResult) WriteTables(out io.Writer) {
 	s.pointsTable(out)
 	s.costsTable(out)
 	s.serviceTable(out)
@@ -101,7 +101,7 @@
 		if most := c.limit(s.Limits); most > 0 {
 			limit, share = figure(most), fmt.Sprintf("%.2f", planned/most)
 		}
-		fmt.Fprintf(out, "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", c.role, named(c), strings.Join(slopes, ", "), rSquared(f), figure(f.Worst), figure(planned), limit, share, c.carries)
+		fmt.Fprintf(out, "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", c.role, named(c), strings.Join(slopes, ", "), rSquared(f), figure(f.MaxResidual), figure(planned), limit, share, c.carries)
 	}
 }
 
@@ -110,8 +110,8 @@
 	fmt.Fprint(out, "\nHow work fared:\n\n| machines/controllers | half, nine tenths, all registered after | urgent started within 3 s | urgent p99 | other p50, p99 | submissions p99 | starts a second, best 10 s | killed by leases | started again | workers late p99 | rules broken |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, p := range s.Points {
 		l, g := &p.Result.Load, p.Result.Registered
-		fmt.Fprintf(out, "| %d/%d | %.0f, %.0f, %.0f s | %.3f of %d | %.2f s | %.2f, %.2f s | %.2f s | %.0f | %d | %d | %.3f s | %d |\n", p.Machines, p.Controllers, g.Half, g.Most, g.All, l.Urgent.Within, l.Urgent.Count, l.Urgent.P99,
-			l.Other.P50, l.Other.P99, l.Submissions.P99, l.BestTenS, l.KilledByLease, l.StartedAgain, l.WorkerLateness.P99, len(l.Broken))
+		fmt.Fprintf(out, "| %d/%d | %.0f, %.0f, %.0f s | %.3f of %d | %.2f s | %.2f, %.2f s | %.2f s | %.0f | %d | %d | %.3f s | %d |\n", p.Machines, p.Controllers, g.Half, g.Most, g.All, l.UrgentStart.ShareWithin, l.UrgentStart.Count, l.UrgentStart.P99,
+			l.OtherStart.P50, l.OtherStart.P99, l.Submissions.P99, l.MaxMeanStartsOver10S, l.TasksKilledByLeaseExpiry, l.TaskRestarts, l.WorkerLateness.P99, len(l.Violations))
 	}
 }
 
--- a/tools/scaletest/users.go
+++ b/tools/scaletest/users.go
@@ -23,7 +23,7 @@
 	profile   *Profile
 	addresses []string
 	history   *emulator.History
-	fleet     *emulator.Fleet
+	fleet     *emulator.SimulatedCloud
 	begun     time.Time
 	http      *http.Client
 	lateness  *histogram // of submissions against their times
@@ -49,7 +49,7 @@
 	mostOpenJobs = 20_000 // users of a run; more do not fit
 )
 
-func newUsers(p *Profile, controllers map[string]string, history *emulator.History, fleet *emulator.Fleet) *users {
+func newUsers(p *Profile, controllers map[string]string, history *emulator.History, fleet *emulator.SimulatedCloud) *users {
 	return &users{profile: p, addresses: slices.Sorted(maps.Values(controllers)), history: history, fleet: fleet,
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}, lateness: newHistogram(), answers: newHistogram(), submitted: map[string]int{}}
 }
@@ -57,7 +57,7 @@
 // arrival is when a job of a class is to be submitted.
 type arrival struct {
 	at    time.Duration // from the beginning
-	class *Class
+	class *JobClass
 }
 
 // arrivals draws when jobs come, in order.
@@ -97,7 +97,7 @@
 }
 
 // draw makes a job of a class.
-func (u *users) draw(c *Class) (spec job.Spec, ok bool) {
+func (u *users) draw(c *JobClass) (spec job.Spec, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.running >= mostOpenJobs {
@@ -109,8 +109,8 @@
 	spec = job.Spec{ID: fmt.Sprintf("wk-%d", u.ids), Class: c.Name, Team: fmt.Sprintf("team-%02d", rand.IntN(u.profile.Teams.Count)), Shape: c.Shape, Rank: c.Rank,
 		Tasks: c.Tasks[rand.IntN(len(c.Tasks))], Need: job.Need{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB},
 		Image: fmt.Sprintf("%s-%d", c.Name, rand.IntN(c.Images)), ImageGB: 1, OneZone: c.OneZone, EstimateS: c.Run}
-	u.history.Offers(spec)
-	u.fleet.Runs(spec.ID, seconds(c.Run*(0.5+rand.Float64())), 0)
+	u.history.RecordSubmission(spec)
+	u.fleet.SetRunTimes(spec.ID, seconds(c.Run*(0.5+rand.Float64())), 0)
 	return spec, true
 }
 
@@ -129,14 +129,14 @@
 		verb, method, path := "query", http.MethodGet, "/submissions/"+spec.ID
 		if cancels {
 			verb, method, path = "cancel", http.MethodPost, "/submissions/"+spec.ID+"/abort"
-			u.history.Asks(spec.ID)
+			u.history.RecordCancelRequest(spec.ID)
 		}
-		asked := u.history.Asking()
+		asked := u.history.StampRequest()
 		code, status := u.call(ctx, method, path, nil, pollTime)
 		if ctx.Err() != nil {
 			return
 		}
-		u.history.Told(verb, spec.ID, asked, code, status)
+		u.history.RecordResponse(verb, spec.ID, asked, code, status)
 		switch {
 		case code == http.StatusOK && status == job.Done:
 			u.count(&u.done, 1)
@@ -151,12 +151,12 @@
 func (u *users) submit(ctx context.Context, spec job.Spec) bool {
 	began := time.Now()
 	for time.Since(began) < submitFor && ctx.Err() == nil {
-		asked := u.history.Asking()
+		asked := u.history.StampRequest()
 		code, status := u.call(ctx, http.MethodPost, "/submissions", spec, submitTime)
 		if ctx.Err() != nil {
 			return false
 		}
-		u.history.Told("submit", spec.ID, asked, code, status)
+		u.history.RecordResponse("submit", spec.ID, asked, code, status)
 		switch code {
 		case http.StatusOK, http.StatusCreated:
 			u.answers.add(time.Since(began))
