--- a/emulator/cloudserver_test.go
+++ b/emulator/cloudserver_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -53,24 +54,24 @@
 
 // The state service refuses requests and changes beyond its limits, and tells who follows
 // from too far back so.
-func TestStateServerKeepsItsLimits(t *testing.T) {
+func TestStateServiceKeepsItsLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStateService()
-		rates := NewRateLimits(10, 4)
-		s.SetRateLimits(rates)
-		if !rates.admits(3) || rates.admits(2) || !rates.admits(1) || rates.Refused.Load() != 1 {
+		limits := NewRateLimits(10, 4)
+		s.SetRateLimits(limits)
+		if !limits.admit(3) || limits.admit(2) || !limits.admit(1) || limits.Refused.Load() != 1 {
 			t.Error("a second's worth of changes passes, and no more")
 		}
 		time.Sleep(time.Second)
 		for k := range 12 {
-			if admitted := rates.admits(0); admitted != (k < 10) {
+			if admitted := limits.admit(0); admitted != (k < 10) {
 				t.Errorf("request %d: %v", k, admitted)
 			}
 		}
 		for range 2*keptEvents + 1 {
 			_, _ = s.Txn(t.Context(), nil, []statekv.Op{{Set: "k", Value: 1}})
 		}
-		if _, err := s.Watch(t.Context(), "", 1, 0); err != statekv.ErrCompacted {
+		if _, err := s.Watch(t.Context(), "", 1, 0); !errors.Is(err, statekv.ErrCompacted) {
 			t.Errorf("following from the beginning: %v", err)
 		}
 	})
--- a/emulator/loopback_test.go
+++ b/emulator/loopbacknetwork_test.go
@@ -18,23 +18,25 @@
 	"robinstack/internal/worker"
 )
 
-// A worker on the loopback network reports over a connection of its own, carries out direct
-// commands under its token and session only, and ends its tasks with its lease, which these
+// A worker on the loopback network sends heartbeats over a connection of its own, carries out direct
+// commands under its fencing token and worker epoch only, and ends its tasks with its lease, which these
 // do not renew.
-func TestWorkerOnLoopback(t *testing.T) {
+func TestWorkerOnLoopbackNetwork(t *testing.T) {
 	var mu sync.Mutex
 	var latest worker.Heartbeat
 	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		_ = json.NewDecoder(r.Body).Decode(&latest)
-		answer(w, http.StatusServiceUnavailable, nil) // its lease is not renewed
+		respond(w, http.StatusServiceUnavailable, nil) // its lease is not renewed
 	}))
 	defer controller.Close()
 	settings := &config.Settings{Host: "host-0", Workers: config.WorkerTiming{HeartbeatInterval: 200 * time.Millisecond, LeaseDuration: 1500 * time.Millisecond, CancellationDeadline: 10 * time.Second}}
 	history := NewHistory(settings)
 	types := []cloud.MachineType{{Name: "box", CPUs: 4, GPUs: 1, MemoryGB: 8, OnDemandPrice: 1, Zones: []string{"a"}}}
-	f := NewSimulatedCloud(t.Context(), settings, types, 1, 1, history, nil)
+	f := NewSimulatedCloud(t.Context(), SimulatedCloudConfig{
+		Settings: settings, MachineTypes: types, MaxMachines: 1, Seed: 1, History: history,
+	})
 	l := &LoopbackNetwork{ControllerAddresses: map[string]string{"host-0": strings.TrimPrefix(controller.URL, "http://")}}
 	f.UseNetwork(l)
 	f.SetTiming(Timing{ImageFetch: 10 * time.Millisecond})
@@ -52,15 +54,15 @@
 		}
 	}
 	address := ""
-	eventually("a report", func() bool {
+	eventually("a heartbeat", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		address = latest.Address
 		return address != ""
 	})
-	do := func(token, session uint64) int {
+	send := func(token, epoch uint64) int {
 		t.Helper()
-		body, _ := json.Marshal(map[string]any{"baton": token, "tenure": session, "orders": []worker.Command{worker.StartCommand("wk-1/0", 1)}})
+		body, _ := json.Marshal(map[string]any{"baton": token, "tenure": epoch, "orders": []worker.Command{worker.StartCommand("wk-1/0", 1)}})
 		resp, err := http.Post("http://"+address+"/do", "application/json", bytes.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
@@ -69,18 +71,18 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode
 	}
-	if code := do(7, 2); code != http.StatusConflict {
-		t.Errorf("a command for another session: %d", code)
+	if code := send(7, 2); code != http.StatusConflict {
+		t.Errorf("a command for another worker epoch: %d", code)
 	}
-	if code := do(7, 1); code != http.StatusOK {
+	if code := send(7, 1); code != http.StatusOK {
 		t.Errorf("a command: %d", code)
 	}
-	if code := do(6, 1); code != http.StatusConflict {
+	if code := send(6, 1); code != http.StatusConflict {
 		t.Errorf("a command under a lower token: %d", code)
 	}
 	eventually("the task on its machine", func() bool { return history.TasksOnMachines("wk-1") == 1 })
 	eventually("the end of its lease", func() bool { return f.TasksKilledByLeaseExpiry() == 1 && history.TasksOnMachines("wk-1") == 0 })
-	if reports := l.Traffic.Heartbeats.Load(); reports < 2 || l.Traffic.Bytes.Received.Load() == 0 || l.Traffic.Commands.Load() != 3 {
-		t.Error(fmt.Sprint("traffic: ", reports, l.Traffic.Bytes.Received.Load(), l.Traffic.Commands.Load()))
+	if heartbeats := l.Traffic.Heartbeats.Load(); heartbeats < 2 || l.Traffic.Bytes.Received.Load() == 0 || l.Traffic.Commands.Load() != 3 {
+		t.Error(fmt.Sprint("traffic: ", heartbeats, l.Traffic.Bytes.Received.Load(), l.Traffic.Commands.Load()))
 	}
 }
--- a/emulator/transport.go
+++ b/emulator/transport.go
@@ -2,32 +2,32 @@
 
 import (
 	"bytes"
+	"context"
 	"io"
 	"net/http"
 	"net/http/httptest"
 )
 
-// transport carries a worker's report to a controller and brings its answer.
-type transport interface {
-	report(host string, body []byte) (code int, answer []byte, err error)
+// heartbeatTransport carries a worker's heartbeats to controllers and brings their answers.
+type heartbeatTransport interface {
+	// send sends a heartbeat; the error says that no answer came.
+	send(ctx context.Context, host string, body []byte) (code int, answer []byte, err error)
 	close()
 }
 
 // handlerTransport reaches controllers of the same process by their HTTP handlers.
-type handlerTransport struct {
-	ask func(host string, r *http.Request) (*http.Response, error)
-}
+type handlerTransport struct{ call ControllerCall }
 
 func (t handlerTransport) close() {}
 
-func (t handlerTransport) report(host string, body []byte) (int, []byte, error) {
-	request := httptest.NewRequest(http.MethodPost, "/v1/report", bytes.NewReader(body))
+func (t handlerTransport) send(ctx context.Context, host string, body []byte) (int, []byte, error) {
+	request := httptest.NewRequestWithContext(ctx, http.MethodPost, heartbeatPath, bytes.NewReader(body))
 	request.Header.Set("Content-Type", "application/json")
-	response, err := t.ask(host, request)
+	response, err := t.call(host, request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // in memory
 	answer, err := io.ReadAll(response.Body)
 	return response.StatusCode, answer, err
 }
--- a/test/integration/world_test.go
+++ b/test/integration/world_test.go
@@ -97,7 +97,9 @@
 		s := w.settings("host-0")
 		w.history = emulator.NewHistory(s)
 		types := []cloud.MachineType{{Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 1, OnDemandPrice: 2, SpotPrice: 1, ProvisioningS: bootS, Zones: zones}}
-		w.fleet = emulator.NewSimulatedCloud(ctx, s, types, most, seed, w.history, w.work)
+		w.fleet = emulator.NewSimulatedCloud(ctx, emulator.SimulatedCloudConfig{
+			Settings: s, MachineTypes: types, MaxMachines: most, Seed: seed, History: w.history, CallController: w.work,
+		})
 		for _, h := range w.hosts {
 			w.start(h)
 		}
--- a/tools/scaletest/load.go
+++ b/tools/scaletest/load.go
@@ -142,7 +142,9 @@
 		types = append(types, cloud.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: 1000, FetchGBPerS: 1, OnDemandPrice: t.Price, ProvisioningS: t.Boot, Zones: p.Zones()})
 	}
 	// As many again may be rented as fail.
-	l.fleet = emulator.NewSimulatedCloud(ctx, settings, types, p.Machines()+p.Machines()/4, p.Seed, l.history, nil)
+	l.fleet = emulator.NewSimulatedCloud(ctx, emulator.SimulatedCloudConfig{
+		Settings: settings, MachineTypes: types, MaxMachines: p.Machines() + p.Machines()/4, Seed: p.Seed, History: l.history,
+	})
 	l.fleet.UseNetwork(l.loopback)
 	l.fleet.SetTiming(emulator.Timing{ImageFetch: seconds(p.Workers.Fetch), RandomBoot: true, OnWorkerStep: l.steps.add})
 	l.cloud = emulator.NewCloudServer(l.fleet, p.Cloud.RPS, seconds(p.Cloud.ListLag))
