--- a/tools/audit/audit_test.go
+++ b/tools/audit/audit_test.go
@@ -64,7 +64,7 @@
 }
 
 // One machine's day, by hand: 36 an hour is 1 a hundred seconds.
-func TestPartsOfOneMachine(t *testing.T) {
+func TestBillOfOneMachine(t *testing.T) {
 	inBothFormats(t, func(t *testing.T, format func(string) string) {
 		l := read(t, format, line(0, reef)+
 			line(0, `msg=rented type=reef zone=a spot=false wanted=1 got=1 machines="[m1]"`)+
@@ -74,9 +74,9 @@
 			line(200*time.Second, `msg=returned machines=[m1]`))
 		b := l.Bill()
 		want := map[string]float64{Boot: 0.4, IdleBeforeFirstTask: 0.1, Fetch: 0.1, Useful: 0.4 + 0.4, GangWait: 0.05, LostWork: 0.05, IdleAfterLastTask: 0.5}
-		for _, part := range Categories {
-			if math.Abs(b.ByCategory[part]-want[part]) > 1e-9 {
-				t.Errorf("%s: %v, want %v", part, b.ByCategory[part], want[part])
+		for _, category := range Categories {
+			if math.Abs(b.ByCategory[category]-want[category]) > 1e-9 {
+				t.Errorf("%s: %v, want %v", category, b.ByCategory[category], want[category])
 			}
 		}
 		if math.Abs(b.Cost-2) > 1e-9 {
@@ -87,7 +87,7 @@
 
 // Spot machines are charged the price of the moment, and a machine is charged for
 // a minute at least.
-func TestPricesChange(t *testing.T) {
+func TestBillFollowsSpotPrice(t *testing.T) {
 	inBothFormats(t, func(t *testing.T, format func(string) string) {
 		l := read(t, format, line(0, reef)+
 			line(0, `msg=rented type=reef zone=a spot=true wanted=1 got=1 machines="[m1 m2]"`)+
@@ -102,7 +102,7 @@
 
 // A log that was cut or mixed with other output: what can be read is used, and the
 // rest is named with its line.
-func TestBrokenLogs(t *testing.T) {
+func TestMalformedLinesAreReported(t *testing.T) {
 	inBothFormats(t, func(t *testing.T, format func(string) string) {
 		whole := line(0, reef) + line(0, `msg=rented type=reef zone=a spot=false wanted=1 got=1 machines=[m1]`) + line(100*time.Second, `msg=returned machines=[m1]`)
 		over := `msg="task over" task=wk-1/0 machine=m1 cause=done saved=false cpus=6 gpus=8 mem_gb=1 fetch_s=%s wait_s=0 run_s=50 save_s=0 saves_every_s=0`
@@ -114,7 +114,7 @@
 			"cut in the time": {`time=2026-09-`, `line 4: time: "2026-09-" is no time`},
 			"a missing field": {line(0, `msg=price type=kava hourly=3`), `line 4: msg="price": spot: is missing`},
 			"no amount":       {line(0, over, "-3"), `line 4: msg="task over": fetch_s: "-3" is no amount`},
-			"an endless line": {"time=" + strings.Repeat("x", 3*longestLine) + "\n", "line 4: is longer than a mebibyte"},
+			"an endless line": {"time=" + strings.Repeat("x", 3*maxLineBytes) + "\n", "line 4: is longer than a mebibyte"},
 		} {
 			l := read(t, format, whole+c.tail)
 			if len(l.Problems) != 1 || !strings.HasPrefix(l.Problems[0].String(), format(c.reason)) {
@@ -131,8 +131,8 @@
 }
 
 // Whatever tasks do, and however their times overlap, run past the machine's or
-// overbook it, no part is negative and all add up to what the machines cost.
-func TestPartsAddUp(t *testing.T) {
+// overbook it, no category is negative and all add up to what the machines cost.
+func TestCategoriesAddUpToCost(t *testing.T) {
 	inBothFormats(t, func(t *testing.T, format func(string) string) {
 		rapid.Check(t, func(t *rapid.T) {
 			var log strings.Builder
@@ -163,14 +163,14 @@
 			}
 			b := l.Bill()
 			sum := 0.0
-			for part, money := range b.ByCategory {
+			for category, money := range b.ByCategory {
 				if money < 0 {
-					t.Fatalf("%s: %v", part, money)
+					t.Fatalf("%s: %v", category, money)
 				}
 				sum += money
 			}
 			if math.Abs(sum-want) > 1e-6 || math.Abs(b.Cost-want) > 1e-6 {
-				t.Fatalf("parts add up to %v, the bill is %v, the machines cost %v", sum, b.Cost, want)
+				t.Fatalf("categories add up to %v, the bill is %v, the machines cost %v", sum, b.Cost, want)
 			}
 		})
 	})
@@ -178,7 +178,7 @@
 
 // One GPU for a hundred seconds, and a long job that was served first although it
 // could not make its deadline: the two short ones behind it could have.
-func TestAnotherOrderKeepsMoreDeadlines(t *testing.T) {
+func TestDeadlinesAchievableByAnotherOrder(t *testing.T) {
 	inBothFormats(t, func(t *testing.T, format func(string) string) {
 		accepted := func(id string, due int) string {
 			return line(0, `msg="job accepted" job=%s class=read tasks=1 gpus=1 due_s=%d`, id, due)
@@ -200,7 +200,7 @@
 
 // Who was served: each job counts by its own aim, users' cancellations do not
 // count, and what is not over when the log ends counts once its time has passed.
-func TestServed(t *testing.T) {
+func TestServiceLevels(t *testing.T) {
 	inBothFormats(t, func(t *testing.T, format func(string) string) {
 		accepted := func(at time.Duration, id, class string, due int) string {
 			return line(at, `msg="job accepted" job=%s class=%s team=t-%s tasks=2 gpus=1 due_s=%d slot=s`, id, class, class, due)
@@ -233,7 +233,7 @@
 // The largest jobs of a class count by themselves: that all small ones began hides
 // nothing. What waits for others has not begun to wait for a place, and what was
 // withdrawn with a job before it is cancelled.
-func TestTheLargestAndThoseThatWait(t *testing.T) {
+func TestServiceLevelsOfLargestAndWaitingJobs(t *testing.T) {
 	inBothFormats(t, func(t *testing.T, format func(string) string) {
 		var log strings.Builder
 		accepted := func(at time.Duration, id string, tasks, waits int) {
@@ -268,7 +268,7 @@
 
 // While controllers are replaced one by one, the logs of a fleet have lines of both
 // versions: they add up as those of either one do.
-func TestLinesOfBothVersionsMixed(t *testing.T) {
+func TestMixedLinesOfBothVersions(t *testing.T) {
 	lines := []string{
 		line(0, reef),
 		line(0, `msg=rented type=reef zone=a spot=false wanted=1 got=1 machines="[m1]"`),
