--- a/tools/audit/bill.go
+++ b/tools/audit/bill.go
@@ -7,8 +7,9 @@
 	"maps"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
+
+	"robinstack/tools/console"
 )
 
 // Categories of what machine time goes into. Those of a machine add up to its life.
@@ -126,28 +127,16 @@
 	return cost
 }
 
-// tablePadding is the space between the columns of a table.
-const tablePadding = 2
-
-// writeTable writes rows whose cells end with tabs, in columns.
-func writeTable(w io.Writer, rows string, flags uint) error {
-	t := tabwriter.NewWriter(w, 0, 0, tablePadding, ' ', flags)
-	if _, err := io.WriteString(t, rows); err != nil {
-		return err
-	}
-	return t.Flush()
-}
-
 // minAmount keeps a share of nothing from being none.
 const minAmount = 1e-9
 
 // Print writes the bill as a table; what the cloud charged, if it is known (0: it is not),
 // is set against it.
 func (b *Bill) Print(w io.Writer, charged float64) error {
-	if err := writeTable(w, b.categoryRows(charged), tabwriter.AlignRight); err != nil {
+	if err := console.WriteTable(w, b.categoryRows(charged), console.AlignRight); err != nil {
 		return err
 	}
-	return writeTable(w, b.poolRows(), 0)
+	return console.WriteTable(w, b.poolRows(), 0)
 }
 
 func (b *Bill) categoryRows(charged float64) string {
--- a/tools/audit/deadlines.go
+++ b/tools/audit/deadlines.go
@@ -8,6 +8,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"robinstack/tools/console"
 )
 
 // DeadlineOutcome is what the deadlines of a class became, and what another queue order
@@ -138,5 +140,5 @@
 		fmt.Fprintf(&rows, "%s\t%d\t%d (%.2f)\t%d (%.2f)\n",
 			o.Class, o.Jobs, o.Kept, share(o.Kept), o.Achievable, share(o.Achievable))
 	}
-	return writeTable(w, rows.String(), 0)
+	return console.WriteTable(w, rows.String(), 0)
 }
--- a/tools/audit/log.go
+++ b/tools/audit/log.go
@@ -1,7 +1,8 @@
 // Package audit splits what the machines of a cluster cost by what they did with their
 // time, and works out what became of jobs and deadlines, from the logs of the controllers
 // alone. It owns no state of the service and may touch none: it reads lines and adds up. A
-// Log is for one goroutine. It may import packages that only describe (job, logline).
+// Log is for one goroutine. It may import packages that only describe (job, logline) and
+// console.
 //
 // The messages that it goes by are the constants of package logline, which the writers of
 // the lines use too. Lines of the former version are read as well: each line gets its
--- a/tools/audit/servicelevels.go
+++ b/tools/audit/servicelevels.go
@@ -8,6 +8,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"robinstack/tools/console"
 )
 
 // SLOMultiples are the multiples of what its objective asks by which a job is looked for.
@@ -184,7 +186,7 @@
 	var rows strings.Builder
 	writeLevelRows(&rows, "class", classes)
 	writeLevelRows(&rows, "team", teams)
-	return writeTable(w, rows.String(), 0)
+	return console.WriteTable(w, rows.String(), 0)
 }
 
 func writeLevelRows(rows *strings.Builder, what string, levels []ServiceLevel) {
