--- a/tools/devcluster/dev_test.go
+++ b/tools/devcluster/cluster_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// base returns a port after which some are free.
-func base(t *testing.T) int {
+// freePorts returns the first of eight ports in a row that are free.
+func freePorts(t *testing.T) int {
 	t.Helper()
 	for range 20 {
 		ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -34,9 +34,9 @@
 	return 0
 }
 
-// Ports that are taken and programs that do not start, or end at once, are said at once,
+// Ports that are taken and programs that do not start, or end at once, are reported at once,
 // and nothing is left: no port, no file, no process.
-func TestWhatDoesNotStartIsSaidAtOnce(t *testing.T) {
+func TestStartFailuresAreReportedAndLeaveNothing(t *testing.T) {
 	no, err := exec.LookPath("false")
 	if err != nil {
 		t.Skip("there is no program that ends at once")
@@ -56,7 +56,7 @@
 		"too many for the ports": {no, -2, "controllers"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := Options{Port: base(t), Controllers: 3, Program: c.program, MaxMachines: 4, GPUs: 8}
+			o := Options{Port: freePorts(t), Controllers: 3, Program: c.program, MaxMachines: 4, GPUs: 8}
 			if c.taken >= 0 {
 				ln, err := net.Listen("tcp4", o.address(c.taken))
 				if err != nil {
@@ -67,10 +67,10 @@
 			if c.taken == -2 {
 				o.Controllers = 99
 			}
-			f, err := Start(t.Context(), o)
+			cluster, err := Start(t.Context(), o)
 			if err == nil {
-				err = f.WaitUntilReady(t.Context())
-				f.Stop()
+				err = cluster.WaitUntilReady(t.Context())
+				cluster.Stop()
 			}
 			if err == nil || !strings.Contains(err.Error(), c.why) {
 				t.Errorf("%v", err)
--- a/tools/scaletest/run.go
+++ b/tools/scaletest/run.go
@@ -132,7 +132,7 @@
 	go func() { _ = r.server.Serve(ln) }()
 	go r.state.ExpireLeases(ctx.Done())
 	for k := range r.nodes {
-		if err := r.controllers.Launch(k, r.options.Program); err != nil {
+		if err := r.controllers.Launch(ctx, k, r.options.Program); err != nil {
 			return err
 		}
 	}
@@ -310,7 +310,7 @@
 		return
 	case <-time.After(back):
 	}
-	if err := r.controllers.Launch(k, r.options.Program); err == nil {
+	if err := r.controllers.Launch(ctx, k, r.options.Program); err == nil {
 		r.setDown(k, false)
 	}
 }
