--- a/cmd/robinstack/scale.go
+++ b/cmd/robinstack/scale.go
@@ -71,7 +71,9 @@
 	if err != nil {
 		return err
 	}
-	result.Print(out)
+	if err := result.Print(out); err != nil {
+		return err
+	}
 	if err := writeJSON(flags.json, result); err != nil {
 		return err
 	}
@@ -91,8 +93,7 @@
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return fmt.Errorf("%w: %s is not what a sweep wrote: %w", errUsage, path, err)
 	}
-	s.WriteTables(out)
-	return nil
+	return s.WriteTables(out)
 }
 
 // writeJSON writes a value to a file; "" for none.
--- /dev/null
+++ b/tools/scaletest/deployment.go
@@ -0,0 +1,56 @@
+package scaletest
+
+import (
+	"fmt"
+
+	"robinstack/internal/config"
+)
+
+const (
+	// urgentShare is how much of the urgent work is to start within urgentLimit.
+	urgentShare = 0.95
+	// clockOffMS is by how much clocks may be off: those of one machine are not.
+	clockOffMS = 10
+)
+
+// teamName names the kth team.
+func teamName(k int) string { return fmt.Sprintf("team-%02d", k) }
+
+// deployment is what the controllers' settings say of the deployment, as their file has it.
+func (p *Profile) deployment() any {
+	teams := []config.Team{}
+	for k := range p.Teams.Count {
+		teams = append(teams, config.Team{Name: teamName(k), GuaranteedGPUs: p.Teams.GPUs, GPUQuota: p.Teams.GPUsMax})
+	}
+	objectives := []map[string]any{}
+	for _, c := range p.Jobs {
+		if c.Urgent {
+			objectives = append(objectives, map[string]any{
+				"kind": "wait", "class": c.Name, "within_s": urgentLimit.Seconds(), "share": urgentShare,
+			})
+		}
+	}
+	return map[string]any{
+		"size":       p.Controllers.Count,
+		"zones":      p.Zones(),
+		"teams":      teams,
+		"objectives": objectives,
+		"workers": map[string]float64{
+			"report_s":    p.Workers.Report,
+			"lease_s":     p.Workers.Lease,
+			"gang_wait_s": p.Workers.GangWait,
+			"gang_peer_s": p.Workers.GangPeer,
+			"cancel_s":    p.Workers.Cancel,
+		},
+		"state": map[string]any{
+			"rps": p.State.RPS, "write_rps": p.State.WriteRPS, "value_kb": p.State.ValueKB, "txn_ops": p.State.TxnOps,
+		},
+		"cloud":        map[string]float64{"rps": p.Cloud.RPS, "list_lag_s": p.Cloud.ListLag},
+		"clock_off_ms": clockOffMS,
+		"quota": map[string]float64{
+			"cores":           p.Controllers.Cores,
+			"memory_mb":       p.Controllers.MemoryMB,
+			"max_connections": float64(p.Controllers.Sockets),
+		},
+	}
+}
--- a/tools/scaletest/fit.go
+++ b/tools/scaletest/fit.go
@@ -9,17 +9,17 @@
 
 // term is something that a cost grows with.
 type term struct {
-	name string
-	of   func(machines, controllers float64) float64
+	name  string
+	value func(machines, controllers float64) float64
 }
 
 // What costs grow with. Costs that are a product of both numbers have a term for it.
 var (
-	fixed      = term{"fixed", func(_, _ float64) float64 { return 1 }}
-	owned      = term{"machine owned", func(m, c float64) float64 { return m / c }}
-	followed   = term{"machine of the fleet", func(m, _ float64) float64 { return m }}
-	controller = term{"controller", func(_, c float64) float64 { return c }}
-	pairs      = term{"machine × controller", func(m, c float64) float64 { return m * c }}
+	fixedTerm        = term{"fixed", func(_, _ float64) float64 { return 1 }}
+	ownedMachineTerm = term{"machine owned", func(m, c float64) float64 { return m / c }}
+	machineTerm      = term{"machine of the fleet", func(m, _ float64) float64 { return m }}
+	controllerTerm   = term{"controller", func(_, c float64) float64 { return c }}
+	pairTerm         = term{"machine × controller", func(m, c float64) float64 { return m * c }}
 )
 
 // Fit is a cost as a sum of slopes times what it grows with, by least squares.
@@ -33,8 +33,8 @@
 	terms []term
 }
 
-// fit fits a quantity over points. It needs at least one point more than terms.
-func fit(points []Point, quantity func(r *Result) float64, terms []term) (*Fit, bool) {
+// fitCost fits a quantity over points. It needs at least one point more than terms.
+func fitCost(points []Point, quantity func(r *Result) float64, terms []term) (*Fit, bool) {
 	if len(points) <= len(terms) {
 		return nil, false
 	}
@@ -42,7 +42,7 @@
 	for row, p := range points {
 		y.SetVec(row, quantity(p.Result))
 		for column, t := range terms {
-			x.Set(row, column, t.of(float64(p.Machines), float64(p.Controllers)))
+			x.Set(row, column, t.value(float64(p.Machines), float64(p.Controllers)))
 		}
 	}
 	var slopes mat.VecDense
@@ -65,7 +65,7 @@
 // at is what the fit says of a size.
 func (f *Fit) at(machines, controllers int) (sum float64) {
 	for k, t := range f.terms {
-		sum += f.Slopes[k] * t.of(float64(machines), float64(controllers))
+		sum += f.Slopes[k] * t.value(float64(machines), float64(controllers))
 	}
 	return sum
 }
--- a/tools/scaletest/fit_test.go
+++ b/tools/scaletest/fit_test.go
@@ -40,11 +40,11 @@
 		slopes   []float64
 	}{
 		{func(r *Result) float64 {
-			return r.mean(noSteward, func(c *ControllerResult) float64 { return c.MeanCores })
-		}, []term{fixed, owned, followed}, []float64{0.0102, 0.0002, 0.00003}},
-		{func(r *Result) float64 { return float64(r.ControllerCount) * float64(r.Machines) * 7 }, []term{fixed, pairs}, []float64{0, 7}},
+			return r.mean(isFollower, meanCores)
+		}, byOwnedAndMachine, []float64{0.0102, 0.0002, 0.00003}},
+		{func(r *Result) float64 { return float64(r.ControllerCount) * float64(r.Machines) * 7 }, byPair, []float64{0, 7}},
 	} {
-		f, ok := fit(s.Points, c.quantity, c.terms)
+		f, ok := fitCost(s.Points, c.quantity, c.terms)
 		if !ok || f.RSquared < 0.999999 {
 			t.Fatalf("%v, %v", f, ok)
 		}
@@ -54,7 +54,7 @@
 			}
 		}
 	}
-	if _, ok := fit(s.Points[:2], func(*Result) float64 { return 1 }, []term{fixed, owned, followed}); ok {
+	if _, ok := fitCost(s.Points[:2], func(*Result) float64 { return 1 }, byOwnedAndMachine); ok {
 		t.Error("two points do not tell three slopes")
 	}
 }
@@ -63,9 +63,11 @@
 // its limit.
 func TestTablesOfASweep(t *testing.T) {
 	var out strings.Builder
-	sweep().WriteTables(&out)
+	if err := sweep().WriteTables(&out); err != nil {
+		t.Fatal(err)
+	}
 	planned := 0.0102 + 0.0002*3000/16 + 0.00003*3000
-	for _, want := range []string{"500/3", "2000/7", "| " + figure(planned) + " | 0.25 | 0.55 |", "a machine of the fleet"} {
+	for _, want := range []string{"500/3", "2000/7", "| " + formatFigure(planned) + " | 0.25 | 0.55 |", "a machine of the fleet"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("there is no %q in\n%s", want, out.String())
 		}
@@ -75,11 +77,11 @@
 // The times at which so many machines were registered are those of the first look that
 // showed them.
 func TestRegistrationNotesFirstTimes(t *testing.T) {
-	var g registration
+	var g registrationTimes
 	for at, keys := range []int{0, 40, 60, 95, 100, 100} {
 		g.note(keys, 100, float64(at))
 	}
-	if g != (registration{Half: 2, Most: 3, All: 4}) {
+	if g != (registrationTimes{Half: 2, NineTenths: 3, All: 4}) {
 		t.Errorf("%+v", g)
 	}
 }
--- a/tools/scaletest/profile.go
+++ b/tools/scaletest/profile.go
@@ -1,5 +1,10 @@
 // Package scaletest runs real controllers as processes against stand-ins at a size that a
 // profile states, measures what each role costs, and fits how that grows.
+//
+// A run has three kinds of processes: the controllers, one of the simulated workers and users
+// (loadProcess), and this one, which serves the state service and samples all (Run). A Run
+// owns all processes and ends them; its mutex guards what other goroutines tell it. The
+// package may import what describes the service, package emulator and the tools beside it.
 package scaletest
 
 import (
@@ -7,18 +12,16 @@
 	"errors"
 	"fmt"
 	"os"
-	"slices"
 	"strings"
 
 	"github.com/pelletier/go-toml/v2"
-
-	"robinstack/internal/policy"
 )
 
-// ErrProfile marks errors in a profile, and ErrDoesNotFit a run that this machine has no
-// room for.
+// What is wrong with a run that can't be made.
 var (
-	ErrProfile    = errors.New("the profile is not valid")
+	// ErrProfile marks errors in a profile.
+	ErrProfile = errors.New("the profile is not valid")
+	// ErrDoesNotFit marks a run that this machine has no capacity for.
 	ErrDoesNotFit = errors.New("the run does not fit this machine")
 )
 
@@ -171,18 +174,18 @@
 	decoder := toml.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&p); err != nil {
-		return nil, describe(err)
+		return nil, locate(err)
 	}
-	for _, f := range p.faults() {
-		if f.bad {
-			return nil, fmt.Errorf("%d: %s: %s", lineOf(raw, f.field), f.field, f.what)
+	for _, c := range p.checks() {
+		if c.failed {
+			return nil, fmt.Errorf("%d: %s: %s", lineOf(raw, c.field), c.field, c.message)
 		}
 	}
 	return &p, nil
 }
 
-// describe gives the decoder's errors a line and a field.
-func describe(err error) error {
+// locate gives the decoder's errors a line and a field.
+func locate(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 		first := unknown.Errors[0]
@@ -197,13 +200,6 @@
 	return fmt.Errorf("1: %w", err)
 }
 
-// finding is a check of a field.
-type finding struct {
-	bad   bool
-	field string // as lineOf takes it
-	what  string
-}
-
 // Zones lists the zones of all regions.
 func (p *Profile) Zones() []string {
 	var zones []string
@@ -220,85 +216,3 @@
 	}
 	return n
 }
-
-// badPolicy says what is wrong with what operators set, or nothing.
-func (p *Profile) badPolicy() error {
-	_, err := policy.Parse("policy", []byte(p.Controllers.Policy))
-	return err
-}
-
-// mostControllers is how many controllers a run may have.
-const mostControllers = 16
-
-// faults lists the checks of all fields.
-func (p *Profile) faults() []finding {
-	out := []finding{
-		{p.Name == "", "name", "is missing"},
-		{p.Duration < 5 || p.Duration > 3600, "duration_s", "must be 5 to 3600"},
-		{p.Warmup < 0 || p.Warmup >= p.Duration, "warmup_s", "must be from 0 to below duration_s"},
-		{p.Controllers.Count < 1 || p.Controllers.Count > mostControllers, "controllers.count", fmt.Sprintf("must be 1 to %d", mostControllers)},
-		{p.Controllers.MemoryMB < 32, "controllers.memory_mb", "must be at least 32"},
-		{p.Controllers.Sockets < 100, "controllers.sockets", "must be at least 100"},
-		{p.Controllers.Cores <= 0, "controllers.cores", "must be above 0"},
-		{p.badPolicy() != nil, "controllers.policy", fmt.Sprint(p.badPolicy())},
-		{p.State.RPS <= 0, "state.rps", "must be above 0"},
-		{p.State.WriteRPS <= 0, "state.write_rps", "must be above 0"},
-		{p.State.ValueKB < 2, "state.value_kb", "must be at least 2"},
-		{p.State.TxnOps < 6, "state.txn_ops", "must be at least 6"},
-		{p.Cloud.RPS <= 0, "cloud.rps", "must be above 0"},
-		{p.Cloud.ListLag < 0, "cloud.list_lag_s", "must not be negative"},
-		{p.Workers.Report <= 0, "workers.report_s", "must be above 0"},
-		{p.Workers.Lease <= p.Workers.Report, "workers.lease_s", "must be above report_s"},
-		{p.Workers.Cancel < p.Workers.Lease+4, "workers.cancel_s", "must be at least 4 above lease_s"},
-		{p.Workers.GangWait <= 0, "workers.gang_wait_s", "must be above 0"},
-		{p.Workers.GangPeer <= 0, "workers.gang_peer_s", "must be above 0"},
-		{p.Workers.Fetch <= 0, "workers.fetch_s", "must be above 0"},
-		{len(p.Zones()) == 0, "regions", "there is no zone"},
-		{p.Machines() == 0, "types", "there is no machine"},
-		{p.Teams.Count < 1 || p.Teams.Count > 1000, "teams.count", "must be 1 to 1000"},
-		{p.Teams.GPUs < 0 || p.Teams.GPUsMax < 0, "teams.gpus_max", "must not be negative"},
-		{p.Configuration.PerDay < 0, "configuration.changes_per_day", "must not be negative"},
-		{len(p.Jobs) == 0, "jobs", "there is none"},
-	}
-	for k, t := range p.Types {
-		at := fmt.Sprintf("types[%d].", k)
-		out = append(out, finding{t.Name == "", at + "name", "is missing"}, finding{t.Count < 0, at + "count", "must not be negative"},
-			finding{t.CPUs <= 0, at + "cpus", "must be above 0"}, finding{t.MemoryGB <= 0, at + "memory_gb", "must be above 0"},
-			finding{t.GPUs < 0, at + "gpus", "must not be negative"}, finding{t.Price <= 0, at + "price", "must be above 0"}, finding{t.Boot <= 0, at + "boot_s", "must be above 0"})
-	}
-	for k, j := range p.Jobs {
-		out = append(out, j.faults(fmt.Sprintf("jobs[%d].", k))...)
-	}
-	for k, f := range p.Faults {
-		out = append(out, f.faults(fmt.Sprintf("faults[%d].", k), p)...)
-	}
-	for _, n := range p.Sweep.Controllers {
-		out = append(out, finding{n < 1 || n > mostControllers, "sweep.controllers", fmt.Sprintf("each must be 1 to %d", mostControllers)})
-	}
-	return out
-}
-
-func (c *JobClass) faults(at string) []finding {
-	return []finding{
-		{c.Name == "", at + "class", "is missing"},
-		{c.Shape != "sweep" && c.Shape != "gang", at + "shape", `must be "sweep" or "gang"`},
-		{!slices.Contains([]string{"production", "high", "normal", "best_effort"}, c.Rank), at + "rank", "is unknown"},
-		{len(c.Tasks) == 0 || slices.Min(c.Tasks) < 1, at + "tasks", "must list numbers above 0"},
-		{c.CPUs < 0 || c.GPUs < 0 || c.MemoryGB < 0, at + "cpus", "has a negative amount"},
-		{c.Run <= 0, at + "run_s", "must be above 0"},
-		{c.PerSecond < 0 || c.PerSecond > 1000, at + "jobs_per_s", "must be 0 to 1000"},
-		{c.Cancelled < 0 || c.Cancelled > 1, at + "cancelled", "must be 0 to 1"},
-		{c.Images < 1, at + "images", "must be at least 1"},
-	}
-}
-
-func (f *Fault) faults(at string, p *Profile) []finding {
-	kinds := []string{WorkerFails, WorkerHangs, RackFails, ZoneFails, ControllerFails}
-	return []finding{
-		{f.At < 0 || f.At >= float64(p.Duration), at + "at_s", "must be within duration_s"},
-		{!slices.Contains(kinds, f.Kind), at + "kind", "must be one of " + strings.Join(kinds, ", ")},
-		{f.Kind != ZoneFails && f.Count < 1, at + "count", "must be at least 1"},
-		{f.Kind == ZoneFails && !slices.Contains(p.Zones(), f.Zone), at + "zone", "is no zone of a region"},
-		{f.For < 0, at + "for_s", "must not be negative"},
-	}
-}
--- /dev/null
+++ b/tools/scaletest/sampling.go
@@ -0,0 +1,179 @@
+package scaletest
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"time"
+
+	"robinstack/internal/shard"
+	"robinstack/internal/statekv"
+	"robinstack/tools/console"
+)
+
+// How often all processes are sampled, and how often it is told how the run goes.
+const (
+	sampleInterval   = time.Second
+	progressInterval = 10 * time.Second
+)
+
+// sampleUntilEnd samples all processes each second until the run's time is over.
+func (r *Run) sampleUntilEnd(ctx context.Context) error {
+	r.scheduleFaults(ctx)
+	tick := time.NewTicker(sampleInterval)
+	defer tick.Stop()
+	warm := false
+	for time.Since(r.startTime) < time.Duration(r.profile.Duration)*time.Second {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-tick.C:
+		}
+		now := time.Now()
+		if err := r.sample(now); err != nil {
+			return err
+		}
+		if !warm && now.Sub(r.startTime) >= time.Duration(r.profile.Warmup)*time.Second {
+			warm = true
+			r.endWarmup(now)
+		}
+		if r.options.Out != nil && int(now.Sub(r.startTime).Seconds())%int(progressInterval.Seconds()) == 0 {
+			r.printProgress()
+		}
+	}
+	return nil
+}
+
+func (r *Run) endWarmup(now time.Time) {
+	for _, m := range append([]*usageMeter{r.loadMeter, r.selfMeter}, r.controllerMeters...) {
+		m.endWarmup(now)
+	}
+}
+
+func (r *Run) printProgress() {
+	p := r.load.latestProgress()
+	console.Printf(r.options.Out,
+		"%4d s: %d machines up, %d registered, %d tasks running, %d starts in the last second, %d jobs open\n",
+		p.Second, p.MachinesUp, r.machineKeys(), p.TasksRunning, p.Starts, p.OpenJobs)
+}
+
+func (r *Run) machineKeys() int { return len(r.state.ListAll(statekv.MachinePrefix)) }
+
+// sample looks at all processes, and ends the run if it has grown beyond its capacity.
+func (r *Run) sample(now time.Time) error {
+	memoryMB := 0.0
+	for k, m := range r.controllerMeters {
+		pid := r.controllers.PID(k)
+		if pid == 0 && !r.isDown(k) {
+			return fmt.Errorf("a controller failed: %w", r.controllers.UnexpectedExit())
+		}
+		m.sample(pid, now)
+		memoryMB += m.residentMB()
+	}
+	r.loadMeter.sample(r.load.pid(), now)
+	r.selfMeter.sample(os.Getpid(), now)
+	memoryMB += r.loadMeter.residentMB() + r.selfMeter.residentMB()
+	r.maxTotalMemoryMB = max(r.maxTotalMemoryMB, memoryMB)
+	if memoryMB > r.host.MemoryMB {
+		return fmt.Errorf("%w: it has grown to %.0f MB of memory, %.0f MB are half of the machine's",
+			ErrDoesNotFit, memoryMB, r.host.MemoryMB)
+	}
+	keys, bytes := r.state.Size()
+	r.maxKeys, r.maxStoredBytes = max(r.maxKeys, keys), max(r.maxStoredBytes, bytes)
+	r.registered.note(r.machineKeys(), r.profile.Machines(), now.Sub(r.startTime).Seconds())
+	return nil
+}
+
+// scheduleFaults has controllers end and come back at their times.
+func (r *Run) scheduleFaults(ctx context.Context) {
+	next := 0
+	for _, f := range r.profile.Faults {
+		if f.Kind != ControllerFails {
+			continue
+		}
+		for range f.Count {
+			k := next % len(r.nodes)
+			next++
+			delay := time.Until(r.startTime.Add(seconds(f.At)))
+			time.AfterFunc(delay, func() { r.failController(ctx, k, seconds(f.For)) })
+		}
+	}
+}
+
+// failController ends a controller without warning, and starts it again after some time.
+func (r *Run) failController(ctx context.Context, k int, downtime time.Duration) {
+	r.setDown(k, true)
+	r.controllers.Kill(k)
+	select {
+	case <-ctx.Done():
+		return
+	case <-time.After(downtime):
+	}
+	// One that does not start stays down: the run goes on without it.
+	if err := r.controllers.Launch(ctx, k, r.options.Program); err == nil {
+		r.setDown(k, false)
+	}
+}
+
+func (r *Run) setDown(k int, down bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.down[k] = down
+}
+
+func (r *Run) isDown(k int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.down[k]
+}
+
+// sumUp gathers what this process has measured.
+func (r *Run) sumUp() *Result {
+	result := newResult(r.profile)
+	result.Registered = r.registered
+	result.StateService = StateServiceResult{
+		Requests: r.rateLimits.Requests.Load(),
+		Renewals: r.rateLimits.Renewals.Load(),
+		Watches:  r.rateLimits.Watches.Load(),
+		Changes:  r.rateLimits.Changes.Load(),
+		Refused:  r.rateLimits.Refused.Load(),
+		MaxKeys:  r.maxKeys,
+		MaxBytes: r.maxStoredBytes,
+	}
+	result.Workers, result.Sampler = r.loadMeter.result(), r.selfMeter.result()
+	result.MaxTotalMemoryMB = r.maxTotalMemoryMB
+	owned, leader := r.ownedMachines(), r.leaderHost()
+	for k, n := range r.nodes {
+		result.Controllers = append(result.Controllers, ControllerResult{
+			Host: n.Host, Zone: n.Zone, Leader: n.Host == leader, Usage: r.controllerMeters[k].result(),
+			Owned: owned[n.Host],
+		})
+	}
+	return result
+}
+
+// leaderHost is the host of the leader, by its key; "": there is none.
+func (r *Run) leaderHost() string {
+	for _, kv := range r.state.ListAll(statekv.LeaderKey) {
+		if h, err := statekv.HolderOf(kv); err == nil {
+			return h.Host
+		}
+	}
+	return ""
+}
+
+// ownedMachines counts the machines of each controller, by the keys.
+func (r *Run) ownedMachines() map[string]int {
+	owners, out := map[string]string{}, map[string]int{}
+	for _, kv := range r.state.ListAll(statekv.MachineShardPrefix) {
+		if h, err := statekv.HolderOf(kv); err == nil {
+			owners[kv.Key[len(statekv.MachineShardPrefix):]] = h.Host
+		}
+	}
+	for _, kv := range r.state.ListAll(statekv.MachinePrefix) {
+		if record := shard.ParseMachineRecord(kv); record != nil {
+			out[owners[record.Shard]]++
+		}
+	}
+	return out
+}
--- a/tools/scaletest/sweep.go
+++ b/tools/scaletest/sweep.go
@@ -36,12 +36,11 @@
 	WriteRPS float64 `json:"state_write_rps"`
 }
 
-// ScaledTo is the profile scaled to other numbers of machines and controllers: as many jobs for
-// each machine, and no faults.
+// ScaledTo is the profile scaled to other numbers of machines and controllers: as many jobs
+// for each machine, and no faults.
 func (p *Profile) ScaledTo(size Size) *Profile {
 	scaled := *p
 	factor := float64(size.Machines) / float64(p.Machines())
-	times := func(n int) int { return int(math.Round(float64(n) * factor)) }
 	scaled.Name = fmt.Sprintf("%s at %d machines and %d controllers", p.Name, size.Machines, size.Controllers)
 	scaled.Controllers.Count = size.Controllers
 	scaled.Faults = nil
@@ -50,7 +49,7 @@
 		scaled.Duration, scaled.Warmup = p.Sweep.Duration, p.Sweep.Warmup
 	}
 	for _, t := range p.Types {
-		t.Count = times(t.Count)
+		t.Count = int(math.Round(float64(t.Count) * factor))
 		scaled.Types = append(scaled.Types, t)
 	}
 	for _, c := range p.Jobs {
@@ -61,29 +60,46 @@
 	return &scaled
 }
 
-// RunSweep runs all sizes of a profile's sweep, one after the other, and tells each result
-// as soon as it is there.
-func RunSweep(ctx context.Context, p *Profile, o Options, tell func(*SweepResult) error) error {
+// RunSweep runs all sizes of a profile's sweep, one after the other, and reports what was
+// measured so far after each.
+func RunSweep(ctx context.Context, p *Profile, o Options, report func(*SweepResult) error) error {
 	if len(p.Sweep.Workers) == 0 || len(p.Sweep.Controllers) == 0 {
 		return fmt.Errorf("%w: sweep: lists no sizes", ErrProfile)
 	}
-	out := &SweepResult{Profile: p.Name, Planned: Size{p.Machines(), p.Controllers.Count},
-		Limits: Limits{Cores: p.Controllers.Cores, MemoryMB: p.Controllers.MemoryMB, Sockets: float64(p.Controllers.Sockets), RPS: p.State.RPS, WriteRPS: p.State.WriteRPS}}
+	sweep := &SweepResult{Profile: p.Name, Planned: Size{p.Machines(), p.Controllers.Count}, Limits: p.limits()}
 	for _, machines := range p.Sweep.Workers {
 		for _, controllers := range p.Sweep.Controllers {
-			scaled := p.ScaledTo(Size{machines, controllers})
-			result, err := RunProfile(ctx, scaled, o)
+			point, err := runPoint(ctx, p.ScaledTo(Size{machines, controllers}), o)
 			if err != nil {
-				return fmt.Errorf("%s: %w", scaled.Name, err)
-			}
-			if o.Out != nil {
-				result.Print(o.Out)
+				return err
 			}
-			out.Points = append(out.Points, Point{scaled.Machines(), controllers, result})
-			if err := tell(out); err != nil {
+			sweep.Points = append(sweep.Points, point)
+			if err := report(sweep); err != nil {
 				return err
 			}
 		}
 	}
 	return nil
 }
+
+func (p *Profile) limits() Limits {
+	return Limits{
+		Cores:    p.Controllers.Cores,
+		MemoryMB: p.Controllers.MemoryMB,
+		Sockets:  float64(p.Controllers.Sockets),
+		RPS:      p.State.RPS,
+		WriteRPS: p.State.WriteRPS,
+	}
+}
+
+// runPoint runs one size, and writes its result for people.
+func runPoint(ctx context.Context, p *Profile, o Options) (Point, error) {
+	result, err := RunProfile(ctx, p, o)
+	if err == nil && o.Out != nil {
+		err = result.Print(o.Out)
+	}
+	if err != nil {
+		return Point{}, fmt.Errorf("%s: %w", p.Name, err)
+	}
+	return Point{p.Machines(), p.Controllers.Count, result}, nil
+}
--- a/tools/scaletest/position.go
+++ b/tools/scaletest/tomlposition.go
@@ -12,9 +12,9 @@
 func lineOf(raw []byte, field string) int {
 	parser := unstable.Parser{}
 	parser.Reset(raw)
-	line, best := 1, 0
+	line, longest := 1, 0
 	table := ""
-	counts := map[string]int{}
+	arrayLengths := map[string]int{}
 	for parser.NextExpression() {
 		node := parser.Expression()
 		name := keyOf(node)
@@ -23,18 +23,23 @@
 			table = name
 			name = ""
 		case unstable.ArrayTable:
-			table = fmt.Sprintf("%s[%d]", name, counts[name])
-			counts[name]++
+			table = fmt.Sprintf("%s[%d]", name, arrayLengths[name])
+			arrayLengths[name]++
 			name = ""
 		}
 		path := strings.Trim(table+"."+name, ".")
-		if len(path) > best && (path == field || strings.HasPrefix(field, path+".") || strings.HasPrefix(field, path+"[")) {
-			best, line = len(path), lineAt(&parser, node)
+		if len(path) > longest && isAround(path, field) {
+			longest, line = len(path), lineAt(&parser, node)
 		}
 	}
 	return line
 }
 
+// isAround reports whether a path is a field's, or that of a table around it.
+func isAround(path, field string) bool {
+	return path == field || strings.HasPrefix(field, path+".") || strings.HasPrefix(field, path+"[")
+}
+
 // keyOf joins the parts of an expression's key.
 func keyOf(node *unstable.Node) string {
 	var parts []string
--- a/tools/scaletest/users.go
+++ b/tools/scaletest/users.go
@@ -18,40 +18,62 @@
 )
 
 // users submit jobs at a profile's rates, however the service fares, ask about them as the
-// protocol says, and cancel some.
+// protocol says, and cancel some. Their mutex guards the counts, and is never held while a
+// controller is asked.
 type users struct {
 	profile   *Profile
-	addresses []string
+	addresses []string // of the controllers
 	history   *emulator.History
-	fleet     *emulator.SimulatedCloud
-	begun     time.Time
+	cloud     *emulator.SimulatedCloud
+	startTime time.Time
 	http      *http.Client
-	lateness  *histogram // of submissions against their times
-	answers   *histogram // from the first attempt to submit to its acceptance
+
+	submitLateness *histogram // of submissions against their times
+	acceptTime     *histogram // from the first attempt to submit to its acceptance
 
 	mu        sync.Mutex
-	ids       int
+	lastID    int
 	submitted map[string]int // by class
 	accepted  int
 	givenUp   int
 	done      int
 	cancelled int
-	running   int // jobs whose users wait
+	open      int // jobs whose users wait for their end
 }
 
 // What the protocol says of users.
 const (
-	submitTime   = 5 * time.Second
-	submitAgain  = time.Second
-	submitFor    = time.Minute
-	pollEvery    = 5 * time.Second
-	pollTime     = 2 * time.Second
-	mostOpenJobs = 20_000 // users of a run; more do not fit
+	submitTimeout  = 5 * time.Second // of each attempt
+	submitInterval = time.Second
+	submitFor      = time.Minute // after which they give up
+	pollInterval   = 5 * time.Second
+	pollTimeout    = 2 * time.Second
 )
 
-func newUsers(p *Profile, controllers map[string]string, history *emulator.History, fleet *emulator.SimulatedCloud) *users {
-	return &users{profile: p, addresses: slices.Sorted(maps.Values(controllers)), history: history, fleet: fleet,
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128}}, lateness: newHistogram(), answers: newHistogram(), submitted: map[string]int{}}
+const (
+	// maxOpenJobs is of how many jobs users of a run wait for the end; more do not fit.
+	maxOpenJobs = 20_000
+	// maxConnectAttempts is how many controllers a request tries to connect to.
+	maxConnectAttempts = 3
+	// maxIdleConnections are kept to each controller.
+	maxIdleConnections = 128
+	// imageGB is how large every image is.
+	imageGB = 1
+)
+
+func newUsers(
+	p *Profile, controllers map[string]string, history *emulator.History, cloud *emulator.SimulatedCloud,
+) *users {
+	return &users{
+		profile:        p,
+		addresses:      slices.Sorted(maps.Values(controllers)),
+		history:        history,
+		cloud:          cloud,
+		http:           &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}},
+		submitLateness: newHistogram(),
+		acceptTime:     newHistogram(),
+		submitted:      map[string]int{},
+	}
 }
 
 // arrival is when a job of a class is to be submitted.
@@ -80,64 +102,93 @@
 	return out
 }
 
+// run has jobs come at their times until ctx ends.
 func (u *users) run(ctx context.Context) {
 	for _, a := range u.profile.arrivals() {
-		due := u.begun.Add(a.at)
-		select {
-		case <-ctx.Done():
+		due := u.startTime.Add(a.at)
+		if !sleep(ctx, time.Until(due)) {
 			return
-		case <-time.After(time.Until(due)):
 		}
-		u.lateness.add(time.Since(due))
-		spec, ok := u.draw(a.class)
-		if ok {
-			go u.see(ctx, spec, rand.Float64() < a.class.Cancelled)
+		u.submitLateness.add(time.Since(due))
+		if spec, ok := u.drawJob(a.class); ok {
+			go u.followJob(ctx, spec, rand.Float64() < a.class.Cancelled)
 		}
 	}
 }
 
-// draw makes a job of a class.
-func (u *users) draw(c *JobClass) (spec job.Spec, ok bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.running >= mostOpenJobs {
+// drawJob makes a job of a class, unless too many are open.
+func (u *users) drawJob(c *JobClass) (spec job.Spec, ok bool) {
+	id, ok := u.nextID(c)
+	if !ok {
 		return spec, false
 	}
-	u.ids++
-	u.running++
-	u.submitted[c.Name]++
-	spec = job.Spec{ID: fmt.Sprintf("wk-%d", u.ids), Class: c.Name, Team: fmt.Sprintf("team-%02d", rand.IntN(u.profile.Teams.Count)), Shape: c.Shape, Rank: c.Rank,
-		Tasks: c.Tasks[rand.IntN(len(c.Tasks))], Need: job.Need{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB},
-		Image: fmt.Sprintf("%s-%d", c.Name, rand.IntN(c.Images)), ImageGB: 1, OneZone: c.OneZone, EstimateS: c.Run}
+	spec = job.Spec{
+		ID:        id,
+		Class:     c.Name,
+		Team:      teamName(rand.IntN(u.profile.Teams.Count)),
+		Shape:     c.Shape,
+		Rank:      c.Rank,
+		Tasks:     c.Tasks[rand.IntN(len(c.Tasks))],
+		Need:      job.Need{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB},
+		Image:     fmt.Sprintf("%s-%d", c.Name, rand.IntN(c.Images)),
+		ImageGB:   imageGB,
+		OneZone:   c.OneZone,
+		EstimateS: c.Run,
+	}
 	u.history.RecordSubmission(spec)
-	u.fleet.SetRunTimes(spec.ID, seconds(c.Run*(0.5+rand.Float64())), 0)
+	u.cloud.SetRunTimes(spec.ID, seconds(c.Run*(0.5+rand.Float64())), 0)
 	return spec, true
 }
 
-// see submits a job and stays with it until it is over.
-func (u *users) see(ctx context.Context, spec job.Spec, cancels bool) {
-	defer u.count(&u.running, -1)
-	if !u.submit(ctx, spec) {
+// nextID names the next job of a class, and counts it as open.
+func (u *users) nextID(c *JobClass) (id string, ok bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.open >= maxOpenJobs {
+		return "", false
+	}
+	u.lastID++
+	u.open++
+	u.submitted[c.Name]++
+	return fmt.Sprintf("wk-%d", u.lastID), true
+}
+
+// request is what a user sends about a job; kind is as emulator.History takes it.
+type request struct {
+	kind, method, path string
+	body               any
+	timeout            time.Duration
+}
+
+func queryOf(id string) request {
+	return request{kind: "query", method: http.MethodGet, path: "/submissions/" + id, timeout: pollTimeout}
+}
+
+func cancellationOf(id string) request {
+	path := "/submissions/" + id + "/abort"
+	return request{kind: "cancel", method: http.MethodPost, path: path, timeout: pollTimeout}
+}
+
+// followJob submits a job, and asks about it, or cancels it, until it is over.
+func (u *users) followJob(ctx context.Context, spec job.Spec, cancels bool) {
+	defer u.count(&u.open, -1)
+	if !u.submit(ctx, &spec) {
 		u.count(&u.givenUp, 1)
 		return
 	}
 	u.count(&u.accepted, 1)
-	if cancels {
-		cancels = u.sleep(ctx, time.Duration(rand.Float64()*spec.EstimateS*float64(time.Second)))
+	poll := queryOf(spec.ID)
+	if cancels && sleep(ctx, time.Duration(rand.Float64()*spec.EstimateS*float64(time.Second))) {
+		poll = cancellationOf(spec.ID)
 	}
-	for u.sleep(ctx, time.Duration(float64(pollEvery)*(0.8+0.4*rand.Float64()))) {
-		verb, method, path := "query", http.MethodGet, "/submissions/"+spec.ID
-		if cancels {
-			verb, method, path = "cancel", http.MethodPost, "/submissions/"+spec.ID+"/abort"
+	for sleep(ctx, time.Duration(float64(pollInterval)*(0.8+0.4*rand.Float64()))) {
+		if poll.kind == "cancel" {
 			u.history.RecordCancelRequest(spec.ID)
 		}
-		asked := u.history.StampRequest()
-		code, status := u.call(ctx, method, path, nil, pollTime)
-		if ctx.Err() != nil {
-			return
-		}
-		u.history.RecordResponse(verb, spec.ID, asked, code, status)
+		code, status := u.exchange(ctx, spec.ID, poll)
 		switch {
+		case ctx.Err() != nil:
+			return
 		case code == http.StatusOK && status == job.Done:
 			u.count(&u.done, 1)
 			return
@@ -148,38 +199,55 @@
 	}
 }
 
-func (u *users) submit(ctx context.Context, spec job.Spec) bool {
+// submit submits a job again and again, and reports whether it was accepted.
+func (u *users) submit(ctx context.Context, spec *job.Spec) bool {
+	submission := request{
+		kind: "submit", method: http.MethodPost, path: "/submissions", body: spec, timeout: submitTimeout,
+	}
 	began := time.Now()
 	for time.Since(began) < submitFor && ctx.Err() == nil {
-		asked := u.history.StampRequest()
-		code, status := u.call(ctx, http.MethodPost, "/submissions", spec, submitTime)
+		code, _ := u.exchange(ctx, spec.ID, submission)
 		if ctx.Err() != nil {
 			return false
 		}
-		u.history.RecordResponse("submit", spec.ID, asked, code, status)
 		switch code {
 		case http.StatusOK, http.StatusCreated:
-			u.answers.add(time.Since(began))
+			u.acceptTime.add(time.Since(began))
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			return false
 		}
-		u.sleep(ctx, submitAgain)
+		sleep(ctx, submitInterval)
 	}
 	return false
 }
 
-// call asks a controller drawn from all, as a load balancer would choose one, and tries
-// another where it cannot connect.
-func (u *users) call(ctx context.Context, method, path string, body any, within time.Duration) (code int, status string) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// exchange sends a request about a job and tells the history of its answer, unless the run
+// has ended meanwhile. A code of 0 is no answer.
+func (u *users) exchange(ctx context.Context, id string, r request) (code int, status string) {
+	asked := u.history.StampRequest()
+	code, status = u.send(ctx, r)
+	if ctx.Err() == nil {
+		u.history.RecordResponse(r.kind, id, asked, code, status)
+	}
+	return code, status
+}
+
+// send sends a request to a controller drawn from all, as a load balancer would choose one,
+// and tries another where it cannot connect.
+func (u *users) send(ctx context.Context, r request) (code int, status string) {
+	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
-	var raw []byte
-	if body != nil {
-		raw, _ = json.Marshal(body)
+	var body []byte
+	if r.body != nil {
+		var err error
+		if body, err = json.Marshal(r.body); err != nil {
+			return 0, ""
+		}
 	}
-	for range 3 {
-		request, err := http.NewRequestWithContext(ctx, method, "http://"+u.addresses[rand.IntN(len(u.addresses))]+path, bytes.NewReader(raw))
+	for range maxConnectAttempts {
+		url := "http://" + u.addresses[rand.IntN(len(u.addresses))] + r.path
+		request, err := http.NewRequestWithContext(ctx, r.method, url, bytes.NewReader(body))
 		if err != nil {
 			return 0, ""
 		}
@@ -187,21 +255,27 @@
 		if err != nil {
 			continue
 		}
-		defer response.Body.Close()
-		var answer struct {
-			Status string `json:"status"`
-		}
-		answered, err := io.ReadAll(response.Body)
-		if err != nil {
-			return 0, ""
-		}
-		_ = json.Unmarshal(answered, &answer)
-		return response.StatusCode, answer.Status
+		return readStatusOf(response)
 	}
 	return 0, ""
 }
 
-func (u *users) sleep(ctx context.Context, d time.Duration) bool {
+// readStatusOf reads the status of a job from an answer.
+func readStatusOf(response *http.Response) (code int, status string) {
+	defer func() { _ = response.Body.Close() }() // it has been read
+	var answer struct {
+		Status string `json:"status"`
+	}
+	raw, err := io.ReadAll(response.Body)
+	if err != nil {
+		return 0, ""
+	}
+	_ = json.Unmarshal(raw, &answer) // an answer without a body of ours has its code alone
+	return response.StatusCode, answer.Status
+}
+
+// sleep waits, and reports whether ctx did not end before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -216,20 +290,21 @@
 	*what += n
 }
 
-// open counts the jobs whose users wait for their end.
-func (u *users) open() int {
+// openJobs counts the jobs whose users wait for their end.
+func (u *users) openJobs() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.running
+	return u.open
 }
 
-// sum adds what users saw to a result.
-func (u *users) sum(r *LoadResult) {
+// addTo adds what users saw to a result, and returns how many jobs were submitted, by class.
+func (u *users) addTo(r *LoadResult) (submitted map[string]int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, n := range u.submitted {
 		r.Submitted += n
 	}
 	r.Accepted, r.GivenUp, r.Done, r.Cancelled = u.accepted, u.givenUp, u.done, u.cancelled
-	r.Submissions, r.UserLateness = u.answers.latency(), u.lateness.latency()
+	r.Submissions, r.UserLateness = u.acceptTime.latency(), u.submitLateness.latency()
+	return maps.Clone(u.submitted)
 }
