--- a/cmd/robinstack/audit.go
+++ b/cmd/robinstack/audit.go
@@ -11,92 +11,106 @@
 
 	"robinstack/internal/config"
 	"robinstack/tools/audit"
+	"robinstack/tools/console"
 )
 
-// mostProblems is how many unusable lines of a log are shown.
-const mostProblems = 10
+// auditFlags are what the command is told beside the logs.
+type auditFlags struct {
+	charged   float64
+	json      bool
+	deadlines bool
+	settings  string // of which the objectives are; "": tell of the bill instead
+}
 
 func auditCommand() *cobra.Command {
-	var charged float64
-	var asJSON, orders bool
-	var served string
+	var flags auditFlags
 	cmd := &cobra.Command{
 		Use: "audit LOG...", Short: "Split what the machines cost by what they did", Args: cobra.MinimumNArgs(1),
-		Long: "audit reads the logs of all controllers (- for standard input) and splits the money spent on machines by what they did with their time. Lines that are cut are named, and the rest is used.",
+		Long: "audit reads the logs of all controllers (- for standard input) and splits the money spent on machines " +
+			"by what they did with their time. Lines that are cut are named, and the rest is used.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			in, closeAll, err := openAll(args, cmd.InOrStdin())
-			if err != nil {
-				return fmt.Errorf("%w: %w", errUsage, err)
-			}
-			defer closeAll()
-			l, err := audit.Read(in)
+			log, err := readLogs(args, cmd.InOrStdin())
 			if err != nil {
 				return err
 			}
-			for k, p := range l.Problems {
-				if k == mostProblems {
-					fmt.Fprintf(cmd.ErrOrStderr(), "and %d more lines\n", len(l.Problems)-k)
-					break
-				}
-				fmt.Fprintln(cmd.ErrOrStderr(), p)
-			}
-			if served != "" {
-				return printServed(cmd.OutOrStdout(), l, served, asJSON)
-			}
-			bill := l.Bill()
-			if bill.Machines == 0 {
-				return fmt.Errorf("%w: no machine with a price in %d lines of controllers (%d others, %d cut): is LOG_LEVEL info or debug?", errUsage, l.Lines, l.Unrecognized, len(l.Problems))
-			}
-			if asJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(bill)
+			printProblems(cmd.ErrOrStderr(), log.Problems)
+			if flags.settings != "" {
+				return printServiceLevels(cmd.OutOrStdout(), log, &flags)
 			}
-			if err := bill.Print(cmd.OutOrStdout(), charged); err != nil || !orders {
-				return err
-			}
-			return audit.PrintDeadlineOutcomes(cmd.OutOrStdout(), l.DeadlineOutcomes())
+			return printBill(cmd.OutOrStdout(), log, &flags)
 		},
 	}
-	cmd.Flags().Float64Var(&charged, "charged", 0, "what the cloud charged, to set against the sum of the parts")
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
-	cmd.Flags().StringVar(&served, "served", "", "the platform's settings file: tell for each class and team how many jobs were started and done by its aims instead")
-	cmd.Flags().BoolVar(&orders, "orders", false, "also work out how many deadlines another order could have kept")
+	cmd.Flags().Float64Var(&flags.charged, "charged", 0, "what the cloud charged, to set against the sum of the parts")
+	cmd.Flags().BoolVar(&flags.json, "json", false, "print as JSON")
+	cmd.Flags().StringVar(&flags.settings, "served", "", "the platform's settings file: tell for each class and team "+
+		"how many jobs were started and done by its aims instead")
+	cmd.Flags().BoolVar(&flags.deadlines, "orders", false,
+		"also work out how many deadlines another order could have kept")
 	return cmd
 }
 
-// printServed tells who was served, by the users' aims in a settings file.
-func printServed(w io.Writer, l *audit.Log, path string, asJSON bool) error {
-	settings, err := config.Load(path)
+// maxShownProblems is how many unusable lines of a log are shown.
+const maxShownProblems = 10
+
+func printProblems(out io.Writer, problems []audit.Problem) {
+	for k, p := range problems {
+		if k == maxShownProblems {
+			console.Printf(out, "and %d more lines\n", len(problems)-k)
+			return
+		}
+		console.Printf(out, "%v\n", p)
+	}
+}
+
+// nothingIn says that a log has nothing of what was asked for.
+func nothingIn(log *audit.Log, what string) error {
+	return fmt.Errorf("%w: no %s in %d lines of controllers (%d others, %d cut): is LOG_LEVEL info or debug?",
+		errUsage, what, log.Lines, log.Unrecognized, len(log.Problems))
+}
+
+// printBill tells where the money went.
+func printBill(out io.Writer, log *audit.Log, flags *auditFlags) error {
+	bill := log.Bill()
+	if bill.Machines == 0 {
+		return nothingIn(log, "machine with a price")
+	}
+	if flags.json {
+		return json.NewEncoder(out).Encode(bill)
+	}
+	if err := bill.Print(out, flags.charged); err != nil || !flags.deadlines {
+		return err
+	}
+	return audit.PrintDeadlineOutcomes(out, log.DeadlineOutcomes())
+}
+
+// printServiceLevels tells who was served, by the users' objectives in a settings file.
+func printServiceLevels(out io.Writer, log *audit.Log, flags *auditFlags) error {
+	settings, err := config.Load(flags.settings)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	classes, teams := l.ServiceLevels(func(class string, due time.Duration) time.Duration {
-		var deadline *float64
-		if s := due.Seconds(); due > 0 {
-			deadline = &s
+	classes, teams := log.ServiceLevels(func(class string, deadline time.Duration) time.Duration {
+		var deadlineS *float64
+		if s := deadline.Seconds(); deadline > 0 {
+			deadlineS = &s
 		}
-		if limits := settings.CompletionTargets(class, deadline); len(limits) > 0 {
+		if limits := settings.CompletionTargets(class, deadlineS); len(limits) > 0 {
 			return limits[0]
 		}
 		return 0
 	})
 	if len(classes) == 0 {
-		return fmt.Errorf("%w: no accepted job in %d lines of controllers (%d others, %d cut): is LOG_LEVEL info or debug?", errUsage, l.Lines, l.Unrecognized, len(l.Problems))
+		return nothingIn(log, "accepted job")
 	}
-	if asJSON {
-		return json.NewEncoder(w).Encode(map[string][]audit.ServiceLevel{"classes": classes, "teams": teams})
+	if flags.json {
+		return json.NewEncoder(out).Encode(map[string][]audit.ServiceLevel{"classes": classes, "teams": teams})
 	}
-	return audit.PrintServiceLevels(w, classes, teams)
+	return audit.PrintServiceLevels(out, classes, teams)
 }
 
-// openAll returns the files as one stream.
-func openAll(paths []string, stdin io.Reader) (io.Reader, func(), error) {
+// readLogs reads the files as one log; "-" is standard input.
+func readLogs(paths []string, stdin io.Reader) (*audit.Log, error) {
 	var readers []io.Reader
-	var files []*os.File
-	closeAll := func() {
-		for _, f := range files {
-			f.Close()
-		}
-	}
 	for _, p := range paths {
 		if p == "-" {
 			readers = append(readers, stdin)
@@ -104,11 +118,10 @@
 		}
 		f, err := os.Open(p)
 		if err != nil {
-			closeAll()
-			return nil, nil, fmt.Errorf("opening a log: %w", err)
+			return nil, fmt.Errorf("%w: opening a log: %w", errUsage, err)
 		}
-		files = append(files, f)
+		defer func() { _ = f.Close() }() // it was read only
 		readers = append(readers, f)
 	}
-	return io.MultiReader(readers...), closeAll, nil
+	return audit.Read(io.MultiReader(readers...))
 }
--- a/cmd/robinstack/wire_test.go
+++ b/cmd/robinstack/wire_test.go
@@ -28,6 +28,6 @@
 			list(inner)
 		}
 	}
-	list(command())
+	list(rootCommand())
 	wireformat.Golden(t, "commands", b.String())
 }
