--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -14,7 +14,6 @@
 	"time"
 
 	"robinstack/internal/agentapi"
-	"robinstack/internal/autoscaler"
 	"robinstack/internal/budget"
 	"robinstack/internal/changefeed"
 	"robinstack/internal/cloud"
@@ -23,6 +22,7 @@
 	"robinstack/internal/dag"
 	"robinstack/internal/gateway"
 	"robinstack/internal/job"
+	"robinstack/internal/leader"
 	"robinstack/internal/peer"
 	"robinstack/internal/policy"
 	"robinstack/internal/recovery"
@@ -166,7 +166,7 @@
 	var (
 		ag *clusteragent.Agent
 		pl *scheduler.Scheduler
-		st *autoscaler.Leader
+		st *leader.Leader
 	)
 	mirror := statekv.NewMirror(c.store, []string{statekv.ClusterPrefix, job.RecordPrefix, job.SpecFragmentPrefix}, statekv.RootPrefix, c.settings.WatchTimeout(), c.settings.MinWatchInterval(), func(events []statekv.Event) {
 		if events == nil {
@@ -216,14 +216,14 @@
 	slog.Info("controller session started", "host", member.Host, "instance", member.Incarnation)
 
 	server := rpc.NewServer()
-	greeter := peer.NewService(c.settings.Host, rollout.BuildVersion, map[string]any{"Agent": (*clusteragent.Service)(nil), "Placer": (*scheduler.Service)(nil), "Steward": (*autoscaler.Service)(nil)})
+	greeter := peer.NewService(c.settings.Host, rollout.BuildVersion, map[string]any{"Agent": (*clusteragent.Service)(nil), "Placer": (*scheduler.Service)(nil), "Steward": (*leader.Service)(nil)})
 	network := c.connect(server, greeter)
 	defer network.Close()
 	ag = clusteragent.New(c.settings, c.store, mirror, member, c.workers, c.catalogue.Types)
 	pl = scheduler.New(c.settings, c.policy, c.store, mirror, member, network, c.catalogue.Types, pipes)
 	pl.RecoveryTimeline = clock
-	st = autoscaler.New(c.settings, c.policy, mirror, member, network, c.cloud, c.catalogue)
-	for name, service := range map[string]any{"Agent": clusteragent.NewService(ag), "Placer": scheduler.NewService(pl), "Steward": autoscaler.NewService(st), "Peer": greeter} {
+	st = leader.New(c.settings, c.policy, mirror, member, network, c.cloud, c.catalogue)
+	for name, service := range map[string]any{"Agent": clusteragent.NewService(ag), "Placer": scheduler.NewService(pl), "Steward": leader.NewService(st), "Peer": greeter} {
 		if err := server.RegisterName(name, service); err != nil {
 			return fmt.Errorf("registering %s: %w", name, err)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,13 +15,13 @@
 	"github.com/gofiber/fiber/v2"
 	"github.com/segmentio/encoding/json"
 
-	"robinstack/internal/autoscaler"
 	"robinstack/internal/changefeed"
 	"robinstack/internal/cloud"
 	"robinstack/internal/clusteragent"
 	"robinstack/internal/config"
 	"robinstack/internal/dag"
 	"robinstack/internal/job"
+	"robinstack/internal/leader"
 	"robinstack/internal/logline"
 	"robinstack/internal/peer"
 	"robinstack/internal/recovery"
@@ -38,7 +38,7 @@
 	Mirror         *statekv.Mirror
 	Agent          *clusteragent.Agent
 	Scheduler      *scheduler.Scheduler
-	Leader         *autoscaler.Leader
+	Leader         *leader.Leader
 	Feed           *changefeed.Feed
 	VersionGate    *rollout.VersionGate
 	ClusterVersion *rollout.VersionReader
--- a/internal/autoscaler/boots.go
+++ b/internal/leader/boots.go
@@ -1,4 +1,4 @@
-package autoscaler
+package leader
 
 import (
 	"cmp"
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"robinstack/internal/autoscaler"
 	"robinstack/internal/cloud"
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
@@ -121,34 +122,25 @@
 	return bins
 }
 
-// OverduePool counts the machines of a pool that should be up by now.
-type OverduePool struct {
-	Type     string  `json:"type"`
-	Zone     string  `json:"zone"`
-	Spot     bool    `json:"spot"`
-	Machines int     `json:"machines"`
-	OldestS  float64 `json:"oldest_s"`
-}
-
 // Overdue lists, by pool, boots that take longer than is usual there.
-func (v *Service) Overdue(_ struct{}, reply *[]OverduePool) error {
+func (v *Service) Overdue(_ struct{}, reply *[]autoscaler.OverduePool) error {
 	s := v.steward
 	now := time.Now()
 	types := s.catalogue.Types()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	late := map[pool]OverduePool{}
+	late := map[pool]autoscaler.OverduePool{}
 	for _, b := range s.fleet.booting {
 		age := now.Sub(b.since)
 		if t := types[b.typeName]; age <= s.fleet.boots.patience(b.pool, t.ProvisioningTime()) {
 			continue
 		}
 		l := late[b.pool]
-		late[b.pool] = OverduePool{Type: b.typeName, Zone: b.zone, Spot: b.spot, Machines: l.Machines + 1, OldestS: max(l.OldestS, age.Seconds())}
+		late[b.pool] = autoscaler.OverduePool{Type: b.typeName, Zone: b.zone, Spot: b.spot, Machines: l.Machines + 1, OldestS: max(l.OldestS, age.Seconds())}
 	}
 	for _, l := range late {
 		*reply = append(*reply, l)
 	}
-	slices.SortFunc(*reply, func(a, b OverduePool) int { return cmp.Compare(a.Type+a.Zone, b.Type+b.Zone) })
+	slices.SortFunc(*reply, func(a, b autoscaler.OverduePool) int { return cmp.Compare(a.Type+a.Zone, b.Type+b.Zone) })
 	return nil
 }
--- a/internal/autoscaler/calls.go
+++ b/internal/leader/calls.go
@@ -1,4 +1,4 @@
-package autoscaler
+package leader
 
 import (
 	"context"
--- a/internal/autoscaler/fleet.go
+++ b/internal/leader/fleet.go
@@ -1,4 +1,4 @@
-package autoscaler
+package leader
 
 import (
 	"cmp"
@@ -12,6 +12,7 @@
 	"time"
 
 	"robinstack/internal/agentapi"
+	"robinstack/internal/autoscaler"
 	"robinstack/internal/cloud"
 	"robinstack/internal/job"
 	"robinstack/internal/logline"
@@ -347,9 +348,9 @@
 
 // demands lists what waits, within the teams' limits and with the room that is kept ready,
 // and what running tasks will leave. The mutex is held.
-func (s *Leader) demands(types map[string]cloud.MachineType, now time.Time) ([]Demand, turnover) {
+func (s *Leader) demands(types map[string]cloud.MachineType, now time.Time) ([]autoscaler.Demand, turnover) {
 	f := &s.fleet
-	var out []Demand
+	var out []autoscaler.Demand
 	turn := newTurnover(types)
 	for host, d := range s.demand {
 		if now.Sub(d.at) > demandAge {
@@ -373,7 +374,7 @@
 
 // rentals lists the requests for machines to make now, those without an answer first. The
 // mutex is held.
-func (s *Leader) rentals(types map[string]cloud.MachineType, demands []Demand, bins []*bin, turn turnover, now time.Time) []cloud.ScaleOutRequest {
+func (s *Leader) rentals(types map[string]cloud.MachineType, demands []autoscaler.Demand, bins []*bin, turn turnover, now time.Time) []cloud.ScaleOutRequest {
 	f := &s.fleet
 	out := f.retry
 	f.retry = nil
@@ -416,7 +417,7 @@
 }
 
 // tellFleet logs the totals that renting and returning go by.
-func (s *Leader) tellFleet(bins []*bin, demands []Demand, machines, booting int) {
+func (s *Leader) tellFleet(bins []*bin, demands []autoscaler.Demand, machines, booting int) {
 	empty, planned, waiting := 0, 0, 0
 	free := 0.0
 	for _, b := range bins {
@@ -520,8 +521,8 @@
 
 // warmDemand asks for room for the next gangs: of whole machines there is
 // seldom one free by chance, and a boot takes longer than they are to wait.
-func (s *Leader) warmDemand(now time.Time) []Demand {
-	var out []Demand
+func (s *Leader) warmDemand(now time.Time) []autoscaler.Demand {
+	var out []autoscaler.Demand
 	for class, g := range s.fleet.gangs {
 		if now.Sub(g.seen) > warmFor {
 			delete(s.fleet.gangs, class)
@@ -529,13 +530,13 @@
 		}
 		g.spec.Rank = "best_effort" // behind all that really waits
 		g.spec.DeadlineS = nil
-		out = append(out, Demand{Spec: g.spec, Waiting: s.policy.WarmTasksPerGangClass, Warm: true})
+		out = append(out, autoscaler.Demand{Spec: g.spec, Waiting: s.policy.WarmTasksPerGangClass, Warm: true})
 	}
 	return out
 }
 
 // withinLimits cuts the demand down to what the teams' limits let run.
-func (s *Leader) withinLimits(demands []Demand) []Demand {
+func (s *Leader) withinLimits(demands []autoscaler.Demand) []autoscaler.Demand {
 	use, _ := s.usage()
 	use = maps.Clone(use)
 	for i := range demands {
--- a/internal/autoscaler/plan.go
+++ b/internal/leader/plan.go
@@ -1,10 +1,11 @@
-package autoscaler
+package leader
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
+	"robinstack/internal/autoscaler"
 	"robinstack/internal/cloud"
 	"robinstack/internal/job"
 )
@@ -199,7 +200,7 @@
 }
 
 // add counts a job's running tasks.
-func (t *turnover) add(d *Demand) {
+func (t *turnover) add(d *autoscaler.Demand) {
 	if d.Spec.Shape == job.Array && d.Spec.EstimateS > 0 {
 		t.perSecond += float64(d.Running) * placeSize(d.Spec.Need) / (d.Spec.EstimateS + t.fetch(&d.Spec))
 	}
@@ -210,7 +211,7 @@
 const lateSlack = 60
 
 // serves reports whether a job's tasks can wait for places that come free.
-func (t *turnover) serves(d *Demand) bool {
+func (t *turnover) serves(d *autoscaler.Demand) bool {
 	return d.Spec.Shape == job.Array && d.Spec.DeadlineS != nil && d.Spec.EstimateS > 0
 }
 
@@ -220,7 +221,7 @@
 }
 
 // serve returns how many of so many tasks can wait for places that come free.
-func (t *turnover) serve(d *Demand, tasks int) int {
+func (t *turnover) serve(d *autoscaler.Demand, tasks int) int {
 	if !t.serves(d) {
 		return 0
 	}
@@ -248,8 +249,8 @@
 // packing puts waiting tasks into bins and says what to rent for the rest.
 // bins are marked used where something was put. over is the size of what found no
 // room in them, of the jobs that can wait for turnover.
-func packing(demands []Demand, bins []*bin, turn turnover, onOffer []*offer, most int) (rent map[pool]int, over float64) {
-	slices.SortStableFunc(demands, func(a, b Demand) int {
+func packing(demands []autoscaler.Demand, bins []*bin, turn turnover, onOffer []*offer, most int) (rent map[pool]int, over float64) {
+	slices.SortStableFunc(demands, func(a, b autoscaler.Demand) int {
 		return cmp.Or(cmp.Compare(b.Spec.Priority(), a.Spec.Priority()), cmp.Compare(b.Spec.GPUs*1e6+b.AgeS, a.Spec.GPUs*1e6+a.AgeS))
 	})
 	slices.SortStableFunc(bins, func(a, b *bin) int { return cmp.Compare(a.name, b.name) })
@@ -287,7 +288,7 @@
 // rounds is how many times over a place can serve a job's tasks before its
 // deadline, going by the owner's estimate, which may be too low by half, and
 // leaving time for a machine to come up. Jobs without a deadline do not wait.
-func rounds(d *Demand, boot time.Duration) int {
+func rounds(d *autoscaler.Demand, boot time.Duration) int {
 	if d.Spec.DeadlineS == nil || d.Spec.EstimateS <= 0 {
 		return 1
 	}
--- a/internal/autoscaler/steward.go
+++ b/internal/leader/steward.go
@@ -1,7 +1,7 @@
-// Package autoscaler decides how much each team may hold and how many machines
-// the fleet has. One controller at a time is steward; it never picks a machine
-// for a task.
-package autoscaler
+// Package leader is the elected role that decides how much each team may hold and how
+// many machines the fleet has. One controller at a time is leader; it never picks a
+// machine for a task.
+package leader
 
 import (
 	"context"
@@ -13,6 +13,7 @@
 	"time"
 
 	"robinstack/internal/agentapi"
+	"robinstack/internal/autoscaler"
 	"robinstack/internal/budget"
 	"robinstack/internal/changefeed"
 	"robinstack/internal/cloud"
@@ -52,7 +53,7 @@
 }
 
 type demandAt struct {
-	jobs []Demand
+	jobs []autoscaler.Demand
 	at   time.Time
 }
 
@@ -298,7 +299,7 @@
 }
 
 // Demand takes note of what a controller's jobs need.
-func (v *Service) Demand(r DemandRequest, _ *struct{}) error {
+func (v *Service) Demand(r autoscaler.DemandRequest, _ *struct{}) error {
 	s := v.steward
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/autoscaler/steward_test.go
+++ b/internal/leader/steward_test.go
@@ -1,4 +1,4 @@
-package autoscaler
+package leader
 
 import (
 	"context"
@@ -9,6 +9,7 @@
 
 	"robinstack/emulator"
 	"robinstack/internal/agentapi"
+	"robinstack/internal/autoscaler"
 	"robinstack/internal/changefeed"
 	"robinstack/internal/cloud"
 	"robinstack/internal/config"
@@ -160,7 +161,7 @@
 		"small": {Name: "small", CPUs: 24, GPUs: 4, MemoryGB: 96, OnDemandPrice: 13, SpotPrice: 5, Zones: []string{"a"}},
 		"big":   {Name: "big", CPUs: 64, GPUs: 8, MemoryGB: 512, OnDemandPrice: 25, SpotPrice: 10, Zones: []string{"a"}},
 	}
-	d := []Demand{{Spec: job.Spec{Need: job.Need{CPUs: 6, GPUs: 1, MemoryGB: 48}, Spot: true, Rank: "normal"}, Waiting: 10}}
+	d := []autoscaler.Demand{{Spec: job.Spec{Need: job.Need{CPUs: 6, GPUs: 1, MemoryGB: 48}, Spot: true, Rank: "normal"}, Waiting: 10}}
 	bins := []*bin{{name: "m1", typeName: "small", zone: "a", free: job.Need{CPUs: 24, GPUs: 4, MemoryGB: 96}}}
 	rent, _ := packing(d, bins, turnover{}, offers(types, func(pool) int { return 100 }), 20)
 	if len(rent) != 1 || rent[pool{"big", "a", true}] != 1 || !bins[0].used {
@@ -188,7 +189,7 @@
 	}
 	// Twenty that run leave places in time for most of forty with a deadline in
 	// three minutes: machines were rented for all of them, to idle soon after.
-	d[0] = Demand{Spec: job.Spec{Shape: job.Array, Need: d[0].Spec.Need, Spot: true, Rank: "normal", EstimateS: 50, DeadlineS: new(float64)}, Waiting: 40, Running: 20}
+	d[0] = autoscaler.Demand{Spec: job.Spec{Shape: job.Array, Need: d[0].Spec.Need, Spot: true, Rank: "normal", EstimateS: 50, DeadlineS: new(float64)}, Waiting: 40, Running: 20}
 	*d[0].Spec.DeadlineS = 180
 	turn := turnover{boot: 40}
 	turn.add(&d[0])
@@ -197,14 +198,14 @@
 	}
 	// Work of the lowest priority is to fill what is spare: nothing dear is rented
 	// for it, however long it waits.
-	guest := Demand{Spec: job.Spec{Need: d[0].Spec.Need, Spot: true, Rank: "best_effort"}, Waiting: 10, AgeS: 1000}
+	guest := autoscaler.Demand{Spec: job.Spec{Need: d[0].Spec.Need, Spot: true, Rank: "best_effort"}, Waiting: 10, AgeS: 1000}
 	noSpot := func(p pool) int {
 		if p.spot {
 			return 0
 		}
 		return 100
 	}
-	if rent, _ := packing([]Demand{guest}, nil, turnover{}, offers(types, noSpot), 20); len(rent) != 0 {
+	if rent, _ := packing([]autoscaler.Demand{guest}, nil, turnover{}, offers(types, noSpot), 20); len(rent) != 0 {
 		t.Fatalf("%v rented for guests", rent)
 	}
 	// In a burst later jobs need what comes free later: waiting for that had
@@ -231,7 +232,7 @@
 	}
 	now = now.Add(11 * time.Second)
 	types := map[string]cloud.MachineType{"big": {Name: "big", GPUs: 8, OnDemandPrice: 25, SpotPrice: 10, Zones: []string{"a"}}}
-	d := []Demand{{Spec: job.Spec{Rank: "normal", Need: job.Need{GPUs: 8}, Spot: true}, Waiting: 10}}
+	d := []autoscaler.Demand{{Spec: job.Spec{Rank: "normal", Need: job.Need{GPUs: 8}, Spot: true}, Waiting: 10}}
 	rent, _ := packing(d, nil, turnover{}, offers(types, func(p pool) int { return f.poolLimit(p, now) }), 100)
 	if rent[p] != probe || rent[pool{"big", "a", false}] != 10-probe {
 		t.Fatalf("%v", rent)
@@ -245,8 +246,8 @@
 		s.settled = true
 		s.policy.WarmTasksPerGangClass = 1
 		spec := job.Spec{ID: "wk-1", Class: "train", Team: "t", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{GPUs: 8}}
-		demand := func(jobs ...Demand) int {
-			if err := NewService(s).Demand(DemandRequest{Host: "host-0", Jobs: jobs}, &struct{}{}); err != nil {
+		demand := func(jobs ...autoscaler.Demand) int {
+			if err := NewService(s).Demand(autoscaler.DemandRequest{Host: "host-0", Jobs: jobs}, &struct{}{}); err != nil {
 				t.Fatal(err)
 			}
 			rentals, _, _ := s.planFleet(time.Now())
@@ -256,10 +257,10 @@
 			}
 			return n
 		}
-		if n := demand(Demand{Spec: spec, Running: 1}); n != 1 {
+		if n := demand(autoscaler.Demand{Spec: spec, Running: 1}); n != 1 {
 			t.Fatalf("one runs, one is expected: rented %d", n)
 		}
-		if n := demand(Demand{Spec: spec, Waiting: 1}); n != 2 {
+		if n := demand(autoscaler.Demand{Spec: spec, Waiting: 1}); n != 2 {
 			t.Fatalf("one waits, one is expected: rented %d", n)
 		}
 		time.Sleep(warmFor + time.Second)
@@ -322,7 +323,7 @@
 	types := map[string]cloud.MachineType{"box": {Name: "box", CPUs: 16, GPUs: 2, MemoryGB: 64, OnDemandPrice: 10, Zones: []string{"a", "b"}}}
 	elsewhere := &bin{name: "m1", typeName: "box", zone: "a", free: job.Need{CPUs: 16, GPUs: 2, MemoryGB: 64}}
 	spec := job.Spec{Shape: job.Array, OneZone: true, Rank: "normal", Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}
-	rent, _ := packing([]Demand{{Spec: spec, Waiting: 2, Running: 1, Zone: "b"}}, []*bin{elsewhere}, turnover{}, offers(types, func(pool) int { return 10 }), 10)
+	rent, _ := packing([]autoscaler.Demand{{Spec: spec, Waiting: 2, Running: 1, Zone: "b"}}, []*bin{elsewhere}, turnover{}, offers(types, func(pool) int { return 10 }), 10)
 	if want := (pool{"box", "b", false}); len(rent) != 1 || rent[want] != 1 || elsewhere.used {
 		t.Errorf("rented %v, a machine of the other zone is used: %v", rent, elsewhere.used)
 	}
