--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -14,7 +14,7 @@
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	s, _ := newSteward(b, ctx)
-	go func() { _ = s.member.KeepAlive(ctx) }() // it ends with the benchmark
+	go func() { _ = s.session.KeepAlive(ctx) }() // it ends with the benchmark
 	const tasks = 100
 	request := quota.Request{Slot: "s", Epoch: 1, Probe: true}
 	for k := range tasks {
--- a/internal/leader/boots.go
+++ b/internal/leader/boots.go
@@ -124,7 +124,7 @@
 
 // Overdue lists, by pool, boots that take longer than is usual there.
 func (v *Service) Overdue(_ struct{}, reply *[]autoscaler.OverduePool) error {
-	s := v.steward
+	s := v.leader
 	now := time.Now()
 	types := s.catalogue.Types()
 	s.mu.Lock()
--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -52,7 +52,7 @@
 	for host, names := range byHost {
 		var reply agentapi.MachinesReply
 		cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
-		err := s.call.Call(cctx, host, "Agent.Drain", agentapi.MachinesRequest{Names: names, On: true}, &reply)
+		err := s.peers.Call(cctx, host, "Agent.Drain", agentapi.MachinesRequest{Names: names, On: true}, &reply)
 		cancel()
 		if err != nil {
 			slog.Debug("machine drain failed", "host", host, "err", err)
@@ -93,7 +93,7 @@
 	}
 	for host, names := range byHost {
 		cctx, cancel := context.WithTimeout(ctx, 3*time.Second)
-		if err := s.call.Call(cctx, host, "Agent.Removed", agentapi.MachinesRequest{Names: names}, &agentapi.MachinesReply{}); err != nil {
+		if err := s.peers.Call(cctx, host, "Agent.Removed", agentapi.MachinesRequest{Names: names}, &agentapi.MachinesReply{}); err != nil {
 			slog.Debug("machine deletion report to owner failed", "host", host, "err", err)
 		}
 		cancel()
@@ -102,12 +102,12 @@
 
 // runRetelling tells owners once more of machines that the cloud has deleted, beside the
 // planning: an owner that does not answer must not hold that up.
-func (s *Leader) runRetelling(ctx context.Context) {
+func (s *Leader) runDeletionReports(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case names := <-s.retell:
+		case names := <-s.unacknowledged:
 			s.tellOwners(ctx, names)
 		}
 	}
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -67,7 +67,7 @@
 }
 
 // runList reads the cloud's list and prices from time to time.
-func (s *Leader) runList(ctx context.Context) {
+func (s *Leader) runCloudReads(ctx context.Context) {
 	var typesAt time.Time
 	for ctx.Err() == nil {
 		if len(s.catalogue.Types()) == 0 || s.Epoch() != 0 && time.Since(typesAt) > 20*time.Second {
@@ -119,7 +119,7 @@
 		return
 	}
 	// Once: a copy that is carried out late must not bring back what was then.
-	if _, err := s.member.Write(ctx, []statekv.Compare{{Key: statekv.MachineTypesKey}}, []statekv.Op{{Set: statekv.MachineTypesKey, Value: types}}); err != nil {
+	if _, err := s.session.Write(ctx, []statekv.Compare{{Key: statekv.MachineTypesKey}}, []statekv.Op{{Set: statekv.MachineTypesKey, Value: types}}); err != nil {
 		slog.Debug("machine types write failed", "err", err)
 	}
 }
@@ -195,7 +195,7 @@
 )
 
 // runFleet rents and returns machines while this controller is steward.
-func (s *Leader) runFleet(ctx context.Context) {
+func (s *Leader) runScaling(ctx context.Context) {
 	tick := time.NewTicker(planEvery)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -204,7 +204,7 @@
 			return
 		case <-tick.C:
 		}
-		if s.Epoch() == 0 || !s.member.HoldsLease() || len(s.catalogue.Types()) == 0 {
+		if s.Epoch() == 0 || !s.session.HoldsLease() || len(s.catalogue.Types()) == 0 {
 			continue
 		}
 		rentals, returns, deletes := s.planFleet(time.Now())
@@ -221,7 +221,7 @@
 		}
 		s.mu.Unlock()
 		select {
-		case s.retell <- untold:
+		case s.unacknowledged <- untold:
 		default: // the former ones are still being told
 		}
 		s.giveBack(ctx, returns)
@@ -332,14 +332,10 @@
 // settleLedger drops machines that are gone from the ledger, and adds it up anew from time
 // to time. The mutex is held.
 func (s *Leader) settleLedger(present map[string]bool, now time.Time) {
-	for name := range s.ledger.held {
-		if !present[name] {
-			s.ledger.drop(name)
-		}
-	}
+	s.ledger.RetainMachines(present)
 	if now.Sub(s.fleet.resumAt) > 10*time.Second {
 		s.fleet.resumAt = now
-		s.ledger.resum()
+		s.ledger.Recompute()
 	}
 }
 
@@ -537,7 +533,7 @@
 
 // withinLimits cuts the demand down to what the teams' limits let run.
 func (s *Leader) withinLimits(demands []autoscaler.Demand) []autoscaler.Demand {
-	use, _ := s.usage()
+	use := s.ledger.Usage()
 	use = maps.Clone(use)
 	for i := range demands {
 		d := &demands[i]
@@ -579,7 +575,7 @@
 		return "failed"
 	case e.Notice:
 		return "taken on notice"
-	case !e.Settled && (f.mute <= max(2, len(s.ledger.held)/50) || f.mute <= len(s.ledger.held)/20 && now.Sub(f.silent[e.Machine]) > muteDoubt):
+	case !e.Settled && (f.mute <= max(2, s.ledger.MachineCount()/50) || f.mute <= s.ledger.MachineCount()/20 && now.Sub(f.silent[e.Machine]) > muteDoubt):
 		// Jobs of a placer that died wait until it is known what runs there;
 		// deleting a machine is the fastest proof. If many do not answer, it is
 		// rather their owner or a zone that is cut off, and their work goes on.
--- a/internal/leader/ledger.go
+++ b/internal/leader/ledger.go
@@ -1,125 +1,90 @@
 package leader
 
 import (
+	"log/slog"
+	"strings"
+	"time"
+
 	"robinstack/internal/agentapi"
 	"robinstack/internal/job"
-	"robinstack/internal/worker"
+	"robinstack/internal/quota"
+	"robinstack/internal/shard"
+	"robinstack/internal/statekv"
 )
 
-// account is what a task takes of its team's limit.
-type account struct {
-	team string
-	need job.Need
-}
-
-type permit struct {
-	account
-	slot  string
-	epoch uint64
-}
-
-// ledger counts what the teams hold and are permitted to start. Its sums follow
-// each change, so that a permit costs the same in a fleet of any size.
-type ledger struct {
-	permits map[agentapi.TaskRef]permit
-	held    map[string]map[agentapi.TaskRef]account // per machine
-	dark    map[string]bool                         // machines with tasks of unknown teams
-	sums    map[string]job.Need                     // per team: held and permitted
-}
-
-func newLedger() ledger {
-	return ledger{permits: map[agentapi.TaskRef]permit{}, held: map[string]map[agentapi.TaskRef]account{}, dark: map[string]bool{}, sums: map[string]job.Need{}}
-}
-
-func (l *ledger) book(a account, k float64) { l.sums[a.team] = l.sums[a.team].AddScaled(a.need, k) }
-
-// resum adds everything up anew: sums of fractions drift with time.
-func (l *ledger) resum() {
-	clear(l.sums)
-	for _, tasks := range l.held {
-		for _, a := range tasks {
-			l.book(a, 1)
-		}
-	}
-	for _, p := range l.permits {
-		l.book(p.account, 1)
-	}
-}
-
-func (l *ledger) grant(ref agentapi.TaskRef, p permit) {
-	l.release(ref)
-	l.permits[ref] = p
-	l.book(p.account, 1)
-}
-
-func (l *ledger) release(ref agentapi.TaskRef) {
-	if p, ok := l.permits[ref]; ok {
-		delete(l.permits, ref)
-		l.book(p.account, -1)
+// reconcile checks which machines have shown all that was started under earlier leaders;
+// the ledger alone counts from the moment all have.
+func (l *Leader) reconcile() {
+	l.mu.Lock()
+	epoch, reconciled := l.epoch, l.reconciled
+	l.mu.Unlock()
+	if epoch == 0 || reconciled || l.unconfirmedMachines(epoch) > 0 {
+		return
 	}
+	l.OnEntries(l.feed.Entries())
+	l.mu.Lock()
+	l.reconciled = true
+	l.mu.Unlock()
+	slog.Info("quota ledger reconciled")
 }
 
-// releaseSlot gives back what a slot's earlier placers did not use.
-func (l *ledger) releaseSlot(slot string, epoch uint64) {
-	for ref, p := range l.permits {
-		if p.slot == slot && p.epoch < epoch {
-			l.release(ref)
+// unconfirmedMachines counts the machines that may run what an earlier leader granted and
+// nobody has shown yet.
+func (l *Leader) unconfirmedMachines(epoch uint64) int {
+	unconfirmed := 0
+	for _, kv := range l.mirror.Dir(statekv.MachinePrefix) {
+		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
+		confirmedEpoch, _ := l.feed.ConfirmedEpoch(kv)
+		l.mu.Lock()
+		if confirmedEpoch >= epoch {
+			l.confirmed[name] = true
+		}
+		if !l.confirmed[name] {
+			unconfirmed++
 		}
+		l.mu.Unlock()
 	}
+	return unconfirmed
 }
 
-func (l *ledger) clearPermits() {
-	clear(l.permits)
-	l.resum()
+// OnEntries keeps the ledger of what is on the machines.
+func (l *Leader) OnEntries(entries []agentapi.MachineEntry) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for i := range entries {
+		l.ledger.Apply(&entries[i])
+	}
 }
 
-// drop takes a machine that is gone out of the books.
-func (l *ledger) drop(machine string) {
-	for _, a := range l.held[machine] {
-		l.book(a, -1)
+// quotaSnapshot is what grants are decided by. The caller holds the mutex for as long as it
+// uses it.
+func (l *Leader) quotaSnapshot(now time.Time) *quota.Snapshot {
+	return &quota.Snapshot{
+		Teams:        l.settings.Teams,
+		Usage:        l.ledger.Usage(),
+		Unattributed: l.unattributed(),
+		Reservations: l.reservations,
+		Now:          now,
 	}
-	delete(l.held, machine)
-	delete(l.dark, machine)
 }
 
-func (l *ledger) onEntry(e *agentapi.MachineEntry) {
-	if e.Gone {
-		l.drop(e.Machine)
-		return
-	}
-	old := l.held[e.Machine]
-	now := map[agentapi.TaskRef]account{}
-	if !e.Settled {
-		// An earlier owner's starts may not have shown up yet.
-		for ref, a := range old {
-			now[ref] = a
-		}
+// unattributed is what may be on machines without anyone knowing: of a machine that has
+// not shown all that earlier leaders granted, or has a task of an unknown team, that is as
+// much as it can hold, and it may be any team's. The caller holds the mutex.
+func (l *Leader) unattributed() job.Need {
+	var sum job.Need
+	if l.reconciled && l.ledger.FullyAttributed() {
+		return sum
 	}
-	for i := range e.Tasks {
-		t := &e.Tasks[i]
-		if t.State == worker.TaskExited {
-			delete(now, t.TaskRef)
-			l.release(t.TaskRef)
+	types := l.catalogue.Types()
+	for _, kv := range l.mirror.Dir(statekv.MachinePrefix) {
+		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
+		if l.ledger.Attributed(name) && (l.reconciled || l.confirmed[name]) {
 			continue
 		}
-		a := account{team: t.Team, need: t.Need}
-		if !t.Known {
-			a = old[t.TaskRef]
-			if p, ok := l.permits[t.TaskRef]; ok {
-				a = p.account
-			}
-		}
-		now[t.TaskRef] = a
-	}
-	for ref := range now {
-		l.release(ref)
-	}
-	l.drop(e.Machine)
-	l.held[e.Machine] = now
-	for _, a := range now {
-		l.book(a, 1)
-		if a.team == "" {
-			l.dark[e.Machine] = true
+		if record := shard.ParseMachineRecord(kv); record != nil {
+			sum = sum.AddScaled(job.Capacity(types[record.Type]), 1)
 		}
 	}
+	return sum
 }
--- a/internal/leader/reserve_test.go
+++ b/internal/leader/reserve_test.go
@@ -18,7 +18,7 @@
 func TestRoomBelowALimitIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
-		s.settled, s.cleared["m1"] = true, true
+		s.reconciled, s.confirmed["m1"] = true, true
 		permit := func(id string, index, gpus int, release ...agentapi.TaskRef) bool {
 			t.Helper()
 			var reply quota.Reply
@@ -28,10 +28,14 @@
 			}
 			return reply.Granted[0]
 		}
+		reservation := func(id string, since int64) quota.Reservation {
+			return quota.Reservation{Job: id, Team: "t", Need: job.Need{GPUs: 8}, Since: since}
+		}
 		reserve := func(id string, since int64) bool {
 			t.Helper()
 			var reply quota.Reply
-			if err := NewService(s).Permit(quota.Request{Slot: "s", Epoch: 1, Reserve: &quota.Reservation{Job: id, Team: "t", Need: job.Need{GPUs: 8}, Since: since}}, &reply); err != nil {
+			requested := reservation(id, since)
+			if err := NewService(s).Permit(quota.Request{Slot: "s", Epoch: 1, Reserve: &requested}, &reply); err != nil {
 				t.Fatal(err)
 			}
 			return reply.Reserved
@@ -55,8 +59,8 @@
 		if !reserve("wk-90", 2000) || !permit("wk-90", 0, 8) {
 			t.Fatal("it has all it needs, and does not get it")
 		}
-		s.kept = map[string]reserved{}
-		s.ledger.release(agentapi.TaskRef{Job: "wk-90", Attempt: 1})
+		s.reservations = quota.NewReservations()
+		s.ledger.Release(agentapi.TaskRef{Job: "wk-90", Attempt: 1})
 		// Two at once: the one that could start earlier, whichever asks first.
 		reserve("wk-91", 3000)
 		if !reserve("wk-92", 1000) || reserve("wk-91", 3000) {
@@ -65,12 +69,12 @@
 		if permit("wk-91", 0, 8) || !permit("wk-92", 0, 8, small(8)) {
 			t.Fatal("the later one got it")
 		}
-		s.ledger.release(agentapi.TaskRef{Job: "wk-92", Attempt: 1})
-		time.Sleep(reserveFor / 2)
+		s.ledger.Release(agentapi.TaskRef{Job: "wk-92", Attempt: 1})
+		time.Sleep(quota.ReservationDuration / 2)
 		if permit("wk-60", 0, 5) {
 			t.Fatal("given back too early")
 		}
-		s.kept["t"] = reserved{s.kept["t"].Reservation, time.Now()} // as after reserveFor
+		s.reservations.Reserve(reservation("wk-92", 1000), time.Now().Add(-quota.ReservationDuration)) // asked for last
 		if !permit("wk-60", 0, 5) {
 			t.Fatal("kept for nobody")
 		}
--- a/internal/leader/steward_test.go
+++ b/internal/leader/steward_test.go
@@ -47,7 +47,7 @@
 	types.Set([]cloud.MachineType{{Name: "box", CPUs: 64, GPUs: 8, MemoryGB: 512, OnDemandPrice: 10, SpotPrice: 4, ProvisioningS: 30, Zones: []string{"a"}}})
 	s := New(settings(), policy.Default(), mirror, member, nil, nil, types)
 	s.feed = changefeed.New(nil, mirror, nil, nil, nil)
-	s.epoch, s.cleared = 99, map[string]bool{}
+	s.epoch, s.confirmed = 99, map[string]bool{}
 	return s, state
 }
 
@@ -73,7 +73,7 @@
 		if !ask(t, s, 0, 2) || ask(t, s, 1, 1) {
 			t.Fatal("2 fit beside it and no more")
 		}
-		s.cleared["m1"] = true
+		s.confirmed["m1"] = true
 		if !ask(t, s, 1, 8) || ask(t, s, 2, 1) {
 			t.Fatal("permits count until they show up or are given back")
 		}
@@ -87,7 +87,7 @@
 func TestUnsettledMachineKeepsCounting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
-		s.settled = true
+		s.reconciled = true
 		task := agentapi.TaskEntry{TaskRef: agentapi.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Need{GPUs: 8}, Known: true, State: worker.TaskRunning}
 		s.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: true, Tasks: []agentapi.TaskEntry{task}}})
 		s.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: false}})
@@ -131,7 +131,7 @@
 func TestMachinesThatDoNotAnswerTheirNewOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
-		s.settled = true
+		s.reconciled = true
 		var entries []agentapi.MachineEntry
 		for i := range 100 {
 			entries = append(entries, agentapi.MachineEntry{Machine: fmt.Sprint("m", i), Rev: 1, Ver: 1, Type: "box", Settled: i >= 3, Silent: i < 3})
@@ -243,7 +243,7 @@
 func TestRoomIsKeptReadyForGangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSteward(t, t.Context())
-		s.settled = true
+		s.reconciled = true
 		s.policy.WarmTasksPerGangClass = 1
 		spec := job.Spec{ID: "wk-1", Class: "train", Team: "t", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{GPUs: 8}}
 		demand := func(jobs ...autoscaler.Demand) int {
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -1,5 +1,3 @@
-// Package quota holds the net/rpc messages by which schedulers ask the elected leader for
-// quota grants. Field names and kinds are the wire format (gob) and must not change.
 package quota
 
 import (
@@ -7,34 +5,37 @@
 	"robinstack/internal/job"
 )
 
-// GrantRequest is a task for which a placer asks a permit.
-type GrantRequest struct {
-	Ref  agentapi.TaskRef
-	Team string
-	Need job.Need
-}
+// The messages of the method Permit of the net/rpc service "Steward". Field names and
+// kinds are the wire format (gob) and must not change.
 
-// Request asks for permits, or gives back those that were not used.
+// Request asks for grants, or releases those that were not used.
 type Request struct {
-	Slot    string
-	Epoch   uint64
+	Slot    string // job shard of the scheduler that asks
+	Epoch   uint64 // under which it holds the job shard
 	Wants   []GrantRequest
 	Release []agentapi.TaskRef
 	Probe   bool         // only say what would be granted
-	Reserve *Reservation // keep what comes free below the team's limit for a job
-	Settled bool         // the slot has settled: earlier epochs' unused permits are void
+	Reserve *Reservation // keep what comes free below the team's quota for a job
+	Settled bool         // the job shard is reconciled: unused grants of earlier epochs lapse
 }
 
-// Reply says which were granted.
-type Reply struct {
-	Granted  []bool
-	Epoch    uint64
-	Reserved bool // the limit leaves room for all that was to be kept
+// GrantRequest is a task for which a scheduler asks a grant.
+type GrantRequest struct {
+	Ref  agentapi.TaskRef
+	Team string
+	Need job.Need
 }
 
-// Reservation is a job for which the room below its team's limit is kept.
+// Reservation is a job for which free capacity below its team's quota is kept.
 type Reservation struct {
 	Job, Team string
-	Need      job.Need // of all that it needs to begin
+	Need      job.Need // of all that it needs to start
 	Since     int64    // when it could start, in milliseconds since 1970: the earliest goes first
 }
+
+// Reply says which requests were granted.
+type Reply struct {
+	Granted  []bool // in the order of Request.Wants
+	Epoch    uint64 // leader epoch under which the grants hold
+	Reserved bool   // the quota has free capacity for all that was to be kept
+}
