--- a/internal/autoscaler/messages.go
+++ b/internal/autoscaler/messages.go
@@ -1,21 +1,21 @@
-// Package autoscaler holds the net/rpc messages about the demand for machines and about
-// machines that are overdue. Field names and kinds are the wire format (gob) and must not
-// change.
 package autoscaler
 
 import "robinstack/internal/job"
 
-// Demand is a job with tasks that wait or run, as its placer sees it.
+// The messages of the methods Demand and Overdue of the net/rpc service "Steward". Field
+// names and kinds are the wire format (gob, JSON) and must not change.
+
+// Demand is a job with tasks that wait or run, as its scheduler sees it.
 type Demand struct {
 	Spec    job.Spec
-	Waiting int
-	Running int
-	AgeS    float64
-	Warm    bool   // room kept ready for gangs to come
-	Zone    string // where its tasks hold a job that must be in one zone; "": nowhere yet
+	Waiting int     // tasks
+	Running int     // tasks
+	AgeS    float64 // since the job was submitted
+	Warm    bool    // capacity kept ready for gangs to come
+	Zone    string  // where its tasks hold a job that must be in one zone; "": nowhere yet
 }
 
-// DemandRequest tells the steward what a controller's jobs need.
+// DemandRequest tells the leader what a controller's jobs need.
 type DemandRequest struct {
 	Host string
 	Jobs []Demand
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -9,19 +9,19 @@
 	"robinstack/internal/quota"
 )
 
-// BenchmarkPermit asks for the permits of a hundred tasks, of which ten fit the limit.
+// BenchmarkPermit asks for the grants of a hundred tasks, of which ten fit the quota.
 func BenchmarkPermit(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
-	s, _ := newSteward(b, ctx)
-	go func() { _ = s.session.KeepAlive(ctx) }() // it ends with the benchmark
+	l, _ := newLeader(b, ctx)
+	go func() { _ = l.session.KeepAlive(ctx) }() // it ends with the benchmark
 	const tasks = 100
 	request := quota.Request{Slot: "s", Epoch: 1, Probe: true}
 	for k := range tasks {
 		ref := agentapi.TaskRef{Job: "wk-1", Index: k, Attempt: 1}
 		request.Wants = append(request.Wants, quota.GrantRequest{Ref: ref, Team: "t", Need: job.Need{GPUs: 1}})
 	}
-	service := NewService(s)
+	service := NewService(l)
 	b.ReportAllocs()
 	for b.Loop() {
 		var reply quota.Reply
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -6,6 +6,7 @@
 	"log/slog"
 	"time"
 
+	"robinstack/internal/autoscaler"
 	"robinstack/internal/budget"
 	"robinstack/internal/statekv"
 )
@@ -93,7 +94,8 @@
 	l.mu.Lock()
 	l.epoch, l.reconciled, l.confirmed = epoch, false, map[string]bool{}
 	l.ledger.ClearGrants()
-	l.fleet = newFleet()
+	l.fleet = autoscaler.NewFleet(l.settings, l.policy)
+	l.recomputedAt, l.loggedPrices = time.Time{}, map[string]price{}
 	l.budget = budget.NewAllocator(epoch, l.settings.StateLimits.SharedWriteBudget(), l.settings.Hosts())
 	l.budgetStarted = time.Now()
 	l.mu.Unlock()
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -48,21 +48,19 @@
 	reconciled   bool            // all machines have
 	ledger       *quota.Ledger
 	reservations *quota.Reservations
-	demand       map[string]demandAt
-	fleet        fleet
+	demand       *autoscaler.DemandReports // of all epochs: schedulers report to whoever leads
 
-	budget        *budget.Allocator // of this epoch
+	// Of this epoch alone.
+	fleet         *autoscaler.Fleet
+	recomputedAt  time.Time        // when the ledger was added up anew last
+	loggedPrices  map[string]price // by type
+	budget        *budget.Allocator
 	budgetStarted time.Time
 
 	// unacknowledged has deleted machines whose owners may not know of their end.
 	unacknowledged chan []string
 }
 
-type demandAt struct {
-	jobs []autoscaler.Demand
-	at   time.Time
-}
-
 // New returns a leader that does not hold the role yet.
 func New(
 	settings *config.Settings, pol *policy.Policy, mirror *statekv.Mirror, session *statekv.Session,
@@ -72,7 +70,8 @@
 		settings: settings, policy: pol, mirror: mirror, session: session,
 		peers: peers, cloud: api, catalogue: catalogue,
 		ledger: quota.NewLedger(), reservations: quota.NewReservations(),
-		demand: map[string]demandAt{}, fleet: newFleet(),
+		demand: autoscaler.NewDemandReports(),
+		fleet:  autoscaler.NewFleet(settings, pol), loggedPrices: map[string]price{},
 		unacknowledged: make(chan []string),
 	}
 }
--- /dev/null
+++ b/internal/leader/leader_test.go
@@ -0,0 +1,103 @@
+package leader
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"robinstack/emulator"
+	"robinstack/internal/agentapi"
+	"robinstack/internal/changefeed"
+	"robinstack/internal/cloud"
+	"robinstack/internal/config"
+	"robinstack/internal/job"
+	"robinstack/internal/policy"
+	"robinstack/internal/quota"
+	"robinstack/internal/shard"
+	"robinstack/internal/statekv"
+	"robinstack/internal/worker"
+)
+
+func settings() *config.Settings {
+	return &config.Settings{Host: "host-0", CloudListLag: 4 * time.Second,
+		Teams:       map[string]config.Team{"t": {Name: "t", GPUQuota: 10}},
+		Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, CancellationDeadline: 60 * time.Second},
+		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
+}
+
+// newLeader returns the leader of epoch 99 of a cluster with one machine, which is not confirmed,
+// and its state service.
+func newLeader(t testing.TB, ctx context.Context) (*Leader, *emulator.StateService) {
+	t.Helper()
+	state := emulator.NewStateService()
+	machine := shard.MachineRecord{Shard: "host-9.1.0", Type: "box", Zone: "a"}
+	if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: statekv.MachinePrefix + "m1", Value: machine}}); err != nil {
+		t.Fatal(err)
+	}
+	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.RecordPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+	if err := mirror.Load(ctx); err != nil {
+		t.Fatal(err)
+	}
+	member, err := statekv.OpenSession(ctx, state, mirror, "host-0", 4*time.Second, statekv.Registration{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	types := &cloud.Catalogue{}
+	types.Set([]cloud.MachineType{{Name: "box", CPUs: 64, GPUs: 8, MemoryGB: 512, OnDemandPrice: 10, SpotPrice: 4, ProvisioningS: 30, Zones: []string{"a"}}})
+	l := New(settings(), policy.Default(), mirror, member, nil, nil, types)
+	l.feed = changefeed.New(nil, mirror, nil, nil, nil)
+	l.epoch, l.confirmed = 99, map[string]bool{}
+	return l, state
+}
+
+// grant asks for a task of the team with a quota and says whether it is granted.
+func grant(t *testing.T, l *Leader, index, gpus int, release ...agentapi.TaskRef) bool {
+	t.Helper()
+	var reply quota.Reply
+	request := quota.GrantRequest{Ref: agentapi.TaskRef{Job: "wk-1", Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
+	if err := NewService(l).Permit(quota.Request{Slot: "s", Epoch: 1, Wants: []quota.GrantRequest{request}, Release: release}, &reply); err != nil {
+		t.Fatal(err)
+	}
+	return reply.Granted[0]
+}
+
+// What is granted, what runs and what may run on machines that have not been confirmed
+// counts together against the quota, and a new leader goes on granting beside a machine
+// that stays unresponsive.
+func TestQuotaCountsWhatMayRun(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		l, _ := newLeader(t, t.Context())
+		if grant(t, l, 0, 3) {
+			t.Fatal("an unconfirmed machine may hold 8 of the 10")
+		}
+		if !grant(t, l, 0, 2) || grant(t, l, 1, 1) {
+			t.Fatal("2 fit beside it and no more")
+		}
+		l.confirmed["m1"] = true
+		if !grant(t, l, 1, 8) || grant(t, l, 2, 1) {
+			t.Fatal("grants count until they show up or are released")
+		}
+		if !grant(t, l, 2, 1, agentapi.TaskRef{Job: "wk-1", Index: 0, Attempt: 1}) {
+			t.Fatal("released, not used")
+		}
+	})
+}
+
+// A task keeps counting while a new owner has not confirmed its machine.
+func TestUnreconciledMachineKeepsCounting(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		l, _ := newLeader(t, t.Context())
+		l.reconciled = true
+		task := agentapi.TaskEntry{TaskRef: agentapi.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Need{GPUs: 8}, Known: true, State: worker.TaskRunning}
+		l.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: true, Tasks: []agentapi.TaskEntry{task}}})
+		l.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: false}})
+		if grant(t, l, 0, 3) {
+			t.Fatal("the task may still run")
+		}
+		l.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: true}})
+		if !grant(t, l, 0, 3) {
+			t.Fatal("the task is proven gone")
+		}
+	})
+}
--- a/internal/leader/reserve_test.go
+++ b/internal/leader/reservation_test.go
@@ -11,19 +11,19 @@
 	"robinstack/internal/quota"
 )
 
-// At a team's limit of 10 GPUs small jobs take each GPU that comes free. What comes free
-// below the limit is kept for a job of 8 that starves, until it has all it needs; of two
-// such for the one that could start earlier; and it is given back 4 s after its placer
+// At a team's quota of 10 GPUs small jobs take each GPU that comes free. What comes free
+// below the quota is kept for a job of 8 that starves, until it has all it needs; of two
+// such for the one that could start earlier; and it is released 4 s after its scheduler
 // asked last.
-func TestRoomBelowALimitIsKept(t *testing.T) {
+func TestCapacityBelowAQuotaIsReserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := newSteward(t, t.Context())
-		s.reconciled, s.confirmed["m1"] = true, true
-		permit := func(id string, index, gpus int, release ...agentapi.TaskRef) bool {
+		l, _ := newLeader(t, t.Context())
+		l.reconciled, l.confirmed["m1"] = true, true
+		grant := func(id string, index, gpus int, release ...agentapi.TaskRef) bool {
 			t.Helper()
 			var reply quota.Reply
-			want := quota.GrantRequest{Ref: agentapi.TaskRef{Job: id, Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
-			if err := NewService(s).Permit(quota.Request{Slot: "s", Epoch: 1, Wants: []quota.GrantRequest{want}, Release: release}, &reply); err != nil {
+			request := quota.GrantRequest{Ref: agentapi.TaskRef{Job: id, Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
+			if err := NewService(l).Permit(quota.Request{Slot: "s", Epoch: 1, Wants: []quota.GrantRequest{request}, Release: release}, &reply); err != nil {
 				t.Fatal(err)
 			}
 			return reply.Granted[0]
@@ -35,7 +35,7 @@
 			t.Helper()
 			var reply quota.Reply
 			requested := reservation(id, since)
-			if err := NewService(s).Permit(quota.Request{Slot: "s", Epoch: 1, Reserve: &requested}, &reply); err != nil {
+			if err := NewService(l).Permit(quota.Request{Slot: "s", Epoch: 1, Reserve: &requested}, &reply); err != nil {
 				t.Fatal(err)
 			}
 			return reply.Reserved
@@ -44,38 +44,38 @@
 			return agentapi.TaskRef{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}
 		}
 		for k := range 10 {
-			if !permit(small(k).Job, 0, 1) {
+			if !grant(small(k).Job, 0, 1) {
 				t.Fatal(k)
 			}
 		}
 		if reserve("wk-90", 2000) {
-			t.Fatal("all of the limit is in use")
+			t.Fatal("all of the quota is in use")
 		}
 		for k := range 8 { // they end one by one, and others like them wait
-			if permit(fmt.Sprintf("wk-5%d", k), 0, 1, small(k)) {
+			if grant(fmt.Sprintf("wk-5%d", k), 0, 1, small(k)) {
 				t.Fatalf("a small job took what is kept, with %d free", k+1)
 			}
 		}
-		if !reserve("wk-90", 2000) || !permit("wk-90", 0, 8) {
+		if !reserve("wk-90", 2000) || !grant("wk-90", 0, 8) {
 			t.Fatal("it has all it needs, and does not get it")
 		}
-		s.reservations = quota.NewReservations()
-		s.ledger.Release(agentapi.TaskRef{Job: "wk-90", Attempt: 1})
+		l.reservations = quota.NewReservations()
+		l.ledger.Release(agentapi.TaskRef{Job: "wk-90", Attempt: 1})
 		// Two at once: the one that could start earlier, whichever asks first.
 		reserve("wk-91", 3000)
 		if !reserve("wk-92", 1000) || reserve("wk-91", 3000) {
 			t.Fatal("the later one has it")
 		}
-		if permit("wk-91", 0, 8) || !permit("wk-92", 0, 8, small(8)) {
+		if grant("wk-91", 0, 8) || !grant("wk-92", 0, 8, small(8)) {
 			t.Fatal("the later one got it")
 		}
-		s.ledger.Release(agentapi.TaskRef{Job: "wk-92", Attempt: 1})
+		l.ledger.Release(agentapi.TaskRef{Job: "wk-92", Attempt: 1})
 		time.Sleep(quota.ReservationDuration / 2)
-		if permit("wk-60", 0, 5) {
-			t.Fatal("given back too early")
+		if grant("wk-60", 0, 5) {
+			t.Fatal("released too early")
 		}
-		s.reservations.Reserve(reservation("wk-92", 1000), time.Now().Add(-quota.ReservationDuration)) // asked for last
-		if !permit("wk-60", 0, 5) {
+		l.reservations.Reserve(reservation("wk-92", 1000), time.Now().Add(-quota.ReservationDuration)) // asked for last
+		if !grant("wk-60", 0, 5) {
 			t.Fatal("kept for nobody")
 		}
 	})
--- /dev/null
+++ b/internal/leader/scaling.go
@@ -0,0 +1,204 @@
+package leader
+
+import (
+	"context"
+	"log/slog"
+	"slices"
+	"sync"
+	"time"
+
+	"robinstack/internal/agentapi"
+	"robinstack/internal/autoscaler"
+	"robinstack/internal/cloud"
+	"robinstack/internal/logline"
+	"robinstack/internal/statekv"
+)
+
+const (
+	planInterval = time.Second
+	// reconcilingPlanInterval is the pause while machines do not answer their new owners:
+	// jobs wait for each of them.
+	reconcilingPlanInterval = 300 * time.Millisecond
+	// recomputeInterval is how often the ledger is added up anew.
+	recomputeInterval = 10 * time.Second
+	// drainTimeout is how long the owner of idle machines may take to drain them.
+	drainTimeout = 2 * time.Second
+	// deletionReportTimeout is how long an owner may take to acknowledge that its machines
+	// are deleted.
+	deletionReportTimeout = 3 * time.Second
+)
+
+// runScaling scales out and in while this controller is leader.
+func (l *Leader) runScaling(ctx context.Context) {
+	tick := time.NewTicker(planInterval)
+	defer tick.Stop()
+	for ctx.Err() == nil {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		if l.Epoch() == 0 || !l.session.HoldsLease() || len(l.catalogue.Types()) == 0 {
+			continue
+		}
+		plan := l.plan(time.Now())
+		logPlan(plan)
+		l.scaleOut(ctx, plan.ScaleOut)
+		tick.Reset(planInterval)
+		if plan.Unreconciled > 0 {
+			tick.Reset(reconcilingPlanInterval)
+		}
+		select {
+		case l.unacknowledged <- plan.Notify:
+		default: // the former ones are still being reported
+		}
+		l.drainAndDelete(ctx, plan.ScaleIn)
+		l.deleteMachines(ctx, plan.Delete)
+	}
+}
+
+// plan decides what to do about the cluster's machines.
+func (l *Leader) plan(now time.Time) *autoscaler.Plan {
+	snapshot := &autoscaler.Snapshot{
+		Now:     now,
+		Types:   l.catalogue.Types(),
+		Entries: l.feed.Entries(),
+		HasOwner: func(machine string) bool {
+			_, owned := l.mirror.Get(statekv.MachinePrefix + machine)
+			return owned
+		},
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	snapshot.Epoch, snapshot.Demand = l.epoch, l.demand
+	snapshot.LedgerMachines = l.ledger.MachineCount()
+	stock := l.fleet.TakeStock(snapshot)
+	l.ledger.RetainMachines(stock.Present)
+	if now.Sub(l.recomputedAt) > recomputeInterval {
+		l.recomputedAt = now
+		l.ledger.Recompute()
+	}
+	snapshot.TeamUsage = l.ledger.Usage()
+	return l.fleet.Plan(stock, snapshot)
+}
+
+func logPlan(plan *autoscaler.Plan) {
+	for _, m := range plan.Lost {
+		slog.Info("machine lost", "machine", m.Machine, "reason", m.Reason)
+	}
+	for _, m := range plan.Overdue {
+		slog.Info("provisioning overdue", "machine", m.Machine, "age", m.Age.Round(time.Second))
+	}
+	for _, p := range plan.Stalled {
+		slog.Info("machine provisioning stalled", "type", p.Type, "zone", p.Zone, "spot", p.Spot,
+			"provisioning", p.Provisioning, "overdue", p.Overdue)
+	}
+	if s := plan.Summary; s != nil {
+		slog.Info("cluster summary", "machines", s.Machines, "provisioning", s.Provisioning, "idle", s.Idle,
+			"idle_reserved", s.IdleReserved, "free_gpus", s.FreeGPUs, "tasks_pending", s.TasksPending)
+	}
+}
+
+// scaleOut makes all requests at the same time and waits for their answers.
+func (l *Leader) scaleOut(ctx context.Context, requests []cloud.ScaleOutRequest) {
+	var calls sync.WaitGroup
+	for _, request := range requests {
+		calls.Go(func() { l.requestMachines(ctx, request) })
+	}
+	calls.Wait()
+}
+
+// requestMachines asks the cloud for machines; what has no answer is asked for again under
+// its ID.
+func (l *Leader) requestMachines(ctx context.Context, request cloud.ScaleOutRequest) {
+	sent := time.Now()
+	granted, err := autoscaler.ScaleOut(ctx, l.cloud, request)
+	if err != nil {
+		slog.Info("scale-out outcome unknown", "request", request.RequestID, "err", err)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.fleet.OnScaleOutUnanswered(request)
+		return
+	}
+	slog.Info(logline.ScaledOut, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
+		"requested", request.Count, "granted", len(granted), "machines", granted)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.fleet.OnScaleOut(request, granted, sent)
+}
+
+// drainAndDelete has idle machines drained, which their owners refuse if a task has come in
+// between, and deletes those that are drained.
+func (l *Leader) drainAndDelete(ctx context.Context, machines []string) {
+	for host, owned := range l.byOwner(machines) {
+		drained, err := l.drain(ctx, host, owned)
+		if err != nil {
+			slog.Debug("machine drain failed", "host", host, "err", err)
+			continue
+		}
+		l.deleteMachines(ctx, drained)
+	}
+}
+
+func (l *Leader) drain(ctx context.Context, host string, machines []string) (drained []string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
+	defer cancel()
+	var reply agentapi.MachinesReply
+	err = l.peers.Call(ctx, host, "Agent.Drain", agentapi.MachinesRequest{Names: machines, On: true}, &reply)
+	return reply.Names, err
+}
+
+// deleteMachines deletes machines in the cloud and then reports that to their owners.
+func (l *Leader) deleteMachines(ctx context.Context, machines []string) {
+	for chunk := range slices.Chunk(machines, autoscaler.MaxMachinesPerDeletion) {
+		if err := autoscaler.ScaleIn(ctx, l.cloud, chunk); err != nil {
+			slog.Info("scale-in failed", "machines", chunk, "err", err)
+			return
+		}
+		slog.Info(logline.ScaledIn, "machines", chunk)
+		l.mu.Lock()
+		l.fleet.OnDeleted(chunk, time.Now())
+		l.mu.Unlock()
+		l.reportDeletions(ctx, chunk)
+	}
+}
+
+// reportDeletions tells the owners of machines that the cloud has deleted them.
+func (l *Leader) reportDeletions(ctx context.Context, machines []string) {
+	for host, owned := range l.byOwner(machines) {
+		if err := l.reportDeletionsTo(ctx, host, owned); err != nil {
+			slog.Debug("machine deletion report to owner failed", "host", host, "err", err)
+		}
+	}
+}
+
+func (l *Leader) reportDeletionsTo(ctx context.Context, host string, machines []string) error {
+	ctx, cancel := context.WithTimeout(ctx, deletionReportTimeout)
+	defer cancel()
+	request := agentapi.MachinesRequest{Names: machines}
+	return l.peers.Call(ctx, host, "Agent.Removed", request, &agentapi.MachinesReply{})
+}
+
+// runDeletionReports reports deletions to owners once more, beside the planning: an owner
+// that does not answer must not hold that up.
+func (l *Leader) runDeletionReports(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case machines := <-l.unacknowledged:
+			l.reportDeletions(ctx, machines)
+		}
+	}
+}
+
+// byOwner groups machines by the host that owns them; those without an owner are left out.
+func (l *Leader) byOwner(machines []string) map[string][]string {
+	byHost := map[string][]string{}
+	for _, name := range machines {
+		if host, ok := l.feed.OwnerHost(name); ok {
+			byHost[host] = append(byHost[host], name)
+		}
+	}
+	return byHost
+}
--- a/internal/leader/service.go
+++ b/internal/leader/service.go
@@ -77,6 +77,17 @@
 	l := s.leader
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.demand[request.Host] = demandAt{jobs: request.Jobs, at: time.Now()}
+	l.demand.Record(request, time.Now())
+	return nil
+}
+
+// Overdue lists, by pool, machines whose provisioning takes longer than is usual there.
+func (s *Service) Overdue(_ struct{}, reply *[]autoscaler.OverduePool) error {
+	l := s.leader
+	now := time.Now()
+	types := l.catalogue.Types()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	*reply = l.fleet.OverduePools(types, now)
 	return nil
 }
