--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -109,8 +109,8 @@
 	Age     time.Duration
 }
 
-// arrived notes that a machine is up, and how long that took.
-func (f *Fleet) arrived(machine string, now time.Time) {
+// noteArrival notes that a machine is up, and how long that took.
+func (f *Fleet) noteArrival(machine string, now time.Time) {
 	m, ok := f.provisioning[machine]
 	if !ok {
 		return
@@ -156,7 +156,7 @@
 		if snapshot.HasOwner(name) {
 			// It is up; its owner's entry just has not come yet. To a new leader that is
 			// every machine at first.
-			f.arrived(name, snapshot.Now)
+			f.noteArrival(name, snapshot.Now)
 			continue
 		}
 		pool := pools[m.Pool]
--- a/internal/autoscaler/stock.go
+++ b/internal/autoscaler/stock.go
@@ -34,7 +34,7 @@
 	for i := range snapshot.Entries {
 		entry := &snapshot.Entries[i]
 		stock.Present[entry.Machine] = true
-		f.arrived(entry.Machine, now)
+		f.noteArrival(entry.Machine, now)
 		if f.isDeleted(entry.Machine) {
 			if f.notificationDue(entry.Machine, now) {
 				stock.notify = append(stock.notify, entry.Machine)
--- a/internal/autoscaler/surplus_test.go
+++ b/internal/autoscaler/surplus_test.go
@@ -12,14 +12,14 @@
 func TestIdleMachinesAreKeptWhileTheyGetWork(t *testing.T) {
 	var r reuse
 	now := time.Time{}.Add(time.Hour)
-	present, idlers := map[string]bool{}, []string{}
+	present, idleNames := map[string]bool{}, []string{}
 	for k := range 40 {
 		present[fmt.Sprint("m", k)] = true
-		idlers = append(idlers, fmt.Sprint("m", k))
+		idleNames = append(idleNames, fmt.Sprint("m", k))
 	}
 	keep := 0
 	for k := range 30 { // one a second gets work and is idle again two seconds later
-		keep = r.observe(now.Add(time.Duration(k)*time.Second), append(idlers[:k%40:k%40], idlers[k%40+1:]...), present)
+		keep = r.observe(now.Add(time.Duration(k)*time.Second), append(idleNames[:k%40:k%40], idleNames[k%40+1:]...), present)
 		if k < 19 && keep < 39 {
 			t.Fatalf("%d are kept after %d s: too little was seen", keep, k)
 		}
@@ -28,13 +28,13 @@
 		t.Errorf("%d are kept where one a second gets work", keep)
 	}
 	for k := 30; k < 60; k++ {
-		keep = r.observe(now.Add(time.Duration(k)*time.Second), idlers, present)
+		keep = r.observe(now.Add(time.Duration(k)*time.Second), idleNames, present)
 	}
 	if keep != reuseMinimum {
 		t.Errorf("%d are kept where none gets work", keep)
 	}
 	delete(present, "m1") // returned, not used
-	if keep = r.observe(now.Add(time.Minute), append([]string{"m0"}, idlers[2:]...), present); keep != reuseMinimum {
+	if keep = r.observe(now.Add(time.Minute), append([]string{"m0"}, idleNames[2:]...), present); keep != reuseMinimum {
 		t.Errorf("%d are kept after one was returned", keep)
 	}
 }
--- a/internal/autoscaler/window.go
+++ b/internal/autoscaler/window.go
@@ -21,7 +21,7 @@
 	return full
 }
 
-// idleMinimum tells how many machines were idle at least during a span of time.
+// idleMinimum is how many machines were idle at least during a span of time.
 type idleMinimum struct{ window[int] }
 
 // add takes in a count and returns the least over the span, or 0 as long as that has not
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync"
 	"testing"
 
 	"robinstack/internal/agentapi"
@@ -12,9 +13,13 @@
 // BenchmarkPermit asks for the grants of a hundred tasks, of which ten fit the quota.
 func BenchmarkPermit(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
-	defer cancel()
 	l, _ := newLeader(b, ctx)
-	go func() { _ = l.session.KeepAlive(ctx) }() // it ends with the benchmark
+	var renewals sync.WaitGroup
+	renewals.Go(func() { _ = l.session.KeepAlive(ctx) }) // its error is that of the context
+	b.Cleanup(func() {
+		cancel()
+		renewals.Wait()
+	})
 	const tasks = 100
 	request := quota.Request{Slot: "s", Epoch: 1, Probe: true}
 	for k := range tasks {
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -53,6 +53,8 @@
 	case ok && l.session.Alive(holder):
 		l.resign()
 		return
+	case !l.session.HoldsLease():
+		return
 	default:
 		epoch, err := l.acquire(ctx, kv.Rev, holder)
 		if err != nil {
@@ -69,14 +71,9 @@
 	l.epoch = 0
 }
 
-var errSessionUncertain = errors.New("leader: the session's lease may be lost")
-
 // acquire writes the leader's key in place of a holder whose session is over, and returns
 // the new epoch once the mirror shows it.
 func (l *Leader) acquire(ctx context.Context, expectedRev uint64, previous statekv.Holder) (uint64, error) {
-	if !l.session.HoldsLease() {
-		return 0, errSessionUncertain
-	}
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	epoch, err := l.session.Acquire(ctx, statekv.Role{
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -39,13 +39,13 @@
 	if err := mirror.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
-	member, err := statekv.OpenSession(ctx, state, mirror, "host-0", 4*time.Second, statekv.Registration{})
+	session, err := statekv.OpenSession(ctx, state, mirror, "host-0", 4*time.Second, statekv.Registration{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	types := &cloud.Catalogue{}
 	types.Set([]cloud.MachineType{{Name: "box", CPUs: 64, GPUs: 8, MemoryGB: 512, OnDemandPrice: 10, SpotPrice: 4, ProvisioningS: 30, Zones: []string{"a"}}})
-	l := New(settings(), policy.Default(), mirror, member, nil, nil, types)
+	l := New(settings(), policy.Default(), mirror, session, nil, nil, types)
 	l.feed = changefeed.New(nil, mirror, nil, nil, nil)
 	l.epoch, l.confirmed = 99, map[string]bool{}
 	return l, state
