--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -34,14 +34,14 @@
 	// parts of those that are over.
 	MaxViewAge = time.Second
 
-	margin = 20 * time.Millisecond // drift of clocks within these times, many times over
+	driftMargin = 20 * time.Millisecond // drift of clocks within these times, many times over
 )
 
 // Shares of a controller's part.
 const (
-	promised = 0.5 // what one that needs little keeps to
-	joining  = 0.5 // what a new session uses; the allocator lends the rest while it is over
-	idle     = 0.4 // of its part: who needs no more promises to use little
+	promisedPart = 0.5 // what one that needs little keeps to
+	joiningPart  = 0.5 // what a new session uses; the allocator lends the rest while it is over
+	idlePart     = 0.4 // of its part: who needs no more promises to use little
 )
 
 // DemandReport is what a controller says to the allocator.
@@ -92,7 +92,7 @@
 
 // borrowed is the most that it may be using beyond its own part.
 func (b *borrower) borrowed(now time.Duration) (most float64) {
-	b.loans = slices.DeleteFunc(b.loans, func(l loan) bool { return l.until+margin <= now })
+	b.loans = slices.DeleteFunc(b.loans, func(l loan) bool { return l.until+driftMargin <= now })
 	for _, l := range b.loans {
 		most = max(most, l.rate)
 	}
@@ -117,12 +117,12 @@
 		a.known[r.Host] = b
 	}
 	b.heard, b.need = now, r.Need
-	g.Whole = now >= LoanDuration+margin && now >= b.promisedUntil && now >= b.lentUntil
+	g.Whole = now >= LoanDuration+driftMargin && now >= b.promisedUntil && now >= b.lentUntil
 	if r.Promises && r.Epoch == a.epoch {
 		b.promisedUntil = max(b.promisedUntil, r.Echo+PromiseDuration)
 	}
 	// Loans of an earlier allocator may still be in use.
-	if now < LoanDuration+margin {
+	if now < LoanDuration+driftMargin {
 		return g
 	}
 	g.Loan = a.lend(r.Host, sessions, now)
@@ -135,14 +135,14 @@
 // lend is how much a controller may borrow now: its fair share of what can be lent, and
 // never more than is left of that.
 func (a *Allocator) lend(host string, sessions SessionView, now time.Duration) float64 {
-	until := now + LoanDuration + margin
+	until := now + LoanDuration + driftMargin
 	pool, lent := 0.0, 0.0
 	wants := map[string]float64{}
 	over := a.sessionsOver(sessions, now)
 	for _, h := range a.hosts {
 		b := a.known[h]
 		if over[h] {
-			pool += (1 - joining) * a.part
+			pool += (1 - joiningPart) * a.part
 			if b == nil {
 				b = &borrower{heard: never}
 				a.known[h] = b
@@ -153,7 +153,7 @@
 			continue
 		}
 		if !over[h] && b.promisedUntil >= until {
-			pool += (1 - promised) * a.part
+			pool += (1 - promisedPart) * a.part
 		}
 		if h != host {
 			lent += b.borrowed(now)
@@ -191,7 +191,7 @@
 // own is what a controller may use without a loan.
 func (a *Allocator) own(b *borrower, now time.Duration) float64 {
 	if b.promisedUntil > now {
-		return promised * a.part
+		return promisedPart * a.part
 	}
 	return a.part
 }
@@ -255,9 +255,9 @@
 	switch {
 	case p.alone:
 	case p.began.IsZero() || !p.whole && now.Sub(p.began) < JoinDelay:
-		base = joining * p.part
+		base = joiningPart * p.part
 	case now.Before(p.promisedUntil):
-		base = promised * p.part
+		base = promisedPart * p.part
 	}
 	if now.Before(p.loanUntil) {
 		return base + p.loan, p.loanUntil, base
@@ -267,7 +267,7 @@
 
 // Report makes a report that is sent now, and keeps to what it promises.
 func (p *Share) Report(host string, need float64, now time.Time) DemandReport {
-	r := DemandReport{Host: host, Need: need, Epoch: p.epoch, Echo: p.echo, Promises: need <= idle*p.part}
+	r := DemandReport{Host: host, Need: need, Epoch: p.epoch, Echo: p.echo, Promises: need <= idlePart*p.part}
 	if r.Promises && p.epoch != 0 {
 		p.promisedUntil = now.Add(PromiseDuration)
 	}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -412,7 +412,7 @@
 	if g := a.Allocate(busy, sessions, 0); g.Loan != 0 {
 		t.Errorf("it lends %v at once", g.Loan)
 	}
-	if g := a.Allocate(busy, sessions, LoanDuration+2*margin); g.Loan != joining*limit/2 {
+	if g := a.Allocate(busy, sessions, LoanDuration+2*driftMargin); g.Loan != joiningPart*limit/2 {
 		t.Errorf("it lends %v then", g.Loan)
 	}
 	if g := a.Allocate(DemandReport{Host: "host-9", Need: 100}, sessions, 2*LoanDuration); g.Loan != 0 {
--- a/internal/statekv/client.go
+++ b/internal/statekv/client.go
@@ -139,7 +139,7 @@
 
 // shares are the parts of a controller's changes, or for lookups of its
 // requests, that each kind may use.
-var shares = [...]float64{ClassClaim: 0.7, ClassMaintenance: 0.5, ClassLookup: LookupShare}
+var classShares = [...]float64{ClassClaim: 0.7, ClassMaintenance: 0.5, ClassLookup: LookupShare}
 
 // Client talks to the state service over HTTP and keeps this controller's
 // share of the service's limits.
@@ -148,7 +148,7 @@
 	http   *httpjson.Client
 	reads  *rate.Limiter
 	writes *WriteBudget
-	kinds  [len(shares)]*rate.Limiter
+	kinds  [len(classShares)]*rate.Limiter
 
 	requests float64 // per second, for all controllers together
 
@@ -172,7 +172,9 @@
 
 // TxnBatchSize is how many of many changes are best made with one transaction: what can be made
 // soon, for a larger one would wait, or be refused, while what it needs comes in.
-func (c *Client) TxnBatchSize(ops int) int { return min(c.MaxTxnOps(ops), c.writes.soon(time.Now())) }
+func (c *Client) TxnBatchSize(ops int) int {
+	return min(c.MaxTxnOps(ops), c.writes.opsSoon(time.Now()))
+}
 
 // MaxTxnOps is how many changes a transaction may have.
 func (c *Client) MaxTxnOps(ops int) int {
@@ -219,11 +221,11 @@
 	if kind == ClassLookup {
 		return limiter.AllowN(now, atOnce)
 	}
-	limiter.SetLimitAt(now, rate.Limit(shares[kind]*c.writes.rate(now)))
+	limiter.SetLimitAt(now, rate.Limit(classShares[kind]*c.writes.rate(now)))
 	if limiter.AllowN(now, atOnce) {
 		return true
 	}
-	c.writes.wanted(kind, n, now)
+	c.writes.noteDemand(kind, n, now)
 	return false
 }
 
@@ -249,7 +251,7 @@
 		return r, fmt.Errorf("%w: %s %s: %s", ErrRejected, method, path, why.Error)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		if r.Status == http.StatusTooManyRequests && path == "/txn" {
-			c.writes.refused(time.Now())
+			c.writes.noteRejection(time.Now())
 		}
 		slog.Debug("state request rejected", "method", method, "path", path, "status", r.Status)
 		return r, fmt.Errorf("%w: %s %s: status %d", ErrRejected, method, path, r.Status)
@@ -273,7 +275,7 @@
 
 // longestQueue is how long a request may wait for this client's own limits. What
 // would wait longer is refused at once: its sender can say when to come back.
-const longestQueue = time.Second
+const maxQueueTime = time.Second
 
 func (c *Client) pace(ctx context.Context, l *rate.Limiter, n int) error {
 	r := l.ReserveN(time.Now(), n)
@@ -281,7 +283,7 @@
 		return fmt.Errorf("%w: %d at once are more than its own limit", ErrRejected, n)
 	}
 	d := r.Delay()
-	if deadline, ok := ctx.Deadline(); d > longestQueue || ok && time.Until(deadline) < d {
+	if deadline, ok := ctx.Deadline(); d > maxQueueTime || ok && time.Until(deadline) < d {
 		r.Cancel()
 		return fmt.Errorf("%w: own limit", ErrRejected)
 	}
@@ -297,17 +299,17 @@
 // paceChanges waits until so many changes may be made.
 func (c *Client) paceChanges(ctx context.Context, n int) error {
 	now := time.Now()
-	longest := c.writes.longest(n)
+	longest := c.writes.maxWait(n)
 	if deadline, ok := ctx.Deadline(); ok {
 		longest = min(longest, deadline.Sub(now))
 	}
-	wait, ok := c.writes.take(n, longest, now)
+	wait, ok := c.writes.reserve(n, longest, now)
 	if !ok {
 		return fmt.Errorf("%w: own limit", ErrRejected)
 	}
 	select {
 	case <-ctx.Done():
-		c.writes.put(n)
+		c.writes.refund(n)
 		return fmt.Errorf("%w: own limit: %w", ErrRejected, ctx.Err())
 	case <-time.After(wait):
 		return nil
--- a/internal/statekv/member.go
+++ b/internal/statekv/member.go
@@ -12,27 +12,6 @@
 	"time"
 )
 
-// ClusterPrefix is the prefix of the keys that every controller mirrors.
-const ClusterPrefix = "robin/fleet/"
-
-// Keys of roles and of what the fleet knows.
-const (
-	RootPrefix         = "robin/"
-	SessionPrefix      = ClusterPrefix + "node/"
-	JobShardPrefix     = ClusterPrefix + "slot/"
-	MachinePrefix      = ClusterPrefix + "machine/"
-	MachineShardPrefix = ClusterPrefix + "shard/"
-	LeaderKey          = ClusterPrefix + "steward"
-	MachineTypesKey    = ClusterPrefix + "types"
-
-	// ClusterVersionKey says what the fleet's controllers do together (package rollout),
-	// MembershipKey changes with every life that begins, MigrationKey tells how far stored
-	// values have been moved to another form.
-	ClusterVersionKey = ClusterPrefix + "level"
-	MembershipKey     = ClusterPrefix + "joins"
-	MigrationKey      = ClusterPrefix + "move"
-)
-
 // Holder says which life of which controller holds a role.
 type Holder struct {
 	Host        string `json:"host"`
--- a/internal/statekv/writebudget.go
+++ b/internal/statekv/writebudget.go
@@ -15,7 +15,7 @@
 	bucket  *budget.TokenBucket
 	asked   [askedSpans]float64 // changes asked for in each of the latest spans
 	span    int64               // which span the latest is
-	waiting [len(shares)]want
+	waiting [len(classShares)]want
 	certain func() bool // nil: there is no session
 	began   time.Time
 
@@ -81,15 +81,15 @@
 // After the service has refused changes as too many, only this share is used for a while:
 // others may use more than they should, a former version for one.
 const (
-	refusedShare = 0.5
-	refusedTime  = 2 * time.Second
+	refusedShare     = 0.5
+	rejectedDuration = 2 * time.Second
 )
 
 // refused notes that the service refused changes as too many.
-func (w *WriteBudget) refused(now time.Time) {
+func (w *WriteBudget) noteRejection(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.refusedUntil = now.Add(refusedTime)
+	w.refusedUntil = now.Add(rejectedDuration)
 }
 
 func (w *WriteBudget) rate(now time.Time) float64 {
@@ -99,13 +99,13 @@
 }
 
 // soon is how many changes at once need wait for about half a second at most.
-func (w *WriteBudget) soon(now time.Time) int {
+func (w *WriteBudget) opsSoon(now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return int(max(leastSoon, w.part.Guaranteed(), w.refresh(now)/2))
 }
 
-func (w *WriteBudget) take(n int, longest time.Duration, now time.Time) (time.Duration, bool) {
+func (w *WriteBudget) reserve(n int, longest time.Duration, now time.Time) (time.Duration, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.refresh(now)
@@ -115,17 +115,17 @@
 
 // longest is how long n changes may wait. Those that are more than accumulate have to wait for
 // longer than others, or they would never be made.
-func (w *WriteBudget) longest(n int) time.Duration {
+func (w *WriteBudget) maxWait(n int) time.Duration {
 	if float64(n) > max(leastBurst, burstShare*w.part.Guaranteed()) {
-		return longestLarge
+		return maxQueueTimeLarge
 	}
-	return longestQueue
+	return maxQueueTime
 }
 
 // longestLarge is how long a large transaction may wait.
-const longestLarge = 6 * time.Second
+const maxQueueTimeLarge = 6 * time.Second
 
-func (w *WriteBudget) put(n int) {
+func (w *WriteBudget) refund(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.bucket.Refund(n)
@@ -143,7 +143,7 @@
 }
 
 // wanted notes that n changes of a kind wait for room.
-func (w *WriteBudget) wanted(kind RequestClass, n int, now time.Time) {
+func (w *WriteBudget) noteDemand(kind RequestClass, n int, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.waiting[kind] = want{n, now}
--- a/internal/statekv/writebudget_test.go
+++ b/internal/statekv/writebudget_test.go
@@ -20,7 +20,7 @@
 		w := newWriteBudget(64, 4)
 		spend := func(d time.Duration) (n int) {
 			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-				if _, ok := w.take(1, 0, time.Now()); ok {
+				if _, ok := w.reserve(1, 0, time.Now()); ok {
 					n++
 				}
 			}
@@ -58,8 +58,8 @@
 		w := newWriteBudget(40, 4)
 		w.SetSession(time.Now(), always)
 		time.Sleep(5 * time.Second)
-		w.wanted(ClassClaim, 24, time.Now())
-		if _, ok := w.take(30, time.Second, time.Now()); ok {
+		w.noteDemand(ClassClaim, 24, time.Now())
+		if _, ok := w.reserve(30, time.Second, time.Now()); ok {
 			t.Error("30 changes at 10 a second do not wait for a second")
 		}
 		if r := w.Report("host-0", time.Now()); r.Need != 54 || r.Promises {
@@ -69,7 +69,7 @@
 		if r := w.Report("host-0", time.Now()); r.Need != 0 || !r.Promises {
 			t.Errorf("later it reports %+v", r)
 		}
-		if got := w.longest(24); got != longestLarge {
+		if got := w.maxWait(24); got != maxQueueTimeLarge {
 			t.Errorf("24 changes, more than accumulate, may wait for %v", got)
 		}
 	})
@@ -87,7 +87,7 @@
 	if now := c.WriteBudget().rate(time.Now()); now != before/2 {
 		t.Errorf("%v changes a second before, %v after", before, now)
 	}
-	if later := c.WriteBudget().rate(time.Now().Add(refusedTime + time.Second)); later != before {
+	if later := c.WriteBudget().rate(time.Now().Add(rejectedDuration + time.Second)); later != before {
 		t.Errorf("%v changes a second before, %v later", before, later)
 	}
 }
