--- a/internal/statekv/writebudget.go
+++ b/internal/statekv/writebudget.go
@@ -7,173 +7,207 @@
 	"robinstack/internal/budget"
 )
 
-// WriteBudget paces a controller's changes by its part of what the state service takes, and
-// knows how many it would make.
+// WriteBudget paces a controller's changes by its share of what the state service takes, and
+// knows how many it would make. It may be used from many goroutines.
 type WriteBudget struct {
-	mu      sync.Mutex
-	part    *budget.Share
-	bucket  *budget.TokenBucket
-	asked   [askedSpans]float64 // changes asked for in each of the latest spans
-	span    int64               // which span the latest is
-	waiting [len(classShares)]want
-	certain func() bool // nil: there is no session
-	began   time.Time
-
-	refusedUntil time.Time // the service refused changes as too many lately
-}
-
-// want is what a kind of change that can wait has no room for.
-type want struct {
+	mu            sync.Mutex
+	share         *budget.Share
+	bucket        *budget.TokenBucket
+	demand        demandWindow
+	waiting       [len(classShares)]deferredDemand
+	holdsLease    func() bool // nil: there is no session
+	sessionStart  time.Time
+	rejectedUntil time.Time // the service rejected changes as too many lately
+}
+
+// deferredDemand is what a class of changes that can wait has no capacity for.
+type deferredDemand struct {
 	changes int
 	at      time.Time
 }
 
-// What is needed is what was asked for within the last second, and what waits.
-const (
-	askedSpans = 4
-	askedSpan  = 250 * time.Millisecond
-	wantTime   = 500 * time.Millisecond // a want that is not told again is over
-)
+// deferredDemandExpiry is how long deferred demand counts that is not noted again.
+const deferredDemandExpiry = 500 * time.Millisecond
+
+// minBurst is how many changes a controller may make at once at least: a session begins with up
+// to four.
+const minBurst = 4
 
-// leastBurst is how many changes a controller may make at once at least: a session begins
-// with up to four.
-const leastBurst = 4
+// minBatchOps is the least that a transaction may have, however little can be made soon: the
+// completion of a job and a change of the cluster version need as much.
+const minBatchOps = 6
 
-// leastSoon is the least that a transaction may have, however little can be made soon: an end
-// of a job and a change of the level need as much.
-const leastSoon = 6
+// burstSeconds is how many seconds' worth of its share a controller may make at once: together
+// they are within the one second's worth of the whole limit that the service takes at once, of
+// which the shares are nine tenths.
+const burstSeconds = 1.1
 
-// burstShare is how many seconds' worth of its part a controller may make at once: together
-// they are within the one second's worth of the whole limit that the service takes at once,
-// of which the parts are nine tenths.
-const burstShare = 1.1
+// maxQueueTimeLarge is how long a transaction may wait that has more changes than the bucket
+// holds.
+const maxQueueTimeLarge = 6 * time.Second
+
+// After the service has rejected changes as too many, only a share of the rate is used for a
+// while: others may use more than they should, a former version for one.
+const (
+	rejectedRateShare = 0.5
+	rejectedDuration  = 2 * time.Second
+)
 
 func newWriteBudget(changes float64, controllers int) *WriteBudget {
-	part := budget.NewShare(changes, controllers)
+	share := budget.NewShare(changes, controllers)
 	now := time.Now()
-	rate, _, _ := part.Rate(now)
-	return &WriteBudget{part: part, bucket: budget.NewTokenBucket(rate, max(leastBurst, burstShare*part.Guaranteed()), now)}
+	rate, _, _ := share.Rate(now)
+	return &WriteBudget{
+		share:  share,
+		bucket: budget.NewTokenBucket(rate, bucketSize(share), now),
+	}
+}
+
+// bucketSize is how many changes may accumulate.
+func bucketSize(share *budget.Share) float64 {
+	return max(minBurst, burstSeconds*share.Guaranteed())
 }
 
-// SetSession has the budget count a session as begun while it is certainly held. Without one,
-// or in one that has just begun, it uses only a part of its part.
-func (w *WriteBudget) SetSession(began time.Time, certain func() bool) {
+// SetSession has the budget count a session as begun while it certainly holds its lease; nil
+// says that there is none. Without one, or in one that has just begun, it uses only a part of
+// its share.
+func (w *WriteBudget) SetSession(start time.Time, holdsLease func() bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.began, w.certain = began, certain
+	w.sessionStart, w.holdsLease = start, holdsLease
 }
 
-// refresh has the bucket fill at the rate of now. The mutex is held.
+// refresh has the bucket fill at the rate of now, and returns that. The caller holds the mutex.
 func (w *WriteBudget) refresh(now time.Time) float64 {
-	if w.certain != nil && w.certain() {
-		w.part.SetSessionStart(w.began)
-	} else {
-		w.part.SetSessionStart(time.Time{})
+	start := time.Time{}
+	if w.holdsLease != nil && w.holdsLease() {
+		start = w.sessionStart
 	}
-	rate, until, base := w.part.Rate(now)
-	if now.Before(w.refusedUntil) {
-		rate, base = rate*refusedShare, base*refusedShare
+	w.share.SetSessionStart(start)
+	rate, until, base := w.share.Rate(now)
+	if now.Before(w.rejectedUntil) {
+		rate, base = rate*rejectedRateShare, base*rejectedRateShare
 	}
 	w.bucket.SetRate(rate, until, base, now)
 	return rate
 }
 
-// After the service has refused changes as too many, only this share is used for a while:
-// others may use more than they should, a former version for one.
-const (
-	refusedShare     = 0.5
-	rejectedDuration = 2 * time.Second
-)
-
-// refused notes that the service refused changes as too many.
+// noteRejection notes that the service rejected changes as too many.
 func (w *WriteBudget) noteRejection(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.refusedUntil = now.Add(rejectedDuration)
+	w.rejectedUntil = now.Add(rejectedDuration)
 }
 
+// rate is how many changes a second may be made now.
 func (w *WriteBudget) rate(now time.Time) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.refresh(now)
 }
 
-// soon is how many changes at once need wait for about half a second at most.
+// opsSoon is how many changes at once need wait for about half a second at most.
 func (w *WriteBudget) opsSoon(now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return int(max(leastSoon, w.part.Guaranteed(), w.refresh(now)/2))
+	return int(max(minBatchOps, w.share.Guaranteed(), w.refresh(now)/2))
 }
 
-func (w *WriteBudget) reserve(n int, longest time.Duration, now time.Time) (time.Duration, bool) {
+// reserve reserves n changes and returns how long to wait before they are made. It reserves
+// nothing and is not ok if that would be longer than longest.
+func (w *WriteBudget) reserve(n int, longest time.Duration, now time.Time) (delay time.Duration, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.refresh(now)
-	w.note(now, float64(n))
+	w.demand.add(float64(n), now)
 	return w.bucket.Reserve(n, longest, now)
 }
 
-// longest is how long n changes may wait. Those that are more than accumulate have to wait for
-// longer than others, or they would never be made.
-func (w *WriteBudget) maxWait(n int) time.Duration {
-	if float64(n) > max(leastBurst, burstShare*w.part.Guaranteed()) {
-		return maxQueueTimeLarge
-	}
-	return maxQueueTime
-}
-
-// longestLarge is how long a large transaction may wait.
-const maxQueueTimeLarge = 6 * time.Second
-
+// refund gives back n changes that were reserved and not made.
 func (w *WriteBudget) refund(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.bucket.Refund(n)
 }
 
-// note counts changes that are asked for. The mutex is held.
-func (w *WriteBudget) note(now time.Time, n float64) {
-	for span := now.UnixNano() / int64(askedSpan); w.span < span; w.span++ {
-		if span-w.span > askedSpans {
-			w.span = span - askedSpans
-		}
-		w.asked[(w.span+1)%askedSpans] = 0
+// maxWait is how long n changes may wait. Those that are more than accumulate have to wait for
+// longer than others, or they would never be made.
+func (w *WriteBudget) maxWait(n int) time.Duration {
+	if float64(n) > bucketSize(w.share) {
+		return maxQueueTimeLarge
 	}
-	w.asked[w.span%askedSpans] += n
+	return maxQueueTime
 }
 
-// wanted notes that n changes of a kind wait for room.
-func (w *WriteBudget) noteDemand(kind RequestClass, n int, now time.Time) {
+// noteDemand notes that n changes of a class wait for capacity.
+func (w *WriteBudget) noteDemand(class RequestClass, n int, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.waiting[kind] = want{n, now}
+	w.waiting[class] = deferredDemand{changes: n, at: now}
 }
 
-// need is how many changes a second would be made. The mutex is held.
-func (w *WriteBudget) need(now time.Time) (sum float64) {
-	w.note(now, 0)
-	for _, n := range w.asked {
-		sum += n
-	}
-	for _, v := range w.waiting {
-		if now.Sub(v.at) < wantTime {
-			sum += float64(v.changes)
+// changesWanted is how many changes a second would be made: what was asked for within the last
+// second, and what waits. The caller holds the mutex.
+func (w *WriteBudget) changesWanted(now time.Time) float64 {
+	wanted := w.demand.total(now)
+	for _, deferred := range w.waiting {
+		if now.Sub(deferred.at) < deferredDemandExpiry {
+			wanted += float64(deferred.changes)
 		}
 	}
-	return sum + w.bucket.Backlog(now)
+	return wanted + w.bucket.Backlog(now)
 }
 
-// Report is what the allocator is told now.
+// Report is the report to the allocator that is sent now.
 func (w *WriteBudget) Report(host string, now time.Time) budget.DemandReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.refresh(now)
-	return w.part.Report(host, w.need(now), now)
+	return w.share.Report(host, w.changesWanted(now), now)
 }
 
 // ApplyGrant takes the allocator's answer to a report that was sent at some time.
-func (w *WriteBudget) ApplyGrant(g budget.Grant, sent time.Time) {
+func (w *WriteBudget) ApplyGrant(grant budget.Grant, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.part.ApplyGrant(g, sent)
+	w.share.ApplyGrant(grant, sent)
+}
+
+// The spans of a demandWindow: together the last second.
+const (
+	demandSpans    = 4
+	demandSpanTime = 250 * time.Millisecond
+)
+
+// demandWindow counts the changes that were asked for within the last second. Its owner guards
+// it.
+type demandWindow struct {
+	changes [demandSpans]float64 // by span
+	latest  int64                // the number of the latest span
+}
+
+// add counts n changes that are asked for.
+func (d *demandWindow) add(n float64, now time.Time) {
+	d.advance(now)
+	d.changes[d.latest%demandSpans] += n
+}
+
+// total is how many were asked for.
+func (d *demandWindow) total(now time.Time) (sum float64) {
+	d.advance(now)
+	for _, n := range d.changes {
+		sum += n
+	}
+	return sum
+}
+
+// advance clears the spans that have begun since the latest.
+func (d *demandWindow) advance(now time.Time) {
+	current := now.UnixNano() / int64(demandSpanTime)
+	for ; d.latest < current; d.latest++ {
+		if current-d.latest > demandSpans {
+			d.latest = current - demandSpans
+		}
+		d.changes[(d.latest+1)%demandSpans] = 0
+	}
 }
