--- /dev/null
+++ b/internal/statekv/role_test.go
@@ -0,0 +1,126 @@
+package statekv_test
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"robinstack/emulator"
+	"robinstack/internal/statekv"
+)
+
+// A role is not acquired from a holder that the state service knows to be alive, whatever the
+// mirror of who tries shows; and who lost one ends its session.
+func TestRoleOfALiveHolderIsNotAcquired(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer func() { cancel(); synctest.Wait() }()
+		state := emulator.NewStateService()
+		empty := newMirror(state)
+		holder := openSession(t, state, empty, "host-1", time.Hour)
+		successor := openSession(t, state, empty, "host-0", time.Hour)
+		rev, err := holder.Acquire(ctx, statekv.Role{Key: statekv.LeaderKey, Value: holder.Holder})
+		if err != nil {
+			t.Fatal(err)
+		}
+		role := statekv.Role{
+			Key: statekv.LeaderKey, ExpectedRev: rev, PreviousHolder: holder.Holder, Value: successor.Holder,
+		}
+		if _, err := successor.Acquire(ctx, role); !statekv.IsConflict(err) {
+			t.Fatalf("acquiring the role of a live holder: %v", err)
+		}
+		ended := make(chan error, 1)
+		go func() { ended <- holder.KeepAlive(ctx) }()
+		holder.Abort(context.Canceled)
+		synctest.Wait()
+		select {
+		case <-ended:
+		default:
+			t.Fatal("a session whose role was acquired by another goes on")
+		}
+	})
+}
+
+// After all controllers have crashed several of them try to acquire the same roles. One that is
+// lost to another, or whose holder lives after all, must not keep the rest of its transaction
+// from being acquired, nor cost a request of its own.
+func TestRolesAreAcquiredTogether(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); synctest.Wait() }()
+		state := emulator.NewStateService()
+		mirror := newMirror(state, statekv.ClusterPrefix)
+		other := openSession(t, state, mirror, "host-1", time.Hour)
+		successor := openSession(t, state, mirror, "host-0", time.Hour)
+		var roles []statekv.Role
+		for i := range 60 {
+			roles = append(roles, statekv.Role{
+				Key:            fmt.Sprintf("%s%d", statekv.MachineShardPrefix, i),
+				PreviousHolder: statekv.Holder{Host: "host-9", Incarnation: 1},
+				Value:          successor.Holder,
+			})
+		}
+		roles[7].PreviousHolder = other.Holder // lives, which the mirror does not show
+		if _, err := other.Acquire(ctx, statekv.Role{Key: roles[30].Key, Value: other.Holder}); err != nil {
+			t.Fatal(err)
+		}
+		before := state.Changes()
+		acquired, err := successor.AcquireAll(ctx, roles, 24)
+		if err != nil {
+			t.Fatal(err)
+		}
+		changes := state.Changes() - before
+		if len(acquired) != 58 || acquired[roles[7].Key] != 0 || acquired[roles[30].Key] != 0 || changes != 58 {
+			t.Fatalf("acquired %d of 60 with %d changes", len(acquired), changes)
+		}
+	})
+}
+
+// Roles are acquired with the unknown fields of their keys.
+func TestAcquiredRolesPreserveUnknownFields(t *testing.T) {
+	state, ctx := emulator.NewStateService(), context.Background()
+	for k := range 3 {
+		key := fmt.Sprintf("%ss%d", statekv.JobShardPrefix, k)
+		value := map[string]any{"host": "host-9", "instance": 1, "colour": "blue"}
+		commit(t, state, statekv.Op{Set: key, Value: value})
+	}
+	mirror := newMirror(state, statekv.ClusterPrefix)
+	load(t, mirror)
+	session := openSession(t, state, mirror, "host-0", time.Hour)
+	var roles []statekv.Role
+	for _, kv := range mirror.Dir(statekv.JobShardPrefix) {
+		roles = append(roles, statekv.Role{Key: kv.Key, ExpectedRev: kv.Rev, Value: session.Holder})
+	}
+	if _, err := session.Acquire(ctx, roles[0]); err != nil {
+		t.Fatal(err)
+	}
+	if acquired, err := session.AcquireAll(ctx, roles[1:], 24); err != nil || len(acquired) != 2 {
+		t.Fatal(acquired, err)
+	}
+	for _, kv := range state.ListAll(statekv.JobShardPrefix) {
+		var v struct {
+			statekv.Holder
+			Colour string `json:"colour"`
+		}
+		if json.Unmarshal(kv.Value, &v) != nil || v.Colour != "blue" || v.Holder != session.Holder {
+			t.Errorf("%s: %s", kv.Key, kv.Value)
+		}
+	}
+}
+
+// A role's key of a schema version that this build does not know is told from a damaged one.
+func TestRoleOfALaterSchemaIsNotDamaged(t *testing.T) {
+	var later *statekv.SchemaError
+	_, err := statekv.HolderOf(statekv.KV{Value: json.RawMessage(`{"form":1,"host":"x"}`)})
+	if !errors.As(err, &later) || later.Schema != 1 || later.MaxSchema != statekv.RoleSchema {
+		t.Error(err)
+	}
+	_, err = statekv.HolderOf(statekv.KV{Value: json.RawMessage(`"x"`)})
+	if err == nil || errors.As(err, &later) {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/statekv/unknownfields_test.go
@@ -0,0 +1,61 @@
+package statekv_test
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"robinstack/internal/statekv"
+)
+
+type embedded struct {
+	Host string `json:"host"`
+}
+
+// knownFields are those of a build, some of them in an embedded struct.
+type knownFields struct {
+	embedded
+	Index int    `json:"index"`
+	Note  string `json:"note,omitempty"`
+}
+
+// Whatever a later version wrote beside what this one knows is there after a rewrite, and what
+// this one knows is as it wrote it, also where that is nothing.
+func TestRewritesPreserveUnknownFields(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		later := rapid.MapOf(rapid.StringMatching(`[a-z]{1,6}`), rapid.Int()).Draw(t, "later")
+		stored := map[string]any{"host": "a", "index": 3, "note": "gone"}
+		for name, v := range later {
+			if name != "host" && name != "index" && name != "note" {
+				stored[name] = v
+			}
+		}
+		raw, _ := json.Marshal(stored)
+		out, err := json.Marshal(statekv.PreserveUnknown(raw, knownFields{embedded: embedded{"b"}, Index: 4}))
+		if err != nil {
+			t.Fatal(err)
+		}
+		stored["host"], stored["index"] = "b", 4
+		delete(stored, "note")
+		want, _ := json.Marshal(stored)
+		var a, b map[string]any
+		if json.Unmarshal(out, &a) != nil || json.Unmarshal(want, &b) != nil || !reflect.DeepEqual(a, b) {
+			t.Fatalf("%s became %s", raw, out)
+		}
+	})
+	for _, none := range []string{`[1]`, `"x"`, `null`, ``} {
+		if unknown := statekv.UnknownFieldsOf(json.RawMessage(none), knownFields{}); unknown != nil {
+			t.Errorf("%q has %v", none, unknown)
+		}
+	}
+}
+
+// Unknown fields can only be written beside those of an object.
+func TestUnknownFieldsNeedAnObject(t *testing.T) {
+	unknown := statekv.UnknownFields{"colour": json.RawMessage(`"blue"`)}
+	if out, err := json.Marshal(statekv.WithUnknown{Value: []int{1}, Unknown: unknown}); err == nil {
+		t.Errorf("a list became %s", out)
+	}
+}
