--- a/internal/statekv/writebudget_test.go
+++ b/internal/statekv/writebudget_test.go
@@ -15,9 +15,9 @@
 
 // takeFor makes changes one after the other for some time, as soon as each may be made, and
 // counts them.
-func takeFor(budget *WriteBudget, d time.Duration) (changes int) {
+func takeFor(w *WriteBudget, d time.Duration) (changes int) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if _, ok := budget.reserve(1, 0, time.Now()); ok {
+		if _, ok := w.reserve(1, 0, time.Now()); ok {
 			changes++
 		}
 	}
