--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,4 +1,7 @@
 // Package httpjson makes JSON requests over HTTP with a deadline on each.
+//
+// It owns a pool of connections (Client), which guards itself. It imports no other package of
+// this program, and knows nothing of the services that it asks.
 package httpjson
 
 import (
@@ -11,8 +14,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Client sends JSON requests over pooled connections. It never repeats a
-// request by itself: only the caller knows what an unanswered one means.
+const (
+	// maxDialTimeout bounds the dialling of a host, within the time of its request.
+	maxDialTimeout = time.Second
+	// maxResponseBytes bounds the body of an answer that is read into memory.
+	maxResponseBytes = 64 << 20
+)
+
+// Client sends JSON requests over pooled connections. It never repeats a request by itself: only
+// the caller knows what an unanswered one means.
 type Client struct {
 	http    *fasthttp.Client
 	timeout time.Duration
@@ -21,6 +31,7 @@
 // New returns a client whose requests take at most timeout each, over at most perHost
 // connections to each host, which are closed once idle for so long.
 func New(timeout time.Duration, perHost int, idle time.Duration) *Client {
+	dialer := net.Dialer{Timeout: min(timeout, maxDialTimeout)}
 	return &Client{timeout: timeout, http: &fasthttp.Client{
 		MaxConnsPerHost:               perHost,
 		MaxIdleConnDuration:           idle,
@@ -29,9 +40,10 @@
 		NoDefaultUserAgentHeader:      true,
 		DisablePathNormalizing:        true,
 		DisableHeaderNamesNormalizing: false,
-		MaxResponseBodySize:           64 << 20,
+		MaxResponseBodySize:           maxResponseBytes,
 		Dial: func(address string) (net.Conn, error) {
-			return net.DialTimeout("tcp4", address, min(timeout, time.Second))
+			// The connection goes to the pool, so the dialling is no single request's.
+			return dialer.DialContext(context.Background(), "tcp4", address)
 		},
 	}}
 }
@@ -50,9 +62,9 @@
 	return nil
 }
 
-// Do sends one request. An error means that no answer came, so the request
-// may or may not have been carried out, now or later. Extra prolongs the time
-// allowed, for requests that wait at the server.
+// Do sends one request, with in as its JSON body unless that is nil. An error means that no
+// answer came, so the request may or may not have been carried out, now or later. extra prolongs
+// the time allowed, for requests that wait at the server.
 func (c *Client) Do(ctx context.Context, method, url string, in any, extra time.Duration) (Response, error) {
 	deadline := time.Now().Add(c.timeout + extra)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
