--- a/internal/netcount/netcount.go
+++ b/internal/netcount/netcount.go
@@ -1,4 +1,5 @@
-// Package netcount counts the bytes that pass through network connections.
+// Package netcount counts the bytes that pass through network connections. It owns counters
+// alone, which are atomic, and imports the standard library only.
 package netcount
 
 import (
