--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -22,7 +22,7 @@
 	calls map[string]uint64
 }
 
-func (t *traffic) called(method string) {
+func (t *traffic) countCall(method string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.calls == nil {
