--- a/internal/httpjson/httpjson_test.go
+++ b/internal/httpjson/httpjson_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// serve answers every connection with raw bytes and closes it; hits counts them.
-func serve(t *testing.T, answer string) (address string, hits *atomic.Int64) {
+// serve answers every connection with raw bytes and closes it; requests counts them.
+func serve(t *testing.T, answer string) (address string, requests *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	hits = &atomic.Int64{}
+	requests = &atomic.Int64{}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -27,17 +27,17 @@
 			}
 			buf := make([]byte, 4096)
 			if n, _ := conn.Read(buf); n > 0 {
-				hits.Add(1)
+				requests.Add(1)
 			}
 			conn.Write([]byte(answer))
 			conn.Close()
 		}
 	}()
-	return ln.Addr().String(), hits
+	return ln.Addr().String(), requests
 }
 
-// What is no whole answer is an error, and is never asked again by itself: a
-// transaction or a start that was repeated could be carried out twice.
+// What is no whole answer is an error, and is never asked again by itself: a transaction or a
+// start that was repeated could be carried out twice.
 func TestBrokenAnswersAreErrorsAndNotRepeated(t *testing.T) {
 	for name, answer := range map[string]string{
 		"closed without an answer": "",
@@ -46,10 +46,11 @@
 		"no HTTP":                  "220 mail.example.org ready\r\n",
 		"larger than is taken":     "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n{",
 	} {
-		address, hits := serve(t, answer)
-		_, err := New(5*time.Second, 2, time.Minute).Do(t.Context(), http.MethodPost, "http://"+address+"/txn", map[string]int{"a": 1}, 0)
-		if err == nil || hits.Load() != 1 {
-			t.Errorf("%s: error %v after %d requests", name, err, hits.Load())
+		address, requests := serve(t, answer)
+		client := New(5*time.Second, 2, time.Minute)
+		_, err := client.Do(t.Context(), http.MethodPost, "http://"+address+"/txn", map[string]int{"a": 1}, 0)
+		if err == nil || requests.Load() != 1 {
+			t.Errorf("%s: error %v after %d requests", name, err, requests.Load())
 		}
 	}
 }
@@ -67,11 +68,12 @@
 }
 
 // A caller that has given up already sends nothing.
-func TestNothingIsSentAfterTheEnd(t *testing.T) {
-	address, hits := serve(t, "")
+func TestCancelledRequestIsNotSent(t *testing.T) {
+	address, requests := serve(t, "")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := New(time.Second, 2, time.Minute).Do(ctx, http.MethodGet, "http://"+address, nil, 0); err == nil || hits.Load() != 0 {
-		t.Fatalf("error %v after %d requests", err, hits.Load())
+	_, err := New(time.Second, 2, time.Minute).Do(ctx, http.MethodGet, "http://"+address, nil, 0)
+	if err == nil || requests.Load() != 0 {
+		t.Fatalf("error %v after %d requests", err, requests.Load())
 	}
 }
--- a/internal/recovery/timeline_test.go
+++ b/internal/recovery/timeline_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Of most steps the first time counts, of settling the last: slots are taken over
+// Of most steps the first time counts, of the reconciliation the last: job shards are taken over
 // one after the other.
-func TestStepsOfALife(t *testing.T) {
+func TestTimelineKeepsFirstTimesAndTheLastReconciliation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewTimeline(time.Now())
+		timeline := NewTimeline(time.Now())
 		time.Sleep(time.Second)
-		c.Record(StepReady)
-		c.Record(StepReconciled)
+		timeline.Record(StepReady)
+		timeline.Record(StepReconciled)
 		time.Sleep(2 * time.Second)
-		c.Record(StepReady)
-		c.Record(StepReconciled)
-		if got := c.Seconds(); got[StepReady] != 1 || got[StepReconciled] != 3 || len(got) != 2 {
+		timeline.Record(StepReady)
+		timeline.Record(StepReconciled)
+		if got := timeline.Seconds(); got[StepReady] != 1 || got[StepReconciled] != 3 || len(got) != 2 {
 			t.Fatal(got)
 		}
 		var none *Timeline
 		none.Record(StepRegistered)
 		if len(none.Seconds()) != 0 {
-			t.Fatal("a clock that is not there took notes")
+			t.Fatal("a timeline that is not there recorded a step")
 		}
 	})
 }
