--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -47,7 +47,7 @@
 	workers   worker.Commander
 	catalogue *cloud.Catalogue
 	gateway   *gateway.Gateway
-	pauses    pauses
+	pauses    pauseDetector
 	connect   func(server *rpc.Server, greeter *peer.Service) Network
 }
 
@@ -139,7 +139,7 @@
 	told := ""
 	for ctx.Err() == nil {
 		err := c.live(ctx, recovery.NewTimeline(time.Now()))
-		c.gateway.SetSession(nil)
+		c.gateway.SetComponents(nil)
 		pause := 300 * time.Millisecond
 		if err != nil && ctx.Err() == nil {
 			if told != err.Error() || !rollout.IsJoinRejected(err) {
@@ -258,13 +258,13 @@
 	duties.Go(func() { mover.Run(ctx) })
 	duties.Go(func() { sweeper.Run(ctx) })
 	duties.Go(func() { pipes.Run(ctx, c.gateway.ReadTombstone) })
-	life := &gateway.Session{Member: member, Mirror: mirror, Agent: ag, Scheduler: pl, Leader: st, Feed: feed, VersionGate: gate, ClusterVersion: rollout.NewVersionReader(mirror), Dependencies: pipes, Peers: network, Clock: clock}
+	life := &gateway.Components{Session: member, Mirror: mirror, Agent: ag, Scheduler: pl, Leader: st, Feed: feed, VersionGate: gate, ClusterVersion: rollout.NewVersionReader(mirror), DependencyTracker: pipes, Peers: network, RecoveryTimeline: clock}
 	if counts, ok := network.(interface{ Traffic() peer.Traffic }); ok {
 		life.PeerTraffic = counts.Traffic
 	}
-	c.gateway.SetSession(life)
+	c.gateway.SetComponents(life)
 	err = <-lost
-	c.gateway.SetSession(nil)
+	c.gateway.SetComponents(nil)
 	cancel()
 	duties.Wait()
 	return err
@@ -291,8 +291,8 @@
 	return config.Seconds(spec.EstimateS) + spec.FetchTime(c.catalogue.Types()) + stageOverhead
 }
 
-// paced is a store whose changes follow a budget that all controllers share.
-type paced interface{ WriteBudget() *statekv.WriteBudget }
+// budgetedStore is a store whose changes follow a budget that all controllers share.
+type budgetedStore interface{ WriteBudget() *statekv.WriteBudget }
 
 // How often a controller tells the steward how many changes it would make: often while it
 // needs more than its part, so that it is lent more soon, and else so that its promise to use
@@ -305,7 +305,7 @@
 // runBudget tells the steward what this session needs of the changes that the state service
 // takes, and takes what is lent.
 func (c *Controller) runBudget(ctx context.Context, member *statekv.Session, network peer.Caller, stewardHost func() string) {
-	store, ok := c.store.(paced)
+	store, ok := c.store.(budgetedStore)
 	if !ok {
 		return
 	}
--- a/internal/gateway/connections_test.go
+++ b/internal/gateway/connections_test.go
@@ -20,7 +20,7 @@
 // half of the sockets that a controller may have, and that was what it served: the
 // load balancer's questions were cut off, and for two minutes no user found a
 // controller, though all were well.
-func TestWorkersLeaveConnectionsForOthers(t *testing.T) {
+func TestWorkerConnectionsLeaveRoomForProbes(t *testing.T) {
 	g := New(&config.Settings{Host: "host-0", MaxConnections: 200}, emulator.NewStateService(), &cloud.Catalogue{}, func() (int, time.Duration) { return 0, 0 })
 	ln := fasthttputil.NewInmemoryListener()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/gateway/pipelines.go
+++ b/internal/gateway/dependencies.go
@@ -9,14 +9,14 @@
 	"robinstack/internal/tombstone"
 )
 
-// unfit says why a submission may not name the jobs that it waits for, or "". An error
+// dependencyRejection says why a submission may not name the jobs that it waits for, or "". An error
 // says that this cannot be told now.
 //
 // Between this look and the write of the new record any of those jobs may end, be
 // cancelled, or have its record written in another form: what the new job is follows
 // from their records whenever they are looked at, so nothing has to stay as it was.
 // Only that a job was accepted matters, and that never changes.
-func (g *Gateway) unfit(ctx context.Context, l *Session, spec *job.Spec) (string, error) {
+func (g *Gateway) dependencyRejection(ctx context.Context, l *Components, spec *job.Spec) (string, error) {
 	var unknown []string
 	for _, id := range spec.WaitsOn {
 		if _, ok := g.CachedTombstone(id); ok {
@@ -27,16 +27,16 @@
 			unknown = append(unknown, id)
 			continue
 		}
-		if shape(kv) == job.Service {
+		if storedShape(kv) == job.Service {
 			return "waits_on: " + id + " is a service", nil
 		}
 	}
-	return g.neverAccepted(ctx, l, unknown)
+	return g.firstNeverAccepted(ctx, l, unknown)
 }
 
-// shape reads the shape of a stored job; "" where it is in pieces, which no service is
+// storedShape reads the shape of a stored job; "" where it is in pieces, which no service is
 // that names no others, or cannot be read.
-func shape(kv statekv.KV) string {
+func storedShape(kv statekv.KV) string {
 	var r struct {
 		Spec struct {
 			Shape string `json:"shape"`
@@ -48,19 +48,19 @@
 	return r.Spec.Shape
 }
 
-// condsEach is how many conditions it takes to see that a job was never accepted.
-const condsEach = 3
+// comparesPerDependency is how many conditions it takes to see that a job was never accepted.
+const comparesPerDependency = 3
 
-// neverAccepted names a job that was never accepted, or "" if all were. Another
+// firstNeverAccepted names a job that was never accepted, or "" if all were. Another
 // controller may have accepted one a moment ago, one may have ended long ago, and its
 // record may be changing its form: only a transaction that finds it absent in all
 // places at one moment, while this life goes on, tells that it was never accepted.
-func (g *Gateway) neverAccepted(ctx context.Context, l *Session, ids []string) (string, error) {
-	most := (4*g.settings.StateLimits.MaxTxnOps - 1) / condsEach
+func (g *Gateway) firstNeverAccepted(ctx context.Context, l *Components, ids []string) (string, error) {
+	most := (4*g.settings.StateLimits.MaxTxnOps - 1) / comparesPerDependency
 	for len(ids) > 0 {
 		group := ids[:min(most, len(ids))]
 		ids = ids[len(group):]
-		_, never, err := tombstone.PartitionByPresence(ctx, g.store, l.Member.Fence(), group, func(id string) []statekv.Compare {
+		_, never, err := tombstone.PartitionByPresence(ctx, g.store, l.Session.Fence(), group, func(id string) []statekv.Compare {
 			return append(tombstone.AbsentCompares(id), statekv.Compare{Key: job.RecordKey(id)})
 		})
 		if err != nil {
--- a/internal/gateway/latency.go
+++ b/internal/gateway/latencies.go
@@ -8,10 +8,10 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// latencies keeps how long answers took, by kind of request.
-type latencies struct {
-	mu    sync.Mutex
-	kinds map[string]*hdrhistogram.Histogram
+// latencyRecorder keeps how long answers took, by kind of request.
+type latencyRecorder struct {
+	mu         sync.Mutex
+	histograms map[string]*hdrhistogram.Histogram
 }
 
 // Latency is what the status page shows of a distribution.
@@ -24,41 +24,41 @@
 	MaxMs   float64 `json:"max_ms"`
 }
 
-// longestAnswer is the upper end of the distributions, in microseconds.
-const longestAnswer = 10_000_000
+// maxLatencyMicros is the upper end of the distributions, in microseconds.
+const maxLatencyMicros = 10_000_000
 
 var requestKinds = []string{"submission", "query", "cancellation", "report"}
 
-func newLatencies() *latencies {
-	l := &latencies{kinds: map[string]*hdrhistogram.Histogram{}}
+func newLatencyRecorder() *latencyRecorder {
+	l := &latencyRecorder{histograms: map[string]*hdrhistogram.Histogram{}}
 	for _, k := range requestKinds {
-		l.kinds[k] = hdrhistogram.New(1, longestAnswer, 2)
+		l.histograms[k] = hdrhistogram.New(1, maxLatencyMicros, 2)
 	}
 	return l
 }
 
 // timed measures a handler.
-func (l *latencies) timed(kind string, handler fiber.Handler) fiber.Handler {
+func (l *latencyRecorder) timed(kind string, handler fiber.Handler) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		start := time.Now()
 		err := handler(c)
-		l.note(kind, time.Since(start))
+		l.record(kind, time.Since(start))
 		return err
 	}
 }
 
-func (l *latencies) note(kind string, d time.Duration) {
+func (l *latencyRecorder) record(kind string, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.kinds[kind].RecordValue(min(longestAnswer, max(1, d.Microseconds())))
+	_ = l.histograms[kind].RecordValue(min(maxLatencyMicros, max(1, d.Microseconds())))
 }
 
-func (l *latencies) show() []Latency {
+func (l *latencyRecorder) summaries() []Latency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Latency
 	for _, k := range requestKinds {
-		h := l.kinds[k]
+		h := l.histograms[k]
 		ms := func(us int64) float64 { return float64(us) / 1000 }
 		out = append(out, Latency{Request: k, Count: h.TotalCount(), P50Ms: ms(h.ValueAtQuantile(50)), P95Ms: ms(h.ValueAtQuantile(95)), P99Ms: ms(h.ValueAtQuantile(99)), MaxMs: ms(h.Max())})
 	}
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -10,21 +10,21 @@
 	"robinstack/internal/rollout"
 )
 
-// rollout tells how the roll-out stands.
-func (g *Gateway) rollout(c *fiber.Ctx) error {
-	l := g.life.Load()
+// rolloutStatus tells how the roll-out stands.
+func (g *Gateway) rolloutStatus(c *fiber.Ctx) error {
+	l := g.components.Load()
 	if l == nil {
-		return later(c, g.startingWhy())
+		return respondRetryLater(c, g.startupReason())
 	}
 	return c.JSON(l.VersionGate.Status())
 }
 
-// rolloutDo carries out the command of a person: 200 once it is done, 409 with what
+// executeRolloutCommand carries out the command of a person: 200 once it is done, 409 with what
 // stands in its way, 503 where nobody can tell.
-func (g *Gateway) rolloutDo(c *fiber.Ctx) error {
-	l := g.life.Load()
+func (g *Gateway) executeRolloutCommand(c *fiber.Ctx) error {
+	l := g.components.Load()
 	if l == nil {
-		return later(c, g.startingWhy())
+		return respondRetryLater(c, g.startupReason())
 	}
 	ctx, cancel := context.WithTimeout(c.Context(), 4*time.Second)
 	defer cancel()
@@ -32,18 +32,18 @@
 	var stuck *rollout.BlockedError
 	switch {
 	case errors.As(err, &stuck):
-		return fail(c, fiber.StatusConflict, stuck.Reason)
+		return respondError(c, fiber.StatusConflict, stuck.Reason)
 	case err != nil:
-		return later(c, err.Error())
+		return respondRetryLater(c, err.Error())
 	}
 	return c.JSON(l.VersionGate.Status())
 }
 
 // SetNotReadyReason says why this controller has no life, for those who ask meanwhile.
-func (g *Gateway) SetNotReadyReason(why string) { g.noLife.Store(&why) }
+func (g *Gateway) SetNotReadyReason(why string) { g.notReadyReason.Store(&why) }
 
-func (g *Gateway) startingWhy() string {
-	if why := g.noLife.Load(); why != nil && *why != "" {
+func (g *Gateway) startupReason() string {
+	if why := g.notReadyReason.Load(); why != nil && *why != "" {
 		return *why
 	}
 	return "starting"
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -58,7 +58,7 @@
 			t.Errorf("%s: %s", path, body)
 		}
 	}
-	g.SetSession(&Session{Member: member, Mirror: mirror, VersionGate: rollout.NewVersionGate([]string{"host-0"}, policy.Default(), mirror, member, state, func() uint64 { return 0 })})
+	g.SetComponents(&Components{Session: member, Mirror: mirror, VersionGate: rollout.NewVersionGate([]string{"host-0"}, policy.Default(), mirror, member, state, func() uint64 { return 0 })})
 	if body := ask("POST", "/rollout/lower", 409); !strings.Contains(body, "level 0") {
 		t.Error(body)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/server.go
@@ -32,37 +32,37 @@
 	"robinstack/internal/worker"
 )
 
-// Session is the parts of the controller that end with its state lease.
-type Session struct {
-	Member         *statekv.Session
-	Mirror         *statekv.Mirror
-	Agent          *clusteragent.Agent
-	Scheduler      *scheduler.Scheduler
-	Leader         *autoscaler.Leader
-	Feed           *changefeed.Feed
-	VersionGate    *rollout.VersionGate
-	ClusterVersion *rollout.VersionReader
-	Dependencies   *dag.Tracker
-	Peers          peer.Caller
-	Clock          *recovery.Timeline
-	PeerTraffic    func() peer.Traffic // with other controllers; nil: nobody counts it
+// Components is the parts of the controller that end with its state lease.
+type Components struct {
+	Session           *statekv.Session
+	Mirror            *statekv.Mirror
+	Agent             *clusteragent.Agent
+	Scheduler         *scheduler.Scheduler
+	Leader            *autoscaler.Leader
+	Feed              *changefeed.Feed
+	VersionGate       *rollout.VersionGate
+	ClusterVersion    *rollout.VersionReader
+	DependencyTracker *dag.Tracker
+	Peers             peer.Caller
+	RecoveryTimeline  *recovery.Timeline
+	PeerTraffic       func() peer.Traffic // with other controllers; nil: nobody counts it
 }
 
-// tellOwners lets owners of machines know of a cancellation, of a revision or 0, that a user
+// notifyMachineOwners lets owners of machines know of a cancellation, of a revision or 0, that a user
 // is about to be told: this controller's own agent at once, the others within a short
 // time or not at all. Their watches would show it a tenth of a second later, and by then
 // tasks that were fetching their images may have begun.
-func (l *Session) tellOwners(ctx context.Context, id string, rev uint64) {
+func (l *Components) notifyMachineOwners(ctx context.Context, id string, rev uint64) {
 	if l.Agent == nil {
 		return
 	}
 	l.Agent.NoteAcknowledgement(rev)
 	l.Agent.StopCancelledJob(id)
-	ctx, cancel := context.WithTimeout(ctx, ownersWait)
+	ctx, cancel := context.WithTimeout(ctx, ownerNotificationTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
-	for _, host := range l.Member.AliveHosts() {
-		if host != l.Member.Host {
+	for _, host := range l.Session.AliveHosts() {
+		if host != l.Session.Host {
 			calls.Go(func() {
 				if err := l.Peers.Call(ctx, host, "Agent.Cancelled", id, &struct{}{}); err != nil {
 					slog.Debug("cancellation delivery to machine owner failed", "host", host, "job", id, "err", err)
@@ -73,45 +73,45 @@
 	calls.Wait()
 }
 
-// ownersWait is how long a user who cancels may wait for owners to hear of it.
-const ownersWait = 100 * time.Millisecond
+// ownerNotificationTimeout is how long a user who cancels may wait for owners to hear of it.
+const ownerNotificationTimeout = 100 * time.Millisecond
 
 // Gateway answers HTTP requests.
 type Gateway struct {
-	settings  *config.Settings
-	store     statekv.Store
-	catalogue *cloud.Catalogue
-	life      atomic.Pointer[Session]
-	noLife    atomic.Pointer[string] // why there is none
-	app       *fiber.App
-	latencies *latencies
-	pauses    func() (count int, longest time.Duration)
-
-	turns      turns
-	finder     *tombstone.BatchedLookup
-	refused    atomic.Int64 // queries refused because too many came
-	mu         sync.Mutex
-	tombstones map[string]tombstone.Tombstone // answers that never change any more
+	settings       *config.Settings
+	store          statekv.Store
+	catalogue      *cloud.Catalogue
+	components     atomic.Pointer[Components]
+	notReadyReason atomic.Pointer[string] // why there is none
+	app            *fiber.App
+	latencies      *latencyRecorder
+	processPauses  func() (count int, longest time.Duration)
+
+	admission       admissionQueue
+	tombstoneLookup *tombstone.BatchedLookup
+	rejectedQueries atomic.Int64 // queries refused because too many came
+	mu              sync.Mutex
+	tombstones      map[string]tombstone.Tombstone // answers that never change any more
 }
 
 // maxTombstones bounds the cache of final answers.
 const maxTombstones = 20_000
 
-// mostAsking bounds the queries that are answered at the same time; those that
+// maxQueriesInFlight bounds the queries that are answered at the same time; those that
 // wait for the state service share one request, so many are cheap.
-const mostAsking = 400
+const maxQueriesInFlight = 400
 
-const maxBody = 64 << 10
+const maxBodyBytes = 64 << 10
 
 // New returns a gateway that has no life to serve yet.
 func New(settings *config.Settings, store statekv.Store, catalogue *cloud.Catalogue, pauses func() (int, time.Duration)) *Gateway {
-	g := &Gateway{settings: settings, store: store, catalogue: catalogue, latencies: newLatencies(), pauses: pauses, tombstones: map[string]tombstone.Tombstone{},
-		finder: tombstone.NewBatchedLookup(store, 4*settings.StateLimits.MaxTxnOps, statekv.LookupShare*settings.StateLimits.RequestsPerSecond/float64(max(1, settings.Controllers)))}
+	g := &Gateway{settings: settings, store: store, catalogue: catalogue, latencies: newLatencyRecorder(), processPauses: pauses, tombstones: map[string]tombstone.Tombstone{},
+		tombstoneLookup: tombstone.NewBatchedLookup(store, 4*settings.StateLimits.MaxTxnOps, statekv.LookupShare*settings.StateLimits.RequestsPerSecond/float64(max(1, settings.Controllers)))}
 	g.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		JSONEncoder:           json.Marshal,
 		JSONDecoder:           json.Unmarshal,
-		BodyLimit:             maxBody,
+		BodyLimit:             maxBodyBytes,
 		Immutable:             true,
 		IdleTimeout:           2 * time.Minute,
 		ReadTimeout:           2 * time.Minute,
@@ -124,17 +124,17 @@
 			if errors.As(err, &fe) {
 				code = fe.Code
 			}
-			return fail(c, code, err.Error())
+			return respondError(c, code, err.Error())
 		},
 	})
-	g.app.Post("/v1/report", g.latencies.timed("report", g.report))
+	g.app.Post("/v1/report", g.latencies.timed("report", g.heartbeat))
 	g.app.Get("/ready", g.ready)
 	g.app.Post("/submissions", g.latencies.timed("submission", g.submit))
 	g.app.Get("/submissions/:id", g.latencies.timed("query", g.query))
 	g.app.Post("/submissions/:id/abort", g.latencies.timed("cancellation", g.cancel))
 	g.app.Get("/status.json", g.status)
-	g.app.Get("/rollout.json", g.rollout)
-	g.app.Post("/rollout/:verb", g.rolloutDo)
+	g.app.Get("/rollout.json", g.rolloutStatus)
+	g.app.Post("/rollout/:verb", g.executeRolloutCommand)
 	return g
 }
 
@@ -148,41 +148,41 @@
 // HandleRequest answers one request without a network.
 func (g *Gateway) HandleRequest(r *http.Request) (*http.Response, error) { return g.app.Test(r, -1) }
 
-// SetSession says which life to serve; nil between lives.
-func (g *Gateway) SetSession(l *Session) { g.life.Store(l) }
+// SetComponents says which life to serve; nil between lives.
+func (g *Gateway) SetComponents(l *Components) { g.components.Store(l) }
 
-func fail(c *fiber.Ctx, code int, reason string) error {
+func respondError(c *fiber.Ctx, code int, reason string) error {
 	return c.Status(code).JSON(fiber.Map{"error": reason})
 }
 
-// later tells the client at once that this cannot be decided now, and when to
+// respondRetryLater tells the client at once that this cannot be decided now, and when to
 // come back.
-func later(c *fiber.Ctx, reason string) error {
+func respondRetryLater(c *fiber.Ctx, reason string) error {
 	c.Set(fiber.HeaderRetryAfter, "1")
-	return fail(c, fiber.StatusServiceUnavailable, reason)
+	return respondError(c, fiber.StatusServiceUnavailable, reason)
 }
 
-// elsewhere is later for what another controller may take sooner: the connection is closed, so
+// respondTryAnother is later for what another controller may take sooner: the connection is closed, so
 // that the load balancer chooses anew, and by the number of connections, where the user's next
 // try goes. Users that came while few controllers were ready stayed with those.
-func elsewhere(c *fiber.Ctx, reason string) error {
+func respondTryAnother(c *fiber.Ctx, reason string) error {
 	c.Context().SetConnectionClose()
-	return later(c, reason)
+	return respondRetryLater(c, reason)
 }
 
-func (g *Gateway) report(c *fiber.Ctx) error {
+func (g *Gateway) heartbeat(c *fiber.Ctx) error {
 	var r worker.Heartbeat
 	if err := json.Unmarshal(c.Body(), &r); err != nil || r.Machine == "" || r.Address == "" {
-		return fail(c, fiber.StatusBadRequest, "malformed report")
+		return respondError(c, fiber.StatusBadRequest, "malformed report")
 	}
-	l := g.life.Load()
+	l := g.components.Load()
 	if l == nil {
-		return later(c, "starting")
+		return respondRetryLater(c, "starting")
 	}
 	reply := l.Agent.Heartbeat(c.Context(), &r)
 	switch {
 	case reply.Malformed != "":
-		return fail(c, fiber.StatusBadRequest, reply.Malformed)
+		return respondError(c, fiber.StatusBadRequest, reply.Malformed)
 	case reply.Owner:
 		if reply.Answer.Commands == nil {
 			reply.Answer.Commands = []worker.Command{}
@@ -191,38 +191,38 @@
 	case reply.RedirectTo != "":
 		return c.Status(fiber.StatusMisdirectedRequest).JSON(fiber.Map{"home": reply.RedirectTo})
 	}
-	return later(c, "not the owner of this machine")
+	return respondRetryLater(c, "not the owner of this machine")
 }
 
-// cutOff reports whether this life does not reach the state service: what users ask it
+// isolatedFromStateService reports whether this life does not reach the state service: what users ask it
 // then is answered at once with when to come back, for it would wait for nothing. Alone,
 // a renewal or a watch may be late.
-func (l *Session) cutOff(now time.Time) bool {
-	return !l.Member.HoldsLease() && now.Sub(l.Mirror.FreshAsOf()) > staleView
+func (l *Components) isolatedFromStateService(now time.Time) bool {
+	return !l.Session.HoldsLease() && now.Sub(l.Mirror.FreshAsOf()) > maxMirrorAge
 }
 
-// staleView is how old the mirror is when watches have plainly stopped to come back:
+// maxMirrorAge is how old the mirror is when watches have plainly stopped to come back:
 // they wait for a second at most.
-const staleView = 2500 * time.Millisecond
+const maxMirrorAge = 2500 * time.Millisecond
 
 // ready says no while starting, and when this controller alone has lost the
 // state service, or all other controllers with it: then it is rather this one that is
 // cut off, with its workers or without. In an outage that others see too, being taken out
 // would only lose the requests that need no state service, and seconds afterwards.
 func (g *Gateway) ready(c *fiber.Ctx) error {
-	l := g.life.Load()
+	l := g.components.Load()
 	if l == nil || len(g.catalogue.Types()) == 0 {
-		return fail(c, fiber.StatusServiceUnavailable, g.startingWhy())
+		return respondError(c, fiber.StatusServiceUnavailable, g.startupReason())
 	}
 	if _, _, ok := l.Scheduler.OwnJobShard(); !ok {
-		return fail(c, fiber.StatusServiceUnavailable, "starting")
+		return respondError(c, fiber.StatusServiceUnavailable, "starting")
 	}
-	if !l.Member.HoldsLease() {
+	if !l.Session.HoldsLease() {
 		if heard, served := l.Feed.PeerCounts(g.settings.Host); served > 0 || heard == 0 && len(g.settings.Peers) > 0 {
-			return fail(c, fiber.StatusServiceUnavailable, "cut off from the state service")
+			return respondError(c, fiber.StatusServiceUnavailable, "cut off from the state service")
 		}
 	}
-	l.Clock.Record(recovery.StepReady)
+	l.RecoveryTimeline.Record(recovery.StepReady)
 	return c.JSON(fiber.Map{"status": "ready"})
 }
 
@@ -241,7 +241,7 @@
 	return f, ok
 }
 
-func (g *Gateway) keepTombstone(id string, f tombstone.Tombstone) {
+func (g *Gateway) cacheTombstone(id string, f tombstone.Tombstone) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for old := range g.tombstones {
@@ -253,7 +253,7 @@
 	g.tombstones[id] = f
 }
 
-func statusOf(id string, f tombstone.Tombstone) jobStatus {
+func finalStatus(id string, f tombstone.Tombstone) jobStatus {
 	s := jobStatus{ID: id, Status: f.Status}
 	if f.Status == job.Done {
 		s.Done = f.Tasks
@@ -270,33 +270,33 @@
 	case c.Err != nil:
 		slog.Error("stored value undecodable, kept unchanged", "key", e.Set, "err", c.Err)
 	default:
-		g.keepTombstone(c.ID, c.Tombstone)
+		g.cacheTombstone(c.ID, c.Tombstone)
 	}
 }
 
 // ReadTombstone reads the record of a job that is over. Only a controller whose life goes
 // on can tell that there is none: see ended.Read.
 func (g *Gateway) ReadTombstone(ctx context.Context, id string) (tombstone.Tombstone, error) {
-	l := g.life.Load()
+	l := g.components.Load()
 	if l == nil {
 		return tombstone.Tombstone{}, fmt.Errorf("%w: starting", statekv.ErrRejected)
 	}
-	return tombstone.Read(ctx, g.store, []statekv.Compare{l.Member.Fence()}, id)
+	return tombstone.Read(ctx, g.store, []statekv.Compare{l.Session.Fence()}, id)
 }
 
-// fence is the condition of this controller's life, if it has one.
-func (g *Gateway) fence() (statekv.Compare, bool) {
-	l := g.life.Load()
+// sessionFence is the condition of this controller's life, if it has one.
+func (g *Gateway) sessionFence() (statekv.Compare, bool) {
+	l := g.components.Load()
 	if l == nil {
 		return statekv.Compare{}, false
 	}
-	return l.Member.Fence(), true
+	return l.Session.Fence(), true
 }
 
 // openRecord returns the record of an open job as of now, so that no answer is
 // older than one that any controller has given.
 func (g *Gateway) openRecord(ctx context.Context, id string) (statekv.KV, error) {
-	l := g.life.Load()
+	l := g.components.Load()
 	if l == nil {
 		return g.store.Get(ctx, job.RecordKey(id))
 	}
@@ -313,50 +313,50 @@
 // lookup finds a job's status.
 func (g *Gateway) lookup(ctx context.Context, id string) (s jobStatus, err error) {
 	for range 3 {
-		if s, err = g.lookupOnce(ctx, id); !errors.Is(err, errMoved) {
+		if s, err = g.tryLookup(ctx, id); !errors.Is(err, errFinishedMeanwhile) {
 			break
 		}
 	}
 	return s, err
 }
 
-func (g *Gateway) lookupOnce(ctx context.Context, id string) (jobStatus, error) {
+func (g *Gateway) tryLookup(ctx context.Context, id string) (jobStatus, error) {
 	if f, ok := g.CachedTombstone(id); ok {
-		return statusOf(id, f), nil
+		return finalStatus(id, f), nil
 	}
 	kv, err := g.openRecord(ctx, id)
 	if errors.Is(err, statekv.ErrNotFound) {
 		if f, ok := g.CachedTombstone(id); ok {
-			return statusOf(id, f), nil
+			return finalStatus(id, f), nil
 		}
-		f, err := g.finder.Lookup(ctx, g.fence, id, g.keepTombstone)
+		f, err := g.tombstoneLookup.Lookup(ctx, g.sessionFence, id, g.cacheTombstone)
 		if err != nil {
 			return jobStatus{}, err
 		}
-		return statusOf(id, f), nil
+		return finalStatus(id, f), nil
 	}
 	if err != nil {
 		return jobStatus{}, err
 	}
-	if f, waits, err := g.waits(id, kv); err != nil {
+	if f, waits, err := g.dependencyState(id, kv); err != nil {
 		return jobStatus{}, err
 	} else if f.Status != "" {
-		g.keepTombstone(id, f)
-		return statusOf(id, f), nil
+		g.cacheTombstone(id, f)
+		return finalStatus(id, f), nil
 	} else if waits {
 		return jobStatus{ID: id, Status: job.Queued}, nil
 	}
 	s := jobStatus{ID: id, Status: job.Queued}
-	s.Done, s.Running = g.counts(ctx, id, kv)
+	s.Done, s.Running = g.taskCounts(ctx, id, kv)
 	if s.Running > 0 {
 		s.Status = job.Running
 	}
 	return s, nil
 }
 
-// counts asks the job's placer for the numbers on display.
-func (g *Gateway) counts(ctx context.Context, id string, open statekv.KV) (done, running int) {
-	l := g.life.Load()
+// taskCounts asks the job's placer for the numbers on display.
+func (g *Gateway) taskCounts(ctx context.Context, id string, open statekv.KV) (done, running int) {
+	l := g.components.Load()
 	if l == nil {
 		return 0, 0
 	}
@@ -370,7 +370,7 @@
 	}
 	kv, ok := l.Mirror.Get(statekv.JobShardPrefix + rec.JobShard)
 	h, err := statekv.HolderOf(kv)
-	if !ok || err != nil || h.Host == g.settings.Host || !l.Member.Alive(h) {
+	if !ok || err != nil || h.Host == g.settings.Host || !l.Session.Alive(h) {
 		return 0, 0
 	}
 	cctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
@@ -382,25 +382,25 @@
 	return reply.Done, reply.Running
 }
 
-// errMoved says that a job is over since its open record was looked at.
-var errMoved = fmt.Errorf("%w: the job is over since its record was read", statekv.ErrRejected)
+// errFinishedMeanwhile says that a job is over since its open record was looked at.
+var errFinishedMeanwhile = fmt.Errorf("%w: the job is over since its record was read", statekv.ErrRejected)
 
-// waits tells whether an open job waits for others, or which answer it has for good
+// dependencyState tells whether an open job waits for others, or which answer it has for good
 // because one before it was cancelled: nothing need be written for that to be so.
-func (g *Gateway) waits(id string, open statekv.KV) (f tombstone.Tombstone, waits bool, err error) {
+func (g *Gateway) dependencyState(id string, open statekv.KV) (f tombstone.Tombstone, waits bool, err error) {
 	if !job.MayHaveDependencies(open.Value) {
 		return f, false, nil
 	}
-	l := g.life.Load()
+	l := g.components.Load()
 	if l == nil {
 		return f, false, fmt.Errorf("%w: starting", statekv.ErrRejected)
 	}
-	v, ok := l.Dependencies.Evaluate(id)
+	v, ok := l.DependencyTracker.Evaluate(id)
 	if !ok {
 		if _, still := l.Mirror.Get(open.Key); !still {
 			// It is over since its record was looked at, and may have been told as
 			// withdrawn long before that: then queued would be an older answer.
-			return f, false, errMoved
+			return f, false, errFinishedMeanwhile
 		}
 		return f, false, nil // it cannot be read, or came a moment ago
 	}
@@ -421,32 +421,32 @@
 func (g *Gateway) submit(c *fiber.Ctx) error {
 	spec, err := job.ParseSpec(c.Body())
 	if err != nil {
-		return fail(c, fiber.StatusBadRequest, err.Error())
+		return respondError(c, fiber.StatusBadRequest, err.Error())
 	}
 	types := g.catalogue.Types()
-	l := g.life.Load()
+	l := g.components.Load()
 	if l == nil || len(types) == 0 {
-		return later(c, "starting")
+		return respondRetryLater(c, "starting")
 	}
 	ctx, cancel := context.WithTimeout(c.Context(), 3500*time.Millisecond)
 	defer cancel()
 	if f, ok := g.CachedTombstone(spec.ID); ok {
-		return c.JSON(statusOf(spec.ID, f))
+		return c.JSON(finalStatus(spec.ID, f))
 	}
-	if l.cutOff(time.Now()) {
-		return later(c, "cut off from the state service")
+	if l.isolatedFromStateService(time.Now()) {
+		return respondRetryLater(c, "cut off from the state service")
 	}
 	if _, open := l.Mirror.Get(job.RecordKey(spec.ID)); open {
 		// A transaction whose conditions fail counts against the limit of changes: none
 		// is needed to tell that a job is known.
-		return g.known(c, ctx, spec.ID)
+		return g.respondKnown(c, ctx, spec.ID)
 	}
 	if reason := spec.UnschedulableReason(types, g.settings.Teams); reason != "" {
-		return g.refuse(c, ctx, spec.ID, fiber.StatusUnprocessableEntity, reason)
+		return g.rejectUnlessKnown(c, ctx, spec.ID, fiber.StatusUnprocessableEntity, reason)
 	}
 	slot, epoch, ok := l.Scheduler.OwnJobShard()
 	if !ok {
-		return later(c, "starting")
+		return respondRetryLater(c, "starting")
 	}
 	rec := &job.Record{Spec: *spec, JobShard: slot, SubmittedMS: time.Now().UnixMilli()}
 	when := append(tombstone.AbsentCompares(spec.ID), statekv.Compare{Key: job.RecordKey(spec.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + slot, Rev: epoch})
@@ -456,57 +456,57 @@
 		// may live while such a record exists.
 		level, unchanged := l.ClusterVersion.Current()
 		if !level.Accepts(rollout.FeatureDependencies) {
-			return later(c, "not all controllers know jobs that wait for others yet")
+			return respondRetryLater(c, "not all controllers know jobs that wait for others yet")
 		}
 		when = append(when, unchanged)
 		if large {
 			if then, err = rec.SplitSpec(g.settings.StateLimits.MaxValueBytes, g.settings.StateLimits.MaxTxnOps-1); err != nil {
-				return g.refuse(c, ctx, spec.ID, fiber.StatusBadRequest, "waits_on or host_kinds: "+err.Error())
+				return g.rejectUnlessKnown(c, ctx, spec.ID, fiber.StatusBadRequest, "waits_on or host_kinds: "+err.Error())
 			}
 		}
 	}
-	if reason, err := g.unfit(ctx, l, spec); err != nil {
+	if reason, err := g.dependencyRejection(ctx, l, spec); err != nil {
 		slog.Debug("submission outcome unknown", "job", spec.ID, "err", err)
-		return later(c, "undecided")
+		return respondRetryLater(c, "undecided")
 	} else if reason != "" {
-		return g.refuse(c, ctx, spec.ID, fiber.StatusUnprocessableEntity, reason)
+		return g.rejectUnlessKnown(c, ctx, spec.ID, fiber.StatusUnprocessableEntity, reason)
 	}
-	rev, err := writeOnce(ctx, l.Member, when, append(then, statekv.Op{Set: job.RecordKey(spec.ID), Value: rec}))
+	rev, err := writeIdempotent(ctx, l.Session, when, append(then, statekv.Op{Set: job.RecordKey(spec.ID), Value: rec}))
 	if err == nil {
 		l.Scheduler.OnJobAccepted(rec, rev)
-		l.Clock.Record(recovery.StepSubmissionAccepted)
+		l.RecoveryTimeline.Record(recovery.StepSubmissionAccepted)
 		slog.Info(logline.JobAccepted, "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "gpus", spec.GPUs, "deadline_s", spec.RelativeDeadline().Seconds(), "job_shard", slot, "dependencies", len(spec.WaitsOn))
 		return c.Status(fiber.StatusCreated).JSON(jobStatus{ID: spec.ID, Status: job.Queued})
 	}
 	if errors.Is(err, statekv.ErrRejected) {
-		return elsewhere(c, "the state service does not take it now")
+		return respondTryAnother(c, "the state service does not take it now")
 	}
 	// A conflict means that the job is known, or that this controller's role
 	// has ended; without an answer the job may have been written.
-	return g.known(c, ctx, spec.ID)
+	return g.respondKnown(c, ctx, spec.ID)
 }
 
-// refuse answers a submission that would be refused were it new. What it is held against,
+// rejectUnlessKnown answers a submission that would be refused were it new. What it is held against,
 // types of machines, teams and limits, may have changed since the job was accepted, and a
 // known job is never refused.
-func (g *Gateway) refuse(c *fiber.Ctx, ctx context.Context, id string, code int, reason string) error {
+func (g *Gateway) rejectUnlessKnown(c *fiber.Ctx, ctx context.Context, id string, code int, reason string) error {
 	s, err := g.lookup(ctx, id)
 	switch {
 	case errors.Is(err, statekv.ErrNotFound):
-		return fail(c, code, reason)
+		return respondError(c, code, reason)
 	case err != nil:
 		slog.Debug("submission outcome unknown", "job", id, "err", err)
-		return later(c, "undecided")
+		return respondRetryLater(c, "undecided")
 	}
 	return c.JSON(s)
 }
 
-// known answers a submission of a job that is known already.
-func (g *Gateway) known(c *fiber.Ctx, ctx context.Context, id string) error {
+// respondKnown answers a submission of a job that is known already.
+func (g *Gateway) respondKnown(c *fiber.Ctx, ctx context.Context, id string) error {
 	s, err := g.lookup(ctx, id)
 	if err != nil {
 		slog.Debug("submission outcome unknown", "job", id, "err", err)
-		return later(c, "undecided")
+		return respondRetryLater(c, "undecided")
 	}
 	return c.JSON(s)
 }
@@ -514,32 +514,32 @@
 func (g *Gateway) query(c *fiber.Ctx) error {
 	id := c.Params("id")
 	if !job.ValidID(id) {
-		return fail(c, fiber.StatusNotFound, "no such job")
+		return respondError(c, fiber.StatusNotFound, "no such job")
 	}
 	if f, ok := g.CachedTombstone(id); ok {
-		return c.JSON(statusOf(id, f))
+		return c.JSON(finalStatus(id, f))
 	}
 	// Beyond what can be answered in time, queries are refused at once:
 	// submissions, cancellations and reports need the processor more.
-	if l := g.life.Load(); l != nil && l.cutOff(time.Now()) {
-		return later(c, "cut off from the state service")
+	if l := g.components.Load(); l != nil && l.isolatedFromStateService(time.Now()) {
+		return respondRetryLater(c, "cut off from the state service")
 	}
-	turn, ok := g.turns.enter(id, time.Now())
+	turn, ok := g.admission.admit(id, time.Now())
 	if !ok {
-		g.refused.Add(1)
-		return later(c, "too many questions at the moment")
+		g.rejectedQueries.Add(1)
+		return respondRetryLater(c, "too many questions at the moment")
 	}
 	answered := false
-	defer func() { g.turns.leave(turn, answered, time.Now()) }()
+	defer func() { g.admission.release(turn, answered, time.Now()) }()
 	ctx, cancel := context.WithTimeout(c.Context(), 1700*time.Millisecond)
 	defer cancel()
 	s, err := g.lookup(ctx, id)
 	switch answered = err == nil || errors.Is(err, statekv.ErrNotFound); {
 	case errors.Is(err, statekv.ErrNotFound):
-		return fail(c, fiber.StatusNotFound, "no such job")
+		return respondError(c, fiber.StatusNotFound, "no such job")
 	case err != nil:
 		slog.Debug("job query outcome unknown", "job", id, "err", err)
-		return later(c, "cannot be read now")
+		return respondRetryLater(c, "cannot be read now")
 	}
 	return c.JSON(s)
 }
@@ -547,37 +547,37 @@
 func (g *Gateway) cancel(c *fiber.Ctx) error {
 	id := c.Params("id")
 	if !job.ValidID(id) {
-		return fail(c, fiber.StatusNotFound, "no such job")
+		return respondError(c, fiber.StatusNotFound, "no such job")
 	}
 	ctx, cancel := context.WithTimeout(c.Context(), 3500*time.Millisecond)
 	defer cancel()
 	began := time.Now()
 	answer := func(f tombstone.Tombstone) error {
-		g.keepTombstone(id, f)
+		g.cacheTombstone(id, f)
 		return c.JSON(fiber.Map{"id": id, "status": f.Status})
 	}
 	for range 4 {
 		if f, ok := g.CachedTombstone(id); ok {
 			return answer(f)
 		}
-		l := g.life.Load()
+		l := g.components.Load()
 		if l == nil {
-			return later(c, "starting")
+			return respondRetryLater(c, "starting")
 		}
-		if l.cutOff(time.Now()) {
-			return later(c, "cut off from the state service")
+		if l.isolatedFromStateService(time.Now()) {
+			return respondRetryLater(c, "cut off from the state service")
 		}
 		kv, err := g.openRecord(ctx, id)
 		if errors.Is(err, statekv.ErrNotFound) {
 			f, err := g.ReadTombstone(ctx, id)
 			if errors.Is(err, statekv.ErrNotFound) {
-				return fail(c, fiber.StatusNotFound, "no such job")
+				return respondError(c, fiber.StatusNotFound, "no such job")
 			}
 			if err != nil {
 				break
 			}
 			if f.Status == job.Cancelled {
-				l.tellOwners(ctx, id, 0) // it may have been an earlier copy of ours
+				l.notifyMachineOwners(ctx, id, 0) // it may have been an earlier copy of ours
 			}
 			return answer(f)
 		}
@@ -594,9 +594,9 @@
 		level, unchanged := l.ClusterVersion.Current()
 		then := append([]statekv.Op{{Delete: job.RecordKey(id)}}, tombstone.WriteOps(id, f, level.TombstoneFormats())...)
 		then = append(then, job.DeleteAuxiliaryOps(id, rec.Spec.Tasks, rec.SpecFragments, g.store.MaxTxnOps(g.settings.StateLimits.MaxTxnOps)-len(then))...)
-		rev, err := writeOnce(ctx, l.Member, []statekv.Compare{{Key: job.RecordKey(id), Rev: kv.Rev}, unchanged}, then)
+		rev, err := writeIdempotent(ctx, l.Session, []statekv.Compare{{Key: job.RecordKey(id), Rev: kv.Rev}, unchanged}, then)
 		if err == nil {
-			l.tellOwners(ctx, id, rev)
+			l.notifyMachineOwners(ctx, id, rev)
 			slog.Info("cancellation acknowledged", "job", id, "latency_ms", time.Since(began).Milliseconds())
 			return answer(f)
 		}
@@ -604,5 +604,5 @@
 			break
 		}
 	}
-	return later(c, "undecided")
+	return respondRetryLater(c, "undecided")
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -89,11 +89,11 @@
 // status answers with totals. In a fleet of hundreds the machines are listed
 // only on request: ?machines=all, or the name of one.
 func (g *Gateway) status(c *fiber.Ctx) error {
-	l := g.life.Load()
+	l := g.components.Load()
 	if l == nil {
-		return later(c, g.startingWhy())
+		return respondRetryLater(c, g.startupReason())
 	}
-	s := Status{Rollout: l.VersionGate.Status(), Host: g.settings.Host, StateServiceReached: l.Member.HoldsLease(), Leader: l.Scheduler.LeaderHost(), SchedulerCounters: l.Scheduler.Counters(), AgentCounters: l.Agent.Counters(), RecoverySeconds: l.Clock.Seconds()}
+	s := Status{Rollout: l.VersionGate.Status(), Host: g.settings.Host, StateServiceReached: l.Session.HoldsLease(), Leader: l.Scheduler.LeaderHost(), SchedulerCounters: l.Scheduler.Counters(), AgentCounters: l.Agent.Counters(), RecoverySeconds: l.RecoveryTimeline.Seconds()}
 	entries := l.Feed.Entries()
 	held := map[string]job.Need{}
 	for i := range entries {
@@ -103,10 +103,10 @@
 			}
 		}
 	}
-	s.Pools = g.pools(entries)
-	s.Machines = machineList(entries, c.Query("machines"))
-	waiting := g.waiting(c.Context(), l, &s)
-	g.troubles(c.Context(), l, &s)
+	s.Pools = g.poolStatuses(entries)
+	s.Machines = machineStatuses(entries, c.Query("machines"))
+	waiting := g.addWaitingJobs(c.Context(), l, &s)
+	g.addDiagnostics(c.Context(), l, &s)
 	for name, t := range g.settings.Teams {
 		u := held[name]
 		s.Teams = append(s.Teams, TeamStatus{Team: name, HeldCPUs: u.CPUs, HeldGPUs: u.GPUs, GuaranteedCPUs: t.GuaranteedCPUs, GuaranteedGPUs: t.GuaranteedGPUs,
@@ -117,8 +117,8 @@
 	return c.JSON(s)
 }
 
-// pools sums up the machines by type, zone and kind.
-func (g *Gateway) pools(entries []agentapi.MachineEntry) []PoolStatus {
+// poolStatuses sums up the machines by type, zone and kind.
+func (g *Gateway) poolStatuses(entries []agentapi.MachineEntry) []PoolStatus {
 	types := g.catalogue.Types()
 	type key struct {
 		typeName, zone string
@@ -154,20 +154,20 @@
 		out = append(out, *p)
 	}
 	slices.SortFunc(out, func(a, b PoolStatus) int {
-		return cmp.Or(strings.Compare(a.Type, b.Type), strings.Compare(a.Zone, b.Zone), strings.Compare(kindOf(a.Spot), kindOf(b.Spot)))
+		return cmp.Or(strings.Compare(a.Type, b.Type), strings.Compare(a.Zone, b.Zone), strings.Compare(pricingModel(a.Spot), pricingModel(b.Spot)))
 	})
 	return out
 }
 
-func kindOf(spot bool) string {
+func pricingModel(spot bool) string {
 	if spot {
 		return "spot"
 	}
 	return "ordinary"
 }
 
-// machineList lists all machines, or one, or none.
-func machineList(entries []agentapi.MachineEntry, which string) []MachineStatus {
+// machineStatuses lists all machines, or one, or none.
+func machineStatuses(entries []agentapi.MachineEntry, which string) []MachineStatus {
 	var out []MachineStatus
 	for _, e := range entries {
 		if which != "all" && which != e.Machine || which == "" {
@@ -184,9 +184,9 @@
 	return out
 }
 
-// troubles gathers what operators have to tell apart: lost paths, marked
+// addDiagnostics gathers what operators have to tell apart: lost paths, marked
 // machines, late boots, refused queries, pauses.
-func (g *Gateway) troubles(ctx context.Context, l *Session, s *Status) {
+func (g *Gateway) addDiagnostics(ctx context.Context, l *Components, s *Status) {
 	cctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer cancel()
 	s.Controllers, s.OverdueProvisioning = []agentapi.Health{}, []autoscaler.OverduePool{}
@@ -204,8 +204,8 @@
 	if l.PeerTraffic != nil {
 		s.PeerTraffic = l.PeerTraffic()
 	}
-	s.Latencies, s.RefusedQueries = g.latencies.show(), g.refused.Load()
-	count, longest := g.pauses()
+	s.Latencies, s.RefusedQueries = g.latencies.summaries(), g.rejectedQueries.Load()
+	count, longest := g.processPauses()
 	s.ProcessPauses, s.LongestPauseS = count, longest.Seconds()
 }
 
@@ -217,8 +217,8 @@
 	return hosts
 }
 
-// waiting gathers the jobs that wait, from all placers.
-func (g *Gateway) waiting(ctx context.Context, l *Session, s *Status) map[string]int {
+// addWaitingJobs gathers the jobs that wait, from all placers.
+func (g *Gateway) addWaitingJobs(ctx context.Context, l *Components, s *Status) map[string]int {
 	byTeam := map[string]int{}
 	s.WaitingJobs, s.UnreachableControllers = []scheduler.WaitingJob{}, []string{}
 	for _, h := range g.hosts() {
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -12,7 +12,7 @@
 
 // The page of a fleet of 1,500 machines gives totals, and machines one by one
 // only to those who ask.
-func TestStatusSumsUpALargeFleet(t *testing.T) {
+func TestStatusSummarizesLargeCluster(t *testing.T) {
 	g := &Gateway{catalogue: &cloud.Catalogue{}}
 	g.catalogue.Set([]cloud.MachineType{{Name: "box", GPUs: 8}})
 	var entries []agentapi.MachineEntry
@@ -23,14 +23,14 @@
 		}
 		entries = append(entries, e)
 	}
-	pools := g.pools(entries)
+	pools := g.poolStatuses(entries)
 	if len(pools) != 2 || pools[0].Spot || pools[0].Machines != 750 || pools[0].Empty != 700 || pools[0].Tasks != 50 || pools[0].FreeGPUs != 750*8-150 || pools[0].States["silent"] != 1 || pools[1].Owners["host-0"] != 250 {
 		t.Fatalf("%+v", pools)
 	}
-	if n := len(machineList(entries, "")); n != 0 {
+	if n := len(machineStatuses(entries, "")); n != 0 {
 		t.Fatalf("%d machines that nobody asked for", n)
 	}
-	if one := machineList(entries, "vm-000007"); len(one) != 1 || len(one[0].Tasks) != 2 || len(machineList(entries, "all")) != 1500 {
+	if one := machineStatuses(entries, "vm-000007"); len(one) != 1 || len(one[0].Tasks) != 2 || len(machineStatuses(entries, "all")) != 1500 {
 		t.Fatalf("%+v", one)
 	}
 }
--- a/internal/statekv/wire_test.go
+++ b/internal/statekv/wire_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// kindOf names an error by what callers tell apart.
+// pricingModel names an error by what callers tell apart.
 func kindOf(err error) string {
 	var conflict *ConflictError
 	switch {
