--- a/internal/statekv/wire_test.go
+++ b/internal/statekv/wire_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// pricingModel names an error by what callers tell apart.
+// kindOf names an error by what callers tell apart.
 func kindOf(err error) string {
 	var conflict *ConflictError
 	switch {
--- a/internal/statekv/writebudget.go
+++ b/internal/statekv/writebudget.go
@@ -55,7 +55,7 @@
 	return &WriteBudget{part: part, bucket: budget.NewTokenBucket(rate, max(leastBurst, burstShare*part.Guaranteed()), now)}
 }
 
-// SetComponents has the budget count a session as begun while it is certainly held. Without one,
+// SetSession has the budget count a session as begun while it is certainly held. Without one,
 // or in one that has just begun, it uses only a part of its part.
 func (w *WriteBudget) SetSession(began time.Time, certain func() bool) {
 	w.mu.Lock()
