--- a/internal/autoscaler/calls.go
+++ b/internal/autoscaler/calls.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// notifyMachineOwners tells the owners of machines that the cloud has deleted them.
+// tellOwners tells the owners of machines that the cloud has deleted them.
 func (s *Leader) tellOwners(ctx context.Context, names []string) {
 	byHost := map[string][]string{}
 	for _, name := range names {
--- a/internal/clusteragent/late_test.go
+++ b/internal/clusteragent/late_test.go
@@ -287,7 +287,7 @@
 	})
 }
 
-// isolatedFromStateService is a state service that one controller does not reach any more.
+// cutOff is a state service that one controller does not reach any more.
 type cutOff struct {
 	*emulator.StateService
 	off atomic.Bool
