--- a/internal/controller/wire_test.go
+++ b/internal/controller/wire_test.go
@@ -21,7 +21,7 @@
 
 var errNoPeers = errors.New("there are no peers")
 
-// unconnected is the network of a life that ends when it begins to listen.
+// unconnected is the network of a session that ends when it begins to listen.
 type unconnected struct{}
 
 func (unconnected) Call(context.Context, string, string, any, any) error { return errNoPeers }
@@ -42,7 +42,7 @@
 			return unconnected{}
 		}})
 	c.catalogue.Set([]cloud.MachineType{{Name: "box"}})
-	if err := c.live(t.Context(), recovery.NewTimeline(time.Now())); !errors.Is(err, errNoPeers) {
+	if err := c.runSession(t.Context(), recovery.NewTimeline(time.Now())); !errors.Is(err, errNoPeers) {
 		t.Fatal(err)
 	}
 
