--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -61,6 +61,13 @@
 // of what the service takes is left for bursts of sessions that begin.
 func (s StateLimits) SharedWriteBudget() float64 { return 0.9 * s.WritesPerSecond }
 
+// comparesPerOp is how many compares the state service takes in a transaction for each change
+// that it takes.
+const comparesPerOp = 4
+
+// MaxCompares is how many compares a transaction may have.
+func (s StateLimits) MaxCompares() int { return comparesPerOp * s.MaxTxnOps }
+
 // Settings is everything the platform tells a controller.
 type Settings struct {
 	Host                   string
