--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -5,89 +5,105 @@
 	"time"
 )
 
-// admissionQueue decides which questions are answered when more come than can be. Refusing the
-// surplus at random would, of thousands of jobs, leave some without any answer for as
-// long as it lasts, and one without an answer for 75 s counts as forgotten. So a job
-// whose questions have gone without an answer here for a while has a place of its own.
-//
-// The bound: users ask every 5 s, each time any of up to five controllers. Of eleven
-// questions in a row one controller gets three, and the last of them comes 10 s or more
-// after the first, so that it is overdue: it is let in within 55 s.
-type admissionQueue struct {
-	mu              sync.Mutex
-	unansweredSince map[string]time.Time // since when questions about a job have had no answer
-	lastSweep       time.Time            // when those that nobody asks about were last dropped
-	inFlight        int
-	overdueInFlight int
-}
-
 const (
-	// overdueAfter is how long after a question without an answer a job has a place.
+	// maxQueriesInFlight bounds the queries that are answered at the same time; those that wait
+	// for the state service share one request, so many are cheap.
+	maxQueriesInFlight = 400
+	// overdueAfter is how long after a query without an answer a job has reserved capacity.
 	overdueAfter = 9 * time.Second
-	// maxOverdueInFlight bounds the questions in such places. Each takes under half a second, so
-	// they serve some 30,000 jobs in 75 s.
+	// maxOverdueInFlight bounds the queries in reserved capacity. Each takes under half a second,
+	// so it serves some 30,000 jobs in 75 s.
 	maxOverdueInFlight = 200
-	// maxTrackedJobs bounds the jobs that are kept in mind, and trackedFor how long.
+	// maxTrackedJobs bounds the jobs without an answer that are tracked, and trackedFor how long
+	// they are.
 	maxTrackedJobs = 30_000
 	trackedFor     = 2 * time.Minute
-	// minSweepInterval is the least time between two looks through all of them.
+	// minSweepInterval is the least time between two passes over all of them.
 	minSweepInterval = 5 * time.Second
 )
 
-// admittedQuery is a question that was let in.
+// admissionQueue decides which queries are answered when more come than can be. Rejecting the
+// surplus at random would, of thousands of jobs, leave some without any answer for as long as it
+// lasts, and one without an answer for 75 s counts as forgotten. So capacity is reserved for jobs
+// whose queries have gone without an answer here for a while.
+//
+// The bound: users ask every 5 s, each time any of up to five controllers. Of eleven queries in a
+// row one controller gets three, and the last of them comes 10 s or more after the first, so that
+// it is overdue: it is admitted within 55 s.
+//
+// The zero value is ready for use.
+type admissionQueue struct {
+	mu              sync.Mutex           // guards the fields below
+	unansweredSince map[string]time.Time // by job
+	lastSweep       time.Time            // when jobs that nobody asks about were last dropped
+	inFlight        int
+	overdueInFlight int
+}
+
+// admittedQuery is a query that was admitted and is to be released.
 type admittedQuery struct {
 	jobID   string
-	overdue bool
+	overdue bool // it holds reserved capacity
 }
 
-// admit lets a question in, or refuses it.
-func (t *admissionQueue) admit(id string, now time.Time) (admittedQuery, bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.inFlight < maxQueriesInFlight {
-		t.inFlight++
-		return admittedQuery{id, false}, true
+// admit admits a query, or rejects it: then its job is tracked until it has an answer.
+func (q *admissionQueue) admit(jobID string, now time.Time) (admittedQuery, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.inFlight < maxQueriesInFlight {
+		q.inFlight++
+		return admittedQuery{jobID: jobID}, true
 	}
-	if since, ok := t.unansweredSince[id]; ok && now.Sub(since) >= overdueAfter && t.overdueInFlight < maxOverdueInFlight {
-		t.overdueInFlight++
-		return admittedQuery{id, true}, true
+	since, tracked := q.unansweredSince[jobID]
+	if tracked && now.Sub(since) >= overdueAfter && q.overdueInFlight < maxOverdueInFlight {
+		q.overdueInFlight++
+		return admittedQuery{jobID: jobID, overdue: true}, true
 	}
-	t.noteUnanswered(id, now)
+	q.trackUnanswered(jobID, now)
 	return admittedQuery{}, false
 }
 
-// release ends a question, which was answered or not.
-func (t *admissionQueue) release(q admittedQuery, answered bool, now time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if q.overdue {
-		t.overdueInFlight--
+// release ends an admitted query, which was answered or not.
+func (q *admissionQueue) release(query admittedQuery, answered bool, now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if query.overdue {
+		q.overdueInFlight--
 	} else {
-		t.inFlight--
+		q.inFlight--
 	}
 	if answered {
-		delete(t.unansweredSince, q.jobID)
+		delete(q.unansweredSince, query.jobID)
 	} else {
-		t.noteUnanswered(q.jobID, now)
+		q.trackUnanswered(query.jobID, now)
 	}
 }
 
-func (t *admissionQueue) noteUnanswered(id string, now time.Time) {
-	if _, ok := t.unansweredSince[id]; ok {
+// trackUnanswered notes that a query has had no answer. The caller holds mu.
+func (q *admissionQueue) trackUnanswered(jobID string, now time.Time) {
+	if _, tracked := q.unansweredSince[jobID]; tracked {
 		return
 	}
-	if t.unansweredSince == nil {
-		t.unansweredSince = map[string]time.Time{}
+	if q.unansweredSince == nil {
+		q.unansweredSince = map[string]time.Time{}
 	}
-	if len(t.unansweredSince) >= maxTrackedJobs && now.Sub(t.lastSweep) >= minSweepInterval {
-		t.lastSweep = now
-		for old, since := range t.unansweredSince {
-			if now.Sub(since) > trackedFor {
-				delete(t.unansweredSince, old)
-			}
-		}
+	if len(q.unansweredSince) >= maxTrackedJobs {
+		q.sweep(now)
+	}
+	if len(q.unansweredSince) < maxTrackedJobs {
+		q.unansweredSince[jobID] = now
 	}
-	if len(t.unansweredSince) < maxTrackedJobs {
-		t.unansweredSince[id] = now
+}
+
+// sweep drops the jobs that nobody asks about any more. The caller holds mu.
+func (q *admissionQueue) sweep(now time.Time) {
+	if now.Sub(q.lastSweep) < minSweepInterval {
+		return
+	}
+	q.lastSweep = now
+	for jobID, since := range q.unansweredSince {
+		if now.Sub(since) > trackedFor {
+			delete(q.unansweredSince, jobID)
+		}
 	}
 }
--- a/internal/gateway/dependencies_test.go
+++ b/internal/gateway/dependencies_test.go
@@ -311,9 +311,9 @@
 			d.write(statekv.Op{Set: job.RecordKey(id), Value: job.Record{Spec: job.Spec{ID: id, Tasks: 1, WaitsOn: []string{needs}}, JobShard: "host-9.1"}})
 		}
 		time.Sleep(time.Second)
-		d.gateway.mu.Lock()
-		clear(d.gateway.tombstones)
-		d.gateway.mu.Unlock()
+		d.gateway.tombstones.mu.Lock()
+		clear(d.gateway.tombstones.entries)
+		d.gateway.tombstones.mu.Unlock()
 		fresh := dag.NewTracker(d.components.Mirror, func(*job.Spec) time.Duration { return 0 }, d.gateway.CachedTombstone)
 		fresh.OnEvents(nil)
 		l := *d.components
--- /dev/null
+++ b/internal/gateway/heartbeats.go
@@ -0,0 +1,34 @@
+package gateway
+
+import (
+	"github.com/gofiber/fiber/v2"
+	"github.com/segmentio/encoding/json"
+
+	"robinstack/internal/worker"
+)
+
+// heartbeat answers a worker: the owner of its machine with commands, others with whom to ask.
+func (g *Gateway) heartbeat(c *fiber.Ctx) error {
+	var heartbeat worker.Heartbeat
+	err := json.Unmarshal(c.Body(), &heartbeat)
+	if err != nil || heartbeat.Machine == "" || heartbeat.Address == "" {
+		return &requestError{malformed, "malformed report"}
+	}
+	components := g.components.Load()
+	if components == nil {
+		return errStarting
+	}
+	reply := components.Agent.Heartbeat(c.Context(), &heartbeat)
+	switch {
+	case reply.Malformed != "":
+		return &requestError{malformed, reply.Malformed}
+	case reply.Owner:
+		if reply.Answer.Commands == nil {
+			reply.Answer.Commands = []worker.Command{}
+		}
+		return c.JSON(reply.Answer)
+	case reply.RedirectTo != "":
+		return c.Status(fiber.StatusMisdirectedRequest).JSON(fiber.Map{"home": reply.RedirectTo})
+	}
+	return &requestError{unavailable, "not the owner of this machine"}
+}
--- a/internal/gateway/idempotent_write.go
+++ b/internal/gateway/idempotent_write.go
@@ -8,57 +8,65 @@
 	"robinstack/internal/statekv"
 )
 
-// resendAfter is how long a submission or cancellation waits for the state service, once it has
-// gone out, before it is sent once more, up to copies in all. Answers take milliseconds, now
-// and then a few hundred; where none comes the transaction may be carried out many seconds
-// later, and its user has been waiting for a second by then. What waits for this
-// controller's own share of the service's limits is not sent again: copies of that would
-// take the share of others that wait, and in a burst nothing would be accepted in time.
+// A transaction that goes unanswered is sent again, as a copy. Answers take milliseconds, now and
+// then a few hundred; where none comes the transaction may be carried out many seconds later, and
+// its user has been waiting for a second by then. What waits for this controller's own share of
+// the service's limits is not sent again: copies of that would take the share of others that
+// wait, and in a burst nothing would be accepted in time.
 const (
+	// resendAfter counts from when the last copy has gone out.
 	resendAfter = 400 * time.Millisecond
-	maxCopies   = 3
+	// maxCopies counts the first one.
+	maxCopies = 3
 )
 
-// txnWriter is the part of a life that writes.
+// txnWriter is the part of a session that writes.
 type txnWriter interface {
 	Write(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error)
 }
 
-// writeIdempotent makes a write whose conditions its own changes undo, so that of any number of
-// copies at most one is carried out. If no answer comes soon another copy is sent, and
-// whichever answer comes first counts: a *Conflict may then mean that an earlier copy was
-// carried out, and the caller looks what there is.
+// writeOutcome is the answer to one copy of a transaction.
+type writeOutcome struct {
+	rev uint64
+	err error
+}
+
+// writeIdempotent makes a write whose compares its own changes undo, so that of any number of
+// copies at most one is carried out. If no answer comes soon another copy is sent, and whichever
+// answer comes first counts: a *statekv.ConflictError may then mean that an earlier copy was
+// carried out, and the caller looks what there is. Copies without an answer end with the context;
+// nobody waits for them.
 func writeIdempotent(ctx context.Context, w txnWriter, when []statekv.Compare, then []statekv.Op) (uint64, error) {
-	type outcome struct {
-		rev uint64
-		err error
-	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := make(chan outcome, maxCopies)
-	out := make(chan struct{}, maxCopies)
-	ctx = statekv.WithOnSend(ctx, func() { out <- struct{}{} })
+	answers := make(chan writeOutcome, maxCopies)
+	goneOut := make(chan struct{}, maxCopies)
+	ctx = statekv.WithOnSend(ctx, func() { goneOut <- struct{}{} })
 	send := func() {
 		rev, err := w.Write(ctx, when, then)
-		done <- outcome{rev, err}
+		answers <- writeOutcome{rev, err}
 	}
 	go send()
-	due := time.NewTimer(resendAfter)
-	due.Stop()
-	defer due.Stop()
-	for sent, pending := 1, 1; ; {
+	resend := time.NewTimer(resendAfter)
+	resend.Stop() // until the first copy has gone out
+	defer resend.Stop()
+	sent, pending := 1, 1
+	for {
 		select {
-		case <-out:
-			due.Reset(resendAfter)
+		case <-goneOut:
+			resend.Reset(resendAfter)
 			continue
-		case o := <-done:
-			if pending--; !errors.Is(o.err, statekv.ErrOutcomeUnknown) || pending == 0 && (sent == maxCopies || ctx.Err() != nil) {
-				return o.rev, o.err
+		case answer := <-answers:
+			pending--
+			exhausted := pending == 0 && (sent == maxCopies || ctx.Err() != nil)
+			if exhausted || !errors.Is(answer.err, statekv.ErrOutcomeUnknown) {
+				return answer.rev, answer.err
 			}
-		case <-due.C:
+		case <-resend.C:
 		}
 		if sent < maxCopies && ctx.Err() == nil {
-			sent, pending = sent+1, pending+1
+			sent++
+			pending++
 			go send()
 		}
 	}
--- a/internal/gateway/latencies.go
+++ b/internal/gateway/latencies.go
@@ -8,11 +8,23 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// latencyRecorder keeps how long answers took, by kind of request.
-type latencyRecorder struct {
-	mu         sync.Mutex
-	histograms map[string]*hdrhistogram.Histogram
-}
+// Kinds of requests whose latencies are recorded, as the status page names them.
+const (
+	requestSubmission   = "submission"
+	requestQuery        = "query"
+	requestCancellation = "cancellation"
+	requestHeartbeat    = "report"
+)
+
+// requestKinds lists the kinds in the order of the status page.
+var requestKinds = []string{requestSubmission, requestQuery, requestCancellation, requestHeartbeat}
+
+const (
+	// maxLatencyMicros is the upper end of the distributions, in microseconds.
+	maxLatencyMicros = 10_000_000
+	// latencyDigits is how many significant digits of a latency are kept.
+	latencyDigits = 2
+)
 
 // Latency is what the status page shows of a distribution.
 type Latency struct {
@@ -24,20 +36,21 @@
 	MaxMs   float64 `json:"max_ms"`
 }
 
-// maxLatencyMicros is the upper end of the distributions, in microseconds.
-const maxLatencyMicros = 10_000_000
-
-var requestKinds = []string{"submission", "query", "cancellation", "report"}
+// latencyRecorder keeps how long answers took, by kind of request.
+type latencyRecorder struct {
+	mu         sync.Mutex // guards the histograms; the map itself does not change
+	histograms map[string]*hdrhistogram.Histogram
+}
 
 func newLatencyRecorder() *latencyRecorder {
 	l := &latencyRecorder{histograms: map[string]*hdrhistogram.Histogram{}}
-	for _, k := range requestKinds {
-		l.histograms[k] = hdrhistogram.New(1, maxLatencyMicros, 2)
+	for _, kind := range requestKinds {
+		l.histograms[kind] = hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
 	}
 	return l
 }
 
-// timed measures a handler.
+// timed returns a handler that records its latency.
 func (l *latencyRecorder) timed(kind string, handler fiber.Handler) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		start := time.Now()
@@ -47,20 +60,30 @@
 	}
 }
 
-func (l *latencyRecorder) record(kind string, d time.Duration) {
+func (l *latencyRecorder) record(kind string, latency time.Duration) {
+	micros := min(maxLatencyMicros, max(1, latency.Microseconds()))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.histograms[kind].RecordValue(min(maxLatencyMicros, max(1, d.Microseconds())))
+	_ = l.histograms[kind].RecordValue(micros) // it lies within the bounds
 }
 
+// summaries returns one line for each kind of request.
 func (l *latencyRecorder) summaries() []Latency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Latency
-	for _, k := range requestKinds {
-		h := l.histograms[k]
-		ms := func(us int64) float64 { return float64(us) / 1000 }
-		out = append(out, Latency{Request: k, Count: h.TotalCount(), P50Ms: ms(h.ValueAtQuantile(50)), P95Ms: ms(h.ValueAtQuantile(95)), P99Ms: ms(h.ValueAtQuantile(99)), MaxMs: ms(h.Max())})
+	var lines []Latency
+	for _, kind := range requestKinds {
+		h := l.histograms[kind]
+		lines = append(lines, Latency{
+			Request: kind,
+			Count:   h.TotalCount(),
+			P50Ms:   milliseconds(h.ValueAtQuantile(50)),
+			P95Ms:   milliseconds(h.ValueAtQuantile(95)),
+			P99Ms:   milliseconds(h.ValueAtQuantile(99)),
+			MaxMs:   milliseconds(h.Max()),
+		})
 	}
-	return out
+	return lines
 }
+
+func milliseconds(micros int64) float64 { return float64(micros) / 1000 }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -10,41 +10,35 @@
 	"robinstack/internal/rollout"
 )
 
-// rolloutStatus tells how the roll-out stands.
+// rolloutCommandTimeout bounds the transactions of an operator's command.
+const rolloutCommandTimeout = 4 * time.Second
+
+// rolloutStatus tells operators how the roll-out stands.
 func (g *Gateway) rolloutStatus(c *fiber.Ctx) error {
-	l := g.components.Load()
-	if l == nil {
-		return respondRetryLater(c, g.startupReason())
+	components, err := g.sessionComponents()
+	if err != nil {
+		return err
 	}
-	return c.JSON(l.VersionGate.Status())
+	return c.JSON(components.VersionGate.Status())
 }
 
-// executeRolloutCommand carries out the command of a person: 200 once it is done, 409 with what
+// executeRolloutCommand carries out an operator's command: 200 once it is done, 409 with what
 // stands in its way, 503 where nobody can tell.
 func (g *Gateway) executeRolloutCommand(c *fiber.Ctx) error {
-	l := g.components.Load()
-	if l == nil {
-		return respondRetryLater(c, g.startupReason())
+	components, err := g.sessionComponents()
+	if err != nil {
+		return err
 	}
-	ctx, cancel := context.WithTimeout(c.Context(), 4*time.Second)
+	ctx, cancel := context.WithTimeout(c.Context(), rolloutCommandTimeout)
 	defer cancel()
-	err := l.VersionGate.Execute(ctx, c.Params("verb"), rollout.Feature(c.Query("feature")), c.Query("why"))
-	var stuck *rollout.BlockedError
-	switch {
-	case errors.As(err, &stuck):
-		return respondError(c, fiber.StatusConflict, stuck.Reason)
-	case err != nil:
-		return respondRetryLater(c, err.Error())
+	feature := rollout.Feature(c.Query("feature"))
+	err = components.VersionGate.Execute(ctx, c.Params("verb"), feature, c.Query("why"))
+	var blockedErr *rollout.BlockedError
+	if errors.As(err, &blockedErr) {
+		return err
 	}
-	return c.JSON(l.VersionGate.Status())
-}
-
-// SetNotReadyReason says why this controller has no life, for those who ask meanwhile.
-func (g *Gateway) SetNotReadyReason(why string) { g.notReadyReason.Store(&why) }
-
-func (g *Gateway) startupReason() string {
-	if why := g.notReadyReason.Load(); why != nil && *why != "" {
-		return *why
+	if err != nil {
+		return &requestError{unavailable, err.Error()}
 	}
-	return "starting"
+	return c.JSON(components.VersionGate.Status())
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"cmp"
 	"context"
 	"log/slog"
 	"slices"
@@ -13,6 +12,7 @@
 	"robinstack/internal/agentapi"
 	"robinstack/internal/autoscaler"
 	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
 	"robinstack/internal/job"
 	"robinstack/internal/peer"
 	"robinstack/internal/rollout"
@@ -20,6 +20,13 @@
 	"robinstack/internal/worker"
 )
 
+const (
+	// statusCallTimeout bounds each call for waiting jobs, and all calls for health together.
+	statusCallTimeout = 700 * time.Millisecond
+	// maxWaitingJobs bounds the waiting jobs that each scheduler lists.
+	maxWaitingJobs = 100
+)
+
 // Status is the read-only page that shows who holds what.
 type Status struct {
 	Host                string                   `json:"host"`
@@ -33,7 +40,8 @@
 	ProcessPauses       int                      `json:"pauses_here"`
 	LongestPauseS       float64                  `json:"longest_pause_s"`
 
-	RecoverySeconds map[string]float64 `json:"serving_again_here_s"` // steps since the start or the last lease lost
+	// RecoverySeconds has the steps since the start or since the last lease was lost.
+	RecoverySeconds map[string]float64 `json:"serving_again_here_s"`
 
 	Rollout rollout.Status `json:"rollout"`
 
@@ -47,7 +55,7 @@
 	UnreachableControllers []string               `json:"controllers_without_answer"`
 }
 
-// TeamStatus is what a team holds against what it is due.
+// TeamStatus is what a team holds against its guarantee and quota.
 type TeamStatus struct {
 	Team           string  `json:"team"`
 	HeldCPUs       float64 `json:"cpus_held"`
@@ -62,7 +70,7 @@
 	Unguaranteed   bool    `json:"guest"` // no guarantee while others have one
 }
 
-// PoolStatus sums up the machines of one kind in one zone.
+// PoolStatus sums up the machines of one pool: of one type and pricing model in one zone.
 type PoolStatus struct {
 	Type     string         `json:"type"`
 	Zone     string         `json:"zone"`
@@ -75,7 +83,7 @@
 	Owners   map[string]int `json:"owners"`
 }
 
-// MachineStatus is a machine with its owner and tasks.
+// MachineStatus is one machine with its owner and tasks.
 type MachineStatus struct {
 	Machine string   `json:"machine"`
 	Owner   string   `json:"owner"`
@@ -86,168 +94,127 @@
 	Tasks   []string `json:"tasks"`
 }
 
-// status answers with totals. In a fleet of hundreds the machines are listed
-// only on request: ?machines=all, or the name of one.
+// status answers with totals. In a cluster of hundreds the machines are listed only on request:
+// ?machines=all, or the name of one.
 func (g *Gateway) status(c *fiber.Ctx) error {
-	l := g.components.Load()
-	if l == nil {
-		return respondRetryLater(c, g.startupReason())
-	}
-	s := Status{Rollout: l.VersionGate.Status(), Host: g.settings.Host, StateServiceReached: l.Session.HoldsLease(), Leader: l.Scheduler.LeaderHost(), SchedulerCounters: l.Scheduler.Counters(), AgentCounters: l.Agent.Counters(), RecoverySeconds: l.RecoveryTimeline.Seconds()}
-	entries := l.Feed.Entries()
-	held := map[string]job.Need{}
-	for i := range entries {
-		for _, t := range entries[i].Tasks {
-			if t.State != worker.TaskExited {
-				held[t.Team] = held[t.Team].AddScaled(t.Need, 1)
-			}
-		}
+	components, err := g.sessionComponents()
+	if err != nil {
+		return err
 	}
-	s.Pools = g.poolStatuses(entries)
-	s.Machines = machineStatuses(entries, c.Query("machines"))
-	waiting := g.addWaitingJobs(c.Context(), l, &s)
-	g.addDiagnostics(c.Context(), l, &s)
-	for name, t := range g.settings.Teams {
-		u := held[name]
-		s.Teams = append(s.Teams, TeamStatus{Team: name, HeldCPUs: u.CPUs, HeldGPUs: u.GPUs, GuaranteedCPUs: t.GuaranteedCPUs, GuaranteedGPUs: t.GuaranteedGPUs,
-			CPUQuota: t.CPUQuota, GPUQuota: t.GPUQuota, BorrowedCPUs: max(0, u.CPUs-t.GuaranteedCPUs), BorrowedGPUs: max(0, u.GPUs-t.GuaranteedGPUs), WaitingTasks: waiting[name],
-			Unguaranteed: g.settings.Unguaranteed(name)})
+	entries := components.Feed.Entries()
+	s := Status{
+		Rollout:             components.VersionGate.Status(),
+		Host:                g.settings.Host,
+		StateServiceReached: components.Session.HoldsLease(),
+		Leader:              components.Scheduler.LeaderHost(),
+		SchedulerCounters:   components.Scheduler.Counters(),
+		AgentCounters:       components.Agent.Counters(),
+		RecoverySeconds:     components.RecoveryTimeline.Seconds(),
+		Pools:               poolStatuses(entries, g.catalogue.Types()),
+		Machines:            machineStatuses(entries, c.Query("machines")),
 	}
-	slices.SortFunc(s.Teams, func(a, b TeamStatus) int { return strings.Compare(a.Team, b.Team) })
+	g.addWaitingJobs(c.Context(), components, &s)
+	g.addControllerHealth(c.Context(), components, &s)
+	g.addLocalDiagnostics(components, &s)
+	s.Teams = teamStatuses(g.settings, entries, s.WaitingJobs)
 	return c.JSON(s)
 }
 
-// poolStatuses sums up the machines by type, zone and kind.
-func (g *Gateway) poolStatuses(entries []agentapi.MachineEntry) []PoolStatus {
-	types := g.catalogue.Types()
-	type key struct {
-		typeName, zone string
-		spot           bool
+// teamStatuses sets what each team holds against what it may have.
+func teamStatuses(
+	settings *config.Settings, entries []agentapi.MachineEntry, waitingJobs []scheduler.WaitingJob,
+) []TeamStatus {
+	held := heldByTeam(entries)
+	waitingTasks := map[string]int{}
+	for _, waiting := range waitingJobs {
+		waitingTasks[waiting.Team] += waiting.Tasks
+	}
+	var statuses []TeamStatus
+	for name, team := range settings.Teams {
+		use := held[name]
+		statuses = append(statuses, TeamStatus{
+			Team:           name,
+			HeldCPUs:       use.CPUs,
+			HeldGPUs:       use.GPUs,
+			GuaranteedCPUs: team.GuaranteedCPUs,
+			GuaranteedGPUs: team.GuaranteedGPUs,
+			CPUQuota:       team.CPUQuota,
+			GPUQuota:       team.GPUQuota,
+			BorrowedCPUs:   max(0, use.CPUs-team.GuaranteedCPUs),
+			BorrowedGPUs:   max(0, use.GPUs-team.GuaranteedGPUs),
+			WaitingTasks:   waitingTasks[name],
+			Unguaranteed:   settings.Unguaranteed(name),
+		})
 	}
-	sums := map[key]*PoolStatus{}
+	slices.SortFunc(statuses, func(a, b TeamStatus) int { return strings.Compare(a.Team, b.Team) })
+	return statuses
+}
+
+// heldByTeam sums up what the tasks of each team take of their machines.
+func heldByTeam(entries []agentapi.MachineEntry) map[string]job.Need {
+	held := map[string]job.Need{}
 	for i := range entries {
-		e := &entries[i]
-		k := key{e.Type, e.Zone, e.Spot}
-		p := sums[k]
-		if p == nil {
-			p = &PoolStatus{Type: e.Type, Zone: e.Zone, Spot: e.Spot, States: map[string]int{}, Owners: map[string]int{}}
-			sums[k] = p
-		}
-		free, tasks := types[e.Type].GPUs, 0
-		for _, t := range e.Tasks {
-			if t.State != worker.TaskExited {
-				tasks++
-				free -= t.Need.GPUs
+		for _, task := range entries[i].Tasks {
+			if task.State != worker.TaskExited {
+				held[task.Team] = held[task.Team].AddScaled(task.Need, 1)
 			}
 		}
-		p.Machines++
-		p.Tasks += tasks
-		p.FreeGPUs += free
-		p.States[machineState(e)]++
-		p.Owners[e.Host]++
-		if tasks == 0 {
-			p.Empty++
-		}
 	}
-	out := []PoolStatus{}
-	for _, p := range sums {
-		out = append(out, *p)
-	}
-	slices.SortFunc(out, func(a, b PoolStatus) int {
-		return cmp.Or(strings.Compare(a.Type, b.Type), strings.Compare(a.Zone, b.Zone), strings.Compare(pricingModel(a.Spot), pricingModel(b.Spot)))
-	})
-	return out
+	return held
 }
 
-func pricingModel(spot bool) string {
-	if spot {
-		return "spot"
+// addWaitingJobs gathers the jobs that wait from all schedulers, and which controllers did not
+// answer.
+func (g *Gateway) addWaitingJobs(ctx context.Context, components *Components, s *Status) {
+	s.WaitingJobs, s.UnreachableControllers = []scheduler.WaitingJob{}, []string{}
+	for _, host := range g.settings.Hosts() {
+		waiting, err := waitingJobsOf(ctx, components.Peers, host)
+		if err != nil {
+			s.UnreachableControllers = append(s.UnreachableControllers, host)
+		}
+		s.WaitingJobs = append(s.WaitingJobs, waiting...)
 	}
-	return "ordinary"
 }
 
-// machineStatuses lists all machines, or one, or none.
-func machineStatuses(entries []agentapi.MachineEntry, which string) []MachineStatus {
-	var out []MachineStatus
-	for _, e := range entries {
-		if which != "all" && which != e.Machine || which == "" {
-			continue
-		}
-		m := MachineStatus{Machine: e.Machine, Owner: e.Host, Type: e.Type, Zone: e.Zone, Spot: e.Spot, State: machineState(&e), Tasks: []string{}}
-		for _, t := range e.Tasks {
-			m.Tasks = append(m.Tasks, job.TaskID(t.Job, t.Index)+" "+t.State)
-		}
-		slices.Sort(m.Tasks)
-		out = append(out, m)
-	}
-	slices.SortFunc(out, func(a, b MachineStatus) int { return strings.Compare(a.Machine, b.Machine) })
-	return out
+func waitingJobsOf(ctx context.Context, peers peer.Caller, host string) ([]scheduler.WaitingJob, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusCallTimeout)
+	defer cancel()
+	var waiting []scheduler.WaitingJob
+	err := peers.Call(ctx, host, "Placer.Queue", maxWaitingJobs, &waiting)
+	return waiting, err
 }
 
-// addDiagnostics gathers what operators have to tell apart: lost paths, marked
-// machines, late boots, refused queries, pauses.
-func (g *Gateway) addDiagnostics(ctx context.Context, l *Components, s *Status) {
-	cctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
+// addControllerHealth gathers what only other controllers know: lost paths, quarantined machines
+// and overdue provisioning.
+func (g *Gateway) addControllerHealth(ctx context.Context, components *Components, s *Status) {
+	ctx, cancel := context.WithTimeout(ctx, statusCallTimeout)
 	defer cancel()
 	s.Controllers, s.OverdueProvisioning = []agentapi.Health{}, []autoscaler.OverduePool{}
-	for _, h := range g.hosts() {
+	for _, host := range g.settings.Hosts() {
+		if slices.Contains(s.UnreachableControllers, host) {
+			continue
+		}
 		var health agentapi.Health
-		if !slices.Contains(s.UnreachableControllers, h) && l.Peers.Call(cctx, h, "Agent.Health", struct{}{}, &health) == nil {
+		if components.Peers.Call(ctx, host, "Agent.Health", struct{}{}, &health) == nil {
 			s.Controllers = append(s.Controllers, health)
 		}
 	}
-	if s.Leader != "" {
-		if err := l.Peers.Call(cctx, s.Leader, "Steward.Overdue", struct{}{}, &s.OverdueProvisioning); err != nil {
-			slog.Debug("overdue provisioning query failed", "err", err)
-		}
-	}
-	if l.PeerTraffic != nil {
-		s.PeerTraffic = l.PeerTraffic()
-	}
-	s.Latencies, s.RefusedQueries = g.latencies.summaries(), g.rejectedQueries.Load()
-	count, longest := g.processPauses()
-	s.ProcessPauses, s.LongestPauseS = count, longest.Seconds()
-}
-
-func (g *Gateway) hosts() []string {
-	hosts := []string{g.settings.Host}
-	for _, p := range g.settings.Peers {
-		hosts = append(hosts, p.Host)
+	if s.Leader == "" {
+		return
 	}
-	return hosts
-}
-
-// addWaitingJobs gathers the jobs that wait, from all placers.
-func (g *Gateway) addWaitingJobs(ctx context.Context, l *Components, s *Status) map[string]int {
-	byTeam := map[string]int{}
-	s.WaitingJobs, s.UnreachableControllers = []scheduler.WaitingJob{}, []string{}
-	for _, h := range g.hosts() {
-		cctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
-		var reply []scheduler.WaitingJob
-		if err := l.Peers.Call(cctx, h, "Placer.Queue", 100, &reply); err != nil {
-			s.UnreachableControllers = append(s.UnreachableControllers, h)
-		}
-		cancel()
-		s.WaitingJobs = append(s.WaitingJobs, reply...)
-		for _, w := range reply {
-			byTeam[w.Team] += w.Tasks
-		}
+	err := components.Peers.Call(ctx, s.Leader, "Steward.Overdue", struct{}{}, &s.OverdueProvisioning)
+	if err != nil {
+		slog.Debug("overdue provisioning query failed", "err", err)
 	}
-	return byTeam
 }
 
-func machineState(e *agentapi.MachineEntry) string {
-	switch {
-	case !e.Settled:
-		return "changing owner"
-	case e.Silent:
-		return "silent"
-	case e.Notice:
-		return "being taken by the cloud"
-	case e.Faulty:
-		return "faulty"
-	case e.Draining:
-		return "being returned"
+// addLocalDiagnostics adds what this process knows of itself.
+func (g *Gateway) addLocalDiagnostics(components *Components, s *Status) {
+	if components.PeerTraffic != nil {
+		s.PeerTraffic = components.PeerTraffic()
 	}
-	return "up"
+	s.Latencies = g.latencies.summaries()
+	s.RefusedQueries = g.rejectedQueries.Load()
+	count, longest := g.processPauses()
+	s.ProcessPauses, s.LongestPauseS = count, longest.Seconds()
 }
--- /dev/null
+++ b/internal/gateway/submissions.go
@@ -0,0 +1,177 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"time"
+
+	"github.com/gofiber/fiber/v2"
+
+	"robinstack/internal/cloud"
+	"robinstack/internal/job"
+	"robinstack/internal/logline"
+	"robinstack/internal/recovery"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
+)
+
+// submissionTimeout leaves time to answer a user, who waits 5 s.
+const submissionTimeout = 3500 * time.Millisecond
+
+// submit answers a submission, which its user may repeat at any time: 201 where the job is new,
+// 200 with its status where it is known.
+func (g *Gateway) submit(c *fiber.Ctx) error {
+	spec, err := job.ParseSpec(c.Body())
+	if err != nil {
+		return &requestError{malformed, err.Error()}
+	}
+	types := g.catalogue.Types()
+	components := g.components.Load()
+	if components == nil || len(types) == 0 {
+		return errStarting
+	}
+	ctx, cancel := context.WithTimeout(c.Context(), submissionTimeout)
+	defer cancel()
+	if final, ok := g.CachedTombstone(spec.ID); ok {
+		return c.JSON(finalStatus(spec.ID, final))
+	}
+	if components.isolated(time.Now()) {
+		return errIsolated
+	}
+	if _, open := components.Mirror.Get(job.RecordKey(spec.ID)); open {
+		// A transaction whose compares fail counts against the limit of changes: none is needed to
+		// tell that a job is known.
+		return g.respondKnown(ctx, c, spec.ID)
+	}
+	accepted, err := g.planAcceptance(ctx, components, spec, types)
+	if err != nil {
+		return g.rejectUnlessKnown(ctx, c, spec.ID, err)
+	}
+	rev, err := writeIdempotent(ctx, components.Session, accepted.compares, accepted.ops)
+	if errors.Is(err, statekv.ErrRejected) {
+		return &requestError{busyHere, "the state service does not take it now"}
+	}
+	if err != nil {
+		// A conflict means that the job is known, or that this controller's role has ended;
+		// without an answer the job may have been written.
+		return g.respondKnown(ctx, c, spec.ID)
+	}
+	components.Scheduler.OnJobAccepted(accepted.record, rev)
+	components.RecoveryTimeline.Record(recovery.StepSubmissionAccepted)
+	logAccepted(accepted.record)
+	return c.Status(fiber.StatusCreated).JSON(jobStatus{ID: spec.ID, Status: job.Queued})
+}
+
+func logAccepted(record *job.Record) {
+	spec := &record.Spec
+	slog.Info(
+		logline.JobAccepted,
+		"job", spec.ID,
+		"class", spec.Class,
+		"team", spec.Team,
+		"tasks", spec.Tasks,
+		"gpus", spec.GPUs,
+		"deadline_s", spec.RelativeDeadline().Seconds(),
+		"job_shard", record.JobShard,
+		"dependencies", len(spec.WaitsOn),
+	)
+}
+
+// acceptance is the transaction that accepts a job.
+type acceptance struct {
+	record   *job.Record
+	compares []statekv.Compare
+	ops      []statekv.Op
+}
+
+// planAcceptance decides whether a new job can be accepted and makes the transaction for it. An
+// error that is permanent holds only if the job is not known already.
+func (g *Gateway) planAcceptance(
+	ctx context.Context, components *Components, spec *job.Spec, types map[string]cloud.MachineType,
+) (*acceptance, error) {
+	if reason := spec.UnschedulableReason(types, g.settings.Teams); reason != "" {
+		return nil, &requestError{unschedulable, reason}
+	}
+	jobShard, epoch, ok := components.Scheduler.OwnJobShard()
+	if !ok {
+		return nil, errStarting
+	}
+	a := &acceptance{
+		record: &job.Record{Spec: *spec, JobShard: jobShard, SubmittedMS: time.Now().UnixMilli()},
+		compares: append(
+			tombstone.AbsentCompares(spec.ID),
+			statekv.Compare{Key: job.RecordKey(spec.ID)},
+			statekv.Compare{Key: statekv.JobShardPrefix + jobShard, Rev: epoch},
+		),
+	}
+	if err := g.addVersionedParts(components, a); err != nil {
+		return nil, err
+	}
+	if err := g.checkDependencies(ctx, components, spec); err != nil {
+		return nil, err
+	}
+	a.ops = append(a.ops, statekv.Op{Set: job.RecordKey(spec.ID), Value: a.record})
+	return a, nil
+}
+
+// addVersionedParts adds what only a cluster version with dependencies allows: a record that
+// depends on others, or one that is too large for one value. A controller that does not know of
+// these would start the job at once, or not read it: none may live while such a record exists.
+func (g *Gateway) addVersionedParts(components *Components, a *acceptance) error {
+	limits := g.settings.StateLimits
+	large := a.record.ExceedsLimit(limits.MaxValueBytes)
+	if !large && len(a.record.Spec.WaitsOn) == 0 {
+		return nil
+	}
+	version, unchanged := components.ClusterVersion.Current()
+	if !version.Accepts(rollout.FeatureDependencies) {
+		return &requestError{unavailable, "not all controllers know jobs that wait for others yet"}
+	}
+	a.compares = append(a.compares, unchanged)
+	if !large {
+		return nil
+	}
+	fragments, err := a.record.SplitSpec(limits.MaxValueBytes, limits.MaxTxnOps-1)
+	if err != nil {
+		return &requestError{malformed, "waits_on or host_kinds: " + err.Error()}
+	}
+	a.ops = fragments
+	return nil
+}
+
+// rejectUnlessKnown answers a submission that would be rejected were it new. What it is held
+// against, types of machines, teams and quotas, may have changed since the job was accepted, and a
+// known job is never rejected.
+func (g *Gateway) rejectUnlessKnown(ctx context.Context, c *fiber.Ctx, id string, rejection error) error {
+	var requestErr *requestError
+	if !errors.As(rejection, &requestErr) || !requestErr.permanent() {
+		return rejection
+	}
+	status, err := g.lookup(ctx, id)
+	if errors.Is(err, statekv.ErrNotFound) {
+		return rejection
+	}
+	return respondSubmission(c, id, status, err)
+}
+
+// respondKnown answers a submission of a job that is known already.
+func (g *Gateway) respondKnown(ctx context.Context, c *fiber.Ctx, id string) error {
+	status, err := g.lookup(ctx, id)
+	return respondSubmission(c, id, status, err)
+}
+
+// respondSubmission answers with what a lookup of the submitted job returned.
+func respondSubmission(c *fiber.Ctx, id string, status jobStatus, err error) error {
+	if err != nil {
+		return undecidedSubmission(id, err)
+	}
+	return c.JSON(status)
+}
+
+// undecidedSubmission is the answer where nobody can tell now what becomes of a submission.
+func undecidedSubmission(id string, err error) error {
+	slog.Debug("submission outcome unknown", "job", id, "err", err)
+	return errUndecided
+}
--- a/internal/gateway/surplus_queries_test.go
+++ b/internal/gateway/surplus_queries_test.go
@@ -36,7 +36,7 @@
 	if code, again := ask("wk-1"); code != 503 || again == "" {
 		t.Fatalf("a question beyond the share for lookups: %d, Retry-After %q", code, again)
 	}
-	g.cacheTombstone("wk-2", tombstone.Tombstone{Status: job.Done, Tasks: 1})
+	g.tombstones.put("wk-2", tombstone.Tombstone{Status: job.Done, Tasks: 1})
 	g.admission.inFlight = maxQueriesInFlight
 	if code, again := ask("wk-1"); code != 503 || again == "" || g.rejectedQueries.Load() != 1 {
 		t.Fatalf("a surplus question: %d, Retry-After %q, %d refused", code, again, g.rejectedQueries.Load())
