--- a/internal/scheduler/begin.go
+++ b/internal/scheduler/begin.go
@@ -3,13 +3,13 @@
 import (
 	"context"
 	"log/slog"
-	"slices"
 	"sync"
 	"time"
 
 	"robinstack/internal/agentapi"
 	"robinstack/internal/job"
 	"robinstack/internal/quota"
+	"robinstack/internal/scheduler/candidate"
 )
 
 // beginWithin is the time within which every job has to begin, the largest too, once it
@@ -74,8 +74,8 @@
 	}
 	req.Tasks = n
 	options := p.ask(ctx, "Agent.Gatherable", req).candidates
-	rank(options)
-	chosen := chooseCleared(j.spec.OneZone, candidates, options, n)
+	candidate.Rank(options)
+	chosen := candidate.ChooseFreed(j.spec.OneZone, candidates, options, n)
 	if len(chosen) == 0 && len(candidates) == 0 {
 		return false
 	}
@@ -97,24 +97,9 @@
 // keep has owners keep machines for a job, and what room was found for it already:
 // others would take that, and more would have to be kept.
 func (p *Scheduler) keep(ctx context.Context, method string, j *jobState, req agentapi.Request, chosen, found []agentapi.Candidate, n int) (kept int) {
-	chosen = slices.Clone(chosen)
-	zone := ""
-	switch {
-	case !j.spec.OneZone:
-	case len(chosen) > 0:
-		zone = chosen[0].Zone
-	case len(found) > 0:
-		zone = found[0].Zone
-	}
-	for left, k := n-len(chosen), 0; left > 0 && k < len(found); k++ {
-		if c := found[k]; zone == "" || c.Zone == zone {
-			chosen = append(chosen, c)
-			left -= c.Fits
-		}
-	}
 	var mu sync.Mutex
 	var calls sync.WaitGroup
-	for _, c := range chosen {
+	for _, c := range candidate.AddFound(j.spec.OneZone, chosen, found, n) {
 		calls.Go(func() {
 			var reply agentapi.CommitReply
 			cctx, cancel := context.WithTimeout(ctx, time.Second)
--- a/internal/scheduler/choose_test.go
+++ b/internal/scheduler/candidate/candidate_test.go
@@ -1,4 +1,4 @@
-package scheduler
+package candidate
 
 import (
 	"slices"
@@ -10,8 +10,8 @@
 
 func TestPlanRanksAndFallsBack(t *testing.T) {
 	cs := []agentapi.Candidate{{Machine: "m1", Fits: 1, Score: 10}, {Machine: "m2", Fits: 2, Score: 90}, {Machine: "m3", Fits: 1, Score: 50}}
-	rank(cs)
-	lists := plan(cs, 5, 2)
+	Rank(cs)
+	lists := Assign(cs, 5, 2)
 	var first []string
 	for _, l := range lists {
 		first = append(first, l[0].Machine)
@@ -26,10 +26,10 @@
 
 func TestGangZoneHoldsTheWholeGang(t *testing.T) {
 	cs := []agentapi.Candidate{{Machine: "m1", Zone: "a", Fits: 1, Score: 99}, {Machine: "m2", Zone: "b", Fits: 1}, {Machine: "m3", Zone: "b", Fits: 1}}
-	if z := gangZone(cs, 2); z != "b" {
+	if z := GangZone(cs, 2); z != "b" {
 		t.Fatalf("zone %q", z)
 	}
-	if z := gangZone(cs, 3); z != "" {
+	if z := GangZone(cs, 3); z != "" {
 		t.Fatalf("zone %q cannot hold three", z)
 	}
 }
@@ -37,15 +37,15 @@
 // wrong_place: one_zone and spread look at where the job's other tasks are.
 func TestZonesOpenToFurtherTasks(t *testing.T) {
 	zones := []string{"a", "b", "c"}
-	if z := openZones(&job.Spec{OneZone: true, Tasks: 4}, map[string]int{"b": 1}, zones); !slices.Equal(z, []string{"b"}) {
+	if z := OpenZones(&job.Spec{OneZone: true, Tasks: 4}, map[string]int{"b": 1}, zones); !slices.Equal(z, []string{"b"}) {
 		t.Fatalf("one zone: %v", z)
 	}
 	spread := &job.Spec{Spread: true, Tasks: 5}
-	if z := openZones(spread, map[string]int{"a": 3, "b": 1}, zones); !slices.Equal(z, []string{"b", "c"}) {
+	if z := OpenZones(spread, map[string]int{"a": 3, "b": 1}, zones); !slices.Equal(z, []string{"b", "c"}) {
 		t.Fatalf("spread: %v", z)
 	}
 	lists := [][]agentapi.Candidate{{{Zone: "a"}}, {{Zone: "b"}, {Zone: "a"}}}
-	if out := spreadOut(lists, map[string]int{"a": 3}, 3); len(out) != 1 || len(out[0]) != 1 || out[0][0].Zone != "b" {
+	if out := SpreadOut(lists, map[string]int{"a": 3}, 3); len(out) != 1 || len(out[0]) != 1 || out[0][0].Zone != "b" {
 		t.Fatalf("spread out: %v", out)
 	}
 }
@@ -55,13 +55,13 @@
 func TestClearingChoosesTheCheapestZoneThatHoldsTheGang(t *testing.T) {
 	options := []agentapi.Candidate{{Machine: "m1", Zone: "a", Score: -5}, {Machine: "m2", Zone: "b", Score: -20}, {Machine: "m3", Zone: "b", Score: -30}}
 	found := []agentapi.Candidate{{Machine: "m4", Zone: "b", Fits: 1}}
-	if got := chooseCleared(true, found, options, 2); len(got) != 1 || got[0].Machine != "m2" {
+	if got := ChooseFreed(true, found, options, 2); len(got) != 1 || got[0].Machine != "m2" {
 		t.Fatalf("one zone: %v", got)
 	}
-	if got := chooseCleared(false, found, options, 2); len(got) != 1 || got[0].Machine != "m1" {
+	if got := ChooseFreed(false, found, options, 2); len(got) != 1 || got[0].Machine != "m1" {
 		t.Fatalf("any zone: %v", got)
 	}
-	if got := chooseCleared(true, nil, options, 3); got != nil {
+	if got := ChooseFreed(true, nil, options, 3); got != nil {
 		t.Fatalf("does not fit anywhere: %v", got)
 	}
 }
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -6,6 +6,7 @@
 	"errors"
 	"log/slog"
 	"math"
+	"math/rand/v2"
 	"slices"
 	"sync"
 	"time"
@@ -16,6 +17,7 @@
 	"robinstack/internal/peer"
 	"robinstack/internal/quota"
 	"robinstack/internal/recovery"
+	"robinstack/internal/scheduler/candidate"
 )
 
 // batchTasks bounds how many tasks of a job one placement looks for.
@@ -190,7 +192,7 @@
 		j.avoid = nil
 	}
 	req := agentapi.Request{Spec: *spec, Slot: j.slot, Epoch: s.epoch, Age: time.Since(j.from), Avoid: slices.Clone(j.avoid), Tasks: len(indices),
-		Share: p.policy.SampleMachineShare, Least: p.policy.SampleMinMachines, Spare: p.policy.MultiBind, Parts: p.policy.ClassFairShare, Zones: openZones(spec, others, p.settings.Zones)}
+		Share: p.policy.SampleMachineShare, Least: p.policy.SampleMinMachines, Spare: p.policy.MultiBind, Parts: p.policy.ClassFairShare, Zones: candidate.OpenZones(spec, others, p.settings.Zones)}
 	p.mu.Unlock()
 
 	found := p.sample(ctx, req)
@@ -200,9 +202,9 @@
 		j.shape.scarceTill = time.Now().Add(scarceFor)
 		p.mu.Unlock()
 	}
-	rank(candidates)
+	candidate.Rank(candidates)
 	patient := false
-	if near := withImage(candidates, spec.Shape); len(near) < len(candidates) && p.patient(j, len(indices), scarce) {
+	if near := candidate.WithImage(candidates, spec.Shape); len(near) < len(candidates) && p.patient(j, len(indices), scarce) {
 		patient, candidates = true, near
 	}
 	var lists [][]agentapi.Candidate
@@ -211,18 +213,18 @@
 		zone = candidates[0].Zone
 		if spec.Shape == job.Gang {
 			// Where no zone has room for all of it, room is made in one.
-			zone = gangZone(candidates, len(indices))
+			zone = candidate.GangZone(candidates, len(indices))
 			apart = zone == ""
 		}
 	}
 	if zone != "" {
-		candidates, req.Zones = inZone(candidates, zone), []string{zone}
+		candidates, req.Zones = candidate.InZone(candidates, zone), []string{zone}
 	}
 	if !apart {
-		lists = plan(candidates, len(indices), p.policy.MultiBind)
+		lists = candidate.Assign(candidates, len(indices), p.policy.MultiBind)
 	}
 	if spec.Spread {
-		lists = spreadOut(lists, others, (spec.Tasks+1)/2)
+		lists = candidate.SpreadOut(lists, others, candidate.SpreadLimit(spec))
 	}
 	if patient && len(lists) < len(indices) {
 		p.mu.Lock()
@@ -319,8 +321,8 @@
 		fetch := p.fetchTime(j.spec).Seconds() * max(1, j.spec.GPUs)
 		options = slices.DeleteFunc(options, func(c agentapi.Candidate) bool { return -c.Score > fetch })
 	}
-	rank(options)
-	chosen := chooseCleared(j.spec.OneZone, candidates, options, n)
+	candidate.Rank(options)
+	chosen := candidate.ChooseFreed(j.spec.OneZone, candidates, options, n)
 	if len(chosen) == 0 {
 		return false
 	}
@@ -355,20 +357,6 @@
 	return err == nil && !slices.Contains(reply.Granted, false)
 }
 
-// spreadOut keeps every task to zones that stay within the limit.
-func spreadOut(lists [][]agentapi.Candidate, others map[string]int, limit int) [][]agentapi.Candidate {
-	var out [][]agentapi.Candidate
-	for _, list := range lists {
-		z := list[0].Zone
-		if others[z] >= limit {
-			continue
-		}
-		others[z]++
-		out = append(out, inZone(list, z))
-	}
-	return out
-}
-
 // drawn is what the controllers that were asked have found.
 type drawn struct {
 	candidates []agentapi.Candidate
@@ -382,7 +370,7 @@
 }
 
 func (p *Scheduler) ask(ctx context.Context, method string, req agentapi.Request) drawn {
-	hosts := pickHosts(p.member.AliveHosts(), p.policy.SampleControllerShare, shuffle)
+	hosts := candidate.PickHosts(p.member.AliveHosts(), p.policy.SampleControllerShare, rand.Shuffle)
 	var mu sync.Mutex
 	var asks sync.WaitGroup
 	all := drawn{scarce: true}
