--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"robinstack/internal/agentapi"
-	"robinstack/internal/autoscaler"
 	"robinstack/internal/changefeed"
 	"robinstack/internal/cloud"
 	"robinstack/internal/clusteragent"
@@ -19,6 +18,7 @@
 	"robinstack/internal/dag"
 	"robinstack/internal/gateway"
 	"robinstack/internal/job"
+	"robinstack/internal/leader"
 	"robinstack/internal/peer"
 	"robinstack/internal/recovery"
 	"robinstack/internal/rollout"
@@ -53,7 +53,7 @@
 	network      Network
 	agent        *clusteragent.Agent
 	scheduler    *scheduler.Scheduler
-	leader       *autoscaler.Leader
+	leader       *leader.Leader
 	feed         *changefeed.Feed
 	versionGate  *rollout.VersionGate
 	migrator     *rollout.Migrator
@@ -177,7 +177,7 @@
 	handshake := peer.NewService(c.settings.Host, rollout.BuildVersion, map[string]any{
 		"Agent":   (*clusteragent.Service)(nil),
 		"Placer":  (*scheduler.Service)(nil),
-		"Steward": (*autoscaler.Service)(nil),
+		"Steward": (*leader.Service)(nil),
 	})
 	s.network = c.connect(s.server, handshake)
 	return handshake
@@ -189,7 +189,7 @@
 	s.agent = clusteragent.New(c.settings, c.store, s.mirror, s.state, c.workers, types)
 	s.scheduler = scheduler.New(c.settings, c.policy, c.store, s.mirror, s.state, s.network, types, s.dependencies)
 	s.scheduler.RecoveryTimeline = s.timeline
-	s.leader = autoscaler.New(c.settings, c.policy, s.mirror, s.state, s.network, c.cloud, c.catalogue)
+	s.leader = leader.New(c.settings, c.policy, s.mirror, s.state, s.network, c.cloud, c.catalogue)
 }
 
 // registerServices makes the components reachable for other controllers. The names are the
@@ -198,7 +198,7 @@
 	for name, service := range map[string]any{
 		"Agent":   clusteragent.NewService(s.agent),
 		"Placer":  scheduler.NewService(s.scheduler),
-		"Steward": autoscaler.NewService(s.leader),
+		"Steward": leader.NewService(s.leader),
 		"Peer":    handshake,
 	} {
 		if err := s.server.RegisterName(name, service); err != nil {
--- a/internal/gateway/components.go
+++ b/internal/gateway/components.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"robinstack/internal/autoscaler"
 	"robinstack/internal/changefeed"
 	"robinstack/internal/clusteragent"
 	"robinstack/internal/dag"
+	"robinstack/internal/leader"
 	"robinstack/internal/peer"
 	"robinstack/internal/recovery"
 	"robinstack/internal/rollout"
@@ -33,7 +33,7 @@
 	Mirror            *statekv.Mirror
 	Agent             *clusteragent.Agent
 	Scheduler         *scheduler.Scheduler
-	Leader            *autoscaler.Leader
+	Leader            *leader.Leader
 	Feed              *changefeed.Feed
 	VersionGate       *rollout.VersionGate
 	ClusterVersion    *rollout.VersionReader
