--- a/internal/rollout/decide_test.go
+++ b/internal/rollout/decide_test.go
@@ -15,7 +15,7 @@
 
 // fleet is a view of three controllers of this build that have stood for long.
 func fleet(features ...Feature) Snapshot {
-	v := Snapshot{Self: "host-0", Version: ClusterVersion{}.of(features), LeaderEpoch: 3, VersionAge: time.Hour, SoakTime: 30 * time.Second, AbsenceTimeout: 10 * time.Minute}
+	v := Snapshot{Self: "host-0", Version: ClusterVersion{}.withFeatures(features), LeaderEpoch: 3, VersionAge: time.Hour, SoakTime: 30 * time.Second, AbsenceTimeout: 10 * time.Minute}
 	for k, host := range []string{"host-0", "host-1", "host-2"} {
 		v.Controllers = append(v.Controllers, Controller{Host: host, Rev: uint64(10 + k), Capabilities: LocalCapabilities(), Alive: true, StateAge: time.Hour})
 	}
@@ -119,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := json.Marshal(l.at(2).value())
+	raw, err := json.Marshal(l.withFeatures(FeaturesAt(2)).storedValue())
 	if err != nil || !strings.Contains(string(raw), `"colour":"blue"`) || !strings.Contains(string(raw), `"level":2`) {
 		t.Error(string(raw), err)
 	}
--- a/internal/rollout/lifecycle_test.go
+++ b/internal/rollout/lifecycle_test.go
@@ -155,7 +155,7 @@
 		if w.budget[2] > 0 {
 			s := sent{what: "write", when: []statekv.Compare{own}}
 			if l.build > 0 {
-				r := &VersionReader{keys: &l.saw, caps: builds[l.build]}
+				r := &VersionReader{keys: &l.saw, capabilities: builds[l.build]}
 				level, under := r.Current()
 				s.when, s.form = append(s.when, under), fmt.Sprint(level.Features)
 				if level.Accepts(FeatureDependencies) && l.build == 3 {
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -3,27 +3,26 @@
 import (
 	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"robinstack/internal/statekv"
 )
 
-// Status is what operators see of a roll-out.
+// Status is what operators see of an upgrade.
 type Status struct {
 	ClusterVersion int                `json:"level"`
 	Features       []Feature          `json:"features"`
 	HoldReason     string             `json:"hold,omitempty"`
-	RaiseBlockedBy string             `json:"waits_for,omitempty"` // why it does not rise
+	RaiseBlockedBy string             `json:"waits_for,omitempty"` // why the version is not raised
 	Next           *NextVersion       `json:"next,omitempty"`
-	LowerBlockedBy string             `json:"lowering,omitempty"` // what stands in the way of lowering, or "possible"
+	LowerBlockedBy string             `json:"lowering,omitempty"` // why it cannot be lowered, or "possible"
 	Controllers    []ControllerStatus `json:"controllers"`
 	Migration      string             `json:"move,omitempty"`
 	Undecodable    []UndecodableValue `json:"unreadable"`
 	Build          string             `json:"build_here"`
 }
 
-// NextVersion is the level to come.
+// NextVersion is the version to which the cluster is raised next.
 type NextVersion struct {
 	ClusterVersion int     `json:"level"`
 	Feature        Feature `json:"adds"`
@@ -36,57 +35,87 @@
 	Host           string  `json:"host"`
 	Build          string  `json:"build,omitempty"`
 	Alive          bool    `json:"lives"`
-	StateAgeS      float64 `json:"for_s"` // how long it has been so, as seen from here
-	MissingForNext string  `json:"lacks_for_next,omitempty"`
+	StateAgeS      float64 `json:"for_s"`                    // seconds it has been so, as this controller observed
+	MissingForNext string  `json:"lacks_for_next,omitempty"` // what it lacks for the next version
 	RejectedReason string  `json:"refused,omitempty"`
 }
 
-// UndecodableValue is a stored value that cannot be read.
-type UndecodableValue struct {
-	Key    string `json:"key"`
-	Reason string `json:"why"`
-}
+// statusAgeUnit is what the ages of controllers are rounded to.
+const statusAgeUnit = 100 * time.Millisecond
 
-// Status tells how the roll-out stands, as seen from this controller.
+// Status returns how the upgrade stands, as seen from this controller.
 func (g *VersionGate) Status() Status {
-	v := g.look(time.Now())
-	s := Status{ClusterVersion: v.Version.Number, Features: v.Version.Features, HoldReason: v.Version.HoldReason, Build: BuildVersion, Controllers: []ControllerStatus{}, Undecodable: []UndecodableValue{}}
-	if s.Features == nil {
-		s.Features = []Feature{}
+	snapshot := g.snapshot(time.Now())
+	status := Status{
+		ClusterVersion: snapshot.Version.Number,
+		Features:       snapshot.Version.Features,
+		HoldReason:     snapshot.Version.HoldReason,
+		Build:          BuildVersion,
 	}
-	change, why := v.PlanRaise()
-	if s.RaiseBlockedBy = why; change != nil {
-		s.RaiseBlockedBy = "the steward's next look"
+	if status.Features == nil {
+		status.Features = []Feature{} // an empty list in JSON
 	}
-	next := v.Version
-	if steps := v.next(); len(steps) > 0 {
-		next = v.Version.with(steps[0].Feature)
-		s.Next = &NextVersion{next.Number, steps[0].Feature, steps[0].Description, steps[0].Irreversible}
+	change, reason := snapshot.PlanRaise()
+	if change != nil {
+		reason = "the steward's next look"
 	}
-	if v.Version.Number > 0 {
-		if _, s.LowerBlockedBy = v.PlanLower("", ""); s.LowerBlockedBy == "" {
-			s.LowerBlockedBy = "possible"
-		}
+	status.RaiseBlockedBy = reason
+	if snapshot.Version.Number > 0 {
+		status.LowerBlockedBy = lowerBlockedBy(&snapshot)
 	}
-	for _, n := range v.Controllers {
-		ns := ControllerStatus{Host: n.Host, Build: n.Capabilities.Build, Alive: n.Alive, StateAgeS: n.StateAge.Round(100 * time.Millisecond).Seconds(), RejectedReason: n.RejectedReason}
-		if n.Alive {
-			ns.MissingForNext = n.Capabilities.Missing(next)
-		}
-		s.Controllers = append(s.Controllers, ns)
+	next := snapshot.Version
+	if gates := snapshot.nextGates(); len(gates) > 0 {
+		gate := gates[0]
+		next = snapshot.Version.with(gate.Feature)
+		status.Next = &NextVersion{next.Number, gate.Feature, gate.Description, gate.Irreversible}
 	}
-	if v.Migration.Name != "" {
-		s.Migration = v.Migration.String()
+	status.Controllers = controllerStatuses(snapshot.Controllers, next)
+	if snapshot.Migration.Name != "" {
+		status.Migration = snapshot.Migration.String()
 	}
-	bad := g.mirror.Undecodable()
-	for _, b := range v.Migration.UndecodableSample {
-		bad[b.Key] = b.Reason
+	status.Undecodable = g.undecodable(&snapshot)
+	return status
+}
+
+func lowerBlockedBy(snapshot *Snapshot) string {
+	_, reason := snapshot.PlanLower("", "")
+	if reason == "" {
+		return "possible"
+	}
+	return reason
+}
+
+func controllerStatuses(controllers []Controller, next ClusterVersion) []ControllerStatus {
+	statuses := []ControllerStatus{}
+	for _, c := range controllers {
+		status := ControllerStatus{
+			Host:           c.Host,
+			Build:          c.Capabilities.Build,
+			Alive:          c.Alive,
+			StateAgeS:      c.StateAge.Round(statusAgeUnit).Seconds(),
+			RejectedReason: c.RejectedReason,
+		}
+		if c.Alive {
+			status.MissingForNext = c.Capabilities.Missing(next)
+		}
+		statuses = append(statuses, status)
+	}
+	return statuses
+}
+
+// undecodable lists the stored values that this controller cannot decode or the migration
+// could not, by key.
+func (g *VersionGate) undecodable(snapshot *Snapshot) []UndecodableValue {
+	reasons := g.mirror.Undecodable()
+	for _, value := range snapshot.Migration.UndecodableSample {
+		reasons[value.Key] = value.Reason
 	}
-	if v.VersionDecodeError != "" {
-		bad[statekv.ClusterVersionKey] = v.VersionDecodeError
+	if snapshot.VersionDecodeError != "" {
+		reasons[statekv.ClusterVersionKey] = snapshot.VersionDecodeError
 	}
-	for _, key := range slices.SortedFunc(maps.Keys(bad), strings.Compare) {
-		s.Undecodable = append(s.Undecodable, UndecodableValue{key, bad[key]})
+	values := []UndecodableValue{}
+	for _, key := range slices.Sorted(maps.Keys(reasons)) {
+		values = append(values, UndecodableValue{key, reasons[key]})
 	}
-	return s
+	return values
 }
--- /dev/null
+++ b/internal/rollout/version_gate.go
@@ -0,0 +1,238 @@
+package rollout
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"strings"
+	"sync"
+	"time"
+
+	"robinstack/internal/job"
+	"robinstack/internal/policy"
+	"robinstack/internal/statekv"
+)
+
+const (
+	// gateInterval is the time between two looks at the mirror, of which each reads a few
+	// keys.
+	gateInterval = 500 * time.Millisecond
+
+	// versionWriteTimeout bounds a write of the version or of a rejection.
+	versionWriteTimeout = 3 * time.Second
+
+	// rejectAfter is how long controllers that are not leader leave an incompatible one to
+	// the leader, which may be the incompatible one.
+	rejectAfter = time.Second
+
+	// rejectTimeout bounds all requests of one rejection.
+	rejectTimeout = 2 * time.Second
+
+	// rejectionTTL is how long a rejection stands: longer than the rejected session takes
+	// to see it.
+	rejectionTTL = 4 * time.Second
+
+	// maxRejectedRemembered bounds the rejected sessions that are remembered; after so many
+	// all are forgotten, which costs one more write for each that is still there.
+	maxRejectedRemembered = 1000
+)
+
+// VersionGate takes part in the upgrade for one session of a controller: it observes who
+// is alive, rejects incompatible controllers, raises the cluster version while it is
+// leader, and ends its own session where the version is not for this build.
+type VersionGate struct {
+	host        string
+	hosts       []string // in the settings
+	policy      *policy.Policy
+	mirror      *statekv.Mirror
+	session     *statekv.Session
+	store       statekv.Store
+	leaderEpoch func() uint64
+	reader      *VersionReader
+
+	mu          sync.Mutex // guards what follows
+	controllers map[string]observation
+	version     observation // its rev is the version's number
+	blockedBy   string      // what kind of thing a raise waited for, as last logged
+	rejected    map[uint64]bool
+}
+
+// observation is since when something has been as it is.
+type observation struct {
+	rev   uint64
+	alive bool
+	since time.Time
+}
+
+// NewVersionGate returns the gate of a session. hosts are those in the settings;
+// leaderEpoch returns the revision of the leader's role while this controller has it, else
+// 0.
+func NewVersionGate(
+	hosts []string, pol *policy.Policy, mirror *statekv.Mirror, session *statekv.Session, store statekv.Store,
+	leaderEpoch func() uint64,
+) *VersionGate {
+	return &VersionGate{
+		host:        session.Host,
+		hosts:       hosts,
+		policy:      pol,
+		mirror:      mirror,
+		session:     session,
+		store:       store,
+		leaderEpoch: leaderEpoch,
+		reader:      NewVersionReader(mirror),
+		controllers: map[string]observation{},
+		rejected:    map[uint64]bool{},
+	}
+}
+
+// Run takes part until ctx ends.
+func (g *VersionGate) Run(ctx context.Context) {
+	tick := time.NewTicker(gateInterval)
+	defer tick.Stop()
+	for ctx.Err() == nil {
+		g.step(ctx)
+		select {
+		case <-ctx.Done():
+		case <-tick.C:
+		}
+	}
+}
+
+// step does what there is to do at one moment.
+func (g *VersionGate) step(ctx context.Context) {
+	snapshot := g.snapshot(time.Now())
+	if problem := g.reader.Problem(); problem != "" && snapshot.VersionDecodeError == "" {
+		g.session.Abort(fmt.Errorf("level %d is not for this build: %s", snapshot.Version.Number, problem))
+		return
+	}
+	g.rejectIncompatible(ctx, snapshot)
+	change, reason := snapshot.PlanRaise()
+	g.logBlocked(reason)
+	if change == nil || !g.session.HoldsLease() {
+		return
+	}
+	if err := g.write(ctx, change.Compares, change.Ops); err != nil {
+		slog.Info("cluster version raise failed", "cluster_version", change.To.Number, "err", err)
+		return
+	}
+	slog.Info("cluster version changed", "cluster_version", change.To.Number, "features", change.To.Features)
+}
+
+// logBlocked logs what a raise waits for, when that becomes something else than time
+// passing: reasons that differ only from their first digit on count as one.
+func (g *VersionGate) logBlocked(reason string) {
+	kind := reason
+	if digit := strings.IndexAny(reason, "0123456789"); digit >= 0 {
+		kind = reason[:digit]
+	}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if kind != g.blockedBy && reason != "" {
+		slog.Debug("cluster version raise blocked", "reason", reason)
+	}
+	g.blockedBy = kind
+}
+
+// write makes a change in the name of this session.
+func (g *VersionGate) write(ctx context.Context, compares []statekv.Compare, ops []statekv.Op) error {
+	ctx, cancel := context.WithTimeout(ctx, versionWriteTimeout)
+	defer cancel()
+	_, err := g.session.Write(ctx, compares, ops)
+	return err
+}
+
+// snapshot returns what the mirror shows now, with the ages as this gate observed them.
+func (g *VersionGate) snapshot(now time.Time) Snapshot {
+	known, _ := g.reader.Current()
+	s := NewSnapshot(g.mirror, g.hosts, known)
+	s.Self, s.LeaderEpoch = g.host, g.leaderEpoch()
+	s.JobsNeeding = g.jobsNeeding
+	s.SoakTime = g.policy.RolloutSoak
+	s.AbsenceTimeout = g.policy.RolloutAbsenceTimeout
+	s.HeldByPolicy = g.policy.RolloutHold
+	g.observe(&s, now)
+	return s
+}
+
+// observe fills in the ages of a snapshot.
+func (g *VersionGate) observe(s *Snapshot, now time.Time) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	controllers := map[string]observation{}
+	for i := range s.Controllers {
+		c := &s.Controllers[i]
+		o, known := g.controllers[c.Host]
+		if !known || o.alive != c.Alive || c.Alive && o.rev != c.Rev {
+			o = observation{rev: c.Rev, alive: c.Alive, since: now}
+		}
+		controllers[c.Host] = o
+		c.StateAge = now.Sub(o.since)
+	}
+	g.controllers = controllers // those removed from the settings are forgotten
+	if number := uint64(s.Version.Number); g.version.since.IsZero() || g.version.rev != number {
+		g.version = observation{rev: number, since: now}
+	}
+	s.VersionAge = now.Sub(g.version.since)
+}
+
+// jobsNeeding lists the unfinished jobs that need a feature, as last seen.
+func (g *VersionGate) jobsNeeding(feature Feature) []string {
+	if feature != FeatureDependencies {
+		return nil
+	}
+	var ids []string
+	for _, kv := range g.mirror.Dir(job.RecordPrefix) {
+		if job.MayHaveDependencies(kv.Value) {
+			ids = append(ids, kv.Key[len(job.RecordPrefix):])
+		}
+	}
+	return ids
+}
+
+// rejectIncompatible ends the sessions of incompatible controllers.
+func (g *VersionGate) rejectIncompatible(ctx context.Context, snapshot Snapshot) {
+	for _, c := range snapshot.IncompatibleControllers() {
+		leftToLeader := snapshot.LeaderEpoch == 0 && c.StateAge < rejectAfter
+		if g.wasRejected(c.Rev) || c.Host == g.host || !g.session.HoldsLease() || leftToLeader {
+			continue
+		}
+		if err := g.reject(ctx, snapshot, c); err != nil {
+			slog.Debug("controller rejection failed", "host", c.Host, "err", err)
+			continue
+		}
+		g.noteRejected(c.Rev)
+		slog.Warn("controller rejected", "host", c.Host, "build", c.Capabilities.Build,
+			"cluster_version", snapshot.Version.Number, "missing_features", c.Capabilities.Missing(snapshot.Version))
+	}
+}
+
+func (g *VersionGate) wasRejected(rev uint64) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.rejected[rev]
+}
+
+func (g *VersionGate) noteRejected(rev uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if len(g.rejected) > maxRejectedRemembered {
+		clear(g.rejected)
+	}
+	g.rejected[rev] = true
+}
+
+// reject ends the session of one controller.
+func (g *VersionGate) reject(ctx context.Context, snapshot Snapshot, c Controller) error {
+	ctx, cancel := context.WithTimeout(ctx, rejectTimeout)
+	defer cancel()
+	lease, err := g.store.Grant(ctx, rejectionTTL)
+	if err != nil {
+		return fmt.Errorf("granting the lease of a rejection: %w", err)
+	}
+	compares, ops := snapshot.PlanReject(c, lease)
+	if err := g.write(ctx, compares, ops); err != nil {
+		_ = g.store.Revoke(ctx, lease) // else it expires by itself
+		return fmt.Errorf("writing the rejection of %s: %w", c.Host, err)
+	}
+	return nil
+}
--- a/internal/rollout/wire_test.go
+++ b/internal/rollout/wire_test.go
@@ -14,7 +14,7 @@
 	caps := LocalCapabilities()
 	caps.Build = ""
 	wireformat.Golden(t, "words", wireformat.Indent(t, map[string]any{
-		"capabilities": caps, "top": ClusterVersion{}.at(MaxClusterVersion()),
+		"capabilities": caps, "top": ClusterVersion{}.withFeatures(FeaturesAt(MaxClusterVersion())),
 		"features": []Feature{FeatureVersionGate, FeatureFailureHistory, FeatureTombstones, FeatureCompactTombstonesOnly, FeatureDependencies},
 		"kinds":    []string{JobRecordKind, TombstoneKind, ClusterVersionKind},
 		"moves":    []string{MigrationCopy, MigrationDropLegacy, MigrationRestoreLegacy},
