--- a/internal/statekv/schema.go
+++ b/internal/statekv/schema.go
@@ -23,8 +23,10 @@
 	Schema, MaxSchema int    // its version, and the latest that this build reads
 }
 
+// Error calls the version what the stored objects call it: form. The text is part of the status
+// and of what the compatibility check prints.
 func (e *SchemaError) Error() string {
-	return fmt.Sprintf("%s has schema version %d; this build reads versions up to %d", e.Kind, e.Schema, e.MaxSchema)
+	return fmt.Sprintf("%s has form %d; this build reads forms up to %d", e.Kind, e.Schema, e.MaxSchema)
 }
 
 // CheckSchema returns a *SchemaError if raw, an object of a kind, has a schema version above
