--- a/internal/budget/allocator.go
+++ b/internal/budget/allocator.go
@@ -12,7 +12,7 @@
 	Age   time.Duration // of this view
 }
 
-// Allocator lends what controllers do not use. It lives as long as an epoch of its holder's
+// Allocator lends what controllers do not use. It lasts as long as an epoch of its holder's
 // role; the clock is the time since it began. Its owner guards it.
 type Allocator struct {
 	epoch     uint64
@@ -117,7 +117,7 @@
 }
 
 // endedSessions lists the controllers whose shares may be lent because their sessions have
-// ended: by a view that is young, and none while one that lives does not report. A version that
+// ended: by a recent view, and none while one that is alive does not report. A version that
 // does not know of loans would use them by itself.
 func (a *Allocator) endedSessions(sessions SessionView, now time.Duration) map[string]bool {
 	ended := map[string]bool{}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,6 +1,6 @@
 // Package budget divides a rate limit that all controllers share: how many changes a second the
 // state service takes. Each controller is guaranteed an equal share, of as many shares as there
-// are controllers in the settings, whoever lives. One that needs little promises to use at most
+// are controllers in the settings, whoever is alive. One that needs little promises to use at most
 // half of its share for a while, and the allocator, which is the leader's, lends what was
 // promised, and half of the shares of controllers whose sessions have ended, to those that need
 // more. Promises and loans are leases: without an answer each controller falls back to its own
--- a/internal/statekv/helpers_test.go
+++ b/internal/statekv/helpers_test.go
@@ -1,7 +1,9 @@
 package statekv_test
 
 import (
+	"context"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"robinstack/internal/statekv"
@@ -10,6 +12,17 @@
 // openJobs is the prefix of the keys of jobs, which are not among the cluster's.
 const openJobs = statekv.RootPrefix + "job/"
 
+// inBubble runs a test whose clock moves when nothing else does. What still runs at its end, and
+// ends with ctx, is waited for.
+func inBubble(t *testing.T, test func(ctx context.Context, t *testing.T)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer func() { cancel(); synctest.Wait() }()
+		test(ctx, t)
+	})
+}
+
 // newMirror returns a mirror of the keys under prefixes that is not loaded, with watches of all
 // changes.
 func newMirror(store statekv.Store, prefixes ...string) *statekv.Mirror {
--- a/internal/statekv/membership.go
+++ b/internal/statekv/membership.go
@@ -30,7 +30,7 @@
 const restartWindow = 2 * time.Second
 
 // Successors lists the controllers among which roles are divided whose holder's session has
-// ended: those that live. A session that has just opened counts all there are, given as hosts,
+// ended: those that are alive. A session that has just opened counts all there are, given as hosts,
 // for when all have crashed they come back within a second of each other, and the first would
 // take everything.
 func (s *Session) Successors(hosts []string) []string {
--- a/internal/statekv/mirror_test.go
+++ b/internal/statekv/mirror_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"robinstack/emulator"
@@ -29,12 +28,10 @@
 }
 
 // What changes while an empty store is read is seen all the same. Guards against controllers
-// that start together and take each other for dead: one took the roles of both others, which
+// that start together and take each other for failed: one took the roles of both others, which
 // then rejected every submission.
 func TestMirrorOfAnEmptyStoreMissesNothing(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer func() { cancel(); synctest.Wait() }()
+	inBubble(t, func(ctx context.Context, t *testing.T) {
 		state := emulator.NewEmptyStateService()
 		store := &changingStore{StateService: state}
 		mirror := newMirror(store, statekv.ClusterPrefix, openJobs)
@@ -45,7 +42,7 @@
 		go mirror.Run(ctx)
 		time.Sleep(3 * time.Second)
 		if !session.Alive(other.Holder) {
-			t.Fatal("the other controller, which registered during the read, is taken for dead")
+			t.Fatal("the other controller, which registered during the read, is taken for one without a session")
 		}
 	})
 }
@@ -53,9 +50,7 @@
 // Whoever waits for a revision finds that OnApply has taken note of its changes, and that they
 // can be read.
 func TestOnApplyPrecedesTheRevision(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer func() { cancel(); synctest.Wait() }()
+	inBubble(t, func(ctx context.Context, t *testing.T) {
 		state := emulator.NewStateService()
 		mirror := newMirror(state, openJobs)
 		applied := 0
@@ -87,9 +82,7 @@
 // A value that cannot be decoded is listed with the reason until the key changes, and stays as
 // it is.
 func TestUndecodableKeysAreListedUntilTheyChange(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer func() { cancel(); synctest.Wait() }()
+	inBubble(t, func(ctx context.Context, t *testing.T) {
 		state := emulator.NewStateService()
 		mirror := newMirror(state, openJobs)
 		mirror.Parse = func(_ string, value json.RawMessage) any {
@@ -122,9 +115,7 @@
 
 // After a read index all can be read that was written before; without an answer there is none.
 func TestReadIndexShowsEarlierWrites(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer func() { cancel(); synctest.Wait() }()
+	inBubble(t, func(ctx context.Context, t *testing.T) {
 		state := emulator.NewStateService()
 		mirror := newMirror(state, openJobs)
 		load(t, mirror)
--- a/internal/statekv/role.go
+++ b/internal/statekv/role.go
@@ -35,7 +35,7 @@
 type Role struct {
 	Key            string
 	ExpectedRev    uint64
-	PreviousHolder Holder // whose session has ended; zero: acquired whether it lives or not
+	PreviousHolder Holder // whose session has ended; zero: acquired whether it is alive or not
 	Value          any    // names the new holder
 }
 
@@ -119,7 +119,7 @@
 }
 
 // withoutLost returns the roles of a group that its transaction's error does not name as lost:
-// another was faster, or the previous holder lives.
+// another was faster, or the previous holder is alive.
 func (s *Session) withoutLost(group []Role, err error) []Role {
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) {
--- a/internal/statekv/role_test.go
+++ b/internal/statekv/role_test.go
@@ -16,9 +16,7 @@
 // A role is not acquired from a holder that the state service knows to be alive, whatever the
 // mirror of who tries shows; and who lost one ends its session.
 func TestRoleOfALiveHolderIsNotAcquired(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer func() { cancel(); synctest.Wait() }()
+	inBubble(t, func(ctx context.Context, t *testing.T) {
 		state := emulator.NewStateService()
 		empty := newMirror(state)
 		holder := openSession(t, state, empty, "host-1", time.Hour)
@@ -46,12 +44,10 @@
 }
 
 // After all controllers have crashed several of them try to acquire the same roles. One that is
-// lost to another, or whose holder lives after all, must not keep the rest of its transaction
+// lost to another, or whose holder is alive after all, must not keep the rest of its transaction
 // from being acquired, nor cost a request of its own.
 func TestRolesAreAcquiredTogether(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		defer func() { cancel(); synctest.Wait() }()
+	inBubble(t, func(ctx context.Context, t *testing.T) {
 		state := emulator.NewStateService()
 		mirror := newMirror(state, statekv.ClusterPrefix)
 		other := openSession(t, state, mirror, "host-1", time.Hour)
@@ -64,7 +60,7 @@
 				Value:          successor.Holder,
 			})
 		}
-		roles[7].PreviousHolder = other.Holder // lives, which the mirror does not show
+		roles[7].PreviousHolder = other.Holder // is alive, which the mirror does not show
 		if _, err := other.Acquire(ctx, statekv.Role{Key: roles[30].Key, Value: other.Holder}); err != nil {
 			t.Fatal(err)
 		}
@@ -112,7 +108,7 @@
 	}
 }
 
-// A role's key of a schema version that this build does not know is told from a damaged one.
+// A role's key of a schema version that this build does not know is not taken for a damaged one.
 func TestRoleOfALaterSchemaIsNotDamaged(t *testing.T) {
 	var later *statekv.SchemaError
 	_, err := statekv.HolderOf(statekv.KV{Value: json.RawMessage(`{"form":1,"host":"x"}`)})
--- a/internal/statekv/store.go
+++ b/internal/statekv/store.go
@@ -6,7 +6,7 @@
 //
 // It owns this process's share of the service's rate limits (Client, WriteBudget), the
 // mirrored keys (Mirror) and the time of the last lease renewal (Session). Each of these types
-// guards its state with a mutex of its own, and holds none of them over I/O. It imports
+// guards its state with a mutex of its own, held over no request to the service. It imports
 // budget and httpjson only, and knows of what the keys mean no more than their names.
 package statekv
 
--- a/internal/statekv/transport.go
+++ b/internal/statekv/transport.go
@@ -11,7 +11,7 @@
 	"robinstack/internal/httpjson"
 )
 
-// txnPath is the path of transactions, the only requests that are told to be too large.
+// txnPath is the path of transactions, the only requests that may be too large.
 const txnPath = "/txn"
 
 // request is one request to the state service.
