--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -9,92 +9,100 @@
 	"pgregory.net/rapid"
 )
 
-// However many questions come, and whichever of the controllers its user asks, a job
-// that is asked about every 5 s is let in within 55 s, though most are refused and those
-// places are taken by others all the time. Guards against a refusal at random, which of
-// some thousand jobs leaves some without any answer for over a minute.
+// However many queries come, and whichever of the controllers its user asks, a job that is asked
+// about every 5 s is admitted within 55 s, though most are rejected and the capacity is taken by
+// others all the time. Guards against a rejection at random, which of some thousand jobs leaves
+// some without any answer for over a minute.
 func TestAdmissionIsStarvationFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := make([]admissionQueue, rapid.IntRange(1, 5).Draw(t, "controllers"))
-		now := time.Unix(0, 0)
-		for k := range nodes {
-			nodes[k].inFlight = maxQueriesInFlight // all the time
+		controllers := make([]admissionQueue, rapid.IntRange(1, 5).Draw(t, "controllers"))
+		began := time.Unix(0, 0)
+		now := began
+		for k := range controllers {
+			controllers[k].inFlight = maxQueriesInFlight // all the time
 		}
-		for q := range 40 {
-			k := rapid.IntRange(0, len(nodes)-1).Draw(t, "asked")
-			turn, ok := nodes[k].admit("wk-1", now)
+		for rejected := range 40 {
+			controller := &controllers[rapid.IntRange(0, len(controllers)-1).Draw(t, "asked")]
+			query, ok := controller.admit("wk-1", now)
 			if ok {
-				nodes[k].release(turn, true, now)
+				controller.release(query, true, now)
 				return
 			}
-			if q >= 11 {
-				t.Fatalf("refused %d times in a row, for %v", q+1, now.Sub(time.Unix(0, 0)))
+			if rejected >= 11 {
+				t.Fatalf("rejected %d times in a row, for %v", rejected+1, now.Sub(began))
 			}
 			now = now.Add(5 * time.Second)
 		}
 	})
 }
 
-// The places for overdue questions are bounded; so is what is kept in mind, and it is
-// forgotten once it was answered or nobody asks any more.
+// The capacity for overdue queries is bounded; so are the jobs that are tracked, and one is dropped
+// once it was answered or nobody asks any more.
 func TestAdmissionQueueIsBounded(t *testing.T) {
-	var ts admissionQueue
-	ts.inFlight = maxQueriesInFlight
+	queue := admissionQueue{inFlight: maxQueriesInFlight}
 	now := time.Unix(0, 0)
 	for k := range 2 * maxTrackedJobs {
-		ts.admit(fmt.Sprintf("wk-%d", k), now)
+		queue.admit(fmt.Sprintf("wk-%d", k), now)
 	}
-	if len(ts.unansweredSince) != maxTrackedJobs {
-		t.Fatal(len(ts.unansweredSince))
+	if len(queue.unansweredSince) != maxTrackedJobs {
+		t.Fatal(len(queue.unansweredSince))
 	}
 	now = now.Add(20 * time.Second)
-	let := 0
+	admitted := 0
 	for k := range 1000 {
-		if _, ok := ts.admit(fmt.Sprintf("wk-%d", k), now); ok {
-			let++
+		if _, ok := queue.admit(fmt.Sprintf("wk-%d", k), now); ok {
+			admitted++
 		}
 	}
-	if let != maxOverdueInFlight {
-		t.Errorf("%d were let in", let)
+	if admitted != maxOverdueInFlight {
+		t.Errorf("%d were admitted", admitted)
 	}
-	ts.release(admittedQuery{"wk-1", true}, false, now) // without an answer: it is owed one still
-	if _, ok := ts.admit("wk-1", now); !ok {
-		t.Error("refused although it is overdue")
+	overdue := admittedQuery{jobID: "wk-1", overdue: true}
+	queue.release(overdue, false, now) // without an answer: it is overdue still
+	if _, ok := queue.admit("wk-1", now); !ok {
+		t.Error("rejected although it is overdue")
 	}
-	ts.release(admittedQuery{"wk-1", true}, true, now)
-	if _, ok := ts.admit("wk-1", now); ok {
+	queue.release(overdue, true, now)
+	if _, ok := queue.admit("wk-1", now); ok {
 		t.Error("it was answered just now")
 	}
 	now = now.Add(2 * trackedFor)
-	ts.admit("wk-new", now)
-	if len(ts.unansweredSince) != 1 {
-		t.Errorf("%d are kept in mind", len(ts.unansweredSince))
+	queue.admit("wk-new", now)
+	if len(queue.unansweredSince) != 1 {
+		t.Errorf("%d are tracked", len(queue.unansweredSince))
 	}
 }
 
-// Thousands of jobs ask under five times as many questions as are served, with drawn
-// durations: none is without an answer for 75 s.
+// Thousands of jobs send five times as many queries as are answered, at random times: none is
+// without an answer for 75 s.
 func TestAdmissionUnderQueryFlood(t *testing.T) {
-	const jobs, seconds, fit = 3000, 300, 100 // questions that are served at a time
+	const (
+		jobs             = 3000
+		seconds          = 300
+		capacity         = 100 // queries that are answered at a time
+		forgottenAfterS  = 75
+		queryEveryNthSec = 5
+	)
 	rng := rand.New(rand.NewPCG(1, 2))
-	var ts admissionQueue
-	ts.inFlight = maxQueriesInFlight - fit
-	last := make([]int, jobs)
-	for now := range seconds {
-		var in []admittedQuery
+	queue := admissionQueue{inFlight: maxQueriesInFlight - capacity}
+	lastAdmitted := make([]int, jobs)
+	for second := range seconds {
+		now := time.Unix(int64(second), 0)
+		var admitted []admittedQuery
 		for k := range jobs {
-			if rng.IntN(5) > 0 {
-				continue // each asks every 5 s
+			if rng.IntN(queryEveryNthSec) > 0 {
+				continue
 			}
-			if q, ok := ts.admit(fmt.Sprintf("wk-%d", k), time.Unix(int64(now), 0)); ok {
-				in = append(in, q)
-				last[k] = now
-			} else if now-last[k] > 75 {
-				t.Fatalf("wk-%d was without an answer for %d s", k, now-last[k])
+			query, ok := queue.admit(fmt.Sprintf("wk-%d", k), now)
+			if ok {
+				admitted = append(admitted, query)
+				lastAdmitted[k] = second
+			} else if second-lastAdmitted[k] > forgottenAfterS {
+				t.Fatalf("wk-%d was without an answer for %d s", k, second-lastAdmitted[k])
 			}
 		}
-		for _, q := range in {
-			ts.release(q, true, time.Unix(int64(now), 0))
+		for _, query := range admitted {
+			queue.release(query, true, now)
 		}
 	}
 }
--- a/internal/gateway/connections_test.go
+++ b/internal/gateway/connections_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"net/http"
 	"testing"
-	"time"
 
 	"github.com/valyala/fasthttp/fasthttputil"
 
@@ -16,20 +15,23 @@
 	"robinstack/internal/config"
 )
 
-// With 3,700 machines on three controllers the workers' connections were more than
-// half of the sockets that a controller may have, and that was what it served: the
-// load balancer's questions were cut off, and for two minutes no user found a
-// controller, though all were well.
-func TestWorkerConnectionsLeaveRoomForProbes(t *testing.T) {
-	g := New(&config.Settings{Host: "host-0", MaxConnections: 200}, emulator.NewStateService(), &cloud.Catalogue{}, func() (int, time.Duration) { return 0, 0 })
-	ln := fasthttputil.NewInmemoryListener()
+// With 3,700 machines on three controllers the workers' connections were more than half of the
+// sockets that a controller may have, and that was what it served: the load balancer's probes were
+// cut off, and for two minutes no user found a controller, though all were well.
+func TestWorkerConnectionsLeaveCapacityForProbes(t *testing.T) {
+	settings := &config.Settings{Host: "host-0", MaxConnections: 200}
+	g := New(settings, emulator.NewStateService(), &cloud.Catalogue{}, noPauses)
+	listener := fasthttputil.NewInmemoryListener()
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
-	go func() { served <- g.Serve(ctx, ln) }()
-	defer func() { cancel(); <-served }()
+	go func() { served <- g.Serve(ctx, listener) }()
+	defer func() {
+		cancel()
+		<-served
+	}()
 	var open []net.Conn
 	for n := range 140 {
-		conn, err := ln.Dial()
+		conn, err := listener.Dial()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,12 +39,12 @@
 		if _, err := fmt.Fprint(conn, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 			t.Fatalf("connection %d: %v", n, err)
 		}
-		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Fatalf("connection %d: %v", n, err)
 		}
-		if resp.Close || resp.Header.Get("Content-Type") != "application/json" {
-			t.Fatalf("connection %d was not served: %s %v", n, resp.Status, resp.Header)
+		if response.Close || response.Header.Get("Content-Type") != "application/json" {
+			t.Fatalf("connection %d was not served: %s %v", n, response.Status, response.Header)
 		}
 	}
 	for _, conn := range open {
--- a/internal/gateway/idempotent_write_test.go
+++ b/internal/gateway/idempotent_write_test.go
@@ -11,33 +11,48 @@
 	"robinstack/internal/statekv"
 )
 
-// stateServiceAnsweringOneCopy is a state service that answers the nth copy of a write, and no other.
+// stateServiceAnsweringOneCopy is a state service that answers one copy of a write, and no other.
 type stateServiceAnsweringOneCopy struct {
 	queueDelay   time.Duration // for which a copy waits before it goes out
-	answeredCopy int32
+	answeredCopy int32         // counts from 1
 	copiesSent   atomic.Int32
 }
 
-func (s *stateServiceAnsweringOneCopy) Write(ctx context.Context, _ []statekv.Compare, _ []statekv.Op) (uint64, error) {
+func (s *stateServiceAnsweringOneCopy) Write(
+	ctx context.Context, _ []statekv.Compare, _ []statekv.Op,
+) (uint64, error) {
 	time.Sleep(s.queueDelay)
 	statekv.NotifySent(ctx)
 	if s.copiesSent.Add(1) == s.answeredCopy {
-		return 7, nil
+		return answeredRev, nil
 	}
 	<-ctx.Done()
 	return 0, statekv.ErrOutcomeUnknown
 }
 
+// answeredRev is the revision in the answer.
+const answeredRev = 7
+
 // A write without an answer is sent up to three times, and given up with its caller.
 func TestIdempotentWriteIsResent(t *testing.T) {
-	for nth, want := range map[int32]time.Duration{1: 0, 2: resendAfter, 3: 2 * resendAfter, 4: 3 * time.Second} {
+	const callerTimeout = 3 * time.Second
+	for answeredCopy, want := range map[int32]time.Duration{
+		1: 0,
+		2: resendAfter,
+		3: 2 * resendAfter,
+		4: callerTimeout,
+	} {
 		synctest.Test(t, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
+			ctx, cancel := context.WithTimeout(t.Context(), callerTimeout)
 			defer cancel()
-			s, began := &stateServiceAnsweringOneCopy{answeredCopy: nth}, time.Now()
+			began := time.Now()
+			s := &stateServiceAnsweringOneCopy{answeredCopy: answeredCopy}
 			rev, err := writeIdempotent(ctx, s, nil, nil)
-			if took := time.Since(began); took != want || (err == nil) != (nth <= maxCopies) || err == nil && rev != 7 || err != nil && !errors.Is(err, statekv.ErrOutcomeUnknown) {
-				t.Errorf("copy %d is answered: %d, %v after %v and %d copies", nth, rev, err, took, s.copiesSent.Load())
+			took := time.Since(began)
+			failsRight := err == nil || errors.Is(err, statekv.ErrOutcomeUnknown)
+			if took != want || (err == nil) != (answeredCopy <= maxCopies) || err == nil && rev != answeredRev || !failsRight {
+				t.Errorf("copy %d is answered: %d, %v after %v and %d copies",
+					answeredCopy, rev, err, took, s.copiesSent.Load())
 			}
 		})
 	}
@@ -48,7 +63,8 @@
 func TestIdempotentWriteIsNotResentWhileQueued(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stateServiceAnsweringOneCopy{answeredCopy: 1, queueDelay: 900 * time.Millisecond}
-		if rev, err := writeIdempotent(t.Context(), s, nil, nil); rev != 7 || err != nil || s.copiesSent.Load() != 1 {
+		rev, err := writeIdempotent(t.Context(), s, nil, nil)
+		if rev != answeredRev || err != nil || s.copiesSent.Load() != 1 {
 			t.Errorf("%d, %v after %d copies", rev, err, s.copiesSent.Load())
 		}
 	})
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -20,8 +20,8 @@
 	wireformat.JSON[jobStatus](t, "job")
 	wireformat.JSON[Status](t, "status")
 	var routes []string
-	runWithGateway(t, func(d *gatewayFixture) {
-		for _, route := range d.gateway.app.GetRoutes(true) {
+	runWithGateway(t, func(fixture *gatewayFixture) {
+		for _, route := range fixture.gateway.app.GetRoutes(true) {
 			if route.Method != http.MethodHead {
 				routes = append(routes, route.Method+" "+route.Path)
 			}
@@ -40,16 +40,16 @@
 	const report = `{"host":"vm-1","addr":"10.1.0.2:9000","host_kind":"box","site":"a","loaners":true,` +
 		`"tenure":1,"serial":1,"baton":0,"recall_s":null,"pieces":[]}`
 	var b strings.Builder
-	runWithGateway(t, func(d *gatewayFixture) {
-		l := d.components
-		l.Agent = clusteragent.New(d.gateway.settings, d.state, l.Mirror, l.Session, nil, d.gateway.catalogue.Types)
-		rev, err := d.state.Txn(d.ctx, nil, []statekv.Op{{Set: statekv.SessionPrefix + "host-1", Value: struct{}{}}})
+	runWithGateway(t, func(fixture *gatewayFixture) {
+		l := fixture.components
+		l.Agent = clusteragent.New(fixture.gateway.settings, fixture.state, l.Mirror, l.Session, nil, fixture.gateway.catalogue.Types)
+		rev, err := fixture.state.Txn(fixture.ctx, nil, []statekv.Op{{Set: statekv.SessionPrefix + "host-1", Value: struct{}{}}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		shardKey := shard.Record{Holder: statekv.Holder{Host: "host-1", Incarnation: rev}}
 		machine := shard.MachineRecord{Shard: "s", Address: "10.1.0.2:9000", Type: "box", Zone: "a", Spot: true}
-		d.write(statekv.Op{Set: statekv.MachineShardPrefix + "s", Value: shardKey},
+		fixture.write(statekv.Op{Set: statekv.MachineShardPrefix + "s", Value: shardKey},
 			statekv.Op{Set: statekv.MachinePrefix + "vm-1", Value: machine})
 		time.Sleep(time.Second)
 		for _, request := range [][3]string{
@@ -66,12 +66,12 @@
 			{"POST", "/v1/report", "{}"},
 			{"GET", "/ready", ""},
 		} {
-			code, answer, _ := d.request(request[0], request[1], request[2])
+			code, answer, _ := fixture.request(request[0], request[1], request[2])
 			if _, ok := answer["error"]; ok {
 				answer["error"] = "(a reason)"
 			}
 			fmt.Fprintf(&b, "%s\n  %d %s\n", strings.Join(request[:], " "), code, wireformat.Indent(t, answer))
-			if stored, err := d.state.Get(d.ctx, job.RecordKey("wk-1")); err == nil && code == http.StatusCreated {
+			if stored, err := fixture.state.Get(fixture.ctx, job.RecordKey("wk-1")); err == nil && code == http.StatusCreated {
 				fmt.Fprintf(&b, "  stored %s\n", stored.Value)
 			}
 		}
@@ -86,13 +86,13 @@
 		{Settled: true, Faulty: true}, {Settled: true, Draining: true}} {
 		words = append(words, machineState(&e))
 	}
-	runWithGateway(t, func(d *gatewayFixture) {
+	runWithGateway(t, func(fixture *gatewayFixture) {
 		for _, request := range [][2]string{{"POST", "/v1/report"}, {"POST", "/submissions"},
 			{"GET", "/submissions/wk-9"}, {"POST", "/submissions/wk-9/abort"}} {
-			d.request(request[0], request[1], "{}")
+			fixture.request(request[0], request[1], "{}")
 		}
 		var requests []string
-		for _, latency := range d.gateway.latencies.summaries() {
+		for _, latency := range fixture.gateway.latencies.summaries() {
 			requests = append(requests, latency.Request)
 		}
 		words = append(words, slices.Sorted(slices.Values(requests))...)
