--- a/internal/gateway/queries_test.go
+++ b/internal/gateway/queries_test.go
@@ -15,7 +15,9 @@
 // exhaustedLookups is a state service whose share for lookups is used up.
 type exhaustedLookups struct{ *emulator.StateService }
 
-func (exhaustedLookups) Allow(class statekv.RequestClass, _ int) bool { return class != statekv.ClassLookup }
+func (exhaustedLookups) Allow(class statekv.RequestClass, _ int) bool {
+	return class != statekv.ClassLookup
+}
 
 // When users ask many times as often, surplus queries are rejected at once, with the time to come
 // back, and neither they nor queries about jobs that nobody submitted use up what submissions
