--- /dev/null
+++ b/internal/worker/client.go
@@ -0,0 +1,68 @@
+package worker
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+
+	"robinstack/internal/httpjson"
+)
+
+const (
+	commandTimeout = 2 * time.Second
+	// maxConnectionsPerWorker is how many commands may be on their way to one worker at a time.
+	maxConnectionsPerWorker = 4
+	// idleConnectionTimeout is how long a connection to a worker is kept without commands. There
+	// is one to each machine, and most commands go in answers to heartbeats: a thousand kept for
+	// nothing are a third of the sockets that a controller may have.
+	idleConnectionTimeout = 3 * time.Second
+)
+
+// Commander sends commands to workers.
+type Commander interface {
+	// Send sends commands to the worker at address, which carries them out only under this fencing
+	// token or a lower one that it has seen, and in this worker epoch. It returns the worker's
+	// heartbeat and whether the commands were carried out. An error means that this is unknown:
+	// they may be carried out later.
+	Send(
+		ctx context.Context, address string, fencingToken, workerEpoch uint64, commands []Command,
+	) (heartbeat *Heartbeat, executed bool, err error)
+}
+
+// Client is the Commander over HTTP.
+type Client struct{ http *httpjson.Client }
+
+// NewClient returns a client for commands to workers.
+func NewClient() *Client {
+	return &Client{http: httpjson.New(commandTimeout, maxConnectionsPerWorker, idleConnectionTimeout)}
+}
+
+type commandRequest struct {
+	FencingToken uint64    `json:"baton"`
+	WorkerEpoch  uint64    `json:"tenure"`
+	Commands     []Command `json:"orders"`
+}
+
+// Send implements Commander.
+func (c *Client) Send(
+	ctx context.Context, address string, fencingToken, workerEpoch uint64, commands []Command,
+) (*Heartbeat, bool, error) {
+	if commands == nil {
+		commands = []Command{} // the protocol wants a list
+	}
+	request := commandRequest{FencingToken: fencingToken, WorkerEpoch: workerEpoch, Commands: commands}
+	response, err := c.http.Do(ctx, http.MethodPost, "http://"+address+"/do", request, 0)
+	if err != nil {
+		return nil, false, err
+	}
+	executed := response.Status == http.StatusOK
+	if !executed && response.Status != http.StatusConflict {
+		return nil, false, fmt.Errorf("worker %s: status %d", address, response.Status)
+	}
+	var heartbeat Heartbeat
+	if err := response.Decode(&heartbeat); err != nil {
+		return nil, false, err
+	}
+	return &heartbeat, executed, nil
+}
