--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -21,10 +21,10 @@
 
 // Commander sends commands to workers.
 type Commander interface {
-	// Send sends commands to the worker at address, which carries them out only under this fencing
-	// token or a lower one that it has seen, and in this worker epoch. It returns the worker's
-	// heartbeat and whether the commands were carried out. An error means that this is unknown:
-	// they may be carried out later.
+	// Send sends commands to the worker at address, which carries them out only if it has seen no
+	// higher fencing token and is in this worker epoch. It returns the worker's heartbeat and
+	// whether the commands were carried out. An error means that this is unknown: they may be
+	// carried out later.
 	Send(
 		ctx context.Context, address string, fencingToken, workerEpoch uint64, commands []Command,
 	) (heartbeat *Heartbeat, executed bool, err error)
--- a/internal/worker/protocol.go
+++ b/internal/worker/protocol.go
@@ -30,9 +30,9 @@
 
 // Operations of commands.
 const (
-	opStart  = "run"
-	opStop   = "kill"
-	opForget = "forget"
+	OpStart  = "run"
+	OpStop   = "kill"
+	OpForget = "forget" // drops an exited task from the heartbeats
 )
 
 // Task is a task as a heartbeat has it.
@@ -77,16 +77,16 @@
 
 // StartCommand tells a worker to start a task.
 func StartCommand(task string, attempt uint64) Command {
-	return Command{Op: opStart, Task: task, Attempt: attempt}
+	return Command{Op: OpStart, Task: task, Attempt: attempt}
 }
 
 // StopCommand tells a worker to stop a task, with time to save a checkpoint.
 func StopCommand(task string, attempt uint64, grace time.Duration) Command {
 	seconds := grace.Seconds()
-	return Command{Op: opStop, Task: task, Attempt: attempt, GraceS: &seconds}
+	return Command{Op: OpStop, Task: task, Attempt: attempt, GraceS: &seconds}
 }
 
 // ForgetCommand tells a worker to drop an exited task from its heartbeats.
 func ForgetCommand(task string, attempt uint64) Command {
-	return Command{Op: opForget, Task: task, Attempt: attempt}
+	return Command{Op: OpForget, Task: task, Attempt: attempt}
 }
