--- a/internal/cloud/catalogue.go
+++ b/internal/cloud/catalogue.go
@@ -2,21 +2,21 @@
 
 import "sync"
 
-// Catalogue holds the machine types last heard of.
+// Catalogue holds the machine types that the cloud named last. The zero value is empty.
 type Catalogue struct {
-	mu    sync.Mutex
+	mu    sync.Mutex // guards types; the map itself is replaced, never changed
 	types map[string]MachineType
 }
 
 // Set replaces the types.
 func (c *Catalogue) Set(types []MachineType) {
-	m := make(map[string]MachineType, len(types))
-	for _, t := range types {
-		m[t.Name] = t
+	byName := make(map[string]MachineType, len(types))
+	for _, machineType := range types {
+		byName[machineType.Name] = machineType
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.types = m
+	c.types = byName
 }
 
 // Types returns the types by name; the map must not be changed.
