--- /dev/null
+++ b/internal/config/parse.go
@@ -0,0 +1,35 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+)
+
+// Load reads and checks the settings file. Its error names the file and all fields that are wrong.
+func Load(path string) (*Settings, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("reading settings: %w", err)
+	}
+	settings, err := Parse(raw)
+	if err != nil {
+		return nil, fmt.Errorf("settings %s: %w", path, err)
+	}
+	return settings, nil
+}
+
+// Parse checks settings given as JSON. What follows the first value is ignored. Its error names
+// all fields that are wrong.
+func Parse(raw []byte) (*Settings, error) {
+	var wire wireSettings
+	if err := json.NewDecoder(bytes.NewReader(raw)).Decode(&wire); err != nil {
+		return nil, fmt.Errorf("not valid JSON: %w", err)
+	}
+	settings := wire.settings()
+	if err := validate(&wire, settings); err != nil {
+		return nil, err
+	}
+	return settings, nil
+}
--- a/internal/config/config_test.go
+++ b/internal/config/settings_test.go
@@ -28,16 +28,17 @@
 		t.Errorf("limits %v", l)
 	}
 	// What an owner keeps alive is gone within cancel_s, with a second to spare.
-	if h := s.LeaseGracePeriod(); h != 24*time.Second || h+s.Workers.LeaseDuration >= s.Workers.CancellationDeadline {
-		t.Errorf("hold time %v", h)
+	grace := s.LeaseGracePeriod()
+	if grace != 24*time.Second || grace+s.Workers.LeaseDuration >= s.Workers.CancellationDeadline {
+		t.Errorf("lease grace period %v", grace)
 	}
-	if w := s.WatchTimeout(); w > time.Second {
-		t.Errorf("an owner may not know the present for %v", w)
+	if timeout := s.WatchTimeout(); timeout > time.Second {
+		t.Errorf("an owner may not know the present for %v", timeout)
 	}
 }
 
-// Every mistake is refused with its field, and all of them at once.
-func TestMistakesInSettings(t *testing.T) {
+// Every mistake is rejected with its field, and all of them at once.
+func TestParseNamesEveryWrongField(t *testing.T) {
 	for field, change := range map[string][2]string{
 		"not valid JSON":        {`{"host_name"`, `{"host_name`},
 		"host_name":             {`"host_name":"host-0"`, `"host_name":""`},
@@ -48,7 +49,7 @@
 		"facts.teams[0]":        {`"gpus":1`, `"gpus":-1`},
 		"facts.workers.lease_s": {`"lease_s":31`, `"lease_s":5`},
 		"facts.workers.cancel":  {`"cancel_s":56`, `"cancel_s":30`},
-		"at least 3.5s above":   {`"cancel_s":56`, `"cancel_s":34.4`}, // where the hold time would not end in time
+		"at least 3.5s above":   {`"cancel_s":56`, `"cancel_s":34.4`}, // where the lease grace period would not end in time
 		"facts.state.txn_ops":   {`"txn_ops":24`, `"txn_ops":2`},
 		"state.value_kb":        {`"value_kb":8`, `"value_kb":8,"next":{"value_kb":1}`},
 		"facts.cloud.rps":       {`"cloud":{"rps":7`, `"cloud":{"rps":0`},
@@ -62,7 +63,8 @@
 		}
 	}
 	two := strings.NewReplacer(`"rps":180`, `"rps":0`, `"gang_wait_s":45`, `"gang_wait_s":0`).Replace(valid)
-	if _, err := Parse([]byte(two)); err == nil || !strings.Contains(err.Error(), "state.rps") || !strings.Contains(err.Error(), "gang_wait_s") {
+	_, err := Parse([]byte(two))
+	if err == nil || !strings.Contains(err.Error(), "state.rps") || !strings.Contains(err.Error(), "gang_wait_s") {
 		t.Errorf("two mistakes: %v", err)
 	}
 	if _, err := Load(t.TempDir() + "/none"); err == nil {
@@ -70,44 +72,61 @@
 	}
 }
 
-// Limits that are announced hold from the start, the lower of each; what is not announced
-// stays. More controllers need more conditions when the level changes.
-func TestLimitsToCome(t *testing.T) {
+// Limits that are announced hold from the start, the lower of each; what is not announced stays.
+// More controllers need more compares when the cluster version changes.
+func TestAnnouncedStateLimitsApplyAtOnce(t *testing.T) {
 	with := func(next string) string {
 		return strings.Replace(valid, `"txn_ops":24`, `"txn_ops":24,"next":`+next, 1)
 	}
+	limits := func(requests, writes float64, valueBytes, txnOps int) StateLimits {
+		return StateLimits{
+			RequestsPerSecond: requests,
+			WritesPerSecond:   writes,
+			MaxValueBytes:     valueBytes,
+			MaxTxnOps:         txnOps,
+		}
+	}
 	for next, want := range map[string]StateLimits{
-		`{"write_rps":42,"value_kb":2,"txn_ops":8}`:  {RequestsPerSecond: 180, WritesPerSecond: 42, MaxValueBytes: 2048, MaxTxnOps: 8},
-		`{"write_rps":99,"value_kb":16,"txn_ops":8}`: {RequestsPerSecond: 180, WritesPerSecond: 70, MaxValueBytes: 8192, MaxTxnOps: 8},
-		`{"rps":100}`: {RequestsPerSecond: 100, WritesPerSecond: 70, MaxValueBytes: 8192, MaxTxnOps: 24},
-		`{}`:          {RequestsPerSecond: 180, WritesPerSecond: 70, MaxValueBytes: 8192, MaxTxnOps: 24},
+		`{"write_rps":42,"value_kb":2,"txn_ops":8}`:  limits(180, 42, 2048, 8),
+		`{"write_rps":99,"value_kb":16,"txn_ops":8}`: limits(180, 70, 8192, 8),
+		`{"rps":100}`: limits(100, 70, 8192, 24),
+		`{}`:          limits(180, 70, 8192, 24),
 	} {
 		s, err := Parse([]byte(with(next)))
 		if err != nil || s.StateLimits != want {
 			t.Errorf("%s: %+v %v", next, s, err)
 		}
 	}
-	many := `"peers":[{"host_name":"host-1","area":"b","address":"10.0.0.2:8081"}`
+	const onePeer = `"peers":[{"host_name":"host-1","area":"b","address":"10.0.0.2:8081"}`
+	manyPeers := onePeer
 	for k := range 20 {
-		many += fmt.Sprintf(`,{"host_name":"more-%d","area":"b","address":"10.0.1.%d:8081"}`, k, k)
+		manyPeers += fmt.Sprintf(`,{"host_name":"more-%d","area":"b","address":"10.0.1.%d:8081"}`, k, k)
 	}
-	crowd := strings.Replace(with(`{"txn_ops":6}`), `"peers":[{"host_name":"host-1","area":"b","address":"10.0.0.2:8081"}`, many, 1)
-	if _, err := Parse([]byte(crowd)); err == nil || !strings.Contains(err.Error(), "at least 7") {
+	crowded := strings.Replace(with(`{"txn_ops":6}`), onePeer, manyPeers, 1)
+	if _, err := Parse([]byte(crowded)); err == nil || !strings.Contains(err.Error(), "at least 7") {
 		t.Error(err)
 	}
 }
 
 // Watches take an eighth of the requests, and each controller sees what others write within
 // half a second, however many there are.
-func TestWatchPause(t *testing.T) {
+func TestMinWatchInterval(t *testing.T) {
 	for _, c := range []struct {
-		controllers int
-		rps         float64
-		pause       time.Duration
-	}{{3, 200, 120 * time.Millisecond}, {5, 160, 250 * time.Millisecond}, {16, 200, longestWatchPause}} {
-		s := Settings{Controllers: c.controllers, StateLimits: StateLimits{RequestsPerSecond: c.rps}, Workers: WorkerTiming{LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}}
-		if got := s.MinWatchInterval(); got != c.pause {
-			t.Errorf("%d controllers at %v requests a second: %v", c.controllers, c.rps, got)
+		controllers       int
+		requestsPerSecond float64
+		interval          time.Duration
+	}{
+		{3, 200, 120 * time.Millisecond},
+		{5, 160, 250 * time.Millisecond},
+		{16, 200, maxWatchInterval},
+	} {
+		s := Settings{
+			Controllers: c.controllers,
+			StateLimits: StateLimits{RequestsPerSecond: c.requestsPerSecond},
+			Workers:     WorkerTiming{LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second},
+		}
+		if got := s.MinWatchInterval(); got != c.interval {
+			t.Errorf("%d controllers at %v requests a second: %v", c.controllers, c.requestsPerSecond, got)
 		}
 	}
 }
--- /dev/null
+++ b/internal/config/validate.go
@@ -0,0 +1,80 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"net"
+)
+
+// validation gathers what is wrong, by the fields of the file.
+type validation struct{ errs []error }
+
+const aboveZero = "must be above 0"
+
+// require notes what is wrong with a field unless ok.
+func (v *validation) require(ok bool, field, problem string) {
+	if !ok {
+		v.errs = append(v.errs, fmt.Errorf("%s: %s", field, problem))
+	}
+}
+
+func (v *validation) requireAddress(address, field string) {
+	_, _, err := net.SplitHostPort(address)
+	v.require(err == nil, field, fmt.Sprintf("%q is not host:port", address))
+}
+
+// validate checks the file and the settings that were made of it.
+func validate(wire *wireSettings, settings *Settings) error {
+	v := &validation{}
+	v.require(settings.Host != "", "host_name", "is missing")
+	v.requireAddress(settings.ListenAddress, "listen")
+	v.requireAddress(settings.PeerListenAddress, "peer_bind")
+	v.requireAddress(settings.CloudAddress, "external.cloud")
+	v.requireAddress(settings.StateAddress, "external.state")
+	v.peers(settings)
+	v.teams(wire.Facts.Teams)
+	v.workerTiming(settings.Workers)
+	v.stateLimits(settings.StateLimits, len(settings.Peers)+1)
+	v.require(settings.CloudRequestsPerSecond > 0, "facts.cloud.rps", aboveZero)
+	return errors.Join(v.errs...)
+}
+
+func (v *validation) peers(settings *Settings) {
+	seen := map[string]bool{settings.Host: true}
+	for i, peer := range settings.Peers {
+		field := fmt.Sprintf("peers[%d]", i)
+		v.require(peer.Host != "" && !seen[peer.Host], field+".host_name", "is missing or repeated")
+		seen[peer.Host] = true
+		v.requireAddress(peer.Address, field+".address")
+	}
+}
+
+func (v *validation) teams(teams []Team) {
+	seen := map[string]bool{}
+	for i, team := range teams {
+		field := fmt.Sprintf("facts.teams[%d]", i)
+		v.require(team.Name != "" && !seen[team.Name], field+".name", "is missing or repeated")
+		seen[team.Name] = true
+		lowest := min(team.GuaranteedCPUs, team.CPUQuota, team.GuaranteedGPUs, team.GPUQuota)
+		v.require(lowest >= 0, field, "has a negative amount")
+	}
+}
+
+func (v *validation) workerTiming(timing WorkerTiming) {
+	v.require(timing.HeartbeatInterval > 0, "facts.workers.report_s", aboveZero)
+	v.require(timing.LeaseDuration > timing.HeartbeatInterval, "facts.workers.lease_s", "must be above report_s")
+	slack := timing.CancellationDeadline - timing.LeaseDuration
+	v.require(slack >= minCancellationSlack, "facts.workers.cancel_s",
+		fmt.Sprintf("must be at least %v above lease_s", minCancellationSlack))
+	v.require(timing.GangWaitTimeout > 0, "facts.workers.gang_wait_s", aboveZero)
+}
+
+func (v *validation) stateLimits(limits StateLimits, controllers int) {
+	v.require(limits.RequestsPerSecond > 0, "facts.state.rps", aboveZero+", and next.rps not below")
+	v.require(limits.WritesPerSecond > 0, "facts.state.write_rps", aboveZero+", and next.write_rps not below")
+	v.require(limits.MaxValueBytes >= MinValueBytes, "facts.state.value_kb",
+		"must be at least 2, and next.value_kb as well")
+	ops := minTxnOps(controllers)
+	v.require(limits.MaxTxnOps >= ops, "facts.state.txn_ops",
+		fmt.Sprintf("must be at least %d with so many controllers, and next.txn_ops as well", ops))
+}
