--- a/internal/gateway/cancellations_test.go
+++ b/internal/gateway/cancellations_test.go
@@ -10,8 +10,7 @@
 	"robinstack/internal/tombstone"
 )
 
-// From the moment at which a user was told of a cancellation nobody is told that a dependent is
-// queued, however long the chain, though nothing can be written; and a completion in the same
+// From the acknowledgement of a cancellation on, no dependent is reported as queued, however long the chain, though nothing can be written; and a completion in the same
 // moment: one of both, and the chain goes by that one.
 func TestStatusOfDependentsAfterCancellation(t *testing.T) {
 	runWithGateway(t, func(fixture *gatewayFixture) {
--- a/internal/gateway/components.go
+++ b/internal/gateway/components.go
@@ -58,7 +58,7 @@
 	return errStarting.reason
 }
 
-// sessionComponents returns the components for a request of an operator, who is told in detail
+// sessionComponents returns the components for a request of an operator, who learns in detail
 // why there are none.
 func (g *Gateway) sessionComponents() (*Components, error) {
 	components := g.components.Load()
@@ -85,7 +85,7 @@
 }
 
 // notifyMachineOwners lets owners of machines know of a cancellation, of revision rev or 0, that
-// its user is about to be told: this controller's own agent at once, the others within a short
+// is about to be acknowledged: this controller's own agent at once, the others within a short
 // time or not at all. Their watches would show it a tenth of a second later, and by then tasks
 // that were fetching their images may have begun.
 func (p *Components) notifyMachineOwners(ctx context.Context, jobID string, rev uint64) {
--- a/internal/gateway/components_test.go
+++ b/internal/gateway/components_test.go
@@ -9,7 +9,7 @@
 )
 
 // A controller that has lost the state service and all other controllers, and not its workers: users
-// are answered at once with when to come back, and the load balancer is told to look elsewhere; what
+// are answered at once with when to come back, and the load balancer is sent elsewhere; what
 // is known for ever is answered all the same. Guards against a second and a half of waiting for each
 // request, and against staying ready because no other controller said that it is served.
 func TestIsolatedFromAllButWorkers(t *testing.T) {
--- a/internal/gateway/dependencies.go
+++ b/internal/gateway/dependencies.go
@@ -13,7 +13,7 @@
 const comparesPerDependency = 3
 
 // checkDependencies returns nil if a submission may name the jobs that it waits for, a permanent
-// error if not, and errUndecided if that cannot be told now.
+// error if not, and errUndecided if that cannot be decided now.
 //
 // Between this look and the write of the new record any of those jobs may finish, be cancelled, or
 // have its record written in another format: what the new job is follows from their records
@@ -61,7 +61,7 @@
 // findNeverAccepted names one of the jobs that was never accepted, or "" if all were. Another
 // controller may have accepted one a moment ago, one may have finished long ago, and its record
 // may be under migration: only a transaction that finds it absent in all places at one moment,
-// while this session goes on, tells that it was never accepted.
+// while this session goes on, proves that it was never accepted.
 func (g *Gateway) findNeverAccepted(ctx context.Context, components *Components, ids []string) (string, error) {
 	fence := components.Session.Fence()
 	batchSize := (g.settings.StateLimits.MaxCompares() - 1) / comparesPerDependency // one is the fence
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -20,7 +20,7 @@
 	notFound
 	// blocked is an operator's command that something stands in the way of.
 	blocked
-	// unavailable is what cannot be decided now; the client is told when to come back.
+	// unavailable is what cannot be decided now; the answer says when to come back.
 	unavailable
 	// busyHere is unavailable for what another controller may take sooner: the connection is
 	// closed, so that the load balancer chooses anew, and by the number of connections, where the
@@ -47,7 +47,7 @@
 	return fiber.StatusInternalServerError
 }
 
-// requestError is an error as the client is told it.
+// requestError is an error as the client sees it.
 type requestError struct {
 	kind   errorKind
 	reason string
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -206,7 +206,7 @@
 	return f.request("POST", "/submissions/"+id+"/abort", "")
 }
 
-// expectStatus expects what a user who asks is told.
+// expectStatus expects the answer to a query.
 func (f *gatewayFixture) expectStatus(id, status string) {
 	f.t.Helper()
 	code, answer, _ := f.request("GET", "/submissions/"+id, "")
--- a/internal/gateway/job_status.go
+++ b/internal/gateway/job_status.go
@@ -20,7 +20,7 @@
 	taskCountsTimeout = 300 * time.Millisecond
 )
 
-// jobStatus is what a user is told of a job.
+// jobStatus is what a user sees of a job.
 type jobStatus struct {
 	ID      string `json:"id"`
 	Status  string `json:"status"`
@@ -125,8 +125,8 @@
 	result, ok := components.DependencyTracker.Evaluate(id)
 	if !ok {
 		if _, open := components.Mirror.Get(record.Key); !open {
-			// It has finished since its record was read, and users may have been told that it was
-			// cancelled long before that: then queued would be an older answer.
+			// It has finished since its record was read, and users may have seen it as cancelled
+			// long before that: then queued would be an older answer.
 			return final, false, errFinishedMeanwhile
 		}
 		return final, false, nil // it cannot be decoded, or came a moment ago
--- a/internal/gateway/job_status_test.go
+++ b/internal/gateway/job_status_test.go
@@ -40,8 +40,8 @@
 }
 
 // A query has read a job's open record, and before it asks what the job depends on, that is
-// cancelled and recorded: users may have been told so long before, from the dependencies in its
-// record alone. The query looks once more, and must not be told that the job is queued.
+// cancelled and recorded: users may have seen that long before, from the dependencies in its
+// record alone. The query looks once more, and must not report the job as queued.
 func TestTombstoneWrittenDuringLookup(t *testing.T) {
 	runWithGateway(t, func(fixture *gatewayFixture) {
 		fixture.enableDependencies()
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -23,7 +23,7 @@
 }
 
 // executeRolloutCommand carries out an operator's command: 200 once it is done, 409 with what
-// stands in its way, 503 where nobody can tell.
+// stands in its way, 503 where that is unknown.
 func (g *Gateway) executeRolloutCommand(c *fiber.Ctx) error {
 	components, err := g.sessionComponents()
 	if err != nil {
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -170,7 +170,7 @@
 	return c.JSON(status)
 }
 
-// undecidedSubmission is the answer where nobody can tell now what becomes of a submission.
+// undecidedSubmission is the answer where the outcome of a submission is unknown.
 func undecidedSubmission(id string, err error) error {
 	slog.Debug("submission outcome unknown", "job", id, "err", err)
 	return errUndecided
--- a/internal/gateway/tombstones.go
+++ b/internal/gateway/tombstones.go
@@ -59,7 +59,7 @@
 }
 
 // ReadTombstone reads the tombstone of a finished job. Only a controller whose session goes on can
-// tell that there is none: see tombstone.Read. Its error is statekv.ErrNotFound then.
+// know that there is none: see tombstone.Read. Its error is statekv.ErrNotFound then.
 func (g *Gateway) ReadTombstone(ctx context.Context, id string) (tombstone.Tombstone, error) {
 	fence, ok := g.sessionFence()
 	if !ok {
@@ -68,5 +68,5 @@
 	return tombstone.Read(ctx, g.store, []statekv.Compare{fence}, id)
 }
 
-// errNoSession is returned for what only a controller with a session can tell.
+// errNoSession is returned for what only a controller with a session can know.
 var errNoSession = fmt.Errorf("%w: starting", statekv.ErrRejected)
