--- a/internal/gateway/cancellations_test.go
+++ b/internal/gateway/cancellations_test.go
@@ -10,8 +10,9 @@
 	"robinstack/internal/tombstone"
 )
 
-// From the acknowledgement of a cancellation on, no dependent is reported as queued, however long the chain, though nothing can be written; and a completion in the same
-// moment: one of both, and the chain goes by that one.
+// From the acknowledgement of a cancellation on, no dependent is reported as queued, however long
+// the chain, though nothing can be written. Where the job completes in the same moment one of both
+// counts, and the chain goes by that one.
 func TestStatusOfDependentsAfterCancellation(t *testing.T) {
 	runWithGateway(t, func(fixture *gatewayFixture) {
 		fixture.enableDependencies()
