--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -275,7 +275,6 @@
 		Mirror:            s.mirror,
 		Agent:             s.agent,
 		Scheduler:         s.scheduler,
-		Leader:            s.leader,
 		Feed:              s.feed,
 		VersionGate:       s.versionGate,
 		ClusterVersion:    rollout.NewVersionReader(s.mirror),
--- a/internal/gateway/components.go
+++ b/internal/gateway/components.go
@@ -9,7 +9,6 @@
 	"robinstack/internal/changefeed"
 	"robinstack/internal/clusteragent"
 	"robinstack/internal/dag"
-	"robinstack/internal/leader"
 	"robinstack/internal/peer"
 	"robinstack/internal/recovery"
 	"robinstack/internal/rollout"
@@ -33,7 +32,6 @@
 	Mirror            *statekv.Mirror
 	Agent             *clusteragent.Agent
 	Scheduler         *scheduler.Scheduler
-	Leader            *leader.Leader
 	Feed              *changefeed.Feed
 	VersionGate       *rollout.VersionGate
 	ClusterVersion    *rollout.VersionReader
