--- a/internal/clusteragent/agent_test.go
+++ b/internal/clusteragent/agent_test.go
@@ -20,12 +20,12 @@
 
 var types = map[string]cloud.MachineType{"box": {Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64}}
 
-// cancelGone is the cancellation time; a story may shorten it.
-var cancelGone = 60 * time.Second
+// cancelDeadline is the cancellation time; a story may shorten it.
+var cancelDeadline = 60 * time.Second
 
 func settings() *config.Settings {
 	return &config.Settings{Host: "host-0", Teams: map[string]config.Team{},
-		Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, GangWaitTimeout: 45 * time.Second, GangPeerTimeout: 5 * time.Second, CancellationDeadline: cancelGone},
+		Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, GangWaitTimeout: 45 * time.Second, GangPeerTimeout: 5 * time.Second, CancellationDeadline: cancelDeadline},
 		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
 }
 
@@ -38,13 +38,13 @@
 	stop    context.CancelFunc
 }
 
-func start(t *testing.T, ctx context.Context, host string, state *emulator.StateService, workers *emulator.Workers) *node {
+func startNode(t *testing.T, ctx context.Context, host string, state *emulator.StateService, workers *emulator.Workers) *node {
 	t.Helper()
-	return startWith(t, ctx, settings(), host, state, workers)
+	return startNodeWith(t, ctx, settings(), host, state, workers)
 }
 
-// startIn starts one of three controllers in two zones, host-1 in b.
-func startIn(t *testing.T, ctx context.Context, host, zone string, state *emulator.StateService, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
+// startNodeInZone starts one of three controllers in two zones, host-1 in b.
+func startNodeInZone(t *testing.T, ctx context.Context, host, zone string, state *emulator.StateService, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
 	t.Helper()
 	s := settings()
 	s.Host, s.Zone, s.Zones = host, zone, []string{"a", "b"}
@@ -53,10 +53,10 @@
 			s.Peers = append(s.Peers, p)
 		}
 	}
-	return startWith(t, ctx, s, host, state, workers, setup...)
+	return startNodeWith(t, ctx, s, host, state, workers, setup...)
 }
 
-func startWith(t testing.TB, ctx context.Context, settings *config.Settings, host string, state statekv.Store, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
+func startNodeWith(t testing.TB, ctx context.Context, settings *config.Settings, host string, state statekv.Store, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
 	t.Helper()
 	ctx, stop := context.WithCancel(ctx)
 	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.RecordPrefix}, statekv.RootPrefix, settings.WatchTimeout(), 0, func([]statekv.Event) {})
@@ -81,8 +81,8 @@
 	return &node{agent: a, service: clusteragent.NewService(a), member: member, mirror: mirror, stop: stop}
 }
 
-// report has a worker report to n and take the answer.
-func (n *node) report(workers *emulator.Workers, w *emulator.Worker) clusteragent.HeartbeatReply {
+// sendHeartbeat has a worker report to n and take the answer.
+func (n *node) sendHeartbeat(workers *emulator.Workers, w *emulator.Worker) clusteragent.HeartbeatReply {
 	r := workers.NextHeartbeat(w)
 	reply := n.agent.Heartbeat(context.Background(), &r)
 	if reply.Owner {
@@ -112,12 +112,12 @@
 	return reply.Verdicts[0]
 }
 
-func held(workers *emulator.Workers, w *emulator.Worker) (n int) {
+func taskCount(workers *emulator.Workers, w *emulator.Worker) (n int) {
 	workers.WithLock(func() { n = len(w.Heartbeat.Tasks) })
 	return n
 }
 
-func story(t *testing.T, f func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers)) {
+func runScenario(t *testing.T, f func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); synctest.Wait() }()
@@ -125,7 +125,7 @@
 	})
 }
 
-func slot(t testing.TB, n *node, name string, seen uint64) uint64 {
+func takeJobShard(t testing.TB, n *node, name string, seen uint64) uint64 {
 	t.Helper()
 	rev, err := n.member.Acquire(context.Background(), statekv.Role{Key: statekv.JobShardPrefix + name, ExpectedRev: seen, Value: n.member.Holder})
 	if err != nil {
@@ -140,12 +140,12 @@
 // A start whose command got no answer is neither repeated nor given up until
 // the worker shows a token under which a late copy of it is dead. Guards
 // against ran_twice.
-func TestUnansweredStartIsFencedOff(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestUnansweredStartIsFenced(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		workers.WithLock(func() { w.HoldCommands = true })
 		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Unresolved {
@@ -155,9 +155,9 @@
 			t.Fatal("the task must keep its place while it may still start")
 		}
 		workers.WithLock(func() { w.HoldCommands = false })
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(3 * time.Second)
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		if got := n.entries()["m1"].Tasks; len(got) != 0 {
 			t.Fatalf("task %v is still booked after the worker showed the raised token without it", got)
 		}
@@ -169,14 +169,14 @@
 }
 
 // A commit under an epoch older than the slot's latest is refused.
-func TestStalePlacerIsRefused(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		old := slot(t, n, "s", 0)
+func TestCommitUnderStaleEpochIsRefused(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		old := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
-		latest := slot(t, n, "s", old)
+		latest := takeJobShard(t, n, "s", old)
 		if got := n.commit(t, "m1", "s", old, 0, 1); got != agentapi.Refused {
 			t.Fatalf("stale commit: %q", got)
 		}
@@ -188,12 +188,12 @@
 
 // When an owner's life ends, a survivor takes its machines, and the earlier
 // owner's commands no longer pass at the worker.
-func TestSurvivorTakesOverAndFences(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, b := start(t, ctx, "host-0", state, workers), start(t, ctx, "host-1", state, workers)
-		epoch := slot(t, a, "s", 0)
+func TestSuccessorTakesOverAndFencesFormerOwner(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a, b := startNode(t, ctx, "host-0", state, workers), startNode(t, ctx, "host-1", state, workers)
+		epoch := takeJobShard(t, a, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		a.report(workers, w)
+		a.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, JobShard: "s"}}}); err != nil {
 			t.Fatal(err)
@@ -221,11 +221,11 @@
 
 // The first command of a new owner is lost on the way. It was sent again only when the
 // machine counted as silent already, and was deleted with all that ran there.
-func TestALostCommandIsNoSilence(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, b := start(t, ctx, "host-0", state, workers), start(t, ctx, "host-1", state, workers)
+func TestLostCommandDoesNotMakeMachineUnresponsive(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a, b := startNode(t, ctx, "host-0", state, workers), startNode(t, ctx, "host-1", state, workers)
 		w := workers.Add("m1", "box", "a")
-		a.report(workers, w)
+		a.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		workers.WithLock(func() { w.TimeOutNext = 1 })
 		a.stop()
@@ -247,29 +247,29 @@
 
 // Tasks found on a machine whose job is over, or was never known, are stopped
 // and forgotten by the machine's new owner. Guards against ran_cancelled.
-func TestTasksOfEndedJobsAreStopped(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
+func TestTasksOfFinishedJobsAreStopped(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		workers.WithLock(func() {
 			w.Heartbeat.Tasks = []worker.Task{{ID: "wk-1/0", Attempt: 7, State: worker.TaskRunning}}
 		})
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(3 * time.Second)
-		n.report(workers, w)
-		if held(workers, w) != 0 {
+		n.sendHeartbeat(workers, w)
+		if taskCount(workers, w) != 0 {
 			t.Fatal("a task without a job goes on")
 		}
 	})
 }
 
 // Room that is reserved or may be taken by a start under way is not given twice.
-func TestNoRoomTwice(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestReservedCapacityIsNotGivenTwice(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		got := []string{n.commit(t, "m1", "s", epoch, 0, 1), n.commit(t, "m1", "s", epoch, 1, 2), n.commit(t, "m1", "s", epoch, 2, 3)}
 		if got[0] != agentapi.Started || got[1] != agentapi.Started || got[2] != agentapi.Refused {
@@ -280,25 +280,25 @@
 
 // An ended task is forgotten only when that was asked for, which placers do
 // once its end is durable.
-func TestForgottenOnlyWhenAsked(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestEndedTaskIsForgottenOnlyOnRequest(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		n.commit(t, "m1", "s", epoch, 0, 1)
 		workers.EndTask(w, "wk-1/0", worker.CauseDone)
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(2 * time.Second)
-		if held(workers, w) != 1 {
+		if taskCount(workers, w) != 1 {
 			t.Fatal("forgotten before anyone asked")
 		}
 		if err := n.service.Stop(agentapi.StopRequest{Items: []agentapi.StopItem{{Machine: "m1", TaskRef: agentapi.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
 			t.Fatal(err)
 		}
-		n.report(workers, w) // the answer takes it along: forgetting has time
-		if held(workers, w) != 0 {
+		n.sendHeartbeat(workers, w) // the answer takes it along: forgetting has time
+		if taskCount(workers, w) != 0 {
 			t.Fatal("not forgotten")
 		}
 	})
@@ -306,9 +306,9 @@
 
 // An agent without machines must not answer a watch at once again and again:
 // its own feed then asked in a loop that used up the processor.
-func TestWatchWithoutMachinesWaits(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
+func TestWatchWithoutMachinesBlocks(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
 		began := time.Now()
 		var reply agentapi.WatchReply
 		if err := n.service.Watch(agentapi.WatchRequest{Instance: n.member.Incarnation, Wait: 2 * time.Second}, &reply); err != nil {
@@ -322,18 +322,18 @@
 
 // Claims that meet a conflict, because another controller was faster for some
 // of the machines, ended the process: the rest must be claimed.
-func TestClaimsThatMeetAConflict(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
+func TestRemainingClaimsSurviveAConflict(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
 		w1, w2 := workers.Add("m1", "box", "a"), workers.Add("m2", "box", "a")
 		state.SetOutage(false, true) // claims are written, but their answers are lost
-		go n.report(workers, w1)
-		go n.report(workers, w2)
+		go n.sendHeartbeat(workers, w1)
+		go n.sendHeartbeat(workers, w2)
 		synctest.Wait()
 		state.SetOutage(false, false)
 		time.Sleep(3 * time.Second)
-		n.report(workers, w1)
-		n.report(workers, w2)
+		n.sendHeartbeat(workers, w1)
+		n.sendHeartbeat(workers, w2)
 		if len(n.entries()) != 2 {
 			t.Fatalf("machines %v", n.entries())
 		}
@@ -342,18 +342,18 @@
 
 // A machine that was deleted and whose late report another controller met is
 // given up once more: that must not end the process.
-func TestDeletedMachineClaimedAgain(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n, other := start(t, ctx, "host-0", state, workers), start(t, ctx, "host-1", state, workers)
+func TestDeletedMachineClaimedElsewhereIsReleased(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n, other := startNode(t, ctx, "host-0", state, workers), startNode(t, ctx, "host-1", state, workers)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		var reply agentapi.MachinesReply
 		if err := n.service.Removed(agentapi.MachinesRequest{Names: []string{"m1"}}, &reply); err != nil || len(reply.Names) != 1 {
 			t.Fatal(err, reply)
 		}
 		time.Sleep(time.Second)
-		other.report(workers, w)
+		other.sendHeartbeat(workers, w)
 		time.Sleep(2 * time.Second)
 		if len(n.entries()) != 0 || len(other.entries()) != 1 {
 			t.Fatal("the late report belongs to the other controller now")
@@ -363,15 +363,15 @@
 
 // A worker that nobody can have answered for longer than its lease has ended
 // its tasks; before that they keep their places.
-func TestSilentMachineKeepsItsTasksForTheLease(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestUnresponsiveMachineKeepsTasksUntilLeaseExpiry(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		n.commit(t, "m1", "s", epoch, 0, 1)
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		workers.WithLock(func() { w.HoldCommands = true })
 		time.Sleep(28 * time.Second)
 		if e := n.entries()["m1"]; !e.Silent || len(e.Tasks) != 1 {
@@ -388,13 +388,13 @@
 // anybody answers it or not. Controllers that answered commands but, for want of
 // processor time, no reports, counted from the last report of the session before:
 // they gave tasks up that went on running. Guards against ran_twice.
-func TestANewSessionHasItsLeaseFromItsBeginning(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestNewWorkerEpochHasItsOwnLease(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		for range 2 {
-			n.report(workers, w)
+			n.sendHeartbeat(workers, w)
 			time.Sleep(time.Second)
 		}
 		workers.WithLock(func() { w.HoldCommands = true })
@@ -418,12 +418,12 @@
 
 // Commands reach a machine, and its reports come no more: before its lease can be over it
 // gets nothing new, however well it answers. Its next report opens it again.
-func TestMachineWhoseReportsDoNotComeGetsNothingNew(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestMachineWithLostHeartbeatsGetsNoNewTasks(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		for k := range 4 { // it is asked all the time, and answers
 			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != agentapi.Started {
@@ -438,7 +438,7 @@
 		if got := n.commit(t, "m1", "s", epoch, 5, 6); got != agentapi.Refused {
 			t.Errorf("verdict %q", got)
 		}
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		if got := n.commit(t, "m1", "s", epoch, 6, 7); got != agentapi.Started {
 			t.Errorf("once it has reported: verdict %q", got)
 		}
@@ -447,12 +447,12 @@
 
 // Tasks of arrays are stopped for a gang of higher priority, never for one of
 // the same, and the machine is kept for that gang.
-func TestClearingStopsOnlyLowerPriority(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestPreemptionStopsOnlyLowerPriority(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		n.commit(t, "m1", "s", epoch, 0, 1)
 		gang := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
@@ -467,7 +467,7 @@
 			t.Fatalf("higher priority: %+v %v", reply, err)
 		}
 		time.Sleep(time.Second)
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Refused {
 			t.Fatalf("another job got the cleared machine: %q", got)
 		}
@@ -483,12 +483,12 @@
 
 // Small tasks that are not in the gang's way go on: they were stopped first, being
 // the cheapest to stop, and those that do not save began anew again and again.
-func TestClearingSparesWhatIsNotInTheWay(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestPreemptionSparesTasksThatNeedNotStop(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		for k, need := range []job.Need{{CPUs: 6, GPUs: 1}, {CPUs: 0.5}} {
 			req := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Index: k, Attempt: uint64(k + 1)}}}
@@ -499,7 +499,7 @@
 				t.Fatalf("%+v %v", reply, err)
 			}
 			time.Sleep(5 * time.Second)
-			n.report(workers, w)
+			n.sendHeartbeat(workers, w)
 		}
 		gang := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
 		gang.Slot, gang.Epoch = "s", epoch
@@ -509,7 +509,7 @@
 			t.Fatalf("%+v %v", reply, err)
 		}
 		time.Sleep(time.Second)
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		for _, task := range n.entries()["m1"].Tasks {
 			if (task.State == worker.TaskExited) != (task.Index == 0) {
 				t.Fatalf("task %d: %s", task.Index, task.State)
@@ -521,12 +521,12 @@
 // A claim that was written although its answer was lost is taken up even if the
 // worker never reports again: until somebody looks after the machine, no slot
 // that is adopted can settle.
-func TestLostClaimIsTakenUp(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
+func TestClaimWithLostAnswerIsAdopted(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		state.SetOutage(false, true)
-		go n.report(workers, w)
+		go n.sendHeartbeat(workers, w)
 		synctest.Wait()
 		state.SetOutage(false, false)
 		time.Sleep(5 * time.Second)
@@ -540,16 +540,16 @@
 // whose lease is held must still answer every report: it took its own view of
 // the fleet for outdated between two watches, and machines went from owner to
 // owner for ever.
-func TestOwnerAnswersWithLittleHoldTime(t *testing.T) {
-	cancelGone = 33 * time.Second
-	defer func() { cancelGone = 60 * time.Second }()
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
+func TestOwnerAnswersWithShortLeaseGracePeriod(t *testing.T) {
+	cancelDeadline = 33 * time.Second
+	defer func() { cancelDeadline = 60 * time.Second }()
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		for i := range 40 {
 			time.Sleep(300 * time.Millisecond)
-			if !n.report(workers, w).Owner {
+			if !n.sendHeartbeat(workers, w).Owner {
 				t.Fatalf("report %d was turned away", i)
 			}
 		}
@@ -559,22 +559,22 @@
 // A crash with a thousand machines held must not take a write for each: by the
 // time those were made, workers' leases had run out and slots had waited for
 // minutes. Their work goes on, and every machine is settled within seconds.
-func TestThousandMachinesChangeHandsWithFewWrites(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, a, "s", 0)
+func TestFailoverOfThousandMachinesTakesFewWrites(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, a, "s", 0)
 		before := state.Changes()
 		var all []*emulator.Worker
 		for i := range 1000 {
 			all = append(all, workers.Add(fmt.Sprintf("m%d", i), "box", "a"))
-			go a.report(workers, all[i])
+			go a.sendHeartbeat(workers, all[i])
 		}
 		for range 3 { // more come at once than are let wait; those come again
 			time.Sleep(5 * time.Second)
 			owned := a.entries()
 			for _, w := range all {
 				if _, ok := owned[w.Heartbeat.Machine]; !ok {
-					go a.report(workers, w)
+					go a.sendHeartbeat(workers, w)
 				}
 			}
 		}
@@ -586,12 +586,12 @@
 			t.Fatal(err)
 		}
 		for _, w := range all {
-			a.report(workers, w)
+			a.sendHeartbeat(workers, w)
 		}
 		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
-		b := start(t, ctx, "host-1", state, workers)
+		b := startNode(t, ctx, "host-1", state, workers)
 		before = state.Changes()
 		a.stop()
 		synctest.Wait()
@@ -622,8 +622,8 @@
 		if len(seen) != 1000 {
 			t.Fatalf("a watch showed %d machines", len(seen))
 		}
-		if n := state.Changes() - before; settled != 1000 || n > 20 || held(workers, all[1]) != 1 {
-			t.Fatalf("%d machines settled after %d changes; %d tasks on m1", settled, n, held(workers, all[1]))
+		if n := state.Changes() - before; settled != 1000 || n > 20 || taskCount(workers, all[1]) != 1 {
+			t.Fatalf("%d machines settled after %d changes; %d tasks on m1", settled, n, taskCount(workers, all[1]))
 		}
 	})
 }
@@ -631,12 +631,12 @@
 // A later life of the same controller does not know what its earlier life
 // started: asked to void a commit, it must not say that the task never came.
 // That had the task started a second time elsewhere (ran_twice).
-func TestVoidIsForTheOwnerThatWasAsked(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestOnlyTheAskedOwnerResolvesACommit(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		rev := n.entries()["m1"].Rev
 		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
@@ -655,7 +655,7 @@
 			t.Fatal(err)
 		}
 		workers.WithLock(func() { w.HoldCommands = true })
-		if reply, err := void(start(t, ctx, "host-0", state, workers)); err == nil {
+		if reply, err := void(startNode(t, ctx, "host-0", state, workers)); err == nil {
 			t.Fatalf("the next life answered %v", reply)
 		}
 	})
@@ -664,11 +664,11 @@
 // A machine that another controller claimed and lost again between two looks
 // came back under a later revision; the entry under the earlier one was taken
 // for unsettled for ever, and no slot that was adopted settled any more.
-func TestMachineThatCameBackIsTakenUpAnew(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
+func TestReturningMachineIsAdoptedUnderNewRevision(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		other := statekv.Holder{Host: "host-9", Incarnation: 1} // dead by the time it is seen
 		if _, err := state.Txn(ctx, nil, []statekv.Op{
@@ -678,7 +678,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		kv, _ := n.mirror.Get(statekv.MachinePrefix + "m1")
 		_, rev := shard.OwnerOf(n.mirror, kv)
@@ -690,12 +690,12 @@
 
 // A machine that a gang has just left is kept for the next gang for a moment:
 // arrays filled it at once and were stopped for that gang, their work lost.
-func TestMachineThatAGangLeftIsKeptForGangs(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestMachineIsHeldForGangsAfterAGangLeaves(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		gang := func(attempt uint64) string {
 			req := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []agentapi.TaskRef{{Job: "wk-2", Attempt: attempt}}}
@@ -712,13 +712,13 @@
 				t.Fatalf("gang, attempt %d: %q", attempt, got)
 			}
 			workers.EndTask(w, "wk-2/0", worker.CauseDone)
-			n.report(workers, w)
+			n.sendHeartbeat(workers, w)
 			if got := n.commit(t, "m1", "s", epoch, 0, 10+attempt); got != agentapi.Refused {
 				t.Fatalf("array at once: %q", got)
 			}
 		}
 		time.Sleep(9 * time.Second)
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		if got := n.commit(t, "m1", "s", epoch, 0, 20); got != agentapi.Started {
 			t.Fatalf("array later: %q", got)
 		}
@@ -728,26 +728,26 @@
 // A worker that has seen a later token has a successor that the mirror does not
 // show yet. Its machine, once given up, was taken up again under the same
 // revision, without its tasks, and they were started elsewhere (ran_twice).
-func TestMachineGivenUpIsNotTakenUpUnderTheSameRevision(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestReleasedMachineIsNotAdoptedUnderTheSameRevision(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
 		before := n.entries()["m1"].Rev
 		workers.WithLock(func() { w.Heartbeat.FencingToken += 1 << 10 })
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		for range 5 {
 			if e, ok := n.entries()["m1"]; ok && e.Rev == before {
 				t.Fatalf("taken up again: %+v", e)
 			}
 			time.Sleep(300 * time.Millisecond)
 		}
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		if e := n.entries()["m1"]; e.Rev <= before || !e.Settled || len(e.Tasks) != 1 {
 			t.Fatalf("claimed anew with what runs there: %+v", e)
--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -14,15 +14,15 @@
 	"robinstack/internal/statekv"
 )
 
-// fleet puts up n workers that report to a, and waits until it owns them.
-func fleet(workers *emulator.Workers, a *node, n int) []*emulator.Worker {
+// addFleet puts up n workers that report to a, and waits until it owns them.
+func addFleet(workers *emulator.Workers, a *node, n int) []*emulator.Worker {
 	var all []*emulator.Worker
 	for i := range n {
 		all = append(all, workers.Add(fmt.Sprintf("m%d", i), "box", "a"))
 	}
 	for range 4 {
 		for _, w := range all {
-			go a.report(workers, w)
+			go a.sendHeartbeat(workers, w)
 		}
 		time.Sleep(4 * time.Second)
 	}
@@ -32,23 +32,23 @@
 // A controller that reaches the state service but not its workers must not hold
 // them until their leases run out: those come to the others, which take whole
 // shards. Machine by machine that took longer than the leases of hundreds.
-func TestOwnerThatLostItsWorkersLosesTheirShards(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, a, "s", 0)
-		all := fleet(workers, a, 200)
+func TestOwnerUnreachableByWorkersLosesShards(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, a, "s", 0)
+		all := addFleet(workers, a, 200)
 		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, JobShard: "s"}}}); err != nil {
 			t.Fatal(err)
 		}
 		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
 		}
-		b := start(t, ctx, "host-1", state, workers)
+		b := startNode(t, ctx, "host-1", state, workers)
 		time.Sleep(11 * time.Second)
 		before := state.Changes()
 		for range 4 { // a hears nothing from here on; every worker tries b
 			for _, w := range all {
-				b.report(workers, w)
+				b.sendHeartbeat(workers, w)
 			}
 			time.Sleep(2 * time.Second)
 		}
@@ -63,9 +63,9 @@
 		}
 		// Machines that come up from now on are claimed into shards that it still has.
 		w := workers.Add("new", "box", "a")
-		a.report(workers, w)
+		a.sendHeartbeat(workers, w)
 		time.Sleep(2 * time.Second)
-		if a.report(workers, w); len(a.entries()) != 1 {
+		if a.sendHeartbeat(workers, w); len(a.entries()) != 1 {
 			t.Fatal("a controller whose shards were taken claims no machines any more")
 		}
 	})
@@ -73,16 +73,16 @@
 
 // A controller that is back owns part of the fleet again after a while, but not
 // machines that it cannot reach.
-func TestMachinesAreEvenedOut(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := start(t, ctx, "host-0", state, workers)
-		all := fleet(workers, a, 40)
+func TestShardsAreRebalancedToReachableOwner(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a := startNode(t, ctx, "host-0", state, workers)
+		all := addFleet(workers, a, 40)
 		workers.WithLock(func() {
 			for _, w := range all {
 				w.HoldCommands = true
 			}
 		})
-		b := start(t, ctx, "host-1", state, workers)
+		b := startNode(t, ctx, "host-1", state, workers)
 		time.Sleep(20 * time.Second)
 		if n := len(b.entries()); n != 0 {
 			t.Fatalf("took %d machines that it cannot reach", n)
@@ -101,10 +101,10 @@
 
 // A machine whose shard has vanished is claimed anew, also by the controller that
 // still looks after it: the jobs of a dead placer waited for such machines for ever.
-func TestMachineWithoutShardIsClaimedAnew(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := start(t, ctx, "host-0", state, workers)
-		fleet(workers, a, 1)
+func TestMachineWithoutShardIsReclaimed(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a := startNode(t, ctx, "host-0", state, workers)
+		addFleet(workers, a, 1)
 		kv, ok := a.mirror.Get(statekv.MachinePrefix + "m0")
 		if !ok {
 			t.Fatal("the machine has no key")
@@ -120,10 +120,10 @@
 	})
 }
 
-// stingy is a state service that makes no new shards for now.
-type stingy struct{ *emulator.StateService }
+// noNewShards is a state service that makes no new shards for now.
+type noNewShards struct{ *emulator.StateService }
 
-func (s stingy) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
+func (s noNewShards) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	for _, c := range when {
 		if c.Rev == 0 && strings.HasPrefix(c.Key, statekv.MachineShardPrefix) {
 			return 0, statekv.ErrRejected
@@ -135,15 +135,15 @@
 // After a crash of all controllers the state service's write limit keeps a life
 // from making shards for new machines for a second or two. The machines that it
 // took over had to wait for that: all slots settled 3 s later.
-func TestMachinesTakenOverDoNotWaitForNewShards(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := start(t, ctx, "host-0", state, workers)
-		fleet(workers, a, 1)
+func TestFailoverDoesNotWaitForIntakeShards(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a := startNode(t, ctx, "host-0", state, workers)
+		addFleet(workers, a, 1)
 		a.stop()
 		if err := state.Revoke(ctx, 1); err != nil {
 			t.Fatal(err)
 		}
-		b := startWith(t, ctx, settings(), "host-0", stingy{state}, workers)
+		b := startNodeWith(t, ctx, settings(), "host-0", noNewShards{state}, workers)
 		time.Sleep(time.Second)
 		if e, ok := b.entries()["m0"]; !ok || !e.Settled {
 			t.Fatalf("not taken over: %+v", e)
--- a/internal/clusteragent/bench_test.go
+++ b/internal/clusteragent/bench_test.go
@@ -21,20 +21,20 @@
 	level := slog.SetLogLoggerLevel(slog.LevelError)
 	b.Cleanup(func() { slog.SetLogLoggerLevel(level) })
 	workers = emulator.NewWorkers()
-	n = startWith(b, b.Context(), settings(), "host-0", emulator.NewStateService(), workers)
+	n = startNodeWith(b, b.Context(), settings(), "host-0", emulator.NewStateService(), workers)
 	var claims sync.WaitGroup
 	for k := range benchMachines {
 		w := workers.Add(fmt.Sprintf("vm-%06d", k), "box", "a")
 		machines = append(machines, w)
-		claims.Go(func() { n.report(workers, w) })
+		claims.Go(func() { n.sendHeartbeat(workers, w) })
 	}
 	claims.Wait()
 	for _, w := range machines {
-		if reply := n.report(workers, w); !reply.Owner {
+		if reply := n.sendHeartbeat(workers, w); !reply.Owner {
 			b.Fatalf("%s is not owned: %+v", w.Heartbeat.Machine, reply)
 		}
 	}
-	return n, workers, machines, slot(b, n, "s", 0)
+	return n, workers, machines, takeJobShard(b, n, "s", 0)
 }
 
 func benchRequest(epoch uint64) agentapi.Request {
@@ -47,7 +47,7 @@
 	n, workers, machines, _ := benchNode(b)
 	b.ReportAllocs()
 	for k := 0; b.Loop(); k++ {
-		if reply := n.report(workers, machines[k%len(machines)]); !reply.Owner {
+		if reply := n.sendHeartbeat(workers, machines[k%len(machines)]); !reply.Owner {
 			b.Fatalf("%+v", reply)
 		}
 	}
--- a/internal/clusteragent/buried.go
+++ b/internal/clusteragent/buried.go
@@ -12,9 +12,9 @@
 // answer, and deleted once more.
 
 const (
-	// buriedFor is how long such a machine is kept in mind: copies come up to some leases late.
-	buriedFor  = 10 * time.Minute
-	mostBuried = 8000
+	// tombstoneTime is how long such a machine is kept in mind: copies come up to some leases late.
+	tombstoneTime = 10 * time.Minute
+	maxTombstones = 8000
 )
 
 // OnMachineRemoved takes note of a machine whose key was removed.
@@ -22,20 +22,20 @@
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.buried) >= mostBuried {
-		for name, at := range a.buried {
-			if now.Sub(at) > buriedFor || len(a.buried) >= mostBuried {
-				delete(a.buried, name)
+	if len(a.tombstones) >= maxTombstones {
+		for name, at := range a.tombstones {
+			if now.Sub(at) > tombstoneTime || len(a.tombstones) >= maxTombstones {
+				delete(a.tombstones, name)
 			}
 		}
 	}
-	a.buried[machine] = now
+	a.tombstones[machine] = now
 }
 
-// isBuried reports whether a report is of a machine that is no more.
-func (a *Agent) isBuried(r *worker.Heartbeat, now time.Time) bool {
+// isTombstoned reports whether a report is of a machine that is no more.
+func (a *Agent) isTombstoned(r *worker.Heartbeat, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	at, ok := a.buried[r.Machine]
-	return ok && now.Sub(at) < buriedFor
+	at, ok := a.tombstones[r.Machine]
+	return ok && now.Sub(at) < tombstoneTime
 }
--- a/internal/clusteragent/clear.go
+++ b/internal/clusteragent/clear.go
@@ -14,9 +14,9 @@
 	"robinstack/internal/worker"
 )
 
-// claimTime is how long a cleared machine stays reserved for the job it was
+// preemptionHold is how long a cleared machine stays reserved for the job it was
 // cleared for, beyond the time its tasks need to save.
-const claimTime = 10 * time.Second
+const preemptionHold = 10 * time.Second
 
 // victims picks the tasks to stop so that the request's need fits on m: tasks
 // of arrays of lower priority, those first that lose least. ok is false where
@@ -24,10 +24,10 @@
 // of work lost, and of fetching the image where the machine does not have it.
 func (a *Agent) victims(m *machine, r *agentapi.Request, now time.Time) (stop []*task, cost float64, ok bool) {
 	t, known := a.types()[m.typeName]
-	if _, has := m.images[r.Spec.Image]; !known || r.Near && !has || !a.hurries(r, t) || a.registering() || a.unfit(m, r, now) != "" {
+	if _, has := m.images[r.Spec.Image]; !known || r.Near && !has || !a.overdueForPreemption(r, t) || a.manyClaimsPending() || a.ineligible(m, r, now) != "" {
 		return nil, 0, false
 	}
-	free, known := m.room(job.Capacity(t))
+	free, known := m.freeCapacity(job.Capacity(t))
 	if !known {
 		return nil, 0, false
 	}
@@ -38,11 +38,11 @@
 	var options []option
 	for _, t := range m.tasks {
 		switch {
-		case !t.uses() || t.state == stateHeld || t.state == agentapi.Starting:
-		case t.stop:
+		case !t.occupies() || t.state == stateReserved || t.state == agentapi.Starting:
+		case t.stopRequested:
 			free = free.AddScaled(t.spec.Need, 1)
-		case t.spec.Shape == job.Array && t.spec.Priority() < r.Spec.Priority() && !a.spared(t, r, m, now):
-			options = append(options, option{t, t.loss(now) + a.lateness(t, now)})
+		case t.spec.Shape == job.Array && t.spec.Priority() < r.Spec.Priority() && !a.protectedByFairShare(t, r, m, now):
+			options = append(options, option{t, t.preemptionLoss(now) + a.lateness(t, now)})
 		}
 	}
 	slices.SortFunc(options, func(a, b option) int {
@@ -61,7 +61,7 @@
 			continue
 		}
 		stop = append(stop, o.t)
-		cost += o.t.loss(now)
+		cost += o.t.preemptionLoss(now)
 	}
 	// A job is late with its last task: two of its tasks stopped are no worse than one.
 	late := map[string]float64{}
@@ -77,22 +77,22 @@
 	return stop, cost, r.Spec.FitsIn(free)
 }
 
-// registering reports whether many of the machines that report here wait to be written into a
+// manyClaimsPending reports whether many of the machines that report here wait to be written into a
 // shard, as when a fleet begins: those will have room, and what is stopped for gangs on the
 // few that are registered would be placed there again and stopped again. The mutex is held.
-func (a *Agent) registering() bool {
-	return len(a.claiming) > max(fewClaims, len(a.machines)/registeringPart)
+func (a *Agent) manyClaimsPending() bool {
+	return len(a.claimsPending) > max(minPendingClaims, len(a.machines)/pendingClaimsPart)
 }
 
 // So many claims wait at any time in a large fleet, and so large a part of the machines.
 const (
-	fewClaims       = 2
-	registeringPart = 20
+	minPendingClaims  = 2
+	pendingClaimsPart = 20
 )
 
-// hurries reports whether a job that waits for room needs it made now to start
+// overdueForPreemption reports whether a job that waits for room needs it made now to start
 // by the users' aim: with time left, gangs that end make room for nothing.
-func (a *Agent) hurries(r *agentapi.Request, t cloud.MachineType) bool {
+func (a *Agent) overdueForPreemption(r *agentapi.Request, t cloud.MachineType) bool {
 	return r.Left <= preemptionTime(r, t)
 }
 
@@ -103,17 +103,17 @@
 	if t.FetchGBPerS > 0 {
 		fetch = time.Duration(1.5 * r.Spec.ImageGB / t.FetchGBPerS * float64(time.Second))
 	}
-	return fetch + 2*claimTime
+	return fetch + 2*preemptionHold
 }
 
-// loss is what stopping the task costs, in GPU-seconds.
-func (t *task) loss(now time.Time) float64 {
+// preemptionLoss is what stopping the task costs, in GPU-seconds.
+func (t *task) preemptionLoss(now time.Time) float64 {
 	lost := 0.0
 	switch {
 	case t.spec.CanCheckpoint():
 		lost = t.spec.SaveS
 	case t.state == worker.TaskRunning:
-		lost = now.Sub(t.runningAt).Seconds()
+		lost = now.Sub(t.runningSince).Seconds()
 	}
 	return lost * max(t.spec.GPUs, 1)
 }
@@ -123,17 +123,17 @@
 // on kuopio-fleet's busy day another order could have kept 0.97 of its deadlines, and
 // 0.35 were. So what is stopped is sought where few jobs become late by it.
 const (
-	// lateLoss is what a job that becomes late counts for, in GPU-seconds.
-	lateLoss = 300.0
-	// again is about how long a task that was stopped takes until it runs again, and
+	// latenessCost is what a job that becomes late counts for, in GPU-seconds.
+	latenessCost = 300.0
+	// requeueTime is about how long a task that was stopped takes until it runs again, and
 	// safe how long it takes at most: in a full fleet it waits for a place once more.
-	again = 50 * time.Second
-	safe  = 3 * again
-	// fewTasks is the size of a job beyond which one task of it is worth less: the
+	requeueTime    = 50 * time.Second
+	requeueTimeMax = 3 * requeueTime
+	// smallJobTasks is the size of a job beyond which one task of it is worth less: the
 	// more tasks a job has, the more likely it is that others are stopped too, by
 	// owners that do not know of each other. All prefer the same jobs this way, and of
 	// those that are spared there are more.
-	fewTasks = 8.0
+	smallJobTasks = 8.0
 )
 
 // lateness is what the task's job may lose by its being stopped: nothing if there is
@@ -141,15 +141,15 @@
 func (a *Agent) lateness(t *task, now time.Time) float64 {
 	rest := config.Seconds(t.spec.EstimateS)
 	if t.state == worker.TaskRunning {
-		rest = max(0, rest-now.Sub(t.runningAt))
+		rest = max(0, rest-now.Sub(t.runningSince))
 	}
-	if t.limits == nil {
-		t.limits = a.settings.CompletionTargets(t.spec.Class, t.spec.DeadlineS)
+	if t.sloLimits == nil {
+		t.sloLimits = a.settings.CompletionTargets(t.spec.Class, t.spec.DeadlineS)
 	}
-	for k, limit := range t.limits {
-		if slack := limit - now.Sub(t.submitted) - rest; slack >= 0 {
-			risk := min(1, max(0, (safe-slack).Seconds()/(safe-again).Seconds()))
-			return risk * lateLoss / float64(k+1) * fewTasks / max(fewTasks, float64(t.spec.Tasks))
+	for k, limit := range t.sloLimits {
+		if slack := limit - now.Sub(t.submittedAt) - rest; slack >= 0 {
+			risk := min(1, max(0, (requeueTimeMax-slack).Seconds()/(requeueTimeMax-requeueTime).Seconds()))
+			return risk * latenessCost / float64(k+1) * smallJobTasks / max(smallJobTasks, float64(t.spec.Tasks))
 		}
 	}
 	return 0
@@ -162,16 +162,16 @@
 	now := time.Now()
 	hurries := false
 	for _, t := range a.types() {
-		hurries = hurries || a.hurries(&r, t)
+		hurries = hurries || a.overdueForPreemption(&r, t)
 	}
 	if !hurries {
 		return nil
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	pool := a.shuffled()
+	pool := a.shuffledMachines()
 	wanted := sampleTarget(&r, len(pool))
-	room := newRoomCount(&r)
+	room := newCapacityCount(&r)
 	var found []agentapi.Candidate
 	for _, m := range pool {
 		if len(found) >= wanted && room.enough() {
@@ -179,18 +179,18 @@
 		}
 		if _, cost, ok := a.victims(m, &r, now); ok {
 			room.add(m.zone, 1)
-			found = append(found, agentapi.Candidate{Machine: m.name, Host: a.member.Host, Rev: m.rev, Zone: m.zone, Fits: 1, Score: -cost})
+			found = append(found, agentapi.Candidate{Machine: m.name, Host: a.member.Host, Rev: m.ownershipRev, Zone: m.zone, Fits: 1, Score: -cost})
 		}
 	}
-	reply.Candidates = best(found, &r)
+	reply.Candidates = bestCandidates(found, &r)
 	return nil
 }
 
-// keepable returns the machine that a placer asks to have kept for a job, or nil where it
+// reservable returns the machine that a placer asks to have kept for a job, or nil where it
 // or this owner is not the latest. The mutex is held.
-func (a *Agent) keepable(r *agentapi.CommitRequest) *machine {
+func (a *Agent) reservable(r *agentapi.CommitRequest) *machine {
 	m := a.machines[r.Machine]
-	if m == nil || m.rev != r.Rev || !a.member.HoldsLease() || !a.current(statekv.JobShardPrefix+r.Slot, r.Epoch) {
+	if m == nil || m.ownershipRev != r.Rev || !a.member.HoldsLease() || !a.isLatestEpoch(statekv.JobShardPrefix+r.Slot, r.Epoch) {
 		return nil
 	}
 	return m
@@ -203,7 +203,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	reply.Verdicts = []string{agentapi.Refused}
-	m := a.keepable(&r)
+	m := a.reservable(&r)
 	if m == nil {
 		return nil
 	}
@@ -213,13 +213,13 @@
 	}
 	longest := time.Duration(0)
 	for _, t := range stop {
-		t.stop, t.grace = true, 0
+		t.stopRequested, t.stopGrace = true, 0
 		if t.spec.CanCheckpoint() {
-			t.grace = t.spec.CheckpointDuration() + time.Second
+			t.stopGrace = t.spec.CheckpointDuration() + time.Second
 		}
-		longest = max(longest, t.grace)
+		longest = max(longest, t.stopGrace)
 	}
-	m.claim(&r.Request, now, longest+claimTime)
+	m.reserveFor(&r.Request, now, longest+preemptionHold)
 	m.wake()
 	reply.Verdicts[0] = agentapi.Held
 	if len(stop) == 0 {
--- a/internal/clusteragent/clear_test.go
+++ b/internal/clusteragent/clear_test.go
@@ -13,14 +13,14 @@
 // What is stopped for a gang is sought where few jobs become late by it: a job is
 // done with its last task, so a fifth of all tasks stopped, spread over all jobs,
 // made nearly every job late.
-func TestClearingSparesJobsThatWouldBecomeLate(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestPreemptionPrefersJobsThatStayOnTime(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		due := 100.0
 		put := func(machine, id string, tasks int, age time.Duration, indices ...int) {
 			w := workers.Add(machine, "box", "a")
-			n.report(workers, w)
+			n.sendHeartbeat(workers, w)
 			time.Sleep(time.Second)
 			req := agentapi.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev}
 			req.Slot, req.Epoch, req.Age = "s", epoch, age
--- a/internal/clusteragent/gather.go
+++ b/internal/clusteragent/gather.go
@@ -18,31 +18,31 @@
 //
 // Of two jobs that gather, the one that could start earlier has the machine, wherever
 // they meet: so the one that waits longest gets all it asks for, and no two wait for each
-// other. What is kept is given back gatherFor after its job has asked for it last.
+// other. What is kept is given back backfillHold after its job has asked for it last.
 
-// gatherFor is how long a machine is kept for a job that gathers, from when its placer
+// backfillHold is how long a machine is kept for a job that gathers, from when its placer
 // asked for it last; placers ask again every second or two.
-const gatherFor = 6 * time.Second
+const backfillHold = 6 * time.Second
 
-// claim keeps the machine for a job.
-func (m *machine) claim(r *agentapi.Request, now time.Time, d time.Duration) {
-	m.claimedBy, m.claimedUntil, m.claimedSince = r.Spec.ID, now.Add(d), now.Add(-r.Age)
+// reserveFor keeps the machine for a job.
+func (m *machine) reserveFor(r *agentapi.Request, now time.Time, d time.Duration) {
+	m.reservedFor, m.reservedUntil, m.reservationSince = r.Spec.ID, now.Add(d), now.Add(-r.Age)
 }
 
 // outranks reports whether a job that gathers may have a machine that is kept for
 // another: that one could start later.
 func (m *machine) outranks(r *agentapi.Request, now time.Time) bool {
-	return now.Add(-r.Age).Before(m.claimedSince)
+	return now.Add(-r.Age).Before(m.reservationSince)
 }
 
-// freeIn is about how many seconds it takes until tasks that run to their ends leave room
+// secondsUntilFree is about how many seconds it takes until tasks that run to their ends leave room
 // for one of the request's; ok is false where they never do.
-func (a *Agent) freeIn(m *machine, r *agentapi.Request, now time.Time) (wait float64, ok bool) {
+func (a *Agent) secondsUntilFree(m *machine, r *agentapi.Request, now time.Time) (wait float64, ok bool) {
 	t, known := a.types()[m.typeName]
 	if !known || !r.Spec.FitsIn(job.Capacity(t)) {
 		return 0, false
 	}
-	free, known := m.room(job.Capacity(t))
+	free, known := m.freeCapacity(job.Capacity(t))
 	if !known {
 		return 0, false
 	}
@@ -53,9 +53,9 @@
 	var ends []end
 	for _, t := range m.tasks {
 		switch {
-		case !t.uses() || t.spec.Shape == job.Service:
+		case !t.occupies() || t.spec.Shape == job.Service:
 		case t.state == worker.TaskRunning:
-			ends = append(ends, end{max(0, t.spec.EstimateS-now.Sub(t.runningAt).Seconds()), t.spec.Need})
+			ends = append(ends, end{max(0, t.spec.EstimateS-now.Sub(t.runningSince).Seconds()), t.spec.Need})
 		default:
 			ends = append(ends, end{t.spec.EstimateS, t.spec.Need})
 		}
@@ -70,10 +70,10 @@
 	return wait, r.Spec.FitsIn(free)
 }
 
-// gatherable says why a machine cannot be kept for a job that gathers, or nothing.
-func (a *Agent) gatherable(m *machine, r *agentapi.Request, now time.Time) string {
-	why := a.unfit(m, r, now)
-	if why == keptForOther && m.outranks(r, now) || why == keptForGangs {
+// backfillIneligible says why a machine cannot be kept for a job that gathers, or nothing.
+func (a *Agent) backfillIneligible(m *machine, r *agentapi.Request, now time.Time) string {
+	why := a.ineligible(m, r, now)
+	if why == reservedForOther && m.outranks(r, now) || why == heldForGangs {
 		return ""
 	}
 	return why
@@ -88,20 +88,20 @@
 	defer a.mu.Unlock()
 	var found []agentapi.Candidate
 	for _, m := range a.machines {
-		if m.gone || a.gatherable(m, &r, now) != "" {
+		if m.gone || a.backfillIneligible(m, &r, now) != "" {
 			continue
 		}
-		wait, ok := a.freeIn(m, &r, now)
+		wait, ok := a.secondsUntilFree(m, &r, now)
 		if !ok {
 			continue
 		}
 		score := -wait
-		if m.claimedBy == r.Spec.ID && now.Before(m.claimedUntil) {
-			score += keptScore
+		if m.reservedFor == r.Spec.ID && now.Before(m.reservedUntil) {
+			score += reservedScore
 		}
-		found = append(found, agentapi.Candidate{Machine: m.name, Host: a.member.Host, Rev: m.rev, Zone: m.zone, Fits: 1, Score: score})
+		found = append(found, agentapi.Candidate{Machine: m.name, Host: a.member.Host, Rev: m.ownershipRev, Zone: m.zone, Fits: 1, Score: score})
 	}
-	reply.Candidates = best(found, &r)
+	reply.Candidates = bestCandidates(found, &r)
 	return nil
 }
 
@@ -112,11 +112,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	reply.Verdicts = []string{agentapi.Refused}
-	m := a.keepable(&r)
-	if m == nil || a.gatherable(m, &r.Request, now) != "" {
+	m := a.reservable(&r)
+	if m == nil || a.backfillIneligible(m, &r.Request, now) != "" {
 		return nil
 	}
-	m.claim(&r.Request, now, gatherFor)
+	m.reserveFor(&r.Request, now, backfillHold)
 	reply.Verdicts[0] = agentapi.Held
 	return nil
 }
--- a/internal/clusteragent/health.go
+++ b/internal/clusteragent/health.go
@@ -18,19 +18,19 @@
 			continue
 		}
 		reply.Owned++
-		if now.Sub(m.heard) < 2*a.settings.Workers.HeartbeatInterval {
+		if now.Sub(m.lastHeartbeat) < 2*a.settings.Workers.HeartbeatInterval {
 			reply.Heard++
 		}
 		mark := agentapi.QuarantinedMachine{Machine: m.name}
 		switch {
-		case m.faulty:
+		case m.quarantined:
 			mark.Why = "faulty: jobs failed here that run well elsewhere"
-			for id := range m.blamed {
+			for id := range m.attributedFailures {
 				mark.Jobs = append(mark.Jobs, id)
 			}
-		case m.inDoubt(now):
+		case m.suspected(now):
 			mark.Why = "in doubt: jobs failed here, and it is not known yet whose fault it was"
-			for id := range m.failures {
+			for id := range m.unattributedFailures {
 				mark.Jobs = append(mark.Jobs, id)
 			}
 		default:
--- a/internal/clusteragent/late_test.go
+++ b/internal/clusteragent/late_test.go
@@ -13,29 +13,29 @@
 	"robinstack/internal/worker"
 )
 
-// pair starts two controllers; the first owns machine m1, on which task wk-1/0 runs.
-func pair(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) (a, b *node, w *emulator.Worker, epoch uint64) {
+// startPair starts two controllers; the first owns machine m1, on which task wk-1/0 runs.
+func startPair(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) (a, b *node, w *emulator.Worker, epoch uint64) {
 	t.Helper()
 	with := func(host, peer string) *node {
 		s := settings()
 		s.Host, s.Peers = host, []config.Peer{{Host: peer}}
-		return startWith(t, ctx, s, host, state, workers)
+		return startNodeWith(t, ctx, s, host, state, workers)
 	}
 	a, b = with("host-0", "host-1"), with("host-1", "host-0")
-	epoch = slot(t, a, "s", 0)
+	epoch = takeJobShard(t, a, "s", 0)
 	w = workers.Add("m1", "box", "")
-	a.report(workers, w)
+	a.sendHeartbeat(workers, w)
 	time.Sleep(time.Second)
-	a.report(workers, w)
+	a.sendHeartbeat(workers, w)
 	if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 		t.Fatalf("verdict %q", got)
 	}
-	a.report(workers, w)
+	a.sendHeartbeat(workers, w)
 	return a, b, w, epoch
 }
 
-// copyOf is the report that the worker sent last, once more.
-func copyOf(workers *emulator.Workers, w *emulator.Worker) (r worker.Heartbeat) {
+// lastHeartbeat is the report that the worker sent last, once more.
+func lastHeartbeat(workers *emulator.Workers, w *emulator.Worker) (r worker.Heartbeat) {
 	workers.WithLock(func() {
 		r = w.Heartbeat
 		r.Tasks = append([]worker.Task(nil), w.Heartbeat.Tasks...)
@@ -47,10 +47,10 @@
 // its lease: they renew nothing, so that its tasks are given up as early as without
 // them, and it does not count as heard. Guards against a lease counted from whatever
 // comes in.
-func TestLateCopiesRenewNothing(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, _, w, _ := pair(t, ctx, state, workers)
-		last := copyOf(workers, w)
+func TestDuplicateHeartbeatsRenewNoLease(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a, _, w, _ := startPair(t, ctx, state, workers)
+		last := lastHeartbeat(workers, w)
 		workers.WithLock(func() { w.HoldCommands = true })
 		died := time.Now()
 		for time.Since(died) < 36*time.Second {
@@ -71,10 +71,10 @@
 
 // Copies of an earlier session, and of an earlier moment of this one, prove nothing: what
 // came since stays, and what has gone does not come back.
-func TestLateCopiesProveNothing(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, _, w, epoch := pair(t, ctx, state, workers)
-		before := copyOf(workers, w)          // with the first task only
+func TestDuplicateHeartbeatsChangeNoTasks(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a, _, w, epoch := startPair(t, ctx, state, workers)
+		before := lastHeartbeat(workers, w)   // with the first task only
 		overtaken := workers.NextHeartbeat(w) // a report that the answer to a command overtakes
 		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
@@ -83,14 +83,14 @@
 		if n := len(a.entries()["m1"].Tasks); n != 2 {
 			t.Fatalf("a report that was overtaken left %d tasks of 2", n)
 		}
-		a.report(workers, w)
+		a.sendHeartbeat(workers, w)
 		a.agent.Heartbeat(ctx, &before)
 		if n := len(a.entries()["m1"].Tasks); n != 2 {
 			t.Fatalf("a copy of before left %d tasks of 2", n)
 		}
 		// Its lease runs out: a new session, without tasks.
 		workers.WithLock(func() { w.Heartbeat.WorkerEpoch, w.Heartbeat.Tasks = 2, nil })
-		a.report(workers, w)
+		a.sendHeartbeat(workers, w)
 		for range 5 {
 			a.agent.Heartbeat(ctx, &before)
 			time.Sleep(time.Second)
@@ -103,15 +103,15 @@
 
 // Copies that reach another controller are no workers that cannot reach their owner: it
 // takes nothing, however many come; one whose reports do come is taken.
-func TestLateCopiesElsewhereTakeNothing(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, b, w, _ := pair(t, ctx, state, workers)
+func TestDuplicateHeartbeatsElsewhereCauseNoTakeover(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a, b, w, _ := startPair(t, ctx, state, workers)
 		rev := a.entries()["m1"].Rev
-		last := copyOf(workers, w)
+		last := lastHeartbeat(workers, w)
 		for range 20 {
 			b.agent.Heartbeat(ctx, &last)
 			time.Sleep(time.Second)
-			a.report(workers, w)
+			a.sendHeartbeat(workers, w)
 		}
 		if kv, ok := b.entries()["m1"]; ok || a.entries()["m1"].Rev != rev {
 			t.Fatalf("a machine was taken for copies of its report: %+v", kv)
@@ -129,10 +129,10 @@
 
 // Copies for a machine that was deleted revive nothing: no key is written for it, by
 // whichever controller they reach.
-func TestLateCopiesOfADeletedMachine(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, b, w, _ := pair(t, ctx, state, workers)
-		last := copyOf(workers, w)
+func TestDuplicateHeartbeatsOfDeletedMachineAreIgnored(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a, b, w, _ := startPair(t, ctx, state, workers)
+		last := lastHeartbeat(workers, w)
 		if err := a.service.Removed(agentapi.MachinesRequest{Names: []string{"m1"}}, &agentapi.MachinesReply{}); err != nil {
 			t.Fatal(err)
 		}
@@ -159,9 +159,9 @@
 // after one command, counts as silent after three, and its task goes elsewhere when the
 // next session proves it gone and not before. It is used again once commands get
 // through.
-func TestOneWayMachine(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, _, w, epoch := pair(t, ctx, state, workers)
+func TestMachineWithLostCommandsGetsNothingNew(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a, _, w, epoch := startPair(t, ctx, state, workers)
 		workers.WithLock(func() { w.HoldCommands = true })
 		began := time.Now()
 		hear := func() { // its reports arrive; what is answered does not
@@ -198,7 +198,7 @@
 		}
 		workers.WithLock(func() { w.HoldCommands = false })
 		time.Sleep(3 * time.Second)
-		a.report(workers, w)
+		a.sendHeartbeat(workers, w)
 		if a.entries()["m1"].Silent {
 			t.Fatal("it answers, and counts as silent")
 		}
@@ -206,7 +206,7 @@
 			t.Fatalf("it is not used again: %q", got)
 		}
 		workers.DeliverHeldCommands(w)
-		if n := held(workers, w); n != 1 {
+		if n := taskCount(workers, w); n != 1 {
 			t.Errorf("%d tasks run: a command that was lost was carried out late", n)
 		}
 	})
@@ -214,9 +214,9 @@
 
 // Reports that cannot be a machine's change nothing, and its own go on to count: numbers
 // that leap out of range would make all later ones old.
-func TestReportsThatCannotBe(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, _, w, epoch := pair(t, ctx, state, workers)
+func TestMalformedHeartbeatsAreRejected(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a, _, w, epoch := startPair(t, ctx, state, workers)
 		for what, change := range map[string]func(*worker.Heartbeat){
 			"a huge serial":             func(r *worker.Heartbeat) { r.Sequence = 1 << 63 },
 			"a huge tenure":             func(r *worker.Heartbeat) { r.WorkerEpoch = 1 << 62 },
@@ -232,11 +232,11 @@
 				t.Fatalf("%s: %d tasks are booked", what, n)
 			}
 		}
-		back := copyOf(workers, w)
+		back := lastHeartbeat(workers, w)
 		back.Sequence, back.WorkerEpoch, back.Tasks = 1, 0, nil
 		a.agent.Heartbeat(ctx, &back)
-		a.report(workers, w)
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started || held(workers, w) != 2 {
+		a.sendHeartbeat(workers, w)
+		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started || taskCount(workers, w) != 2 {
 			t.Errorf("its own reports do not count any more: %q", got)
 		}
 	})
@@ -245,14 +245,14 @@
 // A controller loses the state service and the others, and keeps its workers: it starts
 // nothing, answers them for its hold time and no longer, and its successor counts that
 // in.
-func TestOwnerWithWorkersOnly(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		cut := &cutOff{StateService: state}
-		a := startWith(t, ctx, settings(), "host-0", cut, workers)
-		b := start(t, ctx, "host-1", state, workers)
-		epoch := slot(t, a, "s", 0)
+func TestOwnerCutOffFromStateAnswersForLeaseGracePeriod(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		cut := &cutOffState{StateService: state}
+		a := startNodeWith(t, ctx, settings(), "host-0", cut, workers)
+		b := startNode(t, ctx, "host-1", state, workers)
+		epoch := takeJobShard(t, a, "s", 0)
 		w := workers.Add("m1", "box", "")
-		a.report(workers, w)
+		a.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("verdict %q", got)
@@ -269,7 +269,7 @@
 		}
 		last := time.Now()
 		for time.Since(began) < 50*time.Second {
-			if reply := a.report(workers, w); reply.Owner {
+			if reply := a.sendHeartbeat(workers, w); reply.Owner {
 				last = time.Now()
 			}
 			time.Sleep(time.Second)
@@ -287,41 +287,41 @@
 	})
 }
 
-// cutOff is a state service that one controller does not reach any more.
-type cutOff struct {
+// cutOffState is a state service that one controller does not reach any more.
+type cutOffState struct {
 	*emulator.StateService
 	off atomic.Bool
 }
 
-func (c *cutOff) Get(ctx context.Context, key string) (statekv.KV, error) {
+func (c *cutOffState) Get(ctx context.Context, key string) (statekv.KV, error) {
 	if c.off.Load() {
 		return statekv.KV{}, statekv.ErrOutcomeUnknown
 	}
 	return c.StateService.Get(ctx, key)
 }
 
-func (c *cutOff) List(ctx context.Context, prefix, after string) (statekv.Page, error) {
+func (c *cutOffState) List(ctx context.Context, prefix, after string) (statekv.Page, error) {
 	if c.off.Load() {
 		return statekv.Page{}, statekv.ErrOutcomeUnknown
 	}
 	return c.StateService.List(ctx, prefix, after)
 }
 
-func (c *cutOff) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
+func (c *cutOffState) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	if c.off.Load() {
 		return 0, statekv.ErrOutcomeUnknown
 	}
 	return c.StateService.Txn(ctx, when, then)
 }
 
-func (c *cutOff) Renew(ctx context.Context, lease uint64) error {
+func (c *cutOffState) Renew(ctx context.Context, lease uint64) error {
 	if c.off.Load() {
 		return statekv.ErrOutcomeUnknown
 	}
 	return c.StateService.Renew(ctx, lease)
 }
 
-func (c *cutOff) Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.WatchResponse, error) {
+func (c *cutOffState) Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (statekv.WatchResponse, error) {
 	if c.off.Load() {
 		select {
 		case <-ctx.Done():
--- a/internal/clusteragent/learn.go
+++ b/internal/clusteragent/learn.go
@@ -10,40 +10,40 @@
 	"robinstack/internal/statekv"
 )
 
-// wantLearning has the records read of jobs whose tasks m turned out to have.
-func (a *Agent) wantLearning(m *machine) {
+// lookUpJobs has the records read of jobs whose tasks m turned out to have.
+func (a *Agent) lookUpJobs(m *machine) {
 	for _, t := range m.tasks {
-		if t.verify {
-			a.unread[t.ref.Job] = true
+		if t.verifyJob {
+			a.unreadJobs[t.ref.Job] = true
 		}
 	}
-	a.learnSoon()
+	a.triggerLookup()
 }
 
-func (a *Agent) learnSoon() {
-	if len(a.unread) == 0 {
+func (a *Agent) triggerLookup() {
+	if len(a.unreadJobs) == 0 {
 		return
 	}
 	select {
-	case a.learns <- struct{}{}:
+	case a.lookupWanted <- struct{}{}:
 	default:
 	}
 }
 
-// runLearning reads the records of jobs whose tasks were found on machines, or
+// runLookups reads the records of jobs whose tasks were found on machines, or
 // whose placer changed: what is over is stopped, the rest gets its needs.
-func (a *Agent) runLearning(ctx context.Context) {
+func (a *Agent) runLookups(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.learns:
+		case <-a.lookupWanted:
 		}
 		a.mu.Lock()
-		ids := a.unread
-		a.unread = map[string]bool{}
+		ids := a.unreadJobs
+		a.unreadJobs = map[string]bool{}
 		a.mu.Unlock()
-		err := a.learn(ctx, ids)
+		err := a.lookUp(ctx, ids)
 		pause := 100 * time.Millisecond // reports come in groups
 		if err != nil {
 			slog.Debug("job records read failed", "jobs", len(ids), "err", err)
@@ -56,16 +56,16 @@
 		a.mu.Lock()
 		if err != nil {
 			for id := range ids {
-				a.unread[id] = true
+				a.unreadJobs[id] = true
 			}
 		}
-		a.learnSoon()
+		a.triggerLookup()
 		a.mu.Unlock()
 	}
 }
 
-// learn finds the records and takes what was found out of ids.
-func (a *Agent) learn(ctx context.Context, ids map[string]bool) error {
+// lookUp finds the records and takes what was found out of ids.
+func (a *Agent) lookUp(ctx context.Context, ids map[string]bool) error {
 	found := map[string]*job.Record{}
 	for id := range ids {
 		kv, ok := a.mirror.Get(job.RecordKey(id))
@@ -83,7 +83,7 @@
 		found[id] = rec
 		delete(ids, id)
 	}
-	a.learned(found)
+	a.applyRecords(found)
 	// What the mirror does not have is over, or came just now: a read tells.
 	for id := range ids {
 		kv, err := a.store.Get(ctx, job.RecordKey(id))
@@ -94,41 +94,41 @@
 		if err != nil && !errors.Is(err, statekv.ErrNotFound) {
 			return err
 		}
-		a.learned(map[string]*job.Record{id: rec})
+		a.applyRecords(map[string]*job.Record{id: rec})
 		delete(ids, id)
 	}
 	return nil
 }
 
-// learned takes in records; nil stands for a job that is over.
-func (a *Agent) learned(records map[string]*job.Record) {
+// applyRecords takes in records; nil stands for a job that is over.
+func (a *Agent) applyRecords(records map[string]*job.Record) {
 	if len(records) == 0 {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	close(a.learnt)
-	a.learnt = make(chan struct{})
+	close(a.lookupDone)
+	a.lookupDone = make(chan struct{})
 	for _, m := range a.machines {
 		changed := false
 		for _, t := range m.tasks {
 			rec, read := records[t.ref.Job]
-			if !read || !t.verify {
+			if !read || !t.verifyJob {
 				continue
 			}
-			t.verify, changed = false, true
+			t.verifyJob, changed = false, true
 			if rec == nil {
-				t.forget = true
-				t.kill()
+				t.forgetRequested = true
+				t.stopNow()
 				t.spec = &job.Spec{}
 			} else {
-				t.spec, t.slot, t.submitted, t.limits = &rec.Spec, rec.JobShard, rec.SubmittedAt(), nil
+				t.spec, t.jobShard, t.submittedAt, t.sloLimits = &rec.Spec, rec.JobShard, rec.SubmittedAt(), nil
 			}
 		}
 		if changed {
-			m.roomChanged()
+			m.usageChanged()
 			m.wake()
-			a.touch(m)
+			a.markChanged(m)
 		}
 	}
 }
@@ -140,11 +140,11 @@
 	defer a.mu.Unlock()
 	for _, m := range a.machines {
 		for _, t := range m.tasks {
-			if t.slot == slot {
-				t.verify = true
-				a.unread[t.ref.Job] = true
+			if t.jobShard == slot {
+				t.verifyJob = true
+				a.unreadJobs[t.ref.Job] = true
 			}
 		}
 	}
-	a.learnSoon()
+	a.triggerLookup()
 }
--- a/internal/clusteragent/learn_test.go
+++ b/internal/clusteragent/learn_test.go
@@ -14,15 +14,15 @@
 // A record that cannot be read kept an agent from reading all others, again and again,
 // so that the tasks of every job that it had taken over stayed unknown to it. It is
 // listed and left, and its task goes on.
-func TestUnreadableRecordDoesNotKeepOthersFromBeingRead(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+func TestUnreadableRecordDoesNotBlockOtherRecords(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		good := job.Record{JobShard: "s", Spec: job.Spec{ID: "wk-2", Team: "t", Shape: job.Array, Rank: "normal", Tasks: 1, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
 		for key, v := range map[string]any{job.RecordKey("wk-1"): "mangled", job.RecordKey("wk-2"): good} {
 			if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: key, Value: v}}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		n := start(t, ctx, "host-0", state, workers)
+		n := startNode(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		workers.WithLock(func() {
 			for _, id := range []string{"wk-1/0", "wk-2/0"} {
@@ -30,7 +30,7 @@
 			}
 		})
 		for range 5 {
-			n.report(workers, w)
+			n.sendHeartbeat(workers, w)
 			time.Sleep(time.Second)
 		}
 		known := map[string]bool{}
@@ -40,8 +40,8 @@
 		if len(known) != 2 || known["wk-1"] || !known["wk-2"] {
 			t.Errorf("known: %v", known)
 		}
-		if held(workers, w) != 2 {
-			t.Errorf("%d tasks are on the machine", held(workers, w))
+		if taskCount(workers, w) != 2 {
+			t.Errorf("%d tasks are on the machine", taskCount(workers, w))
 		}
 		if bad := n.mirror.Undecodable(); bad[job.RecordKey("wk-1")] == "" {
 			t.Errorf("listed: %v", bad)
--- a/internal/clusteragent/machine.go
+++ b/internal/clusteragent/machine.go
@@ -15,135 +15,135 @@
 // revision of its ownership is above it.
 const tokenBits = 20
 
-type taskKey struct {
-	id      string
+type attemptKey struct {
+	taskID  string
 	attempt uint64
 }
 
 // task is a task that is on a machine, or may be, or has room reserved there.
 type task struct {
-	ref       agentapi.TaskRef
-	id        string
-	slot      string
-	spec      *job.Spec       // nil until the job's record has been read
-	submitted time.Time       // with spec
-	limits    []time.Duration // of spec, once asked for
-	verify    bool            // read the record (again): the job may be over
-	state     string
-	cause     string
-	saved     bool
-	seen      bool // a report has shown it
-	sent      bool
-	sentToken uint64
-	fence     uint64    // token that a report must show before a copy of the start is certainly dead
-	endedAt   time.Time // when a report first showed it ended, or when that was last looked into
-	stop      bool
-	grace     time.Duration
-	stopFirst time.Time // when the stop was sent first
-	stopSent  time.Time // and last
-	forget    bool
-	holdUntil time.Time
-	runningAt time.Time
-	spent     [4]time.Duration // fetching, gathering, running, saving, as seen here
-	passed    time.Time        // until when that is booked
-	counted   bool             // its end has been held for or against its machine
-	result    chan string      // verdict for the waiting commit, buffered
+	ref             agentapi.TaskRef
+	id              string
+	jobShard        string
+	spec            *job.Spec       // nil until the job's record has been read
+	submittedAt     time.Time       // with spec
+	sloLimits       []time.Duration // of spec, once asked for
+	verifyJob       bool            // read the record (again): the job may be over
+	state           string
+	cause           string
+	checkpointed    bool
+	listed          bool // a report has shown it
+	startSent       bool
+	startToken      uint64
+	fenceToken      uint64    // token that a report must show before a copy of the start is certainly dead
+	endedAt         time.Time // when a report first showed it ended, or when that was last looked into
+	stopRequested   bool
+	stopGrace       time.Duration
+	stopFirstSent   time.Time // when the stop was sent first
+	stopLastSent    time.Time // and last
+	forgetRequested bool
+	reservedUntil   time.Time
+	runningSince    time.Time
+	phaseTimes      [4]time.Duration // fetching, gathering, running, saving, as seen here
+	bookedUntil     time.Time        // until when that is booked
+	outcomeCounted  bool             // its end has been held for or against its machine
+	startResult     chan string      // verdict for the waiting commit, buffered
 }
 
-const stateHeld = "held"
+const stateReserved = "held"
 
-func (t *task) uses() bool { return t.state != worker.TaskExited }
+func (t *task) occupies() bool { return t.state != worker.TaskExited }
 
-// settle gives the waiting commit its verdict.
-func (t *task) settle(verdict string) {
-	if t.result != nil {
-		t.result <- verdict
-		t.result = nil
+// resolve gives the waiting commit its verdict.
+func (t *task) resolve(verdict string) {
+	if t.startResult != nil {
+		t.startResult <- verdict
+		t.startResult = nil
 	}
 }
 
 // machine is a machine that this controller owns. The agent's mutex guards it.
 type machine struct {
-	name      string
-	address   string
-	typeName  string
-	zone      string
-	spot      bool
-	keyRev    uint64 // of the machine's key
-	rev       uint64 // of our ownership
-	counter   uint64
-	seenToken uint64
-	session   uint64
-	seq       uint64
-	reported  serial // the latest report that came here, answers to commands left aside
-	lost      int    // commands in a row that had no answer
-	lostAt    time.Time
-	tasks     map[taskKey]*task
-	images    map[string]time.Time
-	fetches   map[string]*fetch // by image
-	fetchesAt time.Time         // up to when they were followed
-	settled   bool
-	draining  bool
-	removing  bool
-	gone      bool
-	silent    bool
-	mute      bool                 // commands reach it, and its reports do not come
-	faulty    bool                 // jobs that run well elsewhere failed here
-	failures  map[string]time.Time // jobs whose tasks failed here, until it is known whose fault it was
-	blamed    map[string]bool      // those that run well elsewhere
-	doneAt    time.Time            // when a task completed here last
-	noticeAt  time.Time            // when the cloud takes it; zero: no notice
-	leased    bool                 // a report was answered, by this owner or one before
-	heard     time.Time
-	toldAt    time.Time // when its latest report came here, or its ownership began
-	answerEnd time.Time // last moment at which anyone may have answered its worker
-	idleSince time.Time
-	ver       uint64
-	turn      int           // when it is inspected
-	place     *list.Element // among those by their last change
-	kick      chan struct{}
-	quit      chan struct{}
-	retryAt   time.Time
-
-	used   job.Need // what tasks take, while summed is true
-	known  bool     // whether all their needs are
-	busy   bool     // whether there are any
-	summed bool
-	rooms  *rooms // told when that changes
-
-	keptUntil time.Time // a gang has just left it: kept for the next for a moment
-	keptRank  int       // priority of that gang
-
-	claimedBy    string // job for which tasks of lower priority were stopped, or room is gathered
-	claimedUntil time.Time
-	claimedSince time.Time // since when that job could start
+	name                 string
+	address              string
+	typeName             string
+	zone                 string
+	spot                 bool
+	keyRev               uint64 // of the machine's key
+	ownershipRev         uint64 // of our ownership
+	tokenCounter         uint64
+	seenToken            uint64
+	workerEpoch          uint64
+	sequence             uint64
+	latestArrival        heartbeatSerial // the latest report that came here, answers to commands left aside
+	unansweredCommands   int             // commands in a row that had no answer
+	unansweredSince      time.Time
+	tasks                map[attemptKey]*task
+	images               map[string]time.Time
+	fetches              map[string]*imageFetch // by image
+	fetchesBookedUntil   time.Time              // up to when they were followed
+	reconciled           bool
+	draining             bool
+	removing             bool
+	gone                 bool
+	unresponsive         bool
+	heartbeatsLost       bool                 // commands reach it, and its reports do not come
+	quarantined          bool                 // jobs that run well elsewhere failed here
+	unattributedFailures map[string]time.Time // jobs whose tasks failed here, until it is known whose fault it was
+	attributedFailures   map[string]bool      // those that run well elsewhere
+	lastSuccessAt        time.Time            // when a task completed here last
+	reclaimAt            time.Time            // when the cloud takes it; zero: no notice
+	heartbeatAnswered    bool                 // a report was answered, by this owner or one before
+	lastHeartbeat        time.Time
+	lastArrival          time.Time // when its latest report came here, or its ownership began
+	lastAnswerBound      time.Time // last moment at which anyone may have answered its worker
+	idleSince            time.Time
+	version              uint64
+	inspectionTurn       int           // when it is inspected
+	changeElement        *list.Element // among those by their last change
+	wakeup               chan struct{}
+	stopped              chan struct{}
+	retryAt              time.Time
+
+	usedNeed      job.Need // what tasks take, while summed is true
+	needsKnown    bool     // whether all their needs are
+	occupied      bool     // whether there are any
+	usageValid    bool
+	capacityIndex *capacityIndex // told when that changes
+
+	gangHoldUntil    time.Time // a gang has just left it: kept for the next for a moment
+	gangHoldPriority int       // priority of that gang
+
+	reservedFor      string // job for which tasks of lower priority were stopped, or room is gathered
+	reservedUntil    time.Time
+	reservationSince time.Time // since when that job could start
 }
 
-func (m *machine) token() uint64 { return m.rev<<tokenBits + m.counter }
+func (m *machine) token() uint64 { return m.ownershipRev<<tokenBits + m.tokenCounter }
 
-// answered notes that a report was answered. An answer that was begun earlier and
+// noteAnswer notes that a report was answered. An answer that was begun earlier and
 // given later must not set the end back: the worker's lease would be taken for over
 // while it runs.
-func (m *machine) answered(now time.Time) {
-	if now.After(m.answerEnd) {
-		m.answerEnd = now
+func (m *machine) noteAnswer(now time.Time) {
+	if now.After(m.lastAnswerBound) {
+		m.lastAnswerBound = now
 	}
 }
 
 // unfenced reports whether an unanswered command may still be under way.
 func (m *machine) unfenced() bool { return m.seenToken < m.token() }
 
-func (m *machine) newer(r *worker.Heartbeat) bool {
-	return serial{m.session, m.seq}.before(serialOf(r))
+func (m *machine) isNewer(r *worker.Heartbeat) bool {
+	return heartbeatSerial{m.workerEpoch, m.sequence}.before(serialOf(r))
 }
 
-// serial is what tells which of two messages of a worker is the newer one.
-type serial struct{ session, seq uint64 }
+// heartbeatSerial is what tells which of two messages of a worker is the newer one.
+type heartbeatSerial struct{ workerEpoch, sequence uint64 }
 
-func serialOf(r *worker.Heartbeat) serial { return serial{r.WorkerEpoch, r.Sequence} }
+func serialOf(r *worker.Heartbeat) heartbeatSerial { return heartbeatSerial{r.WorkerEpoch, r.Sequence} }
 
-func (s serial) before(o serial) bool {
-	return o.session > s.session || o.session == s.session && o.seq > s.seq
+func (s heartbeatSerial) before(o heartbeatSerial) bool {
+	return o.workerEpoch > s.workerEpoch || o.workerEpoch == s.workerEpoch && o.sequence > s.sequence
 }
 
 // Each report has a number of its own, and a worker has one under way at a time. So one
@@ -154,32 +154,32 @@
 // two reports a second, and sessions of some seconds each. What is beyond them, or goes
 // where a number cannot, is a mistake and must not make all later reports old.
 const (
-	mostSeq     = 1 << 30
-	mostSession = 1 << 24
+	maxSequenceStep = 1 << 30
+	maxEpochStep    = 1 << 24
 )
 
-// odd says why a report cannot be this machine's, or "".
-func (m *machine) odd(r *worker.Heartbeat) string {
+// malformed says why a report cannot be this machine's, or "".
+func (m *machine) malformed(r *worker.Heartbeat) string {
 	switch {
 	case r.Address != m.address:
 		return "its address is another machine's"
-	case r.WorkerEpoch > m.session+mostSession || r.Sequence > max(m.seq, m.reported.seq)+mostSeq:
+	case r.WorkerEpoch > m.workerEpoch+maxEpochStep || r.Sequence > max(m.sequence, m.latestArrival.sequence)+maxSequenceStep:
 		return "its numbers are out of range"
 	}
 	return ""
 }
 
 // A machine that reports while commands do not reach it gets nothing new after the first
-// one without an answer (unfenced). After deafAfter in a row, over deafFor at least, it
+// one without an answer (unfenced). After commandsLostAfter in a row, over commandsLostFor at least, it
 // counts as silent for all who ask whether it serves: nothing can be placed there.
 const (
-	deafAfter = 3
-	deafFor   = 5 * time.Second
+	commandsLostAfter = 3
+	commandsLostFor   = 5 * time.Second
 )
 
-// deaf reports whether commands do not reach the machine although it reports.
-func (m *machine) deaf(now time.Time) bool {
-	return m.lost >= deafAfter && now.Sub(m.lostAt) >= deafFor
+// commandsLost reports whether commands do not reach the machine although it reports.
+func (m *machine) commandsLost(now time.Time) bool {
+	return m.unansweredCommands >= commandsLostAfter && now.Sub(m.unansweredSince) >= commandsLostFor
 }
 
 // A machine whose reports reach nobody while commands reach it answers each of them, and
@@ -188,128 +188,128 @@
 // whether it serves: what began there now would soon be killed. Workers that look for their
 // owner after a change find it long before.
 
-// serves reports whether the machine may get work.
-func (m *machine) serves() bool { return !m.silent && !m.mute }
+// responsive reports whether the machine may get work.
+func (m *machine) responsive() bool { return !m.unresponsive && !m.heartbeatsLost }
 
-// unheard notes that a command had no answer.
-func (m *machine) unheard(now time.Time) {
-	if m.lost == 0 {
-		m.lostAt = now
+// noteUnanswered notes that a command had no answer.
+func (m *machine) noteUnanswered(now time.Time) {
+	if m.unansweredCommands == 0 {
+		m.unansweredSince = now
 	}
-	m.lost++
+	m.unansweredCommands++
 }
 
-// put and drop keep the tasks and what is known of the machine's room together.
-func (m *machine) put(key taskKey, t *task) {
+// addTask and drop keep the tasks and what is known of the machine's room together.
+func (m *machine) addTask(key attemptKey, t *task) {
 	m.tasks[key] = t
-	m.roomChanged()
+	m.usageChanged()
 }
 
-func (m *machine) drop(key taskKey) {
-	if t := m.tasks[key]; t != nil && t.seen && t.state != worker.TaskExited {
-		m.over(t, time.Now(), "lost")
+func (m *machine) removeTask(key attemptKey) {
+	if t := m.tasks[key]; t != nil && t.listed && t.state != worker.TaskExited {
+		m.logFinished(t, time.Now(), "lost")
 	}
 	delete(m.tasks, key)
-	m.roomChanged()
+	m.usageChanged()
 }
 
-// roomChanged has what is known of the machine's room worked out anew.
-func (m *machine) roomChanged() {
-	m.summed = false
-	if m.rooms != nil {
-		m.rooms.dirty[m] = true
+// usageChanged has what is known of the machine's room worked out anew.
+func (m *machine) usageChanged() {
+	m.usageValid = false
+	if m.capacityIndex != nil {
+		m.capacityIndex.dirty[m] = true
 	}
 }
 
-// pass books the time up to now on what the task has been doing.
-func (t *task) pass(now time.Time) {
-	if k, on := phases[t.state]; on && !t.passed.IsZero() {
-		t.spent[k] += now.Sub(t.passed)
+// bookPhaseTime books the time up to now on what the task has been doing.
+func (t *task) bookPhaseTime(now time.Time) {
+	if k, on := phaseIndex[t.state]; on && !t.bookedUntil.IsZero() {
+		t.phaseTimes[k] += now.Sub(t.bookedUntil)
 	}
-	t.passed = now
+	t.bookedUntil = now
 }
 
-var phases = map[string]int{agentapi.Starting: 0, worker.TaskFetching: 0, worker.TaskAwaitingGang: 1, worker.TaskRunning: 2, worker.TaskCheckpointing: 3}
+var phaseIndex = map[string]int{agentapi.Starting: 0, worker.TaskFetching: 0, worker.TaskAwaitingGang: 1, worker.TaskRunning: 2, worker.TaskCheckpointing: 3}
 
-// over logs what a task did on the machine, once it is not there any more or is
+// logFinished logs what a task did on the machine, once it is not there any more or is
 // another owner's to follow. The audit adds it up.
-func (m *machine) over(t *task, now time.Time, cause string) {
-	t.pass(now)
+func (m *machine) logFinished(t *task, now time.Time, cause string) {
+	t.bookPhaseTime(now)
 	if t.spec == nil || t.spec.ID == "" {
 		return
 	}
 	s := t.spec
-	slog.Info(logline.TaskFinished, "task", t.id, "attempt", t.ref.Attempt, "machine", m.name, "cause", cause, "checkpointed", t.saved, "cpus", s.CPUs, "gpus", s.GPUs, "mem_gb", s.MemoryGB,
-		"fetch_s", seconds(t.spent[0]), "gang_wait_s", seconds(t.spent[1]), "run_s", seconds(t.spent[2]), "checkpoint_s", seconds(t.spent[3]), "checkpoint_interval_s", s.CheckpointS)
+	slog.Info(logline.TaskFinished, "task", t.id, "attempt", t.ref.Attempt, "machine", m.name, "cause", cause, "checkpointed", t.checkpointed, "cpus", s.CPUs, "gpus", s.GPUs, "mem_gb", s.MemoryGB,
+		"fetch_s", seconds(t.phaseTimes[0]), "gang_wait_s", seconds(t.phaseTimes[1]), "run_s", seconds(t.phaseTimes[2]), "checkpoint_s", seconds(t.phaseTimes[3]), "checkpoint_interval_s", s.CheckpointS)
 }
 
 // seconds rounds to milliseconds, for the log.
 func seconds(d time.Duration) float64 { return float64(d.Milliseconds()) / 1000 }
 
-// sum adds up what the tasks take, once after each change: drawing looks at
+// sumUsage adds up what the tasks take, once after each change: drawing looks at
 // many machines, of which few have changed.
-func (m *machine) sum() {
-	if m.summed {
+func (m *machine) sumUsage() {
+	if m.usageValid {
 		return
 	}
-	m.used, m.known, m.busy, m.summed = job.Need{}, true, false, true
+	m.usedNeed, m.needsKnown, m.occupied, m.usageValid = job.Need{}, true, false, true
 	for _, t := range m.tasks {
-		if !t.uses() {
+		if !t.occupies() {
 			continue
 		}
-		m.busy = true
+		m.occupied = true
 		if t.spec == nil {
-			m.known = false
+			m.needsKnown = false
 			continue
 		}
-		m.used = m.used.AddScaled(t.spec.Need, 1)
+		m.usedNeed = m.usedNeed.AddScaled(t.spec.Need, 1)
 	}
 }
 
-// room is what is free; known is false while a task's needs are unknown.
-func (m *machine) room(capacity job.Need) (free job.Need, known bool) {
-	m.sum()
-	return capacity.AddScaled(m.used, -1), m.known
+// freeCapacity is what is free; known is false while a task's needs are unknown.
+func (m *machine) freeCapacity(capacity job.Need) (free job.Need, known bool) {
+	m.sumUsage()
+	return capacity.AddScaled(m.usedNeed, -1), m.needsKnown
 }
 
 // apply brings the tasks up to date from a report and returns whether anything
 // changed. executed is the token of the command that the report answers, or 0.
 func (m *machine) apply(r *worker.Heartbeat, now time.Time, executed uint64) bool {
-	if !m.newer(r) {
+	if !m.isNewer(r) {
 		return false
 	}
-	changed := r.WorkerEpoch != m.session || m.silent
-	if r.WorkerEpoch > m.session {
+	changed := r.WorkerEpoch != m.workerEpoch || m.unresponsive
+	if r.WorkerEpoch > m.workerEpoch {
 		// A session has its lease from its beginning, answered or not.
-		m.answered(now)
+		m.noteAnswer(now)
 	}
-	if r.WorkerEpoch > m.session && m.session != 0 {
+	if r.WorkerEpoch > m.workerEpoch && m.workerEpoch != 0 {
 		// The worker's lease ran out: it killed and forgot everything, and
 		// commands for the earlier session are refused from now on.
 		for k, t := range m.tasks {
-			if t.seen || t.sent {
-				t.settle(agentapi.Refused)
-				m.drop(k)
+			if t.listed || t.startSent {
+				t.resolve(agentapi.Refused)
+				m.removeTask(k)
 			}
 		}
 	}
-	left := m.gangRank()
-	m.session, m.seq, m.heard, m.silent = r.WorkerEpoch, r.Sequence, now, false
+	left := m.gangPriority()
+	m.workerEpoch, m.sequence, m.lastHeartbeat, m.unresponsive = r.WorkerEpoch, r.Sequence, now, false
 	m.seenToken = max(m.seenToken, r.FencingToken)
-	if m.lost > 0 && !m.unfenced() {
-		m.lost = 0 // it has seen our latest token: answers reach it
+	if m.unansweredCommands > 0 && !m.unfenced() {
+		m.unansweredCommands = 0 // it has seen our latest token: answers reach it
 		changed = true
 	}
-	if r.SpotNoticeS != nil && m.noticeAt.IsZero() {
-		m.noticeAt, changed = now.Add(time.Duration(*r.SpotNoticeS*float64(time.Second))), true
+	if r.SpotNoticeS != nil && m.reclaimAt.IsZero() {
+		m.reclaimAt, changed = now.Add(time.Duration(*r.SpotNoticeS*float64(time.Second))), true
 	}
-	if !m.settled && r.FencingToken >= m.rev<<tokenBits {
-		m.settled, m.answerEnd, changed = true, now, true
+	if !m.reconciled && r.FencingToken >= m.ownershipRev<<tokenBits {
+		m.reconciled, m.lastAnswerBound, changed = true, now, true
 	}
-	listed := make(map[taskKey]bool, len(r.Tasks))
+	listed := make(map[attemptKey]bool, len(r.Tasks))
 	for i := range r.Tasks {
 		w := &r.Tasks[i]
-		key := taskKey{w.ID, w.Attempt}
+		key := attemptKey{w.ID, w.Attempt}
 		listed[key] = true
 		t := m.tasks[key]
 		if t == nil {
@@ -317,16 +317,16 @@
 			if !ok {
 				continue
 			}
-			t = &task{ref: agentapi.TaskRef{Job: jobID, Index: index, Attempt: w.Attempt}, id: w.ID, verify: true}
-			m.put(key, t)
+			t = &task{ref: agentapi.TaskRef{Job: jobID, Index: index, Attempt: w.Attempt}, id: w.ID, verifyJob: true}
+			m.addTask(key, t)
 		}
-		if t.state != w.State || t.cause != w.Cause || t.saved != w.Checkpointed || !t.seen {
+		if t.state != w.State || t.cause != w.Cause || t.checkpointed != w.Checkpointed || !t.listed {
 			changed = true
-			m.roomChanged()
-			t.pass(now)
+			m.usageChanged()
+			t.bookPhaseTime(now)
 		}
-		t.state, t.cause, t.saved, t.seen, t.sent = w.State, w.Cause, w.Checkpointed, true, true
-		m.learn(t, now)
+		t.state, t.cause, t.checkpointed, t.listed, t.startSent = w.State, w.Cause, w.Checkpointed, true, true
+		m.takeOutcome(t, now)
 	}
 	for k, t := range m.tasks {
 		if listed[k] {
@@ -335,18 +335,18 @@
 		// A report without the task proves it gone if it was there before. If
 		// its start was sent, the worker must have answered that very command
 		// or have seen a token under which the command is dead.
-		neverStarted := t.sent && !t.seen && (r.FencingToken > t.sentToken || executed != 0 && executed == t.sentToken)
-		if t.seen || neverStarted {
-			t.settle(agentapi.Refused)
-			m.drop(k)
+		neverStarted := t.startSent && !t.listed && (r.FencingToken > t.startToken || executed != 0 && executed == t.startToken)
+		if t.listed || neverStarted {
+			t.resolve(agentapi.Refused)
+			m.removeTask(k)
 			changed = true
 		}
 	}
-	m.sum()
-	if !m.busy && left >= 0 {
-		m.keptUntil, m.keptRank = now.Add(gangKeep), left
+	m.sumUsage()
+	if !m.occupied && left >= 0 {
+		m.gangHoldUntil, m.gangHoldPriority = now.Add(gangHoldTime), left
 	}
-	if m.busy {
+	if m.occupied {
 		m.idleSince = time.Time{}
 	} else if m.idleSince.IsZero() {
 		m.idleSince, changed = now, true
@@ -354,16 +354,16 @@
 	return changed
 }
 
-// gangKeep is how long a machine that a gang has left is kept for other gangs.
+// gangHoldTime is how long a machine that a gang has left is kept for other gangs.
 // Where gangs come every few seconds the next takes it; otherwise arrays would
 // fill it at once and be stopped again for that gang.
-const gangKeep = 8 * time.Second
+const gangHoldTime = 8 * time.Second
 
-// gangRank is the highest priority of the gangs on the machine, or -1.
-func (m *machine) gangRank() int {
+// gangPriority is the highest priority of the gangs on the machine, or -1.
+func (m *machine) gangPriority() int {
 	rank := -1
 	for _, t := range m.tasks {
-		if t.uses() && t.spec != nil && t.spec.Shape == job.Gang {
+		if t.occupies() && t.spec != nil && t.spec.Shape == job.Gang {
 			rank = max(rank, t.spec.Priority())
 		}
 	}
@@ -384,121 +384,121 @@
 	return 0
 }
 
-// learn takes note of what a task's state says about its machine.
-func (m *machine) learn(t *task, now time.Time) {
+// takeOutcome takes note of what a task's state says about its machine.
+func (m *machine) takeOutcome(t *task, now time.Time) {
 	switch t.state {
 	case worker.TaskExited:
 		if t.endedAt.IsZero() {
 			t.endedAt = now
-			m.over(t, now, t.cause)
+			m.logFinished(t, now, t.cause)
 		}
 		switch t.cause {
 		case worker.CauseNoCapacity, worker.CauseOtherAttempt, worker.CauseUnknownTask:
 			// Refused by the worker: it never ran, so there is nothing to record.
-			t.settle(agentapi.Refused)
-			t.forget = true
+			t.resolve(agentapi.Refused)
+			t.forgetRequested = true
 			return
 		case worker.CauseFailed:
-			if !t.counted {
-				m.failures[t.ref.Job] = now
+			if !t.outcomeCounted {
+				m.unattributedFailures[t.ref.Job] = now
 			}
 		case worker.CauseDone:
-			if !t.counted {
-				m.doneAt = now
-				clear(m.failures)
-				clear(m.blamed)
-				m.faulty = false
+			if !t.outcomeCounted {
+				m.lastSuccessAt = now
+				clear(m.unattributedFailures)
+				clear(m.attributedFailures)
+				m.quarantined = false
 			}
 		}
-		t.counted = true
+		t.outcomeCounted = true
 	case worker.TaskFetching:
 	default:
-		if t.runningAt.IsZero() && t.state == worker.TaskRunning {
-			t.runningAt = now
+		if t.runningSince.IsZero() && t.state == worker.TaskRunning {
+			t.runningSince = now
 		}
 		if t.spec != nil {
 			m.images[t.spec.Image] = now
 		}
 	}
-	t.settle(agentapi.Started)
+	t.resolve(agentapi.Started)
 }
 
-// doubtFor is how long a machine on which two jobs failed gets no others while it
+// suspectedFor is how long a machine on which two jobs failed gets no others while it
 // is not known whose fault it was: a faulty machine is always free and would
 // fail one job after the other.
-const doubtFor = 20 * time.Second
+const suspectedFor = 20 * time.Second
 
 // avoidFor is how long a job is kept from a machine on which it failed. Where
 // there are few machines it has to be tried there again.
 const avoidFor = 40 * time.Second
 
-// inDoubt reports whether the machine may be faulty.
-func (m *machine) inDoubt(now time.Time) bool {
+// suspected reports whether the machine may be faulty.
+func (m *machine) suspected(now time.Time) bool {
 	n := 0
-	for _, at := range m.failures {
-		if now.Sub(at) < doubtFor {
+	for _, at := range m.unattributedFailures {
+		if now.Sub(at) < suspectedFor {
 			n++
 		}
 	}
 	return n >= 2
 }
 
-// judge takes in whose fault a failure was. Where tasks completed lately, one
+// attributeFailure takes in whose fault a failure was. Where tasks completed lately, one
 // failure of a job that is well is not enough to call the machine faulty.
-func (m *machine) judge(v *agentapi.Attribution, now time.Time) {
+func (m *machine) attributeFailure(v *agentapi.Attribution, now time.Time) {
 	if !v.AtFault {
-		delete(m.failures, v.Job)
+		delete(m.unattributedFailures, v.Job)
 		return
 	}
-	m.blamed[v.Job] = true
-	m.faulty = len(m.blamed) >= 2 || m.doneAt.IsZero() || now.Sub(m.doneAt) > time.Minute
-	if m.faulty {
-		slog.Info("machine quarantined", "machine", m.name, "jobs_succeeding_elsewhere", len(m.blamed))
+	m.attributedFailures[v.Job] = true
+	m.quarantined = len(m.attributedFailures) >= 2 || m.lastSuccessAt.IsZero() || now.Sub(m.lastSuccessAt) > time.Minute
+	if m.quarantined {
+		slog.Info("machine quarantined", "machine", m.name, "jobs_succeeding_elsewhere", len(m.attributedFailures))
 	}
 }
 
-// repeatStop is how long after a stop it is sent again: a task that saves takes
+// stopRepeatAfter is how long after a stop it is sent again: a task that saves takes
 // its time, and must not be told again with every answer until it is done.
-const repeatStop = 2 * time.Second
+const stopRepeatAfter = 2 * time.Second
 
-// pressing reports whether a command is due that must not wait for the next
+// commandDue reports whether a command is due that must not wait for the next
 // report. Forgetting can wait: the task has ended.
-func (m *machine) pressing(now time.Time) bool {
+func (m *machine) commandDue(now time.Time) bool {
 	if m.unfenced() {
 		return true
 	}
 	for _, t := range m.tasks {
-		if t.state == agentapi.Starting && !t.sent || t.stop && t.uses() && (t.seen || t.sent) && now.Sub(t.stopSent) > repeatStop {
+		if t.state == agentapi.Starting && !t.startSent || t.stopRequested && t.occupies() && (t.listed || t.startSent) && now.Sub(t.stopLastSent) > stopRepeatAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// orders lists the commands that are due. Starts go only into direct commands:
+// dueCommands lists the commands that are due. Starts go only into direct commands:
 // they are answered by a report, so it is known whether they were carried out.
-func (m *machine) orders(now time.Time, direct bool) []worker.Command {
+func (m *machine) dueCommands(now time.Time, direct bool) []worker.Command {
 	var stops, forgets, starts []worker.Command
 	for _, t := range m.tasks {
 		switch {
 		case t.state == worker.TaskExited:
 			// A copy of the start that is still under way would start the
 			// task anew after its forget.
-			if t.forget && m.seenToken >= t.fence {
+			if t.forgetRequested && m.seenToken >= t.fenceToken {
 				forgets = append(forgets, worker.ForgetCommand(t.id, t.ref.Attempt))
 			}
-		case t.stop && (t.seen || t.sent) && (!direct || now.Sub(t.stopSent) > repeatStop):
-			if t.stopFirst.IsZero() {
-				t.stopFirst = now
+		case t.stopRequested && (t.listed || t.startSent) && (!direct || now.Sub(t.stopLastSent) > stopRepeatAfter):
+			if t.stopFirstSent.IsZero() {
+				t.stopFirstSent = now
 			}
-			grace := t.grace
-			if now.Sub(t.stopFirst) > grace+5*time.Second {
+			grace := t.stopGrace
+			if now.Sub(t.stopFirstSent) > grace+5*time.Second {
 				grace = 0
 			}
-			t.stopSent = now
+			t.stopLastSent = now
 			stops = append(stops, worker.StopCommand(t.id, t.ref.Attempt, grace))
-		case direct && t.state == agentapi.Starting && !t.sent && m.settled && !m.unfenced():
-			t.sent, t.sentToken = true, m.token()
+		case direct && t.state == agentapi.Starting && !t.startSent && m.reconciled && !m.unfenced():
+			t.startSent, t.startToken = true, m.token()
 			starts = append(starts, worker.StartCommand(t.id, t.ref.Attempt))
 		}
 	}
--- a/internal/clusteragent/machine_test.go
+++ b/internal/clusteragent/machine_test.go
@@ -8,12 +8,12 @@
 // In a controller short of processor time an answer that was begun at 113 s was
 // given after one at 123 s and set the end of the worker's lease back by ten
 // seconds: its tasks were started elsewhere while they ran. Guards against ran_twice.
-func TestAnswersDoNotShortenALease(t *testing.T) {
+func TestLateAnswerDoesNotShortenWorkerLease(t *testing.T) {
 	m := &machine{}
 	later := time.Now()
-	m.answered(later)
-	m.answered(later.Add(-10 * time.Second))
-	if !m.answerEnd.Equal(later) {
-		t.Fatalf("set back by %v", later.Sub(m.answerEnd))
+	m.noteAnswer(later)
+	m.noteAnswer(later.Add(-10 * time.Second))
+	if !m.lastAnswerBound.Equal(later) {
+		t.Fatalf("set back by %v", later.Sub(m.lastAnswerBound))
 	}
 }
--- a/internal/clusteragent/over.go
+++ b/internal/clusteragent/over.go
@@ -20,13 +20,13 @@
 // The argument is in docs/design.md, "What is cancelled goes".
 
 const (
-	// overFor is how long a cancelled job is kept in mind, so that nothing of it is
+	// cancelledFor is how long a cancelled job is kept in mind, so that nothing of it is
 	// started here. Later, its record tells.
-	overFor  = 10 * time.Minute
-	mostOver = 20_000
-	// doubtWait is how long a report waits for what is not known of its tasks' jobs to
+	cancelledFor     = 10 * time.Minute
+	maxCancelledJobs = 20_000
+	// lookupWait is how long a report waits for what is not known of its tasks' jobs to
 	// be read. Its worker gives up after 4 s.
-	doubtWait = 2500 * time.Millisecond
+	lookupWait = 2500 * time.Millisecond
 )
 
 // OnWatchEvents takes what the mirror follows, before it counts as seen: an answer to a worker
@@ -39,11 +39,11 @@
 		// What was removed in between is in no event.
 		for _, m := range a.machines {
 			for _, t := range m.tasks {
-				t.verify = true
-				a.unread[t.ref.Job] = true
+				t.verifyJob = true
+				a.unreadJobs[t.ref.Job] = true
 			}
 		}
-		a.learnSoon()
+		a.triggerLookup()
 		return
 	}
 	now := time.Now()
@@ -56,7 +56,7 @@
 			unclear[c.ID] = true // whether it was cancelled; that its open record is gone can be read
 		case c.Status == job.Cancelled:
 			cancelled[c.ID] = true
-			a.keepOver(c.ID, now)
+			a.rememberCancelled(c.ID, now)
 		}
 	}
 	if len(cancelled) == 0 && len(unclear) == 0 {
@@ -66,12 +66,12 @@
 	for _, m := range a.machines {
 		for _, t := range m.tasks {
 			if unclear[t.ref.Job] {
-				t.verify = true
-				a.unread[t.ref.Job] = true
+				t.verifyJob = true
+				a.unreadJobs[t.ref.Job] = true
 			}
 		}
 	}
-	a.learnSoon()
+	a.triggerLookup()
 }
 
 // stopCancelled stops the tasks of jobs that are cancelled. The mutex is held.
@@ -80,13 +80,13 @@
 		changed := false
 		for key, t := range m.tasks {
 			if jobs[t.ref.Job] {
-				m.cancel(key, t)
+				m.cancelTask(key, t)
 				changed = true
 			}
 		}
 		if changed {
 			m.wake()
-			a.touch(m)
+			a.markChanged(m)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 func (a *Agent) StopCancelledJob(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.keepOver(id, time.Now())
+	a.rememberCancelled(id, time.Now())
 	a.stopCancelled(map[string]bool{id: true})
 }
 
@@ -118,43 +118,45 @@
 func (a *Agent) NoteAcknowledgement(rev uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.told = max(a.told, rev)
+	a.acknowledgedRev = max(a.acknowledgedRev, rev)
 }
 
-// seen is the latest revision that matters to owners of machines and of which this
+// coveredRev is the latest revision that matters to owners of machines and of which this
 // controller knows: no cancellation that it has told a user by now, and no machine that it
 // took from another, is of a later one. What earlier lives told, they had seen before this
 // one joined. The mutex is held.
-func (a *Agent) seen() uint64 { return max(a.member.Incarnation, a.told, a.mirror.TrackedRev()) }
+func (a *Agent) coveredRev() uint64 {
+	return max(a.member.Incarnation, a.acknowledgedRev, a.mirror.TrackedRev())
+}
 
 // stillOurs reports whether a machine is ours by the keys that the mirror shows. While this
-// controller is certain of its lease that is looked after all the time (sortOut).
+// controller is certain of its lease that is looked after all the time (reconcileOwnership).
 func (a *Agent) stillOurs(m *machine) bool {
 	if a.member.HoldsLease() {
 		return true
 	}
 	kv, ok := a.mirror.Get(statekv.MachinePrefix + m.name)
 	holder, rev := shard.OwnerOf(a.mirror, kv)
-	return ok && holder == a.member.Holder && rev <= m.rev
+	return ok && holder == a.member.Holder && rev <= m.ownershipRev
 }
 
-// keepOver keeps a cancelled job in mind. The mutex is held.
-func (a *Agent) keepOver(id string, now time.Time) {
-	if len(a.over) >= mostOver {
-		for old, at := range a.over {
-			if now.Sub(at) > overFor || len(a.over) >= mostOver {
-				delete(a.over, old)
+// rememberCancelled keeps a cancelled job in mind. The mutex is held.
+func (a *Agent) rememberCancelled(id string, now time.Time) {
+	if len(a.cancelledJobs) >= maxCancelledJobs {
+		for old, at := range a.cancelledJobs {
+			if now.Sub(at) > cancelledFor || len(a.cancelledJobs) >= maxCancelledJobs {
+				delete(a.cancelledJobs, old)
 			}
 		}
 	}
-	a.over[id] = now
+	a.cancelledJobs[id] = now
 }
 
-// isOver reports whether a job is over, for a placer that took it for open: either its
+// isFinished reports whether a job is over, for a placer that took it for open: either its
 // cancellation was seen, or its record, which the placer last saw at revision rev, is gone
 // by a later one. A placer of an earlier version names no revision.
-func (a *Agent) isOver(id string, rev uint64) bool {
-	if _, over := a.over[id]; over {
+func (a *Agent) isFinished(id string, rev uint64) bool {
+	if _, over := a.cancelledJobs[id]; over {
 		return true
 	}
 	if rev == 0 {
@@ -165,34 +167,34 @@
 	return !open && seen >= rev
 }
 
-// cancel has a task of a cancelled job stopped, with no time to save: whatever it does is
+// cancelTask has a task of a cancelled job stopped, with no time to save: whatever it does is
 // of no use to anybody.
-func (m *machine) cancel(key taskKey, t *task) {
+func (m *machine) cancelTask(key attemptKey, t *task) {
 	switch {
-	case t.state == stateHeld || t.state == agentapi.Starting && !t.sent:
-		t.settle(agentapi.Refused)
-		m.drop(key)
+	case t.state == stateReserved || t.state == agentapi.Starting && !t.startSent:
+		t.resolve(agentapi.Refused)
+		m.removeTask(key)
 	default:
-		t.forget = true
-		t.kill()
+		t.forgetRequested = true
+		t.stopNow()
 	}
 }
 
-// kill has a task stopped at once, also one that saves.
-func (t *task) kill() {
-	if !t.stop || t.grace > 0 {
-		t.stop, t.grace, t.stopFirst, t.stopSent = true, 0, time.Time{}, time.Time{}
+// stopNow has a task stopped at once, also one that saves.
+func (t *task) stopNow() {
+	if !t.stopRequested || t.stopGrace > 0 {
+		t.stopRequested, t.stopGrace, t.stopFirstSent, t.stopLastSent = true, 0, time.Time{}, time.Time{}
 	}
 }
 
-// doubtful lists the tasks of m of which it is not known whether their jobs go on. What
+// unverifiedTasks lists the tasks of m of which it is not known whether their jobs go on. What
 // the mirror has open goes on as of its view, whose age the hold time counts in; what it
 // does not have is over, or was accepted so lately that only a read can tell. A damaged
 // record is there.
-func (a *Agent) doubtful(m *machine) []*task {
+func (a *Agent) unverifiedTasks(m *machine) []*task {
 	var out []*task
 	for _, t := range m.tasks {
-		if t.verify && t.seen && t.uses() && !(t.stop && t.grace == 0) {
+		if t.verifyJob && t.listed && t.occupies() && !(t.stopRequested && t.stopGrace == 0) {
 			if _, open := a.mirror.Get(job.RecordKey(t.ref.Job)); !open {
 				out = append(out, t)
 			}
@@ -201,14 +203,14 @@
 	return out
 }
 
-// settleDoubt waits for the records of a machine's doubtful jobs to be read. Where that
+// verifyTasks waits for the records of a machine's doubtful jobs to be read. Where that
 // cannot be done, their tasks are stopped: to stop one of a job that goes on costs its
 // time, and to keep one of a cancelled job breaks a promise. The mutex is held before and
 // after, not meanwhile.
-func (a *Agent) settleDoubt(m *machine) {
-	for wait := time.Now().Add(doubtWait); len(a.doubtful(m)) > 0 && a.machines[m.name] == m; {
-		learned := a.learnt
-		a.learnSoon()
+func (a *Agent) verifyTasks(m *machine) {
+	for wait := time.Now().Add(lookupWait); len(a.unverifiedTasks(m)) > 0 && a.machines[m.name] == m; {
+		learned := a.lookupDone
+		a.triggerLookup()
 		a.mu.Unlock()
 		timer := time.NewTimer(time.Until(wait))
 		select {
@@ -221,9 +223,9 @@
 			break
 		}
 	}
-	for _, t := range a.doubtful(m) {
+	for _, t := range a.unverifiedTasks(m) {
 		slog.Info("orphaned task stopped", "task", t.id, "machine", m.name)
-		t.kill()
-		a.touch(m)
+		t.stopNow()
+		a.markChanged(m)
 	}
 }
--- a/internal/clusteragent/owner.go
+++ b/internal/clusteragent/owner.go
@@ -21,10 +21,10 @@
 // names the owner. When an owner dies, its hundreds of machines change hands
 // with one write for each of a few shards, while all their work goes on.
 
-// ownShards is how many shards for each zone an owner starts with: machines that
+// shardsPerZone is how many shards for each zone an owner starts with: machines that
 // share a fate share a shard, so that it can change hands when a zone's workers
 // cannot reach their owner.
-const ownShards = 2
+const shardsPerZone = 2
 
 func hashOf(name string) int {
 	h := fnv.New32a()
@@ -32,10 +32,10 @@
 	return int(h.Sum32() >> 1)
 }
 
-// heir is who takes over a shard whose owner's life has ended: the same
+// successorOf is who takes over a shard whose owner's life has ended: the same
 // controller if it is back, or one of the others, each a few, of the shard's zone
 // if there are any.
-func (a *Agent) heir(key *shard.Record, hosts []string) string {
+func (a *Agent) successorOf(key *shard.Record, hosts []string) string {
 	if slices.Contains(hosts, key.Host) {
 		return key.Host
 	}
@@ -43,11 +43,11 @@
 	return hosts[(hashOf(key.Host)+key.Index)%len(hosts)]
 }
 
-func (a *Agent) runShards(ctx context.Context) {
+func (a *Agent) runShardOwnership(ctx context.Context) {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		a.holdShards(ctx)
+		a.acquireShards(ctx)
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
@@ -55,29 +55,29 @@
 	}
 }
 
-// holding is a shard that this life holds.
-type holding struct {
+// heldShard is a shard that this life holds.
+type heldShard struct {
 	rev   uint64 // of the shard's key
 	index int
 }
 
-// holdShards takes shards whose owner's life is over or whose workers cannot
+// acquireShards takes shards whose owner's life is over or whose workers cannot
 // reach it, and new ones if this controller has none, and takes up the machines
 // in them.
-func (a *Agent) holdShards(ctx context.Context) {
+func (a *Agent) acquireShards(ctx context.Context) {
 	hosts := a.member.AliveHosts()
 	if !a.member.HoldsLease() || !slices.Contains(hosts, a.member.Host) {
 		return
 	}
 	now := time.Now()
 	shards, machines := a.mirror.Dir(statekv.MachineShardPrefix), a.mirror.Dir(statekv.MachinePrefix)
-	size := a.survey(machines)
-	wanted := a.strayShards(shards, size, hosts, now)
+	size := a.countMachines(machines)
+	wanted := a.unreachableShards(shards, size, hosts, now)
 	if len(wanted) == 0 {
-		wanted = a.evenOut(ctx, shards, machines, size, hosts, now)
+		wanted = a.planBalance(ctx, shards, machines, size, hosts, now)
 	}
 	held, empty := a.takeShards(ctx, shards, size, wanted)
-	home, latest := a.chooseHome(ctx, held)
+	home, latest := a.chooseIntakeShards(ctx, held)
 	// What an earlier owner claimed last is in the mirror by then.
 	wctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
@@ -85,24 +85,24 @@
 		return
 	}
 	a.mu.Lock()
-	a.home, a.shards = home, map[string]uint64{}
+	a.intakeShards, a.heldShardRevs = home, map[string]uint64{}
 	for id, h := range held {
-		a.shards[id] = h.rev
+		a.heldShardRevs[id] = h.rev
 	}
 	a.mu.Unlock()
-	a.dropEmpty(ctx, held, home, size, empty)
+	a.removeEmptyShards(ctx, held, home, size, empty)
 	// Machines first: whoever is in a shard that came since belongs to its owner.
 	machines = a.mirror.Dir(statekv.MachinePrefix)
-	a.sortOut(hosts, machines, shard.NewOwnerIndex(a.mirror.Dir(statekv.MachineShardPrefix)))
+	a.reconcileOwnership(hosts, machines, shard.NewOwnerIndex(a.mirror.Dir(statekv.MachineShardPrefix)))
 }
 
 // takeShards takes the shards that fall to this controller, and those wanted from
 // living owners, and returns all that it holds then. Those without machines it
 // leaves, to be removed later: after a crash of all controllers the state service's
 // limit is what the others wait for.
-func (a *Agent) takeShards(ctx context.Context, shards []statekv.KV, size map[string]int, wanted map[string]string) (held map[string]holding, empty []statekv.Role) {
+func (a *Agent) takeShards(ctx context.Context, shards []statekv.KV, size map[string]int, wanted map[string]string) (held map[string]heldShard, empty []statekv.Role) {
 	heirs := a.member.Successors(a.settings.Hosts())
-	held = map[string]holding{}
+	held = map[string]heldShard{}
 	keys := map[string]*shard.Record{}
 	var roles []statekv.Role
 	for _, kv := range shards {
@@ -111,13 +111,13 @@
 			continue
 		}
 		if key.Holder == a.member.Holder {
-			held[kv.Key[len(statekv.MachineShardPrefix):]] = holding{kv.Rev, key.Index}
+			held[kv.Key[len(statekv.MachineShardPrefix):]] = heldShard{kv.Rev, key.Index}
 			continue
 		}
 		from := key.Holder
 		if wanted[kv.Key] != "" {
 			from = statekv.Holder{}
-		} else if a.member.Alive(key.Holder) || a.heir(key, heirs) != a.member.Host {
+		} else if a.member.Alive(key.Holder) || a.successorOf(key, heirs) != a.member.Host {
 			continue
 		}
 		role := statekv.Role{Key: kv.Key, ExpectedRev: kv.Rev, PreviousHolder: from, Value: shard.Record{Holder: a.member.Holder, Index: key.Index}}
@@ -139,21 +139,21 @@
 	}
 	for key, rev := range taken {
 		id, was := key[len(statekv.MachineShardPrefix):], keys[key]
-		held[id] = holding{rev, was.Index}
+		held[id] = heldShard{rev, was.Index}
 		slog.Info("machine shard acquired", "machine_shard", id, "previous_owner", was.Host, "revision", rev, "reason", wanted[key])
 	}
 	return held, empty
 }
 
-// chooseHome picks, for each place in the list of home shards, a shard held that
+// chooseIntakeShards picks, for each place in the list of home shards, a shard held that
 // takes new machines: the one that did, else one of the same place that was taken
 // over, so that there are no more shards after many failures than before. Where
 // there is none it makes one; places for which that failed stay empty until the next
 // time. It returns the latest revision among all held.
-func (a *Agent) chooseHome(ctx context.Context, held map[string]holding) (home []string, latest uint64) {
-	places := ownShards * max(1, len(a.settings.Zones))
+func (a *Agent) chooseIntakeShards(ctx context.Context, held map[string]heldShard) (home []string, latest uint64) {
+	places := shardsPerZone * max(1, len(a.settings.Zones))
 	a.mu.Lock()
-	home = slices.Clone(a.home)
+	home = slices.Clone(a.intakeShards)
 	a.mu.Unlock()
 	if home == nil {
 		home = make([]string, places)
@@ -166,7 +166,7 @@
 		if _, ok := held[home[k]]; ok {
 			continue
 		}
-		if home[k] = ""; !a.needsHome(k) || len(made) >= a.store.MaxTxnOps(a.settings.StateLimits.MaxTxnOps) {
+		if home[k] = ""; !a.needsIntakeShard(k) || len(made) >= a.store.MaxTxnOps(a.settings.StateLimits.MaxTxnOps) {
 			continue
 		}
 		at := slices.IndexFunc(ids, func(id string) bool { return held[id].index%places == k })
@@ -174,7 +174,7 @@
 			home[k] = ids[at]
 			continue
 		}
-		home[k] = a.newShard(k)
+		home[k] = a.newShardID(k)
 		made = append(made, k)
 		// Once only: a copy applied late must not raise the revision of a
 		// shard that has machines by then.
@@ -190,7 +190,7 @@
 				home[k] = "" // if it was made after all, the mirror will show it
 				continue
 			}
-			held[home[k]] = holding{rev, k}
+			held[home[k]] = heldShard{rev, k}
 		}
 		if err != nil {
 			// What was taken over must not wait for this.
@@ -203,47 +203,47 @@
 	return home, latest
 }
 
-// needsHome reports whether new machines of place k's zone come here: those of
+// needsIntakeShard reports whether new machines of place k's zone come here: those of
 // this controller's own zone, and of others once one has come.
-func (a *Agent) needsHome(k int) bool {
+func (a *Agent) needsIntakeShard(k int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	zone := a.shardZone(k)
-	return a.homeless[k] || zone == a.settings.Zone || !slices.Contains(a.settings.Zones, a.settings.Zone)
+	return a.missingIntake[k] || zone == a.settings.Zone || !slices.Contains(a.settings.Zones, a.settings.Zone)
 }
 
-// newShard names a shard for place k that this life has not made yet: one that
+// newShardID names a shard for place k that this life has not made yet: one that
 // was taken from it keeps its name.
-func (a *Agent) newShard(k int) string {
+func (a *Agent) newShardID(k int) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for {
-		id := fmt.Sprintf("%s.%d.%d.%d", a.member.Host, a.member.Incarnation, a.gens[k], k)
+		id := fmt.Sprintf("%s.%d.%d.%d", a.member.Host, a.member.Incarnation, a.shardGenerations[k], k)
 		if _, exists := a.mirror.Get(statekv.MachineShardPrefix + id); !exists {
 			return id
 		}
-		a.gens[k]++
+		a.shardGenerations[k]++
 	}
 }
 
-// homeFor is the place in the list of home shards for a machine.
-func (a *Agent) homeFor(name, zone string) int {
+// intakeIndexOf is the place in the list of home shards for a machine.
+func (a *Agent) intakeIndexOf(name, zone string) int {
 	z := max(0, slices.Index(a.settings.Zones, zone))
-	return (z*ownShards + hashOf(name)%ownShards) % len(a.home)
+	return (z*shardsPerZone + hashOf(name)%shardsPerZone) % len(a.intakeShards)
 }
 
 func (a *Agent) heldShards() map[string]uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.shards
+	return a.heldShardRevs
 }
 
-// dropEmpty removes the keys of shards in which there are no machines and which
+// removeEmptyShards removes the keys of shards in which there are no machines and which
 // take no new ones: of this controller, and of those whose life the state service
 // too has over; what these write late carries the condition that it goes on. Should a
 // machine have been claimed into one unseen, it is claimed anew like any whose shard
 // is lost.
-func (a *Agent) dropEmpty(ctx context.Context, held map[string]holding, home []string, size map[string]int, empty []statekv.Role) {
+func (a *Agent) removeEmptyShards(ctx context.Context, held map[string]heldShard, home []string, size map[string]int, empty []statekv.Role) {
 	var when []statekv.Compare
 	var then []statekv.Op
 	for id, h := range held {
@@ -251,7 +251,7 @@
 			empty = append(empty, statekv.Role{Key: statekv.MachineShardPrefix + id, ExpectedRev: h.rev})
 		}
 	}
-	for _, r := range empty[:min(a.store.MaxTxnOps(min(mostDropped, a.settings.StateLimits.MaxTxnOps)), len(empty))] {
+	for _, r := range empty[:min(a.store.MaxTxnOps(min(maxShardsRemoved, a.settings.StateLimits.MaxTxnOps)), len(empty))] {
 		when = append(when, a.member.RoleCompares(r)...)
 		then = append(then, statekv.Op{Delete: r.Key})
 	}
@@ -264,16 +264,16 @@
 	slog.Debug("empty machine shards removed", "machine_shards", len(then), "err", err)
 }
 
-// mostDropped bounds the empty shards that are removed with one transaction.
-const mostDropped = 8
+// maxShardsRemoved bounds the empty shards that are removed with one transaction.
+const maxShardsRemoved = 8
 
-// sortOut takes up the machines that are ours by their keys, gives up those that
+// reconcileOwnership takes up the machines that are ours by their keys, gives up those that
 // are not any more, and claims those whose shard has been lost.
-func (a *Agent) sortOut(hosts []string, keys []statekv.KV, shards shard.OwnerIndex) {
+func (a *Agent) reconcileOwnership(hosts []string, keys []statekv.KV, shards shard.OwnerIndex) {
 	a.mu.Lock()
-	for name := range a.released {
+	for name := range a.releasedRevs {
 		if _, ok := a.mirror.Get(statekv.MachinePrefix + name); !ok {
-			delete(a.released, name)
+			delete(a.releasedRevs, name)
 		}
 	}
 	var ours, ownerless []statekv.KV
@@ -288,13 +288,13 @@
 		switch {
 		case holder == (statekv.Holder{}):
 			ownerless = append(ownerless, kv)
-		case holder == a.member.Holder && (m == nil || rev > m.rev):
+		case holder == a.member.Holder && (m == nil || rev > m.ownershipRev):
 			if m != nil {
 				// It was another's in between: what we know of it is old.
 				a.release(m)
 			}
 			ours = append(ours, kv)
-		case m != nil && rev > m.rev:
+		case m != nil && rev > m.ownershipRev:
 			a.release(m)
 		}
 	}
@@ -302,41 +302,41 @@
 	for _, kv := range ownerless {
 		name := kv.Key[len(statekv.MachinePrefix):]
 		if key := shard.ParseMachineRecord(kv); key != nil && hosts[hashOf(name)%len(hosts)] == a.member.Host {
-			a.claim(name, *key, kv.Rev)
+			a.enqueueClaim(name, *key, kv.Rev)
 		}
 	}
 	for _, kv := range ours {
-		if !a.takeUp(kv) {
-			a.claim(kv.Key[len(statekv.MachinePrefix):], *shard.ParseMachineRecord(kv), kv.Rev)
+		if !a.adopt(kv) {
+			a.enqueueClaim(kv.Key[len(statekv.MachinePrefix):], *shard.ParseMachineRecord(kv), kv.Rev)
 		}
 	}
 }
 
-// claim is a machine that is to be written into one of our shards.
-type claim struct {
-	name string
-	key  shard.MachineRecord
-	seen uint64 // revision of the key that the claim replaces
-	done chan struct{}
+// machineClaim is a machine that is to be written into one of our shards.
+type machineClaim struct {
+	name        string
+	key         shard.MachineRecord
+	replacesRev uint64 // revision of the key that the claim replaces
+	done        chan struct{}
 }
 
-// claim queues a claim, at most one for each machine at a time. The channel is
+// enqueueClaim queues a claim, at most one for each machine at a time. The channel is
 // closed once it was tried; nil means that it cannot be queued.
-func (a *Agent) claim(name string, key shard.MachineRecord, seen uint64) chan struct{} {
+func (a *Agent) enqueueClaim(name string, key shard.MachineRecord, seen uint64) chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.claiming[name] || len(a.home) == 0 {
+	if a.claimsPending[name] || len(a.intakeShards) == 0 {
 		return nil
 	}
-	k := a.homeFor(name, key.Zone)
-	if key.Shard = a.home[k]; key.Shard == "" {
-		a.homeless[k] = true // it comes again
+	k := a.intakeIndexOf(name, key.Zone)
+	if key.Shard = a.intakeShards[k]; key.Shard == "" {
+		a.missingIntake[k] = true // it comes again
 		return nil
 	}
-	c := claim{name: name, key: key, seen: seen, done: make(chan struct{})}
+	c := machineClaim{name: name, key: key, replacesRev: seen, done: make(chan struct{})}
 	select {
-	case a.claims <- c:
-		a.claiming[name] = true
+	case a.claimQueue <- c:
+		a.claimsPending[name] = true
 		return c.done
 	default:
 		return nil
@@ -346,43 +346,43 @@
 // runClaims writes claims in groups, as many as one transaction may hold.
 func (a *Agent) runClaims(ctx context.Context) {
 	for {
-		var batch []claim
+		var batch []machineClaim
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-a.claims:
+		case c := <-a.claimQueue:
 			batch = append(batch, c)
 		}
-		for len(batch) < a.store.TxnBatchSize(a.settings.StateLimits.MaxTxnOps) && len(a.claims) > 0 {
-			batch = append(batch, <-a.claims)
+		for len(batch) < a.store.TxnBatchSize(a.settings.StateLimits.MaxTxnOps) && len(a.claimQueue) > 0 {
+			batch = append(batch, <-a.claimQueue)
 		}
 		// Meanwhile another controller may have claimed it, or taken the shard.
 		shards := a.heldShards()
-		open := slices.DeleteFunc(slices.Clone(batch), func(c claim) bool {
+		open := slices.DeleteFunc(slices.Clone(batch), func(c machineClaim) bool {
 			kv, _ := a.mirror.Get(statekv.MachinePrefix + c.name)
-			return kv.Rev != c.seen || shards[c.key.Shard] == 0
+			return kv.Rev != c.replacesRev || shards[c.key.Shard] == 0
 		})
 		for len(open) > 0 && !a.store.Allow(statekv.ClassClaim, len(open)) && ctx.Err() == nil {
 			time.Sleep(50 * time.Millisecond)
 		}
-		a.claimBatch(ctx, open, shards)
+		a.writeClaims(ctx, open, shards)
 		a.mu.Lock()
 		for _, c := range batch {
-			delete(a.claiming, c.name)
+			delete(a.claimsPending, c.name)
 			close(c.done)
 		}
 		a.mu.Unlock()
 	}
 }
 
-// claimBatch writes claims, leaving out those that others were faster with. A
+// writeClaims writes claims, leaving out those that others were faster with. A
 // claim of ours whose answer was lost is taken up once the mirror shows it.
-func (a *Agent) claimBatch(ctx context.Context, batch []claim, shards map[string]uint64) {
+func (a *Agent) writeClaims(ctx context.Context, batch []machineClaim, shards map[string]uint64) {
 	for len(batch) > 0 && ctx.Err() == nil {
 		var when []statekv.Compare
 		var then []statekv.Op
 		for _, c := range batch {
-			when = append(when, statekv.Compare{Key: statekv.MachinePrefix + c.name, Rev: c.seen})
+			when = append(when, statekv.Compare{Key: statekv.MachinePrefix + c.name, Rev: c.replacesRev})
 			if shard := (statekv.Compare{Key: statekv.MachineShardPrefix + c.key.Shard, Rev: shards[c.key.Shard]}); !slices.Contains(when, shard) {
 				// Another may take the shard from this life: a machine put into
 				// it then would have two owners with one token.
@@ -396,13 +396,13 @@
 		cancel()
 		if err == nil {
 			for _, c := range batch {
-				a.own(c.name, &c.key, rev, rev, c.seen != 0)
+				a.beginOwnership(c.name, &c.key, rev, rev, c.replacesRev != 0)
 			}
 			return
 		}
 		slog.Debug("machine claim failed", "machines", len(batch), "err", err)
 		if errors.Is(err, statekv.ErrTooLarge) && len(batch) > 1 {
-			a.claimBatch(ctx, batch[:len(batch)/2], shards)
+			a.writeClaims(ctx, batch[:len(batch)/2], shards)
 			batch = batch[len(batch)/2:]
 			continue
 		}
@@ -410,7 +410,7 @@
 		if !errors.As(err, &conflict) {
 			return
 		}
-		left := slices.DeleteFunc(slices.Clone(batch), func(c claim) bool {
+		left := slices.DeleteFunc(slices.Clone(batch), func(c machineClaim) bool {
 			return slices.Contains(conflict.Failed, statekv.MachinePrefix+c.name) || slices.Contains(conflict.Failed, statekv.MachineShardPrefix+c.key.Shard)
 		})
 		if len(left) == len(batch) {
@@ -420,11 +420,11 @@
 	}
 }
 
-// takeUp looks after a machine that is ours by its key. It returns false for one
+// adopt looks after a machine that is ours by its key. It returns false for one
 // that was given up under this very ownership: then its worker has seen a
 // successor that the mirror does not show yet, or nobody knows what runs there,
 // and only a claim, a write under a condition, can make it ours again.
-func (a *Agent) takeUp(kv statekv.KV) bool {
+func (a *Agent) adopt(kv statekv.KV) bool {
 	key := shard.ParseMachineRecord(kv)
 	holder, rev := shard.OwnerOf(a.mirror, kv)
 	if key == nil || holder != a.member.Holder {
@@ -432,50 +432,50 @@
 	}
 	name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
 	a.mu.Lock()
-	given := a.released[name]
+	given := a.releasedRevs[name]
 	a.mu.Unlock()
 	if given >= rev {
 		return false
 	}
-	a.own(name, key, kv.Rev, rev, true)
+	a.beginOwnership(name, key, kv.Rev, rev, true)
 	return true
 }
 
-// own begins to look after a machine. keyRev is its key's revision, rev that of
+// beginOwnership begins to look after a machine. keyRev is its key's revision, rev that of
 // our ownership.
-func (a *Agent) own(name string, key *shard.MachineRecord, keyRev, rev uint64, takenOver bool) {
+func (a *Agent) beginOwnership(name string, key *shard.MachineRecord, keyRev, rev uint64, takenOver bool) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.machines[name] != nil {
 		return
 	}
-	m := &machine{name: name, address: key.Address, typeName: key.Type, zone: key.Zone, spot: key.Spot, keyRev: keyRev, rev: rev,
-		tasks: map[taskKey]*task{}, images: map[string]time.Time{}, failures: map[string]time.Time{}, blamed: map[string]bool{},
-		leased: takenOver, heard: now, toldAt: now, answerEnd: now, kick: make(chan struct{}, 1), quit: make(chan struct{})}
+	m := &machine{name: name, address: key.Address, typeName: key.Type, zone: key.Zone, spot: key.Spot, keyRev: keyRev, ownershipRev: rev,
+		tasks: map[attemptKey]*task{}, images: map[string]time.Time{}, unattributedFailures: map[string]time.Time{}, attributedFailures: map[string]bool{},
+		heartbeatAnswered: takenOver, lastHeartbeat: now, lastArrival: now, lastAnswerBound: now, wakeup: make(chan struct{}, 1), stopped: make(chan struct{})}
 	if a.LastEntry != nil {
 		known := a.LastEntry(name)
 		for _, image := range known.Images {
 			m.images[image] = now
 		}
 		// A frozen steward may yet delete what its owner had emptied for it.
-		m.faulty, m.draining = known.Faulty, known.Draining
+		m.quarantined, m.draining = known.Faulty, known.Draining
 		for _, id := range known.Blamed {
-			m.blamed[id] = true
+			m.attributedFailures[id] = true
 		}
 	}
 	if takenOver {
 		// The earlier owner may go on answering for its hold time.
-		m.answerEnd = now.Add(a.settings.LeaseGracePeriod())
-		a.told = max(a.told, rev)
+		m.lastAnswerBound = now.Add(a.settings.LeaseGracePeriod())
+		a.acknowledgedRev = max(a.acknowledgedRev, rev)
 	}
 	a.machines[name] = m
-	m.rooms, m.turn = a.rooms, hashOf(name)%turns
-	m.roomChanged()
-	delete(a.released, name)
-	delete(a.buried, name)
-	a.touch(m)
-	go a.runMachine(a.ctx, m)
+	m.capacityIndex, m.inspectionTurn = a.capacityIndex, hashOf(name)%inspectionTurns
+	m.usageChanged()
+	delete(a.releasedRevs, name)
+	delete(a.tombstones, name)
+	a.markChanged(m)
+	go a.sendCommands(a.ctx, m)
 	m.wake()
 	if !takenOver {
 		slog.Info(logline.MachineRegistered, "machine", name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
--- a/internal/clusteragent/parts.go
+++ b/internal/clusteragent/parts.go
@@ -21,89 +21,89 @@
 // those of its owners. Teams without a guarantee where others have one, and work of the
 // lowest rank, fill what is spare: they have no part.
 
-// parts is what the classes have of an owner's machines. The agent's mutex guards it.
-type parts struct {
-	at    time.Time
-	use   map[string]float64   // machines, counted by the largest share of any amount, by class
-	all   float64              // machines that there are
-	asked map[string]time.Time // classes that found too little room, and when last
+// fairShare is what the classes have of an owner's machines. The agent's mutex guards it.
+type fairShare struct {
+	computedAt time.Time
+	usage      map[string]float64   // machines, counted by the largest share of any amount, by class
+	machines   float64              // machines that there are
+	waiting    map[string]time.Time // classes that found too little room, and when last
 }
 
 const (
-	// partsEvery is how often the machines are added up.
-	partsEvery = 500 * time.Millisecond
-	// stillWaits is how long a class counts as waiting after a request that found too
+	// fairShareInterval is how often the machines are added up.
+	fairShareInterval = 500 * time.Millisecond
+	// waitingFor is how long a class counts as waiting after a request that found too
 	// little room: its placers come again after a second or two.
-	stillWaits = 4 * time.Second
+	waitingFor = 4 * time.Second
 )
 
-// hasPart reports whether jobs like this one have a part.
-func (a *Agent) hasPart(s *job.Spec) bool {
+// hasFairShare reports whether jobs like this one have a part.
+func (a *Agent) hasFairShare(s *job.Spec) bool {
 	return s.Priority() > job.LowestPriority && !a.settings.Unguaranteed(s.Team)
 }
 
-// partsNow returns the parts as of a moment ago. The mutex is held.
-func (a *Agent) partsNow(now time.Time) *parts {
-	p := &a.parts
-	if now.Sub(p.at) < partsEvery && p.use != nil {
+// currentFairShare returns the parts as of a moment ago. The mutex is held.
+func (a *Agent) currentFairShare(now time.Time) *fairShare {
+	p := &a.fairShare
+	if now.Sub(p.computedAt) < fairShareInterval && p.usage != nil {
 		return p
 	}
-	p.at, p.use, p.all = now, map[string]float64{}, 0
+	p.computedAt, p.usage, p.machines = now, map[string]float64{}, 0
 	types := a.types()
 	for _, m := range a.machines {
 		t, known := types[m.typeName]
 		if m.gone || m.removing || !known {
 			continue
 		}
-		p.all++
+		p.machines++
 		for _, t2 := range m.tasks {
-			if t2.uses() && t2.spec != nil && !t2.stop && a.hasPart(t2.spec) {
-				p.use[t2.spec.Class] += t2.spec.DominantShare(job.Capacity(t))
+			if t2.occupies() && t2.spec != nil && !t2.stopRequested && a.hasFairShare(t2.spec) {
+				p.usage[t2.spec.Class] += t2.spec.DominantShare(job.Capacity(t))
 			}
 		}
 	}
-	for class, at := range p.asked {
-		if now.Sub(at) > stillWaits {
-			delete(p.asked, class)
+	for class, at := range p.waiting {
+		if now.Sub(at) > waitingFor {
+			delete(p.waiting, class)
 		}
 	}
 	return p
 }
 
-// part is what each class that has work may count on.
-func (p *parts) part() float64 {
-	n := len(p.use)
-	for class := range p.asked {
-		if _, has := p.use[class]; !has {
+// perClass is what each class that has work may count on.
+func (p *fairShare) perClass() float64 {
+	n := len(p.usage)
+	for class := range p.waiting {
+		if _, has := p.usage[class]; !has {
 			n++
 		}
 	}
-	return p.all / float64(max(1, n))
+	return p.machines / float64(max(1, n))
 }
 
-// waits notes that a request found too little room.
-func (a *Agent) waits(r *agentapi.Request, now time.Time) {
-	if !a.hasPart(&r.Spec) {
+// noteWaitingClass notes that a request found too little room.
+func (a *Agent) noteWaitingClass(r *agentapi.Request, now time.Time) {
+	if !a.hasFairShare(&r.Spec) {
 		return
 	}
-	if a.parts.asked == nil {
-		a.parts.asked = map[string]time.Time{}
+	if a.fairShare.waiting == nil {
+		a.fairShare.waiting = map[string]time.Time{}
 	}
-	a.parts.asked[r.Spec.Class] = now
+	a.fairShare.waiting[r.Spec.Class] = now
 }
 
-// spared reports whether a task on m may not be stopped for the request: its class waits
+// protectedByFairShare reports whether a task on m may not be stopped for the request: its class waits
 // with less than its part, and the request's has more than its own and does not miss the
 // users' longest aim for its wait by that.
-func (a *Agent) spared(t *task, r *agentapi.Request, m *machine, now time.Time) bool {
-	if !r.Parts || !a.hasPart(t.spec) {
+func (a *Agent) protectedByFairShare(t *task, r *agentapi.Request, m *machine, now time.Time) bool {
+	if !r.Parts || !a.hasFairShare(t.spec) {
 		return false
 	}
 	if waits := a.settings.StartTargets(r.Spec.Class); len(waits) > 0 && waits[len(waits)-1]-r.Age <= preemptionTime(r, a.types()[m.typeName]) {
 		return false
 	}
-	p := a.partsNow(now)
-	_, waits := p.asked[t.spec.Class]
-	part := p.part()
-	return waits && p.use[t.spec.Class] < part && p.use[r.Spec.Class] >= part
+	p := a.currentFairShare(now)
+	_, waits := p.waiting[t.spec.Class]
+	part := p.perClass()
+	return waits && p.usage[t.spec.Class] < part && p.usage[r.Spec.Class] >= part
 }
--- a/internal/clusteragent/parts_test.go
+++ b/internal/clusteragent/parts_test.go
@@ -16,12 +16,12 @@
 // its own, whatever their ranks: gangs that held more than half of a fleet went on
 // having arrays stopped that held a fifth of it and could not get on. It is where the
 // class does not wait, and by one that has less than its part as well.
-func TestWaitingClassWithLessThanItsPartIsNotStopped(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+func TestWaitingClassBelowFairShareIsNotPreempted(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		set := settings()
 		set.Objectives = []config.Objective{{Kind: "wait", Class: "gangs", Within: 30 * time.Second}, {Kind: "wait", Class: "gangs", Within: 200 * time.Second}}
-		n := startWith(t, ctx, set, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+		n := startNodeWith(t, ctx, set, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		request := func(class, shape, rank string, gpus float64, tasks int) agentapi.Request {
 			r := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: tasks, Least: 9, Spare: 5, Parts: true}
 			r.Spec = job.Spec{ID: "wk-9", Class: class, Team: "t", Shape: shape, Rank: rank, Tasks: tasks, Need: job.Need{CPUs: 1, GPUs: gpus, MemoryGB: 1}, CheckpointS: 10, SaveS: 6}
@@ -31,7 +31,7 @@
 		for k := range 4 { // three machines of a gang's class, one of an array's
 			w := workers.Add(fmt.Sprintf("m%d", k), "box", "a")
 			boxes = append(boxes, w)
-			n.report(workers, w)
+			n.sendHeartbeat(workers, w)
 			time.Sleep(time.Second)
 			req := agentapi.CommitRequest{Request: request("gangs", job.Gang, "high", 2, 1), Machine: w.Heartbeat.Machine, Rev: n.entries()[w.Heartbeat.Machine].Rev,
 				Refs: []agentapi.TaskRef{{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}}}
@@ -73,7 +73,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, w := range boxes {
-			n.report(workers, w)
+			n.sendHeartbeat(workers, w)
 		}
 		if got := clearable("gangs"); got != 1 {
 			t.Errorf("they do not wait any more: %d can be cleared", got)
--- a/internal/clusteragent/register_test.go
+++ b/internal/clusteragent/register_test.go
@@ -17,13 +17,13 @@
 // answered: its lease counts from its beginning, and what is started there now would be
 // killed with it. It gets tasks from its next answered report on. At 3,000 machines 150 to
 // 400 tasks were killed so in four minutes.
-func TestNewMachineServesFromItsFirstAnsweredReport(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, n, "s", 0)
+func TestNewMachineServesFromItsFirstAnsweredHeartbeat(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
 		state.SetTxnLatency(3200 * time.Millisecond)
-		if reply := n.report(workers, w); reply.Owner {
+		if reply := n.sendHeartbeat(workers, w); reply.Owner {
 			t.Fatal("the claim was in time: this shows nothing")
 		}
 		state.SetTxnLatency(0)
@@ -34,7 +34,7 @@
 		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Refused {
 			t.Errorf("before any answered report: %q", got)
 		}
-		if reply := n.report(workers, w); !reply.Owner {
+		if reply := n.sendHeartbeat(workers, w); !reply.Owner {
 			t.Fatal("its report is not answered")
 		}
 		if got := n.commit(t, "m1", "s", epoch, 0, 2); got != agentapi.Started {
@@ -43,24 +43,24 @@
 	})
 }
 
-// closing is a state service with room for changes that can wait, or not.
-type closing struct {
+// choresGate is a state service with room for changes that can wait, or not.
+type choresGate struct {
 	*emulator.StateService
 	closed atomic.Bool
 }
 
-func (c *closing) Allow(statekv.RequestClass, int) bool { return !c.closed.Load() }
+func (c *choresGate) Allow(statekv.RequestClass, int) bool { return !c.closed.Load() }
 
 // While many machines wait for their registration nothing is stopped for gangs: there will be
 // room, and what is stopped is placed again on the few machines that are registered. At 3,000
 // machines and 16 controllers 7,890 tasks were stopped in 94 s, and 10 done.
-func TestNothingIsStoppedWhileMachinesWaitForRegistration(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		store := &closing{StateService: state}
-		n := startWith(t, ctx, settings(), "host-0", store, workers)
-		epoch := slot(t, n, "s", 0)
+func TestNoPreemptionWhileMachinesAwaitRegistration(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		store := &choresGate{StateService: state}
+		n := startNodeWith(t, ctx, settings(), "host-0", store, workers)
+		epoch := takeJobShard(t, n, "s", 0)
 		w := workers.Add("m1", "box", "a")
-		n.report(workers, w)
+		n.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		for k := range 2 {
 			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != agentapi.Started {
@@ -70,7 +70,7 @@
 		gang := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: 1, Least: 9, Spare: 5}
 		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
 		clearable := func() int {
-			n.report(workers, w)
+			n.sendHeartbeat(workers, w)
 			var found agentapi.SampleReply
 			if err := n.service.Clearable(gang, &found); err != nil {
 				t.Fatal(err)
@@ -82,7 +82,7 @@
 		}
 		store.closed.Store(true)
 		for k := range 8 {
-			go n.report(workers, workers.Add(fmt.Sprintf("new%d", k), "box", "a"))
+			go n.sendHeartbeat(workers, workers.Add(fmt.Sprintf("new%d", k), "box", "a"))
 		}
 		time.Sleep(time.Second)
 		if got := clearable(); got != 0 {
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -12,25 +12,25 @@
 	"robinstack/internal/job"
 )
 
-// unfit says why tasks like these cannot be placed on m, or nothing. It is the
+// ineligible says why tasks like these cannot be placed on m, or nothing. It is the
 // Filter stage of sampling and the conflict check of the commit.
-func (a *Agent) unfit(m *machine, r *agentapi.Request, now time.Time) string {
+func (a *Agent) ineligible(m *machine, r *agentapi.Request, now time.Time) string {
 	switch {
-	case m.gone || m.removing || !m.settled:
+	case m.gone || m.removing || !m.reconciled:
 		return "machine is not settled"
-	case m.draining || m.faulty || !m.noticeAt.IsZero():
+	case m.draining || m.quarantined || !m.reclaimAt.IsZero():
 		return "machine is being emptied"
-	case !m.serves():
+	case !m.responsive():
 		return "machine is silent"
-	case !m.leased:
+	case !m.heartbeatAnswered:
 		// The lease of one that has come up counts from its beginning, and commands do not
 		// renew it: what is started in its last moments is killed with it.
 		return "machine's lease has not been renewed"
-	case m.inDoubt(now):
+	case m.suspected(now):
 		return "machine may be faulty"
 	case m.unfenced():
 		return "a command to the machine is unanswered"
-	case m.rev > a.mirror.Rev():
+	case m.ownershipRev > a.mirror.Rev():
 		return "machine was claimed just now"
 	case !r.Spec.AllowsMachine(m.typeName, m.zone, m.spot):
 		return "machine is not allowed for the job"
@@ -38,12 +38,12 @@
 		return "zone is not open to the job"
 	case slices.Contains(r.Avoid, m.name):
 		return "job failed here before"
-	case r.Spec.Priority() < m.keptRank && now.Before(m.keptUntil):
-		return keptForGangs
-	case m.claimedBy != r.Spec.ID && now.Before(m.claimedUntil):
-		return keptForOther
+	case r.Spec.Priority() < m.gangHoldPriority && now.Before(m.gangHoldUntil):
+		return heldForGangs
+	case m.reservedFor != r.Spec.ID && now.Before(m.reservedUntil):
+		return reservedForOther
 	}
-	if at, failed := m.failures[r.Spec.ID]; failed && now.Sub(at) < avoidFor {
+	if at, failed := m.unattributedFailures[r.Spec.ID]; failed && now.Sub(at) < avoidFor {
 		return "job failed here before"
 	}
 	return ""
@@ -51,17 +51,17 @@
 
 // Reasons that do not keep a job from having the machine kept for it.
 const (
-	keptForGangs = "machine is kept for gangs"
-	keptForOther = "machine is kept for another job"
+	heldForGangs     = "machine is kept for gangs"
+	reservedForOther = "machine is kept for another job"
 )
 
-// fits counts how many of the tasks have room on m.
-func (a *Agent) fits(m *machine, need job.Need) (int, job.Need) {
+// countFits counts how many of the tasks have room on m.
+func (a *Agent) countFits(m *machine, need job.Need) (int, job.Need) {
 	t, ok := a.types()[m.typeName]
 	if !ok {
 		return 0, job.Need{}
 	}
-	free, known := m.room(job.Capacity(t))
+	free, known := m.freeCapacity(job.Capacity(t))
 	if !known {
 		return 0, job.Need{}
 	}
@@ -78,37 +78,37 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	wanted := sampleTarget(&r, len(a.machines))
-	room := newRoomCount(&r)
+	room := newCapacityCount(&r)
 	var found []agentapi.Candidate
-	for _, m := range a.withRoom(r.Spec.Need) {
+	for _, m := range a.machinesWithCapacity(r.Spec.Need) {
 		if len(found) >= wanted && room.enough() {
 			break
 		}
 		reply.Drawn++
-		n, free := a.fits(m, r.Spec.Need)
-		if n == 0 || a.unfit(m, &r, now) != "" {
+		n, free := a.countFits(m, r.Spec.Need)
+		if n == 0 || a.ineligible(m, &r, now) != "" {
 			continue
 		}
-		if a.crowded(m, &r) {
+		if a.fetchContended(m, &r) {
 			reply.Crowded = true
 			continue
 		}
 		room.add(m.zone, n)
 		image := m.imageState(r.Spec.Image)
 		kept := 0.0
-		if m.claimedBy == r.Spec.ID && now.Before(m.claimedUntil) {
-			kept = keptScore
+		if m.reservedFor == r.Spec.ID && now.Before(m.reservedUntil) {
+			kept = reservedScore
 		}
 		found = append(found, agentapi.Candidate{
-			Machine: m.name, Host: a.member.Host, Rev: m.rev, Zone: m.zone, Fits: n, Image: image,
+			Machine: m.name, Host: a.member.Host, Rev: m.ownershipRev, Zone: m.zone, Fits: n, Image: image,
 			Score: kept + score(job.Capacity(types[m.typeName]), free, r.Spec.Need, image, cheapness(types, &r.Spec, m.typeName, m.spot)),
 		})
 	}
 	reply.Exhausted = len(found) < wanted
 	if reply.Exhausted && !room.enough() {
-		a.waits(&r, now)
+		a.noteWaitingClass(&r, now)
 	}
-	reply.Candidates = best(found, &r)
+	reply.Candidates = bestCandidates(found, &r)
 	a.counters.Samples++
 	a.counters.Drawn += uint64(reply.Drawn)
 	if reply.Exhausted {
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// shuffled returns the owned machines in random order.
-func (a *Agent) shuffled() []*machine {
+// shuffledMachines returns the owned machines in random order.
+func (a *Agent) shuffledMachines() []*machine {
 	pool := make([]*machine, 0, len(a.machines))
 	for _, m := range a.machines {
 		if !m.gone {
@@ -135,39 +135,39 @@
 	return min(n, max(1, r.Least, int(math.Ceil(r.Share*float64(n)))))
 }
 
-// roomCount counts for how many tasks machines have room: in all, or by zone
+// capacityCount counts for how many tasks machines have room: in all, or by zone
 // where it matters in which zone the room is.
-type roomCount struct {
-	tasks  int
-	byZone bool
-	zones  map[string]int
-	most   int
+type capacityCount struct {
+	tasks   int
+	byZone  bool
+	zones   map[string]int
+	largest int
 }
 
-func newRoomCount(r *agentapi.Request) *roomCount {
-	return &roomCount{tasks: r.Tasks, byZone: r.Spec.OneZone || r.Spec.Spread, zones: map[string]int{}}
+func newCapacityCount(r *agentapi.Request) *capacityCount {
+	return &capacityCount{tasks: r.Tasks, byZone: r.Spec.OneZone || r.Spec.Spread, zones: map[string]int{}}
 }
 
 // add counts n and returns how many there were before in the same place.
-func (c *roomCount) add(zone string, n int) int {
+func (c *capacityCount) add(zone string, n int) int {
 	if !c.byZone {
 		zone = ""
 	}
 	before := c.zones[zone]
 	c.zones[zone] = before + n
-	c.most = max(c.most, before+n)
+	c.largest = max(c.largest, before+n)
 	return before
 }
 
-func (c *roomCount) enough() bool { return c.most >= c.tasks }
+func (c *capacityCount) enough() bool { return c.largest >= c.tasks }
 
-// best keeps the candidates of the highest scores that have room for all the
+// bestCandidates keeps the candidates of the highest scores that have room for all the
 // tasks, and some more for MultiBind to fall back to.
-func best(found []agentapi.Candidate, r *agentapi.Request) []agentapi.Candidate {
+func bestCandidates(found []agentapi.Candidate, r *agentapi.Request) []agentapi.Candidate {
 	slices.SortFunc(found, func(a, b agentapi.Candidate) int {
 		return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Machine, b.Machine))
 	})
-	room := newRoomCount(r)
+	room := newCapacityCount(r)
 	spare := map[string]int{}
 	return slices.DeleteFunc(found, func(c agentapi.Candidate) bool {
 		if room.add(c.Zone, c.Fits) < r.Tasks {
@@ -178,8 +178,8 @@
 	})
 }
 
-// keptScore puts machines that were cleared for the job before all others.
-const keptScore = 1000
+// reservedScore puts machines that were cleared for the job before all others.
+const reservedScore = 1000
 
 // score sums the Score plugins: the machine left fullest (0 to 100), the image
 // already there (100) or on its way, and how cheap the place is (0 to 150). The last leaves
@@ -194,15 +194,15 @@
 		}
 	}
 	total := 100*full + 150*cheap + 100*image
-	if cheap < dearPlace {
+	if cheap < expensiveBelow {
 		total -= 200
 	}
 	return total
 }
 
-// dearPlace is the cheapness below which a place is taken only where there is no
+// expensiveBelow is the cheapness below which a place is taken only where there is no
 // other, full or not: so such machines empty and are returned.
-const dearPlace = 0.25
+const expensiveBelow = 0.25
 
 // cheapness compares what a place for need costs on a machine with the least
 // that it costs on any the job may use: 1 for the cheapest, towards 0 for dear.
--- a/internal/clusteragent/service.go
+++ b/internal/clusteragent/service.go
@@ -33,18 +33,18 @@
 	a.mu.Lock()
 	m := a.machines[r.Machine]
 	switch {
-	case m == nil || m.rev != r.Rev:
+	case m == nil || m.ownershipRev != r.Rev:
 		reply.Why = "machine is not owned here"
 	case !a.member.HoldsLease():
 		reply.Why = "owner is not certain of its lease"
-	case !a.current(statekv.JobShardPrefix+r.Slot, r.Epoch):
+	case !a.isLatestEpoch(statekv.JobShardPrefix+r.Slot, r.Epoch):
 		reply.Why = "placer is not the slot's latest"
-	case a.settings.HasQuota(r.Spec.Team) && !a.current(statekv.LeaderKey, r.StewardEpoch):
+	case a.settings.HasQuota(r.Spec.Team) && !a.isLatestEpoch(statekv.LeaderKey, r.StewardEpoch):
 		reply.Why = "permit is not from the latest steward"
-	case a.isOver(r.Spec.ID, r.JobRev):
+	case a.isFinished(r.Spec.ID, r.JobRev):
 		reply.Why = "job is over"
 	default:
-		reply.Why = a.unfit(m, &r.Request, now)
+		reply.Why = a.ineligible(m, &r.Request, now)
 	}
 	if reply.Why != "" {
 		a.counters.Conflicts++
@@ -54,50 +54,50 @@
 	a.counters.Commits++
 	sending := false
 	for i, ref := range r.Refs {
-		key := taskKey{job.TaskID(ref.Job, ref.Index), ref.Attempt}
+		key := attemptKey{job.TaskID(ref.Job, ref.Index), ref.Attempt}
 		t := m.tasks[key]
-		if _, void := a.voided[ref]; void {
+		if _, void := a.resolvedAttempts[ref]; void {
 			reply.Why = "attempt was given up"
 			continue
 		}
 		if t == nil {
-			if n, _ := a.fits(m, r.Spec.Need); n == 0 {
+			if n, _ := a.countFits(m, r.Spec.Need); n == 0 {
 				reply.Why = "no room left"
 				a.counters.Conflicts++
 				continue
 			}
-			if a.crowded(m, &r.Request) {
+			if a.fetchContended(m, &r.Request) {
 				reply.Why = "machine fetches other images"
 				a.counters.Conflicts++
 				continue
 			}
 			spec := r.Spec
-			t = &task{ref: ref, id: key.id, slot: r.Slot, spec: &spec, submitted: now.Add(-r.Age), state: stateHeld}
-			m.put(key, t)
+			t = &task{ref: ref, id: key.taskID, jobShard: r.Slot, spec: &spec, submittedAt: now.Add(-r.Age), state: stateReserved}
+			m.addTask(key, t)
 		}
-		if t.state != stateHeld {
+		if t.state != stateReserved {
 			// A repeated request: the entry shows what became of it.
 			reply.Verdicts[i] = agentapi.Unresolved
 			continue
 		}
 		if r.Hold {
-			t.holdUntil = now.Add(10 * time.Second)
+			t.reservedUntil = now.Add(10 * time.Second)
 			reply.Verdicts[i] = agentapi.Held
 			continue
 		}
-		m.claimedUntil = time.Time{}
-		t.state, t.passed = agentapi.Starting, now
-		t.result = make(chan string, 1)
-		waits[i] = t.result
+		m.reservedUntil = time.Time{}
+		t.state, t.bookedUntil = agentapi.Starting, now
+		t.startResult = make(chan string, 1)
+		waits[i] = t.startResult
 		sending = true
 	}
 	if sending {
 		m.idleSince = time.Time{}
-		a.touch(m)
+		a.markChanged(m)
 		m.wake()
 	}
 	// From this version on, an entry without the task proves it gone.
-	reply.Ver, reply.Rev = a.ver, m.rev
+	reply.Ver, reply.Rev = a.version, m.ownershipRev
 	ctx := a.ctx
 	a.mu.Unlock()
 
@@ -126,10 +126,10 @@
 	return nil
 }
 
-// current reports whether epoch is the latest revision of a role's key as far
+// isLatestEpoch reports whether epoch is the latest revision of a role's key as far
 // as known. An agent answers a new holder's watch only once it knows that
 // holder's epoch, so after that no commit under the earlier one passes here.
-func (a *Agent) current(key string, epoch uint64) bool {
+func (a *Agent) isLatestEpoch(key string, epoch uint64) bool {
 	kv, ok := a.mirror.Get(key)
 	return ok && kv.Rev <= epoch || !ok && epoch > a.mirror.Rev()
 }
@@ -144,23 +144,23 @@
 		if m == nil {
 			continue
 		}
-		key := taskKey{job.TaskID(item.Job, item.Index), item.Attempt}
+		key := attemptKey{job.TaskID(item.Job, item.Index), item.Attempt}
 		t := m.tasks[key]
 		if t == nil {
 			continue
 		}
 		switch {
-		case t.state == stateHeld:
-			m.drop(key)
-			a.touch(m)
-		case t.state == agentapi.Starting && !t.sent:
-			t.settle(agentapi.Refused)
-			m.drop(key)
-			a.touch(m)
+		case t.state == stateReserved:
+			m.removeTask(key)
+			a.markChanged(m)
+		case t.state == agentapi.Starting && !t.startSent:
+			t.resolve(agentapi.Refused)
+			m.removeTask(key)
+			a.markChanged(m)
 		case item.Forget:
-			t.forget = true
-		case !t.stop || item.Grace < t.grace:
-			t.stop, t.grace, t.stopFirst, t.stopSent = true, item.Grace, time.Time{}, time.Time{}
+			t.forgetRequested = true
+		case !t.stopRequested || item.Grace < t.stopGrace:
+			t.stopRequested, t.stopGrace, t.stopFirstSent, t.stopLastSent = true, item.Grace, time.Time{}, time.Time{}
 		}
 		m.wake()
 	}
@@ -175,8 +175,8 @@
 	defer a.mu.Unlock()
 	for i := range verdicts {
 		if m := a.machines[verdicts[i].Machine]; m != nil && !m.gone {
-			m.judge(&verdicts[i], now)
-			a.touch(m)
+			m.attributeFailure(&verdicts[i], now)
+			a.markChanged(m)
 		}
 	}
 	return nil
@@ -190,24 +190,24 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m := a.machines[r.Machine]
-	if m == nil || m.rev != r.Rev || m.gone {
+	if m == nil || m.ownershipRev != r.Rev || m.gone {
 		return errors.New("machine is not owned here under that revision")
 	}
 	reply.Present = make([]bool, len(r.Refs))
 	for i, ref := range r.Refs {
-		key := taskKey{job.TaskID(ref.Job, ref.Index), ref.Attempt}
+		key := attemptKey{job.TaskID(ref.Job, ref.Index), ref.Attempt}
 		if t := m.tasks[key]; t != nil {
-			if t.state == stateHeld {
-				m.drop(key)
+			if t.state == stateReserved {
+				m.removeTask(key)
 			} else {
 				reply.Present[i] = true
 			}
 		}
 		if !reply.Present[i] {
-			a.voided[ref] = time.Now()
+			a.resolvedAttempts[ref] = time.Now()
 		}
 	}
-	reply.Ver = a.ver
+	reply.Ver = a.version
 	return nil
 }
 
@@ -228,15 +228,15 @@
 		changed := a.changed
 		// Only the first answer of a life comes at once whatever there is: an
 		// agent without machines must not be asked in a tight loop.
-		if a.ver > since || first || ctx.Err() != nil {
+		if a.version > since || first || ctx.Err() != nil {
 			now := time.Now()
-			reply.Host, reply.Instance, reply.Ver = a.member.Host, a.member.Incarnation, a.ver
-			reply.StateOK, reply.Seen = a.member.HoldsLease(), a.seen()
+			reply.Host, reply.Instance, reply.Ver = a.member.Host, a.member.Incarnation, a.version
+			reply.StateOK, reply.Seen = a.member.HoldsLease(), a.coveredRev()
 			moved := a.changedSince(since)
 			if len(moved) > maxWatchEntries {
 				// The next answer goes on from the last of these.
 				moved = moved[:maxWatchEntries]
-				reply.Ver, reply.More = moved[maxWatchEntries-1].ver, true
+				reply.Ver, reply.More = moved[maxWatchEntries-1].version, true
 			}
 			for _, m := range moved {
 				reply.Entries = append(reply.Entries, m.entry(a.member.Host, now))
@@ -249,7 +249,7 @@
 		case <-ctx.Done():
 		case <-changed:
 			// Changes come in groups: a short pause saves answers.
-			time.Sleep(watchPause)
+			time.Sleep(watchCoalesce)
 		}
 	}
 }
@@ -257,18 +257,18 @@
 // maxWatchEntries bounds the entries of one answer.
 const maxWatchEntries = 300
 
-// watchPause gathers changes: a machine that changes several times goes out once.
-const watchPause = 60 * time.Millisecond
+// watchCoalesce gathers changes: a machine that changes several times goes out once.
+const watchCoalesce = 60 * time.Millisecond
 
 // changedSince returns the machines that changed after a version, the earliest
 // changes first. It looks only at those.
 func (a *Agent) changedSince(since uint64) []*machine {
 	var moved []*machine
-	for at := a.latest.Back(); at != nil; {
+	for at := a.changeOrder.Back(); at != nil; {
 		m, before := at.Value.(*machine), at.Prev()
 		if a.machines[m.name] != m {
-			a.latest.Remove(at) // given up or gone since
-		} else if m.ver <= since {
+			a.changeOrder.Remove(at) // given up or gone since
+		} else if m.version <= since {
 			break
 		} else {
 			moved = append(moved, m)
@@ -289,22 +289,22 @@
 }
 
 func (m *machine) entry(host string, now time.Time) agentapi.MachineEntry {
-	e := agentapi.MachineEntry{Machine: m.name, Host: host, Rev: m.rev, Ver: m.ver, Type: m.typeName, Zone: m.zone, Spot: m.spot,
-		Settled: m.settled, Draining: m.draining || m.removing, Silent: !m.serves() || m.deaf(now), Faulty: m.faulty, Gone: m.gone, Notice: !m.noticeAt.IsZero()}
+	e := agentapi.MachineEntry{Machine: m.name, Host: host, Rev: m.ownershipRev, Ver: m.version, Type: m.typeName, Zone: m.zone, Spot: m.spot,
+		Settled: m.reconciled, Draining: m.draining || m.removing, Silent: !m.responsive() || m.commandsLost(now), Faulty: m.quarantined, Gone: m.gone, Notice: !m.reclaimAt.IsZero()}
 	if !m.idleSince.IsZero() {
 		e.Idle = max(time.Millisecond, now.Sub(m.idleSince))
 	}
-	for id := range m.blamed {
+	for id := range m.attributedFailures {
 		e.Blamed = append(e.Blamed, id)
 	}
 	for image := range m.images {
 		e.Images = append(e.Images, image)
 	}
 	for _, t := range m.tasks {
-		if t.state == stateHeld {
+		if t.state == stateReserved {
 			continue
 		}
-		te := agentapi.TaskEntry{TaskRef: t.ref, Slot: t.slot, State: t.state, Cause: t.cause, Saved: t.saved}
+		te := agentapi.TaskEntry{TaskRef: t.ref, Slot: t.jobShard, State: t.state, Cause: t.cause, Saved: t.checkpointed}
 		if t.spec != nil {
 			te.Known, te.Team, te.Need = true, t.spec.Team, t.spec.Need
 		}
@@ -325,13 +325,13 @@
 		}
 		busy := false
 		for _, t := range m.tasks {
-			busy = busy || t.uses()
+			busy = busy || t.occupies()
 		}
-		if r.On && busy && m.serves() && !m.faulty {
+		if r.On && busy && m.responsive() && !m.quarantined {
 			continue
 		}
 		m.draining = r.On
-		a.touch(m)
+		a.markChanged(m)
 		reply.Names = append(reply.Names, name)
 	}
 	return nil
@@ -348,19 +348,19 @@
 		if m == nil || m.gone || m.removing {
 			continue
 		}
-		m.removing, m.settled = true, true
+		m.removing, m.reconciled = true, true
 		for k, t := range m.tasks {
-			t.settle(agentapi.Refused)
-			m.drop(k)
+			t.resolve(agentapi.Refused)
+			m.removeTask(k)
 		}
-		a.touch(m)
+		a.markChanged(m)
 		reply.Names = append(reply.Names, name)
 	}
 	return nil
 }
 
-// runRemovals removes the keys of deleted machines, many at a time.
-func (a *Agent) runRemovals(ctx context.Context) {
+// runKeyRemoval removes the keys of deleted machines, many at a time.
+func (a *Agent) runKeyRemoval(ctx context.Context) {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -380,11 +380,11 @@
 		if len(batch) == 0 || !a.store.Allow(statekv.ClassMaintenance, len(batch)) {
 			continue
 		}
-		err := a.removeKeys(ctx, batch)
+		err := a.removeMachineKeys(ctx, batch)
 		if statekv.IsConflict(err) {
 			// One of them has another owner by now: each for itself.
 			for _, m := range batch {
-				if err = a.removeKeys(ctx, []*machine{m}); statekv.IsConflict(err) {
+				if err = a.removeMachineKeys(ctx, []*machine{m}); statekv.IsConflict(err) {
 					a.markGone([]*machine{m})
 				}
 			}
@@ -395,7 +395,7 @@
 	}
 }
 
-func (a *Agent) removeKeys(ctx context.Context, batch []*machine) error {
+func (a *Agent) removeMachineKeys(ctx context.Context, batch []*machine) error {
 	var when []statekv.Compare
 	var then []statekv.Op
 	for _, m := range batch {
@@ -416,9 +416,9 @@
 	defer a.mu.Unlock()
 	for _, m := range batch {
 		if a.machines[m.name] == m && !m.gone {
-			m.gone, m.heard = true, time.Now()
-			close(m.quit)
-			a.touch(m)
+			m.gone, m.lastHeartbeat = true, time.Now()
+			close(m.stopped)
+			a.markChanged(m)
 		}
 	}
 	slog.Info("machines deregistered", "machines", len(batch), "first", batch[0].name)
--- a/internal/clusteragent/watch_test.go
+++ b/internal/clusteragent/watch_test.go
@@ -12,25 +12,25 @@
 // What a watcher gets goes by the machines that changed and not by those there are;
 // it must still get each that changed, in the order of the changes, and none that was
 // given up: one left out would be counted on for ever.
-func TestWatchersGetWhatChanged(t *testing.T) {
+func TestChangeLogReturnsChangedMachinesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := &Agent{machines: map[string]*machine{}, changed: make(chan struct{}), latest: list.List{}}
+		a := &Agent{machines: map[string]*machine{}, changed: make(chan struct{}), changeOrder: list.List{}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := fmt.Sprint("m", rapid.IntRange(0, 6).Draw(t, "machine"))
 			switch m := a.machines[name]; {
 			case m == nil:
 				a.machines[name] = &machine{name: name}
-				a.touch(a.machines[name])
+				a.markChanged(a.machines[name])
 			case rapid.IntRange(0, 3).Draw(t, "step") == 0:
 				delete(a.machines, name)
 			default:
-				a.touch(m)
+				a.markChanged(m)
 			}
-			since := rapid.Uint64Range(0, a.ver).Draw(t, "since")
+			since := rapid.Uint64Range(0, a.version).Draw(t, "since")
 			var want []string
-			for v := since + 1; v <= a.ver; v++ {
+			for v := since + 1; v <= a.version; v++ {
 				for _, m := range a.machines {
-					if m.ver == v {
+					if m.version == v {
 						want = append(want, m.name)
 					}
 				}
@@ -40,7 +40,7 @@
 				got = append(got, m.name)
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("changed since %d of %d: %v, got %v", since, a.ver, want, got)
+				t.Fatalf("changed since %d of %d: %v, got %v", since, a.version, want, got)
 			}
 		}
 	})
--- a/internal/clusteragent/zone.go
+++ b/internal/clusteragent/zone.go
@@ -27,14 +27,14 @@
 	return in
 }
 
-// sendTwice is how long after a new machine was sent to a controller of its zone
+// redirectInterval is how long after a new machine was sent to a controller of its zone
 // it is claimed by whoever it comes to: it plainly was not taken there.
-const sendTwice = 15 * time.Second
+const redirectInterval = 15 * time.Second
 
-// zoneOwner names the controller that a new machine's worker should report to
+// redirectToZone names the controller that a new machine's worker should report to
 // instead, or nothing if it is to be claimed here. A zone whose controllers would
 // own more than twice the mean shares its machines out.
-func (a *Agent) zoneOwner(r *worker.Heartbeat, now time.Time) string {
+func (a *Agent) redirectToZone(r *worker.Heartbeat, now time.Time) string {
 	hosts := a.member.AliveHosts()
 	in := a.inZone(hosts, r.Zone)
 	if a.settings.Zone == r.Zone || len(in) == len(hosts) {
@@ -43,25 +43,25 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	all := 0
-	for _, n := range a.zoneSize {
+	for _, n := range a.machinesPerZone {
 		all += n
 	}
-	if a.zoneSize[r.Zone]*len(hosts) > 2*all*len(in) {
+	if a.machinesPerZone[r.Zone]*len(hosts) > 2*all*len(in) {
 		return ""
 	}
-	if now.Sub(a.sent[r.Machine]) < sendTwice {
+	if now.Sub(a.redirectedAt[r.Machine]) < redirectInterval {
 		return ""
 	}
-	if len(a.sent) > 4096 {
-		clear(a.sent)
+	if len(a.redirectedAt) > 4096 {
+		clear(a.redirectedAt)
 	}
-	a.sent[r.Machine] = now
+	a.redirectedAt[r.Machine] = now
 	return in[hashOf(r.Machine)%len(in)]
 }
 
-// survey takes note of how many machines each zone has, and returns how many each
+// countMachines takes note of how many machines each zone has, and returns how many each
 // shard has, by its id.
-func (a *Agent) survey(machines []statekv.KV) (size map[string]int) {
+func (a *Agent) countMachines(machines []statekv.KV) (size map[string]int) {
 	zones := map[string]int{}
 	size = map[string]int{}
 	for _, kv := range machines {
@@ -71,7 +71,7 @@
 		}
 	}
 	a.mu.Lock()
-	a.zoneSize = zones
+	a.machinesPerZone = zones
 	a.mu.Unlock()
 	return size
 }
@@ -81,5 +81,5 @@
 	if len(a.settings.Zones) == 0 {
 		return ""
 	}
-	return a.settings.Zones[index/ownShards%len(a.settings.Zones)]
+	return a.settings.Zones[index/shardsPerZone%len(a.settings.Zones)]
 }
--- a/internal/clusteragent/zone_test.go
+++ b/internal/clusteragent/zone_test.go
@@ -18,12 +18,12 @@
 // the cancellation time of the last moment at which it knew of all cancellations.
 // With a margin of 4 s, and workers that reported when they pleased, 277 machines
 // were given up a second before their zone came back.
-func TestHoldTimeGoesToItsBoundAndNoFurther(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := start(t, ctx, "host-0", state, workers)
+func TestLeaseGracePeriodIsUsedToItsBoundOnly(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
 		w := workers.Add("m1", "box", "a")
 		for range 3 {
-			n.report(workers, w)
+			n.sendHeartbeat(workers, w)
 			time.Sleep(time.Second)
 		}
 		state.SetOutage(true, false)
@@ -31,24 +31,24 @@
 		var kept time.Time // when the last report was sent that was answered
 		var seen uint64
 		next := time.Now()
-		for time.Since(lost) < cancelGone {
+		for time.Since(lost) < cancelDeadline {
 			var token uint64
 			workers.WithLock(func() { token = w.Heartbeat.FencingToken })
 			// Workers report at intervals, and within half a second of a higher token.
 			if time.Now().After(next) || token > seen {
 				seen, next = token, time.Now().Add(8*time.Second)
-				if n.report(workers, w).Owner {
+				if n.sendHeartbeat(workers, w).Owner {
 					kept = time.Now()
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		end := kept.Add(settings().Workers.LeaseDuration).Sub(lost)
-		if end > cancelGone {
-			t.Errorf("tasks are gone %v after the owner knew all cancellations, %v are allowed", end, cancelGone)
+		if end > cancelDeadline {
+			t.Errorf("tasks are gone %v after the owner knew all cancellations, %v are allowed", end, cancelDeadline)
 		}
-		if end < cancelGone-5*time.Second {
-			t.Errorf("tasks die after %v already, %v are allowed", end, cancelGone)
+		if end < cancelDeadline-5*time.Second {
+			t.Errorf("tasks die after %v already, %v are allowed", end, cancelDeadline)
 		}
 	})
 }
@@ -56,10 +56,10 @@
 // Machines of owners in other zones died 34 s after their zone was cut off: a new
 // machine's worker is sent to a controller of its zone, and taken by whoever it
 // comes to if it is not taken there.
-func TestNewMachinesGoToOwnersInTheirZone(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := startIn(t, ctx, "host-0", "a", state, workers)
-		b := startIn(t, ctx, "host-1", "b", state, workers)
+func TestNewMachineIsRedirectedToOwnerInItsZone(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a := startNodeInZone(t, ctx, "host-0", "a", state, workers)
+		b := startNodeInZone(t, ctx, "host-1", "b", state, workers)
 		time.Sleep(2 * time.Second)
 		w := workers.Add("m1", "box", "b")
 		r := workers.NextHeartbeat(w)
@@ -85,24 +85,24 @@
 // When an owner dies its shards go to controllers of their zone, and shards with
 // machines that are silent or not confirmed stay where they are: with another owner
 // the wait for their leases would begin anew, and slots wait for it.
-func TestShardsStayInTheirZoneAndWithTheirDoubts(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := startIn(t, ctx, "host-0", "a", state, workers)
+func TestShardsStayInZoneAndUnreconciledShardsAreNotMoved(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		a := startNodeInZone(t, ctx, "host-0", "a", state, workers)
 		var all []*emulator.Worker
 		for i := range 40 {
 			w := workers.Add(fmt.Sprint("m", i), "box", "a")
 			all = append(all, w)
-			go a.report(workers, w)
+			go a.sendHeartbeat(workers, w)
 		}
 		time.Sleep(4 * time.Second)
 		for _, w := range all {
-			go a.report(workers, w)
+			go a.sendHeartbeat(workers, w)
 		}
 		doubt := func(a *clusteragent.Agent) {
 			a.LastEntry = func(m string) agentapi.MachineEntry { return agentapi.MachineEntry{Machine: m, Settled: false} }
 		}
-		c := startIn(t, ctx, "host-2", "a", state, workers, doubt)
-		b := startIn(t, ctx, "host-1", "b", state, workers, doubt)
+		c := startNodeInZone(t, ctx, "host-2", "a", state, workers, doubt)
+		b := startNodeInZone(t, ctx, "host-1", "b", state, workers, doubt)
 		time.Sleep(25 * time.Second)
 		if n := len(b.entries()) + len(c.entries()); n != 0 {
 			t.Fatalf("%d machines in doubt were evened out", n)
