--- a/internal/clusteragent/rooms_test.go
+++ b/internal/clusteragent/capacity_index_test.go
@@ -3,11 +3,13 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 
 	"robinstack/internal/cloud"
 	"robinstack/internal/job"
+	"robinstack/internal/machine"
 )
 
 // Whatever comes to machines, goes from them or is given up, a draw sees exactly
@@ -16,11 +18,10 @@
 func TestCapacityIndexDrawsEveryMachineWithFreeGPUs(t *testing.T) {
 	types := map[string]cloud.MachineType{"box": {Name: "box", GPUs: 8, CPUs: 64, MemoryGB: 512}}
 	rapid.Check(t, func(t *rapid.T) {
-		a := &Agent{machines: map[string]*machine{}, capacityIndex: newCapacityIndex(), types: func() map[string]cloud.MachineType { return types }}
+		a := &Agent{machines: map[string]*ownedMachine{}, capacity: newCapacityIndex()}
 		for i := range 4 {
-			m := &machine{name: fmt.Sprint("m", i), typeName: "box", tasks: map[attemptKey]*task{}, capacityIndex: a.capacityIndex}
-			a.machines[m.name] = m
-			m.usageChanged()
+			id := machine.Identity{Name: fmt.Sprint("m", i), Type: "box"}
+			a.machines[id.Name] = newOwnedMachine(machine.New(id, 0, 0, time.Time{}), a.capacity)
 		}
 		for n := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			m := a.machines[fmt.Sprint("m", rapid.IntRange(0, 3).Draw(t, "machine"))]
@@ -29,26 +30,26 @@
 			}
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
-				delete(a.machines, m.name)
-				a.capacityIndex.remove(m)
+				a.forgetMachine(m)
 			case 1:
-				m.addTask(attemptKey{"unknown", uint64(n)}, &task{state: "running"})
+				m.AddTask(machine.AttemptKey{TaskID: "unknown", Attempt: uint64(n)}, &machine.Task{})
 			case 2, 3, 4:
-				for k := range m.tasks {
-					m.removeTask(k)
+				for k := range m.Tasks() {
+					m.RemoveTask(k, time.Now())
 					break
 				}
 			default:
 				need := job.Need{GPUs: float64(rapid.IntRange(0, 4).Draw(t, "gpus"))}
-				m.addTask(attemptKey{"known", uint64(n)}, &task{state: "running", spec: &job.Spec{Need: need}})
+				key := machine.AttemptKey{TaskID: "known", Attempt: uint64(n)}
+				m.AddTask(key, &machine.Task{Spec: &job.Spec{Need: need}})
 			}
 			want := rapid.IntRange(0, 8).Draw(t, "wanted")
 			seen := map[string]bool{}
-			for _, m := range a.machinesWithCapacity(job.Need{GPUs: float64(want)}) {
-				seen[m.name] = true
+			for _, m := range a.capacity.draw(job.Need{GPUs: float64(want)}, types, a.owns) {
+				seen[m.Name] = true
 			}
 			for name, m := range a.machines {
-				free, known := m.freeCapacity(job.Capacity(types["box"]))
+				free, known := m.FreeCapacity(job.Capacity(types["box"]))
 				if has := known && max(0, free.GPUs) >= float64(want); has != seen[name] {
 					t.Fatalf("%s with %v GPUs free (known %v): drawn %v for %d", name, free.GPUs, known, seen[name], want)
 				}
--- a/internal/clusteragent/watch_test.go
+++ b/internal/clusteragent/change_log_test.go
@@ -1,12 +1,14 @@
 package clusteragent
 
 import (
-	"container/list"
 	"fmt"
 	"slices"
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
+
+	"robinstack/internal/machine"
 )
 
 // What a watcher gets goes by the machines that changed and not by those there are;
@@ -14,33 +16,34 @@
 // given up: one left out would be counted on for ever.
 func TestChangeLogReturnsChangedMachinesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := &Agent{machines: map[string]*machine{}, changed: make(chan struct{}), changeOrder: list.List{}}
+		a := &Agent{machines: map[string]*ownedMachine{}, changes: newChangeLog(), capacity: newCapacityIndex()}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := fmt.Sprint("m", rapid.IntRange(0, 6).Draw(t, "machine"))
 			switch m := a.machines[name]; {
 			case m == nil:
-				a.machines[name] = &machine{name: name}
-				a.markChanged(a.machines[name])
+				id := machine.Identity{Name: name}
+				a.machines[name] = newOwnedMachine(machine.New(id, 0, 0, time.Time{}), a.capacity)
+				a.changes.mark(a.machines[name])
 			case rapid.IntRange(0, 3).Draw(t, "step") == 0:
 				delete(a.machines, name)
 			default:
-				a.markChanged(m)
+				a.changes.mark(m)
 			}
-			since := rapid.Uint64Range(0, a.version).Draw(t, "since")
+			since := rapid.Uint64Range(0, a.changes.version).Draw(t, "since")
 			var want []string
-			for v := since + 1; v <= a.version; v++ {
+			for v := since + 1; v <= a.changes.version; v++ {
 				for _, m := range a.machines {
-					if m.version == v {
-						want = append(want, m.name)
+					if m.change.version == v {
+						want = append(want, m.Name)
 					}
 				}
 			}
 			var got []string
-			for _, m := range a.changedSince(since) {
-				got = append(got, m.name)
+			for _, m := range a.changes.since(since, a.owns) {
+				got = append(got, m.Name)
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("changed since %d of %d: %v, got %v", since, a.version, want, got)
+				t.Fatalf("changed since %d of %d: %v, got %v", since, a.changes.version, want, got)
 			}
 		}
 	})
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -3,65 +3,53 @@
 import (
 	"cmp"
 	"math"
-	"math/rand/v2"
 	"slices"
 	"time"
 
 	"robinstack/internal/agentapi"
 	"robinstack/internal/cloud"
 	"robinstack/internal/job"
+	"robinstack/internal/machine"
 )
 
 // ineligible says why tasks like these cannot be placed on m, or nothing. It is the
 // Filter stage of sampling and the conflict check of the commit.
-func (a *Agent) ineligible(m *machine, r *agentapi.Request, now time.Time) string {
+func (a *Agent) ineligible(m *ownedMachine, r *agentapi.Request, now time.Time) string {
+	if why := m.Unavailable(now); why != "" {
+		return why
+	}
 	switch {
-	case m.gone || m.removing || !m.reconciled:
-		return "machine is not settled"
-	case m.draining || m.quarantined || !m.reclaimAt.IsZero():
-		return "machine is being emptied"
-	case !m.responsive():
-		return "machine is silent"
-	case !m.heartbeatAnswered:
-		// The lease of one that has come up counts from its beginning, and commands do not
-		// renew it: what is started in its last moments is killed with it.
-		return "machine's lease has not been renewed"
-	case m.suspected(now):
-		return "machine may be faulty"
-	case m.unfenced():
-		return "a command to the machine is unanswered"
-	case m.ownershipRev > a.mirror.Rev():
+	case m.Ownership.Rev > a.mirror.Rev():
 		return "machine was claimed just now"
-	case !r.Spec.AllowsMachine(m.typeName, m.zone, m.spot):
+	case !r.Spec.AllowsMachine(m.Type, m.Zone, m.Spot):
 		return "machine is not allowed for the job"
-	case r.Zones != nil && !slices.Contains(r.Zones, m.zone):
+	case r.Zones != nil && !slices.Contains(r.Zones, m.Zone):
 		return "zone is not open to the job"
-	case slices.Contains(r.Avoid, m.name):
+	case slices.Contains(r.Avoid, m.Name):
 		return "job failed here before"
-	case r.Spec.Priority() < m.gangHoldPriority && now.Before(m.gangHoldUntil):
+	case m.GangHold.Excludes(r.Spec.Priority(), now):
 		return heldForGangs
-	case m.reservedFor != r.Spec.ID && now.Before(m.reservedUntil):
+	case m.Reservation.HeldByOther(r.Spec.ID, now):
 		return reservedForOther
-	}
-	if at, failed := m.unattributedFailures[r.Spec.ID]; failed && now.Sub(at) < avoidFor {
+	case m.Quarantine.FailedLately(r.Spec.ID, now):
 		return "job failed here before"
 	}
 	return ""
 }
 
-// Reasons that do not keep a job from having the machine kept for it.
+// Reasons that do not keep a job from having the machine reserved for it.
 const (
-	heldForGangs     = "machine is kept for gangs"
-	reservedForOther = "machine is kept for another job"
+	heldForGangs     = "machine is held for gangs"
+	reservedForOther = "machine is reserved for another job"
 )
 
-// countFits counts how many of the tasks have room on m.
-func (a *Agent) countFits(m *machine, need job.Need) (int, job.Need) {
-	t, ok := a.types()[m.typeName]
+// countFits counts how many of the tasks fit on m, and returns what is free there.
+func (a *Agent) countFits(m *ownedMachine, need job.Need) (int, job.Need) {
+	t, ok := a.types()[m.Type]
 	if !ok {
 		return 0, job.Need{}
 	}
-	free, known := m.freeCapacity(job.Capacity(t))
+	free, known := m.FreeCapacity(job.Capacity(t))
 	if !known {
 		return 0, job.Need{}
 	}
@@ -78,10 +66,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	wanted := sampleTarget(&r, len(a.machines))
-	room := newCapacityCount(&r)
+	capacity := newCapacityCount(&r)
 	var found []agentapi.Candidate
-	for _, m := range a.machinesWithCapacity(r.Spec.Need) {
-		if len(found) >= wanted && room.enough() {
+	for _, m := range a.capacity.draw(r.Spec.Need, a.types(), a.owns) {
+		if len(found) >= wanted && capacity.enough() {
 			break
 		}
 		reply.Drawn++
@@ -89,23 +77,18 @@
 		if n == 0 || a.ineligible(m, &r, now) != "" {
 			continue
 		}
-		if a.fetchContended(m, &r) {
+		if a.contention.Contended(m.Machine, &r.Spec) {
 			reply.Crowded = true
 			continue
 		}
-		room.add(m.zone, n)
-		image := m.imageState(r.Spec.Image)
-		kept := 0.0
-		if m.reservedFor == r.Spec.ID && now.Before(m.reservedUntil) {
-			kept = reservedScore
-		}
-		found = append(found, agentapi.Candidate{
-			Machine: m.name, Host: a.member.Host, Rev: m.ownershipRev, Zone: m.zone, Fits: n, Image: image,
-			Score: kept + score(job.Capacity(types[m.typeName]), free, r.Spec.Need, image, cheapness(types, &r.Spec, m.typeName, m.spot)),
-		})
+		capacity.add(m.Zone, n)
+		c := a.candidate(m, n)
+		c.Image = m.ImageState(r.Spec.Image)
+		c.Score = reservedBonus(m.Machine, &r, now) + score(types, m.Machine, &r.Spec, free, c.Image)
+		found = append(found, c)
 	}
 	reply.Exhausted = len(found) < wanted
-	if reply.Exhausted && !room.enough() {
+	if reply.Exhausted && !capacity.enough() {
 		a.noteWaitingClass(&r, now)
 	}
 	reply.Candidates = bestCandidates(found, &r)
@@ -117,16 +100,9 @@
 	return nil
 }
 
-// shuffledMachines returns the owned machines in random order.
-func (a *Agent) shuffledMachines() []*machine {
-	pool := make([]*machine, 0, len(a.machines))
-	for _, m := range a.machines {
-		if !m.gone {
-			pool = append(pool, m)
-		}
-	}
-	rand.Shuffle(len(pool), func(i, j int) { pool[i], pool[j] = pool[j], pool[i] })
-	return pool
+// candidate is a machine on which n tasks fit, without a score.
+func (a *Agent) candidate(m *ownedMachine, n int) agentapi.Candidate {
+	return agentapi.Candidate{Machine: m.Name, Host: a.session.Host, Rev: m.Ownership.Rev, Zone: m.Zone, Fits: n}
 }
 
 // sampleTarget is how many of n machines have to pass the filters before the draw may
@@ -135,8 +111,8 @@
 	return min(n, max(1, r.Least, int(math.Ceil(r.Share*float64(n)))))
 }
 
-// capacityCount counts for how many tasks machines have room: in all, or by zone
-// where it matters in which zone the room is.
+// capacityCount counts for how many tasks machines have capacity: in all, or by zone
+// where it matters in which zone that is.
 type capacityCount struct {
 	tasks   int
 	byZone  bool
@@ -161,16 +137,16 @@
 
 func (c *capacityCount) enough() bool { return c.largest >= c.tasks }
 
-// bestCandidates keeps the candidates of the highest scores that have room for all the
+// bestCandidates keeps the candidates of the highest scores that have capacity for all the
 // tasks, and some more for MultiBind to fall back to.
 func bestCandidates(found []agentapi.Candidate, r *agentapi.Request) []agentapi.Candidate {
 	slices.SortFunc(found, func(a, b agentapi.Candidate) int {
 		return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Machine, b.Machine))
 	})
-	room := newCapacityCount(r)
+	capacity := newCapacityCount(r)
 	spare := map[string]int{}
 	return slices.DeleteFunc(found, func(c agentapi.Candidate) bool {
-		if room.add(c.Zone, c.Fits) < r.Tasks {
+		if capacity.add(c.Zone, c.Fits) < r.Tasks {
 			return false
 		}
 		spare[c.Zone]++
@@ -178,37 +154,57 @@
 	})
 }
 
-// reservedScore puts machines that were cleared for the job before all others.
-const reservedScore = 1000
+const (
+	// reservedScore puts machines that were reserved for the job before all others.
+	reservedScore = 1000
+	// Weights of the Score plugins, and what an expensive place costs.
+	fullnessWeight   = 100
+	cheapnessWeight  = 150
+	imageWeight      = 100
+	expensivePenalty = 200
+	// expensiveBelow is the cheapness below which a place is taken only where there is no
+	// other, full or not: so such machines empty and are returned.
+	expensiveBelow = 0.25
+)
+
+// reservedBonus is the score for a machine that is reserved for the request's job.
+func reservedBonus(m *machine.Machine, r *agentapi.Request, now time.Time) float64 {
+	if m.Reservation.HeldBy(r.Spec.ID, now) {
+		return reservedScore
+	}
+	return 0
+}
 
 // score sums the Score plugins: the machine left fullest (0 to 100), the image
 // already there (100) or on its way, and how cheap the place is (0 to 150). The last leaves
-// dear machines idle, so that they are returned, and ordinary ones to jobs that
+// expensive machines idle, so that they are returned, and ordinary ones to jobs that
 // may not use spot machines.
-func score(capacity, free, need job.Need, image, cheap float64) float64 {
-	left := free.AddScaled(need, -1)
+func score(
+	types map[string]cloud.MachineType, m *machine.Machine, spec *job.Spec, free job.Need, image float64,
+) float64 {
+	capacity, left := job.Capacity(types[m.Type]), free.AddScaled(spec.Need, -1)
 	full := 0.0
-	for _, p := range [][2]float64{{left.CPUs, capacity.CPUs}, {left.GPUs, capacity.GPUs}, {left.MemoryGB, capacity.MemoryGB}} {
-		if p[1] > 0 {
-			full = max(full, 1-p[0]/p[1])
+	amounts := [][2]float64{
+		{left.CPUs, capacity.CPUs}, {left.GPUs, capacity.GPUs}, {left.MemoryGB, capacity.MemoryGB},
+	}
+	for _, amount := range amounts {
+		if amount[1] > 0 {
+			full = max(full, 1-amount[0]/amount[1])
 		}
 	}
-	total := 100*full + 150*cheap + 100*image
+	cheap := cheapness(types, spec, m.Type, m.Spot)
+	total := fullnessWeight*full + cheapnessWeight*cheap + imageWeight*image
 	if cheap < expensiveBelow {
-		total -= 200
+		total -= expensivePenalty
 	}
 	return total
 }
 
-// expensiveBelow is the cheapness below which a place is taken only where there is no
-// other, full or not: so such machines empty and are returned.
-const expensiveBelow = 0.25
-
-// cheapness compares what a place for need costs on a machine with the least
-// that it costs on any the job may use: 1 for the cheapest, towards 0 for dear.
+// cheapness compares what a place for a task costs on a machine with the least
+// that it costs on any the job may use: 1 for the cheapest, towards 0 for expensive.
 func cheapness(types map[string]cloud.MachineType, spec *job.Spec, typeName string, spot bool) float64 {
 	cost := func(t cloud.MachineType, spot bool) float64 {
-		n := spec.Need.CountIn(job.Capacity(t))
+		n := spec.CountIn(job.Capacity(t))
 		if n == 0 || t.HourlyPrice(spot) <= 0 {
 			return math.Inf(1)
 		}
