--- a/internal/changefeed/feed.go
+++ b/internal/changefeed/feed.go
@@ -1,6 +1,7 @@
-// Package changefeed follows what the agents of all controllers know about their machines.
+// Package changefeed watches what the agents of all controllers know about their machines.
 // It owns the latest entry of every machine and how far each agent is known to have caught
-// up, both guarded by the mutex of Feed.
+// up, both guarded by the mutex of Feed, which is never held over a call. It may import the
+// messages of agents, the keys of ownership, the mirror and the caller of peers.
 package changefeed
 
 import (
@@ -16,44 +17,66 @@
 	"robinstack/internal/statekv"
 )
 
-// Feed follows what all agents know about their machines. It serves to track
+const (
+	// longPoll is how long an agent waits for changes before it answers a watch.
+	longPoll = 2 * time.Second
+	// caughtUpPoll is that where the question is only whether it has caught up.
+	caughtUpPoll = 100 * time.Millisecond
+	// watchTimeout is how long a watch may take in all.
+	watchTimeout = 4 * time.Second
+	// retryPause is the time until the next watch after one that failed.
+	retryPause = 400 * time.Millisecond
+	// recentAnswer is how lately an agent must have answered to count as reachable.
+	recentAnswer = 4 * time.Second
+)
+
+// Feed watches what all agents know about their machines. It serves to track
 // tasks that were placed, not to place them: that goes by sampling.
 type Feed struct {
-	call   peer.Caller
-	mirror *statekv.Mirror
-	hosts  []string
-	minRev func() uint64
-	onNews func([]agentapi.MachineEntry)
+	call     peer.Caller
+	mirror   *statekv.Mirror
+	hosts    []string
+	minRev   func() uint64
+	onChange func([]agentapi.MachineEntry)
 
 	mu      sync.Mutex
 	entries map[string]agentapi.MachineEntry
 	acks    map[string]ack
-	hurry   chan struct{} // closed and replaced to have all agents asked anew
+	pollNow chan struct{} // closed and replaced to have all agents asked anew
 }
 
 // ack says up to which state revision an agent is known to have caught up.
 type ack struct {
-	instance uint64
-	rev      uint64
-	stateOK  bool
-	at       time.Time
-	seen     uint64    // no cancellation that it had told, and no machine that it had taken,
-	asked    time.Time // when this was asked was of a later revision
+	incarnation uint64
+	rev         uint64
+	stateOK     bool
+	answeredAt  time.Time
+
+	// When askedAt was, no cancellation that the agent had acknowledged, and no machine that
+	// it had taken, was of a later revision than coveredRev; 0: it has not said.
+	coveredRev uint64
+	askedAt    time.Time
 }
 
 // New returns a feed; minRev is the highest epoch that the agents must
-// know of before they answer, onNews gets every change.
-func New(call peer.Caller, mirror *statekv.Mirror, hosts []string, minRev func() uint64, onNews func([]agentapi.MachineEntry)) *Feed {
-	return &Feed{call: call, mirror: mirror, hosts: hosts, minRev: minRev, onNews: onNews, entries: map[string]agentapi.MachineEntry{}, acks: map[string]ack{}, hurry: make(chan struct{})}
+// know of before they answer, onChange gets every change.
+func New(
+	call peer.Caller, mirror *statekv.Mirror, hosts []string,
+	minRev func() uint64, onChange func([]agentapi.MachineEntry),
+) *Feed {
+	return &Feed{
+		call: call, mirror: mirror, hosts: hosts, minRev: minRev, onChange: onChange,
+		entries: map[string]agentapi.MachineEntry{}, acks: map[string]ack{}, pollNow: make(chan struct{}),
+	}
 }
 
-// Run follows all agents until ctx ends.
+// Run watches all agents until ctx ends.
 func (f *Feed) Run(ctx context.Context) {
-	var duties sync.WaitGroup
+	var watches sync.WaitGroup
 	for _, h := range f.hosts {
-		duties.Go(func() { f.followHost(ctx, h) })
+		watches.Go(func() { f.watchHost(ctx, h) })
 	}
-	duties.Wait()
+	watches.Wait()
 }
 
 // PollNow has all agents asked anew, for minRev has grown: where nothing changes, a
@@ -62,82 +85,118 @@
 func (f *Feed) PollNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	close(f.hurry)
-	f.hurry = make(chan struct{})
+	close(f.pollNow)
+	f.pollNow = make(chan struct{})
 }
 
-// soon is how long an agent takes to answer at once that it has caught up.
-const soon = 100 * time.Millisecond
+func (f *Feed) pollNowChannel() <-chan struct{} {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.pollNow
+}
 
-func (f *Feed) followHost(ctx context.Context, host string) {
-	var instance, since, asked uint64
+// watchHost watches one agent until ctx ends.
+func (f *Feed) watchHost(ctx context.Context, host string) {
+	var incarnation, since, asked uint64
 	for ctx.Err() == nil {
-		f.mu.Lock()
-		hurry := f.hurry
-		f.mu.Unlock()
-		req := agentapi.WatchRequest{Instance: instance, Since: since, MinRev: f.minRev(), Wait: 2 * time.Second}
+		pollNow := f.pollNowChannel()
+		req := agentapi.WatchRequest{Instance: incarnation, Since: since, MinRev: f.minRev(), Wait: longPoll}
 		if req.MinRev > asked {
-			req.Wait, asked = soon, req.MinRev
+			req.Wait, asked = caughtUpPoll, req.MinRev
 		}
-		var reply agentapi.WatchReply
 		sent := time.Now()
-		cctx, cancel := context.WithTimeout(ctx, 4*time.Second)
-		go func() {
-			select {
-			case <-hurry:
-				cancel()
-			case <-cctx.Done():
-			}
-		}()
-		err := f.call.Call(cctx, host, "Agent.Watch", req, &reply)
-		cancel()
-		select {
-		case <-hurry:
-			if err != nil {
-				continue
-			}
+		reply, err := f.watch(ctx, host, &req, pollNow)
+		switch {
+		case err == nil:
+			incarnation, since = reply.Instance, reply.Ver
+			f.onChange(f.apply(host, &req, reply, sent))
+		case isClosed(pollNow):
+			// It was given up for that: the next one asks anew.
 		default:
-		}
-		if err != nil {
 			slog.Debug("machine state watch failed", "host", host, "err", err)
-			f.mu.Lock()
-			a := f.acks[host]
-			a.stateOK = false
-			f.acks[host] = a
-			f.mu.Unlock()
+			f.noteFailure(host)
 			select {
 			case <-ctx.Done():
-			case <-time.After(400 * time.Millisecond):
+			case <-time.After(retryPause):
 			}
-			continue
 		}
-		instance, since = reply.Instance, reply.Ver
-		var news []agentapi.MachineEntry
-		f.mu.Lock()
-		known := ack{instance: reply.Instance, rev: req.MinRev, stateOK: reply.StateOK, at: time.Now(), seen: reply.Seen, asked: sent}
-		if reply.More {
-			// Not all of it is here yet, so nothing is confirmed by it.
-			known.rev = 0
-			if old := f.acks[host]; old.instance == reply.Instance {
-				known.rev = min(old.rev, req.MinRev)
-			}
+	}
+}
+
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
+
+// watch asks an agent for changes; the question is given up when pollNow is closed.
+func (f *Feed) watch(
+	ctx context.Context, host string, req *agentapi.WatchRequest, pollNow <-chan struct{},
+) (*agentapi.WatchReply, error) {
+	cctx, cancel := context.WithTimeout(ctx, watchTimeout)
+	var interrupter sync.WaitGroup
+	interrupter.Go(func() {
+		select {
+		case <-pollNow:
+			cancel()
+		case <-cctx.Done():
 		}
-		f.acks[host] = known
-		for _, e := range reply.Entries {
-			old, ok := f.entries[e.Machine]
-			if ok && (old.Rev > e.Rev || old.Rev == e.Rev && old.Ver >= e.Ver) {
-				continue
-			}
-			e.Received = time.Now()
-			f.entries[e.Machine] = e
-			news = append(news, e)
+	})
+	var reply agentapi.WatchReply
+	err := f.call.Call(cctx, host, "Agent.Watch", *req, &reply)
+	cancel()
+	interrupter.Wait()
+	return &reply, err
+}
+
+// noteFailure notes that an agent did not answer.
+func (f *Feed) noteFailure(host string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	a := f.acks[host]
+	a.stateOK = false
+	f.acks[host] = a
+}
+
+// apply takes in an agent's answer to a watch that was sent at a time, and returns the entries
+// that are new.
+func (f *Feed) apply(
+	host string, req *agentapi.WatchRequest, reply *agentapi.WatchReply, sent time.Time,
+) (changed []agentapi.MachineEntry) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	known := ack{
+		incarnation: reply.Instance, rev: req.MinRev, stateOK: reply.StateOK, answeredAt: time.Now(),
+		coveredRev: reply.Seen, askedAt: sent,
+	}
+	if reply.More {
+		// Not all of it is here yet, so nothing is confirmed by it.
+		known.rev = 0
+		if old := f.acks[host]; old.incarnation == reply.Instance {
+			known.rev = min(old.rev, req.MinRev)
 		}
-		f.mu.Unlock()
-		f.onNews(news)
 	}
+	f.acks[host] = known
+	for _, e := range reply.Entries {
+		if old, ok := f.entries[e.Machine]; ok && !newer(&e, &old) {
+			continue
+		}
+		e.Received = time.Now()
+		f.entries[e.Machine] = e
+		changed = append(changed, e)
+	}
+	return changed
+}
+
+// newer reports whether an entry is later than another one of the same machine.
+func newer(e, old *agentapi.MachineEntry) bool {
+	return e.Rev > old.Rev || e.Rev == old.Rev && e.Ver > old.Ver
 }
 
-// Entries returns all machines that are not gone, as last heard of. Machines
+// Entries returns all machines that are not gone, as last shown. Machines
 // whose key has been removed are dropped: their tasks are proven gone.
 func (f *Feed) Entries() []agentapi.MachineEntry {
 	rev := f.mirror.Rev()
@@ -154,7 +213,7 @@
 	return out
 }
 
-// OwnerOf returns the host that a machine's latest entry came from.
+// OwnerHost returns the host that a machine's latest entry came from.
 func (f *Feed) OwnerHost(machine string) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -188,47 +247,49 @@
 	case !known:
 		return 0, "its owner " + holder.Host + " has not shown it"
 	case e.Rev != rev:
-		return 0, fmt.Sprintf("the entry by %s is of revision %d, ownership by %s of %d", e.Host, e.Rev, holder.Host, rev)
-	case a.instance != holder.Incarnation:
-		return 0, "its owner " + holder.Host + " has begun a new life"
+		return 0, fmt.Sprintf(
+			"the entry by %s is of revision %d, ownership by %s of %d", e.Host, e.Rev, holder.Host, rev)
+	case a.incarnation != holder.Incarnation:
+		return 0, "its owner " + holder.Host + " has begun a new session"
 	case !e.Settled:
 		return 0, "it has not answered its owner " + holder.Host
 	}
 	return a.rev, "its owner " + holder.Host + " has not caught up"
 }
 
-// AcknowledgedUntil is a moment up to which no controller had told a user of a cancellation later
-// than rev, or taken a machine from another; the zero time if one of them, this one included, has not said so. One that does not
-// answer may have told whatever it likes, also if its life seems to be over.
+// AcknowledgedUntil is a moment up to which no controller had acknowledged a cancellation later
+// than rev to a user, or taken a machine from another; the zero time if one of them, this one
+// included, has not said so. One that does not answer may have acknowledged whatever it likes,
+// also if its session seems to be over.
 func (f *Feed) AcknowledgedUntil(rev uint64) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var least time.Time
+	var earliest time.Time
 	for _, host := range f.hosts {
 		a := f.acks[host]
-		if a.seen == 0 || a.seen > rev {
+		if a.coveredRev == 0 || a.coveredRev > rev {
 			return time.Time{}
 		}
-		if least.IsZero() || a.asked.Before(least) {
-			least = a.asked
+		if earliest.IsZero() || a.askedAt.Before(earliest) {
+			earliest = a.askedAt
 		}
 	}
-	return least
+	return earliest
 }
 
-// PeerCounts counts the other agents that were heard lately, and those of them that the state
-// service serves by their own word.
-func (f *Feed) PeerCounts(self string) (heard, served int) {
+// PeerCounts counts the other agents that answered lately, and those of them that reach the
+// state service by their own word.
+func (f *Feed) PeerCounts(self string) (reachable, served int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for host, a := range f.acks {
-		if host == self || time.Since(a.at) >= 4*time.Second {
+		if host == self || time.Since(a.answeredAt) >= recentAnswer {
 			continue
 		}
-		heard++
+		reachable++
 		if a.stateOK {
 			served++
 		}
 	}
-	return heard, served
+	return reachable, served
 }
