--- a/internal/agentapi/messages.go
+++ b/internal/agentapi/messages.go
@@ -1,6 +1,7 @@
 // Package agentapi holds the net/rpc messages of the service "Agent": what schedulers,
 // the elected leader and change feeds ask the owner of a machine, and its answers. Field
-// names and kinds are the wire format (gob) and must not change. It owns no state.
+// names and kinds are the wire format (gob) and must not change, which is why some are not
+// the terms that the code uses otherwise. It owns no state and may import package job only.
 package agentapi
 
 import (
@@ -25,21 +26,21 @@
 	Jobs    []string `json:"jobs"`
 }
 
-// Request describes what a placer looks for.
+// Request describes what a scheduler looks for.
 type Request struct {
 	Spec  job.Spec
-	Slot  string
-	Epoch uint64        // revision of the slot's key: later placers outrank earlier ones
+	Slot  string        // job shard
+	Epoch uint64        // revision of the job shard's key: later schedulers outrank earlier ones
 	Zones []string      // zones that are allowed right now; nil: any
 	Avoid []string      // machines on which the job failed
 	Age   time.Duration // since the job was submitted
 	Tasks int           // tasks that look for a place
 	Share float64       // share of the owned machines to sample (the paper's N_p)
 	Least int           // and how many at least, if there are so many
-	Left  time.Duration // until the job's tasks should have started by the users' aim; 0: at once
+	Left  time.Duration // until the job's tasks should have started by its objective; 0: at once
 	Near  bool          // only machines that have the image
 	Spare int           // candidates to return beyond those that the tasks need
-	Parts bool          // classes that wait with less than their part are not stopped
+	Parts bool          // classes that wait with less than their fair share are not preempted
 }
 
 // Candidate is a machine that passed the filters, with its score.
@@ -48,7 +49,7 @@
 	Host    string
 	Rev     uint64
 	Zone    string
-	Fits    int     // how many of the job's tasks have room
+	Fits    int     // how many of the job's tasks fit
 	Image   float64 // 1: the machine has the image; less: it is on its way
 	Score   float64
 }
@@ -58,7 +59,7 @@
 	Candidates []Candidate
 	Drawn      int
 	Exhausted  bool // every owned machine was drawn without finding enough
-	Crowded    bool // some with room fetch other images
+	Crowded    bool // some with capacity fetch other images
 }
 
 // TaskRef names one attempt at a task.
@@ -76,24 +77,24 @@
 	Refs    []TaskRef
 	Hold    bool // reserve only, for a gang that is being assembled
 
-	StewardEpoch uint64 // of the steward that permitted it, for a team with a limit
-	JobRev       uint64 // revision of the job's record as the placer knows it; 0: an earlier version's
+	StewardEpoch uint64 // of the leader that granted it, for a team with a quota
+	JobRev       uint64 // revision of the job's record as the scheduler knows it; 0: an earlier version's
 }
 
-// Verdicts on a commit.
+// Results of a commit, for each of its tasks.
 const (
-	Started    = "started"   // the worker reported the task
+	Started    = "started"   // a heartbeat has shown the task
 	Held       = "held"      // reserved
 	Refused    = "refused"   // certainly not started and never will be
 	Unresolved = "unsettled" // sent; the machine's entry will show what became of it
 )
 
-// CommitReply has a verdict for each task.
+// CommitReply has a result for each task.
 type CommitReply struct {
 	Verdicts []string
-	Why      string
-	Ver      uint64
-	Rev      uint64
+	Why      string // the latest reason for a refusal, for the log
+	Ver      uint64 // an entry of this version or later without a task proves it gone
+	Rev      uint64 // revision of the ownership
 }
 
 // StopRequest asks for tasks to be stopped or, once ended and recorded, forgotten.
@@ -105,8 +106,8 @@
 type StopItem struct {
 	Machine string
 	TaskRef
-	Grace  time.Duration
-	Forget bool
+	Grace  time.Duration // time to save
+	Forget bool          // its end is recorded
 }
 
 // Attribution says whether a machine or the job is to blame for a task that failed.
@@ -131,7 +132,7 @@
 
 // WatchRequest asks for the machines that changed.
 type WatchRequest struct {
-	Instance uint64 // life of the agent that Since belongs to
+	Instance uint64 // session of the agent that Since belongs to
 	Since    uint64
 	MinRev   uint64 // state revision that the agent must have seen before it answers
 	Wait     time.Duration
@@ -143,9 +144,11 @@
 	Instance uint64
 	Ver      uint64
 	StateOK  bool
-	Seen     uint64 // no cancellation that it has told, and no machine that it took, is of a later revision; 0: an earlier version's
-	More     bool   // there are more changes up to now: ask again
-	Entries  []MachineEntry
+	// Seen is a revision such that no cancellation that the agent has acknowledged, and no
+	// machine that it took, is of a later one; 0: an earlier version's.
+	Seen    uint64
+	More    bool // there are more changes up to now: ask again
+	Entries []MachineEntry
 }
 
 // MachineEntry is what an agent knows about one of its machines.
@@ -153,17 +156,17 @@
 	Machine  string
 	Host     string
 	Rev      uint64 // revision of this ownership
-	Ver      uint64
+	Ver      uint64 // of the agent's latest change of this machine
 	Type     string
 	Zone     string
 	Spot     bool
-	Settled  bool // no earlier owner's command can arrive any more
-	Draining bool
-	Silent   bool
-	Faulty   bool
-	Blamed   []string // jobs that run well elsewhere and failed here
-	Gone     bool
-	Notice   bool
+	Settled  bool          // reconciled: no earlier owner's command can arrive any more
+	Draining bool          // it gets no new tasks, or has been deleted
+	Silent   bool          // unresponsive, or its heartbeats or commands are lost
+	Faulty   bool          // quarantined
+	Blamed   []string      // jobs that run well elsewhere and failed here
+	Gone     bool          // its key has been removed
+	Notice   bool          // the cloud has announced that it takes the machine back
 	Idle     time.Duration // time without tasks, when the entry was made
 	Received time.Time     // when the feed got it, by the receiver's clock
 	Images   []string      // known to be on the machine
@@ -182,22 +185,22 @@
 // TaskEntry is a task on a machine.
 type TaskEntry struct {
 	TaskRef
-	Slot  string
+	Slot  string // job shard
 	Team  string
 	Need  job.Need
-	Known bool // the job's record has been read
-	State string
-	Cause string
-	Saved bool
+	Known bool   // the job's record has been read
+	State string // as the worker names it, or Starting
+	Cause string // for which it ended
+	Saved bool   // a checkpoint of it has been saved
 }
 
-// Starting is the state of a task whose start no report has shown yet.
+// Starting is the state of a task whose start no heartbeat has shown yet.
 const Starting = "starting"
 
 // MachinesRequest names machines, for draining or after their deletion.
 type MachinesRequest struct {
 	Names []string
-	On    bool
+	On    bool // drain, or open again; nothing after a deletion
 }
 
 // MachinesReply names those for which the request was carried out.
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -1,5 +1,6 @@
 // Package shard reads the keys of machines and of machine shards: a machine's key names its
-// shard, and the shard's key names the controller that owns it. It owns no state.
+// shard, and the shard's key names the controller that owns it. It owns no state and may
+// import the state service's client only.
 package shard
 
 import (
@@ -19,14 +20,14 @@
 	Spot    bool   `json:"spot"`
 }
 
-// Record is what a shard's key holds. Index spreads the shards of a dead
-// owner among the survivors.
+// Record is what a machine shard's key holds. Index spreads the shards of an owner whose
+// session has ended among the others.
 type Record struct {
 	statekv.Holder
 	Index int `json:"index"`
 }
 
-// RecordSchema is the form of the keys of machines and shards that this build writes and
+// RecordSchema is the schema of the keys of machines and shards that this build writes and
 // reads.
 const RecordSchema = 0
 
@@ -81,28 +82,31 @@
 	return HolderOf(shard), max(kv.Rev, shard.Rev)
 }
 
-// owners are the shards' holders by id, for those who look through all machines.
+// OwnerIndex is the shards' owners by shard id, for those who look through all machines.
 type OwnerIndex map[string]Ownership
 
+// Ownership is who owns a shard, under which revision of its key.
 type Ownership struct {
 	Holder statekv.Holder
 	Rev    uint64
 }
 
+// NewOwnerIndex returns the owners of shards by the shards' keys.
 func NewOwnerIndex(shards []statekv.KV) OwnerIndex {
-	o := make(OwnerIndex, len(shards))
+	index := make(OwnerIndex, len(shards))
 	for _, kv := range shards {
-		o[kv.Key[len(statekv.MachineShardPrefix):]] = Ownership{HolderOf(kv), kv.Rev}
+		index[kv.Key[len(statekv.MachineShardPrefix):]] = Ownership{HolderOf(kv), kv.Rev}
 	}
-	return o
+	return index
 }
 
-// of is OwnerOf for a machine's key that has been read.
+// OwnerOf is the function OwnerOf for a machine's key that has been read, of revision rev.
 func (o OwnerIndex) OwnerOf(key *MachineRecord, rev uint64) (statekv.Holder, uint64) {
 	shard := o[key.Shard]
 	return shard.Holder, max(rev, shard.Rev)
 }
 
+// HolderOf returns who owns a shard by its key, or the zero Holder if it cannot be read.
 func HolderOf(shard statekv.KV) statekv.Holder {
 	if key := ParseRecord(shard); key != nil {
 		return key.Holder
