--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -14,7 +14,7 @@
 	"robinstack/internal/statekv"
 )
 
-// addFleet puts up n workers that report to a, and waits until it owns them.
+// addFleet puts up n workers that send heartbeats to a, and waits until it owns them.
 func addFleet(workers *emulator.Workers, a *node, n int) []*emulator.Worker {
 	var all []*emulator.Worker
 	for i := range n {
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
-			t.Fatalf("verdict %q", got)
+			t.Fatalf("result %q", got)
 		}
 		b := startNode(t, ctx, "host-1", state, workers)
 		time.Sleep(11 * time.Second)
@@ -100,7 +100,7 @@
 }
 
 // A machine whose shard has vanished is claimed anew, also by the controller that
-// still looks after it: the jobs of a dead placer waited for such machines for ever.
+// still looks after it: the jobs of a dead scheduler waited for such machines for ever.
 func TestMachineWithoutShardIsReclaimed(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a := startNode(t, ctx, "host-0", state, workers)
@@ -114,7 +114,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		kv, _ = a.mirror.Get(statekv.MachinePrefix + "m0")
-		if holder, _ := shard.OwnerOf(a.mirror, kv); holder != a.member.Holder || !a.entries()["m0"].Settled {
+		if holder, _ := shard.OwnerOf(a.mirror, kv); holder != a.session.Holder || !a.entries()["m0"].Settled {
 			t.Fatalf("the machine's owner is %v, its entry %+v", holder, a.entries()["m0"])
 		}
 	})
@@ -132,9 +132,9 @@
 	return s.StateService.Txn(ctx, when, then)
 }
 
-// After a crash of all controllers the state service's write limit keeps a life
+// After a crash of all controllers the state service's write limit keeps a session
 // from making shards for new machines for a second or two. The machines that it
-// took over had to wait for that: all slots settled 3 s later.
+// took over had to wait for that: all job shards were reconciled 3 s later.
 func TestFailoverDoesNotWaitForIntakeShards(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a := startNode(t, ctx, "host-0", state, workers)
--- a/internal/clusteragent/bench_test.go
+++ b/internal/clusteragent/bench_test.go
@@ -15,7 +15,7 @@
 // three controllers in a fleet of 600.
 const benchMachines = 200
 
-// benchNode returns an owner of benchMachines machines, their workers and a slot's epoch.
+// benchNode returns an owner of benchMachines machines, their workers and a job shard's epoch.
 func benchNode(b *testing.B) (n *node, workers *emulator.Workers, machines []*emulator.Worker, epoch uint64) {
 	b.Helper()
 	level := slog.SetLogLoggerLevel(slog.LevelError)
@@ -42,8 +42,8 @@
 		Spec: job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 9, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
 }
 
-// BenchmarkReport is the taking of a worker's report by the owner of its machine.
-func BenchmarkReport(b *testing.B) {
+// BenchmarkHeartbeat is the taking of a worker's heartbeat by the owner of its machine.
+func BenchmarkHeartbeat(b *testing.B) {
 	n, workers, machines, _ := benchNode(b)
 	b.ReportAllocs()
 	for k := 0; b.Loop(); k++ {
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkCommit reserves room for a task and gives it back, without a command.
+// BenchmarkCommit reserves capacity for a task and gives it back, without a command.
 func BenchmarkCommit(b *testing.B) {
 	n, _, machines, epoch := benchNode(b)
 	var revs []uint64
--- a/internal/clusteragent/duplicates_test.go
+++ b/internal/clusteragent/duplicates_test.go
@@ -28,13 +28,13 @@
 	time.Sleep(time.Second)
 	a.sendHeartbeat(workers, w)
 	if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
-		t.Fatalf("verdict %q", got)
+		t.Fatalf("result %q", got)
 	}
 	a.sendHeartbeat(workers, w)
 	return a, b, w, epoch
 }
 
-// lastHeartbeat is the report that the worker sent last, once more.
+// lastHeartbeat is the heartbeat that the worker sent last, once more.
 func lastHeartbeat(workers *emulator.Workers, w *emulator.Worker) (r worker.Heartbeat) {
 	workers.WithLock(func() {
 		r = w.Heartbeat
@@ -43,9 +43,9 @@
 	return r
 }
 
-// A machine dies. Copies of its last report go on coming to its owner, for longer than
+// A machine dies. Copies of its last heartbeat go on coming to its owner, for longer than
 // its lease: they renew nothing, so that its tasks are given up as early as without
-// them, and it does not count as heard. Guards against a lease counted from whatever
+// them, and it does not count as responsive. Guards against a lease counted from whatever
 // comes in.
 func TestDuplicateHeartbeatsRenewNoLease(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
@@ -56,11 +56,11 @@
 		for time.Since(died) < 36*time.Second {
 			time.Sleep(2 * time.Second)
 			if reply := a.agent.Heartbeat(ctx, &last); len(reply.Answer.Commands) > 0 {
-				t.Fatalf("a copy was given orders: %+v", reply)
+				t.Fatalf("a copy was given commands: %+v", reply)
 			}
 			e := a.entries()["m1"]
 			if late := time.Since(died) > 12*time.Second; late && !e.Silent {
-				t.Fatalf("after %v it counts as heard", time.Since(died))
+				t.Fatalf("after %v it counts as responsive", time.Since(died))
 			}
 		}
 		if n := len(a.entries()["m1"].Tasks); n != 0 {
@@ -69,26 +69,26 @@
 	})
 }
 
-// Copies of an earlier session, and of an earlier moment of this one, prove nothing: what
+// Copies of an earlier epoch, and of an earlier moment of this one, prove nothing: what
 // came since stays, and what has gone does not come back.
 func TestDuplicateHeartbeatsChangeNoTasks(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, _, w, epoch := startPair(t, ctx, state, workers)
 		before := lastHeartbeat(workers, w)   // with the first task only
-		overtaken := workers.NextHeartbeat(w) // a report that the answer to a command overtakes
+		overtaken := workers.NextHeartbeat(w) // a heartbeat that the answer to a command overtakes
 		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started {
-			t.Fatalf("verdict %q", got)
+			t.Fatalf("result %q", got)
 		}
 		a.agent.Heartbeat(ctx, &overtaken)
 		if n := len(a.entries()["m1"].Tasks); n != 2 {
-			t.Fatalf("a report that was overtaken left %d tasks of 2", n)
+			t.Fatalf("a heartbeat that was overtaken left %d tasks of 2", n)
 		}
 		a.sendHeartbeat(workers, w)
 		a.agent.Heartbeat(ctx, &before)
 		if n := len(a.entries()["m1"].Tasks); n != 2 {
 			t.Fatalf("a copy of before left %d tasks of 2", n)
 		}
-		// Its lease runs out: a new session, without tasks.
+		// Its lease runs out: a new epoch, without tasks.
 		workers.WithLock(func() { w.Heartbeat.WorkerEpoch, w.Heartbeat.Tasks = 2, nil })
 		a.sendHeartbeat(workers, w)
 		for range 5 {
@@ -96,13 +96,13 @@
 			time.Sleep(time.Second)
 		}
 		if got := a.entries()["m1"].Tasks; len(got) != 0 {
-			t.Fatalf("a copy of the earlier session brought back %v", got)
+			t.Fatalf("a copy of the earlier epoch brought back %v", got)
 		}
 	})
 }
 
 // Copies that reach another controller are no workers that cannot reach their owner: it
-// takes nothing, however many come; one whose reports do come is taken.
+// takes nothing, however many come; one whose heartbeats do come is taken.
 func TestDuplicateHeartbeatsElsewhereCauseNoTakeover(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, b, w, _ := startPair(t, ctx, state, workers)
@@ -114,7 +114,7 @@
 			a.sendHeartbeat(workers, w)
 		}
 		if kv, ok := b.entries()["m1"]; ok || a.entries()["m1"].Rev != rev {
-			t.Fatalf("a machine was taken for copies of its report: %+v", kv)
+			t.Fatalf("a machine was taken for copies of its heartbeat: %+v", kv)
 		}
 		for range 6 {
 			r := workers.NextHeartbeat(w)
@@ -155,43 +155,43 @@
 	})
 }
 
-// A machine whose reports arrive while answers and commands do not: it gets nothing new
-// after one command, counts as silent after three, and its task goes elsewhere when the
-// next session proves it gone and not before. It is used again once commands get
+// A machine whose heartbeats arrive while answers and commands do not: it gets nothing new
+// after one command, counts as unresponsive after three, and its task goes elsewhere when the
+// next epoch proves it gone and not before. It is used again once commands get
 // through.
 func TestMachineWithLostCommandsGetsNothingNew(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, _, w, epoch := startPair(t, ctx, state, workers)
 		workers.WithLock(func() { w.HoldCommands = true })
 		began := time.Now()
-		hear := func() { // its reports arrive; what is answered does not
+		beat := func() { // its heartbeats arrive; what is answered does not
 			r := workers.NextHeartbeat(w)
 			a.agent.Heartbeat(ctx, &r)
 			time.Sleep(3 * time.Second)
 		}
 		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Unresolved {
-			t.Fatalf("verdict %q without an answer", got)
+			t.Fatalf("result %q without an answer", got)
 		}
-		hear()
+		beat()
 		if got := a.commit(t, "m1", "s", epoch, 2, 3); got != agentapi.Refused {
 			t.Fatalf("it got another task: %q", got)
 		}
 		for time.Since(began) < 12*time.Second {
-			hear()
+			beat()
 		}
 		if !a.entries()["m1"].Silent {
 			t.Fatal("it counts as one that serves")
 		}
 		for time.Since(began) < 34*time.Second {
-			hear()
+			beat()
 			if n := len(a.entries()["m1"].Tasks); n != 2 {
 				t.Fatalf("after %v: %d tasks are booked, and nothing is proven", time.Since(began), n)
 			}
 		}
 		workers.WithLock(func() { w.Heartbeat.WorkerEpoch, w.Heartbeat.Tasks = 2, nil }) // by its own clock
-		hear()
+		beat()
 		if got := a.entries()["m1"].Tasks; len(got) != 0 {
-			t.Fatalf("the next session proves %v gone", got)
+			t.Fatalf("the next epoch proves %v gone", got)
 		}
 		if !a.entries()["m1"].Silent {
 			t.Fatal("it counts as one that serves, and commands still do not reach it")
@@ -200,7 +200,7 @@
 		time.Sleep(3 * time.Second)
 		a.sendHeartbeat(workers, w)
 		if a.entries()["m1"].Silent {
-			t.Fatal("it answers, and counts as silent")
+			t.Fatal("it answers, and counts as unresponsive")
 		}
 		if got := a.commit(t, "m1", "s", epoch, 2, 4); got != agentapi.Started {
 			t.Fatalf("it is not used again: %q", got)
@@ -212,14 +212,14 @@
 	})
 }
 
-// Reports that cannot be a machine's change nothing, and its own go on to count: numbers
+// Heartbeats that cannot be a machine's change nothing, and its own go on to count: numbers
 // that leap out of range would make all later ones old.
 func TestMalformedHeartbeatsAreRejected(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a, _, w, epoch := startPair(t, ctx, state, workers)
 		for what, change := range map[string]func(*worker.Heartbeat){
-			"a huge serial":             func(r *worker.Heartbeat) { r.Sequence = 1 << 63 },
-			"a huge tenure":             func(r *worker.Heartbeat) { r.WorkerEpoch = 1 << 62 },
+			"a huge sequence":           func(r *worker.Heartbeat) { r.Sequence = 1 << 63 },
+			"a huge epoch":              func(r *worker.Heartbeat) { r.WorkerEpoch = 1 << 62 },
 			"another machine's address": func(r *worker.Heartbeat) { r.Address = "m7" },
 		} {
 			r := workers.NextHeartbeat(w)
@@ -237,13 +237,13 @@
 		a.agent.Heartbeat(ctx, &back)
 		a.sendHeartbeat(workers, w)
 		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started || taskCount(workers, w) != 2 {
-			t.Errorf("its own reports do not count any more: %q", got)
+			t.Errorf("its own heartbeats do not count any more: %q", got)
 		}
 	})
 }
 
 // A controller loses the state service and the others, and keeps its workers: it starts
-// nothing, answers them for its hold time and no longer, and its successor counts that
+// nothing, answers them for its lease grace period and no longer, and its successor counts that
 // in.
 func TestOwnerCutOffFromStateAnswersForLeaseGracePeriod(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
@@ -255,7 +255,7 @@
 		a.sendHeartbeat(workers, w)
 		time.Sleep(time.Second)
 		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
-			t.Fatalf("verdict %q", got)
+			t.Fatalf("result %q", got)
 		}
 		cut.off.Store(true)
 		workers.WithLock(func() { w.HoldCommands = true }) // the zone is cut off with it: nobody else reaches them
@@ -275,7 +275,7 @@
 			time.Sleep(time.Second)
 		}
 		if held := last.Sub(began); held > settings().LeaseGracePeriod() || held < settings().LeaseGracePeriod()-6*time.Second {
-			t.Errorf("it answered for %v; the hold time is %v", held, settings().LeaseGracePeriod())
+			t.Errorf("it answered for %v; the lease grace period is %v", held, settings().LeaseGracePeriod())
 		}
 		// The worker's lease counts from there, and the successor knows.
 		for time.Since(last) < settings().Workers.LeaseDuration {
--- a/internal/clusteragent/fair_share_test.go
+++ b/internal/clusteragent/fair_share_test.go
@@ -12,10 +12,10 @@
 	"robinstack/internal/job"
 )
 
-// A class that waits with less than its part is not stopped by one that has more than
+// A class that waits with less than its fair share is not stopped by one that has more than
 // its own, whatever their ranks: gangs that held more than half of a fleet went on
 // having arrays stopped that held a fifth of it and could not get on. It is where the
-// class does not wait, and by one that has less than its part as well.
+// class does not wait, and by one that has less than its share as well.
 func TestWaitingClassBelowFairShareIsNotPreempted(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		set := settings()
@@ -44,7 +44,7 @@
 				t.Fatal(reply, err)
 			}
 		}
-		clearable := func(class string) int {
+		preemptible := func(class string) int {
 			t.Helper()
 			time.Sleep(time.Second)
 			var found agentapi.SampleReply
@@ -53,30 +53,30 @@
 			}
 			return len(found.Candidates)
 		}
-		if got := clearable("gangs"); got != 1 {
-			t.Errorf("nobody of the arrays waits: %d machines can be cleared", got)
+		if got := preemptible("gangs"); got != 1 {
+			t.Errorf("nobody of the arrays waits: %d machines can be preempted", got)
 		}
 		var found agentapi.SampleReply
 		if err := n.service.Sample(request("arrays", job.Array, "normal", 2, 3), &found); err != nil || len(found.Candidates) != 0 {
 			t.Fatal(found, err)
 		}
-		if got := clearable("gangs"); got != 0 {
-			t.Errorf("they wait, with a fourth of the machines: %d can be cleared by a class that has the rest", got)
+		if got := preemptible("gangs"); got != 0 {
+			t.Errorf("they wait, with a fourth of the machines: %d can be preempted by a class that has the rest", got)
 		}
 		late := request("gangs", job.Gang, "high", 2, 1)
 		late.Age = 200 * time.Second
 		if err := n.service.Clearable(late, &found); err != nil || len(found.Candidates) != 1 {
-			t.Errorf("one that would miss the longest aim for its wait: %v, %v", found.Candidates, err)
+			t.Errorf("one that would miss the longest objective for its wait: %v, %v", found.Candidates, err)
 		}
-		if got := clearable("others"); got != 1 {
-			t.Errorf("a class that has nothing yet: %d can be cleared", got)
+		if got := preemptible("others"); got != 1 {
+			t.Errorf("a class that has nothing yet: %d can be preempted", got)
 		}
 		time.Sleep(5 * time.Second)
 		for _, w := range boxes {
 			n.sendHeartbeat(workers, w)
 		}
-		if got := clearable("gangs"); got != 1 {
-			t.Errorf("they do not wait any more: %d can be cleared", got)
+		if got := preemptible("gangs"); got != 1 {
+			t.Errorf("they do not wait any more: %d can be preempted", got)
 		}
 	})
 }
--- a/internal/clusteragent/preempt_test.go
+++ b/internal/clusteragent/preempt_test.go
@@ -8,6 +8,7 @@
 	"robinstack/emulator"
 	"robinstack/internal/agentapi"
 	"robinstack/internal/job"
+	"robinstack/internal/worker"
 )
 
 // What is stopped for a gang is sought where few jobs become late by it: a job is
@@ -59,3 +60,76 @@
 		}
 	})
 }
+
+// Tasks of arrays are stopped for a gang of higher priority, never for one of
+// the same, and the machine is reserved for that gang.
+func TestPreemptionStopsOnlyLowerPriority(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
+		w := workers.Add("m1", "box", "a")
+		n.sendHeartbeat(workers, w)
+		time.Sleep(time.Second)
+		n.commit(t, "m1", "s", epoch, 0, 1)
+		gang := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
+		gang.Slot, gang.Epoch = "s", epoch
+		gang.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "normal", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
+		var reply agentapi.CommitReply
+		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != agentapi.Refused {
+			t.Fatalf("equal priority: %+v %v", reply, err)
+		}
+		gang.Spec.Rank = "high"
+		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != agentapi.Held {
+			t.Fatalf("higher priority: %+v %v", reply, err)
+		}
+		time.Sleep(time.Second)
+		n.sendHeartbeat(workers, w)
+		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Refused {
+			t.Fatalf("another job got the reserved machine: %q", got)
+		}
+		gang.Refs = []agentapi.TaskRef{{Job: "wk-2", Attempt: 9}}
+		if err := n.service.Stop(agentapi.StopRequest{Items: []agentapi.StopItem{{Machine: "m1", TaskRef: agentapi.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
+			t.Fatal(err)
+		}
+		if err := n.service.Commit(gang, &reply); err != nil || reply.Verdicts[0] != agentapi.Started {
+			t.Fatalf("the gang: %+v %v", reply, err)
+		}
+	})
+}
+
+// Small tasks that are not in the gang's way go on: they were stopped first, being
+// the cheapest to stop, and those that do not save began anew again and again.
+func TestPreemptionSparesTasksThatNeedNotStop(t *testing.T) {
+	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+		n := startNode(t, ctx, "host-0", state, workers)
+		epoch := takeJobShard(t, n, "s", 0)
+		w := workers.Add("m1", "box", "a")
+		n.sendHeartbeat(workers, w)
+		time.Sleep(time.Second)
+		for k, need := range []job.Need{{CPUs: 6, GPUs: 1}, {CPUs: 0.5}} {
+			req := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Index: k, Attempt: uint64(k + 1)}}}
+			req.Spec = job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 2, Need: need}
+			req.Slot, req.Epoch = "s", epoch
+			var reply agentapi.CommitReply
+			if err := n.service.Commit(req, &reply); err != nil || reply.Verdicts[0] != agentapi.Started {
+				t.Fatalf("%+v %v", reply, err)
+			}
+			time.Sleep(5 * time.Second)
+			n.sendHeartbeat(workers, w)
+		}
+		gang := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
+		gang.Slot, gang.Epoch = "s", epoch
+		gang.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 7, GPUs: 2}}
+		var reply agentapi.CommitReply
+		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != agentapi.Held {
+			t.Fatalf("%+v %v", reply, err)
+		}
+		time.Sleep(time.Second)
+		n.sendHeartbeat(workers, w)
+		for _, task := range n.entries()["m1"].Tasks {
+			if (task.State == worker.TaskExited) != (task.Index == 0) {
+				t.Fatalf("task %d: %s", task.Index, task.State)
+			}
+		}
+	})
+}
--- a/internal/clusteragent/registration_test.go
+++ b/internal/clusteragent/registration_test.go
@@ -13,9 +13,9 @@
 	"robinstack/internal/statekv"
 )
 
-// A machine whose claim took longer than its worker waits is owned, and no report of it was
+// A machine whose claim took longer than its worker waits is owned, and no heartbeat of it was
 // answered: its lease counts from its beginning, and what is started there now would be
-// killed with it. It gets tasks from its next answered report on. At 3,000 machines 150 to
+// killed with it. It gets tasks from its next answered heartbeat on. At 3,000 machines 150 to
 // 400 tasks were killed so in four minutes.
 func TestNewMachineServesFromItsFirstAnsweredHeartbeat(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
@@ -32,18 +32,18 @@
 			t.Fatal("it is not owned: this shows nothing")
 		}
 		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Refused {
-			t.Errorf("before any answered report: %q", got)
+			t.Errorf("before any answered heartbeat: %q", got)
 		}
 		if reply := n.sendHeartbeat(workers, w); !reply.Owner {
-			t.Fatal("its report is not answered")
+			t.Fatal("its heartbeat is not answered")
 		}
 		if got := n.commit(t, "m1", "s", epoch, 0, 2); got != agentapi.Started {
-			t.Errorf("after its report was answered: %q", got)
+			t.Errorf("after its heartbeat was answered: %q", got)
 		}
 	})
 }
 
-// choresGate is a state service with room for changes that can wait, or not.
+// choresGate is a state service with budget for changes that can wait, or not.
 type choresGate struct {
 	*emulator.StateService
 	closed atomic.Bool
@@ -52,7 +52,7 @@
 func (c *choresGate) Allow(statekv.RequestClass, int) bool { return !c.closed.Load() }
 
 // While many machines wait for their registration nothing is stopped for gangs: there will be
-// room, and what is stopped is placed again on the few machines that are registered. At 3,000
+// capacity, and what is stopped is placed again on the few machines that are registered. At 3,000
 // machines and 16 controllers 7,890 tasks were stopped in 94 s, and 10 done.
 func TestNoPreemptionWhileMachinesAwaitRegistration(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
@@ -64,12 +64,12 @@
 		time.Sleep(time.Second)
 		for k := range 2 {
 			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != agentapi.Started {
-				t.Fatalf("verdict %q", got)
+				t.Fatalf("result %q", got)
 			}
 		}
 		gang := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: 1, Least: 9, Spare: 5}
 		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
-		clearable := func() int {
+		preemptible := func() int {
 			n.sendHeartbeat(workers, w)
 			var found agentapi.SampleReply
 			if err := n.service.Clearable(gang, &found); err != nil {
@@ -77,21 +77,21 @@
 			}
 			return len(found.Candidates)
 		}
-		if clearable() != 1 {
-			t.Fatal("m1 can't be cleared: this shows nothing")
+		if preemptible() != 1 {
+			t.Fatal("m1 can't be preempted: this shows nothing")
 		}
 		store.closed.Store(true)
 		for k := range 8 {
 			go n.sendHeartbeat(workers, workers.Add(fmt.Sprintf("new%d", k), "box", "a"))
 		}
 		time.Sleep(time.Second)
-		if got := clearable(); got != 0 {
-			t.Errorf("%d machines may be cleared while eight wait", got)
+		if got := preemptible(); got != 0 {
+			t.Errorf("%d machines may be preempted while eight wait", got)
 		}
 		store.closed.Store(false)
 		time.Sleep(2 * time.Second)
-		if clearable() == 0 {
-			t.Error("m1 may not be cleared when they are registered")
+		if preemptible() == 0 {
+			t.Error("m1 may not be preempted when they are registered")
 		}
 	})
 }
--- a/internal/clusteragent/zones_test.go
+++ b/internal/clusteragent/zones_test.go
@@ -13,10 +13,10 @@
 	"robinstack/internal/statekv"
 )
 
-// The hold time at its bound: an owner that has lost the state service keeps its
+// The lease grace period at its bound: an owner that has lost the state service keeps its
 // workers' leases alive as long as it may, and what it keeps alive is gone within
 // the cancellation time of the last moment at which it knew of all cancellations.
-// With a margin of 4 s, and workers that reported when they pleased, 277 machines
+// With a margin of 4 s, and workers that sent heartbeats when they pleased, 277 machines
 // were given up a second before their zone came back.
 func TestLeaseGracePeriodIsUsedToItsBoundOnly(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
@@ -28,13 +28,13 @@
 		}
 		state.SetOutage(true, false)
 		lost := time.Now() // a cancellation may be written from now on
-		var kept time.Time // when the last report was sent that was answered
+		var kept time.Time // when the last heartbeat was sent that was answered
 		var seen uint64
 		next := time.Now()
 		for time.Since(lost) < cancelDeadline {
 			var token uint64
 			workers.WithLock(func() { token = w.Heartbeat.FencingToken })
-			// Workers report at intervals, and within half a second of a higher token.
+			// Workers send heartbeats at intervals, and within half a second of a higher token.
 			if time.Now().After(next) || token > seen {
 				seen, next = token, time.Now().Add(8*time.Second)
 				if n.sendHeartbeat(workers, w).Owner {
@@ -83,8 +83,8 @@
 }
 
 // When an owner dies its shards go to controllers of their zone, and shards with
-// machines that are silent or not confirmed stay where they are: with another owner
-// the wait for their leases would begin anew, and slots wait for it.
+// machines that are unresponsive or not confirmed stay where they are: with another owner
+// the wait for their leases would begin anew, and job shards wait for it.
 func TestShardsStayInZoneAndUnreconciledShardsAreNotMoved(t *testing.T) {
 	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
 		a := startNodeInZone(t, ctx, "host-0", "a", state, workers)
@@ -98,14 +98,14 @@
 		for _, w := range all {
 			go a.sendHeartbeat(workers, w)
 		}
-		doubt := func(a *clusteragent.Agent) {
+		unreconciled := func(a *clusteragent.Agent) {
 			a.LastEntry = func(m string) agentapi.MachineEntry { return agentapi.MachineEntry{Machine: m, Settled: false} }
 		}
-		c := startNodeInZone(t, ctx, "host-2", "a", state, workers, doubt)
-		b := startNodeInZone(t, ctx, "host-1", "b", state, workers, doubt)
+		c := startNodeInZone(t, ctx, "host-2", "a", state, workers, unreconciled)
+		b := startNodeInZone(t, ctx, "host-1", "b", state, workers, unreconciled)
 		time.Sleep(25 * time.Second)
 		if n := len(b.entries()) + len(c.entries()); n != 0 {
-			t.Fatalf("%d machines in doubt were evened out", n)
+			t.Fatalf("%d unreconciled machines were evened out", n)
 		}
 		a.stop()
 		if err := state.Revoke(ctx, 1); err != nil {
