--- a/internal/clusteragent/commands.go
+++ b/internal/clusteragent/commands.go
@@ -93,10 +93,10 @@
 		address: m.Address, token: m.Ownership.Token(), epoch: max(m.Liveness.Epoch(), 1),
 		commands: commands, pause: retryPause,
 	}
-	if !m.Ownership.Reconciled {
+	if !m.Ownership.Reconciled() {
 		out.timeout, out.pause = unreconciledTimeout, unreconciledPause
 	}
-	if m.Liveness.Unresponsive {
+	if m.Liveness.Unresponsive() {
 		out.pause = unresponsivePause
 	}
 	return out, true
@@ -108,7 +108,7 @@
 	slog.Debug("command outcome unknown", "machine", m.Name, "err", err)
 	lostBefore := m.Liveness.CommandsLost(sent)
 	m.CommandUnanswered(out.token, sent)
-	if !lostBefore && m.Liveness.CommandsLost(time.Now()) && !m.Liveness.Unresponsive {
+	if !lostBefore && m.Liveness.CommandsLost(time.Now()) && !m.Liveness.Unresponsive() {
 		slog.Info("machine commands undeliverable", "machine", m.Name, "failed_commands", m.Liveness.Unanswered())
 		a.changes.mark(m)
 	}
--- a/internal/clusteragent/commit.go
+++ b/internal/clusteragent/commit.go
@@ -60,13 +60,11 @@
 			t.KeepReserved(now.Add(reservationTime))
 			reply.Verdicts[i] = agentapi.Held
 		default:
-			m.Reservation.Clear()
-			starts[i] = t.Start(now)
+			starts[i] = m.Start(t, now)
 			sending = true
 		}
 	}
 	if sending {
-		m.IdleSince = time.Time{}
 		a.changes.mark(m)
 		m.wake()
 	}
--- a/internal/clusteragent/heartbeat.go
+++ b/internal/clusteragent/heartbeat.go
@@ -119,7 +119,6 @@
 		}
 	}
 	m.Ownership.NoteAnswer(now)
-	m.Ownership.HeartbeatAnswered = true
 	if m.CommandDue(now) {
 		m.wake()
 	}
--- a/internal/clusteragent/inspect.go
+++ b/internal/clusteragent/inspect.go
@@ -1,10 +1,9 @@
 package clusteragent
 
 import (
-	"log/slog"
 	"time"
 
-	"robinstack/internal/logline"
+	"robinstack/internal/machine"
 )
 
 const (
@@ -34,7 +33,7 @@
 	a.solicitHeartbeats(now)
 	a.inspectionTurn = (a.inspectionTurn + 1) % inspectionTurns
 	for _, m := range a.machines {
-		urgent := !m.Ownership.Reconciled || m.Liveness.Unresponsive
+		urgent := !m.Ownership.Reconciled() || m.Liveness.Unresponsive()
 		if urgent || m.inspectionTurn == a.inspectionTurn {
 			a.inspectMachine(m, now)
 		}
@@ -52,7 +51,7 @@
 	if !m.Operational() {
 		return // deleted: only its key is left
 	}
-	changed := a.inspectLiveness(m, now)
+	changed := m.CheckLiveness(now, a.livenessLimits())
 	expired := m.Expired(now, a.settings.WorkerLeaseExpiry())
 	a.recheckExited(m, now)
 	if m.RemoveExpiredReservations(now) {
@@ -64,40 +63,18 @@
 	if changed {
 		a.changes.mark(m)
 	}
-	if !m.Ownership.Reconciled || m.CommandDue(now) {
+	if !m.Ownership.Reconciled() || m.CommandDue(now) {
 		m.wake()
 	}
 }
 
-// inspectLiveness notices a machine whose heartbeats or answers have stopped. The mutex is
-// held.
-func (a *Agent) inspectLiveness(m *ownedMachine, now time.Time) (changed bool) {
-	l := &m.Liveness
-	quiet := a.quietLimit(m)
-	if !l.HeartbeatsLost && m.Ownership.Reconciled && now.Sub(l.LastHeartbeat) > a.settings.Workers.LeaseDuration*2/3 {
-		l.HeartbeatsLost, changed = true, true
-		if !l.Unresponsive && now.Sub(l.LastContact) <= quiet {
-			slog.Info("machine heartbeats missing", "machine", m.Name,
-				"duration_s", seconds(now.Sub(l.LastHeartbeat)))
-		}
-	}
-	if !l.Unresponsive && now.Sub(l.LastContact) > quiet {
-		l.Unresponsive, changed = true, true
-		slog.Info(logline.MachineUnresponsive, "machine", m.Name, "duration_s", seconds(now.Sub(l.LastContact)))
-	}
-	return changed
-}
-
-// quietLimit is how long a machine may show nothing before it counts as unresponsive.
-func (a *Agent) quietLimit(m *ownedMachine) time.Duration {
-	quiet := 2*a.settings.Workers.HeartbeatInterval + quietMargin
-	if !m.Ownership.Reconciled && m.Liveness.NoHeartbeatYet() {
-		// It is being asked all the time, and job shards wait for its answer. One that
-		// sends heartbeats here is alive, and is reconciled by the answers to them where
-		// commands do not reach it.
-		quiet = min(quiet, unreconciledQuiet)
+// livenessLimits are the times after which a machine counts as out of contact.
+func (a *Agent) livenessLimits() machine.LivenessLimits {
+	return machine.LivenessLimits{
+		Heartbeat:    a.settings.Workers.LeaseDuration * 2 / 3,
+		Quiet:        2*a.settings.Workers.HeartbeatInterval + quietMargin,
+		Unreconciled: unreconciledQuiet,
 	}
-	return quiet
 }
 
 // recheckExited has the records read of jobs whose tasks have been ended for long. The word to
@@ -111,6 +88,3 @@
 		}
 	}
 }
-
-// seconds rounds to milliseconds, for the log.
-func seconds(d time.Duration) float64 { return float64(d.Milliseconds()) / 1000 }
--- a/internal/clusteragent/lease_grace.go
+++ b/internal/clusteragent/lease_grace.go
@@ -46,7 +46,7 @@
 	a.heartbeatsSolicited = true
 	n := 0
 	for _, m := range a.machines {
-		if m.Operational() && m.Ownership.Reconciled && !m.Liveness.Unresponsive {
+		if m.Operational() && m.Ownership.Reconciled() && !m.Liveness.Unresponsive() {
 			m.Ownership.RaiseToken()
 			m.wake()
 			n++
--- a/internal/machine/commands.go
+++ b/internal/machine/commands.go
@@ -82,7 +82,7 @@
 
 // starts lists the starts that are due. There are none while an earlier command is unanswered.
 func (m *Machine) starts() (starts []worker.Command) {
-	if !m.Ownership.Reconciled || m.Ownership.Unfenced() {
+	if !m.Ownership.reconciled || m.Ownership.Unfenced() {
 		return nil
 	}
 	for _, t := range m.tasks {
--- a/internal/machine/entry.go
+++ b/internal/machine/entry.go
@@ -15,16 +15,16 @@
 	e := agentapi.MachineEntry{
 		Machine: m.Name, Host: host, Rev: m.Ownership.Rev, Ver: version,
 		Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Settled:  m.Ownership.Reconciled,
+		Settled:  m.Ownership.reconciled,
 		Draining: m.lifecycle >= Draining,
 		Silent:   !m.Liveness.Responsive() || m.Liveness.CommandsLost(now),
 		Faulty:   m.Quarantine.Active,
 		Blamed:   m.Quarantine.AttributedJobs(),
 		Gone:     m.Deregistered(),
-		Notice:   !m.ReclaimAt.IsZero(),
+		Notice:   !m.reclaimAt.IsZero(),
 	}
-	if !m.IdleSince.IsZero() {
-		e.Idle = max(leastIdle, now.Sub(m.IdleSince))
+	if !m.idleSince.IsZero() {
+		e.Idle = max(leastIdle, now.Sub(m.idleSince))
 	}
 	for image := range m.Images.present {
 		e.Images = append(e.Images, image)
--- a/internal/machine/heartbeat.go
+++ b/internal/machine/heartbeat.go
@@ -29,7 +29,7 @@
 	known := m.Liveness.latest.epoch
 	if r.WorkerEpoch > known {
 		// An epoch has its lease from its beginning, answered or not.
-		m.Ownership.NoteAnswer(now)
+		m.Ownership.extendAnswers(now)
 	}
 	if r.WorkerEpoch > known && known != 0 {
 		// The worker's lease ran out: it killed and forgot everything, and
@@ -48,16 +48,16 @@
 // announced that it takes the machine.
 func (m *Machine) applyContact(r *worker.Heartbeat, now time.Time) (changed bool) {
 	l := &m.Liveness
-	changed = l.Unresponsive
-	l.latest, l.LastContact, l.Unresponsive = SerialOf(r), now, false
+	changed = l.unresponsive
+	l.latest, l.LastContact, l.unresponsive = SerialOf(r), now, false
 	if m.Ownership.noteToken(r.FencingToken, now) {
 		changed = true
 	}
 	if !m.Ownership.Unfenced() && l.NoteCommandAnswered() {
 		changed = true // it has seen our latest token: answers reach it
 	}
-	if r.SpotNoticeS != nil && m.ReclaimAt.IsZero() {
-		m.ReclaimAt, changed = now.Add(time.Duration(*r.SpotNoticeS*float64(time.Second))), true
+	if r.SpotNoticeS != nil && m.reclaimAt.IsZero() {
+		m.reclaimAt, changed = now.Add(time.Duration(*r.SpotNoticeS*float64(time.Second))), true
 	}
 	return changed
 }
@@ -115,16 +115,16 @@
 // gang that was on it, or noGang.
 func (m *Machine) applyOccupancy(gang int, now time.Time) (changed bool) {
 	if m.currentUsage().occupied {
-		m.IdleSince = time.Time{}
+		m.idleSince = time.Time{}
 		return false
 	}
 	if gang != noGang {
 		m.GangHold = GangHold{until: now.Add(gangHoldTime), priority: gang}
 	}
-	if !m.IdleSince.IsZero() {
+	if !m.idleSince.IsZero() {
 		return false
 	}
-	m.IdleSince = now
+	m.idleSince = now
 	return true
 }
 
--- a/internal/machine/liveness.go
+++ b/internal/machine/liveness.go
@@ -1,8 +1,10 @@
 package machine
 
 import (
+	"log/slog"
 	"time"
 
+	"robinstack/internal/logline"
 	"robinstack/internal/worker"
 )
 
@@ -42,18 +44,19 @@
 type Liveness struct {
 	// LastContact is when the latest state came, by a heartbeat or the answer to a command.
 	LastContact time.Time
-	// LastHeartbeat is when the latest heartbeat came here, or the ownership began.
-	LastHeartbeat time.Time
-	// Unresponsive: no state has come for too long.
-	Unresponsive bool
-	// HeartbeatsLost: commands reach the machine, and its heartbeats do not come.
+
+	lastHeartbeat time.Time // when the latest came here, or the ownership began
+
+	// unresponsive: no state has come for too long.
+	unresponsive bool
+	// heartbeatsLost: commands reach the machine, and its heartbeats do not come.
 	//
 	// Such a machine answers each command, and loses all its tasks whenever its lease runs
 	// out: no answer to a command renews that. After two thirds of a lease without a
 	// heartbeat it counts as unresponsive too, for all who ask whether it serves: what began
 	// there now would soon be killed. Workers that look for their owner after a change find
 	// it long before.
-	HeartbeatsLost bool
+	heartbeatsLost bool
 
 	latest          Serial // of all that came
 	latestHeartbeat Serial // of the heartbeats that came here, answers to commands left aside
@@ -64,8 +67,11 @@
 // Epoch is the worker's present epoch, 0 if none is known.
 func (l *Liveness) Epoch() uint64 { return l.latest.epoch }
 
-// Responsive reports whether the machine may get work.
-func (l *Liveness) Responsive() bool { return !l.Unresponsive && !l.HeartbeatsLost }
+// Unresponsive reports whether no state has come from the machine for too long.
+func (l *Liveness) Unresponsive() bool { return l.unresponsive }
+
+// Responsive reports whether the machine may get work: its state comes, and its heartbeats do.
+func (l *Liveness) Responsive() bool { return !l.unresponsive && !l.heartbeatsLost }
 
 // CommandsLost reports whether commands do not reach the machine although its heartbeats come.
 func (l *Liveness) CommandsLost(now time.Time) bool {
@@ -91,9 +97,6 @@
 	return changed
 }
 
-// NoHeartbeatYet reports whether no heartbeat has come here under this ownership.
-func (l *Liveness) NoHeartbeatYet() bool { return l.latestHeartbeat == Serial{} }
-
 // Duplicate reports whether a heartbeat is a copy of one that came before.
 func (l *Liveness) Duplicate(r *worker.Heartbeat) bool { return !l.latestHeartbeat.Before(SerialOf(r)) }
 
@@ -108,9 +111,9 @@
 // NoteHeartbeat notes that a heartbeat came here that is no copy, and returns whether they
 // were lost before.
 func (l *Liveness) NoteHeartbeat(now time.Time) (changed bool) {
-	l.LastHeartbeat = now
-	changed = l.HeartbeatsLost
-	l.HeartbeatsLost = false
+	l.lastHeartbeat = now
+	changed = l.heartbeatsLost
+	l.heartbeatsLost = false
 	return changed
 }
 
@@ -122,3 +125,40 @@
 	}
 	return ""
 }
+
+// LivenessLimits are the times after which a machine counts as out of contact.
+type LivenessLimits struct {
+	Heartbeat    time.Duration // without a heartbeat
+	Quiet        time.Duration // without any state
+	Unreconciled time.Duration // without any state of a machine that is being asked all the time
+}
+
+// CheckLiveness notices that heartbeats, or any state, have stopped to come, and returns whether
+// that has changed.
+func (m *Machine) CheckLiveness(now time.Time, limits LivenessLimits) (changed bool) {
+	l := &m.Liveness
+	sinceContact, sinceHeartbeat := now.Sub(l.LastContact), now.Sub(l.lastHeartbeat)
+	quiet := sinceContact > m.quietLimit(limits)
+	if !l.heartbeatsLost && m.Ownership.reconciled && sinceHeartbeat > limits.Heartbeat {
+		l.heartbeatsLost, changed = true, true
+		if !l.unresponsive && !quiet {
+			slog.Info("machine heartbeats missing", "machine", m.Name, "duration_s", seconds(sinceHeartbeat))
+		}
+	}
+	if !l.unresponsive && quiet {
+		l.unresponsive, changed = true, true
+		slog.Info(logline.MachineUnresponsive, "machine", m.Name, "duration_s", seconds(sinceContact))
+	}
+	return changed
+}
+
+// quietLimit is how long the machine may show nothing before it counts as unresponsive.
+func (m *Machine) quietLimit(limits LivenessLimits) time.Duration {
+	if m.Ownership.reconciled || m.Liveness.latestHeartbeat != (Serial{}) {
+		return limits.Quiet
+	}
+	// It is being asked all the time, and job shards wait for its answer. One that sends
+	// heartbeats here is alive, and is reconciled by the answers to them where commands do
+	// not reach it.
+	return min(limits.Quiet, limits.Unreconciled)
+}
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -36,13 +36,12 @@
 	GangHold    GangHold
 	Reservation Reservation
 
-	ReclaimAt time.Time // when the cloud takes the machine back; zero: no notice
-	IdleSince time.Time // since when there have been no tasks; zero: there are some
-
 	// OnUsageChange is called when what is free may have changed; nil: nobody.
 	OnUsageChange func()
 
 	lifecycle Lifecycle
+	reclaimAt time.Time // when the cloud takes the machine back; zero: no notice
+	idleSince time.Time // since when there have been no tasks; zero: there are some
 	tasks     map[AttemptKey]*Task
 	usage     usage
 }
@@ -52,7 +51,7 @@
 	return &Machine{
 		Identity:   id,
 		Ownership:  Ownership{KeyRev: keyRev, Rev: ownershipRev, answersUntil: now},
-		Liveness:   Liveness{LastContact: now, LastHeartbeat: now},
+		Liveness:   Liveness{LastContact: now, lastHeartbeat: now},
 		Quarantine: newQuarantine(),
 		Images:     Images{present: map[string]time.Time{}},
 		tasks:      map[AttemptKey]*Task{},
@@ -89,7 +88,7 @@
 // whatever a former owner sent. Only the machine's key is left.
 func (m *Machine) Delete(now time.Time) {
 	m.lifecycle = m.lifecycle.after(deleted)
-	m.Ownership.Reconciled = true
+	m.Ownership.reconciled = true
 	for key, t := range m.tasks {
 		t.Resolve(agentapi.Refused)
 		m.RemoveTask(key, now)
@@ -108,13 +107,13 @@
 // Unavailable says why the machine gets no new tasks at all, or "".
 func (m *Machine) Unavailable(now time.Time) string {
 	switch {
-	case !m.Operational() || !m.Ownership.Reconciled:
+	case !m.Operational() || !m.Ownership.reconciled:
 		return "machine is not reconciled"
-	case m.lifecycle == Draining || m.Quarantine.Active || !m.ReclaimAt.IsZero():
+	case m.lifecycle == Draining || m.Quarantine.Active || !m.reclaimAt.IsZero():
 		return "machine is being drained"
 	case !m.Liveness.Responsive():
 		return "machine is unresponsive"
-	case !m.Ownership.HeartbeatAnswered:
+	case !m.Ownership.heartbeatAnswered:
 		// The lease of one that has come up counts from its beginning, and commands do not
 		// renew it: what is started in its last moments is killed with it.
 		return "machine's lease has not been renewed"
@@ -141,8 +140,8 @@
 		m.RemoveTask(key, now)
 		changed = true
 	}
-	if !m.Ownership.Reconciled {
-		m.Ownership.Reconciled, changed = true, true
+	if !m.Ownership.reconciled {
+		m.Ownership.reconciled, changed = true, true
 	}
 	return changed
 }
--- a/internal/machine/ownership.go
+++ b/internal/machine/ownership.go
@@ -12,14 +12,11 @@
 	KeyRev uint64 // revision of the machine's key
 	Rev    uint64 // revision of the ownership: the later of the machine's and the shard's key
 
-	// Reconciled: no former owner's command can arrive any more.
-	Reconciled bool
-	// HeartbeatAnswered: a heartbeat was answered, by this owner or one before.
-	HeartbeatAnswered bool
-
-	raised       uint64 // how often the token was raised under this revision
-	seenToken    uint64 // the highest token that the worker has shown
-	answersUntil time.Time
+	reconciled        bool      // no former owner's command can arrive any more
+	heartbeatAnswered bool      // by this owner or one before
+	raised            uint64    // how often the token was raised under this revision
+	seenToken         uint64    // the highest token that the worker has shown
+	answersUntil      time.Time // last moment at which anyone may have answered the worker
 }
 
 // Token is the fencing token of commands and answers: higher than any former owner's.
@@ -32,17 +29,26 @@
 // Unfenced reports whether an unanswered command may still be under way.
 func (o *Ownership) Unfenced() bool { return o.seenToken < o.Token() }
 
+// Reconciled reports whether no former owner's command can arrive any more.
+func (o *Ownership) Reconciled() bool { return o.reconciled }
+
 // TakeOver notes that the machine had an owner before, which may go on answering its worker
 // until then.
 func (o *Ownership) TakeOver(answersUntil time.Time) {
-	o.HeartbeatAnswered = true
+	o.heartbeatAnswered = true
 	o.answersUntil = answersUntil
 }
 
-// NoteAnswer notes that a heartbeat was answered. An answer that was begun earlier and given
-// later must not set the bound back: the worker's lease would be taken for over while it
-// runs.
+// NoteAnswer notes that a heartbeat was answered.
 func (o *Ownership) NoteAnswer(now time.Time) {
+	o.heartbeatAnswered = true
+	o.extendAnswers(now)
+}
+
+// extendAnswers notes that the worker's lease counts from now on. An answer that was begun
+// earlier and given later must not set the bound back: the lease would be taken for over while
+// it runs.
+func (o *Ownership) extendAnswers(now time.Time) {
 	if now.After(o.answersUntil) {
 		o.answersUntil = now
 	}
@@ -52,9 +58,9 @@
 // machine: its worker has seen a token of this ownership.
 func (o *Ownership) noteToken(token uint64, now time.Time) (reconciled bool) {
 	o.seenToken = max(o.seenToken, token)
-	if o.Reconciled || token < o.Rev<<tokenBits {
+	if o.reconciled || token < o.Rev<<tokenBits {
 		return false
 	}
-	o.Reconciled, o.answersUntil = true, now
+	o.reconciled, o.answersUntil = true, now
 	return true
 }
--- a/internal/machine/reservation.go
+++ b/internal/machine/reservation.go
@@ -20,9 +20,6 @@
 	r.job, r.until, r.since = req.Spec.ID, now.Add(d), now.Add(-req.Age)
 }
 
-// Clear ends the reservation.
-func (r *Reservation) Clear() { r.until = time.Time{} }
-
 // HeldBy reports whether the machine is kept for the job.
 func (r *Reservation) HeldBy(jobID string, now time.Time) bool {
 	return r.job == jobID && now.Before(r.until)
--- a/internal/machine/task.go
+++ b/internal/machine/task.go
@@ -133,13 +133,6 @@
 	return t.state == Reserved && now.After(t.reservedUntil)
 }
 
-// Start has a reserved task started. Its result comes by the channel, which is buffered.
-func (t *Task) Start(now time.Time) <-chan string {
-	t.transition(Starting, now)
-	t.start.result = make(chan string, 1)
-	return t.start.result
-}
-
 // Resolve gives the waiting commit its result, once.
 func (t *Task) Resolve(result string) {
 	if t.start.result != nil {
--- a/internal/machine/tasks.go
+++ b/internal/machine/tasks.go
@@ -41,6 +41,16 @@
 	return changed
 }
 
+// Start has a reserved task of the machine started, and ends a reservation of the machine for
+// its job. The result comes by the channel, which is buffered.
+func (m *Machine) Start(t *Task, now time.Time) <-chan string {
+	m.Reservation = Reservation{}
+	m.idleSince = time.Time{}
+	t.transition(Starting, now)
+	t.start.result = make(chan string, 1)
+	return t.start.result
+}
+
 // Withdraw drops a task of which nothing has been sent to the worker, and returns whether it
 // is one.
 func (m *Machine) Withdraw(key AttemptKey, now time.Time) bool {
