--- a/internal/machine/commands.go
+++ b/internal/machine/commands.go
@@ -30,7 +30,7 @@
 }
 
 // stopDue reports whether the worker has, or may have, a task that is to be stopped.
-func (t *Task) stopDue() bool { return t.stop.requested && (t.listed || t.start.sent) }
+func (t *Task) stopDue() bool { return t.stop.requested && t.start.delivery != startUnsent }
 
 func (t *Task) stopRepeatDue(now time.Time) bool { return now.Sub(t.stop.lastSent) > stopRepeatAfter }
 
@@ -87,7 +87,7 @@
 	}
 	for _, t := range m.tasks {
 		if t.StartNotSent() {
-			t.start.sent, t.start.token = true, m.Ownership.Token()
+			t.start.send(m.Ownership.Token())
 			starts = append(starts, worker.StartCommand(t.ID, t.Ref.Attempt))
 		}
 	}
@@ -100,7 +100,7 @@
 	m.Ownership.RaiseToken()
 	m.Liveness.NoteUnanswered(sent)
 	for _, t := range m.tasks {
-		if t.start.sent && t.start.token == token {
+		if t.start.delivery != startUnsent && t.start.token == token {
 			t.startUnanswered(m.Ownership.Token())
 		}
 	}
@@ -110,7 +110,7 @@
 // command was carried out: a later heartbeat overtook the answer, and the next one decides.
 func (m *Machine) FenceOvertakenStart(token uint64) {
 	for _, t := range m.tasks {
-		if t.start.sent && !t.listed && t.start.token == token {
+		if t.start.delivery == startSent && t.start.token == token {
 			m.Ownership.RaiseToken()
 			return
 		}
--- a/internal/machine/heartbeat.go
+++ b/internal/machine/heartbeat.go
@@ -35,7 +35,7 @@
 		// The worker's lease ran out: it killed and forgot everything, and
 		// commands for the earlier epoch are refused from now on.
 		for key, t := range m.tasks {
-			if t.listed || t.start.sent {
+			if t.start.delivery != startUnsent {
 				t.Resolve(agentapi.Refused)
 				m.RemoveTask(key, now)
 			}
@@ -84,7 +84,8 @@
 			m.usageChanged()
 			t.transition(TaskState(w.State), now)
 		}
-		t.cause, t.checkpointed, t.listed, t.start.sent = w.Cause, w.Checkpointed, true, true
+		t.cause, t.checkpointed = w.Cause, w.Checkpointed
+		t.start.delivery = startListed
 		m.takeOutcome(t, now)
 	}
 	return listed, changed
@@ -92,7 +93,8 @@
 
 // differs reports whether a heartbeat shows something new about the task.
 func (t *Task) differs(w *worker.Task) bool {
-	return !t.listed || t.state != TaskState(w.State) || t.cause != w.Cause || t.checkpointed != w.Checkpointed
+	return !t.listed() || t.state != TaskState(w.State) ||
+		t.cause != w.Cause || t.checkpointed != w.Checkpointed
 }
 
 // removeUnlisted drops the tasks that a heartbeat without them proves gone: those that were
@@ -101,7 +103,7 @@
 	r *worker.Heartbeat, listed map[AttemptKey]bool, now time.Time, executed uint64,
 ) (changed bool) {
 	for key, t := range m.tasks {
-		if listed[key] || !t.listed && !t.provenNeverStarted(r.FencingToken, executed) {
+		if listed[key] || !t.listed() && !t.provenNeverStarted(r.FencingToken, executed) {
 			continue
 		}
 		t.Resolve(agentapi.Refused)
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -150,7 +150,7 @@
 func (m *Machine) Release(now time.Time) {
 	for _, t := range m.tasks {
 		t.Resolve(agentapi.Unresolved)
-		if t.listed && t.state != Exited {
+		if t.listed() && t.state != Exited {
 			m.logFinished(t, now, "handed over")
 		}
 	}
--- a/internal/machine/task.go
+++ b/internal/machine/task.go
@@ -56,7 +56,6 @@
 	state        TaskState
 	cause        string
 	checkpointed bool
-	listed       bool // a heartbeat has shown it
 	counted      bool // its end has been held for or against its machine
 
 	forget        bool      // its end is recorded: the worker may drop it
@@ -68,12 +67,27 @@
 
 // startCommand is the start of a task: whether it was sent, and what proves a copy of it dead.
 type startCommand struct {
-	sent   bool
-	token  uint64      // under which it was sent
-	fence  uint64      // token that a heartbeat must show before a copy of it is certainly dead
-	result chan string // result for the waiting commit, buffered; nil: none waits
+	delivery startDelivery
+	token    uint64      // under which it was sent
+	fence    uint64      // token that a heartbeat must show before a copy of it is certainly dead
+	result   chan string // result for the waiting commit, buffered; nil: none waits
 }
 
+// startDelivery is how far the start of a task has come. It only advances.
+type startDelivery int
+
+const (
+	// startUnsent: nothing of the task has been sent to the worker.
+	startUnsent startDelivery = iota
+	// startSent: the worker may have the task, or may get its start later.
+	startSent
+	// startListed: a heartbeat has shown the task.
+	startListed
+)
+
+// send notes that the start is sent under a token.
+func (s *startCommand) send(token uint64) { s.delivery, s.token = startSent, token }
+
 // stopCommand is the request to stop a task, and when it was sent.
 type stopCommand struct {
 	requested bool
@@ -90,6 +104,9 @@
 	}
 }
 
+// listed reports whether a heartbeat has shown the task.
+func (t *Task) listed() bool { return t.start.delivery == startListed }
+
 // State is what the task does.
 func (t *Task) State() TaskState { return t.state }
 
@@ -100,7 +117,7 @@
 func (t *Task) Active() bool { return t.Occupies() && t.state != Reserved && t.state != Starting }
 
 // StartNotSent reports whether the task can be withdrawn: no start of it is under way.
-func (t *Task) StartNotSent() bool { return t.state == Starting && !t.start.sent }
+func (t *Task) StartNotSent() bool { return t.state == Starting && t.start.delivery == startUnsent }
 
 // Submitted is when the task's job was submitted; it is known with Spec.
 func (t *Task) Submitted() time.Time { return t.submitted }
@@ -145,7 +162,7 @@
 // until a heartbeat shows the token fence.
 func (t *Task) startUnanswered(fence uint64) {
 	t.start.fence = fence
-	if !t.listed {
+	if !t.listed() {
 		t.Resolve(agentapi.Unresolved)
 	}
 }
@@ -154,7 +171,7 @@
 // will be carried out: the worker has answered that very command (executed is its token) or
 // has seen a token under which the command is dead.
 func (t *Task) provenNeverStarted(token, executed uint64) bool {
-	if !t.start.sent || t.listed {
+	if t.start.delivery != startSent {
 		return false
 	}
 	return token > t.start.token || executed != 0 && executed == t.start.token
@@ -210,7 +227,7 @@
 // NeedsVerification reports whether the worker runs the task although it is not known whether
 // its job goes on, and no stop without grace is under way.
 func (t *Task) NeedsVerification() bool {
-	return t.Unverified && t.listed && t.Occupies() && !t.StoppedAtOnce()
+	return t.Unverified && t.listed() && t.Occupies() && !t.StoppedAtOnce()
 }
 
 // RecheckExit has the job's record read again if the task has been ended for that long without
--- a/internal/machine/tasks.go
+++ b/internal/machine/tasks.go
@@ -22,7 +22,7 @@
 
 // RemoveTask takes a task off the machine.
 func (m *Machine) RemoveTask(key AttemptKey, now time.Time) {
-	if t := m.tasks[key]; t != nil && t.listed && t.state != Exited {
+	if t := m.tasks[key]; t != nil && t.listed() && t.state != Exited {
 		m.logFinished(t, now, "lost")
 	}
 	delete(m.tasks, key)
