--- a/internal/clusteragent/backfill.go
+++ b/internal/clusteragent/backfill.go
@@ -104,15 +104,8 @@
 // Gather reserves a machine for a job as its capacity comes free.
 func (s *Service) Gather(r agentapi.CommitRequest, reply *agentapi.CommitReply) error {
 	a := s.agent
-	now := time.Now()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	reply.Verdicts = []string{agentapi.Refused}
-	m := a.reservable(&r)
-	if m == nil || a.backfillIneligible(m, &r.Request, now) != "" {
-		return nil
-	}
-	m.Reservation.Reserve(&r.Request, now, backfillHold)
-	reply.Verdicts[0] = agentapi.Held
+	a.reserveMachine(&r, reply, func(m *ownedMachine, now time.Time) (hold time.Duration, ok bool) {
+		return backfillHold, a.backfillIneligible(m, &r.Request, now) == ""
+	})
 	return nil
 }
--- a/internal/clusteragent/preempt.go
+++ b/internal/clusteragent/preempt.go
@@ -12,7 +12,6 @@
 	"robinstack/internal/config"
 	"robinstack/internal/job"
 	"robinstack/internal/machine"
-	"robinstack/internal/statekv"
 )
 
 // preemptionHold is how long a machine stays reserved for the job that tasks were preempted
@@ -223,44 +222,30 @@
 	return pool
 }
 
-// reservable returns the machine that a scheduler asks to have reserved for a job, or nil
-// where it or this owner is not the latest. The mutex is held.
-func (a *Agent) reservable(r *agentapi.CommitRequest) *ownedMachine {
-	m := a.machines[r.Machine]
-	if m == nil || m.Ownership.Rev != r.Rev || !a.session.HoldsLease() {
-		return nil
-	}
-	if !a.isLatestEpoch(statekv.JobShardPrefix+r.Slot, r.Epoch) {
-		return nil
-	}
-	return m
-}
-
 // Clear preempts tasks of lower priority on a machine and reserves it for the job.
 func (s *Service) Clear(r agentapi.CommitRequest, reply *agentapi.CommitReply) error {
 	a := s.agent
-	now := time.Now()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	reply.Verdicts = []string{agentapi.Refused}
-	m := a.reservable(&r)
-	if m == nil {
-		return nil
-	}
-	stop, cost, ok := a.victims(m, &r.Request, now)
+	a.reserveMachine(&r, reply, func(m *ownedMachine, now time.Time) (hold time.Duration, ok bool) {
+		return a.preempt(m, &r.Request, now)
+	})
+	return nil
+}
+
+// preempt has tasks stopped on m so that the request's need fits, and returns how long the
+// machine is to be reserved for its job. The mutex is held.
+func (a *Agent) preempt(m *ownedMachine, r *agentapi.Request, now time.Time) (hold time.Duration, ok bool) {
+	stop, cost, ok := a.victims(m, r, now)
 	if !ok {
-		return nil
+		return 0, false
 	}
 	longest := time.Duration(0)
 	for _, t := range stop {
 		longest = max(longest, t.Preempt())
 	}
-	m.Reservation.Reserve(&r.Request, now, longest+preemptionHold)
 	m.wake()
-	reply.Verdicts[0] = agentapi.Held
-	if len(stop) == 0 {
-		return nil // only reserved
+	if len(stop) > 0 {
+		slog.Info("preempting tasks for gang", "machine", m.Name, "job", r.Spec.ID,
+			"preempted", len(stop), "cost", cost)
 	}
-	slog.Info("preempting tasks for gang", "machine", m.Name, "job", r.Spec.ID, "preempted", len(stop), "cost", cost)
-	return nil
+	return longest + preemptionHold, true
 }
