--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -15,14 +15,14 @@
 )
 
 // addFleet puts up n workers that send heartbeats to a, and waits until it owns them.
-func addFleet(workers *emulator.Workers, a *node, n int) []*emulator.Worker {
+func addFleet(a *node, n int) []*emulator.Worker {
 	var all []*emulator.Worker
 	for i := range n {
-		all = append(all, workers.Add(fmt.Sprintf("m%d", i), "box", "a"))
+		all = append(all, a.bed.workers.Add(fmt.Sprintf("m%d", i), "box", "a"))
 	}
 	for range 4 {
 		for _, w := range all {
-			go a.sendHeartbeat(workers, w)
+			go a.sendHeartbeat(w)
 		}
 		time.Sleep(4 * time.Second)
 	}
@@ -33,27 +33,27 @@
 // them until their leases run out: those come to the others, which take whole
 // shards. Machine by machine that took longer than the leases of hundreds.
 func TestOwnerUnreachableByWorkersLosesShards(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := startNode(t, ctx, "host-0", state, workers)
-		epoch := takeJobShard(t, a, "s", 0)
-		all := addFleet(workers, a, 200)
-		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, JobShard: "s"}}}); err != nil {
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a := bed.startNode("host-0")
+		epoch := a.takeJobShard("s", 0)
+		all := addFleet(a, 200)
+		if _, err := bed.state.Txn(bed.ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, JobShard: "s"}}}); err != nil {
 			t.Fatal(err)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
+		if got := a.commit("m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("result %q", got)
 		}
-		b := startNode(t, ctx, "host-1", state, workers)
+		b := bed.startNode("host-1")
 		time.Sleep(11 * time.Second)
-		before := state.Changes()
+		before := bed.state.Changes()
 		for range 4 { // a hears nothing from here on; every worker tries b
 			for _, w := range all {
-				b.sendHeartbeat(workers, w)
+				b.sendHeartbeat(w)
 			}
 			time.Sleep(2 * time.Second)
 		}
-		if n := len(b.entries()); n != 200 || state.Changes()-before > 10 {
-			t.Fatalf("the controller that they reach has %d machines after %d changes", n, state.Changes()-before)
+		if n := len(b.entries()); n != 200 || bed.state.Changes()-before > 10 {
+			t.Fatalf("the controller that they reach has %d machines after %d changes", n, bed.state.Changes()-before)
 		}
 		if n := len(a.entries()); n != 0 {
 			t.Fatalf("the earlier owner still looks after %d", n)
@@ -62,10 +62,10 @@
 			t.Fatalf("the task was lost: %+v", e)
 		}
 		// Machines that come up from now on are claimed into shards that it still has.
-		w := workers.Add("new", "box", "a")
-		a.sendHeartbeat(workers, w)
+		w := bed.workers.Add("new", "box", "a")
+		a.sendHeartbeat(w)
 		time.Sleep(2 * time.Second)
-		if a.sendHeartbeat(workers, w); len(a.entries()) != 1 {
+		if a.sendHeartbeat(w); len(a.entries()) != 1 {
 			t.Fatal("a controller whose shards were taken claims no machines any more")
 		}
 	})
@@ -74,20 +74,20 @@
 // A controller that is back owns part of the fleet again after a while, but not
 // machines that it cannot reach.
 func TestShardsAreRebalancedToReachableOwner(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := startNode(t, ctx, "host-0", state, workers)
-		all := addFleet(workers, a, 40)
-		workers.WithLock(func() {
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a := bed.startNode("host-0")
+		all := addFleet(a, 40)
+		bed.workers.WithLock(func() {
 			for _, w := range all {
 				w.HoldCommands = true
 			}
 		})
-		b := startNode(t, ctx, "host-1", state, workers)
+		b := bed.startNode("host-1")
 		time.Sleep(20 * time.Second)
 		if n := len(b.entries()); n != 0 {
 			t.Fatalf("took %d machines that it cannot reach", n)
 		}
-		workers.WithLock(func() {
+		bed.workers.WithLock(func() {
 			for _, w := range all {
 				w.HoldCommands = false
 			}
@@ -102,14 +102,14 @@
 // A machine whose shard has vanished is claimed anew, also by the controller that
 // still looks after it: the jobs of a dead scheduler waited for such machines for ever.
 func TestMachineWithoutShardIsReclaimed(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := startNode(t, ctx, "host-0", state, workers)
-		addFleet(workers, a, 1)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a := bed.startNode("host-0")
+		addFleet(a, 1)
 		kv, ok := a.mirror.Get(statekv.MachinePrefix + "m0")
 		if !ok {
 			t.Fatal("the machine has no key")
 		}
-		if _, err := state.Txn(ctx, nil, []statekv.Op{{Delete: statekv.MachineShardPrefix + shard.ParseMachineRecord(kv).Shard}}); err != nil {
+		if _, err := bed.state.Txn(bed.ctx, nil, []statekv.Op{{Delete: statekv.MachineShardPrefix + shard.ParseMachineRecord(kv).Shard}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
@@ -136,14 +136,14 @@
 // from making shards for new machines for a second or two. The machines that it
 // took over had to wait for that: all job shards were reconciled 3 s later.
 func TestFailoverDoesNotWaitForIntakeShards(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := startNode(t, ctx, "host-0", state, workers)
-		addFleet(workers, a, 1)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a := bed.startNode("host-0")
+		addFleet(a, 1)
 		a.stop()
-		if err := state.Revoke(ctx, 1); err != nil {
+		if err := bed.state.Revoke(bed.ctx, 1); err != nil {
 			t.Fatal(err)
 		}
-		b := startNodeWith(t, ctx, settings(), "host-0", noNewShards{state}, workers)
+		b := bed.startNodeWith(settings(), "host-0", noNewShards{bed.state})
 		time.Sleep(time.Second)
 		if e, ok := b.entries()["m0"]; !ok || !e.Settled {
 			t.Fatalf("not taken over: %+v", e)
--- a/internal/clusteragent/bench_test.go
+++ b/internal/clusteragent/bench_test.go
@@ -16,25 +16,25 @@
 const benchMachines = 200
 
 // benchNode returns an owner of benchMachines machines, their workers and a job shard's epoch.
-func benchNode(b *testing.B) (n *node, workers *emulator.Workers, machines []*emulator.Worker, epoch uint64) {
+func benchNode(b *testing.B) (n *node, machines []*emulator.Worker, epoch uint64) {
 	b.Helper()
 	level := slog.SetLogLoggerLevel(slog.LevelError)
 	b.Cleanup(func() { slog.SetLogLoggerLevel(level) })
-	workers = emulator.NewWorkers()
-	n = startNodeWith(b, b.Context(), settings(), "host-0", emulator.NewStateService(), workers)
+	bed := newTestbed(b, b.Context())
+	n = bed.startNode("host-0")
 	var claims sync.WaitGroup
 	for k := range benchMachines {
-		w := workers.Add(fmt.Sprintf("vm-%06d", k), "box", "a")
+		w := bed.workers.Add(fmt.Sprintf("vm-%06d", k), "box", "a")
 		machines = append(machines, w)
-		claims.Go(func() { n.sendHeartbeat(workers, w) })
+		claims.Go(func() { n.sendHeartbeat(w) })
 	}
 	claims.Wait()
 	for _, w := range machines {
-		if reply := n.sendHeartbeat(workers, w); !reply.Owner {
+		if reply := n.sendHeartbeat(w); !reply.Owner {
 			b.Fatalf("%s is not owned: %+v", w.Heartbeat.Machine, reply)
 		}
 	}
-	return n, workers, machines, takeJobShard(b, n, "s", 0)
+	return n, machines, n.takeJobShard("s", 0)
 }
 
 func benchRequest(epoch uint64) agentapi.Request {
@@ -44,10 +44,10 @@
 
 // BenchmarkHeartbeat is the taking of a worker's heartbeat by the owner of its machine.
 func BenchmarkHeartbeat(b *testing.B) {
-	n, workers, machines, _ := benchNode(b)
+	n, machines, _ := benchNode(b)
 	b.ReportAllocs()
 	for k := 0; b.Loop(); k++ {
-		if reply := n.sendHeartbeat(workers, machines[k%len(machines)]); !reply.Owner {
+		if reply := n.sendHeartbeat(machines[k%len(machines)]); !reply.Owner {
 			b.Fatalf("%+v", reply)
 		}
 	}
@@ -55,7 +55,7 @@
 
 // BenchmarkSample is one sampling step over the machines of an owner.
 func BenchmarkSample(b *testing.B) {
-	n, _, _, epoch := benchNode(b)
+	n, _, epoch := benchNode(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		var reply agentapi.SampleReply
@@ -67,7 +67,7 @@
 
 // BenchmarkCommit reserves capacity for a task and gives it back, without a command.
 func BenchmarkCommit(b *testing.B) {
-	n, _, machines, epoch := benchNode(b)
+	n, machines, epoch := benchNode(b)
 	var revs []uint64
 	entries := n.entries()
 	for _, w := range machines {
--- a/internal/clusteragent/duplicates_test.go
+++ b/internal/clusteragent/duplicates_test.go
@@ -14,29 +14,29 @@
 )
 
 // startPair starts two controllers; the first owns machine m1, on which task wk-1/0 runs.
-func startPair(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) (a, b *node, w *emulator.Worker, epoch uint64) {
-	t.Helper()
+func (bed *testbed) startPair() (a, b *node, w *emulator.Worker, epoch uint64) {
+	bed.t.Helper()
 	with := func(host, peer string) *node {
 		s := settings()
 		s.Host, s.Peers = host, []config.Peer{{Host: peer}}
-		return startNodeWith(t, ctx, s, host, state, workers)
+		return bed.startNodeWith(s, host, bed.state)
 	}
 	a, b = with("host-0", "host-1"), with("host-1", "host-0")
-	epoch = takeJobShard(t, a, "s", 0)
-	w = workers.Add("m1", "box", "")
-	a.sendHeartbeat(workers, w)
+	epoch = a.takeJobShard("s", 0)
+	w = bed.workers.Add("m1", "box", "")
+	a.sendHeartbeat(w)
 	time.Sleep(time.Second)
-	a.sendHeartbeat(workers, w)
-	if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
-		t.Fatalf("result %q", got)
+	a.sendHeartbeat(w)
+	if got := a.commit("m1", "s", epoch, 0, 1); got != agentapi.Started {
+		bed.t.Fatalf("result %q", got)
 	}
-	a.sendHeartbeat(workers, w)
+	a.sendHeartbeat(w)
 	return a, b, w, epoch
 }
 
 // lastHeartbeat is the heartbeat that the worker sent last, once more.
-func lastHeartbeat(workers *emulator.Workers, w *emulator.Worker) (r worker.Heartbeat) {
-	workers.WithLock(func() {
+func (bed *testbed) lastHeartbeat(w *emulator.Worker) (r worker.Heartbeat) {
+	bed.workers.WithLock(func() {
 		r = w.Heartbeat
 		r.Tasks = append([]worker.Task(nil), w.Heartbeat.Tasks...)
 	})
@@ -48,14 +48,14 @@
 // them, and it does not count as responsive. Guards against a lease counted from whatever
 // comes in.
 func TestDuplicateHeartbeatsRenewNoLease(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, _, w, _ := startPair(t, ctx, state, workers)
-		last := lastHeartbeat(workers, w)
-		workers.WithLock(func() { w.HoldCommands = true })
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a, _, w, _ := bed.startPair()
+		last := bed.lastHeartbeat(w)
+		bed.workers.WithLock(func() { w.HoldCommands = true })
 		died := time.Now()
 		for time.Since(died) < 36*time.Second {
 			time.Sleep(2 * time.Second)
-			if reply := a.agent.Heartbeat(ctx, &last); len(reply.Answer.Commands) > 0 {
+			if reply := a.agent.Heartbeat(bed.ctx, &last); len(reply.Answer.Commands) > 0 {
 				t.Fatalf("a copy was given commands: %+v", reply)
 			}
 			e := a.entries()["m1"]
@@ -72,27 +72,27 @@
 // Copies of an earlier epoch, and of an earlier moment of this one, prove nothing: what
 // came since stays, and what has gone does not come back.
 func TestDuplicateHeartbeatsChangeNoTasks(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, _, w, epoch := startPair(t, ctx, state, workers)
-		before := lastHeartbeat(workers, w)   // with the first task only
-		overtaken := workers.NextHeartbeat(w) // a heartbeat that the answer to a command overtakes
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started {
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a, _, w, epoch := bed.startPair()
+		before := bed.lastHeartbeat(w)            // with the first task only
+		overtaken := bed.workers.NextHeartbeat(w) // a heartbeat that the answer to a command overtakes
+		if got := a.commit("m1", "s", epoch, 1, 2); got != agentapi.Started {
 			t.Fatalf("result %q", got)
 		}
-		a.agent.Heartbeat(ctx, &overtaken)
+		a.agent.Heartbeat(bed.ctx, &overtaken)
 		if n := len(a.entries()["m1"].Tasks); n != 2 {
 			t.Fatalf("a heartbeat that was overtaken left %d tasks of 2", n)
 		}
-		a.sendHeartbeat(workers, w)
-		a.agent.Heartbeat(ctx, &before)
+		a.sendHeartbeat(w)
+		a.agent.Heartbeat(bed.ctx, &before)
 		if n := len(a.entries()["m1"].Tasks); n != 2 {
 			t.Fatalf("a copy of before left %d tasks of 2", n)
 		}
 		// Its lease runs out: a new epoch, without tasks.
-		workers.WithLock(func() { w.Heartbeat.WorkerEpoch, w.Heartbeat.Tasks = 2, nil })
-		a.sendHeartbeat(workers, w)
+		bed.workers.WithLock(func() { w.Heartbeat.WorkerEpoch, w.Heartbeat.Tasks = 2, nil })
+		a.sendHeartbeat(w)
 		for range 5 {
-			a.agent.Heartbeat(ctx, &before)
+			a.agent.Heartbeat(bed.ctx, &before)
 			time.Sleep(time.Second)
 		}
 		if got := a.entries()["m1"].Tasks; len(got) != 0 {
@@ -104,21 +104,21 @@
 // Copies that reach another controller are no workers that cannot reach their owner: it
 // takes nothing, however many come; one whose heartbeats do come is taken.
 func TestDuplicateHeartbeatsElsewhereCauseNoTakeover(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, b, w, _ := startPair(t, ctx, state, workers)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a, b, w, _ := bed.startPair()
 		rev := a.entries()["m1"].Rev
-		last := lastHeartbeat(workers, w)
+		last := bed.lastHeartbeat(w)
 		for range 20 {
-			b.agent.Heartbeat(ctx, &last)
+			b.agent.Heartbeat(bed.ctx, &last)
 			time.Sleep(time.Second)
-			a.sendHeartbeat(workers, w)
+			a.sendHeartbeat(w)
 		}
 		if kv, ok := b.entries()["m1"]; ok || a.entries()["m1"].Rev != rev {
 			t.Fatalf("a machine was taken for copies of its heartbeat: %+v", kv)
 		}
 		for range 6 {
-			r := workers.NextHeartbeat(w)
-			b.agent.Heartbeat(ctx, &r)
+			r := bed.workers.NextHeartbeat(w)
+			b.agent.Heartbeat(bed.ctx, &r)
 			time.Sleep(4 * time.Second)
 		}
 		if _, ok := b.entries()["m1"]; !ok {
@@ -130,25 +130,25 @@
 // Copies for a machine that was deleted revive nothing: no key is written for it, by
 // whichever controller they reach.
 func TestDuplicateHeartbeatsOfDeletedMachineAreIgnored(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, b, w, _ := startPair(t, ctx, state, workers)
-		last := lastHeartbeat(workers, w)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a, b, w, _ := bed.startPair()
+		last := bed.lastHeartbeat(w)
 		if err := a.service.Removed(agentapi.MachinesRequest{Names: []string{"m1"}}, &agentapi.MachinesReply{}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
 		key := statekv.MachinePrefix + "m1"
-		if _, err := state.Get(ctx, key); err == nil {
+		if _, err := bed.state.Get(bed.ctx, key); err == nil {
 			t.Fatal("its key was not removed")
 		}
 		for _, n := range []*node{a, b} { // as the controller's watch tells
 			n.agent.OnMachineRemoved("m1")
 		}
 		for range 60 {
-			a.agent.Heartbeat(ctx, &last)
-			b.agent.Heartbeat(ctx, &last)
+			a.agent.Heartbeat(bed.ctx, &last)
+			b.agent.Heartbeat(bed.ctx, &last)
 			time.Sleep(2 * time.Second)
-			if _, err := state.Get(ctx, key); err == nil {
+			if _, err := bed.state.Get(bed.ctx, key); err == nil {
 				t.Fatal("a copy had it claimed again")
 			}
 		}
@@ -160,20 +160,20 @@
 // next epoch proves it gone and not before. It is used again once commands get
 // through.
 func TestMachineWithLostCommandsGetsNothingNew(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, _, w, epoch := startPair(t, ctx, state, workers)
-		workers.WithLock(func() { w.HoldCommands = true })
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a, _, w, epoch := bed.startPair()
+		bed.workers.WithLock(func() { w.HoldCommands = true })
 		began := time.Now()
 		beat := func() { // its heartbeats arrive; what is answered does not
-			r := workers.NextHeartbeat(w)
-			a.agent.Heartbeat(ctx, &r)
+			r := bed.workers.NextHeartbeat(w)
+			a.agent.Heartbeat(bed.ctx, &r)
 			time.Sleep(3 * time.Second)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Unresolved {
+		if got := a.commit("m1", "s", epoch, 1, 2); got != agentapi.Unresolved {
 			t.Fatalf("result %q without an answer", got)
 		}
 		beat()
-		if got := a.commit(t, "m1", "s", epoch, 2, 3); got != agentapi.Refused {
+		if got := a.commit("m1", "s", epoch, 2, 3); got != agentapi.Refused {
 			t.Fatalf("it got another task: %q", got)
 		}
 		for time.Since(began) < 12*time.Second {
@@ -188,7 +188,7 @@
 				t.Fatalf("after %v: %d tasks are booked, and nothing is proven", time.Since(began), n)
 			}
 		}
-		workers.WithLock(func() { w.Heartbeat.WorkerEpoch, w.Heartbeat.Tasks = 2, nil }) // by its own clock
+		bed.workers.WithLock(func() { w.Heartbeat.WorkerEpoch, w.Heartbeat.Tasks = 2, nil }) // by its own clock
 		beat()
 		if got := a.entries()["m1"].Tasks; len(got) != 0 {
 			t.Fatalf("the next epoch proves %v gone", got)
@@ -196,17 +196,17 @@
 		if !a.entries()["m1"].Silent {
 			t.Fatal("it counts as one that serves, and commands still do not reach it")
 		}
-		workers.WithLock(func() { w.HoldCommands = false })
+		bed.workers.WithLock(func() { w.HoldCommands = false })
 		time.Sleep(3 * time.Second)
-		a.sendHeartbeat(workers, w)
+		a.sendHeartbeat(w)
 		if a.entries()["m1"].Silent {
 			t.Fatal("it answers, and counts as unresponsive")
 		}
-		if got := a.commit(t, "m1", "s", epoch, 2, 4); got != agentapi.Started {
+		if got := a.commit("m1", "s", epoch, 2, 4); got != agentapi.Started {
 			t.Fatalf("it is not used again: %q", got)
 		}
-		workers.DeliverHeldCommands(w)
-		if n := taskCount(workers, w); n != 1 {
+		bed.workers.DeliverHeldCommands(w)
+		if n := bed.taskCount(w); n != 1 {
 			t.Errorf("%d tasks run: a command that was lost was carried out late", n)
 		}
 	})
@@ -215,28 +215,28 @@
 // Heartbeats that cannot be a machine's change nothing, and its own go on to count: numbers
 // that leap out of range would make all later ones old.
 func TestMalformedHeartbeatsAreRejected(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a, _, w, epoch := startPair(t, ctx, state, workers)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a, _, w, epoch := bed.startPair()
 		for what, change := range map[string]func(*worker.Heartbeat){
 			"a huge sequence":           func(r *worker.Heartbeat) { r.Sequence = 1 << 63 },
 			"a huge epoch":              func(r *worker.Heartbeat) { r.WorkerEpoch = 1 << 62 },
 			"another machine's address": func(r *worker.Heartbeat) { r.Address = "m7" },
 		} {
-			r := workers.NextHeartbeat(w)
+			r := bed.workers.NextHeartbeat(w)
 			r.Tasks = nil
 			change(&r)
-			if reply := a.agent.Heartbeat(ctx, &r); reply.Malformed == "" {
+			if reply := a.agent.Heartbeat(bed.ctx, &r); reply.Malformed == "" {
 				t.Errorf("%s: %+v", what, reply)
 			}
 			if n := len(a.entries()["m1"].Tasks); n != 1 {
 				t.Fatalf("%s: %d tasks are booked", what, n)
 			}
 		}
-		back := lastHeartbeat(workers, w)
+		back := bed.lastHeartbeat(w)
 		back.Sequence, back.WorkerEpoch, back.Tasks = 1, 0, nil
-		a.agent.Heartbeat(ctx, &back)
-		a.sendHeartbeat(workers, w)
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Started || taskCount(workers, w) != 2 {
+		a.agent.Heartbeat(bed.ctx, &back)
+		a.sendHeartbeat(w)
+		if got := a.commit("m1", "s", epoch, 1, 2); got != agentapi.Started || bed.taskCount(w) != 2 {
 			t.Errorf("its own heartbeats do not count any more: %q", got)
 		}
 	})
@@ -246,30 +246,30 @@
 // nothing, answers them for its lease grace period and no longer, and its successor counts that
 // in.
 func TestOwnerCutOffFromStateAnswersForLeaseGracePeriod(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		cut := &cutOffState{StateService: state}
-		a := startNodeWith(t, ctx, settings(), "host-0", cut, workers)
-		b := startNode(t, ctx, "host-1", state, workers)
-		epoch := takeJobShard(t, a, "s", 0)
-		w := workers.Add("m1", "box", "")
-		a.sendHeartbeat(workers, w)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		cut := &cutOffState{StateService: bed.state}
+		a := bed.startNodeWith(settings(), "host-0", cut)
+		b := bed.startNode("host-1")
+		epoch := a.takeJobShard("s", 0)
+		w := bed.workers.Add("m1", "box", "")
+		a.sendHeartbeat(w)
 		time.Sleep(time.Second)
-		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
+		if got := a.commit("m1", "s", epoch, 0, 1); got != agentapi.Started {
 			t.Fatalf("result %q", got)
 		}
 		cut.off.Store(true)
-		workers.WithLock(func() { w.HoldCommands = true }) // the zone is cut off with it: nobody else reaches them
+		bed.workers.WithLock(func() { w.HoldCommands = true }) // the zone is cut off with it: nobody else reaches them
 		began := time.Now()
 		time.Sleep(4 * time.Second)
-		if err := state.Revoke(ctx, 1); err != nil { // its state lease is over
+		if err := bed.state.Revoke(bed.ctx, 1); err != nil { // its state lease is over
 			t.Fatal(err)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Refused {
+		if got := a.commit("m1", "s", epoch, 1, 2); got != agentapi.Refused {
 			t.Fatalf("an owner that may be none any more started a task: %q", got)
 		}
 		last := time.Now()
 		for time.Since(began) < 50*time.Second {
-			if reply := a.sendHeartbeat(workers, w); reply.Owner {
+			if reply := a.sendHeartbeat(w); reply.Owner {
 				last = time.Now()
 			}
 			time.Sleep(time.Second)
--- a/internal/clusteragent/fair_share_test.go
+++ b/internal/clusteragent/fair_share_test.go
@@ -1,7 +1,6 @@
 package clusteragent_test
 
 import (
-	"context"
 	"fmt"
 	"testing"
 	"time"
@@ -17,11 +16,11 @@
 // having arrays stopped that held a fifth of it and could not get on. It is where the
 // class does not wait, and by one that has less than its share as well.
 func TestWaitingClassBelowFairShareIsNotPreempted(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
+	runScenario(t, func(t *testing.T, bed *testbed) {
 		set := settings()
 		set.Objectives = []config.Objective{{Kind: "wait", Class: "gangs", Within: 30 * time.Second}, {Kind: "wait", Class: "gangs", Within: 200 * time.Second}}
-		n := startNodeWith(t, ctx, set, "host-0", state, workers)
-		epoch := takeJobShard(t, n, "s", 0)
+		n := bed.startNodeWith(set, "host-0", bed.state)
+		epoch := n.takeJobShard("s", 0)
 		request := func(class, shape, rank string, gpus float64, tasks int) agentapi.Request {
 			r := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: tasks, Least: 9, Spare: 5, Parts: true}
 			r.Spec = job.Spec{ID: "wk-9", Class: class, Team: "t", Shape: shape, Rank: rank, Tasks: tasks, Need: job.Need{CPUs: 1, GPUs: gpus, MemoryGB: 1}, CheckpointS: 10, SaveS: 6}
@@ -29,9 +28,9 @@
 		}
 		var boxes []*emulator.Worker
 		for k := range 4 { // three machines of a gang's class, one of an array's
-			w := workers.Add(fmt.Sprintf("m%d", k), "box", "a")
+			w := bed.workers.Add(fmt.Sprintf("m%d", k), "box", "a")
 			boxes = append(boxes, w)
-			n.sendHeartbeat(workers, w)
+			n.sendHeartbeat(w)
 			time.Sleep(time.Second)
 			req := agentapi.CommitRequest{Request: request("gangs", job.Gang, "high", 2, 1), Machine: w.Heartbeat.Machine, Rev: n.entries()[w.Heartbeat.Machine].Rev,
 				Refs: []agentapi.TaskRef{{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}}}
@@ -73,7 +72,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, w := range boxes {
-			n.sendHeartbeat(workers, w)
+			n.sendHeartbeat(w)
 		}
 		if got := preemptible("gangs"); got != 1 {
 			t.Errorf("they do not wait any more: %d can be preempted", got)
--- a/internal/clusteragent/preempt_test.go
+++ b/internal/clusteragent/preempt_test.go
@@ -1,11 +1,9 @@
 package clusteragent_test
 
 import (
-	"context"
 	"testing"
 	"time"
 
-	"robinstack/emulator"
 	"robinstack/internal/agentapi"
 	"robinstack/internal/job"
 	"robinstack/internal/worker"
@@ -15,13 +13,13 @@
 // done with its last task, so a fifth of all tasks stopped, spread over all jobs,
 // made nearly every job late.
 func TestPreemptionPrefersJobsThatStayOnTime(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := startNode(t, ctx, "host-0", state, workers)
-		epoch := takeJobShard(t, n, "s", 0)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		n := bed.startNode("host-0")
+		epoch := n.takeJobShard("s", 0)
 		due := 100.0
 		put := func(machine, id string, tasks int, age time.Duration, indices ...int) {
-			w := workers.Add(machine, "box", "a")
-			n.sendHeartbeat(workers, w)
+			w := bed.workers.Add(machine, "box", "a")
+			n.sendHeartbeat(w)
 			time.Sleep(time.Second)
 			req := agentapi.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev}
 			req.Slot, req.Epoch, req.Age = "s", epoch, age
@@ -64,13 +62,9 @@
 // Tasks of arrays are stopped for a gang of higher priority, never for one of
 // the same, and the machine is reserved for that gang.
 func TestPreemptionStopsOnlyLowerPriority(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := startNode(t, ctx, "host-0", state, workers)
-		epoch := takeJobShard(t, n, "s", 0)
-		w := workers.Add("m1", "box", "a")
-		n.sendHeartbeat(workers, w)
-		time.Sleep(time.Second)
-		n.commit(t, "m1", "s", epoch, 0, 1)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		n, w, epoch := bed.startOwner()
+		n.commit("m1", "s", epoch, 0, 1)
 		gang := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
 		gang.Slot, gang.Epoch = "s", epoch
 		gang.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "normal", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
@@ -83,8 +77,8 @@
 			t.Fatalf("higher priority: %+v %v", reply, err)
 		}
 		time.Sleep(time.Second)
-		n.sendHeartbeat(workers, w)
-		if got := n.commit(t, "m1", "s", epoch, 1, 2); got != agentapi.Refused {
+		n.sendHeartbeat(w)
+		if got := n.commit("m1", "s", epoch, 1, 2); got != agentapi.Refused {
 			t.Fatalf("another job got the reserved machine: %q", got)
 		}
 		gang.Refs = []agentapi.TaskRef{{Job: "wk-2", Attempt: 9}}
@@ -100,12 +94,8 @@
 // Small tasks that are not in the gang's way go on: they were stopped first, being
 // the cheapest to stop, and those that do not save began anew again and again.
 func TestPreemptionSparesTasksThatNeedNotStop(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := startNode(t, ctx, "host-0", state, workers)
-		epoch := takeJobShard(t, n, "s", 0)
-		w := workers.Add("m1", "box", "a")
-		n.sendHeartbeat(workers, w)
-		time.Sleep(time.Second)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		n, w, epoch := bed.startOwner()
 		for k, need := range []job.Need{{CPUs: 6, GPUs: 1}, {CPUs: 0.5}} {
 			req := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Index: k, Attempt: uint64(k + 1)}}}
 			req.Spec = job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 2, Need: need}
@@ -115,7 +105,7 @@
 				t.Fatalf("%+v %v", reply, err)
 			}
 			time.Sleep(5 * time.Second)
-			n.sendHeartbeat(workers, w)
+			n.sendHeartbeat(w)
 		}
 		gang := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
 		gang.Slot, gang.Epoch = "s", epoch
@@ -125,7 +115,7 @@
 			t.Fatalf("%+v %v", reply, err)
 		}
 		time.Sleep(time.Second)
-		n.sendHeartbeat(workers, w)
+		n.sendHeartbeat(w)
 		for _, task := range n.entries()["m1"].Tasks {
 			if (task.State == worker.TaskExited) != (task.Index == 0) {
 				t.Fatalf("task %d: %s", task.Index, task.State)
--- a/internal/clusteragent/registration_test.go
+++ b/internal/clusteragent/registration_test.go
@@ -1,7 +1,6 @@
 package clusteragent_test
 
 import (
-	"context"
 	"fmt"
 	"sync/atomic"
 	"testing"
@@ -18,26 +17,26 @@
 // killed with it. It gets tasks from its next answered heartbeat on. At 3,000 machines 150 to
 // 400 tasks were killed so in four minutes.
 func TestNewMachineServesFromItsFirstAnsweredHeartbeat(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := startNode(t, ctx, "host-0", state, workers)
-		epoch := takeJobShard(t, n, "s", 0)
-		w := workers.Add("m1", "box", "a")
-		state.SetTxnLatency(3200 * time.Millisecond)
-		if reply := n.sendHeartbeat(workers, w); reply.Owner {
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		n := bed.startNode("host-0")
+		epoch := n.takeJobShard("s", 0)
+		w := bed.workers.Add("m1", "box", "a")
+		bed.state.SetTxnLatency(3200 * time.Millisecond)
+		if reply := n.sendHeartbeat(w); reply.Owner {
 			t.Fatal("the claim was in time: this shows nothing")
 		}
-		state.SetTxnLatency(0)
+		bed.state.SetTxnLatency(0)
 		time.Sleep(2 * time.Second)
 		if _, owned := n.entries()["m1"]; !owned {
 			t.Fatal("it is not owned: this shows nothing")
 		}
-		if got := n.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Refused {
+		if got := n.commit("m1", "s", epoch, 0, 1); got != agentapi.Refused {
 			t.Errorf("before any answered heartbeat: %q", got)
 		}
-		if reply := n.sendHeartbeat(workers, w); !reply.Owner {
+		if reply := n.sendHeartbeat(w); !reply.Owner {
 			t.Fatal("its heartbeat is not answered")
 		}
-		if got := n.commit(t, "m1", "s", epoch, 0, 2); got != agentapi.Started {
+		if got := n.commit("m1", "s", epoch, 0, 2); got != agentapi.Started {
 			t.Errorf("after its heartbeat was answered: %q", got)
 		}
 	})
@@ -55,22 +54,22 @@
 // capacity, and what is stopped is placed again on the few machines that are registered. At 3,000
 // machines and 16 controllers 7,890 tasks were stopped in 94 s, and 10 done.
 func TestNoPreemptionWhileMachinesAwaitRegistration(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		store := &choresGate{StateService: state}
-		n := startNodeWith(t, ctx, settings(), "host-0", store, workers)
-		epoch := takeJobShard(t, n, "s", 0)
-		w := workers.Add("m1", "box", "a")
-		n.sendHeartbeat(workers, w)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		store := &choresGate{StateService: bed.state}
+		n := bed.startNodeWith(settings(), "host-0", store)
+		epoch := n.takeJobShard("s", 0)
+		w := bed.workers.Add("m1", "box", "a")
+		n.sendHeartbeat(w)
 		time.Sleep(time.Second)
 		for k := range 2 {
-			if got := n.commit(t, "m1", "s", epoch, k, uint64(k+1)); got != agentapi.Started {
+			if got := n.commit("m1", "s", epoch, k, uint64(k+1)); got != agentapi.Started {
 				t.Fatalf("result %q", got)
 			}
 		}
 		gang := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: 1, Least: 9, Spare: 5}
 		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
 		preemptible := func() int {
-			n.sendHeartbeat(workers, w)
+			n.sendHeartbeat(w)
 			var found agentapi.SampleReply
 			if err := n.service.Clearable(gang, &found); err != nil {
 				t.Fatal(err)
@@ -82,7 +81,7 @@
 		}
 		store.closed.Store(true)
 		for k := range 8 {
-			go n.sendHeartbeat(workers, workers.Add(fmt.Sprintf("new%d", k), "box", "a"))
+			go n.sendHeartbeat(bed.workers.Add(fmt.Sprintf("new%d", k), "box", "a"))
 		}
 		time.Sleep(time.Second)
 		if got := preemptible(); got != 0 {
--- a/internal/clusteragent/testbed_test.go
+++ b/internal/clusteragent/testbed_test.go
@@ -26,8 +26,30 @@
 		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
 }
 
+// testbed is a state service and workers for the controllers of a test.
+type testbed struct {
+	t       testing.TB
+	ctx     context.Context
+	state   *emulator.StateService
+	workers *emulator.Workers
+}
+
+func newTestbed(t testing.TB, ctx context.Context) *testbed {
+	return &testbed{t: t, ctx: ctx, state: emulator.NewStateService(), workers: emulator.NewWorkers()}
+}
+
+// runScenario runs a test on a testbed of its own, by a clock that goes on when all wait.
+func runScenario(t *testing.T, f func(t *testing.T, bed *testbed)) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); synctest.Wait() }()
+		f(t, newTestbed(t, ctx))
+	})
+}
+
 // node is one controller's agent with its view of the state service.
 type node struct {
+	bed     *testbed
 	agent   *clusteragent.Agent
 	service *clusteragent.Service
 	session *statekv.Session
@@ -35,14 +57,14 @@
 	stop    context.CancelFunc
 }
 
-func startNode(t *testing.T, ctx context.Context, host string, state *emulator.StateService, workers *emulator.Workers) *node {
-	t.Helper()
-	return startNodeWith(t, ctx, settings(), host, state, workers)
+func (bed *testbed) startNode(host string) *node {
+	bed.t.Helper()
+	return bed.startNodeWith(settings(), host, bed.state)
 }
 
 // startNodeInZone starts one of three controllers in two zones, host-1 in b.
-func startNodeInZone(t *testing.T, ctx context.Context, host, zone string, state *emulator.StateService, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
-	t.Helper()
+func (bed *testbed) startNodeInZone(host, zone string, setup ...func(*clusteragent.Agent)) *node {
+	bed.t.Helper()
 	s := settings()
 	s.Host, s.Zone, s.Zones = host, zone, []string{"a", "b"}
 	for _, p := range []config.Peer{{Host: "host-0", Zone: "a"}, {Host: "host-1", Zone: "b"}, {Host: "host-2", Zone: "a"}} {
@@ -50,40 +72,58 @@
 			s.Peers = append(s.Peers, p)
 		}
 	}
-	return startNodeWith(t, ctx, s, host, state, workers, setup...)
+	return bed.startNodeWith(s, host, bed.state, setup...)
 }
 
-func startNodeWith(t testing.TB, ctx context.Context, settings *config.Settings, host string, state statekv.Store, workers *emulator.Workers, setup ...func(*clusteragent.Agent)) *node {
-	t.Helper()
-	ctx, stop := context.WithCancel(ctx)
-	mirror := statekv.NewMirror(state, []string{statekv.ClusterPrefix, job.RecordPrefix}, statekv.RootPrefix, settings.WatchTimeout(), 0, func([]statekv.Event) {})
+func (bed *testbed) startNodeWith(settings *config.Settings, host string, store statekv.Store, setup ...func(*clusteragent.Agent)) *node {
+	bed.t.Helper()
+	ctx, stop := context.WithCancel(bed.ctx)
+	mirror := statekv.NewMirror(store, []string{statekv.ClusterPrefix, job.RecordPrefix}, statekv.RootPrefix, settings.WatchTimeout(), 0, func([]statekv.Event) {})
 	if err := mirror.Load(ctx); err != nil {
-		t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	member, err := statekv.OpenSession(ctx, state, mirror, host, 4*time.Second, statekv.Registration{})
+	session, err := statekv.OpenSession(ctx, store, mirror, host, 4*time.Second, statekv.Registration{})
 	if err != nil {
-		t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	a := clusteragent.New(settings, state, mirror, member, workers, func() map[string]cloud.MachineType { return types })
+	a := clusteragent.New(settings, store, mirror, session, bed.workers, func() map[string]cloud.MachineType { return types })
 	for _, f := range setup {
 		f(a)
 	}
 	go mirror.Run(ctx)
-	go func() { _ = member.KeepAlive(ctx) }()
+	go func() { _ = session.KeepAlive(ctx) }()
 	go a.Run(ctx)
-	if err := mirror.Wait(ctx, member.Incarnation); err != nil {
-		t.Fatal(err)
+	if err := mirror.Wait(ctx, session.Incarnation); err != nil {
+		bed.t.Fatal(err)
 	}
 	time.Sleep(time.Second) // its shards are made
-	return &node{agent: a, service: clusteragent.NewService(a), session: member, mirror: mirror, stop: stop}
+	return &node{bed: bed, agent: a, service: clusteragent.NewService(a), session: session, mirror: mirror, stop: stop}
+}
+
+// startOwner starts a controller that owns machine m1 and a job shard s, and returns m1's
+// worker and the job shard's epoch.
+func (bed *testbed) startOwner() (n *node, w *emulator.Worker, epoch uint64) {
+	bed.t.Helper()
+	n = bed.startNode("host-0")
+	epoch = n.takeJobShard("s", 0)
+	w = bed.workers.Add("m1", "box", "a")
+	n.sendHeartbeat(w)
+	time.Sleep(time.Second)
+	return n, w, epoch
+}
+
+// taskCount is how many tasks a worker has.
+func (bed *testbed) taskCount(w *emulator.Worker) (n int) {
+	bed.workers.WithLock(func() { n = len(w.Heartbeat.Tasks) })
+	return n
 }
 
 // sendHeartbeat has a worker send a heartbeat to n and take the answer.
-func (n *node) sendHeartbeat(workers *emulator.Workers, w *emulator.Worker) clusteragent.HeartbeatReply {
-	r := workers.NextHeartbeat(w)
+func (n *node) sendHeartbeat(w *emulator.Worker) clusteragent.HeartbeatReply {
+	r := n.bed.workers.NextHeartbeat(w)
 	reply := n.agent.Heartbeat(context.Background(), &r)
 	if reply.Owner {
-		workers.DeliverAnswer(w, reply.Answer)
+		n.bed.workers.DeliverAnswer(w, reply.Answer)
 	}
 	return reply
 }
@@ -97,39 +137,29 @@
 	return out
 }
 
-func (n *node) commit(t *testing.T, machine, jobShard string, epoch uint64, index int, attempt uint64) string {
-	t.Helper()
+// commit asks for one task of job wk-1 to be started on a machine, and returns the result.
+func (n *node) commit(machine, jobShard string, epoch uint64, index int, attempt uint64) string {
+	n.bed.t.Helper()
 	req := agentapi.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Index: index, Attempt: attempt}}}
 	req.Spec = job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 9, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}
 	req.Slot, req.Epoch = jobShard, epoch
 	var reply agentapi.CommitReply
 	if err := n.service.Commit(req, &reply); err != nil {
-		t.Fatal(err)
+		n.bed.t.Fatal(err)
 	}
 	return reply.Verdicts[0]
 }
 
-func taskCount(workers *emulator.Workers, w *emulator.Worker) (n int) {
-	workers.WithLock(func() { n = len(w.Heartbeat.Tasks) })
-	return n
-}
-
-func runScenario(t *testing.T, f func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers)) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		defer func() { cancel(); synctest.Wait() }()
-		f(t, ctx, emulator.NewStateService(), emulator.NewWorkers())
-	})
-}
-
-func takeJobShard(t testing.TB, n *node, name string, seen uint64) uint64 {
-	t.Helper()
+// takeJobShard makes n the scheduler of a job shard whose key had revision seen, and returns
+// its epoch.
+func (n *node) takeJobShard(name string, seen uint64) uint64 {
+	n.bed.t.Helper()
 	rev, err := n.session.Acquire(context.Background(), statekv.Role{Key: statekv.JobShardPrefix + name, ExpectedRev: seen, Value: n.session.Holder})
 	if err != nil {
-		t.Fatal(err)
+		n.bed.t.Fatal(err)
 	}
 	if err := n.mirror.Wait(context.Background(), rev); err != nil {
-		t.Fatal(err)
+		n.bed.t.Fatal(err)
 	}
 	return rev
 }
--- a/internal/clusteragent/zones_test.go
+++ b/internal/clusteragent/zones_test.go
@@ -1,7 +1,6 @@
 package clusteragent_test
 
 import (
-	"context"
 	"fmt"
 	"testing"
 	"time"
@@ -19,25 +18,25 @@
 // With a margin of 4 s, and workers that sent heartbeats when they pleased, 277 machines
 // were given up a second before their zone came back.
 func TestLeaseGracePeriodIsUsedToItsBoundOnly(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		n := startNode(t, ctx, "host-0", state, workers)
-		w := workers.Add("m1", "box", "a")
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		n := bed.startNode("host-0")
+		w := bed.workers.Add("m1", "box", "a")
 		for range 3 {
-			n.sendHeartbeat(workers, w)
+			n.sendHeartbeat(w)
 			time.Sleep(time.Second)
 		}
-		state.SetOutage(true, false)
+		bed.state.SetOutage(true, false)
 		lost := time.Now() // a cancellation may be written from now on
 		var kept time.Time // when the last heartbeat was sent that was answered
 		var seen uint64
 		next := time.Now()
 		for time.Since(lost) < cancelDeadline {
 			var token uint64
-			workers.WithLock(func() { token = w.Heartbeat.FencingToken })
+			bed.workers.WithLock(func() { token = w.Heartbeat.FencingToken })
 			// Workers send heartbeats at intervals, and within half a second of a higher token.
 			if time.Now().After(next) || token > seen {
 				seen, next = token, time.Now().Add(8*time.Second)
-				if n.sendHeartbeat(workers, w).Owner {
+				if n.sendHeartbeat(w).Owner {
 					kept = time.Now()
 				}
 			}
@@ -57,23 +56,23 @@
 // machine's worker is sent to a controller of its zone, and taken by whoever it
 // comes to if it is not taken there.
 func TestNewMachineIsRedirectedToOwnerInItsZone(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := startNodeInZone(t, ctx, "host-0", "a", state, workers)
-		b := startNodeInZone(t, ctx, "host-1", "b", state, workers)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a := bed.startNodeInZone("host-0", "a")
+		b := bed.startNodeInZone("host-1", "b")
 		time.Sleep(2 * time.Second)
-		w := workers.Add("m1", "box", "b")
-		r := workers.NextHeartbeat(w)
-		if reply := a.agent.Heartbeat(ctx, &r); reply.Owner || reply.RedirectTo != "host-1" {
+		w := bed.workers.Add("m1", "box", "b")
+		r := bed.workers.NextHeartbeat(w)
+		if reply := a.agent.Heartbeat(bed.ctx, &r); reply.Owner || reply.RedirectTo != "host-1" {
 			t.Fatalf("another zone's machine: %+v", reply)
 		}
-		r = workers.NextHeartbeat(w)
-		if reply := b.agent.Heartbeat(ctx, &r); !reply.Owner {
+		r = bed.workers.NextHeartbeat(w)
+		if reply := b.agent.Heartbeat(bed.ctx, &r); !reply.Owner {
 			t.Fatalf("its own zone's controller: %+v", reply)
 		}
-		w = workers.Add("m2", "box", "b")
+		w = bed.workers.Add("m2", "box", "b")
 		for range 4 { // host-1 does not answer it
-			r = workers.NextHeartbeat(w)
-			a.agent.Heartbeat(ctx, &r)
+			r = bed.workers.NextHeartbeat(w)
+			a.agent.Heartbeat(bed.ctx, &r)
 			time.Sleep(time.Second)
 		}
 		if _, ok := a.entries()["m2"]; !ok {
@@ -86,29 +85,29 @@
 // machines that are unresponsive or not confirmed stay where they are: with another owner
 // the wait for their leases would begin anew, and job shards wait for it.
 func TestShardsStayInZoneAndUnreconciledShardsAreNotMoved(t *testing.T) {
-	runScenario(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := startNodeInZone(t, ctx, "host-0", "a", state, workers)
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a := bed.startNodeInZone("host-0", "a")
 		var all []*emulator.Worker
 		for i := range 40 {
-			w := workers.Add(fmt.Sprint("m", i), "box", "a")
+			w := bed.workers.Add(fmt.Sprint("m", i), "box", "a")
 			all = append(all, w)
-			go a.sendHeartbeat(workers, w)
+			go a.sendHeartbeat(w)
 		}
 		time.Sleep(4 * time.Second)
 		for _, w := range all {
-			go a.sendHeartbeat(workers, w)
+			go a.sendHeartbeat(w)
 		}
 		unreconciled := func(a *clusteragent.Agent) {
 			a.LastEntry = func(m string) agentapi.MachineEntry { return agentapi.MachineEntry{Machine: m, Settled: false} }
 		}
-		c := startNodeInZone(t, ctx, "host-2", "a", state, workers, unreconciled)
-		b := startNodeInZone(t, ctx, "host-1", "b", state, workers, unreconciled)
+		c := bed.startNodeInZone("host-2", "a", unreconciled)
+		b := bed.startNodeInZone("host-1", "b", unreconciled)
 		time.Sleep(25 * time.Second)
 		if n := len(b.entries()) + len(c.entries()); n != 0 {
 			t.Fatalf("%d unreconciled machines were evened out", n)
 		}
 		a.stop()
-		if err := state.Revoke(ctx, 1); err != nil {
+		if err := bed.state.Revoke(bed.ctx, 1); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
