--- a/internal/clusteragent/claims.go
+++ b/internal/clusteragent/claims.go
@@ -28,6 +28,15 @@
 	done        chan struct{}
 }
 
+// acquisition is how the machine came here: the claim of a machine that has a key already takes
+// it over.
+func (c *machineClaim) acquisition() acquisition {
+	if c.replacesRev == 0 {
+		return registered
+	}
+	return takenOver
+}
+
 // claimQueue is the claims that wait to be written. The agent's mutex guards pending.
 type claimQueue struct {
 	queue   chan machineClaim
@@ -112,7 +121,7 @@
 		rev, err := a.writeClaimBatch(ctx, batch, shards)
 		if err == nil {
 			for _, c := range batch {
-				a.beginOwnership(c.name, &c.key, rev, rev, c.replacesRev != 0)
+				a.beginOwnership(c.name, &c.key, rev, rev, c.acquisition())
 			}
 			return
 		}
--- a/internal/clusteragent/owned_machine.go
+++ b/internal/clusteragent/owned_machine.go
@@ -50,9 +50,19 @@
 // given up, and taken up anew, while the mutex was not held.
 func (a *Agent) owns(m *ownedMachine) bool { return a.machines[m.Name] == m }
 
+// acquisition is how a machine came to this controller.
+type acquisition int
+
+const (
+	// registered machines had no owner before.
+	registered acquisition = iota
+	// takenOver machines had one, which may go on answering their workers for a time.
+	takenOver
+)
+
 // beginOwnership begins to look after a machine. keyRev is its key's revision, rev that of
-// our ownership. A machine that is takenOver had an owner before.
-func (a *Agent) beginOwnership(name string, key *shard.MachineRecord, keyRev, rev uint64, takenOver bool) {
+// our ownership.
+func (a *Agent) beginOwnership(name string, key *shard.MachineRecord, keyRev, rev uint64, how acquisition) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,7 +75,7 @@
 		last := a.LastEntry(name)
 		m.Restore(&last, now)
 	}
-	if takenOver {
+	if how == takenOver {
 		// The earlier owner may go on answering for its lease grace period.
 		m.Ownership.TakeOver(now.Add(a.settings.LeaseGracePeriod()))
 		a.cancellations.noteAcknowledged(rev)
@@ -78,11 +88,11 @@
 		a.startSender(m)
 	}
 	m.wake()
-	if !takenOver {
+	if how == registered {
 		slog.Info(logline.MachineRegistered, "machine", name, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
 	}
 	slog.Debug("machine ownership acquired", "machine", name, "type", m.Type, "zone", m.Zone, "spot", m.Spot,
-		"revision", strconv.FormatUint(rev, 10), "taken_over", takenOver)
+		"revision", strconv.FormatUint(rev, 10), "taken_over", how == takenOver)
 }
 
 // release gives up a machine that a successor owns.
--- a/internal/clusteragent/removal.go
+++ b/internal/clusteragent/removal.go
@@ -31,7 +31,11 @@
 		if r.On && m.Occupied() && m.Liveness.Responsive() && !m.Quarantine.Active {
 			continue
 		}
-		m.Drain(r.On)
+		if r.On {
+			m.Drain()
+		} else {
+			m.EndDrain()
+		}
 		a.changes.mark(m)
 		reply.Names = append(reply.Names, name)
 	}
--- a/internal/clusteragent/shards.go
+++ b/internal/clusteragent/shards.go
@@ -271,6 +271,6 @@
 	if released >= rev {
 		return false
 	}
-	a.beginOwnership(name, key, kv.Rev, rev, true)
+	a.beginOwnership(name, key, kv.Rev, rev, takenOver)
 	return true
 }
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -66,7 +66,7 @@
 		m.Images.present[image] = now
 	}
 	if entry.Draining {
-		m.Drain(true)
+		m.Drain()
 	}
 	m.Quarantine.restore(entry.Faulty, entry.Blamed)
 }
@@ -75,14 +75,11 @@
 // about to lose its key.
 func (m *Machine) Operational() bool { return m.lifecycle < Removing }
 
-// Drain closes the machine to new tasks, or opens it again.
-func (m *Machine) Drain(on bool) {
-	if on {
-		m.lifecycle = m.lifecycle.after(drainBegan)
-	} else {
-		m.lifecycle = m.lifecycle.after(drainEnded)
-	}
-}
+// Drain closes the machine to new tasks.
+func (m *Machine) Drain() { m.lifecycle = m.lifecycle.after(drainBegan) }
+
+// EndDrain opens the machine to tasks again.
+func (m *Machine) EndDrain() { m.lifecycle = m.lifecycle.after(drainEnded) }
 
 // Delete notes that the cloud has deleted the machine: its tasks are proven gone, and so is
 // whatever a former owner sent. Only the machine's key is left.
