--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -14,15 +14,15 @@
 	"robinstack/internal/statekv"
 )
 
-// fleet puts up n workers that report to a, and waits until it owns them.
-func fleet(workers *emulator.Workers, a *node, n int) []*emulator.Worker {
+// addFleet puts up n workers that send heartbeats to a, and waits until it owns them.
+func addFleet(a *node, n int) []*emulator.Worker {
 	var all []*emulator.Worker
 	for i := range n {
-		all = append(all, workers.Add(fmt.Sprintf("m%d", i), "box", "a"))
+		all = append(all, a.bed.workers.Add(fmt.Sprintf("m%d", i), "box", "a"))
 	}
 	for range 4 {
 		for _, w := range all {
-			go a.report(workers, w)
+			go a.sendHeartbeat(w)
 		}
 		time.Sleep(4 * time.Second)
 	}
@@ -32,28 +32,28 @@
 // A controller that reaches the state service but not its workers must not hold
 // them until their leases run out: those come to the others, which take whole
 // shards. Machine by machine that took longer than the leases of hundreds.
-func TestOwnerThatLostItsWorkersLosesTheirShards(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := start(t, ctx, "host-0", state, workers)
-		epoch := slot(t, a, "s", 0)
-		all := fleet(workers, a, 200)
-		if _, err := state.Txn(ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, JobShard: "s"}}}); err != nil {
+func TestOwnerUnreachableByWorkersLosesShards(t *testing.T) {
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a := bed.startNode("host-0")
+		epoch := a.takeJobShard("s", 0)
+		all := addFleet(a, 200)
+		if _, err := bed.state.Txn(bed.ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, JobShard: "s"}}}); err != nil {
 			t.Fatal(err)
 		}
-		if got := a.commit(t, "m1", "s", epoch, 0, 1); got != agentapi.Started {
-			t.Fatalf("verdict %q", got)
+		if got := a.commit("m1", "s", epoch, 0, 1); got != agentapi.Started {
+			t.Fatalf("result %q", got)
 		}
-		b := start(t, ctx, "host-1", state, workers)
+		b := bed.startNode("host-1")
 		time.Sleep(11 * time.Second)
-		before := state.Changes()
+		before := bed.state.Changes()
 		for range 4 { // a hears nothing from here on; every worker tries b
 			for _, w := range all {
-				b.report(workers, w)
+				b.sendHeartbeat(w)
 			}
 			time.Sleep(2 * time.Second)
 		}
-		if n := len(b.entries()); n != 200 || state.Changes()-before > 10 {
-			t.Fatalf("the controller that they reach has %d machines after %d changes", n, state.Changes()-before)
+		if n := len(b.entries()); n != 200 || bed.state.Changes()-before > 10 {
+			t.Fatalf("the controller that they reach has %d machines after %d changes", n, bed.state.Changes()-before)
 		}
 		if n := len(a.entries()); n != 0 {
 			t.Fatalf("the earlier owner still looks after %d", n)
@@ -62,10 +62,10 @@
 			t.Fatalf("the task was lost: %+v", e)
 		}
 		// Machines that come up from now on are claimed into shards that it still has.
-		w := workers.Add("new", "box", "a")
-		a.report(workers, w)
+		w := bed.workers.Add("new", "box", "a")
+		a.sendHeartbeat(w)
 		time.Sleep(2 * time.Second)
-		if a.report(workers, w); len(a.entries()) != 1 {
+		if a.sendHeartbeat(w); len(a.entries()) != 1 {
 			t.Fatal("a controller whose shards were taken claims no machines any more")
 		}
 	})
@@ -73,21 +73,21 @@
 
 // A controller that is back owns part of the fleet again after a while, but not
 // machines that it cannot reach.
-func TestMachinesAreEvenedOut(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := start(t, ctx, "host-0", state, workers)
-		all := fleet(workers, a, 40)
-		workers.WithLock(func() {
+func TestShardsAreRebalancedToReachableOwner(t *testing.T) {
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a := bed.startNode("host-0")
+		all := addFleet(a, 40)
+		bed.workers.WithLock(func() {
 			for _, w := range all {
 				w.HoldCommands = true
 			}
 		})
-		b := start(t, ctx, "host-1", state, workers)
+		b := bed.startNode("host-1")
 		time.Sleep(20 * time.Second)
 		if n := len(b.entries()); n != 0 {
 			t.Fatalf("took %d machines that it cannot reach", n)
 		}
-		workers.WithLock(func() {
+		bed.workers.WithLock(func() {
 			for _, w := range all {
 				w.HoldCommands = false
 			}
@@ -100,30 +100,30 @@
 }
 
 // A machine whose shard has vanished is claimed anew, also by the controller that
-// still looks after it: the jobs of a dead placer waited for such machines for ever.
-func TestMachineWithoutShardIsClaimedAnew(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := start(t, ctx, "host-0", state, workers)
-		fleet(workers, a, 1)
+// still looks after it: the jobs of a dead scheduler waited for such machines for ever.
+func TestMachineWithoutShardIsReclaimed(t *testing.T) {
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a := bed.startNode("host-0")
+		addFleet(a, 1)
 		kv, ok := a.mirror.Get(statekv.MachinePrefix + "m0")
 		if !ok {
 			t.Fatal("the machine has no key")
 		}
-		if _, err := state.Txn(ctx, nil, []statekv.Op{{Delete: statekv.MachineShardPrefix + shard.ParseMachineRecord(kv).Shard}}); err != nil {
+		if _, err := bed.state.Txn(bed.ctx, nil, []statekv.Op{{Delete: statekv.MachineShardPrefix + shard.ParseMachineRecord(kv).Shard}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
 		kv, _ = a.mirror.Get(statekv.MachinePrefix + "m0")
-		if holder, _ := shard.OwnerOf(a.mirror, kv); holder != a.member.Holder || !a.entries()["m0"].Settled {
+		if holder, _ := shard.OwnerOf(a.mirror, kv); holder != a.session.Holder || !a.entries()["m0"].Settled {
 			t.Fatalf("the machine's owner is %v, its entry %+v", holder, a.entries()["m0"])
 		}
 	})
 }
 
-// stingy is a state service that makes no new shards for now.
-type stingy struct{ *emulator.StateService }
+// noNewShards is a state service that makes no new shards for now.
+type noNewShards struct{ *emulator.StateService }
 
-func (s stingy) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
+func (s noNewShards) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	for _, c := range when {
 		if c.Rev == 0 && strings.HasPrefix(c.Key, statekv.MachineShardPrefix) {
 			return 0, statekv.ErrRejected
@@ -132,18 +132,18 @@
 	return s.StateService.Txn(ctx, when, then)
 }
 
-// After a crash of all controllers the state service's write limit keeps a life
+// After a crash of all controllers the state service's write limit keeps a session
 // from making shards for new machines for a second or two. The machines that it
-// took over had to wait for that: all slots settled 3 s later.
-func TestMachinesTakenOverDoNotWaitForNewShards(t *testing.T) {
-	story(t, func(t *testing.T, ctx context.Context, state *emulator.StateService, workers *emulator.Workers) {
-		a := start(t, ctx, "host-0", state, workers)
-		fleet(workers, a, 1)
+// took over had to wait for that: all job shards were reconciled 3 s later.
+func TestFailoverDoesNotWaitForIntakeShards(t *testing.T) {
+	runScenario(t, func(t *testing.T, bed *testbed) {
+		a := bed.startNode("host-0")
+		addFleet(a, 1)
 		a.stop()
-		if err := state.Revoke(ctx, 1); err != nil {
+		if err := bed.state.Revoke(bed.ctx, 1); err != nil {
 			t.Fatal(err)
 		}
-		b := startWith(t, ctx, settings(), "host-0", stingy{state}, workers)
+		b := bed.startNodeWith(settings(), "host-0", noNewShards{bed.state})
 		time.Sleep(time.Second)
 		if e, ok := b.entries()["m0"]; !ok || !e.Settled {
 			t.Fatalf("not taken over: %+v", e)
