--- a/internal/config/state_limits.go
+++ b/internal/config/state_limits.go
@@ -19,17 +19,17 @@
 // What the service needs of the state service at least. A chunk of a job's finished tasks takes
 // 1.4 KiB, and the end of a job three changes.
 const (
-	MinValueBytes = 2048
-	MinTxnOps     = 6
+	minValueBytes = 2048
+	minTxnOps     = 6
 	// versionChangeCompares are needed to change the cluster version, beside one for each
 	// controller.
 	versionChangeCompares = 6
 )
 
-// minTxnOps is how many changes a transaction has to take with so many controllers.
-func minTxnOps(controllers int) int {
+// requiredTxnOps is how many changes a transaction has to take with so many controllers.
+func requiredTxnOps(controllers int) int {
 	compares := controllers + versionChangeCompares
-	return max(MinTxnOps, (compares+comparesPerOp-1)/comparesPerOp)
+	return max(minTxnOps, (compares+comparesPerOp-1)/comparesPerOp)
 }
 
 // MaxCompares is how many compares a transaction may have.
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -72,9 +72,9 @@
 func (v *validation) stateLimits(limits StateLimits, controllers int) {
 	v.require(limits.RequestsPerSecond > 0, "facts.state.rps", aboveZero+", and next.rps not below")
 	v.require(limits.WritesPerSecond > 0, "facts.state.write_rps", aboveZero+", and next.write_rps not below")
-	v.require(limits.MaxValueBytes >= MinValueBytes, "facts.state.value_kb",
+	v.require(limits.MaxValueBytes >= minValueBytes, "facts.state.value_kb",
 		"must be at least 2, and next.value_kb as well")
-	ops := minTxnOps(controllers)
+	ops := requiredTxnOps(controllers)
 	v.require(limits.MaxTxnOps >= ops, "facts.state.txn_ops",
 		fmt.Sprintf("must be at least %d with so many controllers, and next.txn_ops as well", ops))
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -143,6 +143,8 @@
 	if err != nil {
 		return fmt.Errorf("listening for users and workers: %w", err)
 	}
+	// Nothing waits for these two: the process ends with the gateway, and what a session leaves
+	// behind then is what it would leave behind in a crash.
 	go c.pauses.run(ctx)
 	go c.RunSessions(ctx)
 	return c.gateway.Serve(ctx, listener)
