--- a/internal/clusteragent/cancellation.go
+++ b/internal/clusteragent/cancellation.go
@@ -30,7 +30,7 @@
 
 // cancellations is what this controller knows of cancelled jobs. The agent's mutex guards it.
 type cancellations struct {
-	jobs            recentNames // jobs whose cancellation was seen
+	jobs            recentNames // whose cancellation was seen
 	acknowledgedRev uint64      // latest revision that was acknowledged to a user, or taken from an owner
 }
 
--- a/internal/clusteragent/claims.go
+++ b/internal/clusteragent/claims.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// maxQueuedClaims bounds the claims that wait; machines that find no room come again.
+	// maxQueuedClaims bounds the claims that wait; the workers of others come again.
 	maxQueuedClaims = 256
 	// claimTimeout is how long writing claims may take.
 	claimTimeout = 2 * time.Second
-	// claimRetryEvery is how often the state service's budget is asked for room.
+	// claimRetryEvery is how often the state service's budget is asked again.
 	claimRetryEvery = 50 * time.Millisecond
 )
 
--- a/internal/clusteragent/lease_grace.go
+++ b/internal/clusteragent/lease_grace.go
@@ -9,7 +9,8 @@
 // on it to stop in time.
 func (a *Agent) mayAnswer(now time.Time) bool { return a.leaseGraceLeft(now) > 0 }
 
-// leaseGraceLeft is how much longer it may, if it does not reach the state service again.
+// leaseGraceLeft is how much longer this controller may act for its machines, if it does not
+// reach the state service again.
 func (a *Agent) leaseGraceLeft(now time.Time) time.Duration {
 	known := a.session.LastRenewal()
 	if fresh := a.mirror.FreshAsOf(); fresh.Before(known) {
--- a/internal/clusteragent/owned_machine.go
+++ b/internal/clusteragent/owned_machine.go
@@ -103,7 +103,9 @@
 	slog.Info("machine ownership lost", "machine", m.Name)
 	m.Release(time.Now())
 	a.shards.released[m.Name] = m.Ownership.Rev
-	if !m.Deregistered() { // one that is has stopped already, and a late heartbeat of it came elsewhere
+	if !m.Deregistered() {
+		// Of one that is, the sender has stopped already; a late heartbeat of it has reached
+		// another controller.
 		close(m.stopped)
 	}
 	a.forgetMachine(m)
--- a/internal/clusteragent/recent_names.go
+++ b/internal/clusteragent/recent_names.go
@@ -14,7 +14,7 @@
 }
 
 // add remembers a name from now on. At the limit others are dropped: those that have expired,
-// and any others until there is room.
+// and any others until the number is below it.
 func (r *recentNames) add(name string, now time.Time) {
 	if len(r.addedAt) >= r.limit {
 		for old, at := range r.addedAt {
--- a/internal/clusteragent/removal.go
+++ b/internal/clusteragent/removal.go
@@ -43,7 +43,7 @@
 }
 
 // Removed tells the agent that the cloud has deleted machines: their tasks are
-// gone. Their keys follow when the state service has room for it.
+// gone. Their keys follow when the state service's budget allows it.
 func (s *Service) Removed(r agentapi.MachinesRequest, reply *agentapi.MachinesReply) error {
 	a := s.agent
 	a.mu.Lock()
--- a/internal/clusteragent/tombstones.go
+++ b/internal/clusteragent/tombstones.go
@@ -21,7 +21,7 @@
 	a.tombstones.add(machine, now)
 }
 
-// isTombstoned reports whether a machine is no more.
+// isTombstoned reports whether the key of a machine was removed lately.
 func (a *Agent) isTombstoned(machine string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
