--- a/internal/clusteragent/planning_test.go
+++ b/internal/clusteragent/planning_test.go
@@ -103,12 +103,12 @@
 		ownedFor, straying time.Duration
 		taken              bool
 	}{
-		"a quarter":             {40, 10, time.Minute, 5 * time.Second, true},
-		"less than a quarter":   {40, 9, time.Minute, 5 * time.Second, false},
-		"all of a small one":    {2, 2, time.Minute, 5 * time.Second, false},
-		"three of a small one":  {3, 3, time.Minute, 5 * time.Second, true},
-		"a new owner":           {40, 40, 9 * time.Second, 5 * time.Second, false},
-		"only just":             {40, 40, time.Minute, time.Second, true}, // this controller is next in line
+		"a quarter":            {40, 10, time.Minute, 5 * time.Second, true},
+		"less than a quarter":  {40, 9, time.Minute, 5 * time.Second, false},
+		"all of a small one":   {2, 2, time.Minute, 5 * time.Second, false},
+		"three of a small one": {3, 3, time.Minute, 5 * time.Second, true},
+		"a new owner":          {40, 40, 9 * time.Second, 5 * time.Second, false},
+		"only just":            {40, 40, time.Minute, time.Second, true}, // this controller is next in line
 	}
 	for name, c := range cases {
 		f := newPlanningFleet(t)
