--- a/internal/scheduler/chunks_test.go
+++ b/internal/scheduler/chunks_test.go
@@ -13,24 +13,24 @@
 // takes what it may, and the rest goes with the next ones; nothing is left out.
 func TestChunksAreFoldedWithinTheLimit(t *testing.T) {
 	const most = 8
-	p := &Scheduler{settings: &config.Settings{StateLimits: config.StateLimits{MaxValueBytes: 2048, MaxTxnOps: most}}, store: emulator.NewStateService()}
+	s := &Scheduler{settings: &config.Settings{StateLimits: config.StateLimits{MaxValueBytes: 2048, MaxTxnOps: most}}, store: emulator.NewStateService()}
 	spec := job.Spec{ID: "wk-1", Class: "c", Team: "t", Shape: job.Array, Rank: "normal", Tasks: job.MaxTasks, Image: "i"}
-	j := &jobState{spec: &spec, rest: &job.Record{}, done: job.NewTaskBitmap(spec.Tasks), dirty: map[int]bool{}}
+	j := &jobState{spec: &spec, record: &job.Record{}, done: job.NewTaskBitmap(spec.Tasks), completion: completion{dirtyChunks: map[int]bool{}}}
 	all := job.ChunkCount(spec.Tasks)
 	for k := range all {
-		j.dirty[k] = true
+		j.completion.dirtyChunks[k] = true
 	}
 	written := map[string]bool{}
-	for fold := 0; len(j.dirty) > 0; fold++ {
+	for fold := 0; len(j.completion.dirtyChunks) > 0; fold++ {
 		if fold == all {
-			t.Fatalf("%d chunks are never written", len(j.dirty))
+			t.Fatalf("%d chunks are never written", len(j.completion.dirtyChunks))
 		}
-		dirty := j.dirty
-		j.dirty = map[int]bool{}
-		rec := p.record(j, false)
-		ops := p.recordOps(j, &rec, dirty, rollout.ClusterVersion{})
-		if len(ops) > most || len(ops) == 0 || len(dirty)+len(j.dirty) > all {
-			t.Fatalf("%d changes; %d and %d chunks", len(ops), len(dirty), len(j.dirty))
+		dirty := j.completion.dirtyChunks
+		j.completion.dirtyChunks = map[int]bool{}
+		rec := s.openRecord(j, false)
+		ops := s.recordOps(j, &rec, dirty, rollout.ClusterVersion{})
+		if len(ops) > most || len(ops) == 0 || len(dirty)+len(j.completion.dirtyChunks) > all {
+			t.Fatalf("%d changes; %d and %d chunks", len(ops), len(dirty), len(j.completion.dirtyChunks))
 		}
 		for _, op := range ops {
 			written[op.Set] = true
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -2,10 +2,7 @@
 
 import (
 	"context"
-	"encoding/json"
 	"log/slog"
-	"maps"
-	"slices"
 	"time"
 
 	"robinstack/internal/agentapi"
@@ -14,163 +11,99 @@
 	"robinstack/internal/worker"
 )
 
-// A task that fails blames its machine or its job. A job of which anything has
-// succeeded is well, so its failures are the machine's. A job that failed on
-// several machines and succeeded on none was submitted with a mistake: it must
-// burn neither the fleet nor the good name of machines.
-
-// suspectAfter is on how many machines a job must have failed before it, rather
-// than they, is at fault; where it failed on one of them again, two are enough.
-const suspectAfter = 3
-
-// avoidFor is how long a job keeps away from machines on which it failed. Where
-// there are few, it has to be tried there again.
-const avoidFor = 40 * time.Second
-
-// longestBackoff is how long a job that fails everywhere waits at most between
-// two tries.
-const longestBackoff = time.Minute
-
-// failed notes that a task of the job failed on a machine.
-func (p *Scheduler) failed(j *jobState, machine string) {
-	p.counters.Failed++
-	j.avoid = append(j.avoid, machine)
-	if len(j.avoid) > 6 {
-		j.avoid = j.avoid[1:]
-	}
+// onTaskFailed takes up that a task of the job failed on a machine. The mutex is held.
+func (s *Scheduler) onTaskFailed(j *jobState, machine string) {
+	s.counters.Failed++
 	now := time.Now()
-	j.avoidTill = now.Add(avoidFor)
+	j.failures.avoidMachine(machine, now)
 	if j.doneCount > 0 {
-		p.judge(j, machine, true)
-		j.nextTry = now.Add(p.policy.ResampleDelay)
+		s.reportAttribution(j, machine, true)
+		j.nextTry = now.Add(s.policy.ResampleDelay)
 		return
 	}
-	if j.failedOn == nil {
-		j.failedOn = map[string]bool{}
-	}
-	p.note(j)
-	again := j.failedOn[machine]
-	j.failedOn[machine] = true
-	if !again || j.suspect {
-		j.failures++
-	}
-	j.nextTry = now.Add(backoff(j.failures))
-	switch {
-	case j.suspect:
-		p.judge(j, machine, false)
-	case len(j.failedOn) >= suspectAfter || len(j.failedOn) > 1 && again:
-		j.suspect = true
-		p.counters.Suspects++
-		slog.Info("job failing on all machines", "job", j.spec.ID, "class", j.spec.Class, "machines", len(j.failedOn))
-		for m := range j.failedOn {
-			p.judge(j, m, false)
-		}
-		for k := range j.tasks {
-			// What has not begun to run would fail as well.
-			if ts := &j.tasks[k]; ts.state == agentapi.Starting || ts.state == worker.TaskFetching {
-				p.stopTask(j, k, 0)
-			}
-		}
+	s.scheduleFailureRecord(j)
+	attributed := j.failures.attribute(machine)
+	j.nextTry = now.Add(j.failures.backoff())
+	switch attributed {
+	case jobKnownAtFault:
+		s.reportAttribution(j, machine, false)
+	case jobFoundAtFault:
+		s.onJobAtFault(j)
 	}
 }
 
-// mostNoted is from how many failures in a row on their number is not written any
-// more: the pause between two tries does not grow beyond that.
-const mostNoted = 6
-
-// note has what is known of the job's failures written into its record soon: its next
-// placer would have to fail it on as many machines again.
-func (p *Scheduler) note(j *jobState) {
-	if j.failures > mostNoted || !p.levels.Enabled(rollout.FeatureFailureHistory) {
-		return
-	}
-	j.noted = true
-	if j.dirtyAt.IsZero() {
-		j.dirtyAt = time.Now()
+// onJobAtFault clears the machines on which the job failed, and stops those of its tasks
+// that have not begun to run: they would fail as well. The mutex is held.
+func (s *Scheduler) onJobAtFault(j *jobState) {
+	s.counters.Suspects++
+	slog.Info("job failing on all machines",
+		"job", j.spec.ID, "class", j.spec.Class, "machines", len(j.failures.failedOn))
+	for machine := range j.failures.failedOn {
+		s.reportAttribution(j, machine, false)
+	}
+	for i := range j.tasks {
+		if state := j.tasks[i].state; state == agentapi.Starting || state == worker.TaskFetching {
+			s.stopTask(j, i, 0)
+		}
 	}
 }
 
-// record is what is written of an unfinished job. The note of its failures is left out
-// where the value would become too large with it.
-func (p *Scheduler) record(j *jobState, failures bool) job.Record {
-	rec := job.Record{Spec: *j.spec, JobShard: j.slot, SubmittedMS: j.submitted.UnixMilli(), CompletedTasks: j.done.EncodeChunk(0), SpecFragments: j.rest.SpecFragments, UnknownFields: j.rest.UnknownFields, UnknownSpecFields: j.rest.UnknownSpecFields}
-	if !failures || len(j.failedOn) == 0 {
-		return rec
-	}
-	on := slices.Sorted(maps.Keys(j.failedOn))
-	rec.Failures = &job.FailureHistory{Machines: on[:min(len(on), job.MaxFailedMachines)], Consecutive: j.failures, Suspected: j.suspect}
-	if raw, err := json.Marshal(rec); err != nil || len(raw) > p.settings.StateLimits.MaxValueBytes {
-		rec.Failures = nil
+// scheduleFailureRecord has what is known of the job's failures written into its record
+// soon: its next scheduler would have to fail it on as many machines again. The mutex is
+// held.
+func (s *Scheduler) scheduleFailureRecord(j *jobState) {
+	if j.failures.consecutive > maxRecordedFailures || !s.versions.Enabled(rollout.FeatureFailureHistory) {
+		return
 	}
-	return rec
+	j.failures.unrecorded = true
+	j.completion.markDirty(time.Now())
 }
 
-// recall takes up what an earlier placer noted.
-func (j *jobState) recall(f *job.FailureHistory, now time.Time) {
-	if f == nil || j.doneCount > 0 {
+// restoreFailures takes up what an earlier scheduler recorded of the job's failures.
+func (j *jobState) restoreFailures(recorded *job.FailureHistory, now time.Time) {
+	if recorded == nil || j.doneCount > 0 {
 		return
 	}
-	j.failedOn = map[string]bool{}
-	for _, m := range f.Machines {
-		j.failedOn[m] = true
-		j.avoid = append(j.avoid, m)
-	}
-	j.avoidTill = now.Add(avoidFor)
-	j.failures, j.suspect = f.Consecutive, f.Suspected
-	j.nextTry = now.Add(backoff(f.Consecutive))
+	j.failures.restore(recorded, now)
+	j.nextTry = now.Add(j.failures.backoff())
 }
 
-// backoff is the pause after so many failures in a row.
-func backoff(failures int) time.Duration {
-	return min(longestBackoff, time.Second<<min(max(0, failures), 6))
-}
-
-// succeeded notes that a task of the job has completed: where others of it
-// failed, the machine was at fault.
-func (p *Scheduler) succeeded(j *jobState) {
-	for m := range j.failedOn {
-		p.judge(j, m, true)
+// onTaskSucceeded takes up that a task of the job has completed: where others of it
+// failed, the machine was at fault. The mutex is held.
+func (s *Scheduler) onTaskSucceeded(j *jobState) {
+	for machine := range j.failures.failedOn {
+		s.reportAttribution(j, machine, true)
 	}
-	if j.suspect {
+	if j.failures.jobAtFault {
 		slog.Info("job failure cleared", "job", j.spec.ID)
 		j.nextTry = time.Time{}
 	}
-	j.failedOn, j.failures, j.suspect = nil, 0, false
+	j.failures.clear()
 }
 
-func (p *Scheduler) judge(j *jobState, machine string, atFault bool) {
-	p.verdicts = append(p.verdicts, agentapi.Attribution{Machine: machine, Job: j.spec.ID, AtFault: atFault})
-}
-
-// batch is how many of the job's tasks one placement looks for.
-func (j *jobState) batch() int {
-	switch {
-	case j.spec.Shape == job.Gang:
-		return len(j.tasks)
-	case j.suspect:
-		return 1
-	case j.starves(time.Now()):
-		return firstBatch
-	}
-	return batchTasks
+// reportAttribution has the machine's owner told whether the machine is at fault for a
+// failure of the job. The mutex is held.
+func (s *Scheduler) reportAttribution(j *jobState, machine string, machineAtFault bool) {
+	s.outbox.attributions = append(s.outbox.attributions,
+		agentapi.Attribution{Machine: machine, Job: j.spec.ID, AtFault: machineAtFault})
 }
 
-// sendVerdicts tells owners what is known of their machines. One that is lost
-// does no harm: doubt about a machine passes by itself.
-func (p *Scheduler) sendVerdicts(ctx context.Context, verdicts []agentapi.Attribution) {
+// sendAttributions tells owners what is known of their machines. One that is lost does no
+// harm: suspicion of a machine passes by itself.
+func (s *Scheduler) sendAttributions(ctx context.Context, attributions []agentapi.Attribution) {
 	byHost := map[string][]agentapi.Attribution{}
-	for _, v := range verdicts {
-		if host, ok := p.feed.OwnerHost(v.Machine); ok {
-			byHost[host] = append(byHost[host], v)
+	for _, attributed := range attributions {
+		if host, ok := s.feed.OwnerHost(attributed.Machine); ok {
+			byHost[host] = append(byHost[host], attributed)
 		}
 	}
 	for host, list := range byHost {
-		go func() {
-			cctx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		s.background.Go(func() {
+			callCtx, cancel := context.WithTimeout(ctx, outboxTimeout)
 			defer cancel()
-			if err := p.call.Call(cctx, host, "Agent.Judge", list, &struct{}{}); err != nil {
+			if err := s.peers.Call(callCtx, host, methodAttribute, list, &struct{}{}); err != nil {
 				slog.Debug("machine health report to owner failed", "host", host, "err", err)
 			}
-		}()
+		})
 	}
 }
--- /dev/null
+++ b/internal/scheduler/task_results.go
@@ -0,0 +1,79 @@
+package scheduler
+
+import (
+	"log/slog"
+	"time"
+
+	"robinstack/internal/job"
+	"robinstack/internal/logline"
+	"robinstack/internal/worker"
+)
+
+// resetTask returns a task to pending: its attempt is on no machine any more. The mutex is
+// held.
+func (s *Scheduler) resetTask(j *jobState, index int) {
+	task := &j.tasks[index]
+	delete(s.placedOn[task.machine], j.ref(index))
+	task.transition(taskPending)
+}
+
+// onTaskCompleted takes up that a task has completed; a gang completes as a whole. The
+// mutex is held.
+func (s *Scheduler) onTaskCompleted(j *jobState, index int) {
+	s.resetTask(j, index)
+	s.onTaskSucceeded(j)
+	first, last := index, index
+	if j.isGang() {
+		first, last = 0, len(j.tasks)-1
+	}
+	for i := first; i <= last; i++ {
+		j.addDone(i, time.Now())
+	}
+	if j.doneCount == len(j.tasks) && !j.isFinished() {
+		j.advance(jobFinished, job.Done)
+		j.finishedAt = time.Now()
+		slog.Info(logline.JobCompleted,
+			"job", j.spec.ID, "age", time.Since(j.submittedAt).Round(time.Millisecond))
+	}
+	s.wake()
+}
+
+// addDone notes a completed task, to be recorded.
+func (j *jobState) addDone(index int, now time.Time) {
+	if j.done.Has(index) {
+		return
+	}
+	j.done.Add(index)
+	j.doneCount++
+	j.completion.dirtyChunks[index/job.TasksPerChunk] = true
+	j.completion.markDirty(now)
+}
+
+// onAttemptEnded takes up that an attempt ended without completing its task. The mutex is
+// held.
+func (s *Scheduler) onAttemptEnded(j *jobState, index int, cause, machine string) {
+	slog.Info("task attempt ended", "task", job.TaskID(j.spec.ID, index), "cause", cause, "machine", machine)
+	if cause == worker.CauseFailed {
+		s.onTaskFailed(j, machine)
+	}
+	s.onTaskLost(j, index)
+}
+
+// onTaskLost takes up that a task is certainly on no machine; the rest of a gang is
+// stopped. The mutex is held.
+func (s *Scheduler) onTaskLost(j *jobState, index int) {
+	s.counters.Lost++
+	s.resetTask(j, index)
+	if j.isGang() && !j.isFinished() {
+		s.stopAllTasks(j, 0)
+	}
+	s.dropIfGone(j.spec.ID, j)
+	s.wake()
+}
+
+// forgetEndedAttempts has the first so many ended attempts forgotten: their results are
+// durable. The mutex is held.
+func (s *Scheduler) forgetEndedAttempts(j *jobState, count int) {
+	s.outbox.forgets = append(s.outbox.forgets, j.completion.ended[:count]...)
+	j.completion.ended = j.completion.ended[count:]
+}
--- a/internal/scheduler/turn_test.go
+++ b/internal/scheduler/turn_test.go
@@ -14,36 +14,36 @@
 // late for all their limits, which the order puts last: half a thousand tasks of such
 // waited for eight minutes on kuopio-fleet's loss.
 func TestStarvingJobsGoFirst(t *testing.T) {
-	p := &Scheduler{policy: policy.Default()}
+	pol := policy.Default()
 	now := time.Unix(10_000, 0)
 	of := func(rank string, age time.Duration, begun bool) *jobState {
 		due := 60.0
 		spec := &job.Spec{ID: "wk-1", Rank: rank, Tasks: 500, EstimateS: 50, DeadlineS: &due}
-		return &jobState{spec: spec, as: spec, from: now.Add(-age), begun: begun, limits: []time.Duration{time.Minute}}
+		return &jobState{spec: spec, effective: spec, phase: jobRunnable, readyAt: now.Add(-age), begun: begun, limits: []time.Duration{time.Minute}}
 	}
-	turn := func(j *jobState) float64 { return p.turn(j, now) }
+	order := func(j *jobState) float64 { return j.order(pol, now) }
 	late, fresh := of("normal", 175*time.Second, false), of("normal", time.Second, false)
-	if turn(late) > turn(fresh) {
+	if order(late) > order(fresh) {
 		t.Error("one that is too late goes before one that is not, although it does not starve")
 	}
 	starving := of("normal", 185*time.Second, false)
-	if turn(starving) < turn(fresh) || turn(starving) > turn(of("high", time.Second, false)) {
+	if order(starving) < order(fresh) || order(starving) > order(of("high", time.Second, false)) {
 		t.Error("it goes first in its rank, and not before a higher one")
 	}
-	if turn(of("best_effort", 215*time.Second, false)) < turn(of("production", time.Second, false)) {
+	if order(of("best_effort", 215*time.Second, false)) < order(of("production", time.Second, false)) {
 		t.Error("after three quarters of the time it goes before all")
 	}
 	gang := of("normal", 125*time.Second, false)
 	gang.spec.Shape = job.Gang
-	if turn(gang) < turn(fresh) || turn(gang) > turn(of("high", time.Second, false)) {
+	if order(gang) < order(fresh) || order(gang) > order(of("high", time.Second, false)) {
 		t.Error("a gang, whose machines have to come free, starves earlier")
 	}
-	if turn(of("normal", 215*time.Second, true)) > turn(fresh) {
+	if order(of("normal", 215*time.Second, true)) > order(fresh) {
 		t.Error("it has begun")
 	}
 	waits, suspect := of("normal", 215*time.Second, false), of("normal", 215*time.Second, false)
-	waits.waits, suspect.suspect = true, true
-	if waits.starves(now) || suspect.starves(now) {
+	waits.phase, suspect.failures.jobAtFault = jobBlocked, true
+	if waits.startOverdue(now) || suspect.startOverdue(now) {
 		t.Error("what waits for others, or fails everywhere, does not starve")
 	}
 }
