--- a/internal/scheduler/candidate/candidate_test.go
+++ b/internal/scheduler/candidate/candidate_test.go
@@ -8,7 +8,7 @@
 	"robinstack/internal/job"
 )
 
-func TestPlanRanksAndFallsBack(t *testing.T) {
+func TestAssignRanksAndListsFallbacks(t *testing.T) {
 	cs := []agentapi.Candidate{{Machine: "m1", Fits: 1, Score: 10}, {Machine: "m2", Fits: 2, Score: 90}, {Machine: "m3", Fits: 1, Score: 50}}
 	Rank(cs)
 	lists := Assign(cs, 5, 2)
@@ -35,7 +35,7 @@
 }
 
 // wrong_place: one_zone and spread look at where the job's other tasks are.
-func TestZonesOpenToFurtherTasks(t *testing.T) {
+func TestOpenZonesAndSpreadOut(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	if z := OpenZones(&job.Spec{OneZone: true, Tasks: 4}, map[string]int{"b": 1}, zones); !slices.Equal(z, []string{"b"}) {
 		t.Fatalf("one zone: %v", z)
@@ -52,7 +52,7 @@
 
 // A gang has machines cleared where that loses least, all in one zone if it
 // must be, and nothing is stopped when it would still not fit.
-func TestClearingChoosesTheCheapestZoneThatHoldsTheGang(t *testing.T) {
+func TestChooseFreedTakesCheapestZoneThatHoldsGang(t *testing.T) {
 	options := []agentapi.Candidate{{Machine: "m1", Zone: "a", Score: -5}, {Machine: "m2", Zone: "b", Score: -20}, {Machine: "m3", Zone: "b", Score: -30}}
 	found := []agentapi.Candidate{{Machine: "m4", Zone: "b", Fits: 1}}
 	if got := ChooseFreed(true, found, options, 2); len(got) != 1 || got[0].Machine != "m2" {
--- /dev/null
+++ b/internal/scheduler/cluster_helpers_test.go
@@ -0,0 +1,169 @@
+package scheduler_test
+
+import (
+	"strings"
+	"time"
+
+	"robinstack/internal/agentapi"
+	"robinstack/internal/job"
+	"robinstack/internal/rollout"
+	"robinstack/internal/scheduler"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
+)
+
+func newSpec(id, shape string, tasks int, gpus float64) job.Spec {
+	return job.Spec{ID: id, Class: "c", Team: "t", Shape: shape, Rank: "normal", Tasks: tasks, Need: job.Need{CPUs: 1, GPUs: gpus, MemoryGB: 1}, Image: "i", Spot: true}
+}
+
+func withGPUs(s job.Spec, gpus float64) job.Spec {
+	s.GPUs = gpus
+	return s
+}
+
+// dependentSpec is a job of one small task that waits for others.
+func dependentSpec(id string, needs ...string) job.Spec {
+	s := newSpec(id, job.Array, 1, 0)
+	s.WaitsOn = needs
+	return s
+}
+
+func (cluster *testCluster) submit(controller *testController, spec job.Spec) {
+	cluster.t.Helper()
+	slot, _, ok := controller.scheduler.OwnJobShard()
+	if !ok {
+		cluster.t.Fatal("no slot")
+	}
+	rec := &job.Record{Spec: spec, JobShard: slot, SubmittedMS: time.Now().UnixMilli()}
+	rev, err := controller.session.Write(cluster.ctx, []statekv.Compare{{Key: job.RecordKey(spec.ID)}}, []statekv.Op{{Set: job.RecordKey(spec.ID), Value: rec}})
+	if err != nil {
+		cluster.t.Fatal(err)
+	}
+	controller.scheduler.OnJobAccepted(rec, rev)
+}
+
+// cancel records a cancellation, as a gateway does.
+func (cluster *testCluster) cancel(id string) {
+	cluster.t.Helper()
+	kv, err := cluster.state.Get(cluster.ctx, job.RecordKey(id))
+	if err != nil {
+		cluster.t.Fatal(err)
+	}
+	if _, err := cluster.state.Txn(cluster.ctx, []statekv.Compare{{Key: job.RecordKey(id), Rev: kv.Rev}}, append(tombstone.WriteOps(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.LegacyOnly), statekv.Op{Delete: job.RecordKey(id)})); err != nil {
+		cluster.t.Fatal(err)
+	}
+}
+
+func (cluster *testCluster) put(ops ...statekv.Op) {
+	cluster.t.Helper()
+	if _, err := cluster.state.Txn(cluster.ctx, nil, ops); err != nil {
+		cluster.t.Fatal(err)
+	}
+}
+
+// setClusterVersion puts the fleet on a level.
+func (cluster *testCluster) setClusterVersion(features ...rollout.Feature) {
+	cluster.t.Helper()
+	l := rollout.ClusterVersion{Schema: 1, Number: len(features), Features: features}
+	if _, err := cluster.state.Txn(cluster.ctx, nil, []statekv.Op{{Set: statekv.ClusterVersionKey, Value: l}}); err != nil {
+		cluster.t.Fatal(err)
+	}
+}
+
+// enableDependencies has the fleet stand where all controllers know pipelines.
+func (cluster *testCluster) enableDependencies() {
+	cluster.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.ClusterVersion{Schema: 1, Number: 2, Features: []rollout.Feature{rollout.FeatureVersionGate, rollout.FeatureDependencies}}})
+}
+
+func (cluster *testCluster) exitAllTasks(cause string) {
+	var ids []string
+	cluster.workers.WithLock(func() {
+		for _, b := range cluster.machines {
+			for _, t := range b.Heartbeat.Tasks {
+				ids = append(ids, t.ID)
+			}
+		}
+	})
+	for _, b := range cluster.machines {
+		for _, id := range ids {
+			cluster.workers.EndTask(b, id, cause)
+		}
+	}
+}
+
+func (cluster *testCluster) finalStatus(id string) string {
+	f, err := tombstone.Read(cluster.ctx, cluster.state, nil, id)
+	if err != nil {
+		return ""
+	}
+	return f.Status
+}
+
+// startCounts counts how often each task was started, and tasks counts those that
+// are on machines.
+func (cluster *testCluster) startCounts() map[string]int {
+	out := map[string]int{}
+	cluster.workers.WithLock(func() {
+		for _, b := range cluster.machines {
+			for _, s := range b.Started {
+				out[s]++
+			}
+		}
+	})
+	return out
+}
+
+// countStarts counts how many starts of a job's tasks were carried out.
+func (cluster *testCluster) countStarts(id string) (n int) {
+	for task, k := range cluster.startCounts() {
+		if strings.HasPrefix(task, id+"/") {
+			n += k
+		}
+	}
+	return n
+}
+
+// wasStarted reports whether a task of the job was ever started.
+func (cluster *testCluster) wasStarted(id string) bool { return cluster.startCounts()[id+"/0"] > 0 }
+
+func (cluster *testCluster) wasStartedOn(box int, task string) (yes bool) {
+	cluster.workers.WithLock(func() {
+		for _, s := range cluster.machines[box].Started {
+			yes = yes || s == task
+		}
+	})
+	return yes
+}
+
+func (cluster *testCluster) countTasks() (n int) {
+	cluster.workers.WithLock(func() {
+		for _, b := range cluster.machines {
+			n += len(b.Heartbeat.Tasks)
+		}
+	})
+	return n
+}
+
+func allEntries(cluster *testCluster) (all []agentapi.MachineEntry) {
+	for _, host := range []string{"host-0", "host-1"} {
+		if controller := cluster.controller(host); controller != nil {
+			_, entries := controller.agent.Snapshot()
+			all = append(all, entries...)
+		}
+	}
+	return all
+}
+
+// waitingJobs lists the jobs of a node that wait, as its status does.
+func (controller *testController) waitingJobs(cluster *testCluster) map[string]scheduler.WaitingJob {
+	cluster.t.Helper()
+	var list []scheduler.WaitingJob
+	if err := scheduler.NewService(controller.scheduler).Queue(10_000, &list); err != nil {
+		cluster.t.Fatal(err)
+	}
+	out := map[string]scheduler.WaitingJob{}
+	for _, q := range list {
+		out[q.Job] = q
+	}
+	return out
+}
--- /dev/null
+++ b/internal/scheduler/cluster_test.go
@@ -0,0 +1,222 @@
+package scheduler_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"robinstack/emulator"
+	"robinstack/internal/agentapi"
+	"robinstack/internal/changefeed"
+	"robinstack/internal/cloud"
+	"robinstack/internal/clusteragent"
+	"robinstack/internal/config"
+	"robinstack/internal/dag"
+	"robinstack/internal/job"
+	"robinstack/internal/policy"
+	"robinstack/internal/quota"
+	"robinstack/internal/scheduler"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
+)
+
+// testCluster is a service of two controllers without a network: calls go straight
+// to the services.
+type testCluster struct {
+	t           *testing.T
+	ctx         context.Context
+	state       *emulator.StateService
+	workers     *emulator.Workers
+	mu          sync.Mutex
+	controllers map[string]*testController
+	machines    []*emulator.Worker
+	endpoints   map[*emulator.Worker]string // the node that each reports to
+
+	objectives  []config.Objective
+	grantsLeft  int    // tasks that the limit of team full leaves room for
+	stateLimits [2]int // of values and of transactions, or those of before
+	dropsStops  bool   // words to stop or forget tasks get lost
+}
+
+type testController struct {
+	host      string
+	agent     *clusteragent.Agent
+	service   *clusteragent.Service
+	scheduler *scheduler.Scheduler
+	session   *statekv.Session
+	mirror    *statekv.Mirror
+	stop      context.CancelFunc
+	up        bool
+}
+
+func runScenario(t *testing.T, f func(cluster *testCluster)) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		cluster := &testCluster{t: t, ctx: ctx, state: emulator.NewStateService(), workers: emulator.NewWorkers(), controllers: map[string]*testController{}, endpoints: map[*emulator.Worker]string{}}
+		defer func() { cancel(); time.Sleep(10 * time.Second); synctest.Wait() }()
+		cluster.machines = []*emulator.Worker{cluster.workers.Add("m1", "box", "a"), cluster.workers.Add("m2", "box", "b")}
+		f(cluster)
+	})
+}
+
+func (cluster *testCluster) start(host string) *testController {
+	cluster.t.Helper()
+	settings := &config.Settings{Host: host, Peers: []config.Peer{{Host: otherHost(host)}}, Teams: map[string]config.Team{"t": {Name: "t"}, "full": {Name: "full", CPUQuota: 100}}, Zones: []string{"a", "b"}, Objectives: cluster.objectives,
+		Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, GangWaitTimeout: 45 * time.Second, CancellationDeadline: 60 * time.Second},
+		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
+	if cluster.stateLimits[0] > 0 {
+		settings.StateLimits.MaxValueBytes, settings.StateLimits.MaxTxnOps = cluster.stateLimits[0], cluster.stateLimits[1]
+	}
+	ctx, stop := context.WithCancel(cluster.ctx)
+	controller := &testController{host: host, stop: stop, up: true}
+	mirror := statekv.NewMirror(cluster.state, []string{statekv.ClusterPrefix, job.RecordPrefix, job.SpecFragmentPrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
+		for _, e := range events {
+			controller.scheduler.OnJobEvent(e)
+		}
+	})
+	controller.mirror = mirror
+	pipes := dag.NewTracker(mirror, func(*job.Spec) time.Duration { return 10 * time.Second }, func(string) (tombstone.Tombstone, bool) { return tombstone.Tombstone{}, false })
+	mirror.OnApply = pipes.OnEvents
+	if err := mirror.Load(ctx); err != nil {
+		cluster.t.Fatal(err)
+	}
+	var err error
+	if controller.session, err = statekv.OpenSession(ctx, cluster.state, mirror, host, 4*time.Second, statekv.Registration{}); err != nil {
+		cluster.t.Fatal(err)
+	}
+	types := map[string]cloud.MachineType{"box": {Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, FetchGBPerS: 0.1}}
+	controller.agent = clusteragent.New(settings, cluster.state, mirror, controller.session, cluster.workers, func() map[string]cloud.MachineType { return types })
+	controller.service = clusteragent.NewService(controller.agent)
+	controller.scheduler = scheduler.New(settings, policy.Default(), cluster.state, mirror, controller.session, cluster, func() map[string]cloud.MachineType { return types }, pipes)
+	feed := changefeed.New(cluster, mirror, []string{"host-0", "host-1"}, controller.scheduler.HighestEpoch, controller.scheduler.OnEntries)
+	cluster.mu.Lock()
+	cluster.controllers[host] = controller
+	cluster.mu.Unlock()
+	go mirror.Run(ctx)
+	go func() { _ = controller.session.KeepAlive(ctx) }()
+	go controller.agent.Run(ctx)
+	go feed.Run(ctx)
+	go controller.scheduler.Run(ctx, feed)
+	go pipes.Run(ctx, func(ctx context.Context, id string) (tombstone.Tombstone, error) {
+		return tombstone.Read(ctx, cluster.state, []statekv.Compare{controller.session.Fence()}, id)
+	})
+	return controller
+}
+
+// crash ends a node's life; its state lease runs out at once.
+func (cluster *testCluster) crash(controller *testController, lease uint64) {
+	cluster.mu.Lock()
+	controller.up = false
+	cluster.mu.Unlock()
+	controller.stop()
+	synctest.Wait()
+	if err := cluster.state.Revoke(cluster.ctx, lease); err != nil {
+		cluster.t.Fatal(err)
+	}
+}
+
+// controller returns a controller that is up, or nil.
+func (cluster *testCluster) controller(host string) *testController {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	if controller := cluster.controllers[host]; controller != nil && controller.up {
+		return controller
+	}
+	return nil
+}
+
+func otherHost(host string) string {
+	if host == "host-0" {
+		return "host-1"
+	}
+	return "host-0"
+}
+
+// advance lets time pass, with every worker reporting to whoever answers.
+func (cluster *testCluster) advance(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
+		for _, box := range cluster.machines {
+			// A worker stays with the node that answers and goes where it is sent.
+			host := cluster.endpoints[box]
+			for range 3 {
+				controller := cluster.controller(host)
+				if controller == nil {
+					host = otherHost(host)
+					continue
+				}
+				r := cluster.workers.NextHeartbeat(box)
+				reply := controller.agent.Heartbeat(cluster.ctx, &r)
+				if reply.Owner {
+					cluster.workers.DeliverAnswer(box, reply.Answer)
+					break
+				}
+				host = otherHost(host)
+			}
+			cluster.endpoints[box] = host
+		}
+	}
+}
+
+// Call is the agent.Caller of all nodes.
+func (cluster *testCluster) Call(ctx context.Context, host, method string, args, reply any) error {
+	done := make(chan error, 1)
+	go func() { done <- cluster.dispatch(host, method, args, reply) }()
+	select {
+	case err := <-done:
+		return err
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+func (cluster *testCluster) dispatch(host, method string, args, reply any) error {
+	controller := cluster.controller(host)
+	if controller == nil {
+		return errors.New("connection refused")
+	}
+	switch method {
+	case "Agent.Sample":
+		return controller.service.Sample(args.(agentapi.Request), reply.(*agentapi.SampleReply))
+	case "Agent.Clearable":
+		return controller.service.Clearable(args.(agentapi.Request), reply.(*agentapi.SampleReply))
+	case "Agent.Clear":
+		return controller.service.Clear(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
+	case "Steward.Permit":
+		// A steward with one limit: team full may have so many tasks on machines.
+		r, out := args.(quota.Request), reply.(*quota.Reply)
+		cluster.mu.Lock()
+		defer cluster.mu.Unlock()
+		for _, want := range r.Wants {
+			ok := want.Team != "full" || cluster.grantsLeft > 0
+			if ok && want.Team == "full" && !r.Probe {
+				cluster.grantsLeft--
+			}
+			out.Granted = append(out.Granted, ok)
+		}
+		kv, _ := controller.mirror.Get(statekv.LeaderKey)
+		out.Epoch = kv.Rev
+		return nil
+	case "Agent.Gatherable":
+		return controller.service.Gatherable(args.(agentapi.Request), reply.(*agentapi.SampleReply))
+	case "Agent.Gather":
+		return controller.service.Gather(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
+	case "Agent.Commit":
+		return controller.service.Commit(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
+	case "Agent.Stop":
+		if cluster.dropsStops {
+			return nil // it went to an owner that was about to end
+		}
+		return controller.service.Stop(args.(agentapi.StopRequest), &struct{}{})
+	case "Agent.Judge":
+		return controller.service.Judge(args.([]agentapi.Attribution), &struct{}{})
+	case "Agent.Void":
+		return controller.service.Void(args.(agentapi.ResolveRequest), reply.(*agentapi.ResolveReply))
+	case "Agent.Watch":
+		return controller.service.Watch(args.(agentapi.WatchRequest), reply.(*agentapi.WatchReply))
+	}
+	return fmt.Errorf("no method %s", method)
+}
--- a/internal/scheduler/chunks_test.go
+++ b/internal/scheduler/completion_chunks_test.go
@@ -11,7 +11,7 @@
 
 // Tasks of all chunks of a large job have finished since the last fold: one transaction
 // takes what it may, and the rest goes with the next ones; nothing is left out.
-func TestChunksAreFoldedWithinTheLimit(t *testing.T) {
+func TestChunksAreRecordedWithinTransactionLimit(t *testing.T) {
 	const most = 8
 	s := &Scheduler{settings: &config.Settings{StateLimits: config.StateLimits{MaxValueBytes: 2048, MaxTxnOps: most}}, store: emulator.NewStateService()}
 	spec := job.Spec{ID: "wk-1", Class: "c", Team: "t", Shape: job.Array, Rank: "normal", Tasks: job.MaxTasks, Image: "i"}
--- a/internal/scheduler/turn_test.go
+++ b/internal/scheduler/queue_order_test.go
@@ -13,7 +13,7 @@
 // what waits for others, or fails everywhere, does not. Guards against jobs that are too
 // late for all their limits, which the order puts last: half a thousand tasks of such
 // waited for eight minutes on kuopio-fleet's loss.
-func TestStarvingJobsGoFirst(t *testing.T) {
+func TestOverdueJobsGoFirst(t *testing.T) {
 	pol := policy.Default()
 	now := time.Unix(10_000, 0)
 	of := func(rank string, age time.Duration, begun bool) *jobState {
