--- a/internal/scheduler/cluster_helpers_test.go
+++ b/internal/scheduler/cluster_helpers_test.go
@@ -12,6 +12,7 @@
 	"robinstack/internal/tombstone"
 )
 
+// newSpec is a job of small tasks that run on any machine.
 func newSpec(id, shape string, tasks int, gpus float64) job.Spec {
 	return job.Spec{ID: id, Class: "c", Team: "t", Shape: shape, Rank: "normal", Tasks: tasks, Need: job.Need{CPUs: 1, GPUs: gpus, MemoryGB: 1}, Image: "i", Spot: true}
 }
@@ -28,18 +29,19 @@
 	return s
 }
 
+// submit has a controller accept a job, as its gateway does.
 func (cluster *testCluster) submit(controller *testController, spec job.Spec) {
 	cluster.t.Helper()
-	slot, _, ok := controller.scheduler.OwnJobShard()
+	shardID, _, ok := controller.scheduler.OwnJobShard()
 	if !ok {
-		cluster.t.Fatal("no slot")
+		cluster.t.Fatal("no job shard")
 	}
-	rec := &job.Record{Spec: spec, JobShard: slot, SubmittedMS: time.Now().UnixMilli()}
-	rev, err := controller.session.Write(cluster.ctx, []statekv.Compare{{Key: job.RecordKey(spec.ID)}}, []statekv.Op{{Set: job.RecordKey(spec.ID), Value: rec}})
+	record := &job.Record{Spec: spec, JobShard: shardID, SubmittedMS: time.Now().UnixMilli()}
+	rev, err := controller.session.Write(cluster.ctx, []statekv.Compare{{Key: job.RecordKey(spec.ID)}}, []statekv.Op{{Set: job.RecordKey(spec.ID), Value: record}})
 	if err != nil {
 		cluster.t.Fatal(err)
 	}
-	controller.scheduler.OnJobAccepted(rec, rev)
+	controller.scheduler.OnJobAccepted(record, rev)
 }
 
 // cancel records a cancellation, as a gateway does.
@@ -54,6 +56,7 @@
 	}
 }
 
+// put writes keys behind the controllers' backs.
 func (cluster *testCluster) put(ops ...statekv.Op) {
 	cluster.t.Helper()
 	if _, err := cluster.state.Txn(cluster.ctx, nil, ops); err != nil {
@@ -61,7 +64,7 @@
 	}
 }
 
-// setClusterVersion puts the fleet on a level.
+// setClusterVersion has the stored cluster version enable the features.
 func (cluster *testCluster) setClusterVersion(features ...rollout.Feature) {
 	cluster.t.Helper()
 	l := rollout.ClusterVersion{Schema: 1, Number: len(features), Features: features}
@@ -70,27 +73,29 @@
 	}
 }
 
-// enableDependencies has the fleet stand where all controllers know pipelines.
+// enableDependencies has the stored cluster version enable dependencies between jobs.
 func (cluster *testCluster) enableDependencies() {
 	cluster.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.ClusterVersion{Schema: 1, Number: 2, Features: []rollout.Feature{rollout.FeatureVersionGate, rollout.FeatureDependencies}}})
 }
 
+// exitAllTasks has all tasks on machines exit with the cause.
 func (cluster *testCluster) exitAllTasks(cause string) {
 	var ids []string
 	cluster.workers.WithLock(func() {
-		for _, b := range cluster.machines {
-			for _, t := range b.Heartbeat.Tasks {
+		for _, machine := range cluster.machines {
+			for _, t := range machine.Heartbeat.Tasks {
 				ids = append(ids, t.ID)
 			}
 		}
 	})
-	for _, b := range cluster.machines {
+	for _, machine := range cluster.machines {
 		for _, id := range ids {
-			cluster.workers.EndTask(b, id, cause)
+			cluster.workers.EndTask(machine, id, cause)
 		}
 	}
 }
 
+// finalStatus is the status in a job's tombstone, or "".
 func (cluster *testCluster) finalStatus(id string) string {
 	f, err := tombstone.Read(cluster.ctx, cluster.state, nil, id)
 	if err != nil {
@@ -99,13 +104,12 @@
 	return f.Status
 }
 
-// startCounts counts how often each task was started, and tasks counts those that
-// are on machines.
+// startCounts counts how often each task was started.
 func (cluster *testCluster) startCounts() map[string]int {
 	out := map[string]int{}
 	cluster.workers.WithLock(func() {
-		for _, b := range cluster.machines {
-			for _, s := range b.Started {
+		for _, machine := range cluster.machines {
+			for _, s := range machine.Started {
 				out[s]++
 			}
 		}
@@ -126,24 +130,27 @@
 // wasStarted reports whether a task of the job was ever started.
 func (cluster *testCluster) wasStarted(id string) bool { return cluster.startCounts()[id+"/0"] > 0 }
 
-func (cluster *testCluster) wasStartedOn(box int, task string) (yes bool) {
+// wasStartedOn reports whether a task was started on the machine with the index.
+func (cluster *testCluster) wasStartedOn(machine int, task string) (yes bool) {
 	cluster.workers.WithLock(func() {
-		for _, s := range cluster.machines[box].Started {
+		for _, s := range cluster.machines[machine].Started {
 			yes = yes || s == task
 		}
 	})
 	return yes
 }
 
+// countTasks counts the tasks that are on machines, exited ones too.
 func (cluster *testCluster) countTasks() (n int) {
 	cluster.workers.WithLock(func() {
-		for _, b := range cluster.machines {
-			n += len(b.Heartbeat.Tasks)
+		for _, machine := range cluster.machines {
+			n += len(machine.Heartbeat.Tasks)
 		}
 	})
 	return n
 }
 
+// allEntries lists the machines of all controllers that are up.
 func allEntries(cluster *testCluster) (all []agentapi.MachineEntry) {
 	for _, host := range []string{"host-0", "host-1"} {
 		if controller := cluster.controller(host); controller != nil {
@@ -154,7 +161,7 @@
 	return all
 }
 
-// waitingJobs lists the jobs of a node that wait, as its status does.
+// waitingJobs lists the waiting jobs of a controller, as its status does.
 func (controller *testController) waitingJobs(cluster *testCluster) map[string]scheduler.WaitingJob {
 	cluster.t.Helper()
 	var list []scheduler.WaitingJob
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -24,8 +24,8 @@
 	"robinstack/internal/tombstone"
 )
 
-// testCluster is a service of two controllers without a network: calls go straight
-// to the services.
+// testCluster is a service of two controllers without a network: calls go straight to the
+// net/rpc services. Time is the virtual time of a synctest bubble.
 type testCluster struct {
 	t           *testing.T
 	ctx         context.Context
@@ -34,14 +34,15 @@
 	mu          sync.Mutex
 	controllers map[string]*testController
 	machines    []*emulator.Worker
-	endpoints   map[*emulator.Worker]string // the node that each reports to
+	endpoints   map[*emulator.Worker]string // the host that each sends its heartbeats to
 
 	objectives  []config.Objective
-	grantsLeft  int    // tasks that the limit of team full leaves room for
-	stateLimits [2]int // of values and of transactions, or those of before
-	dropsStops  bool   // words to stop or forget tasks get lost
+	grantsLeft  int    // tasks that the quota of team full still admits
+	stateLimits [2]int // sizes of a value and of a transaction; zero: the usual ones
+	dropsStops  bool   // requests to stop or forget tasks are lost
 }
 
+// testController is one session of a controller.
 type testController struct {
 	host      string
 	agent     *clusteragent.Agent
@@ -53,6 +54,7 @@
 	up        bool
 }
 
+// runScenario runs a test on a cluster of two machines in two zones.
 func runScenario(t *testing.T, f func(cluster *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -63,6 +65,7 @@
 	})
 }
 
+// start begins a session of a controller.
 func (cluster *testCluster) start(host string) *testController {
 	cluster.t.Helper()
 	settings := &config.Settings{Host: host, Peers: []config.Peer{{Host: otherHost(host)}}, Teams: map[string]config.Team{"t": {Name: "t"}, "full": {Name: "full", CPUQuota: 100}}, Zones: []string{"a", "b"}, Objectives: cluster.objectives,
@@ -79,8 +82,8 @@
 		}
 	})
 	controller.mirror = mirror
-	pipes := dag.NewTracker(mirror, func(*job.Spec) time.Duration { return 10 * time.Second }, func(string) (tombstone.Tombstone, bool) { return tombstone.Tombstone{}, false })
-	mirror.OnApply = pipes.OnEvents
+	dependencies := dag.NewTracker(mirror, func(*job.Spec) time.Duration { return 10 * time.Second }, func(string) (tombstone.Tombstone, bool) { return tombstone.Tombstone{}, false })
+	mirror.OnApply = dependencies.OnEvents
 	if err := mirror.Load(ctx); err != nil {
 		cluster.t.Fatal(err)
 	}
@@ -91,7 +94,7 @@
 	types := map[string]cloud.MachineType{"box": {Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, FetchGBPerS: 0.1}}
 	controller.agent = clusteragent.New(settings, cluster.state, mirror, controller.session, cluster.workers, func() map[string]cloud.MachineType { return types })
 	controller.service = clusteragent.NewService(controller.agent)
-	controller.scheduler = scheduler.New(settings, policy.Default(), cluster.state, mirror, controller.session, cluster, func() map[string]cloud.MachineType { return types }, pipes)
+	controller.scheduler = scheduler.New(settings, policy.Default(), cluster.state, mirror, controller.session, cluster, func() map[string]cloud.MachineType { return types }, dependencies)
 	feed := changefeed.New(cluster, mirror, []string{"host-0", "host-1"}, controller.scheduler.HighestEpoch, controller.scheduler.OnEntries)
 	cluster.mu.Lock()
 	cluster.controllers[host] = controller
@@ -101,13 +104,13 @@
 	go controller.agent.Run(ctx)
 	go feed.Run(ctx)
 	go controller.scheduler.Run(ctx, feed)
-	go pipes.Run(ctx, func(ctx context.Context, id string) (tombstone.Tombstone, error) {
+	go dependencies.Run(ctx, func(ctx context.Context, id string) (tombstone.Tombstone, error) {
 		return tombstone.Read(ctx, cluster.state, []statekv.Compare{controller.session.Fence()}, id)
 	})
 	return controller
 }
 
-// crash ends a node's life; its state lease runs out at once.
+// crash ends a controller's session; its lease, given by its number, is revoked at once.
 func (cluster *testCluster) crash(controller *testController, lease uint64) {
 	cluster.mu.Lock()
 	controller.up = false
@@ -129,6 +132,7 @@
 	return nil
 }
 
+// otherHost is the host of the other controller.
 func otherHost(host string) string {
 	if host == "host-0" {
 		return "host-1"
@@ -136,32 +140,32 @@
 	return "host-0"
 }
 
-// advance lets time pass, with every worker reporting to whoever answers.
+// advance lets time pass, with every worker sending heartbeats to whoever answers.
 func (cluster *testCluster) advance(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
-		for _, box := range cluster.machines {
-			// A worker stays with the node that answers and goes where it is sent.
-			host := cluster.endpoints[box]
+		for _, machine := range cluster.machines {
+			// A worker stays with the controller that owns it, and looks for another otherwise.
+			host := cluster.endpoints[machine]
 			for range 3 {
 				controller := cluster.controller(host)
 				if controller == nil {
 					host = otherHost(host)
 					continue
 				}
-				r := cluster.workers.NextHeartbeat(box)
+				r := cluster.workers.NextHeartbeat(machine)
 				reply := controller.agent.Heartbeat(cluster.ctx, &r)
 				if reply.Owner {
-					cluster.workers.DeliverAnswer(box, reply.Answer)
+					cluster.workers.DeliverAnswer(machine, reply.Answer)
 					break
 				}
 				host = otherHost(host)
 			}
-			cluster.endpoints[box] = host
+			cluster.endpoints[machine] = host
 		}
 	}
 }
 
-// Call is the agent.Caller of all nodes.
+// Call is the peer.Caller of all controllers.
 func (cluster *testCluster) Call(ctx context.Context, host, method string, args, reply any) error {
 	done := make(chan error, 1)
 	go func() { done <- cluster.dispatch(host, method, args, reply) }()
@@ -173,6 +177,7 @@
 	}
 }
 
+// dispatch calls the method of the net/rpc service that the host has.
 func (cluster *testCluster) dispatch(host, method string, args, reply any) error {
 	controller := cluster.controller(host)
 	if controller == nil {
@@ -186,7 +191,7 @@
 	case "Agent.Clear":
 		return controller.service.Clear(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
 	case "Steward.Permit":
-		// A steward with one limit: team full may have so many tasks on machines.
+		// A leader with one quota: team full may have so many tasks on machines.
 		r, out := args.(quota.Request), reply.(*quota.Reply)
 		cluster.mu.Lock()
 		defer cluster.mu.Unlock()
--- a/internal/scheduler/completion_chunks_test.go
+++ b/internal/scheduler/completion_chunks_test.go
@@ -9,7 +9,7 @@
 	"robinstack/internal/rollout"
 )
 
-// Tasks of all chunks of a large job have finished since the last fold: one transaction
+// Tasks of all chunks of a large job have finished since the last write: one transaction
 // takes what it may, and the rest goes with the next ones; nothing is left out.
 func TestChunksAreRecordedWithinTransactionLimit(t *testing.T) {
 	const most = 8
@@ -21,14 +21,14 @@
 		j.completion.dirtyChunks[k] = true
 	}
 	written := map[string]bool{}
-	for fold := 0; len(j.completion.dirtyChunks) > 0; fold++ {
-		if fold == all {
+	for write := 0; len(j.completion.dirtyChunks) > 0; write++ {
+		if write == all {
 			t.Fatalf("%d chunks are never written", len(j.completion.dirtyChunks))
 		}
 		dirty := j.completion.dirtyChunks
 		j.completion.dirtyChunks = map[int]bool{}
-		rec := s.openRecord(j, false)
-		ops := s.recordOps(j, &rec, dirty, rollout.ClusterVersion{})
+		record := s.openRecord(j, false)
+		ops := s.recordOps(j, &record, dirty, rollout.ClusterVersion{})
 		if len(ops) > most || len(ops) == 0 || len(dirty)+len(j.completion.dirtyChunks) > all {
 			t.Fatalf("%d changes; %d and %d chunks", len(ops), len(dirty), len(j.completion.dirtyChunks))
 		}
--- a/internal/scheduler/delay_scheduling_test.go
+++ b/internal/scheduler/delay_scheduling_test.go
@@ -34,8 +34,8 @@
 	return controller
 }
 
-// Fetching an image took a fifth of all that label tasks had of a full fleet: a
-// job lets a room without its image go by for a moment, and takes it then.
+// Fetching an image took a fifth of all that label tasks had of a full fleet: a job lets a
+// machine without its image go by for a moment (delay scheduling), and takes it then.
 func TestArrayDelaysForCachedImage(t *testing.T) {
 	for name, ends := range map[string]bool{"a machine with the image comes free": true, "none does": false} {
 		t.Run(name, func(t *testing.T) {
@@ -60,8 +60,8 @@
 	}
 }
 
-// A gang that would start too late by the users' aim after a fetch has a machine
-// with its image cleared; one that can fetch in time takes the free one.
+// A gang that would miss the objective for its start after a fetch preempts tasks on a
+// machine with its image; one that can fetch in time takes the free one.
 func TestGangPreemptsForCachedImageWhenFetchIsTooLate(t *testing.T) {
 	for name, gb := range map[string]float64{"too late": 2.7, "in time": 0.5} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against too_early: a chain over two controllers goes on step by step, each when
-// the final record of the one before stands, through the crash of either's placer.
+// the final record of the one before stands, through the crash of either's scheduler.
 func TestDependencyChainAcrossControllers(t *testing.T) {
 	for _, crashed := range []string{"", "host-0", "host-1"} {
 		runScenario(t, func(cluster *testCluster) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// A chain through two teams, one of which is at its limit: while its job waits for the
-// one before it asks for no permit, and when it is ready it waits for its limit as any
+// A chain through two teams, one of which is at its quota: while its job waits for the one
+// before it requests no grant, and when it is ready it waits for its quota as any
 // other; what comes after it waits for it.
 func TestDependencyChainThroughTeamAtQuota(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
@@ -87,8 +87,8 @@
 	})
 }
 
-// A placer believes that a job is done and cannot record it: nothing opens. And if its
-// user cancels it in that moment, the one record that was written decides.
+// A scheduler knows that a job is done and cannot record it: nothing is unblocked. And if
+// its user cancels it in that moment, the one record that was written decides.
 func TestUnrecordedCompletionUnblocksNothing(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		runScenario(t, func(cluster *testCluster) {
@@ -101,7 +101,7 @@
 			cluster.exitAllTasks(worker.CauseDone)
 			cluster.advance(2 * time.Second)
 			if cluster.wasStarted("wk-2") {
-				t.Fatal("it was started on a belief")
+				t.Fatal("it was started before the completion was recorded")
 			}
 			cluster.state.SetOutage(false, false)
 			if cancelled {
@@ -119,7 +119,8 @@
 }
 
 // Guards against orphaned: a cancellation reaches the end of a chain although every
-// placer of it dies, and nothing of it ever starts; what hangs on another job goes on.
+// scheduler of it crashes, and nothing of it ever starts; what depends on another job goes
+// on.
 func TestCancellationPropagatesThroughChain(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		first := cluster.start("host-0")
@@ -156,8 +157,9 @@
 	})
 }
 
-// A job that names some that ended long ago, in each form and as production wrote them,
-// starts at once; one that names a cancelled one is withdrawn at once.
+// A job that depends on some that ended long ago, in each schema of tombstones and as
+// production wrote them, starts at once; one that depends on a cancelled one is cancelled
+// at once.
 func TestDependenciesOnOldTombstones(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		cluster.put(tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 3}, tombstone.CompactOnly)...)
@@ -195,7 +197,7 @@
 		if !cluster.wasStarted("wk-20") {
 			t.Fatal(cluster.startCounts())
 		}
-		// Another life knows the moment too, by the record of the job before.
+		// The next session knows the moment too, by the tombstone of the job before.
 		cluster.submit(controller, withGPUs(dependentSpec("wk-4", "wk-1"), 2))
 		cluster.advance(3 * time.Second)
 		if q := controller.waitingJobs(cluster)["wk-4"]; q.ReadyS == nil || *q.ReadyS != 0 {
@@ -244,8 +246,9 @@
 	})
 }
 
-// A thousand in a chain and a thousand that need one are recorded as withdrawn, with
-// nothing started, at the limits to come; who asks is told long before (package pipeline).
+// A thousand in a chain and a thousand that need one are recorded as cancelled, with
+// nothing started, at the lowest limits of the state service; who asks is told long before
+// (package dag).
 func TestThousandsAreCancelledByDependency(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		cluster.state.SetSizeLimits(2048, 8)
--- a/internal/scheduler/failure_attribution_test.go
+++ b/internal/scheduler/failure_attribution_test.go
@@ -27,7 +27,7 @@
 
 // Jobs submitted with a mistake fail on every machine: two of them had every
 // machine they touched marked as faulty for good. They must cost the machines
-// nothing, be tried one task at a time, and leave the room to others; a machine
+// nothing, be tried one task at a time, and leave the capacity to others; a machine
 // on which only jobs fail that run well elsewhere is found all the same.
 func TestBrokenJobsDoNotQuarantineMachines(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
@@ -61,24 +61,24 @@
 			started += cluster.startCounts()[fmt.Sprintf("wk-3/%d", k)]
 		}
 		if started < 4 {
-			t.Fatalf("%d tasks of the job that is well were started: broken ones keep its room", started)
+			t.Fatalf("%d tasks of the job that is well were started: broken ones keep its capacity", started)
 		}
-		bad := cluster.machines[0]
+		faulty := cluster.machines[0]
 		var failing []string
 		cluster.workers.WithLock(func() {
-			for _, x := range bad.Heartbeat.Tasks {
+			for _, x := range faulty.Heartbeat.Tasks {
 				failing = append(failing, x.ID)
 			}
 		})
 		for _, id := range failing {
-			cluster.workers.EndTask(bad, id, worker.CauseFailed)
+			cluster.workers.EndTask(faulty, id, worker.CauseFailed)
 		}
 		cluster.advance(2 * time.Second)
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(3 * time.Second)
 		_, entries = controller.agent.Snapshot()
 		for _, e := range entries {
-			if e.Faulty != (e.Machine == bad.Heartbeat.Machine) {
+			if e.Faulty != (e.Machine == faulty.Heartbeat.Machine) {
 				t.Fatalf("%s: faulty is %v", e.Machine, e.Faulty)
 			}
 		}
--- a/internal/scheduler/failure_history_test.go
+++ b/internal/scheduler/failure_history_test.go
@@ -12,7 +12,7 @@
 	"robinstack/internal/worker"
 )
 
-// A job that fails everywhere was failed anew on several machines by each placer that
+// A job that fails everywhere was failed anew on several machines by each scheduler that
 // took it over: what the last one knew is in its record, where the fleet has the
 // feature, and only there.
 func TestFailureHistorySurvivesFailover(t *testing.T) {
@@ -54,11 +54,11 @@
 		})
 	}
 	if tries[true] > 2 || tries[false] <= 2*tries[true] {
-		t.Errorf("tries by the next placer: %d, without the note %d", tries[true], tries[false])
+		t.Errorf("tries by the next scheduler: %d, without the recorded failures %d", tries[true], tries[false])
 	}
 }
 
-// A record that is nearly as large as a value may be is folded without the note, rather
+// A record that is nearly as large as a value may be is written without the failures, rather
 // than refused for ever.
 func TestFailureHistoryIsLeftOutOfLargeRecord(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// A gang that must be in one zone has room made there also when every zone has
-// some room but none enough: it waited for as long as that lasted.
+// A gang that must be in one zone preempts there also when every zone has some capacity but
+// none enough: it waited for as long as that lasted.
 func TestOneZoneGangPreempts(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		cluster.machines = append(cluster.machines, cluster.workers.Add("m3", "box", "a"))
@@ -57,7 +57,7 @@
 	})
 }
 
-// Half of the machines of a fleet that had run gangs were never returned: members
+// Half of the machines of a fleet that had run gangs were never scaled in: members
 // that were reported while the gang's end was being written were forgotten by nobody,
 // and with an ended task a machine does not count as idle.
 func TestGangMembersEndingApartAreAllForgotten(t *testing.T) {
@@ -67,9 +67,9 @@
 		cluster.submit(controller, newSpec("wk-1", job.Gang, 2, 2))
 		cluster.advance(4 * time.Second)
 		cluster.state.SetTxnLatency(1500 * time.Millisecond)
-		for i, box := range cluster.machines {
+		for i, machine := range cluster.machines {
 			for k := range 2 {
-				cluster.workers.EndTask(box, job.TaskID("wk-1", k), worker.CauseDone)
+				cluster.workers.EndTask(machine, job.TaskID("wk-1", k), worker.CauseDone)
 			}
 			if i == 0 {
 				cluster.advance(time.Second)
--- a/internal/scheduler/invariant_checker_test.go
+++ b/internal/scheduler/invariant_checker_test.go
@@ -16,7 +16,7 @@
 type invariantChecker struct {
 	*testCluster
 	jobs       map[string]job.Spec
-	cancelled  map[string]time.Time // when their users were told
+	cancelled  map[string]time.Time // when that was acknowledged to their users
 	started    map[string]bool
 	violations []string
 }
@@ -43,10 +43,10 @@
 	on := map[string][]string{}
 	completed := map[string]bool{}
 	checker.workers.WithLock(func() {
-		for _, b := range checker.machines {
-			for _, t := range b.Heartbeat.Tasks {
+		for _, machine := range checker.machines {
+			for _, t := range machine.Heartbeat.Tasks {
 				if t.State != worker.TaskExited {
-					on[t.ID] = append(on[t.ID], b.Heartbeat.Machine)
+					on[t.ID] = append(on[t.ID], machine.Heartbeat.Machine)
 				} else if t.Cause == worker.CauseDone {
 					completed[t.ID] = true
 				}
@@ -94,7 +94,7 @@
 	return ""
 }
 
-// checkOutcomes checks what became of all jobs once the troubles are over.
+// checkOutcomes checks what became of all jobs once the faults are over.
 func (checker *invariantChecker) checkOutcomes() {
 	gone := map[string]bool{}
 	for id := range checker.cancelled {
--- a/internal/scheduler/queue_order_test.go
+++ b/internal/scheduler/queue_order_test.go
@@ -24,10 +24,10 @@
 	order := func(j *jobState) float64 { return j.order(pol, now) }
 	late, fresh := of("normal", 175*time.Second, false), of("normal", time.Second, false)
 	if order(late) > order(fresh) {
-		t.Error("one that is too late goes before one that is not, although it does not starve")
+		t.Error("one that is too late goes before one that is not, although its start is not overdue")
 	}
-	starving := of("normal", 185*time.Second, false)
-	if order(starving) < order(fresh) || order(starving) > order(of("high", time.Second, false)) {
+	overdue := of("normal", 185*time.Second, false)
+	if order(overdue) < order(fresh) || order(overdue) > order(of("high", time.Second, false)) {
 		t.Error("it goes first in its rank, and not before a higher one")
 	}
 	if order(of("best_effort", 215*time.Second, false)) < order(of("production", time.Second, false)) {
@@ -36,7 +36,7 @@
 	gang := of("normal", 125*time.Second, false)
 	gang.spec.Shape = job.Gang
 	if order(gang) < order(fresh) || order(gang) > order(of("high", time.Second, false)) {
-		t.Error("a gang, whose machines have to come free, starves earlier")
+		t.Error("a gang, whose machines have to come free, is overdue earlier")
 	}
 	if order(of("normal", 215*time.Second, true)) > order(fresh) {
 		t.Error("it has begun")
@@ -44,6 +44,6 @@
 	waits, suspect := of("normal", 215*time.Second, false), of("normal", 215*time.Second, false)
 	waits.phase, suspect.failures.jobAtFault = jobBlocked, true
 	if waits.startOverdue(now) || suspect.startOverdue(now) {
-		t.Error("what waits for others, or fails everywhere, does not starve")
+		t.Error("what waits for others, or fails everywhere, is not overdue")
 	}
 }
--- a/internal/scheduler/random_faults_test.go
+++ b/internal/scheduler/random_faults_test.go
@@ -15,10 +15,10 @@
 	"robinstack/internal/worker"
 )
 
-// runRandomFaults plays a day of drawn troubles: controllers that are back within a fraction of a
-// second, or later; outages of the state service and lost answers; machines that
-// commands do not reach; late copies of reports; cancellations; and jobs that wait for
-// others all the while. Then the troubles end.
+// runRandomFaults plays faults drawn by the seed: controllers that are back within a
+// fraction of a second, or later; outages of the state service and lost answers; machines
+// that commands do not reach; late copies of heartbeats; cancellations; and jobs that wait
+// for others all the while. Then the faults end.
 func runRandomFaults(cluster *testCluster, seed uint64, planted func(checker *invariantChecker)) *invariantChecker {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	checker := &invariantChecker{testCluster: cluster, jobs: map[string]job.Spec{}, cancelled: map[string]time.Time{}, started: map[string]bool{}}
@@ -51,9 +51,9 @@
 				}
 			}
 		}
-		box := cluster.machines[rng.IntN(len(cluster.machines))]
+		machine := cluster.machines[rng.IntN(len(cluster.machines))]
 		switch host := []string{"host-0", "host-1"}[rng.IntN(2)]; rng.IntN(12) {
-		case 0: // back at once: its new life ends the one before
+		case 0: // back at once: its new session ends the one before
 			if controller := cluster.controller(host); controller != nil {
 				cluster.mu.Lock()
 				controller.up = false
@@ -77,18 +77,18 @@
 		case 4, 5:
 			cluster.state.SetOutage(false, false)
 		case 6:
-			cluster.workers.WithLock(func() { box.HoldCommands = !box.HoldCommands })
+			cluster.workers.WithLock(func() { machine.HoldCommands = !machine.HoldCommands })
 		case 7:
-			cluster.workers.WithLock(func() { box.HoldCommands = false })
-			cluster.workers.DeliverHeldCommands(box)
+			cluster.workers.WithLock(func() { machine.HoldCommands = false })
+			cluster.workers.DeliverHeldCommands(machine)
 		case 8:
 			var r worker.Heartbeat
-			cluster.workers.WithLock(func() { r = box.Heartbeat; r.Tasks = slices.Clone(box.Heartbeat.Tasks) })
+			cluster.workers.WithLock(func() { r = machine.Heartbeat; r.Tasks = slices.Clone(machine.Heartbeat.Tasks) })
 			copies = append(copies, delayedHeartbeat{r, time.Now().Add(time.Duration(rng.IntN(60)) * time.Second)})
 		case 9:
 			if len(ids) > 0 {
 				id := ids[rng.IntN(len(ids))]
-				if _, told := checker.cancelled[id]; !told && cluster.tryCancel(id) {
+				if _, cancelled := checker.cancelled[id]; !cancelled && cluster.tryCancel(id) {
 					checker.cancelled[id] = time.Now()
 				}
 			}
@@ -108,9 +108,9 @@
 		}
 	}
 	cluster.state.SetOutage(false, false)
-	for _, b := range cluster.machines {
-		cluster.workers.WithLock(func() { b.HoldCommands = false })
-		cluster.workers.DeliverHeldCommands(b)
+	for _, machine := range cluster.machines {
+		cluster.workers.WithLock(func() { machine.HoldCommands = false })
+		cluster.workers.DeliverHeldCommands(machine)
 	}
 	for range 60 {
 		cluster.advance(5 * time.Second)
@@ -121,7 +121,7 @@
 	return checker
 }
 
-// delayedHeartbeat is a report that arrives once more.
+// delayedHeartbeat is a heartbeat that arrives once more.
 type delayedHeartbeat struct {
 	report    worker.Heartbeat
 	deliverAt time.Time
@@ -129,18 +129,18 @@
 
 // trySubmit submits a job if the state service takes it.
 func (cluster *testCluster) trySubmit(controller *testController, s job.Spec) bool {
-	slot, epoch, _ := controller.scheduler.OwnJobShard()
-	rec := &job.Record{Spec: s, JobShard: slot, SubmittedMS: time.Now().UnixMilli()}
-	when := append(tombstone.AbsentCompares(s.ID), statekv.Compare{Key: job.RecordKey(s.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + slot, Rev: epoch})
-	rev, err := controller.session.Write(cluster.ctx, when, []statekv.Op{{Set: job.RecordKey(s.ID), Value: rec}})
+	shardID, epoch, _ := controller.scheduler.OwnJobShard()
+	record := &job.Record{Spec: s, JobShard: shardID, SubmittedMS: time.Now().UnixMilli()}
+	when := append(tombstone.AbsentCompares(s.ID), statekv.Compare{Key: job.RecordKey(s.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + shardID, Rev: epoch})
+	rev, err := controller.session.Write(cluster.ctx, when, []statekv.Op{{Set: job.RecordKey(s.ID), Value: record}})
 	if err == nil {
-		controller.scheduler.OnJobAccepted(rec, rev)
+		controller.scheduler.OnJobAccepted(record, rev)
 	}
-	// Without an answer its user asks again, and is told what the record says.
+	// Without an answer its user asks again, and the record decides what it is answered.
 	return err == nil || errors.Is(err, statekv.ErrOutcomeUnknown)
 }
 
-// tryCancel records a cancellation, and says whether its user was told so.
+// tryCancel records a cancellation, and reports whether it was acknowledged to its user.
 func (cluster *testCluster) tryCancel(id string) bool {
 	kv, err := cluster.state.Get(cluster.ctx, job.RecordKey(id))
 	if err != nil {
@@ -150,8 +150,8 @@
 	return err == nil || errors.Is(err, statekv.ErrOutcomeUnknown)
 }
 
-// For drawn seeds of all these together no rule breaks, and every job is known and comes to
-// its end.
+// Under random faults of all kinds together no invariant is violated, and every job is known
+// and comes to its end.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -169,7 +169,7 @@
 }
 
 // What the checker must find: a record that says done too early, a task started behind
-// the owners' backs, a job that is lost, and one withdrawn without a cause.
+// the owners' backs, a job that is lost, and one cancelled without a cause.
 func TestCheckerFindsInjectedViolations(t *testing.T) {
 	for rule, plant := range map[string]func(checker *invariantChecker) bool{
 		"too_early": func(checker *invariantChecker) bool {
@@ -189,8 +189,8 @@
 		"ran_twice": func(checker *invariantChecker) bool {
 			done := false
 			checker.workers.WithLock(func() {
-				for k, b := range checker.machines {
-					for _, t := range b.Heartbeat.Tasks {
+				for k, machine := range checker.machines {
+					for _, t := range machine.Heartbeat.Tasks {
 						if t.State == worker.TaskRunning && !done {
 							other := checker.machines[1-k]
 							other.Heartbeat.Tasks = append(other.Heartbeat.Tasks, worker.Task{ID: t.ID, Attempt: t.Attempt + 1, State: worker.TaskRunning})
--- a/internal/scheduler/record_schema_test.go
+++ b/internal/scheduler/record_schema_test.go
@@ -15,8 +15,8 @@
 	"robinstack/internal/worker"
 )
 
-// Under a level that has moved, nothing is recorded in the form of before: the placer
-// meets a conflict, sees the new level, and records the end in both forms.
+// Under a cluster version that has changed, nothing is recorded in the schema of before: the
+// scheduler meets a conflict, sees the new version, and records the end in both schemas.
 func TestFinalRecordFollowsClusterVersion(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -40,7 +40,7 @@
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(5 * time.Second)
 		if _, err := cluster.state.Get(cluster.ctx, tombstone.LegacyKey("wk-2")); cluster.finalStatus("wk-2") != job.Done || err == nil {
-			t.Error("the former form is written still")
+			t.Error("the legacy schema is written still")
 		}
 	})
 }
@@ -48,7 +48,7 @@
 // All controllers of the version before there were levels end at once, and this one is
 // started on what they left: unfinished jobs are taken up, each task is started once
 // its machine's lease is over, what was done or cancelled stays so, and the records of
-// later ends have the form that the former version reads.
+// later ends have the schema that the former version reads.
 func TestStateOfSchemaZeroIsTakenUp(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		raw, err := os.ReadFile("../rollout/testdata/form0.json")
@@ -61,7 +61,7 @@
 		}
 		before, open := map[string]string{}, []string{}
 		for _, kv := range dump.Items {
-			if _, node := strings.CutPrefix(kv.Key, statekv.SessionPrefix); node {
+			if _, session := strings.CutPrefix(kv.Key, statekv.SessionPrefix); session {
 				continue // their leases have ended
 			}
 			if _, err := cluster.state.Txn(cluster.ctx, nil, []statekv.Op{{Set: kv.Key, Value: kv.Value}}); err != nil {
@@ -101,8 +101,8 @@
 	})
 }
 
-// What a later version wrote is left alone, and the rest is served: a slot and a record
-// of forms that this build does not know are neither taken nor changed, and are listed.
+// What a later version wrote is left alone, and the rest is served: a job shard and a record
+// of schemas that this build does not know are neither taken nor changed, and are listed.
 func TestUnknownSchemasAreLeftAlone(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		later := map[string]any{
--- a/internal/scheduler/scheduling_class_test.go
+++ b/internal/scheduler/scheduling_class_test.go
@@ -23,8 +23,8 @@
 		cluster.submit(controller, second)
 		for k := range 3 {
 			time.Sleep(800 * time.Millisecond)
-			for _, box := range cluster.machines {
-				cluster.workers.EndTask(box, job.TaskID("wk-1", k), worker.CauseDone)
+			for _, machine := range cluster.machines {
+				cluster.workers.EndTask(machine, job.TaskID("wk-1", k), worker.CauseDone)
 			}
 			cluster.advance(2 * time.Second)
 		}
--- a/internal/scheduler/shard_takeover_test.go
+++ b/internal/scheduler/shard_takeover_test.go
@@ -11,9 +11,9 @@
 	"robinstack/internal/worker"
 )
 
-// crashWithUnresponsiveMachine has host-0 place a job of zone a and one of any zone, makes the
-// machine of zone b silent and crashes host-0.
-func crashWithUnresponsiveMachine(cluster *testCluster) (survivor *testController, silent *emulator.Worker) {
+// crashWithUnresponsiveMachine has host-0 place a job of zone a and one of any zone, has
+// the machine of zone b lose its commands and crashes host-0.
+func crashWithUnresponsiveMachine(cluster *testCluster) (survivor *testController, unresponsive *emulator.Worker) {
 	first := cluster.start("host-0")
 	cluster.advance(3 * time.Second)
 	survivor = cluster.start("host-1")
@@ -28,14 +28,14 @@
 	if cluster.countStarts("wk-1") != 2 || cluster.countStarts("wk-2") != 2 {
 		cluster.t.Fatalf("%d and %d tasks started", cluster.countStarts("wk-1"), cluster.countStarts("wk-2"))
 	}
-	silent = cluster.machines[1]
-	cluster.workers.WithLock(func() { silent.HoldCommands = true })
+	unresponsive = cluster.machines[1]
+	cluster.workers.WithLock(func() { unresponsive.HoldCommands = true })
 	cluster.machines = cluster.machines[:1]
 	cluster.crash(first, 1)
-	return survivor, silent
+	return survivor, unresponsive
 }
 
-// A machine that does not answer held up every job of a crashed placer, also
+// A machine that does not answer held up every job of a crashed scheduler, also
 // those that it is not allowed to have. A job that it may have waits until its
 // tasks there are certainly over: or they would run twice.
 func TestUnresponsiveMachineBlocksOnlyJobsItMayHave(t *testing.T) {
@@ -45,31 +45,31 @@
 		cluster.exitAllTasks(worker.CauseDone) // the two of wk-1 that run on the machine that answers
 		cluster.advance(8 * time.Second)
 		if n := cluster.countStarts("wk-1"); n != 4 {
-			t.Fatalf("%d of 4 tasks started that the silent machine cannot have", n)
+			t.Fatalf("%d of 4 tasks started that the unresponsive machine cannot have", n)
 		}
 		if n := cluster.countStarts("wk-2"); n != 0 {
-			t.Fatalf("%d starts elsewhere of a job whose tasks the silent machine may have", n)
+			t.Fatalf("%d starts elsewhere of a job whose tasks the unresponsive machine may have", n)
 		}
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(90 * time.Second)
 		if n := cluster.countStarts("wk-2"); n != 2 {
-			t.Fatalf("%d starts after the silent machine's lease", n)
+			t.Fatalf("%d starts after the unresponsive machine's lease", n)
 		}
 	})
 }
 
-// Machines come up all the time. One that was claimed first after the slot was
-// taken has an owner that refuses the earlier placer's commits, so a slot does not
-// wait until it is confirmed too.
+// Machines come up all the time. One that was claimed first after the job shard was acquired
+// has an owner that refuses the earlier scheduler's commits, so a job shard does not wait
+// until it is confirmed too.
 func TestReconciliationIgnoresYoungerMachines(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
-		second, silent := crashWithUnresponsiveMachine(cluster)
+		second, unresponsive := crashWithUnresponsiveMachine(cluster)
 		cluster.advance(4 * time.Second)
 		young := cluster.workers.Add("m3", "box", "a")
-		cluster.workers.WithLock(func() { young.HoldCommands, silent.HoldCommands = true, false })
+		cluster.workers.WithLock(func() { young.HoldCommands, unresponsive.HoldCommands = true, false })
 		r := cluster.workers.NextHeartbeat(young)
-		second.agent.Heartbeat(cluster.ctx, &r) // claimed, and not heard of again
-		cluster.machines = append(cluster.machines, silent)
+		second.agent.Heartbeat(cluster.ctx, &r) // claimed, and no heartbeat after that
+		cluster.machines = append(cluster.machines, unresponsive)
 		cluster.advance(3 * time.Second)
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(6 * time.Second)
@@ -79,9 +79,9 @@
 	})
 }
 
-// Every crash left a slot and shards behind for good, and the next crash had to
-// take them over one by one. What a slot's earlier placer wrote late must fail
-// although the slot's key is gone.
+// Every crash left a job shard and machine shards behind for good, and the next crash had to
+// take them over one by one. What a job shard's earlier scheduler wrote late must fail
+// although the job shard's key is gone.
 func TestCrashesLeaveNoShardsBehind(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		for i := range 20 {
@@ -106,11 +106,11 @@
 		cluster.advance(5 * time.Second)
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(20 * time.Second)
-		if slots := cluster.state.ListAll(statekv.JobShardPrefix); len(slots) != 2 {
-			t.Errorf("%d slots for two controllers", len(slots))
+		if jobShards := cluster.state.ListAll(statekv.JobShardPrefix); len(jobShards) != 2 {
+			t.Errorf("%d job shards for two controllers", len(jobShards))
 		}
 		if shards := cluster.state.ListAll(statekv.MachineShardPrefix); len(shards) > 12 {
-			t.Errorf("%d shards for two controllers in two zones", len(shards))
+			t.Errorf("%d machine shards for two controllers in two zones", len(shards))
 		}
 		for _, controller := range []*testController{first, second} {
 			if _, entries := controller.agent.Snapshot(); len(entries) == 0 {
@@ -119,23 +119,23 @@
 		}
 		old := []statekv.Compare{{Key: statekv.JobShardPrefix + "host-0.2", Rev: epoch}}
 		if _, err := cluster.state.Txn(cluster.ctx, old, nil); !statekv.IsConflict(err) {
-			t.Errorf("a late write of the first placer: %v", err)
+			t.Errorf("a late write of the first scheduler: %v", err)
 		}
 	})
 }
 
 // Where nothing changes, agents were asked again only after 2 s whether they knew of
-// the new epoch, and twice that passed before slots settled.
+// the new epoch, and twice that passed before job shards were reconciled.
 func TestIdleJobShardsReconcileAtOnce(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		cluster.start("host-1") // owns the machines
 		cluster.advance(3 * time.Second)
 		first := cluster.start("host-0")
 		cluster.advance(6 * time.Second)
-		slot, _, _ := first.scheduler.OwnJobShard()
+		shardID, _, _ := first.scheduler.OwnJobShard()
 		cluster.crash(first, 2)
-		rec := job.Record{Spec: newSpec("wk-1", job.Array, 4, 1), JobShard: slot} // accepted, and not placed yet
-		if _, err := cluster.state.Txn(cluster.ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: rec}}); err != nil {
+		record := job.Record{Spec: newSpec("wk-1", job.Array, 4, 1), JobShard: shardID} // accepted, and not placed yet
+		if _, err := cluster.state.Txn(cluster.ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: record}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
@@ -146,7 +146,7 @@
 }
 
 // Guards against ran_twice: a start that the crashed owner had sent arrives at a
-// machine that the job is allowed to use only after the slot was taken.
+// machine that the job is allowed to use only after the job shard was acquired.
 func TestLateStartOnUnresponsiveMachineIsNotRepeated(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		first := cluster.start("host-0")
@@ -154,21 +154,21 @@
 		cluster.start("host-1")
 		cluster.advance(3 * time.Second)
 		cluster.workers.WithLock(func() {
-			for _, b := range cluster.machines {
-				b.HoldCommands = true // reports get through, commands are held
+			for _, machine := range cluster.machines {
+				machine.HoldCommands = true // reports get through, commands are held
 			}
 		})
 		cluster.submit(first, newSpec("wk-1", job.Array, 1, 1))
 		time.Sleep(time.Second)
 		cluster.crash(first, 1)
-		boxes := cluster.machines
+		machines := cluster.machines
 		cluster.machines = nil
 		cluster.advance(6 * time.Second)
-		for _, b := range boxes {
-			cluster.workers.DeliverHeldCommands(b)
-			cluster.workers.WithLock(func() { b.HoldCommands = false })
+		for _, machine := range machines {
+			cluster.workers.DeliverHeldCommands(machine)
+			cluster.workers.WithLock(func() { machine.HoldCommands = false })
 		}
-		cluster.machines = boxes
+		cluster.machines = machines
 		cluster.advance(8 * time.Second)
 		if n := cluster.countStarts("wk-1"); n != 1 {
 			t.Fatalf("the task was started %d times", n)
--- a/internal/scheduler/start_deadline_test.go
+++ b/internal/scheduler/start_deadline_test.go
@@ -10,7 +10,7 @@
 	"robinstack/internal/worker"
 )
 
-// loadGenerator is a fleet of boxes that are never without work: jobs of one small task each come
+// loadGenerator keeps the machines of a cluster busy: jobs of one small task each come
 // faster than they end, for as long as it is run.
 type loadGenerator struct {
 	*testCluster
@@ -21,6 +21,7 @@
 	taskDuration time.Duration        // of each small task
 }
 
+// overloadCluster has work of the rank fill the cluster.
 func overloadCluster(cluster *testCluster, controller *testController, rank string) *loadGenerator {
 	load := &loadGenerator{testCluster: cluster, controller: controller, rank: rank, firstSeen: map[string]time.Time{}, taskDuration: 9 * time.Second}
 	load.advanceUnderLoad(30 * time.Second)
@@ -43,14 +44,14 @@
 		}
 		var over []on
 		load.workers.WithLock(func() {
-			for _, box := range load.machines {
-				for _, t := range box.Heartbeat.Tasks {
+			for _, machine := range load.machines {
+				for _, t := range machine.Heartbeat.Tasks {
 					key := fmt.Sprint(t.ID, t.Attempt)
 					if load.firstSeen[key].IsZero() {
 						load.firstSeen[key] = time.Now()
 					}
 					if t.State == worker.TaskRunning && time.Since(load.firstSeen[key]) > load.taskDuration {
-						over = append(over, on{box, t.ID})
+						over = append(over, on{machine, t.ID})
 					}
 				}
 			}
@@ -61,7 +62,7 @@
 	}
 }
 
-// timeToStart runs until the job has begun, and returns after how long.
+// timeToStart lets time pass until the job has begun, and returns how long that took.
 func (load *loadGenerator) timeToStart(id string, most time.Duration) time.Duration {
 	from := time.Now()
 	for time.Since(from) < most && !load.wasStarted(id) {
@@ -72,7 +73,7 @@
 
 // A gang of whole machines begins within four minutes of its submission though smaller
 // work of the same rank, and of a higher one, takes each place that comes free; so do
-// two such at once, for the one that came first has what both gather. Guards against
+// two such at once, for the one that came first has what is reserved for both. Guards against
 // gangs that never find all their machines free at one moment.
 func TestLargestGangStartsWithinDeadline(t *testing.T) {
 	for _, rank := range []string{"normal", "high"} {
@@ -92,7 +93,7 @@
 			before := len(cluster.startCounts())
 			load.advanceUnderLoad(30 * time.Second)
 			if len(cluster.startCounts()) < before+8 {
-				t.Errorf("room is kept although both have begun: %d starts", len(cluster.startCounts())-before)
+				t.Errorf("capacity is reserved although both have begun: %d starts", len(cluster.startCounts())-before)
 			}
 		})
 	}
@@ -113,10 +114,10 @@
 	})
 }
 
-// Room kept for a gang that does not begin is given back: it was cancelled, or its placer
-// died, whose successor gathers anew.
+// Capacity reserved for a gang that does not begin is released: it was cancelled, or its
+// scheduler crashed, whose successor reserves anew.
 func TestUnusedReservationIsReleased(t *testing.T) {
-	for _, how := range []string{"cancelled", "placer dies"} {
+	for _, how := range []string{"cancelled", "scheduler crashes"} {
 		runScenario(t, func(cluster *testCluster) {
 			controller := cluster.start("host-0")
 			cluster.advance(3 * time.Second)
@@ -132,7 +133,7 @@
 				load.controller = cluster.start("host-1")
 				cluster.advance(20 * time.Second)
 				if took := load.timeToStart("wk-1", 5*time.Minute); took > 3*time.Minute {
-					t.Fatalf("its next placer had it begin after %v", took)
+					t.Fatalf("its next scheduler had it begin after %v", took)
 				}
 			}
 			load.advanceUnderLoad(15 * time.Second)
--- a/internal/scheduler/task_lifecycle_test.go
+++ b/internal/scheduler/task_lifecycle_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against ran_cancelled and went_back: any controller may write the
-// cancellation; the placer stops the tasks and starts no more of them.
+// cancellation; the scheduler stops the tasks and starts no more of them.
 func TestCancelledJobStops(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -62,7 +62,7 @@
 	})
 }
 
-// Guards against ran_twice and forgotten: when the placer that also owned the
+// Guards against ran_twice and forgotten: when the scheduler whose controller also owned the
 // machines crashes, another adopts its jobs and machines; what runs goes on,
 // and only what never started is started.
 func TestJobsOfCrashedSchedulerAreAdopted(t *testing.T) {
@@ -118,7 +118,7 @@
 }
 
 // A machine's key is removed once all on it is proven gone. If its owner dies
-// before its last entry has gone round, the placer must see it from the key: the
+// before its last entry has gone round, the scheduler must see it from the key: the
 // job waited for ever.
 func TestTasksOfRemovedMachineAreRestarted(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
@@ -166,7 +166,7 @@
 	})
 }
 
-// The word to forget an ended task may get lost with the owner that it was sent
+// The request to forget an ended task may get lost with the owner that it was sent
 // to; the job's record tells the next one.
 func TestEndedTasksOfFinishedJobsAreForgotten(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
@@ -197,7 +197,7 @@
 		cluster.advance(3 * time.Second)
 		cluster.submit(frozen, newSpec("wk-1", job.Array, 2, 1))
 		cluster.advance(2 * time.Second)
-		slot, epoch, _ := frozen.scheduler.OwnJobShard()
+		shardID, epoch, _ := frozen.scheduler.OwnJobShard()
 		var token uint64
 		cluster.workers.WithLock(func() { token = cluster.machines[0].Heartbeat.FencingToken })
 		controller := cluster.start("host-1")
@@ -218,7 +218,7 @@
 				commit.Rev = e.Rev
 			}
 		}
-		commit.Spec, commit.Slot, commit.Epoch = newSpec("wk-1", job.Array, 2, 0), slot, epoch
+		commit.Spec, commit.Slot, commit.Epoch = newSpec("wk-1", job.Array, 2, 0), shardID, epoch
 		var reply agentapi.CommitReply
 		if err := controller.service.Commit(commit, &reply); err != nil || commit.Rev == 0 || reply.Verdicts[0] != agentapi.Refused {
 			t.Errorf("a commit under the old epoch: %+v %v", reply, err)
@@ -227,7 +227,7 @@
 			t.Error("a command under the old token was carried out")
 		}
 		if _, err := frozen.session.Write(cluster.ctx, nil, []statekv.Op{{Delete: job.RecordKey("wk-1")}}); !statekv.IsConflict(err) {
-			t.Errorf("a write of the old life: %v", err)
+			t.Errorf("a write of the old session: %v", err)
 		}
 		cluster.advance(3 * time.Second)
 		if cluster.countTasks() != before {
