--- a/internal/scheduler/cluster_helpers_test.go
+++ b/internal/scheduler/cluster_helpers_test.go
@@ -152,7 +152,7 @@
 
 // allEntries lists the machines of all controllers that are up.
 func allEntries(cluster *testCluster) (all []agentapi.MachineEntry) {
-	for _, host := range []string{"host-0", "host-1"} {
+	for _, host := range hosts {
 		if controller := cluster.controller(host); controller != nil {
 			_, entries := controller.agent.Snapshot()
 			all = append(all, entries...)
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -24,6 +24,9 @@
 	"robinstack/internal/tombstone"
 )
 
+// hosts are the controllers that a test may start.
+var hosts = []string{"host-0", "host-1"}
+
 // testCluster is a service of two controllers without a network: calls go straight to the
 // net/rpc services. Time is the virtual time of a synctest bubble.
 type testCluster struct {
@@ -58,54 +61,100 @@
 func runScenario(t *testing.T, f func(cluster *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		cluster := &testCluster{t: t, ctx: ctx, state: emulator.NewStateService(), workers: emulator.NewWorkers(), controllers: map[string]*testController{}, endpoints: map[*emulator.Worker]string{}}
+		cluster := &testCluster{
+			t:           t,
+			ctx:         ctx,
+			state:       emulator.NewStateService(),
+			workers:     emulator.NewWorkers(),
+			controllers: map[string]*testController{},
+			endpoints:   map[*emulator.Worker]string{},
+		}
 		defer func() { cancel(); time.Sleep(10 * time.Second); synctest.Wait() }()
-		cluster.machines = []*emulator.Worker{cluster.workers.Add("m1", "box", "a"), cluster.workers.Add("m2", "box", "b")}
+		cluster.machines = []*emulator.Worker{
+			cluster.workers.Add("m1", "box", "a"),
+			cluster.workers.Add("m2", "box", "b"),
+		}
 		f(cluster)
 	})
 }
 
-// start begins a session of a controller.
-func (cluster *testCluster) start(host string) *testController {
-	cluster.t.Helper()
-	settings := &config.Settings{Host: host, Peers: []config.Peer{{Host: otherHost(host)}}, Teams: map[string]config.Team{"t": {Name: "t"}, "full": {Name: "full", CPUQuota: 100}}, Zones: []string{"a", "b"}, Objectives: cluster.objectives,
-		Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, GangWaitTimeout: 45 * time.Second, CancellationDeadline: 60 * time.Second},
-		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
+// settings are those of one controller of the cluster.
+func (cluster *testCluster) settings(host string) *config.Settings {
+	settings := &config.Settings{
+		Host:       host,
+		Peers:      []config.Peer{{Host: otherHost(host)}},
+		Teams:      map[string]config.Team{"t": {Name: "t"}, "full": {Name: "full", CPUQuota: 100}},
+		Zones:      []string{"a", "b"},
+		Objectives: cluster.objectives,
+		Workers: config.WorkerTiming{
+			HeartbeatInterval:    3 * time.Second,
+			LeaseDuration:        30 * time.Second,
+			GangWaitTimeout:      45 * time.Second,
+			CancellationDeadline: 60 * time.Second,
+		},
+		StateLimits: config.StateLimits{
+			RequestsPerSecond: 100,
+			WritesPerSecond:   50,
+			MaxValueBytes:     8192,
+			MaxTxnOps:         24,
+		},
+	}
 	if cluster.stateLimits[0] > 0 {
 		settings.StateLimits.MaxValueBytes, settings.StateLimits.MaxTxnOps = cluster.stateLimits[0], cluster.stateLimits[1]
 	}
+	return settings
+}
+
+// machineTypes are the types that the cloud offers.
+func machineTypes() map[string]cloud.MachineType {
+	return map[string]cloud.MachineType{
+		"box": {Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, FetchGBPerS: 0.1},
+	}
+}
+
+// start begins a session of a controller.
+func (cluster *testCluster) start(host string) *testController {
+	cluster.t.Helper()
+	settings := cluster.settings(host)
 	ctx, stop := context.WithCancel(cluster.ctx)
 	controller := &testController{host: host, stop: stop, up: true}
-	mirror := statekv.NewMirror(cluster.state, []string{statekv.ClusterPrefix, job.RecordPrefix, job.SpecFragmentPrefix}, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
-		for _, e := range events {
-			controller.scheduler.OnJobEvent(e)
-		}
-	})
+	mirror := statekv.NewMirror(cluster.state,
+		[]string{statekv.ClusterPrefix, job.RecordPrefix, job.SpecFragmentPrefix}, statekv.RootPrefix,
+		time.Second, 0,
+		func(events []statekv.Event) {
+			for _, e := range events {
+				controller.scheduler.OnJobEvent(e)
+			}
+		})
 	controller.mirror = mirror
-	dependencies := dag.NewTracker(mirror, func(*job.Spec) time.Duration { return 10 * time.Second }, func(string) (tombstone.Tombstone, bool) { return tombstone.Tombstone{}, false })
+	dependencies := dag.NewTracker(mirror,
+		func(*job.Spec) time.Duration { return 10 * time.Second },
+		func(string) (tombstone.Tombstone, bool) { return tombstone.Tombstone{}, false })
 	mirror.OnApply = dependencies.OnEvents
 	if err := mirror.Load(ctx); err != nil {
 		cluster.t.Fatal(err)
 	}
-	var err error
-	if controller.session, err = statekv.OpenSession(ctx, cluster.state, mirror, host, 4*time.Second, statekv.Registration{}); err != nil {
+	session, err := statekv.OpenSession(ctx, cluster.state, mirror, host, 4*time.Second, statekv.Registration{})
+	if err != nil {
 		cluster.t.Fatal(err)
 	}
-	types := map[string]cloud.MachineType{"box": {Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, FetchGBPerS: 0.1}}
-	controller.agent = clusteragent.New(settings, cluster.state, mirror, controller.session, cluster.workers, func() map[string]cloud.MachineType { return types })
+	controller.session = session
+	controller.agent = clusteragent.New(settings, cluster.state, mirror, session, cluster.workers, machineTypes)
 	controller.service = clusteragent.NewService(controller.agent)
-	controller.scheduler = scheduler.New(settings, policy.Default(), cluster.state, mirror, controller.session, cluster, func() map[string]cloud.MachineType { return types }, dependencies)
-	feed := changefeed.New(cluster, mirror, []string{"host-0", "host-1"}, controller.scheduler.HighestEpoch, controller.scheduler.OnEntries)
+	controller.scheduler = scheduler.New(
+		settings, policy.Default(), cluster.state, mirror, session, cluster, machineTypes, dependencies)
+	feed := changefeed.New(
+		cluster, mirror, hosts, controller.scheduler.HighestEpoch, controller.scheduler.OnEntries)
 	cluster.mu.Lock()
 	cluster.controllers[host] = controller
 	cluster.mu.Unlock()
 	go mirror.Run(ctx)
-	go func() { _ = controller.session.KeepAlive(ctx) }()
+	go func() { _ = session.KeepAlive(ctx) }() // its end is that of ctx
 	go controller.agent.Run(ctx)
 	go feed.Run(ctx)
 	go controller.scheduler.Run(ctx, feed)
 	go dependencies.Run(ctx, func(ctx context.Context, id string) (tombstone.Tombstone, error) {
-		return tombstone.Read(ctx, cluster.state, []statekv.Compare{controller.session.Fence()}, id)
+		return tombstone.Read(ctx, cluster.state, []statekv.Compare{session.Fence()}, id)
 	})
 	return controller
 }
@@ -191,19 +240,7 @@
 	case "Agent.Clear":
 		return controller.service.Clear(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
 	case "Steward.Permit":
-		// A leader with one quota: team full may have so many tasks on machines.
-		r, out := args.(quota.Request), reply.(*quota.Reply)
-		cluster.mu.Lock()
-		defer cluster.mu.Unlock()
-		for _, want := range r.Wants {
-			ok := want.Team != "full" || cluster.grantsLeft > 0
-			if ok && want.Team == "full" && !r.Probe {
-				cluster.grantsLeft--
-			}
-			out.Granted = append(out.Granted, ok)
-		}
-		kv, _ := controller.mirror.Get(statekv.LeaderKey)
-		out.Epoch = kv.Rev
+		cluster.grantQuota(controller, args.(quota.Request), reply.(*quota.Reply))
 		return nil
 	case "Agent.Gatherable":
 		return controller.service.Gatherable(args.(agentapi.Request), reply.(*agentapi.SampleReply))
@@ -225,3 +262,19 @@
 	}
 	return fmt.Errorf("no method %s", method)
 }
+
+// grantQuota answers as a leader with one quota: team full may have so many tasks on
+// machines.
+func (cluster *testCluster) grantQuota(controller *testController, request quota.Request, reply *quota.Reply) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	for _, want := range request.Wants {
+		granted := want.Team != "full" || cluster.grantsLeft > 0
+		if granted && want.Team == "full" && !request.Probe {
+			cluster.grantsLeft--
+		}
+		reply.Granted = append(reply.Granted, granted)
+	}
+	kv, _ := controller.mirror.Get(statekv.LeaderKey)
+	reply.Epoch = kv.Rev
+}
--- a/internal/scheduler/invariant_checker_test.go
+++ b/internal/scheduler/invariant_checker_test.go
@@ -12,7 +12,8 @@
 	"robinstack/internal/worker"
 )
 
-// invariantChecker holds what is on the machines and in the records against the rules.
+// invariantChecker compares what is on the machines and in the records with the invariants
+// of the service.
 type invariantChecker struct {
 	*testCluster
 	jobs       map[string]job.Spec
@@ -21,6 +22,16 @@
 	violations []string
 }
 
+func newInvariantChecker(cluster *testCluster) *invariantChecker {
+	return &invariantChecker{
+		testCluster: cluster,
+		jobs:        map[string]job.Spec{},
+		cancelled:   map[string]time.Time{},
+		started:     map[string]bool{},
+	}
+}
+
+// violate notes that an invariant does not hold; the format begins with its name.
 func (checker *invariantChecker) violate(format string, args ...any) {
 	checker.violations = append(checker.violations, fmt.Sprintf(format, args...))
 }
@@ -40,51 +51,63 @@
 
 // checkNow checks the present moment.
 func (checker *invariantChecker) checkNow() {
-	on := map[string][]string{}
-	completed := map[string]bool{}
-	checker.workers.WithLock(func() {
-		for _, machine := range checker.machines {
-			for _, t := range machine.Heartbeat.Tasks {
-				if t.State != worker.TaskExited {
-					on[t.ID] = append(on[t.ID], machine.Heartbeat.Machine)
-				} else if t.Cause == worker.CauseDone {
-					completed[t.ID] = true
-				}
-			}
-		}
-	})
-	for task, where := range on {
-		if len(where) > 1 {
-			checker.violate("ran_twice: %s is on %v", task, where)
-		}
-		id, _, _ := strings.Cut(task, "/")
-		if checker.started[id] {
-			continue
-		}
-		checker.started[id] = true
-		for _, p := range checker.jobs[id].WaitsOn {
-			if checker.storedStatus(p) != job.Done || checker.hasOpenRecord(p) {
-				checker.violate("too_early: %s started before %s was done", task, p)
-			}
+	machinesOf := checker.machinesByTask()
+	for task, machines := range machinesOf {
+		if len(machines) > 1 {
+			checker.violate("ran_twice: %s is on %v", task, machines)
 		}
+		checker.checkFirstStart(task)
 	}
 	for id, at := range checker.cancelled {
 		if time.Since(at) < 60*time.Second {
 			continue
 		}
 		for _, later := range checker.transitiveDependents(id) {
-			if on[later+"/0"] != nil {
+			if machinesOf[later+"/0"] != nil {
 				checker.violate("ran_cancelled: %s runs %v after %s was cancelled", later, time.Since(at), id)
 			}
 		}
 	}
 }
 
-// hasOpenRecord and stored tell what the records say, also while nobody can read them.
+// machinesByTask lists the machines of each task that has not exited.
+func (checker *invariantChecker) machinesByTask() map[string][]string {
+	machines := map[string][]string{}
+	checker.workers.WithLock(func() {
+		for _, machine := range checker.machines {
+			for _, task := range machine.Heartbeat.Tasks {
+				if task.State != worker.TaskExited {
+					machines[task.ID] = append(machines[task.ID], machine.Heartbeat.Machine)
+				}
+			}
+		}
+	})
+	return machines
+}
+
+// checkFirstStart checks, when a job is seen on a machine first, that its dependencies are
+// done.
+func (checker *invariantChecker) checkFirstStart(task string) {
+	id, _, _ := strings.Cut(task, "/")
+	if checker.started[id] {
+		return
+	}
+	checker.started[id] = true
+	for _, dependency := range checker.jobs[id].WaitsOn {
+		if checker.storedStatus(dependency) != job.Done || checker.hasOpenRecord(dependency) {
+			checker.violate("too_early: %s started before %s was done", task, dependency)
+		}
+	}
+}
+
+// hasOpenRecord reports whether a job's record is stored, also while nobody can read it.
 func (checker *invariantChecker) hasOpenRecord(id string) bool {
-	return slices.ContainsFunc(checker.state.ListAll(job.RecordKey(id)), func(kv statekv.KV) bool { return kv.Key == job.RecordKey(id) })
+	key := job.RecordKey(id)
+	return slices.ContainsFunc(checker.state.ListAll(key), func(kv statekv.KV) bool { return kv.Key == key })
 }
 
+// storedStatus is the status in a job's stored tombstone, or "", also while nobody can read
+// it.
 func (checker *invariantChecker) storedStatus(id string) string {
 	for _, kv := range append(checker.state.ListAll(tombstone.LegacyKey(id)), checker.state.ListAll(tombstone.Key(id))...) {
 		if of, r, ok, err := tombstone.Parse(kv.Key, kv.Value); ok && err == nil && of == id {
--- a/internal/scheduler/random_faults_test.go
+++ b/internal/scheduler/random_faults_test.go
@@ -9,122 +9,199 @@
 	"testing"
 	"time"
 
+	"robinstack/emulator"
 	"robinstack/internal/job"
 	"robinstack/internal/statekv"
 	"robinstack/internal/tombstone"
 	"robinstack/internal/worker"
 )
 
+const (
+	faultSteps       = 60 // of two seconds, with one fault each
+	submissionSteps  = 45 // of them, the first, with submissions
+	recoverySteps    = 60 // of five seconds, without faults
+	maxDependencyAge = 4  // a job may depend on so many of those submitted before it
+)
+
+// faultInjector plays random faults on a cluster while jobs are submitted to it.
+type faultInjector struct {
+	*invariantChecker
+	random    *rand.Rand
+	sessions  uint64
+	lease     map[string]uint64 // of each host's session, by its number
+	delayed   []delayedHeartbeat
+	submitted []string
+}
+
+// delayedHeartbeat is a heartbeat that arrives once more.
+type delayedHeartbeat struct {
+	heartbeat worker.Heartbeat
+	deliverAt time.Time
+}
+
 // runRandomFaults plays faults drawn by the seed: controllers that are back within a
 // fraction of a second, or later; outages of the state service and lost answers; machines
 // that commands do not reach; late copies of heartbeats; cancellations; and jobs that wait
-// for others all the while. Then the faults end.
-func runRandomFaults(cluster *testCluster, seed uint64, planted func(checker *invariantChecker)) *invariantChecker {
-	rng := rand.New(rand.NewPCG(seed, 7))
-	checker := &invariantChecker{testCluster: cluster, jobs: map[string]job.Spec{}, cancelled: map[string]time.Time{}, started: map[string]bool{}}
+// for others all the while. Then the faults end. The function afterStep, if any, is called
+// after each step.
+func runRandomFaults(cluster *testCluster, seed uint64, afterStep func(checker *invariantChecker)) *invariantChecker {
+	f := &faultInjector{
+		invariantChecker: newInvariantChecker(cluster),
+		random:           rand.New(rand.NewPCG(seed, 7)),
+		lease:            map[string]uint64{},
+	}
 	cluster.enableDependencies()
-	leases := uint64(0)
-	up := map[string]uint64{}
-	begin := func(host string) {
-		cluster.start(host)
-		leases++
-		up[host] = leases
-	}
-	begin("host-0")
-	cluster.advance(3 * time.Second)
-	begin("host-1")
-	cluster.advance(3 * time.Second)
-	var copies []delayedHeartbeat
-	var ids []string
-	for step := range 60 {
-		if controller := cluster.controller([]string{"host-0", "host-1"}[rng.IntN(2)]); controller != nil && step < 45 {
-			if _, _, ok := controller.scheduler.OwnJobShard(); ok && controller.session.HoldsLease() {
-				s := newSpec(fmt.Sprintf("wk-%d", step), job.Array, 1, 1)
-				for _, p := range ids[max(0, len(ids)-4):] {
-					if rng.IntN(3) == 0 {
-						s.WaitsOn = append(s.WaitsOn, p)
-					}
-				}
-				if cluster.trySubmit(controller, s) {
-					checker.jobs[s.ID] = s
-					ids = append(ids, s.ID)
-				}
-			}
-		}
-		machine := cluster.machines[rng.IntN(len(cluster.machines))]
-		switch host := []string{"host-0", "host-1"}[rng.IntN(2)]; rng.IntN(12) {
-		case 0: // back at once: its new session ends the one before
-			if controller := cluster.controller(host); controller != nil {
-				cluster.mu.Lock()
-				controller.up = false
-				cluster.mu.Unlock()
-				controller.stop()
-				time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
-				cluster.state.SetOutage(false, false)
-				begin(host)
-			}
-		case 1: // away for a while
-			if controller := cluster.controller(host); controller != nil && cluster.controller(otherHost(host)) != nil {
-				cluster.crash(controller, up[host])
-				cluster.advance(time.Duration(rng.IntN(10)) * time.Second)
-				cluster.state.SetOutage(false, false)
-				begin(host)
-			}
-		case 2:
-			cluster.state.SetOutage(true, false)
-		case 3:
-			cluster.state.SetOutage(false, true)
-		case 4, 5:
-			cluster.state.SetOutage(false, false)
-		case 6:
-			cluster.workers.WithLock(func() { machine.HoldCommands = !machine.HoldCommands })
-		case 7:
-			cluster.workers.WithLock(func() { machine.HoldCommands = false })
-			cluster.workers.DeliverHeldCommands(machine)
-		case 8:
-			var r worker.Heartbeat
-			cluster.workers.WithLock(func() { r = machine.Heartbeat; r.Tasks = slices.Clone(machine.Heartbeat.Tasks) })
-			copies = append(copies, delayedHeartbeat{r, time.Now().Add(time.Duration(rng.IntN(60)) * time.Second)})
-		case 9:
-			if len(ids) > 0 {
-				id := ids[rng.IntN(len(ids))]
-				if _, cancelled := checker.cancelled[id]; !cancelled && cluster.tryCancel(id) {
-					checker.cancelled[id] = time.Now()
-				}
-			}
-		}
-		for _, l := range copies {
-			if controller := cluster.controller([]string{"host-0", "host-1"}[rng.IntN(2)]); controller != nil && time.Now().After(l.deliverAt) {
-				go func() { controller.agent.Heartbeat(cluster.ctx, &l.report) }()
-			}
+	for _, host := range hosts {
+		f.startSession(host)
+		cluster.advance(3 * time.Second)
+	}
+	for step := range faultSteps {
+		controller := cluster.controller(f.randomHost())
+		if controller != nil && step < submissionSteps {
+			f.submitRandomJob(controller, fmt.Sprintf("wk-%d", step))
 		}
+		f.injectFault()
+		f.deliverDelayed()
 		cluster.advance(2 * time.Second)
-		if planted != nil {
-			planted(checker)
+		if afterStep != nil {
+			afterStep(f.invariantChecker)
 		}
-		checker.checkNow()
-		if rng.IntN(2) == 0 {
+		f.checkNow()
+		if f.random.IntN(2) == 0 {
 			cluster.exitAllTasks(worker.CauseDone)
 		}
 	}
-	cluster.state.SetOutage(false, false)
-	for _, machine := range cluster.machines {
-		cluster.workers.WithLock(func() { machine.HoldCommands = false })
-		cluster.workers.DeliverHeldCommands(machine)
-	}
-	for range 60 {
+	f.endFaults()
+	for range recoverySteps {
 		cluster.advance(5 * time.Second)
-		checker.checkNow()
+		f.checkNow()
 		cluster.exitAllTasks(worker.CauseDone)
 	}
-	checker.checkOutcomes()
-	return checker
+	f.checkOutcomes()
+	return f.invariantChecker
 }
 
-// delayedHeartbeat is a heartbeat that arrives once more.
-type delayedHeartbeat struct {
-	report    worker.Heartbeat
-	deliverAt time.Time
+func (f *faultInjector) randomHost() string { return hosts[f.random.IntN(len(hosts))] }
+
+func (f *faultInjector) startSession(host string) {
+	f.start(host)
+	f.sessions++
+	f.lease[host] = f.sessions
+}
+
+// submitRandomJob submits a job that depends on some of the last ones.
+func (f *faultInjector) submitRandomJob(controller *testController, id string) {
+	if _, _, ok := controller.scheduler.OwnJobShard(); !ok || !controller.session.HoldsLease() {
+		return
+	}
+	spec := newSpec(id, job.Array, 1, 1)
+	for _, earlier := range f.submitted[max(0, len(f.submitted)-maxDependencyAge):] {
+		if f.random.IntN(3) == 0 {
+			spec.WaitsOn = append(spec.WaitsOn, earlier)
+		}
+	}
+	if f.trySubmit(controller, spec) {
+		f.jobs[id] = spec
+		f.submitted = append(f.submitted, id)
+	}
+}
+
+// injectFault draws one fault, or the end of one, or none.
+func (f *faultInjector) injectFault() {
+	machine := f.machines[f.random.IntN(len(f.machines))]
+	host := f.randomHost()
+	switch f.random.IntN(12) {
+	case 0:
+		f.restart(host)
+	case 1:
+		f.crashForAWhile(host)
+	case 2:
+		f.state.SetOutage(true, false)
+	case 3:
+		f.state.SetOutage(false, true)
+	case 4, 5:
+		f.state.SetOutage(false, false)
+	case 6:
+		f.workers.WithLock(func() { machine.HoldCommands = !machine.HoldCommands })
+	case 7:
+		f.deliverHeldCommands(machine)
+	case 8:
+		f.copyHeartbeat(machine)
+	case 9:
+		f.cancelRandomJob()
+	}
+}
+
+// restart ends a session whose controller is back at once: the new session ends the one
+// before.
+func (f *faultInjector) restart(host string) {
+	controller := f.controller(host)
+	if controller == nil {
+		return
+	}
+	f.mu.Lock()
+	controller.up = false
+	f.mu.Unlock()
+	controller.stop()
+	time.Sleep(time.Duration(f.random.IntN(300)) * time.Millisecond)
+	f.state.SetOutage(false, false)
+	f.startSession(host)
+}
+
+// crashForAWhile crashes a controller that is back after some seconds, if the other is up.
+func (f *faultInjector) crashForAWhile(host string) {
+	controller := f.controller(host)
+	if controller == nil || f.controller(otherHost(host)) == nil {
+		return
+	}
+	f.crash(controller, f.lease[host])
+	f.advance(time.Duration(f.random.IntN(10)) * time.Second)
+	f.state.SetOutage(false, false)
+	f.startSession(host)
+}
+
+func (f *faultInjector) deliverHeldCommands(machine *emulator.Worker) {
+	f.workers.WithLock(func() { machine.HoldCommands = false })
+	f.workers.DeliverHeldCommands(machine)
+}
+
+// copyHeartbeat has a machine's last heartbeat arrive again from some moment on.
+func (f *faultInjector) copyHeartbeat(machine *emulator.Worker) {
+	var heartbeat worker.Heartbeat
+	f.workers.WithLock(func() {
+		heartbeat = machine.Heartbeat
+		heartbeat.Tasks = slices.Clone(machine.Heartbeat.Tasks)
+	})
+	deliverAt := time.Now().Add(time.Duration(f.random.IntN(60)) * time.Second)
+	f.delayed = append(f.delayed, delayedHeartbeat{heartbeat, deliverAt})
+}
+
+// deliverDelayed sends each copied heartbeat whose moment has come to one of the controllers.
+func (f *faultInjector) deliverDelayed() {
+	for _, copied := range f.delayed {
+		controller := f.controller(f.randomHost())
+		if controller != nil && time.Now().After(copied.deliverAt) {
+			go func() { controller.agent.Heartbeat(f.ctx, &copied.heartbeat) }()
+		}
+	}
+}
+
+func (f *faultInjector) cancelRandomJob() {
+	if len(f.submitted) == 0 {
+		return
+	}
+	id := f.submitted[f.random.IntN(len(f.submitted))]
+	if _, cancelled := f.cancelled[id]; !cancelled && f.tryCancel(id) {
+		f.cancelled[id] = time.Now()
+	}
+}
+
+// endFaults ends all faults but the crash of controllers, which end by themselves.
+func (f *faultInjector) endFaults() {
+	f.state.SetOutage(false, false)
+	for _, machine := range f.machines {
+		f.deliverHeldCommands(machine)
+	}
 }
 
 // trySubmit submits a job if the state service takes it.
