--- a/internal/scheduler/candidate/candidate_test.go
+++ b/internal/scheduler/candidate/candidate_test.go
@@ -9,9 +9,13 @@
 )
 
 func TestAssignRanksAndListsFallbacks(t *testing.T) {
-	cs := []agentapi.Candidate{{Machine: "m1", Fits: 1, Score: 10}, {Machine: "m2", Fits: 2, Score: 90}, {Machine: "m3", Fits: 1, Score: 50}}
-	Rank(cs)
-	lists := Assign(cs, 5, 2)
+	candidates := []agentapi.Candidate{
+		{Machine: "m1", Fits: 1, Score: 10},
+		{Machine: "m2", Fits: 2, Score: 90},
+		{Machine: "m3", Fits: 1, Score: 50},
+	}
+	Rank(candidates)
+	lists := Assign(candidates, 5, 2)
 	var first []string
 	for _, l := range lists {
 		first = append(first, l[0].Machine)
@@ -25,11 +29,15 @@
 }
 
 func TestGangZoneHoldsTheWholeGang(t *testing.T) {
-	cs := []agentapi.Candidate{{Machine: "m1", Zone: "a", Fits: 1, Score: 99}, {Machine: "m2", Zone: "b", Fits: 1}, {Machine: "m3", Zone: "b", Fits: 1}}
-	if z := GangZone(cs, 2); z != "b" {
+	candidates := []agentapi.Candidate{
+		{Machine: "m1", Zone: "a", Fits: 1, Score: 99},
+		{Machine: "m2", Zone: "b", Fits: 1},
+		{Machine: "m3", Zone: "b", Fits: 1},
+	}
+	if z := GangZone(candidates, 2); z != "b" {
 		t.Fatalf("zone %q", z)
 	}
-	if z := GangZone(cs, 3); z != "" {
+	if z := GangZone(candidates, 3); z != "" {
 		t.Fatalf("zone %q cannot hold three", z)
 	}
 }
@@ -37,7 +45,8 @@
 // wrong_place: one_zone and spread look at where the job's other tasks are.
 func TestOpenZonesAndSpreadOut(t *testing.T) {
 	zones := []string{"a", "b", "c"}
-	if z := OpenZones(&job.Spec{OneZone: true, Tasks: 4}, map[string]int{"b": 1}, zones); !slices.Equal(z, []string{"b"}) {
+	oneZone := &job.Spec{OneZone: true, Tasks: 4}
+	if z := OpenZones(oneZone, map[string]int{"b": 1}, zones); !slices.Equal(z, []string{"b"}) {
 		t.Fatalf("one zone: %v", z)
 	}
 	spread := &job.Spec{Spread: true, Tasks: 5}
@@ -50,10 +59,14 @@
 	}
 }
 
-// A gang has machines cleared where that loses least, all in one zone if it
-// must be, and nothing is stopped when it would still not fit.
+// Machines are freed for a gang where that loses least, all in one zone if it must be, and
+// nothing is stopped when it would still not fit.
 func TestChooseFreedTakesCheapestZoneThatHoldsGang(t *testing.T) {
-	options := []agentapi.Candidate{{Machine: "m1", Zone: "a", Score: -5}, {Machine: "m2", Zone: "b", Score: -20}, {Machine: "m3", Zone: "b", Score: -30}}
+	options := []agentapi.Candidate{
+		{Machine: "m1", Zone: "a", Score: -5},
+		{Machine: "m2", Zone: "b", Score: -20},
+		{Machine: "m3", Zone: "b", Score: -30},
+	}
 	found := []agentapi.Candidate{{Machine: "m4", Zone: "b", Fits: 1}}
 	if got := ChooseFreed(true, found, options, 2); len(got) != 1 || got[0].Machine != "m2" {
 		t.Fatalf("one zone: %v", got)
--- a/internal/scheduler/cluster_helpers_test.go
+++ b/internal/scheduler/cluster_helpers_test.go
@@ -14,7 +14,17 @@
 
 // newSpec is a job of small tasks that run on any machine.
 func newSpec(id, shape string, tasks int, gpus float64) job.Spec {
-	return job.Spec{ID: id, Class: "c", Team: "t", Shape: shape, Rank: "normal", Tasks: tasks, Need: job.Need{CPUs: 1, GPUs: gpus, MemoryGB: 1}, Image: "i", Spot: true}
+	return job.Spec{
+		ID:    id,
+		Class: "c",
+		Team:  "t",
+		Shape: shape,
+		Rank:  "normal",
+		Tasks: tasks,
+		Need:  job.Need{CPUs: 1, GPUs: gpus, MemoryGB: 1},
+		Image: "i",
+		Spot:  true,
+	}
 }
 
 func withGPUs(s job.Spec, gpus float64) job.Spec {
@@ -37,7 +47,8 @@
 		cluster.t.Fatal("no job shard")
 	}
 	record := &job.Record{Spec: spec, JobShard: shardID, SubmittedMS: time.Now().UnixMilli()}
-	rev, err := controller.session.Write(cluster.ctx, []statekv.Compare{{Key: job.RecordKey(spec.ID)}}, []statekv.Op{{Set: job.RecordKey(spec.ID), Value: record}})
+	key := job.RecordKey(spec.ID)
+	rev, err := controller.session.Write(cluster.ctx, []statekv.Compare{{Key: key}}, []statekv.Op{{Set: key, Value: record}})
 	if err != nil {
 		cluster.t.Fatal(err)
 	}
@@ -51,11 +62,22 @@
 	if err != nil {
 		cluster.t.Fatal(err)
 	}
-	if _, err := cluster.state.Txn(cluster.ctx, []statekv.Compare{{Key: job.RecordKey(id), Rev: kv.Rev}}, append(tombstone.WriteOps(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.LegacyOnly), statekv.Op{Delete: job.RecordKey(id)})); err != nil {
+	unchanged := []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}
+	if _, err := cluster.state.Txn(cluster.ctx, unchanged, cancellation(id, 1)); err != nil {
 		cluster.t.Fatal(err)
 	}
 }
 
+// legacyTombstone writes a job's tombstone in the legacy schema.
+func legacyTombstone(id, status string, tasks int) []statekv.Op {
+	return tombstone.WriteOps(id, tombstone.Tombstone{Status: status, Tasks: tasks}, tombstone.LegacyOnly)
+}
+
+// cancellation replaces a job's record by its tombstone.
+func cancellation(id string, tasks int) []statekv.Op {
+	return append(legacyTombstone(id, job.Cancelled, tasks), statekv.Op{Delete: job.RecordKey(id)})
+}
+
 // put writes keys behind the controllers' backs.
 func (cluster *testCluster) put(ops ...statekv.Op) {
 	cluster.t.Helper()
@@ -67,15 +89,13 @@
 // setClusterVersion has the stored cluster version enable the features.
 func (cluster *testCluster) setClusterVersion(features ...rollout.Feature) {
 	cluster.t.Helper()
-	l := rollout.ClusterVersion{Schema: 1, Number: len(features), Features: features}
-	if _, err := cluster.state.Txn(cluster.ctx, nil, []statekv.Op{{Set: statekv.ClusterVersionKey, Value: l}}); err != nil {
-		cluster.t.Fatal(err)
-	}
+	version := rollout.ClusterVersion{Schema: 1, Number: len(features), Features: features}
+	cluster.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: version})
 }
 
 // enableDependencies has the stored cluster version enable dependencies between jobs.
 func (cluster *testCluster) enableDependencies() {
-	cluster.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: rollout.ClusterVersion{Schema: 1, Number: 2, Features: []rollout.Feature{rollout.FeatureVersionGate, rollout.FeatureDependencies}}})
+	cluster.setClusterVersion(rollout.FeatureVersionGate, rollout.FeatureDependencies)
 }
 
 // exitAllTasks has all tasks on machines exit with the cause.
--- a/internal/scheduler/completion_chunks_test.go
+++ b/internal/scheduler/completion_chunks_test.go
@@ -13,9 +13,19 @@
 // takes what it may, and the rest goes with the next ones; nothing is left out.
 func TestChunksAreRecordedWithinTransactionLimit(t *testing.T) {
 	const most = 8
-	s := &Scheduler{settings: &config.Settings{StateLimits: config.StateLimits{MaxValueBytes: 2048, MaxTxnOps: most}}, store: emulator.NewStateService()}
-	spec := job.Spec{ID: "wk-1", Class: "c", Team: "t", Shape: job.Array, Rank: "normal", Tasks: job.MaxTasks, Image: "i"}
-	j := &jobState{spec: &spec, record: &job.Record{}, done: job.NewTaskBitmap(spec.Tasks), completion: completion{dirtyChunks: map[int]bool{}}}
+	s := &Scheduler{
+		settings: &config.Settings{StateLimits: config.StateLimits{MaxValueBytes: 2048, MaxTxnOps: most}},
+		store:    emulator.NewStateService(),
+	}
+	spec := job.Spec{
+		ID: "wk-1", Class: "c", Team: "t", Shape: job.Array, Rank: "normal", Tasks: job.MaxTasks, Image: "i",
+	}
+	j := &jobState{
+		spec:       &spec,
+		record:     &job.Record{},
+		done:       job.NewTaskBitmap(spec.Tasks),
+		completion: completion{dirtyChunks: map[int]bool{}},
+	}
 	all := job.ChunkCount(spec.Tasks)
 	for k := range all {
 		j.completion.dirtyChunks[k] = true
--- a/internal/scheduler/delay_scheduling.go
+++ b/internal/scheduler/delay_scheduling.go
@@ -48,9 +48,9 @@
 	usual, max time.Duration
 }
 
-// delayForImage returns how long a job may let machines without its image go by, of which
-// so many tasks need a machine, and false if it takes them at once. The fetch is how long
-// its image usually takes, and left what the service-level objectives leave (startSlack).
+// delayForImage returns for how long a job, of which so many tasks need a machine, may let
+// machines without its image go by, and false if it takes them at once. Fetch is how long
+// its image usually takes; slack is what the service-level objectives leave (startSlack).
 func (j *jobState) delayForImage(tasks int, scarce bool, fetch, slack time.Duration) (imageDelayBounds, bool) {
 	if !j.isGang() {
 		return imageDelayBounds{usual: scale(arrayDelayShare, fetch)}, scarce
--- a/internal/scheduler/delay_scheduling_test.go
+++ b/internal/scheduler/delay_scheduling_test.go
@@ -66,7 +66,10 @@
 	for name, gb := range map[string]float64{"too late": 2.7, "in time": 0.5} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, func(cluster *testCluster) {
-				cluster.objectives = []config.Objective{{Kind: "wait", Class: "c", Within: 25 * time.Second}, {Kind: "wait", Class: "c", Within: 50 * time.Second}}
+				cluster.objectives = []config.Objective{
+					{Kind: "wait", Class: "c", Within: 25 * time.Second},
+					{Kind: "wait", Class: "c", Within: 50 * time.Second},
+				}
 				controller := startWithCachedImage(cluster)
 				s := newSpec("wk-3", job.Gang, 1, 2)
 				s.Image, s.ImageGB, s.Rank = "x", gb, "high"
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -67,8 +67,9 @@
 		cluster.advance(5 * time.Second)
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(20 * time.Second)
-		if q := controller.waitingJobs(cluster); cluster.wasStarted("wk-2") || q["wk-2"].ReadyS == nil || q["wk-3"].Why != "waits for wk-2" {
-			t.Fatalf("%v, %+v", cluster.startCounts(), q)
+		waiting := controller.waitingJobs(cluster)
+		if cluster.wasStarted("wk-2") || waiting["wk-2"].ReadyS == nil || waiting["wk-3"].Why != "waits for wk-2" {
+			t.Fatalf("%v, %+v", cluster.startCounts(), waiting)
 		}
 		cluster.mu.Lock()
 		cluster.grantsLeft = 1
@@ -144,7 +145,14 @@
 			cluster.advance(5 * time.Second)
 			cluster.exitAllTasks(worker.CauseDone)
 		}
-		for id, want := range map[string]string{"wk-1": job.Cancelled, "wk-2": job.Cancelled, "wk-3": job.Cancelled, "wk-4": job.Cancelled, "wk-5": job.Done, "wk-9": job.Done} {
+		for id, want := range map[string]string{
+			"wk-1": job.Cancelled,
+			"wk-2": job.Cancelled,
+			"wk-3": job.Cancelled,
+			"wk-4": job.Cancelled,
+			"wk-5": job.Done,
+			"wk-9": job.Done,
+		} {
 			if got := cluster.finalStatus(id); got != want {
 				t.Errorf("%s: %q and not %q", id, got, want)
 			}
--- a/internal/scheduler/failure_history_test.go
+++ b/internal/scheduler/failure_history_test.go
@@ -25,7 +25,8 @@
 			first := cluster.start("host-0")
 			cluster.advance(3 * time.Second)
 			cluster.start("host-1")
-			cluster.machines = append(cluster.machines, cluster.workers.Add("m3", "box", "a"), cluster.workers.Add("m4", "box", "b"))
+			cluster.machines = append(cluster.machines,
+				cluster.workers.Add("m3", "box", "a"), cluster.workers.Add("m4", "box", "b"))
 			cluster.advance(3 * time.Second)
 			cluster.submit(first, newSpec("wk-1", job.Array, 8, 1))
 			for range 8 {
--- a/internal/scheduler/invariant_checker_test.go
+++ b/internal/scheduler/invariant_checker_test.go
@@ -109,7 +109,8 @@
 // storedStatus is the status in a job's stored tombstone, or "", also while nobody can read
 // it.
 func (checker *invariantChecker) storedStatus(id string) string {
-	for _, kv := range append(checker.state.ListAll(tombstone.LegacyKey(id)), checker.state.ListAll(tombstone.Key(id))...) {
+	stored := append(checker.state.ListAll(tombstone.LegacyKey(id)), checker.state.ListAll(tombstone.Key(id))...)
+	for _, kv := range stored {
 		if of, r, ok, err := tombstone.Parse(kv.Key, kv.Value); ok && err == nil && of == id {
 			return r.Status
 		}
--- a/internal/scheduler/random_faults_test.go
+++ b/internal/scheduler/random_faults_test.go
@@ -208,7 +208,9 @@
 func (cluster *testCluster) trySubmit(controller *testController, s job.Spec) bool {
 	shardID, epoch, _ := controller.scheduler.OwnJobShard()
 	record := &job.Record{Spec: s, JobShard: shardID, SubmittedMS: time.Now().UnixMilli()}
-	when := append(tombstone.AbsentCompares(s.ID), statekv.Compare{Key: job.RecordKey(s.ID)}, statekv.Compare{Key: statekv.JobShardPrefix + shardID, Rev: epoch})
+	when := append(tombstone.AbsentCompares(s.ID),
+		statekv.Compare{Key: job.RecordKey(s.ID)},
+		statekv.Compare{Key: statekv.JobShardPrefix + shardID, Rev: epoch})
 	rev, err := controller.session.Write(cluster.ctx, when, []statekv.Op{{Set: job.RecordKey(s.ID), Value: record}})
 	if err == nil {
 		controller.scheduler.OnJobAccepted(record, rev)
@@ -223,7 +225,8 @@
 	if err != nil {
 		return false
 	}
-	_, err = cluster.state.Txn(cluster.ctx, []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}, append(tombstone.WriteOps(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.LegacyOnly), statekv.Op{Delete: kv.Key}))
+	unchanged := []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}
+	_, err = cluster.state.Txn(cluster.ctx, unchanged, cancellation(id, 1))
 	return err == nil || errors.Is(err, statekv.ErrOutcomeUnknown)
 }
 
@@ -235,7 +238,8 @@
 			runScenario(t, func(cluster *testCluster) {
 				checker := runRandomFaults(cluster, seed, nil)
 				if len(checker.violations) > 0 {
-					t.Errorf("%d broken: %s", len(checker.violations), strings.Join(checker.violations[:min(5, len(checker.violations))], "; "))
+					shown := checker.violations[:min(5, len(checker.violations))]
+					t.Errorf("%d violations: %s", len(checker.violations), strings.Join(shown, "; "))
 				}
 				if len(checker.jobs) < 20 || len(checker.started) < 10 {
 					t.Errorf("only %d jobs, %d began", len(checker.jobs), len(checker.started))
@@ -248,14 +252,16 @@
 // What the checker must find: a record that says done too early, a task started behind
 // the owners' backs, a job that is lost, and one cancelled without a cause.
 func TestCheckerFindsInjectedViolations(t *testing.T) {
-	for rule, plant := range map[string]func(checker *invariantChecker) bool{
+	for rule, inject := range map[string]func(checker *invariantChecker) bool{
 		"too_early": func(checker *invariantChecker) bool {
 			for id, s := range checker.jobs {
 				for _, p := range s.WaitsOn {
 					if checker.hasOpenRecord(p) && !checker.started[id] && checker.cancelled[p].IsZero() {
-						checker.put(tombstone.WriteOps(p, tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.LegacyOnly)...)
+						checker.put(legacyTombstone(p, job.Done, 1)...)
 						checker.workers.WithLock(func() {
-							checker.machines[0].Heartbeat.Tasks = append(checker.machines[0].Heartbeat.Tasks, worker.Task{ID: id + "/0", Attempt: 1 << 50, State: worker.TaskRunning})
+							heartbeat := &checker.machines[0].Heartbeat
+							heartbeat.Tasks = append(heartbeat.Tasks,
+								worker.Task{ID: id + "/0", Attempt: 1 << 50, State: worker.TaskRunning})
 						})
 						return true
 					}
@@ -270,7 +276,8 @@
 					for _, t := range machine.Heartbeat.Tasks {
 						if t.State == worker.TaskRunning && !done {
 							other := checker.machines[1-k]
-							other.Heartbeat.Tasks = append(other.Heartbeat.Tasks, worker.Task{ID: t.ID, Attempt: t.Attempt + 1, State: worker.TaskRunning})
+							other.Heartbeat.Tasks = append(other.Heartbeat.Tasks,
+								worker.Task{ID: t.ID, Attempt: t.Attempt + 1, State: worker.TaskRunning})
 							done = true
 						}
 					}
@@ -287,7 +294,7 @@
 		},
 		"went_back": func(checker *invariantChecker) bool {
 			if id := checker.openJobWithoutDependencies(); id != "" {
-				checker.put(append(deleteRecord(id), tombstone.WriteOps(id, tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}, tombstone.LegacyOnly)...)...)
+				checker.put(append(deleteRecord(id), legacyTombstone(id, job.Cancelled, 1)...)...)
 				return true
 			}
 			return false
@@ -295,14 +302,15 @@
 	} {
 		t.Run(rule, func(t *testing.T) {
 			runScenario(t, func(cluster *testCluster) {
-				steps, planted := 0, false
+				steps, injected := 0, false
 				checker := runRandomFaults(cluster, 3, func(checker *invariantChecker) {
-					if steps++; steps > 8 && !planted && !cluster.state.IsDown() {
-						planted = plant(checker)
+					if steps++; steps > 8 && !injected && !cluster.state.IsDown() {
+						injected = inject(checker)
 					}
 				})
-				if !planted || !slices.ContainsFunc(checker.violations, func(b string) bool { return strings.HasPrefix(b, rule) }) {
-					t.Errorf("planted %v, found %v", planted, checker.violations[:min(4, len(checker.violations))])
+				ofRule := func(violation string) bool { return strings.HasPrefix(violation, rule) }
+				if !injected || !slices.ContainsFunc(checker.violations, ofRule) {
+					t.Errorf("injected %v, found %v", injected, checker.violations[:min(4, len(checker.violations))])
 				}
 			})
 		})
--- a/internal/scheduler/record_schema_test.go
+++ b/internal/scheduler/record_schema_test.go
@@ -34,12 +34,14 @@
 				t.Errorf("%s: %v", key, err)
 			}
 		}
-		cluster.setClusterVersion(rollout.FeatureVersionGate, rollout.FeatureFailureHistory, rollout.FeatureTombstones, rollout.FeatureCompactTombstonesOnly)
+		cluster.setClusterVersion(rollout.FeatureVersionGate, rollout.FeatureFailureHistory,
+			rollout.FeatureTombstones, rollout.FeatureCompactTombstonesOnly)
 		cluster.submit(controller, newSpec("wk-2", job.Array, 2, 1))
 		cluster.advance(4 * time.Second)
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(5 * time.Second)
-		if _, err := cluster.state.Get(cluster.ctx, tombstone.LegacyKey("wk-2")); cluster.finalStatus("wk-2") != job.Done || err == nil {
+		_, err := cluster.state.Get(cluster.ctx, tombstone.LegacyKey("wk-2"))
+		if cluster.finalStatus("wk-2") != job.Done || err == nil {
 			t.Error("the legacy schema is written still")
 		}
 	})
--- a/internal/scheduler/shard_takeover_test.go
+++ b/internal/scheduler/shard_takeover_test.go
@@ -85,7 +85,8 @@
 func TestCrashesLeaveNoShardsBehind(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		for i := range 20 {
-			cluster.machines = append(cluster.machines, cluster.workers.Add(fmt.Sprintf("n%d", i), "box", []string{"a", "b"}[i%2]))
+			zone := []string{"a", "b"}[i%2]
+			cluster.machines = append(cluster.machines, cluster.workers.Add(fmt.Sprintf("n%d", i), "box", zone))
 		}
 		lease := uint64(0)
 		var epoch uint64
@@ -135,9 +136,7 @@
 		shardID, _, _ := first.scheduler.OwnJobShard()
 		cluster.crash(first, 2)
 		record := job.Record{Spec: newSpec("wk-1", job.Array, 4, 1), JobShard: shardID} // accepted, and not placed yet
-		if _, err := cluster.state.Txn(cluster.ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: record}}); err != nil {
-			t.Fatal(err)
-		}
+		cluster.put(statekv.Op{Set: job.RecordKey("wk-1"), Value: record})
 		time.Sleep(time.Second)
 		if n := cluster.countStarts("wk-1"); n != 4 {
 			t.Fatalf("%d of 4 tasks started a second after the crash", n)
--- a/internal/scheduler/start_deadline_test.go
+++ b/internal/scheduler/start_deadline_test.go
@@ -23,7 +23,13 @@
 
 // overloadCluster has work of the rank fill the cluster.
 func overloadCluster(cluster *testCluster, controller *testController, rank string) *loadGenerator {
-	load := &loadGenerator{testCluster: cluster, controller: controller, rank: rank, firstSeen: map[string]time.Time{}, taskDuration: 9 * time.Second}
+	load := &loadGenerator{
+		testCluster:  cluster,
+		controller:   controller,
+		rank:         rank,
+		firstSeen:    map[string]time.Time{},
+		taskDuration: 9 * time.Second,
+	}
 	load.advanceUnderLoad(30 * time.Second)
 	return load
 }
--- a/internal/scheduler/task_lifecycle_test.go
+++ b/internal/scheduler/task_lifecycle_test.go
@@ -157,7 +157,10 @@
 		cluster.advance(2 * time.Second)
 		_, entries := controller.agent.Snapshot()
 		for _, e := range entries {
-			controller.scheduler.OnEntries([]agentapi.MachineEntry{{Machine: e.Machine, Host: e.Host, Rev: e.Rev, Ver: e.Ver + 1000, Type: "box", Zone: e.Zone}})
+			unconfirmed := agentapi.MachineEntry{
+				Machine: e.Machine, Host: e.Host, Rev: e.Rev, Ver: e.Ver + 1000, Type: "box", Zone: e.Zone,
+			}
+			controller.scheduler.OnEntries([]agentapi.MachineEntry{unconfirmed})
 		}
 		cluster.advance(4 * time.Second)
 		if got := cluster.startCounts()["wk-1/0"]; got != 1 {
@@ -193,17 +196,17 @@
 // command to a worker, not a write. Guards against ran_twice and went_back.
 func TestPausedControllerIsFenced(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
-		frozen := cluster.start("host-0")
+		paused := cluster.start("host-0")
 		cluster.advance(3 * time.Second)
-		cluster.submit(frozen, newSpec("wk-1", job.Array, 2, 1))
+		cluster.submit(paused, newSpec("wk-1", job.Array, 2, 1))
 		cluster.advance(2 * time.Second)
-		shardID, epoch, _ := frozen.scheduler.OwnJobShard()
+		shardID, epoch, _ := paused.scheduler.OwnJobShard()
 		var token uint64
 		cluster.workers.WithLock(func() { token = cluster.machines[0].Heartbeat.FencingToken })
 		controller := cluster.start("host-1")
 		cluster.advance(2 * time.Second)
 		cluster.mu.Lock()
-		frozen.up = false
+		paused.up = false
 		cluster.mu.Unlock()
 		if err := cluster.state.Revoke(cluster.ctx, 1); err != nil {
 			t.Fatal(err)
@@ -212,7 +215,10 @@
 		before := cluster.countTasks()
 
 		_, entries := controller.agent.Snapshot()
-		commit := agentapi.CommitRequest{Machine: "m1", Refs: []agentapi.TaskRef{{Job: "wk-1", Index: 1, Attempt: epoch<<20 + 99}}}
+		commit := agentapi.CommitRequest{
+			Machine: "m1",
+			Refs:    []agentapi.TaskRef{{Job: "wk-1", Index: 1, Attempt: epoch<<20 + 99}},
+		}
 		for _, e := range entries {
 			if e.Machine == "m1" {
 				commit.Rev = e.Rev
@@ -220,13 +226,16 @@
 		}
 		commit.Spec, commit.Slot, commit.Epoch = newSpec("wk-1", job.Array, 2, 0), shardID, epoch
 		var reply agentapi.CommitReply
-		if err := controller.service.Commit(commit, &reply); err != nil || commit.Rev == 0 || reply.Verdicts[0] != agentapi.Refused {
+		err := controller.service.Commit(commit, &reply)
+		if err != nil || commit.Rev == 0 || reply.Verdicts[0] != agentapi.Refused {
 			t.Errorf("a commit under the old epoch: %+v %v", reply, err)
 		}
-		if _, done, _ := cluster.workers.Send(cluster.ctx, "m1", token, 1, []worker.Command{worker.StartCommand("wk-1/1", 7)}); done {
+		late := []worker.Command{worker.StartCommand("wk-1/1", 7)}
+		if _, done, _ := cluster.workers.Send(cluster.ctx, "m1", token, 1, late); done {
 			t.Error("a command under the old token was carried out")
 		}
-		if _, err := frozen.session.Write(cluster.ctx, nil, []statekv.Op{{Delete: job.RecordKey("wk-1")}}); !statekv.IsConflict(err) {
+		deletion := []statekv.Op{{Delete: job.RecordKey("wk-1")}}
+		if _, err := paused.session.Write(cluster.ctx, nil, deletion); !statekv.IsConflict(err) {
 			t.Errorf("a write of the old session: %v", err)
 		}
 		cluster.advance(3 * time.Second)
