--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -18,8 +18,8 @@
 // Phase 3, commit: the tasks of a plan get their attempt numbers and quota grants, and are
 // bound to machines at their owners with MultiBind. Gangs are in gang_commit.go.
 
-// commitTimeout is how long one commit may take. An owner answers when the worker has
-// reported the start.
+// commitTimeout is how long one commit may take: the owner waits for the worker to report
+// the start.
 const commitTimeout = 4500 * time.Millisecond
 
 // epochAttemptBits is how many attempts at a job an epoch of its job shard has numbers for,
--- a/internal/scheduler/completion_records.go
+++ b/internal/scheduler/completion_records.go
@@ -40,7 +40,7 @@
 // statusOpen is what readBack returns for a job whose record has no final status.
 const statusOpen = "open"
 
-// completion is what of a job is not durable yet. Its zero value has no chunks to write.
+// completion is what of a job is not durable yet.
 type completion struct {
 	dirtyChunks map[int]bool // chunks of finished tasks that have changed
 	dirtySince  time.Time
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -49,7 +49,8 @@
 	jobKnownAtFault
 )
 
-// failureHistory is what is known of a job's failures since any task of it succeeded.
+// failureHistory is what is known of a job's failures. All but the machines to avoid counts
+// since any task of it succeeded.
 type failureHistory struct {
 	avoid      []string // machines on which it failed lately, oldest first
 	avoidUntil time.Time
--- a/internal/scheduler/outbox.go
+++ b/internal/scheduler/outbox.go
@@ -16,9 +16,8 @@
 	// not gone: its machine may have another owner by then.
 	stopResendInterval = 2 * time.Second
 
-	// maxOutbox bounds what is kept of each kind while nobody takes it. What is dropped
-	// is found again: by the next entry of the machine, or by the leader when the job
-	// shard is reconciled anew.
+	// maxOutbox is from how many messages of a kind on those that could not be delivered
+	// are dropped.
 	maxOutbox = 10_000
 )
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -34,8 +34,8 @@
 	"robinstack/internal/statekv"
 )
 
-// Intervals of the duties. Each runs at once at the start, and then that long after its
-// last run at the earliest.
+// Intervals of the duties. Each runs at once at the start and then once per interval; a run
+// that takes longer than that delays the next.
 const (
 	dispatchInterval       = 150 * time.Millisecond // where nothing wakes the queue
 	shardInterval          = 300 * time.Millisecond // job shards of failed controllers
