--- a/internal/scheduler/completion_records.go
+++ b/internal/scheduler/completion_records.go
@@ -32,10 +32,10 @@
 	completionRetryPause = 200 * time.Millisecond
 )
 
-// errRecordTooLarge says that a record has to be kept in pieces and not all controllers of
-// the fleet can read those yet. What has finished stays in the workers' reports.
+// errRecordTooLarge says that a record needs its spec kept in fragments and not all
+// controllers of the fleet can read those yet. What has finished stays in the workers' reports.
 var errRecordTooLarge = errors.New(
-	"its record is too large for one value, and not all controllers know pieces yet")
+	"its record is too large for one value, and not all controllers know spec fragments yet")
 
 // statusOpen is what readBack returns for a job whose record has no final status.
 const statusOpen = "open"
@@ -58,14 +58,14 @@
 // completionWrite is one transaction that records what of a job has finished, and what is
 // undone if it fails.
 type completionWrite struct {
-	final       bool // the job's final record
-	compares    []statekv.Compare
-	ops         []statekv.Op
-	pieces      int          // of the job's record from then on
-	chunks      map[int]bool // that it writes
-	chunkCount  int          // that were to be written, for the log
-	hasFailures bool         // that were to be written
-	ended       int          // completed attempts that it makes durable
+	final         bool // the job's final record
+	compares      []statekv.Compare
+	ops           []statekv.Op
+	specFragments int          // of the job's record from then on
+	chunks        map[int]bool // that it writes
+	chunkCount    int          // that were to be written, for the log
+	hasFailures   bool         // that were to be written
+	ended         int          // completed attempts that it makes durable
 }
 
 // completionResult is what became of a completionWrite.
@@ -175,11 +175,11 @@
 			{Key: statekv.JobShardPrefix + j.shardID, Rev: shard.epoch},
 			unchanged,
 		},
-		chunks:      j.completion.dirtyChunks,
-		chunkCount:  len(j.completion.dirtyChunks),
-		hasFailures: j.failures.unrecorded,
-		ended:       len(j.completion.ended),
-		pieces:      j.record.SpecFragments,
+		chunks:        j.completion.dirtyChunks,
+		chunkCount:    len(j.completion.dirtyChunks),
+		hasFailures:   j.failures.unrecorded,
+		ended:         len(j.completion.ended),
+		specFragments: j.record.SpecFragments,
 	}
 	j.completion.dirtyChunks, j.completion.dirtySince = map[int]bool{}, time.Time{}
 	if write.final {
@@ -188,7 +188,7 @@
 	}
 	record := s.openRecord(j, level.Enabled(rollout.FeatureFailureHistory))
 	write.ops = s.recordOps(j, &record, write.chunks, level)
-	write.pieces = record.SpecFragments
+	write.specFragments = record.SpecFragments
 	j.failures.unrecorded = false
 	return write
 }
@@ -239,7 +239,7 @@
 
 // onCompletionWritten takes up that a write was applied. The mutex is held.
 func (s *Scheduler) onCompletionWritten(id string, j *jobState, write *completionWrite, revision uint64) {
-	j.revision, j.record.SpecFragments = revision, write.pieces
+	j.revision, j.record.SpecFragments = revision, write.specFragments
 	ended := write.ended
 	if write.final {
 		j.advance(jobRecorded, j.outcome)
--- a/internal/scheduler/job_shard.go
+++ b/internal/scheduler/job_shard.go
@@ -100,7 +100,7 @@
 		return
 	}
 	if !s.checkShardHolders() { // first, for users wait for it
-		s.createIntakeShard(ctx)
+		s.createOwnShard(ctx)
 	}
 	s.acquireShards(ctx)
 	s.reconcileShards(ctx)
@@ -108,7 +108,7 @@
 
 // checkShardHolders ends this session if another controller has acquired one of its job
 // shards, and reports whether it has one for new jobs.
-func (s *Scheduler) checkShardHolders() (hasIntake bool) {
+func (s *Scheduler) checkShardHolders() (hasOwnShard bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, shard := range s.shards {
@@ -120,5 +120,5 @@
 			s.session.Abort(fmt.Errorf("job shard %s was acquired by %s", id, holder.Host))
 		}
 	}
-	return s.intakeShard != ""
+	return s.ownShard != ""
 }
--- a/internal/scheduler/record_schema.go
+++ b/internal/scheduler/record_schema.go
@@ -42,7 +42,7 @@
 // recordOps are the changes that write an unfinished job's record and the chunks of
 // finished tasks, as many as one transaction takes; it removes those from chunks that are
 // left for later, and puts them back into the job's own. A record that is too large, which
-// a version that knew a higher limit wrote, is brought into pieces. It returns nothing
+// a version that knew a higher limit wrote, gets its spec split into fragments. It returns nothing
 // where that cannot be done yet.
 func (s *Scheduler) recordOps(
 	j *jobState, record *job.Record, chunks map[int]bool, level rollout.ClusterVersion,
@@ -53,12 +53,12 @@
 		if !level.Enabled(rollout.FeatureDependencies) {
 			return nil
 		}
-		pieces, err := record.SplitSpec(limit, most-1)
+		fragments, err := record.SplitSpec(limit, most-1)
 		if err != nil {
 			slog.Error("job record unusable", "job", record.Spec.ID, "err", err)
 			return nil
 		}
-		ops = pieces
+		ops = fragments
 	}
 	ops = append(ops, statekv.Op{Set: job.RecordKey(record.Spec.ID), Value: *record})
 	for k := range chunks {
--- a/internal/scheduler/record_schema_test.go
+++ b/internal/scheduler/record_schema_test.go
@@ -139,7 +139,7 @@
 }
 
 // Guards against a limit that comes in the middle: a record that the former version wrote
-// larger than a value may be now is brought into pieces when it is next written, and
+// larger than a value may be now gets its spec split into fragments when it is next written, and
 // goes on to its end; what is left beside it is within what one transaction takes.
 func TestLargeRecordOfEarlierVersionIsSplit(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
@@ -161,13 +161,13 @@
 		if err != nil || len(kv.Value) > 2048 {
 			t.Fatalf("%d bytes: %v", len(kv.Value), err)
 		}
-		pieces := len(cluster.state.ListAll(job.SpecFragmentPrefix))
+		fragments := len(cluster.state.ListAll(job.SpecFragmentPrefix))
 		cluster.crash(controller, 1)
 		time.Sleep(40 * time.Second)
 		cluster.start("host-1")
 		cluster.advance(10 * time.Second)
-		if len(cluster.startCounts()) <= 4 || pieces == 0 {
-			t.Fatalf("%d pieces; it did not go on: %v", pieces, cluster.startCounts())
+		if len(cluster.startCounts()) <= 4 || fragments == 0 {
+			t.Fatalf("%d fragments; it did not go on: %v", fragments, cluster.startCounts())
 		}
 		if over := cluster.state.SizeViolations(); len(over) > 0 {
 			t.Error(over)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -68,18 +68,18 @@
 	// background counts the goroutines that duties start: placements, writes and calls.
 	background sync.WaitGroup
 
-	mu          sync.Mutex
-	jobs        map[string]*jobState
-	shards      map[string]*jobShard
-	intakeShard string          // the job shard that takes new jobs; "" before it is created
-	otherJobs   map[string]bool // open jobs in job shards of other controllers
-	deletions   map[string]recordDeletion
-	placedOn    map[string]map[agentapi.TaskRef]bool // attempts by machine
-	stopping    map[agentapi.TaskRef]bool            // attempts that are being stopped
-	outbox      outbox
-	classes     map[classKey]*schedulingClass
-	placements  int // at work
-	counters    Counters
+	mu         sync.Mutex
+	jobs       map[string]*jobState
+	shards     map[string]*jobShard
+	ownShard   string          // the job shard that takes new jobs; "" before it is created
+	otherJobs  map[string]bool // open jobs in job shards of other controllers
+	deletions  map[string]recordDeletion
+	placedOn   map[string]map[agentapi.TaskRef]bool // attempts by machine
+	stopping   map[agentapi.TaskRef]bool            // attempts that are being stopped
+	outbox     outbox
+	classes    map[classKey]*schedulingClass
+	placements int // at work
+	counters   Counters
 
 	dependencyGeneration  uint64 // changes of the dependency tracker that were taken up
 	dependenciesCheckedAt time.Time
@@ -185,11 +185,11 @@
 func (s *Scheduler) OwnJobShard() (id string, epoch uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	shard := s.shards[s.intakeShard]
+	shard := s.shards[s.ownShard]
 	if shard == nil {
 		return "", 0, false
 	}
-	return s.intakeShard, shard.epoch, true
+	return s.ownShard, shard.epoch, true
 }
 
 // Counters returns the counters.
--- a/internal/scheduler/shard_acquisition.go
+++ b/internal/scheduler/shard_acquisition.go
@@ -18,8 +18,8 @@
 // shardLoadRetryInterval is the pause before the jobs of acquired shards are read again.
 const shardLoadRetryInterval = 300 * time.Millisecond
 
-// createIntakeShard creates the job shard that takes this controller's new jobs.
-func (s *Scheduler) createIntakeShard(ctx context.Context) {
+// createOwnShard creates the job shard that takes this controller's new jobs.
+func (s *Scheduler) createOwnShard(ctx context.Context) {
 	writeCtx, cancel := context.WithTimeout(ctx, shardWriteTimeout)
 	defer cancel()
 	id := fmt.Sprintf("%s.%d", s.session.Host, s.session.Incarnation)
@@ -34,7 +34,7 @@
 	}
 	s.mu.Lock()
 	s.shards[id] = &jobShard{epoch: epoch, acquiredAt: time.Now(), reconciled: true}
-	s.intakeShard = id
+	s.ownShard = id
 	s.mu.Unlock()
 	slog.Info("job shard acquired", "job_shard", id, "epoch", epoch)
 }
--- a/internal/scheduler/shard_release.go
+++ b/internal/scheduler/shard_release.go
@@ -39,7 +39,7 @@
 func (s *Scheduler) emptyShards() (ids []string, compares []statekv.Compare, removals []statekv.Op) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	used := map[string]bool{s.intakeShard: true}
+	used := map[string]bool{s.ownShard: true}
 	for _, j := range s.jobs {
 		used[j.shardID] = true
 	}
