--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -13,10 +13,12 @@
 	"robinstack/internal/statekv"
 )
 
-const good = `{"id":"wk-000412","job_class":"train","owner":"vision","shape":"gang","rank":"high","pieces":16,"cpus":8.0,"gpus":1.0,"mem_gb":64.0,"bundle":"img-07","pull_gb":6.2,"host_kinds":["g8"],"site":null,"one_zone":true,"spread":false,"loaners":true,"guess_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0,"new_field":1}`
+// validSubmission has a field that no build knows.
+const validSubmission = `{"id":"wk-000412","job_class":"train","owner":"vision","shape":"gang","rank":"high","pieces":16,"cpus":8.0,"gpus":1.0,"mem_gb":64.0,"bundle":"img-07","pull_gb":6.2,"host_kinds":["g8"],"site":null,"one_zone":true,"spread":false,"loaners":true,"guess_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0,"new_field":1}`
 
-func TestSubmissionsAreReadOrRefusedWithAReason(t *testing.T) {
-	if s, err := ParseSpec([]byte(good)); err != nil || s.Tasks != 16 || *s.DeadlineS != 900 {
+// A malformed submission is rejected by an error that names the field.
+func TestSubmissionsAreParsedOrRejectedByField(t *testing.T) {
+	if s, err := ParseSpec([]byte(validSubmission)); err != nil || s.Tasks != 16 || *s.DeadlineS != 900 {
 		t.Fatalf("%+v: %v", s, err)
 	}
 	for _, c := range []struct{ old, new, field string }{
@@ -37,16 +39,16 @@
 		{`"new_field":1`, `"waits_on":["job-1"]`, "waits_on"},
 		{`"new_field":1`, `"waits_on":["wk-1",null]`, "waits_on"},
 		{`"new_field":1`, `"waits_on":{"wk-1":1}`, "waits_on"},
-		{`"new_field":1`, `"waits_on":[` + names(MaxDependencies+1) + `]`, "waits_on"},
+		{`"new_field":1`, `"waits_on":[` + idList(MaxDependencies+1) + `]`, "waits_on"},
 	} {
-		if _, err := ParseSpec([]byte(strings.Replace(good, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.field) {
+		if _, err := ParseSpec([]byte(strings.Replace(validSubmission, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.field) {
 			t.Errorf("%s: error %v does not name %s", c.new, err, c.field)
 		}
 	}
 }
 
-// names lists so many ids, as JSON.
-func names(n int) string {
+// idList lists so many ids, as JSON.
+func idList(n int) string {
 	var out []string
 	for k := range n {
 		out = append(out, fmt.Sprintf(`"wk-%018d"`, k*7919))
@@ -54,11 +56,11 @@
 	return strings.Join(out, ",")
 }
 
-// A submission that names no others is as it was; names that are given twice count once;
-// hundreds of the longest fit a submission.
-func TestNamesOfJobsToWaitFor(t *testing.T) {
-	for with, n := range map[string]int{`"x":1`: 0, `"waits_on":null`: 0, `"waits_on":[]`: 0, `"waits_on":["wk-1","wk-2","wk-1"]`: 2, `"waits_on":[` + names(MaxDependencies) + `]`: MaxDependencies} {
-		body := strings.Replace(good, `"new_field":1`, with, 1)
+// The record of a submission without dependencies is as it was before there were any; ids
+// that are given twice count once; hundreds of the longest fit a submission.
+func TestDependenciesOfSubmission(t *testing.T) {
+	for with, n := range map[string]int{`"x":1`: 0, `"waits_on":null`: 0, `"waits_on":[]`: 0, `"waits_on":["wk-1","wk-2","wk-1"]`: 2, `"waits_on":[` + idList(MaxDependencies) + `]`: MaxDependencies} {
+		body := strings.Replace(validSubmission, `"new_field":1`, with, 1)
 		s, err := ParseSpec([]byte(body))
 		if err != nil || len(s.WaitsOn) != n || len(body) > 64<<10 {
 			t.Errorf("%.40s: %v, %d bytes", with, err, len(body))
@@ -68,7 +70,7 @@
 			t.Errorf("%.40s: its record is not as it was: %s", with, raw)
 		}
 	}
-	s, err := ParseSpec([]byte(strings.Replace(good, `"new_field":1`, `"waits_on":["wk-000412"]`, 1)))
+	s, err := ParseSpec([]byte(strings.Replace(validSubmission, `"new_field":1`, `"waits_on":["wk-000412"]`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,12 +79,12 @@
 	}
 }
 
-// A record that is too large for one value is kept in pieces, and what is read back is
-// what was written, a later version's fields too; while it grows it stays within the
-// limit.
-func TestRecordsInPieces(t *testing.T) {
+// The spec of a record that is too large for one value is kept in fragments, and what is
+// decoded is what was written, a later build's fields too; while the record grows it stays
+// within the limit.
+func TestSpecFragments(t *testing.T) {
 	const limit, ops = 2048, 8
-	s, err := ParseSpec([]byte(strings.Replace(good, `"new_field":1`, `"waits_on":[`+names(500)+`]`, 1)))
+	s, err := ParseSpec([]byte(strings.Replace(validSubmission, `"new_field":1`, `"waits_on":[`+idList(500)+`]`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +93,7 @@
 	if !rec.ExceedsLimit(limit) {
 		t.Fatal("it is not large")
 	}
-	pieces, err := rec.SplitSpec(limit, ops-1)
+	fragments, err := rec.SplitSpec(limit, ops-1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,11 +103,11 @@
 	}
 	rec.CompletedTasks = done.EncodeChunk(0)
 	raw, err := json.Marshal(rec)
-	if err != nil || len(raw) > limit || len(pieces) >= ops {
-		t.Fatalf("%d bytes, %d pieces: %v", len(raw), len(pieces), err)
+	if err != nil || len(raw) > limit || len(fragments) >= ops {
+		t.Fatalf("%d bytes, %d fragments: %v", len(raw), len(fragments), err)
 	}
 	kept := map[string]json.RawMessage{}
-	for _, op := range pieces {
+	for _, op := range fragments {
 		v, _ := json.Marshal(op.Value)
 		if kept[op.Set] = v; len(v) > limit {
 			t.Errorf("%s: %d bytes", op.Set, len(v))
@@ -125,10 +127,10 @@
 	if again, _ := json.Marshal(back); string(again) != string(raw) {
 		t.Errorf("written again it is another:\n%.200s\n%.200s", raw, again)
 	}
-	if got := len(AuxiliaryKeys(s.ID, s.Tasks, back.SpecFragments)); got != len(pieces)+ChunkCount(MaxTasks)-1 {
+	if got := len(AuxiliaryKeys(s.ID, s.Tasks, back.SpecFragments)); got != len(fragments)+ChunkCount(MaxTasks)-1 {
 		t.Error(got)
 	}
-	// A piece that is missing, damaged or another job's: named, and nothing is made of it.
+	// A fragment that is missing, damaged or another job's is an error.
 	first := SpecFragmentKey(s.ID, 0)
 	for what, v := range map[string]json.RawMessage{"missing": nil, "no text": json.RawMessage(`1`), "damaged": json.RawMessage(`"AAAA"`)} {
 		was := kept[first]
@@ -141,22 +143,23 @@
 		}
 		kept[first] = was
 	}
-	// What does not fit at all is refused.
+	// What does not fit at all is an error.
 	if _, err := (&Record{Spec: *s}).SplitSpec(limit, 1); !errors.Is(err, ErrSpecTooLarge) {
 		t.Error(err)
 	}
 	// An ordinary record fits as it is, however many tasks it has.
-	plain, _ := ParseSpec([]byte(good))
+	plain, _ := ParseSpec([]byte(validSubmission))
 	plain.Tasks = MaxTasks
 	if (Record{Spec: *plain, JobShard: "host-0.123456", SubmittedMS: 1764633600000}).ExceedsLimit(limit) {
 		t.Error("an ordinary job is large")
 	}
 }
 
-func TestWhatCanNeverRun(t *testing.T) {
+// A job that can never run is told apart from one that has to wait.
+func TestUnschedulableReason(t *testing.T) {
 	types := map[string]cloud.MachineType{"g8": {Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a"}}}
 	teams := map[string]config.Team{"vision": {Name: "vision", GPUQuota: 8}}
-	s, err := ParseSpec([]byte(good))
+	s, err := ParseSpec([]byte(validSubmission))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,8 +181,8 @@
 	}
 }
 
-// Finished tasks of the largest job fit their keys and come back whole.
-func TestFinishedTasksSurviveTheirRecords(t *testing.T) {
+// Completed tasks of the largest job fit their keys and are decoded as they were.
+func TestCompletedTasksRoundTrip(t *testing.T) {
 	const n = MaxTasks
 	done := NewTaskBitmap(n)
 	for i := 0; i < n; i += 3 {
@@ -202,10 +205,10 @@
 	}
 }
 
-// What a later version wrote into a record, beside what this one knows and within the
-// spec, is there again after this one has rewritten it; and a record without anything
-// unknown is written as it always was.
-func TestRecordsKeepWhatTheyDoNotKnow(t *testing.T) {
+// What a later build wrote into a record, beside what this one knows and within the spec,
+// is kept when this one rewrites it; and a record without anything unknown is written as it
+// always was.
+func TestRecordsKeepUnknownFields(t *testing.T) {
 	plain := `{"spec":{"id":"wk-1","job_class":"c","owner":"t","shape":"sweep","rank":"high","pieces":3,"cpus":1,"gpus":0,"mem_gb":1,"bundle":"i","pull_gb":1,"host_kinds":null,"site":null,"one_zone":false,"spread":false,"loaners":true,"guess_s":5,"snapshot_every_s":0,"snapshot_s":0,"due_s":null},"slot":"s","submitted_ms":7,"done":"Aw"}`
 	later := strings.Replace(strings.Replace(plain, `"slot"`, `"colour":"blue","slot"`, 1), `"owner"`, `"price_cap":3,"owner"`, 1)
 	for _, raw := range []string{plain, later} {
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -1,58 +1,72 @@
 package job
 
 import (
-	"encoding/base64"
+	"bytes"
 	"encoding/json"
 	"fmt"
-	"math/bits"
 	"time"
 
 	"robinstack/internal/statekv"
 )
 
-// Keys of the state service. Open jobs and ended ones (package ended) are kept
-// apart, so that adopting a slot never reads the whole past.
+// Prefixes of keys of the state service. The records of unfinished jobs are kept apart
+// from the tombstones of finished ones (package tombstone), so that whoever takes over a
+// job shard never reads the whole past.
 const (
 	RecordPrefix         = "robin/job/"
 	CompletedChunkPrefix = "robin/part/"
+	SpecFragmentPrefix   = "robin/spec/"
 )
 
-// RecordSchema is the form of job records that this build writes and reads.
+// RecordKey names a job's record.
+func RecordKey(id string) string { return RecordPrefix + id }
+
+// CompletedChunkKey names the key with a later chunk of a job's completed tasks.
+func CompletedChunkKey(id string, chunk int) string {
+	return fmt.Sprintf("%s%s/%d", CompletedChunkPrefix, id, chunk)
+}
+
+// SpecFragmentKey names the key with a fragment of a job's spec.
+func SpecFragmentKey(id string, fragment int) string {
+	return fmt.Sprintf("%s%s/%d", SpecFragmentPrefix, id, fragment)
+}
+
+// RecordSchema is the schema of job records that this build writes and reads.
 const RecordSchema = 0
 
-// Record is an unfinished job in the state service. Done holds the finished
+// Record is an unfinished job in the state service. CompletedTasks holds the completed
 // tasks of the first chunk; the other chunks have keys of their own.
 type Record struct {
 	Schema         int    `json:"form,omitempty"`
 	Spec           Spec   `json:"spec"`
 	JobShard       string `json:"slot"`
-	SubmittedMS    int64  `json:"submitted_ms"`
+	SubmittedMS    int64  `json:"submitted_ms"` // milliseconds since 1970
 	CompletedTasks string `json:"done,omitempty"`
 
 	// Failures is what is known of a job of which nothing has succeeded yet.
 	Failures *FailureHistory `json:"failed,omitempty"`
 
-	// SpecFragments is in how many keys the spec is kept; see Split. Until it is joined, Spec
-	// has only the id and the number of tasks.
+	// SpecFragments is in how many keys the spec is kept; see SplitSpec. Until JoinSpec,
+	// Spec has only the id and the number of tasks.
 	SpecFragments int `json:"spec_pieces,omitempty"`
 
-	// What a later version wrote, beside these and in the spec: see Keep.
+	// What a later build wrote beside these fields and in the spec: see KeepUnknownFields.
 	UnknownFields     statekv.UnknownFields `json:"-"`
 	UnknownSpecFields statekv.UnknownFields `json:"-"`
 }
 
-// FailureHistory are what a job's placer found out about it, so that its next placer need
-// not fail it on as many machines again.
+// FailureHistory is what a job's scheduler found out about its failures, so that its next
+// scheduler need not fail it on as many machines again.
 type FailureHistory struct {
-	Machines    []string `json:"on"`      // machines on which it failed, at most MaxFailedMachines of them
+	Machines    []string `json:"on"`      // on which it failed, at most MaxFailedMachines
 	Consecutive int      `json:"row"`     // failures in a row
-	Suspected   bool     `json:"suspect"` // it is at fault, and not they
+	Suspected   bool     `json:"suspect"` // the failures are attributed to the job and not to the machines
 }
 
 // MaxFailedMachines bounds the machines that a record names.
 const MaxFailedMachines = 8
 
-// MarshalJSON writes the record with what a later version wrote.
+// MarshalJSON writes the record with what a later build wrote.
 func (r Record) MarshalJSON() ([]byte, error) {
 	type plain Record
 	if r.SpecFragments > 0 {
@@ -61,104 +75,41 @@
 	if r.UnknownSpecFields == nil && r.UnknownFields == nil {
 		return json.Marshal(struct{ *plain }{(*plain)(&r)})
 	}
+	spec := statekv.WithUnknown{Value: r.Spec, Unknown: r.UnknownSpecFields}
 	return json.Marshal(statekv.WithUnknown{Unknown: r.UnknownFields, Value: struct {
 		*plain
 		Spec statekv.WithUnknown `json:"spec"`
-	}{(*plain)(&r), statekv.WithUnknown{Value: r.Spec, Unknown: r.UnknownSpecFields}}})
+	}{(*plain)(&r), spec}})
 }
 
-// SubmittedAt is when the job was accepted, by the clock of the controller
-// that accepted it.
+// SubmittedAt is when the job was accepted, by the clock of the controller that accepted
+// it.
 func (r *Record) SubmittedAt() time.Time { return time.UnixMilli(r.SubmittedMS) }
 
-// RecordKey names a job's record.
-func RecordKey(id string) string { return RecordPrefix + id }
-
-// CompletedChunkKey names the key with a later chunk of a job's finished tasks.
-func CompletedChunkKey(id string, chunk int) string {
-	return fmt.Sprintf("%s%s/%d", CompletedChunkPrefix, id, chunk)
-}
-
-// TasksPerChunk is how many tasks one chunk of finished tasks covers: in base64
-// it stays well under half of any value limit, beside the spec.
-const TasksPerChunk = 8192
-
-// ChunkCount is the number of chunks for a job of so many tasks.
-func ChunkCount(tasks int) int { return (tasks + TasksPerChunk - 1) / TasksPerChunk }
-
-// TaskBitmap is a set of task indices.
-type TaskBitmap struct{ words []uint64 }
-
-// NewTaskBitmap returns an empty set for indices below n.
-func NewTaskBitmap(n int) TaskBitmap { return TaskBitmap{words: make([]uint64, (n+63)/64)} }
-
-// Has reports whether i is in the set.
-func (s TaskBitmap) Has(i int) bool { return s.words[i/64]&(1<<(i%64)) != 0 }
-
-// Add puts i into the set.
-func (s TaskBitmap) Add(i int) { s.words[i/64] |= 1 << (i % 64) }
-
-// Len is the number of indices in the set.
-func (s TaskBitmap) Len() int {
-	n := 0
-	for _, w := range s.words {
-		n += bits.OnesCount64(w)
-	}
-	return n
-}
-
-// EncodeChunk encodes one chunk of the set.
-func (s TaskBitmap) EncodeChunk(k int) string {
-	var out []byte
-	end := 0
-	for i := k * TasksPerChunk / 64; i < len(s.words) && i < (k+1)*TasksPerChunk/64; i++ {
-		for b := range 8 {
-			out = append(out, byte(s.words[i]>>(8*b)))
-			if out[len(out)-1] != 0 {
-				end = len(out)
-			}
-		}
-	}
-	return base64.RawStdEncoding.EncodeToString(out[:end])
-}
-
-// LoadChunk adds an encoded chunk to the set.
-func (s TaskBitmap) LoadChunk(k int, chunk string) error {
-	raw, err := base64.RawStdEncoding.DecodeString(chunk)
-	if err != nil {
-		return fmt.Errorf("decoding finished tasks: %w", err)
-	}
-	for i, b := range raw {
-		if w := k*TasksPerChunk/64 + i/8; w < len(s.words) {
-			s.words[w] |= uint64(b) << (8 * (i % 8))
-		}
-	}
-	return nil
-}
-
-// KeepUnknownFields has the record keep what a later version wrote in raw, as which it was read: for
-// those who will rewrite it. Questions, which only read it, come hundreds of times a
-// second.
+// KeepUnknownFields has the record keep what a later build wrote in raw, from which it was
+// decoded: for those who will rewrite it. Status queries, which only read it, come
+// hundreds of times a second and need not.
 func (r *Record) KeepUnknownFields(raw json.RawMessage) {
-	var parts struct {
+	var fields struct {
 		Spec json.RawMessage `json:"spec"`
 	}
-	if json.Unmarshal(raw, &parts) != nil {
+	if json.Unmarshal(raw, &fields) != nil {
 		return
 	}
 	r.UnknownFields = statekv.UnknownFieldsOf(raw, r)
-	if r.SpecFragments == 0 { // else Join has seen to it
-		r.UnknownSpecFields = statekv.UnknownFieldsOf(parts.Spec, &r.Spec)
+	if r.SpecFragments == 0 { // else JoinSpec has kept them
+		r.UnknownSpecFields = statekv.UnknownFieldsOf(fields.Spec, &r.Spec)
 	}
 }
 
-// ParseRecord reads a record as the state service returned it.
+// ParseRecord decodes a record as the state service returned it. A *statekv.SchemaError
+// says that this build does not read its schema.
 func ParseRecord(raw json.RawMessage) (*Record, error) {
 	var r Record
 	err := json.Unmarshal(raw, &r)
 	if err != nil || r.Schema > RecordSchema {
-		if later := statekv.CheckSchema("a job's record", raw, RecordSchema); later != nil {
-			return nil, later
+		if schemaErr := statekv.CheckSchema("a job's record", raw, RecordSchema); schemaErr != nil {
+			return nil, schemaErr
 		}
 		return nil, fmt.Errorf("decoding job record: %w", err)
 	}
@@ -167,3 +118,39 @@
 	}
 	return &r, nil
 }
+
+// AuxiliaryKeys are the keys that a job of so many tasks and spec fragments has beside its
+// record.
+func AuxiliaryKeys(id string, tasks, fragments int) []string {
+	var keys []string
+	for chunk := 1; chunk < ChunkCount(tasks); chunk++ {
+		keys = append(keys, CompletedChunkKey(id, chunk))
+	}
+	for fragment := range fragments {
+		keys = append(keys, SpecFragmentKey(id, fragment))
+	}
+	return keys
+}
+
+// DeleteAuxiliaryOps are changes that remove a job's auxiliary keys, n at most: what is
+// left of a finished job is garbage collected later (package tombstone).
+func DeleteAuxiliaryOps(id string, tasks, fragments, n int) []statekv.Op {
+	keys := AuxiliaryKeys(id, tasks, fragments)
+	var ops []statekv.Op
+	for _, key := range keys[:min(len(keys), max(0, n))] {
+		ops = append(ops, statekv.Op{Delete: key})
+	}
+	return ops
+}
+
+var (
+	fragmentsField    = []byte(`"spec_pieces":`)
+	dependenciesField = []byte(`"waits_on":`)
+)
+
+// MayHaveDependencies reports whether a stored record names jobs that it depends on, or may
+// do so in its spec fragments. It only looks at the bytes: a quotation mark in any name is
+// written as \", so nothing else looks like a field.
+func MayHaveDependencies(raw json.RawMessage) bool {
+	return bytes.Contains(raw, dependenciesField) || bytes.Contains(raw, fragmentsField)
+}
--- a/internal/job/wire_test.go
+++ b/internal/job/wire_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Pieces are recorded to be read; what packs them may pack them otherwise.
-func TestWirePieces(t *testing.T) {
+// Fragments are recorded to be read; what packs them may pack them otherwise.
+func TestWireSpecFragments(t *testing.T) {
 	var r Record
 	wireformat.Fill(&r)
 	r.Schema, r.Spec.ID, r.Spec.Tasks = RecordSchema, "wk-1", 9000
