--- a/internal/tombstone/finder_test.go
+++ b/internal/tombstone/batched_lookup_test.go
@@ -16,45 +16,45 @@
 	"robinstack/internal/tombstone"
 )
 
-// slow is a state service that allows so many lookups a second, and counts requests.
-type slow struct {
+// limitedStore is a state service that allows so many lookups a second, and counts requests.
+type limitedStore struct {
 	*emulator.StateService
-	every    time.Duration
-	mu       sync.Mutex
-	next     time.Time
-	requests int
+	interval    time.Duration
+	mu          sync.Mutex
+	nextAllowed time.Time
+	requests    int
 }
 
-func (s *slow) Allow(statekv.RequestClass, int) bool {
+func (s *limitedStore) Allow(statekv.RequestClass, int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := time.Now(); now.Before(s.next) {
+	if now := time.Now(); now.Before(s.nextAllowed) {
 		return false
 	}
-	s.next = time.Now().Add(s.every)
+	s.nextAllowed = time.Now().Add(s.interval)
 	return true
 }
 
-func (s *slow) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
+func (s *limitedStore) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	s.mu.Lock()
 	s.requests++
 	s.mu.Unlock()
 	return s.StateService.Txn(ctx, when, then)
 }
 
-// Hundreds of questions about jobs that nobody submitted come every second; one about a
-// job that is over has its turn all the same, in the order of coming, and its answer is
-// kept for the next who asks. Guards against a share that whoever comes first uses up.
-func TestOneAmongThousands(t *testing.T) {
+// Hundreds of lookups of jobs that nobody submitted come every second; one of a finished
+// job is answered all the same, in the order of coming, and its answer is kept for the next
+// who asks. Guards against a share that whoever comes first uses up.
+func TestLookupAmongThousands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		s := &slow{StateService: emulator.NewStateService(), every: 150 * time.Millisecond}
+		s := &limitedStore{StateService: emulator.NewStateService(), interval: 150 * time.Millisecond}
 		if _, err := s.StateService.Txn(ctx, nil, tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.CompactOnly)); err != nil {
 			t.Fatal(err)
 		}
 		f := tombstone.NewBatchedLookup(s, 32, 6.7)
-		fence := func() (statekv.Compare, bool) { return statekv.Compare{Key: "life"}, true }
+		fence := func() (statekv.Compare, bool) { return statekv.Compare{Key: "session"}, true }
 		var cached atomic.Bool
 		found := func(id string, _ tombstone.Tombstone) { cached.Store(cached.Load() || id == "wk-1") }
 		stop := make(chan struct{})
@@ -82,26 +82,26 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if most := int(time.Since(time.Unix(946684800, 0))/s.every) + 10; s.requests > most {
+		if most := int(time.Since(time.Unix(946684800, 0))/s.interval) + 10; s.requests > most {
 			t.Errorf("%d requests, %d at most", s.requests, most)
 		}
 	})
 }
 
-// Those that exist among many that do not are told apart, whatever their form; without a
-// life, or after its end, nobody is told that a job is unknown.
-func TestFinderTellsThemApart(t *testing.T) {
+// Those that exist among many that do not are told apart, whatever their format; without a
+// session, or after its end, no job is answered to be unknown.
+func TestLookupTellsFinishedFromUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		state := emulator.NewStateService()
-		for k, form := range []tombstone.Formats{tombstone.LegacyOnly, tombstone.LegacyAndCompact, tombstone.CompactOnly} {
-			if _, err := state.Txn(ctx, nil, tombstone.WriteOps(fmt.Sprintf("wk-%d", k), tombstone.Tombstone{Status: job.Done, Tasks: k + 1}, form)); err != nil {
+		for k, formats := range []tombstone.Formats{tombstone.LegacyOnly, tombstone.LegacyAndCompact, tombstone.CompactOnly} {
+			if _, err := state.Txn(ctx, nil, tombstone.WriteOps(fmt.Sprintf("wk-%d", k), tombstone.Tombstone{Status: job.Done, Tasks: k + 1}, formats)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		f := tombstone.NewBatchedLookup(state, 96, 1000)
-		lives, own := true, statekv.Compare{Key: "life"}
-		fence := func() (statekv.Compare, bool) { return own, lives }
+		alive, own := true, statekv.Compare{Key: "session"}
+		fence := func() (statekv.Compare, bool) { return own, alive }
 		ask := func() map[string]error {
 			type answer struct {
 				id  string
@@ -130,16 +130,16 @@
 				t.Errorf("%s: %v", id, err)
 			}
 		}
-		own.Rev = 77 // which it has not: this life is over
+		own.Rev = 77 // which it has not: this session is over
 		for id, err := range ask() {
 			if err != nil && !errors.Is(err, statekv.ErrRejected) {
-				t.Errorf("after its life, %s: %v", id, err)
+				t.Errorf("after its session, %s: %v", id, err)
 			}
 		}
-		lives = false
+		alive = false
 		for id, err := range ask() {
 			if !errors.Is(err, statekv.ErrRejected) {
-				t.Errorf("without a life, %s: %v", id, err)
+				t.Errorf("without a session, %s: %v", id, err)
 			}
 		}
 	})
--- a/internal/tombstone/ended_test.go
+++ b/internal/tombstone/tombstone_test.go
@@ -17,8 +17,9 @@
 	"robinstack/internal/tombstone"
 )
 
-// Every record reads as what it was, in both forms, and the new form is the smaller.
-func TestForms(t *testing.T) {
+// Every tombstone is decoded as what it was, in both formats, and the compact one is the
+// smaller.
+func TestFormatsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := tombstone.Tombstone{Status: rapid.SampledFrom([]string{job.Done, job.Cancelled}).Draw(t, "status"), Tasks: rapid.IntRange(1, job.MaxTasks).Draw(t, "tasks"),
 			CompletedAtMS: rapid.SampledFrom([]int64{0, 1, 1764633600000}).Draw(t, "at")}
@@ -40,8 +41,9 @@
 	})
 }
 
-// What is damaged or of another form is an error that names the key, and never a record.
-func TestUnreadableRecords(t *testing.T) {
+// What is damaged or of another schema is an error that names the key, and never a
+// tombstone.
+func TestDamagedTombstonesAreErrors(t *testing.T) {
 	for key, values := range map[string][]string{
 		tombstone.LegacyKey("wk-1"): {`"x"`, `{}`, `{"status":"running","tasks":3}`, `{"form":1,"status":"done","tasks":3}`, `{"status":"done","tasks":0}`},
 		tombstone.Key("wk-1"):       {`{}`, `[]`, `[2,"d",3]`, `[1,"x",3]`, `[1,"d"]`, `[1,"d",0]`, `["1","d",3]`, `null`},
@@ -52,33 +54,33 @@
 			}
 		}
 	}
-	var form *statekv.SchemaError
-	if _, _, _, err := tombstone.Parse(tombstone.Key("wk-1"), json.RawMessage(`[2,"d",3]`)); !errors.As(err, &form) || form.Schema != 2 {
+	var schemaErr *statekv.SchemaError
+	if _, _, _, err := tombstone.Parse(tombstone.Key("wk-1"), json.RawMessage(`[2,"d",3]`)); !errors.As(err, &schemaErr) || schemaErr.Schema != 2 {
 		t.Error(err)
 	}
 	if _, _, ok, _ := tombstone.Parse("robin/job/wk-1", nil); ok {
-		t.Error("an open job was taken for an ended one")
+		t.Error("the key of a record was taken for a tombstone's")
 	}
 }
 
-// moving has a record change its form right before it is read.
-type moving struct {
+// changingStore has a tombstone change its format right before it is read.
+type changingStore struct {
 	*emulator.StateService
-	before func()
+	beforeGet func()
 }
 
-func (m *moving) Get(ctx context.Context, key string) (statekv.KV, error) {
-	if f := m.before; f != nil {
-		m.before = nil
+func (m *changingStore) Get(ctx context.Context, key string) (statekv.KV, error) {
+	if f := m.beforeGet; f != nil {
+		m.beforeGet = nil
 		f()
 	}
 	return m.StateService.Get(ctx, key)
 }
 
-// A record is found whichever form it has, also if that changes between two reads; that
-// there is none is said only by one whose life goes on.
-func TestRead(t *testing.T) {
-	state := &moving{StateService: emulator.NewStateService()}
+// A tombstone is found whichever format it has, also if that changes between two reads;
+// that there is none is answered only by one whose session goes on.
+func TestReadWhileFormatChanges(t *testing.T) {
+	state := &changingStore{StateService: emulator.NewStateService()}
 	ctx := t.Context()
 	write := func(ops ...statekv.Op) {
 		t.Helper()
@@ -90,14 +92,14 @@
 	alive := []statekv.Compare{{Key: "node", Rev: 2}}
 	r := tombstone.Tombstone{Status: job.Done, Tasks: 5}
 	write(tombstone.WriteOps("wk-1", r, tombstone.LegacyOnly)...)
-	toNew := func() {
+	toCompact := func() {
 		write(append(tombstone.WriteOps("wk-1", r, tombstone.CompactOnly), statekv.Op{Delete: tombstone.LegacyKey("wk-1")})...)
 	}
-	toFormer := func() {
+	toLegacy := func() {
 		write(append(tombstone.WriteOps("wk-1", r, tombstone.LegacyOnly), statekv.Op{Delete: tombstone.Key("wk-1")})...)
 	}
-	for _, change := range []func(){nil, toNew, toFormer, toNew} {
-		state.before = change
+	for _, change := range []func(){nil, toCompact, toLegacy, toCompact} {
+		state.beforeGet = change
 		if got, err := tombstone.Read(ctx, state, alive, "wk-1"); err != nil || got != r {
 			t.Fatal(got, err)
 		}
@@ -105,16 +107,16 @@
 	if _, err := tombstone.Read(ctx, state, alive, "wk-2"); !errors.Is(err, statekv.ErrNotFound) {
 		t.Error(err)
 	}
-	// One that stood still while the fleet went on to forms that it does not know.
+	// One that stood still while the cluster went on to formats that it does not know.
 	write(statekv.Op{Delete: "node"})
 	if _, err := tombstone.Read(ctx, state, alive, "wk-2"); err == nil || errors.Is(err, statekv.ErrNotFound) {
-		t.Errorf("a life that is over said of a job that it is unknown: %v", err)
+		t.Errorf("a session that ended answered that a job is unknown: %v", err)
 	}
 }
 
-// The version in production reads a record that tells when the job ended: it takes the
-// first three entries of the list, and the fields that it knows.
-func TestProductionReadsTheTime(t *testing.T) {
+// The build in production decodes a tombstone with a completion time: it takes the first
+// three entries of the list, and the fields that it knows.
+func TestFormerBuildReadsCompletionTime(t *testing.T) {
 	ops := tombstone.WriteOps("wk-7", tombstone.Tombstone{Status: job.Done, Tasks: 5, CompletedAtMS: 1764633600000}, tombstone.LegacyAndCompact)
 	var was struct {
 		Status string `json:"status"`
@@ -131,9 +133,9 @@
 	}
 }
 
-// What one transaction could not remove, or whose writer died before, is swept by the
-// steward, within the limits; what belongs to an open job stays.
-func TestSweep(t *testing.T) {
+// What one transaction could not remove, or whose writer failed before, is removed by the
+// leader, within the limits; what belongs to an unfinished job stays.
+func TestGarbageCollection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
@@ -159,18 +161,18 @@
 			t.Fatal(err)
 		}
 		go mirror.Run(ctx)
-		var steward atomic.Uint64
-		s := &tombstone.GarbageCollector{Store: state, Mirror: mirror, Member: member, LeaderEpoch: steward.Load, TxnOps: 8, Interval: time.Minute}
-		go s.Run(ctx)
+		var epoch atomic.Uint64
+		collector := &tombstone.GarbageCollector{Store: state, Mirror: mirror, Member: member, LeaderEpoch: epoch.Load, TxnOps: 8, Interval: time.Minute}
+		go collector.Run(ctx)
 		left := func() int {
 			return len(state.ListAll(job.CompletedChunkPrefix)) + len(state.ListAll(job.SpecFragmentPrefix))
 		}
 		all := left()
 		time.Sleep(3 * time.Minute)
 		if left() != all {
-			t.Fatal("it swept although it is not steward")
+			t.Fatal("it removed keys although it is not leader")
 		}
-		steward.Store(1)
+		epoch.Store(1)
 		time.Sleep(3 * time.Minute)
 		if left() != all/3 || len(state.SizeViolations()) > 0 {
 			t.Fatalf("%d of %d left, %v", left(), all, state.SizeViolations())
@@ -183,9 +185,9 @@
 	})
 }
 
-// A mirror reads each tombstone once, for all who follow it.
-func TestChangeIsReadOnce(t *testing.T) {
-	read := 0
+// A mirror decodes each tombstone once, for all who watch it.
+func TestMirrorParsesChangeOnce(t *testing.T) {
+	parsed := 0
 	state := emulator.NewStateService()
 	var got []tombstone.Change
 	mirror := statekv.NewMirror(state, nil, statekv.RootPrefix, time.Second, 0, func(events []statekv.Event) {
@@ -198,7 +200,7 @@
 		}
 	})
 	mirror.Parse = func(key string, raw json.RawMessage) any {
-		read++
+		parsed++
 		return tombstone.ParseChange(key, raw)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -218,7 +220,7 @@
 	}
 	cancel()
 	<-done
-	if read != 2 || len(got) != 3 || got[0].ID != "wk-7" || got[0].Status != job.Done || got[0].Tasks != 5 {
-		t.Errorf("%d values were read, changes %+v", read, got)
+	if parsed != 2 || len(got) != 3 || got[0].ID != "wk-7" || got[0].Status != job.Done || got[0].Tasks != 5 {
+		t.Errorf("%d values were decoded, changes %+v", parsed, got)
 	}
 }
