--- a/internal/dag/tracker.go
+++ b/internal/dag/tracker.go
@@ -14,145 +14,191 @@
 	"robinstack/internal/tombstone"
 )
 
-// Keys are the mirrored keys.
+const (
+	// readTimeout bounds the read of one tombstone, and readRetryDelay is the pause after
+	// one that failed.
+	readTimeout    = 2 * time.Second
+	readRetryDelay = 300 * time.Millisecond
+
+	// damagedRetryDelay is after how long a damaged tombstone is read again: an operator may
+	// have restored it.
+	damagedRetryDelay = 20 * time.Second
+)
+
+// Keys are the mirrored keys; *statekv.Mirror implements it.
 type Keys interface {
 	Get(key string) (statekv.KV, bool)
 	Dir(prefix string) []statekv.KV
 	ReportUndecodable(key string, err error)
 }
 
-// Tracker keeps, for one life of a controller, the snapshot by which waiting jobs are
-// judged: the open jobs that name others, of all slots, and the final records of those
-// that they name. The mirror tells it each change before it says that it has seen it.
+// Tracker keeps, for one session of a controller, the snapshot by which dependent jobs are
+// evaluated: the open jobs with dependencies, of all job shards, and the tombstones of
+// those dependencies. The mirror passes each change to it before it says that it has seen
+// it. It is safe for concurrent use.
 type Tracker struct {
-	keys  Keys
-	takes func(*job.Spec) time.Duration
-	known func(id string) (tombstone.Tombstone, bool) // final records that somebody here has read
+	keys     Keys
+	estimate func(*job.Spec) time.Duration
+	cached   func(id string) (tombstone.Tombstone, bool)
 
-	mu         sync.Mutex
-	nodes      map[string]*Node
-	after      map[string]int // how many nodes name a job
-	tombstones map[string]tombstone.Tombstone
-	unread     map[string]bool      // named jobs whose final records are wanted
-	bad        map[string]time.Time // since when their final records are known to be damaged
-	changes    uint64
-	urgent     map[string]Urgency // as of urgentAt; nil: never worked out
-	urgentAt   uint64
-	wake       chan struct{}
+	mu            sync.Mutex
+	nodes         map[string]*Node
+	dependents    map[string]int // how many nodes depend on a job
+	tombstones    map[string]tombstone.Tombstone
+	wanted        map[string]bool      // dependencies whose tombstones are to be read
+	damaged       map[string]time.Time // since when their tombstones are known to be damaged
+	generation    uint64
+	urgencies     map[string]Urgency // as of urgenciesAt; nil: never worked out
+	urgenciesAt   uint64
+	wantedChanged chan struct{}
 }
 
-// NewTracker returns a tracker; takes tells about how long a job takes once it is ready,
-// known looks up final records that have been read anyway.
-func NewTracker(keys Keys, takes func(*job.Spec) time.Duration, known func(string) (tombstone.Tombstone, bool)) *Tracker {
-	t := &Tracker{keys: keys, takes: takes, known: known, wake: make(chan struct{}, 1)}
+// NewTracker returns a tracker. estimate returns about how long a job takes once it is
+// ready; cached returns tombstones that another component has read.
+func NewTracker(
+	keys Keys, estimate func(*job.Spec) time.Duration, cached func(string) (tombstone.Tombstone, bool),
+) *Tracker {
+	t := &Tracker{
+		keys:          keys,
+		estimate:      estimate,
+		cached:        cached,
+		tombstones:    map[string]tombstone.Tombstone{},
+		wantedChanged: make(chan struct{}, 1),
+	}
 	t.reset()
 	return t
 }
 
+// reset forgets all but the tombstones, which never change.
 func (t *Tracker) reset() {
-	if t.tombstones == nil {
-		t.tombstones = map[string]tombstone.Tombstone{}
-	}
-	t.nodes, t.after, t.unread, t.bad = map[string]*Node{}, map[string]int{}, map[string]bool{}, map[string]time.Time{}
+	t.nodes = map[string]*Node{}
+	t.dependents = map[string]int{}
+	t.wanted = map[string]bool{}
+	t.damaged = map[string]time.Time{}
 }
 
-// OnWatchEvents takes note of changes; nil says that some were missed. It does no I/O.
+// OnEvents takes in changes; nil says that some were missed. It does no I/O.
 func (t *Tracker) OnEvents(events []statekv.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if events == nil {
-		t.changes++
-		t.reset()
-		for _, kv := range t.keys.Dir(job.RecordPrefix) {
-			t.opened(kv.Key[len(job.RecordPrefix):], kv.Value)
-		}
-		for id := range t.tombstones {
-			if t.after[id] == 0 {
-				delete(t.tombstones, id)
-			}
-		}
+		t.reload()
 		return
 	}
 	for _, e := range events {
-		if id, ok := strings.CutPrefix(e.Key(), job.RecordPrefix); ok {
-			if e.Delete != "" {
-				t.closed(id)
-			} else {
-				t.opened(id, e.Value)
-			}
+		id, ok := strings.CutPrefix(e.Key(), job.RecordPrefix)
+		switch {
+		case !ok:
+		case e.Delete != "":
+			t.closeJob(id)
+		default:
+			t.openJob(id, e.Value)
 		}
 	}
-	// A job's end and its final record come with one revision, in either order.
+	// The deletion of a job's record and its tombstone have the same revision, in either
+	// order.
 	for _, e := range events {
-		if c, ok := tombstone.ChangeOf(e); ok && c.Err == nil && t.after[c.ID] > 0 {
-			t.settle(c.ID, c.Tombstone)
+		if c, ok := tombstone.ChangeOf(e); ok && c.Err == nil && t.dependents[c.ID] > 0 {
+			t.addTombstone(c.ID, c.Tombstone)
+		}
+	}
+}
+
+// reload reads all records anew. t.mu is held.
+func (t *Tracker) reload() {
+	t.generation++
+	t.reset()
+	for _, kv := range t.keys.Dir(job.RecordPrefix) {
+		t.openJob(kv.Key[len(job.RecordPrefix):], kv.Value)
+	}
+	for id := range t.tombstones {
+		if t.dependents[id] == 0 {
+			delete(t.tombstones, id)
 		}
 	}
 }
 
-func (t *Tracker) settle(id string, r tombstone.Tombstone) {
-	t.tombstones[id] = r
-	delete(t.unread, id)
-	delete(t.bad, id)
-	t.changes++
+// addTombstone takes in a tombstone. t.mu is held.
+func (t *Tracker) addTombstone(id string, stone tombstone.Tombstone) {
+	t.tombstones[id] = stone
+	delete(t.wanted, id)
+	delete(t.damaged, id)
+	t.generation++
 }
 
-func (t *Tracker) opened(id string, raw json.RawMessage) {
+// openJob takes in a record. t.mu is held.
+func (t *Tracker) openJob(id string, raw json.RawMessage) {
 	if t.nodes[id] != nil || !job.MayHaveDependencies(raw) {
-		return // most name none; and what a job waits for never changes
-	}
-	rec, err := job.ParseRecord(raw)
-	if err == nil {
-		err = rec.JoinSpec(t.keys.Get)
+		return // most have none; and a job's dependencies never change
 	}
+	n, err := t.parseNode(id, raw)
 	if err != nil {
 		t.keys.ReportUndecodable(job.RecordKey(id), err)
 		return
 	}
-	if len(rec.Spec.WaitsOn) == 0 {
+	if len(n.Dependencies) == 0 {
 		return
 	}
-	n := &Node{ID: id, Dependencies: rec.Spec.WaitsOn, Rank: rec.Spec.Rank, EstimatedDuration: t.takes(&rec.Spec)}
-	if due := rec.Spec.RelativeDeadline(); rec.Spec.DeadlineS != nil {
-		n.Deadline = rec.SubmittedAt().Add(due)
-	}
 	t.nodes[id] = n
-	t.changes++
-	for _, p := range n.Dependencies {
-		t.after[p]++
-		if _, ok := t.tombstones[p]; ok {
+	t.generation++
+	for _, dependency := range n.Dependencies {
+		t.dependents[dependency]++
+		if _, ok := t.tombstones[dependency]; ok {
 			continue
 		}
-		if r, ok := t.known(p); ok {
-			t.settle(p, r)
+		if stone, ok := t.cached(dependency); ok {
+			t.addTombstone(dependency, stone)
 		}
 	}
 }
 
-func (t *Tracker) closed(id string) {
-	if t.after[id] > 0 {
-		t.changes++
+// parseNode decodes a record, with its spec fragments.
+func (t *Tracker) parseNode(id string, raw json.RawMessage) (*Node, error) {
+	record, err := job.ParseRecord(raw)
+	if err != nil {
+		return nil, err
+	}
+	if err := record.JoinSpec(t.keys.Get); err != nil {
+		return nil, err
+	}
+	spec := &record.Spec
+	n := &Node{ID: id, Dependencies: spec.WaitsOn, Rank: spec.Rank}
+	if len(n.Dependencies) == 0 {
+		return n, nil
+	}
+	n.EstimatedDuration = t.estimate(spec)
+	if spec.DeadlineS != nil {
+		n.Deadline = record.SubmittedAt().Add(spec.RelativeDeadline())
+	}
+	return n, nil
+}
+
+// closeJob takes in that a record was deleted. t.mu is held.
+func (t *Tracker) closeJob(id string) {
+	if t.dependents[id] > 0 {
+		t.generation++
 	}
 	n := t.nodes[id]
 	if n == nil {
 		return
 	}
-	t.changes++
+	t.generation++
 	delete(t.nodes, id)
-	for _, p := range n.Dependencies {
-		if t.after[p]--; t.after[p] == 0 {
-			delete(t.after, p)
-			delete(t.tombstones, p)
-			delete(t.unread, p)
-			delete(t.bad, p)
+	for _, dependency := range n.Dependencies {
+		t.dependents[dependency]--
+		if t.dependents[dependency] == 0 {
+			delete(t.dependents, dependency)
+			delete(t.tombstones, dependency)
+			delete(t.wanted, dependency)
+			delete(t.damaged, dependency)
 		}
 	}
 }
 
-// snapshot is the tracker with its mutex held.
-type snapshot struct{ *Tracker }
+// lockedSnapshot is the tracker as a Snapshot, while its mutex is held.
+type lockedSnapshot struct{ *Tracker }
 
-func (s snapshot) OpenJob(id string) (*Node, bool) {
+func (s lockedSnapshot) OpenJob(id string) (*Node, bool) {
 	if n := s.nodes[id]; n != nil {
 		return n, true
 	}
@@ -160,127 +206,150 @@
 	return &Node{ID: id}, ok
 }
 
-func (s snapshot) Tombstone(id string) (tombstone.Tombstone, bool) {
-	if r, ok := s.tombstones[id]; ok {
-		return r, true
+func (s lockedSnapshot) Tombstone(id string) (tombstone.Tombstone, bool) {
+	if stone, ok := s.tombstones[id]; ok {
+		return stone, true
 	}
-	if r, ok := s.known(id); ok && s.after[id] > 0 {
-		s.settle(id, r)
-		return r, true
+	if stone, ok := s.cached(id); ok && s.dependents[id] > 0 {
+		s.addTombstone(id, stone)
+		return stone, true
 	}
 	return tombstone.Tombstone{}, false
 }
 
-// Evaluate tells what an open job has come to; ok is false for one that names no others.
-// Final records that it lacks are read soon.
-func (t *Tracker) Evaluate(id string) (v Result, ok bool) {
+// Evaluate returns what an open job has come to; ok is false for one without dependencies.
+// Tombstones that it lacks are read soon.
+func (t *Tracker) Evaluate(id string) (result Result, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := t.nodes[id]
 	if n == nil {
-		return v, false
+		return Result{}, false
 	}
-	v = Evaluate(snapshot{t}, n)
-	all := v.MissingTombstones
-	v.MissingTombstones = nil
-	for _, p := range all {
-		if since, bad := t.bad[p]; bad {
-			if v.DamagedTombstones = append(v.DamagedTombstones, p); time.Since(since) < tryBadAgain {
-				continue
-			}
+	result = Evaluate(lockedSnapshot{t}, n)
+	missing := result.MissingTombstones
+	result.MissingTombstones = nil
+	for _, dependency := range missing {
+		since, damaged := t.damaged[dependency]
+		if !damaged {
+			result.MissingTombstones = append(result.MissingTombstones, dependency)
 		} else {
-			v.MissingTombstones = append(v.MissingTombstones, p)
+			result.DamagedTombstones = append(result.DamagedTombstones, dependency)
 		}
-		if t.after[p] > 0 && !t.unread[p] {
-			t.unread[p] = true
-			select {
-			case t.wake <- struct{}{}:
-			default:
-			}
+		if !damaged || time.Since(since) >= damagedRetryDelay {
+			t.want(dependency)
 		}
 	}
-	return v, true
+	return result, true
+}
+
+// want has a tombstone read, if an open job depends on it. t.mu is held.
+func (t *Tracker) want(id string) {
+	if t.dependents[id] == 0 || t.wanted[id] {
+		return
+	}
+	t.wanted[id] = true
+	select {
+	case t.wantedChanged <- struct{}{}:
+	default: // the signal is pending already
+	}
 }
 
-// Generation counts the changes; while it stays the same so does every verdict.
+// Generation counts the changes; while it stays the same so does every result.
 func (t *Tracker) Generation() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.changes
+	return t.generation
 }
 
-// Urgency is what a job is treated as having, by those that need it; ok is false if
-// nobody does.
+// Urgency is what a job is treated as having, by those that depend on it; ok is false if
+// none does.
 func (t *Tracker) Urgency(id string) (u Urgency, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.after[id] == 0 {
-		return u, false
+	if t.dependents[id] == 0 {
+		return Urgency{}, false
 	}
-	if t.urgent == nil || t.urgentAt != t.changes {
-		t.urgentAt = t.changes
-		t.urgent = PropagateUrgency(snapshot{t}, t.nodes)
+	if t.urgencies == nil || t.urgenciesAt != t.generation {
+		t.urgenciesAt = t.generation
+		t.urgencies = PropagateUrgency(lockedSnapshot{t}, t.nodes)
 	}
-	u, ok = t.urgent[id]
+	u, ok = t.urgencies[id]
 	return u, ok
 }
 
-// tryBadAgain is after how long a damaged record is read again: a person may have
-// written it back.
-const tryBadAgain = 20 * time.Second
-
-// readPause is the pause after a final record could not be read.
-const readPause = 300 * time.Millisecond
-
-// Run reads the final records that are wanted until ctx ends, one after the other.
-// What is read is kept for as long as anybody open names the job.
+// Run reads the tombstones that are wanted until ctx ends, one after the other. What is
+// read is kept for as long as any open job depends on it.
 func (t *Tracker) Run(ctx context.Context, read func(context.Context, string) (tombstone.Tombstone, error)) {
 	for ctx.Err() == nil {
-		t.mu.Lock()
-		id := ""
-		for id = range t.unread {
-			break
-		}
-		t.mu.Unlock()
-		if id == "" {
+		id, ok := t.nextWanted()
+		if !ok {
 			select {
 			case <-ctx.Done():
-			case <-t.wake:
+			case <-t.wantedChanged:
 			}
 			continue
 		}
-		rctx, cancel := context.WithTimeout(ctx, 2*time.Second)
-		r, err := read(rctx, id)
-		t.mu.Lock()
-		delete(t.unread, id) // if it is still wanted, the next verdict says so
-		if err == nil && t.after[id] > 0 {
-			t.settle(id, r)
-		}
-		t.mu.Unlock()
-		if err == nil {
-			cancel()
+		if t.readTombstone(ctx, id, read) {
 			continue
 		}
-		switch {
-		case errors.Is(err, statekv.ErrNotFound):
-			// It was open until a moment ago, or its record is being written: the
-			// mirror will show it.
-			slog.Debug("dependency record missing", "job", id)
-		case errors.Is(err, statekv.ErrRejected) || errors.Is(err, statekv.ErrOutcomeUnknown) || rctx.Err() != nil:
-			slog.Debug("dependency record read failed", "job", id, "err", err)
-		default:
-			// What waits for it goes on waiting, until a person has seen to it.
-			t.keys.ReportUndecodable(tombstone.Key(id), err)
-			t.mu.Lock()
-			if t.after[id] > 0 {
-				t.bad[id] = time.Now()
-			}
-			t.mu.Unlock()
-		}
-		cancel()
 		select {
 		case <-ctx.Done():
-		case <-time.After(readPause):
+		case <-time.After(readRetryDelay):
 		}
 	}
 }
+
+// nextWanted returns any of the wanted tombstones.
+func (t *Tracker) nextWanted() (id string, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for id := range t.wanted {
+		return id, true
+	}
+	return "", false
+}
+
+// readTombstone reads one tombstone and reports whether it was read.
+func (t *Tracker) readTombstone(
+	ctx context.Context, id string, read func(context.Context, string) (tombstone.Tombstone, error),
+) bool {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	stone, err := read(ctx, id)
+	t.noteRead(id, stone, err)
+	switch {
+	case err == nil:
+		return true
+	case errors.Is(err, statekv.ErrNotFound):
+		// The job was open until a moment ago, or its tombstone is being written: the mirror
+		// will show it.
+		slog.Debug("dependency record missing", "job", id)
+	case errors.Is(err, statekv.ErrRejected), errors.Is(err, statekv.ErrOutcomeUnknown), ctx.Err() != nil:
+		slog.Debug("dependency record read failed", "job", id, "err", err)
+	default:
+		// What depends on it goes on waiting, until an operator has restored it.
+		t.keys.ReportUndecodable(tombstone.Key(id), err)
+		t.noteDamaged(id)
+	}
+	return false
+}
+
+// noteRead takes in the end of a read: if the tombstone is still wanted, the next
+// evaluation says so.
+func (t *Tracker) noteRead(id string, stone tombstone.Tombstone, err error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.wanted, id)
+	if err == nil && t.dependents[id] > 0 {
+		t.addTombstone(id, stone)
+	}
+}
+
+func (t *Tracker) noteDamaged(id string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.dependents[id] > 0 {
+		t.damaged[id] = time.Now()
+	}
+}
