--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -227,7 +227,7 @@
 	s.collector = &tombstone.GarbageCollector{
 		Store:       c.store,
 		Mirror:      s.mirror,
-		Member:      s.state,
+		Session:     s.state,
 		LeaderEpoch: s.leader.Epoch,
 		TxnOps:      limits.MaxTxnOps,
 		Interval:    garbageCollectionInterval,
--- a/internal/tombstone/garbage_collector.go
+++ b/internal/tombstone/garbage_collector.go
@@ -22,7 +22,7 @@
 		MaxTxnOps(ops int) int
 	}
 	Mirror      *statekv.Mirror
-	Member      *statekv.Session
+	Session     *statekv.Session
 	LeaderEpoch func() uint64 // revision of the leader's role while this controller has it, else 0
 	TxnOps      int           // ops of one transaction by the settings
 	Interval    time.Duration // between two collections
@@ -88,7 +88,7 @@
 		if !g.Store.Allow(statekv.ClassMaintenance, len(batch.ops)) {
 			return false, nil
 		}
-		if _, err := g.Member.Write(ctx, batch.compares, batch.ops); err != nil {
+		if _, err := g.Session.Write(ctx, batch.compares, batch.ops); err != nil {
 			return false, fmt.Errorf("removing %d keys: %w", len(batch.ops), err)
 		}
 		batch = orphans{}
--- a/internal/tombstone/tombstone_test.go
+++ b/internal/tombstone/tombstone_test.go
@@ -162,7 +162,7 @@
 		}
 		go mirror.Run(ctx)
 		var epoch atomic.Uint64
-		collector := &tombstone.GarbageCollector{Store: state, Mirror: mirror, Member: member, LeaderEpoch: epoch.Load, TxnOps: 8, Interval: time.Minute}
+		collector := &tombstone.GarbageCollector{Store: state, Mirror: mirror, Session: member, LeaderEpoch: epoch.Load, TxnOps: 8, Interval: time.Minute}
 		go collector.Run(ctx)
 		left := func() int {
 			return len(state.ListAll(job.CompletedChunkPrefix)) + len(state.ListAll(job.SpecFragmentPrefix))
