--- /dev/null
+++ b/internal/gateway/dependencies_test.go
@@ -0,0 +1,126 @@
+package gateway
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"robinstack/internal/job"
+	"robinstack/internal/rollout"
+	"robinstack/internal/statekv"
+	"robinstack/internal/tombstone"
+)
+
+// Before all controllers know dependencies, no submission that has some is accepted, and the answer
+// comes at once; those without are accepted as ever, with an empty list too.
+func TestDependenciesNeedClusterVersion(t *testing.T) {
+	runWithGateway(t, func(fixture *gatewayFixture) {
+		fixture.submit(201, "wk-1")
+		fixture.submit(503, "wk-2", "wk-1")
+		fixture.enableDependencies()
+		fixture.submit(201, "wk-2", "wk-1")
+		fixture.expectStatus("wk-2", job.Queued)
+		// An operator disables dependencies: submissions that have some are not accepted any more.
+		fixture.writeVersion(rollout.ClusterVersion{
+			Schema:    1,
+			Number:    2,
+			Features:  []rollout.Feature{rollout.FeatureVersionGate, rollout.FeatureDependencies},
+			Disabling: rollout.FeatureDependencies,
+		})
+		time.Sleep(time.Second)
+		fixture.submit(503, "wk-3", "wk-1")
+		fixture.submit(200, "wk-2", "wk-1")
+	})
+}
+
+// The cluster version is lowered while a submission is on its way: it is not accepted, or
+// controllers that ignore its dependencies could live beside it.
+func TestSubmissionRacesVersionDowngrade(t *testing.T) {
+	runWithGateway(t, func(fixture *gatewayFixture) {
+		fixture.enableDependencies()
+		fixture.submit(201, "wk-1")
+		fixture.state.SetTxnLatency(300 * time.Millisecond)
+		done := make(chan struct{})
+		go func() {
+			defer close(done)
+			fixture.submit(503, "wk-2", "wk-1")
+		}()
+		time.Sleep(100 * time.Millisecond)
+		fixture.state.SetTxnLatency(0)
+		fixture.writeVersion(rollout.ClusterVersion{
+			Schema:   1,
+			Number:   1,
+			Features: []rollout.Feature{rollout.FeatureVersionGate},
+		})
+		<-done
+		if _, err := fixture.state.Get(fixture.ctx, job.RecordKey("wk-2")); err == nil {
+			t.Error("it was accepted")
+		}
+	})
+}
+
+// A dependency that was never accepted is rejected, only when that is certain; any that was is
+// accepted, whatever has become of it, whichever controller accepted it and in whichever format.
+func TestDependenciesMustHaveBeenAccepted(t *testing.T) {
+	runWithGateway(t, func(fixture *gatewayFixture) {
+		fixture.enableDependencies()
+		fixture.submit(201, "wk-1")
+		fixture.submit(422, "wk-2", "wk-2")
+		fixture.submit(422, "wk-2", "wk-1", "wk-404")
+		if code, _, _ := fixture.request("GET", "/submissions/wk-2", ""); code != 404 {
+			t.Fatal("a job that was rejected is known")
+		}
+		// Another controller has accepted one a moment ago; others finished long ago, in three formats.
+		fixture.state.SetTxnLatency(0)
+		fixture.writeRecord(job.Spec{ID: "wk-11", Tasks: 1})
+		fixture.write(statekv.Op{
+			Set:   tombstone.LegacyKey("wk-12"),
+			Value: map[string]any{"status": "done", "tasks": 1},
+		})
+		fixture.writeTombstone("wk-13", job.Done, tombstone.CompactOnly)
+		fixture.writeTombstone("wk-14", job.Done, tombstone.LegacyAndCompact)
+		fixture.submit(201, "wk-3", "wk-11", "wk-12", "wk-13", "wk-14", "wk-1", "wk-1")
+		fixture.writeRecord(job.Spec{ID: "wk-15", Tasks: 1, Shape: job.Service})
+		time.Sleep(time.Second)
+		answer := fixture.submit(422, "wk-4", "wk-15")
+		if !strings.Contains(fmt.Sprint(answer["error"]), "service") {
+			t.Error(answer)
+		}
+		// Where that is unknown it is neither accepted nor rejected.
+		fixture.state.SetOutage(true, false)
+		fixture.submit(503, "wk-5", "wk-404")
+		fixture.submit(503, "wk-5", "wk-1")
+		fixture.state.SetOutage(false, false)
+		// Hundreds of dependencies, in fragments; and one among them that nobody submitted.
+		formats := []tombstone.Formats{tombstone.LegacyOnly, tombstone.CompactOnly}
+		var many []string
+		for k := range 400 {
+			many = append(many, fmt.Sprintf("wk-9%05d", k*211%100000))
+			fixture.writeTombstone(many[k], job.Done, formats[k%2])
+		}
+		fixture.submit(201, "wk-6", many...)
+		fixture.submit(200, "wk-6", many...)
+		fixture.submit(422, "wk-7", append(many, "wk-404")...)
+		if over := fixture.state.SizeViolations(); len(over) > 0 {
+			t.Error(over)
+		}
+	})
+}
+
+// A job with a damaged dependency is known all the same: guards against an answer of 503 for ever,
+// after which it would count as forgotten.
+func TestDamagedDependencyRecord(t *testing.T) {
+	runWithGateway(t, func(fixture *gatewayFixture) {
+		fixture.enableDependencies()
+		fixture.write(statekv.Op{Set: tombstone.Key("wk-1"), Value: "mangled"})
+		fixture.write(statekv.Op{Set: job.RecordKey("wk-2"), Value: "mangled"})
+		time.Sleep(time.Second)
+		fixture.submit(201, "wk-3", "wk-1")
+		fixture.submit(201, "wk-4", "wk-2", "wk-3")
+		time.Sleep(3 * time.Second)
+		fixture.expectStatus("wk-2", job.Queued)
+		fixture.expectStatus("wk-3", job.Queued)
+		fixture.expectStatus("wk-4", job.Queued)
+	})
+}
