--- a/emulator/cloudserver.go
+++ b/emulator/cloudserver.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// respondOr503 writes an answer, or that the cloud has trouble.
+// respondOr503 writes an answer, or that the cloud has failed.
 func respondOr503(w http.ResponseWriter, err error, body any) {
 	if err != nil {
 		respond(w, http.StatusServiceUnavailable, map[string]string{"error": "trouble"})
--- a/emulator/localmachine.go
+++ b/emulator/localmachine.go
@@ -107,18 +107,8 @@
 func (m *LocalMachine) nextHeartbeat() worker.Heartbeat {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sequence++
-	h := worker.Heartbeat{
-		Machine:      m.name,
-		Address:      m.address,
-		Type:         m.machineType.Name,
-		Zone:         m.zone,
-		Spot:         m.spot,
-		WorkerEpoch:  m.epoch,
-		Sequence:     m.sequence,
-		FencingToken: m.token,
-		Tasks:        []worker.Task{},
-	}
+	h := m.beginHeartbeat()
+	h.Machine, h.Address, h.Type, h.Zone, h.Spot = m.name, m.address, m.machineType.Name, m.zone, m.spot
 	for _, key := range slices.Sorted(maps.Keys(m.tasks)) {
 		t := m.tasks[key]
 		h.Tasks = append(h.Tasks, worker.Task{ID: t.id, Attempt: t.attempt, State: t.state, Cause: t.cause})
--- a/emulator/simulatedmachine.go
+++ b/emulator/simulatedmachine.go
@@ -212,17 +212,8 @@
 
 // nextHeartbeat is the worker's next heartbeat. The cloud's mutex is held.
 func (m *SimulatedMachine) nextHeartbeat() worker.Heartbeat {
-	m.sequence++
-	h := worker.Heartbeat{
-		Machine:      m.name,
-		Address:      m.address,
-		Type:         m.machineType.Name,
-		Zone:         m.zone,
-		WorkerEpoch:  m.epoch,
-		Sequence:     m.sequence,
-		FencingToken: m.token,
-		Tasks:        []worker.Task{},
-	}
+	h := m.beginHeartbeat()
+	h.Machine, h.Address, h.Type, h.Zone = m.name, m.address, m.machineType.Name, m.zone
 	for _, key := range slices.Sorted(maps.Keys(m.tasks)) {
 		h.Tasks = append(h.Tasks, m.tasks[key].Task)
 	}
--- a/emulator/workerlease.go
+++ b/emulator/workerlease.go
@@ -27,6 +27,14 @@
 	return token >= l.token && epoch == l.epoch
 }
 
+// beginHeartbeat is the worker's next heartbeat, without its machine and tasks.
+func (l *workerLease) beginHeartbeat() worker.Heartbeat {
+	l.sequence++
+	return worker.Heartbeat{
+		WorkerEpoch: l.epoch, Sequence: l.sequence, FencingToken: l.token, Tasks: []worker.Task{},
+	}
+}
+
 // redirect is where a worker sends its next heartbeat.
 type redirect struct {
 	stay bool
--- /dev/null
+++ b/test/integration/drawn_faults_test.go
@@ -0,0 +1,169 @@
+package integration
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+)
+
+// activeFault is a fault that goes on.
+type activeFault struct {
+	kind  *fault
+	end   func()
+	until time.Time
+}
+
+// maxActiveFaults is how many faults go on at a time.
+const maxActiveFaults = 3
+
+// runRandomFaults draws what happens: jobs of all shapes come, some are cancelled, and
+// faults come in pairs and triples, while users ask. Then all are over.
+func (b *testbed) runRandomFaults(seed uint64) {
+	rng := rand.New(rand.NewPCG(seed, 11))
+	var active []activeFault
+	for range 80 {
+		if rng.IntN(2) == 0 {
+			b.submitRandomJob(rng)
+		}
+		if ids := b.history.AcceptedJobs(); rng.IntN(6) == 0 && len(ids) > 0 {
+			go b.cancel("", ids[rng.IntN(len(ids))])
+		}
+		active = b.endDueFaults(active)
+		if rng.IntN(4) == 0 && len(active) < maxActiveFaults {
+			active = b.injectRandomFault(rng, active)
+		}
+		time.Sleep(time.Duration(500+rng.IntN(4000)) * time.Millisecond)
+	}
+	for _, f := range active {
+		f.end()
+	}
+	b.history.RecordFault("all faults are over")
+	time.Sleep(5 * time.Second)
+	b.history.RecordFaultsEnded()
+	time.Sleep(10 * time.Minute)
+	b.history.CheckFinalState()
+}
+
+// endDueFaults ends the faults whose time is over, and returns the others.
+func (b *testbed) endDueFaults(active []activeFault) []activeFault {
+	remaining := active[:0]
+	for _, f := range active {
+		if time.Now().After(f.until) {
+			b.history.RecordFault("over: %s", f.kind.name)
+			f.end()
+		} else {
+			remaining = append(remaining, f)
+		}
+	}
+	return remaining
+}
+
+// injectRandomFault draws one more fault, and injects it unless one that goes on excludes it.
+func (b *testbed) injectRandomFault(rng *rand.Rand, active []activeFault) []activeFault {
+	drawn := drawFault(rng)
+	if slices.ContainsFunc(active, func(f activeFault) bool { return f.kind.excludes(drawn) }) {
+		return active
+	}
+	seconds := drawn.drawDuration(rng)
+	b.history.RecordFault("%s for %d s", drawn.name, seconds)
+	end := drawn.inject(b, rng)
+	return append(active, activeFault{drawn, end, time.Now().Add(time.Duration(seconds) * time.Second)})
+}
+
+// submitRandomJob has a user submit a job: often of two or three tasks that end far apart.
+func (b *testbed) submitRandomJob(rng *rand.Rand) {
+	s := arrayJob(b.nextJobID(), 1+rng.IntN(3))
+	switch rng.IntN(8) {
+	case 0, 1:
+		s = withShape(job.Gang, s)
+		s.Tasks = 1 + rng.IntN(2)
+		s.OneZone = rng.IntN(2) == 0
+		s.Rank = "high"
+	case 2:
+		s = inZone(zones[rng.IntN(3)], s)
+	case 3:
+		s.Team = "full"
+	case 4:
+		s.Spread = true
+	}
+	if ids := b.history.AcceptedJobs(); rng.IntN(4) == 0 && len(ids) > 0 {
+		s.WaitsOn = []string{ids[rng.IntN(len(ids))]}
+	}
+	runTime := time.Duration(2+rng.IntN(60)) * time.Second
+	go b.submitStaggered("", s, runTime, time.Duration(rng.IntN(2)*rng.IntN(30))*time.Second)
+}
+
+// seedsVariable names the environment variable with a range of seeds to play, FROM-TO.
+const seedsVariable = "MEETINGS"
+
+// seeds are those of CI, or a range given in the environment.
+func seeds(t *testing.T, ofCI ...uint64) []uint64 {
+	t.Helper()
+	from, to, ok := strings.Cut(os.Getenv(seedsVariable), "-")
+	if !ok {
+		return ofCI
+	}
+	first, errFirst := strconv.ParseUint(from, 10, 64)
+	end, errEnd := strconv.ParseUint(to, 10, 64)
+	if errFirst != nil || errEnd != nil {
+		t.Fatalf("%s is not FROM-TO", seedsVariable)
+	}
+	var out []uint64
+	for seed := first; seed < end; seed++ {
+		out = append(out, seed)
+	}
+	return out
+}
+
+// With drawn faults of all kinds together no rule breaks, and every job is known, answered
+// about, and comes to its end.
+func TestDrawnFaults(t *testing.T) {
+	for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6, 7, 8) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			bootS := 5.0
+			if seed%3 == 0 {
+				bootS = 1 // machines are up at once
+			}
+			runScenarioWithBootTime(t, seed, bootS, func(b *testbed) {
+				b.runRandomFaults(seed)
+				if n := len(b.history.AcceptedJobs()); n < 15 || b.history.TaskStarts() < 20 {
+					b.t.Errorf("only %d jobs and %d starts: this shows little", n, b.history.TaskStarts())
+				}
+				b.checkNoViolations()
+				if b.t.Failed() {
+					b.t.Logf("seed %d:\n%s", seed, strings.Join(b.history.Trace(), "\n"))
+				}
+				b.logOpenJobs()
+			})
+		})
+	}
+}
+
+// logOpenJobs logs who has what of the jobs that are still open: it tells why one does not
+// end.
+func (b *testbed) logOpenJobs() {
+	for _, kv := range b.state.ListAll(job.RecordPrefix) {
+		record, err := job.ParseRecord(kv.Value)
+		if err != nil {
+			b.t.Logf("%s: %v", kv.Key, err)
+			continue
+		}
+		shard := b.state.ListAll(statekv.JobShardPrefix + record.JobShard)
+		b.t.Logf("%s rev %d: job shard %v, tasks on machines %d",
+			kv.Key, kv.Rev, shard, b.history.TasksOnMachines(record.Spec.ID))
+	}
+	if b.t.Failed() {
+		for _, kv := range b.state.ListAll(statekv.ClusterPrefix) {
+			b.t.Logf("%s rev %d: %s", kv.Key, kv.Rev, kv.Value)
+		}
+	}
+}
--- /dev/null
+++ b/test/integration/lost_answers_test.go
@@ -0,0 +1,125 @@
+package integration
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"robinstack/internal/job"
+	"robinstack/internal/statekv"
+)
+
+// Transactions are carried out at once and only their answers are lost, for a while, while
+// users submit, cancel and ask elsewhere and a role fails: submissions, cancellations,
+// completions, acquisitions of every role and claims of machines. Nobody takes the trace of
+// their own write for another's, nor another's for their own.
+func TestAppliedTransactionsWithLostAnswers(t *testing.T) {
+	for _, share := range []float64{0.4, 1} {
+		for _, role := range roles {
+			for _, downtime := range downtimesOf(role) {
+				t.Run(fmt.Sprint(share, " of them, the ", role, " is back after ", downtime), func(t *testing.T) {
+					t.Parallel()
+					runScenario(t, 51, func(b *testbed) {
+						long := b.startRunningJob("host-0", "b", job.Array)
+						b.setLoseAnswersOnly(true)
+						b.setStateFaults(0, share)
+						before := b.appliedUnansweredTxns()
+						for k := range 12 {
+							s := arrayJob(b.nextJobID(), 1+k%3)
+							go b.submitStaggered("", s, 5*time.Second, 3*time.Second)
+							if k%3 == 0 {
+								go func() { time.Sleep(3 * time.Second); b.cancel("", s.ID) }()
+							}
+						}
+						time.Sleep(4 * time.Second)
+						restart := b.stopFor(b.hostsOf(role, long.ID), downtime)
+						go b.cancel("host-2", long.ID)
+						time.Sleep(max(20*time.Second, downtime+10*time.Second))
+						for range 2 {
+							go b.submit("", withShape(job.Gang, arrayJob(b.nextJobID(), 2)), 5*time.Second)
+						}
+						time.Sleep(15 * time.Second)
+						b.setStateFaults(0, 0)
+						n := b.appliedUnansweredTxns() - before
+						if b.t.Logf("%d transactions were carried out without an answer", n); n < 10 {
+							b.t.Error("this shows little")
+						}
+						restart()
+						b.history.RecordFaultsEnded()
+						b.cancel("", long.ID) // its user may have given up
+						time.Sleep(5 * time.Minute)
+						b.history.CheckFinalState()
+						b.checkNoViolations()
+					})
+				})
+			}
+		}
+	}
+}
+
+// appliedUnansweredTxns counts the transactions of all controllers that were carried out and
+// got no answer.
+func (b *testbed) appliedUnansweredTxns() (n int) {
+	for _, h := range b.hosts {
+		n += b.stateClient(h).AppliedUnansweredTxns()
+	}
+	return n
+}
+
+// The answer to one transaction is lost, and before the controller that sent it knows, all
+// others are asked: they answer what it wrote, and it answers nothing older then.
+func TestPeersAnswerWhatWriterDoesNotKnowYet(t *testing.T) {
+	for _, verb := range []string{"submit", "cancel"} {
+		t.Run(verb, func(t *testing.T) {
+			runScenario(t, 52, func(b *testbed) {
+				s := arrayJob(b.nextJobID(), 1)
+				b.history.RecordSubmission(s)
+				b.cloud.SetRunTimes(s.ID, time.Hour, 0)
+				path, key, want := "/submissions", job.RecordKey(s.ID), job.Queued
+				if verb == "cancel" {
+					if !b.submit("host-0", s, time.Hour) {
+						b.t.Fatal("not accepted")
+					}
+					b.waitUntil("it runs", time.Minute, func() bool { return b.history.TasksOnMachines(s.ID) == 1 })
+					time.Sleep(15 * time.Second)
+					b.history.RecordCancelRequest(s.ID)
+					path, key, want = path+"/"+s.ID+"/abort", statekv.RootPrefix+"final/"+s.ID, job.Cancelled
+				} else {
+					time.Sleep(15 * time.Second)
+				}
+				b.stateClient("host-1").SetLoseAnswersOnly(true)
+				b.stateClient("host-1").DelayNextTxns(3)
+				before := b.stateClient("host-1").AppliedUnansweredTxns()
+				asked := b.history.StampRequest()
+				done := make(chan struct{})
+				go func() {
+					defer close(done)
+					code, status := b.callAsUser("host-1", http.MethodPost, path, submissionOf(s), 5*time.Second)
+					b.history.RecordResponse(verb, s.ID, asked, code, status)
+					if code/100 != 2 || status != want {
+						b.t.Errorf("its writer answers %d %s", code, status)
+					}
+				}()
+				for end := time.Now().Add(2 * time.Second); b.keyRevision(key) == 0 && time.Now().Before(end); {
+					time.Sleep(time.Millisecond)
+				}
+				if b.stateClient("host-1").AppliedUnansweredTxns() == before {
+					b.t.Fatal("no answer was lost: this shows nothing")
+				}
+				var counts queryCounts
+				b.queryClosely(s, &counts)
+				<-done
+				b.queryClosely(s, &counts)
+				if counts.count("host-0") < 20 || counts.count("host-1") < 20 || counts.count("host-2") < 20 {
+					b.t.Errorf("answers: %v", counts.answered)
+				}
+				if verb == "submit" {
+					b.cancel("host-2", s.ID)
+				}
+				time.Sleep(10 * time.Second)
+				b.checkNoViolations()
+			})
+		})
+	}
+}
--- a/test/integration/roles_test.go
+++ b/test/integration/roles_test.go
@@ -1,161 +1,172 @@
 package integration
 
 import (
-	"net/http"
-	"sync"
+	"fmt"
 	"time"
 
-	"robinstack/emulator"
 	"robinstack/internal/job"
 	"robinstack/internal/shard"
 	"robinstack/internal/statekv"
 )
 
-// leaders are those that a story may have end: a job's placer, the owner of the machine
-// that its first task is on, the steward, or all controllers.
-var leaders = []string{"placer", "owner", "steward", "all"}
+// Roles that a scenario may have fail: a job's scheduler, the owner of the machine that its
+// first task is on, the leader, or all controllers.
+const (
+	schedulerRole = "scheduler"
+	ownerRole     = "owner"
+	leaderRole    = "leader"
+	allRoles      = "all"
+)
+
+var roles = []string{schedulerRole, ownerRole, leaderRole, allRoles}
+
+// nobody is for scenarios in which no role fails.
+const nobody = "nobody"
 
-// never is for one that does not come back before the story is over.
-const never = -1
+const (
+	// never is for one that does not come back before the scenario is over.
+	never = -1
+	// downtimeBeyondLease is the downtime after which leases may have expired.
+	downtimeBeyondLease = 40 * time.Second
+)
 
-// backs are when they are back: at once, after a fraction of a second, after more than a
-// worker's lease, never.
-var backs = []time.Duration{0, 400 * time.Millisecond, 40 * time.Second, never}
+// downtimes are after what time controllers are back: at once, after a fraction of a second,
+// after more than a worker's lease, never.
+var downtimes = []time.Duration{0, 400 * time.Millisecond, downtimeBeyondLease, never}
 
-// backsOf are those that a story tries for a role: somebody has to come back from the end
-// of all.
-func backsOf(role string) []time.Duration {
-	if role == "all" {
-		return backs[:3]
+// downtimesOf are those that a scenario tries for a role: somebody has to come back when all
+// have ended.
+func downtimesOf(role string) []time.Duration {
+	if role == allRoles {
+		return downtimes[:3]
 	}
-	return backs
+	return downtimes
 }
 
-// leading lists the hosts that have a role for a job.
-func (w *world) leading(role, id string) []string {
+// hostsOf lists the hosts that have a role for a job.
+func (b *testbed) hostsOf(role, id string) []string {
 	switch role {
-	case "placer":
-		return []string{w.placerOf(id)}
-	case "owner":
-		return []string{w.ownerOf(w.history.MachineOfFirstTask(id))}
-	case "steward":
-		return []string{w.holder(statekv.LeaderKey)}
+	case schedulerRole:
+		return []string{b.schedulerOf(id)}
+	case ownerRole:
+		return []string{b.ownerOf(b.history.MachineOfFirstTask(id))}
+	case leaderRole:
+		return []string{b.roleHolder(statekv.LeaderKey)}
 	}
-	return w.hosts
+	return b.hosts
+}
+
+// schedulerOf is the host that has a job's shard, or one that is up.
+func (b *testbed) schedulerOf(id string) string {
+	for _, kv := range b.state.ListAll(job.RecordKey(id)) {
+		if record, err := job.ParseRecord(kv.Value); err == nil && kv.Key == job.RecordKey(id) {
+			if h := b.roleHolder(statekv.JobShardPrefix + record.JobShard); h != "" {
+				return h
+			}
+		}
+	}
+	return "host-0"
 }
 
 // ownerOf is the host that owns a machine by its key, or "".
-func (w *world) ownerOf(machine string) string {
-	for _, kv := range w.state.ListAll(statekv.MachinePrefix + machine) {
-		if key := shard.ParseMachineRecord(kv); key != nil && kv.Key == statekv.MachinePrefix+machine {
-			return w.holder(statekv.MachineShardPrefix + key.Shard)
+func (b *testbed) ownerOf(machine string) string {
+	for _, kv := range b.state.ListAll(statekv.MachinePrefix + machine) {
+		if record := shard.ParseMachineRecord(kv); record != nil && kv.Key == statekv.MachinePrefix+machine {
+			return b.roleHolder(statekv.MachineShardPrefix + record.Shard)
 		}
 	}
 	return ""
 }
 
-// end has controllers end, and each begin again so much later. What it returns brings back
-// those that are away for good.
-func (w *world) end(hosts []string, back time.Duration) (bring func()) {
-	for _, h := range hosts {
-		w.crash(h)
-	}
-	start := func() {
-		for _, h := range hosts {
-			w.start(h)
+// keyRevision is the revision of a key, or 0 if it does not exist.
+func (b *testbed) keyRevision(key string) uint64 {
+	for _, kv := range b.state.ListAll(key) {
+		if kv.Key == key {
+			return kv.Rev
 		}
 	}
-	if back == never {
-		return start
-	}
-	go func() {
-		time.Sleep(back)
-		start()
-	}()
-	return func() {}
+	return 0
 }
 
-// on counts the tasks of jobs that are on machines.
-func (w *world) on(jobs []job.Spec) (n int) {
-	for _, s := range jobs {
-		n += w.history.TasksOnMachines(s.ID)
+// roleHolder is the host that a role's key names, or "".
+func (b *testbed) roleHolder(key string) string {
+	for _, kv := range b.state.ListAll(key) {
+		if kv.Key != key {
+			continue
+		}
+		if h, err := statekv.HolderOf(kv); err == nil {
+			return h.Host
+		}
 	}
-	return n
+	return ""
 }
 
-// lives tells how often controllers' lives have begun: it changes with each.
-func (w *world) lives() (sum uint64) {
-	for _, h := range w.hosts {
-		sum += w.rev(statekv.SessionPrefix + h)
+// shardOwners are the machine shards' holders, with the revisions of their keys.
+func (b *testbed) shardOwners() string {
+	out := ""
+	for _, kv := range b.state.ListAll(statekv.MachineShardPrefix) {
+		out += fmt.Sprint(kv.Key, " ", kv.Rev, " ", b.roleHolder(kv.Key), "; ")
 	}
-	return sum
+	return out
 }
 
-// unitOf calls do for the machine of that name, with the fleet held still.
-func (w *world) unitOf(machine string, do func(u *emulator.SimulatedMachine)) {
-	w.fleet.ForEachMachine(func(name string, u *emulator.SimulatedMachine) {
-		if name == machine {
-			do(u)
+// ownsShards reports whether a controller has machine shards.
+func (b *testbed) ownsShards(host string) bool {
+	for _, kv := range b.state.ListAll(statekv.MachineShardPrefix) {
+		if h, err := statekv.HolderOf(kv); err == nil && h.Host == host {
+			return true
 		}
-	})
-}
-
-// ask1 asks one controller once about a job, and returns whether it was answered.
-func (w *world) ask1(host, id string) bool {
-	asked := w.history.StampRequest()
-	code, status := w.call(host, http.MethodGet, "/submissions/"+id, nil, 2*time.Second)
-	w.history.RecordResponse("query", id, asked, code, status)
-	return code == 200 || code == 404
-}
-
-// resubmit submits a job at one controller once more, and returns whether it was answered.
-func (w *world) resubmit(host string, spec job.Spec) bool {
-	asked := w.history.StampRequest()
-	code, status := w.call(host, http.MethodPost, "/submissions", wireSpec(spec), 5*time.Second)
-	w.history.RecordResponse("submit", spec.ID, asked, code, status)
-	return code == 200 || code == 201
+	}
+	return false
 }
 
-// looks counts what was answered to close looks, by node.
-type looks struct {
-	mu       sync.Mutex
-	answered map[string]int
+// sessionRevisions tells how often controllers' sessions have begun: it changes with each.
+func (b *testbed) sessionRevisions() (sum uint64) {
+	for _, h := range b.hosts {
+		sum += b.keyRevision(statekv.SessionPrefix + h)
+	}
+	return sum
 }
 
-func (l *looks) add(host string, answered bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.answered == nil {
-		l.answered = map[string]int{}
+// stopFor has controllers end, and each begin again so much later. What it returns brings
+// back those that never would.
+func (b *testbed) stopFor(hosts []string, downtime time.Duration) (restart func()) {
+	for _, h := range hosts {
+		b.crash(h)
 	}
-	if answered {
-		l.answered[host]++
+	start := func() {
+		for _, h := range hosts {
+			b.start(h)
+		}
+	}
+	if downtime == never {
+		return start
 	}
+	go func() {
+		time.Sleep(downtime)
+		start()
+	}()
+	return func() {}
 }
 
-func (l *looks) at(host string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.answered[host]
+// ensureNotLeader sees to it that a controller is not the leader: one that peers do not
+// reach learns of no demand and rents no machines, so that nothing would end.
+func (b *testbed) ensureNotLeader(host string) {
+	if b.roleHolder(statekv.LeaderKey) != host {
+		return
+	}
+	b.crash(host)
+	b.waitUntil("another is leader", 20*time.Second, func() bool { return b.roleHolder(statekv.LeaderKey) != host })
+	b.start(host)
+	time.Sleep(3 * time.Second)
 }
 
-// lookClosely has users ask all controllers about a job every few milliseconds for a while,
-// and submit it again, whatever has just been told. It returns when all are answered.
-func (w *world) lookClosely(spec job.Spec, l *looks) {
-	var users sync.WaitGroup
-	for _, h := range w.hosts {
-		for _, every := range []time.Duration{3 * time.Millisecond, 7 * time.Millisecond} {
-			users.Go(func() {
-				for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); time.Sleep(every) {
-					l.add(h, w.ask1(h, spec.ID))
-				}
-			})
-		}
-		users.Go(func() {
-			for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); time.Sleep(40 * time.Millisecond) {
-				l.add(h, w.resubmit(h, spec))
-			}
-		})
+// restartRepeatedly has a controller end and begin a session again, for a while.
+func (b *testbed) restartRepeatedly(host string) {
+	for range 8 {
+		b.crash(host)
+		time.Sleep(150 * time.Millisecond)
+		b.start(host)
+		time.Sleep(900 * time.Millisecond)
 	}
-	users.Wait()
 }
--- /dev/null
+++ b/test/integration/users_test.go
@@ -0,0 +1,272 @@
+package integration
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"sync"
+	"time"
+
+	"robinstack/internal/job"
+)
+
+// How long users wait for an answer, and go on trying.
+const (
+	submitTimeout = 5 * time.Second
+	queryTimeout  = 2 * time.Second
+	retryFor      = time.Minute
+	retryInterval = time.Second
+	pollInterval  = 5 * time.Second
+)
+
+// callAsUser sends a controller a request as a user does; a code of 0 is no answer in time.
+func (b *testbed) callAsUser(
+	host, method, path string, body any, timeout time.Duration,
+) (code int, status string) {
+	raw, err := json.Marshal(body)
+	if err != nil {
+		return 0, ""
+	}
+	type answer struct {
+		code   int
+		status string
+	}
+	done := make(chan answer, 1)
+	go func() {
+		request := httptest.NewRequest(method, path, bytes.NewReader(raw))
+		request.Header.Set("Content-Type", "application/json")
+		response, err := b.callController(host, request, b.unreachableByUsers)
+		if err != nil {
+			done <- answer{}
+			return
+		}
+		defer response.Body.Close()
+		var out struct {
+			Status string `json:"status"`
+		}
+		body, _ := io.ReadAll(response.Body)
+		_ = json.Unmarshal(body, &out) // an answer without a body of ours has its code alone
+		done <- answer{response.StatusCode, out.Status}
+	}()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case a := <-done:
+		return a.code, a.status
+	case <-timer.C:
+		return 0, ""
+	}
+}
+
+// submitOnce submits a job at a controller.
+func (b *testbed) submitOnce(host, id string, submission any) (code int, status string) {
+	asked := b.history.StampRequest()
+	code, status = b.callAsUser(host, http.MethodPost, "/submissions", submission, submitTimeout)
+	b.history.RecordResponse("submit", id, asked, code, status)
+	return code, status
+}
+
+// queryOnce asks a controller about a job.
+func (b *testbed) queryOnce(host, id string) (code int, status string) {
+	asked := b.history.StampRequest()
+	code, status = b.callAsUser(host, http.MethodGet, "/submissions/"+id, nil, queryTimeout)
+	b.history.RecordResponse("query", id, asked, code, status)
+	return code, status
+}
+
+// cancelOnce asks a controller for a cancellation that the history knows of
+// (RecordCancelRequest).
+func (b *testbed) cancelOnce(host, id string) (code int, status string) {
+	asked := b.history.StampRequest()
+	code, status = b.callAsUser(host, http.MethodPost, "/submissions/"+id+"/abort", nil, submitTimeout)
+	b.history.RecordResponse("cancel", id, asked, code, status)
+	return code, status
+}
+
+// probeReadiness is the load balancer's.
+func (b *testbed) probeReadiness() {
+	for b.ctx.Err() == nil {
+		for _, h := range b.hosts {
+			code, _ := b.callAsUser(h, http.MethodGet, "/ready", nil, time.Second)
+			b.mu.Lock()
+			b.ready[h] = code == http.StatusOK
+			b.mu.Unlock()
+		}
+		time.Sleep(time.Second)
+	}
+}
+
+// readyHost is a controller that the load balancer picks.
+func (b *testbed) readyHost() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	ready := slices.DeleteFunc(slices.Clone(b.hosts), func(h string) bool { return !b.ready[h] })
+	if len(ready) == 0 {
+		ready = b.hosts
+	}
+	return ready[b.rng.IntN(len(ready))]
+}
+
+// hostOrReady is a host, or for "" a controller that the load balancer picks.
+func (b *testbed) hostOrReady(host string) string {
+	if host == "" {
+		return b.readyHost()
+	}
+	return host
+}
+
+// submit has a user submit a job at a controller ("": any), again and again for a minute,
+// and ask about it from then on. It returns whether the job was accepted.
+func (b *testbed) submit(host string, spec job.Spec, runTime time.Duration) bool {
+	return b.submitStaggered(host, spec, runTime, 0)
+}
+
+// submitStaggered is submit of a job each of whose tasks runs longer by step than the one
+// before it.
+func (b *testbed) submitStaggered(host string, spec job.Spec, runTime, step time.Duration) bool {
+	b.history.RecordSubmission(spec)
+	b.cloud.SetRunTimes(spec.ID, runTime, step)
+	for end := time.Now().Add(retryFor); time.Now().Before(end); time.Sleep(retryInterval) {
+		code, _ := b.submitOnce(b.hostOrReady(host), spec.ID, submissionOf(spec))
+		switch code {
+		case http.StatusOK, http.StatusCreated:
+			go b.pollUntilFinal(spec.ID)
+			return true
+		case http.StatusBadRequest, http.StatusUnprocessableEntity:
+			return false
+		}
+	}
+	return false
+}
+
+// resubmit submits a job at one controller once more, and returns whether it was accepted.
+func (b *testbed) resubmit(host string, spec job.Spec) bool {
+	code, _ := b.submitOnce(host, spec.ID, submissionOf(spec))
+	return code == http.StatusOK || code == http.StatusCreated
+}
+
+// submissionOf is a submission with the fields that must not be left out.
+func submissionOf(s job.Spec) map[string]any {
+	raw, _ := json.Marshal(s) // a spec can always be encoded
+	var fields map[string]any
+	_ = json.Unmarshal(raw, &fields)
+	return fields
+}
+
+// pollUntilFinal has a user ask about a job until it is over.
+func (b *testbed) pollUntilFinal(id string) {
+	for b.ctx.Err() == nil {
+		time.Sleep(pollInterval)
+		code, status := b.queryOnce(b.readyHost(), id)
+		if code == http.StatusOK && (status == job.Done || status == job.Cancelled) {
+			return
+		}
+	}
+}
+
+// cancel has a user cancel a job at a controller ("": any), and returns whether it was
+// acknowledged.
+func (b *testbed) cancel(host, id string) bool {
+	b.history.RecordCancelRequest(id)
+	for end := time.Now().Add(retryFor); time.Now().Before(end); time.Sleep(retryInterval) {
+		if code, status := b.cancelOnce(b.hostOrReady(host), id); code == http.StatusOK {
+			return status == job.Cancelled
+		}
+	}
+	return false
+}
+
+// cancelPromptly is cancel that returns the moment the user is answered.
+func (b *testbed) cancelPromptly(host, id string) bool {
+	b.history.RecordCancelRequest(id)
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		if code, status := b.cancelOnce(host, id); code == http.StatusOK {
+			return status == job.Cancelled
+		}
+	}
+	return false
+}
+
+// startRunningJob submits a job of one zone and waits until its tasks are on machines.
+func (b *testbed) startRunningJob(scheduler, zone, shape string) job.Spec {
+	b.t.Helper()
+	s := withShape(shape, inZone(zone, arrayJob(b.nextJobID(), 2)))
+	if !b.submit(scheduler, s, time.Hour) {
+		b.t.Fatal("not accepted")
+	}
+	b.waitUntil("it runs", time.Minute, func() bool { return b.history.TasksOnMachines(s.ID) == 2 })
+	time.Sleep(5 * time.Second)
+	return s
+}
+
+// arrayJob is an array of tasks of one GPU.
+func arrayJob(id string, tasks int) job.Spec {
+	return job.Spec{
+		ID: id, Class: "c", Team: "t", Shape: job.Array, Rank: "normal", Tasks: tasks,
+		Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}, Image: "i", EstimateS: 60,
+	}
+}
+
+// inZone is a job that may run in one zone only.
+func inZone(zone string, s job.Spec) job.Spec {
+	s.Zone = &zone
+	return s
+}
+
+// withShape is a job of another shape; gangs save their progress.
+func withShape(shape string, s job.Spec) job.Spec {
+	s.Shape = shape
+	if shape == job.Gang {
+		s.CheckpointS, s.SaveS = 10, 6
+	}
+	return s
+}
+
+// queryCounts counts the answers to frequent requests, by controller.
+type queryCounts struct {
+	mu       sync.Mutex
+	answered map[string]int
+}
+
+func (c *queryCounts) add(host string, answered bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.answered == nil {
+		c.answered = map[string]int{}
+	}
+	if answered {
+		c.answered[host]++
+	}
+}
+
+func (c *queryCounts) count(host string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.answered[host]
+}
+
+// queryClosely has users ask all controllers about a job every few milliseconds for a while,
+// and submit it again, whatever has just been answered. It returns when all are answered.
+func (b *testbed) queryClosely(spec job.Spec, counts *queryCounts) {
+	const duration = 300 * time.Millisecond
+	var users sync.WaitGroup
+	for _, h := range b.hosts {
+		for _, interval := range []time.Duration{3 * time.Millisecond, 7 * time.Millisecond} {
+			users.Go(func() {
+				for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(interval) {
+					code, _ := b.queryOnce(h, spec.ID)
+					counts.add(h, code == http.StatusOK || code == http.StatusNotFound)
+				}
+			})
+		}
+		users.Go(func() {
+			for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(40 * time.Millisecond) {
+				counts.add(h, b.resubmit(h, spec))
+			}
+		})
+	}
+	users.Wait()
+}
--- a/tools/audit/bill.go
+++ b/tools/audit/bill.go
@@ -12,7 +12,7 @@
 	"robinstack/tools/console"
 )
 
-// Categories of what machine time goes into. Those of a machine add up to its life.
+// Categories of what machine time goes into. Those of a machine add up to its lifetime.
 const (
 	Boot                = "boot"
 	Fetch               = "fetch"    // a task waits for its image
@@ -27,7 +27,7 @@
 	Unresponsive        = "silent"   // no heartbeat until it was given up
 )
 
-// Categories lists them in the order of a machine's life.
+// Categories lists them in the order of a machine's lifetime.
 var Categories = []string{
 	Boot, Fetch, GangWait, Useful, LostWork, Checkpoint, UnusedCapacity,
 	IdleBeforeFirstTask, IdleBetweenTasks, IdleAfterLastTask, Unresponsive,
--- a/tools/audit/machinetime.go
+++ b/tools/audit/machinetime.go
@@ -112,19 +112,19 @@
 	return out
 }
 
-// segment is a stretch of a machine's life in which nothing changes; its shares, by
+// segment is a stretch of a machine's lifetime in which nothing changes; its shares, by
 // category, add up to 1.
 type segment struct {
 	from, to time.Time
 	shares   map[string]float64
 }
 
-// segments divides the machine's life wherever something changes.
+// segments divides the machine's lifetime wherever something changes.
 func (m *machine) segments(l *Log) []segment {
-	life := m.lifetime(l)
+	charged := m.lifetime(l)
 	uses := m.uses(l.capacity[m.typeName])
-	firstUse, lastUse := life.end, life.registered
-	cuts := []time.Time{life.start, life.registered, life.end}
+	firstUse, lastUse := charged.end, charged.registered
+	cuts := []time.Time{charged.start, charged.registered, charged.end}
 	for _, u := range uses {
 		cuts = append(cuts, u.from, u.to)
 		if u.from.Before(firstUse) {
@@ -141,11 +141,11 @@
 	var out []segment
 	for k := 1; k < len(cuts); k++ {
 		s := segment{from: cuts[k-1], to: cuts[k], shares: map[string]float64{}}
-		if !s.to.After(s.from) || s.from.Before(life.start) || s.to.After(life.end) {
+		if !s.to.After(s.from) || s.from.Before(charged.start) || s.to.After(charged.end) {
 			continue
 		}
 		if !s.addTasks(uses) {
-			s.shares[m.idleCategory(s.from, life, firstUse, lastUse)] = 1
+			s.shares[m.idleCategory(s.from, charged, firstUse, lastUse)] = 1
 		}
 		out = append(out, s)
 	}
@@ -173,9 +173,9 @@
 }
 
 // idleCategory is what a machine without tasks does at a moment.
-func (m *machine) idleCategory(at time.Time, life lifetime, firstUse, lastUse time.Time) string {
+func (m *machine) idleCategory(at time.Time, charged lifetime, firstUse, lastUse time.Time) string {
 	switch {
-	case at.Before(life.registered):
+	case at.Before(charged.registered):
 		return Boot
 	case !m.unresponsiveSince.IsZero() && !at.Before(m.unresponsiveSince):
 		return Unresponsive
--- a/tools/scaletest/users.go
+++ b/tools/scaletest/users.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// drawJob makes a job of a class, unless too many are open.
+// submitRandomJob makes a job of a class, unless too many are open.
 func (u *users) drawJob(c *JobClass) (spec job.Spec, ok bool) {
 	id, ok := u.nextID(c)
 	if !ok {
