--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -17,6 +17,7 @@
 	"robinstack/internal/config"
 	"robinstack/internal/dag"
 	"robinstack/internal/job"
+	"robinstack/internal/peer"
 	"robinstack/internal/policy"
 	"robinstack/internal/quota"
 	"robinstack/internal/scheduler"
@@ -43,8 +44,22 @@
 	grantsLeft  int    // tasks that the quota of team full still admits
 	stateLimits [2]int // sizes of a value and of a transaction; zero: the usual ones
 	dropsStops  bool   // requests to stop or forget tasks are lost
+
+	commitLoss  commitLoss // what is lost of the next commits
+	lossesLeft  int        // of how many
+	released    int        // grants that were released
+	resolutions int        // requests to resolve commits
 }
 
+// commitLoss is what is lost of a commit on its way.
+type commitLoss int
+
+const (
+	nothingLost commitLoss = iota
+	requestLost
+	answerLost
+)
+
 // testController is one session of a controller.
 type testController struct {
 	host      string
@@ -247,7 +262,7 @@
 	case "Agent.Gather":
 		return controller.service.Gather(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
 	case "Agent.Commit":
-		return controller.service.Commit(args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
+		return cluster.commit(controller, args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
 	case "Agent.Stop":
 		if cluster.dropsStops {
 			return nil // it went to an owner that was about to end
@@ -256,6 +271,9 @@
 	case "Agent.Judge":
 		return controller.service.Judge(args.([]agentapi.Attribution), &struct{}{})
 	case "Agent.Void":
+		cluster.mu.Lock()
+		cluster.resolutions++
+		cluster.mu.Unlock()
 		return controller.service.Void(args.(agentapi.ResolveRequest), reply.(*agentapi.ResolveReply))
 	case "Agent.Watch":
 		return controller.service.Watch(args.(agentapi.WatchRequest), reply.(*agentapi.WatchReply))
@@ -263,11 +281,35 @@
 	return fmt.Errorf("no method %s", method)
 }
 
+// commit carries out a commit, unless it or its answer is to be lost.
+func (cluster *testCluster) commit(
+	controller *testController, request agentapi.CommitRequest, reply *agentapi.CommitReply,
+) error {
+	cluster.mu.Lock()
+	loss := nothingLost
+	if cluster.lossesLeft > 0 {
+		cluster.lossesLeft--
+		loss = cluster.commitLoss
+	}
+	cluster.mu.Unlock()
+	switch loss {
+	case requestLost:
+		return peer.ErrNoAnswer
+	case answerLost:
+		if err := controller.service.Commit(request, &agentapi.CommitReply{}); err != nil {
+			return err
+		}
+		return peer.ErrNoAnswer
+	}
+	return controller.service.Commit(request, reply)
+}
+
 // grantQuota answers as a leader with one quota: team full may have so many tasks on
 // machines.
 func (cluster *testCluster) grantQuota(controller *testController, request quota.Request, reply *quota.Reply) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
+	cluster.released += len(request.Release)
 	for _, want := range request.Wants {
 		granted := want.Team != "full" || cluster.grantsLeft > 0
 		if granted && want.Team == "full" && !request.Probe {
