--- a/internal/scheduler/task_lifecycle_test.go
+++ b/internal/scheduler/task_lifecycle_test.go
@@ -244,3 +244,31 @@
 		}
 	})
 }
+
+// A machine that is about to be taken away has its tasks saved and moved; tasks that cannot
+// save run on for as long as the machine is there.
+func TestSpotNoticeMovesTasksThatSave(t *testing.T) {
+	for name, saves := range map[string]bool{"saves": true, "does not save": false} {
+		t.Run(name, func(t *testing.T) {
+			runScenario(t, func(cluster *testCluster) {
+				controller := cluster.start("host-0")
+				cluster.advance(3 * time.Second)
+				spec := newSpec("wk-1", job.Array, 1, 1)
+				if saves {
+					spec.CheckpointS = 10
+				}
+				cluster.submit(controller, spec)
+				cluster.advance(4 * time.Second)
+				from := 0
+				if cluster.wasStartedOn(1, "wk-1/0") {
+					from = 1
+				}
+				cluster.workers.WithLock(func() { cluster.machines[from].Heartbeat.SpotNoticeS = new(30.0) })
+				cluster.advance(20 * time.Second)
+				if got := cluster.wasStartedOn(1-from, "wk-1/0"); got != saves {
+					t.Errorf("started on the other machine: %v", got)
+				}
+			})
+		})
+	}
+}
