--- a/internal/agentapi/messages.go
+++ b/internal/agentapi/messages.go
@@ -173,6 +173,20 @@
 	Tasks    []TaskEntry
 }
 
+// Reconciled reports whether no command of an earlier owner can arrive any more, so that what
+// the entry does not list is proven gone.
+func (e *MachineEntry) Reconciled() bool { return e.Settled }
+
+// Unresponsive reports whether the machine is silent, or its heartbeats or commands are lost.
+func (e *MachineEntry) Unresponsive() bool { return e.Silent }
+
+// Quarantined reports whether the machine gets no tasks because jobs failed there that run well
+// elsewhere.
+func (e *MachineEntry) Quarantined() bool { return e.Faulty }
+
+// ReclaimNoticed reports whether the cloud has announced that it takes the machine back.
+func (e *MachineEntry) ReclaimNoticed() bool { return e.Notice }
+
 // IdleFor is how long the machine has had no tasks by now, or 0. Entries come
 // only with changes, so the time since then counts too.
 func (e *MachineEntry) IdleFor(now time.Time) time.Duration {
--- a/internal/autoscaler/loss.go
+++ b/internal/autoscaler/loss.go
@@ -58,7 +58,7 @@
 func countUnreconciled(entries []agentapi.MachineEntry) int {
 	count := 0
 	for i := range entries {
-		if entries[i].Silent && !entries[i].Settled {
+		if entries[i].Unresponsive() && !entries[i].Reconciled() {
 			count++
 		}
 	}
@@ -67,7 +67,7 @@
 
 // lossReason says why a machine will not come back, or nothing.
 func (f *Fleet) lossReason(entry *agentapi.MachineEntry, unreconciled int, snapshot *Snapshot) string {
-	if !entry.Silent {
+	if !entry.Unresponsive() {
 		delete(f.unresponsiveSince, entry.Machine)
 		return ""
 	}
@@ -78,9 +78,9 @@
 	switch {
 	case f.list.latest[entry.Machine].Status == statusFailed:
 		return "failed"
-	case entry.Notice:
+	case entry.ReclaimNoticed():
 		return "taken on notice"
-	case !entry.Settled && isIsolatedFailure(unreconciled, snapshot.LedgerMachines, unresponsive):
+	case !entry.Reconciled() && isIsolatedFailure(unreconciled, snapshot.LedgerMachines, unresponsive):
 		return "does not answer its new owner"
 	case f.isDelisted(entry.Machine, unresponsive, snapshot.Now):
 		return "no longer listed"
--- a/internal/autoscaler/stock.go
+++ b/internal/autoscaler/stock.go
@@ -54,10 +54,10 @@
 // add takes in a machine that is neither deleted nor lost.
 func (s *Stock) add(entry *agentapi.MachineEntry, snapshot *Snapshot) {
 	t, ok := snapshot.Types[entry.Type]
-	if !ok || entry.Silent || entry.Notice {
+	if !ok || entry.Unresponsive() || entry.ReclaimNoticed() {
 		return
 	}
-	if entry.Faulty || entry.Draining {
+	if entry.Quarantined() || entry.Draining {
 		if len(entry.Tasks) == 0 {
 			s.emptied = append(s.emptied, entry.Machine)
 		}
--- a/internal/changefeed/feed.go
+++ b/internal/changefeed/feed.go
@@ -251,7 +251,7 @@
 			"the entry by %s is of revision %d, ownership by %s of %d", e.Host, e.Rev, holder.Host, rev)
 	case a.incarnation != holder.Incarnation:
 		return 0, "its owner " + holder.Host + " has begun a new session"
-	case !e.Settled:
+	case !e.Reconciled():
 		return 0, "it has not answered its owner " + holder.Host
 	}
 	return a.rev, "its owner " + holder.Host + " has not caught up"
--- a/internal/clusteragent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -114,7 +114,7 @@
 func (a *Agent) anyUnreconciled(machines []statekv.KV) bool {
 	return a.LastEntry != nil && slices.ContainsFunc(machines, func(kv statekv.KV) bool {
 		e := a.LastEntry(machineName(kv))
-		return !e.Settled || e.Silent
+		return !e.Reconciled() || e.Unresponsive()
 	})
 }
 
--- a/internal/gateway/machine_status.go
+++ b/internal/gateway/machine_status.go
@@ -116,13 +116,13 @@
 // machineState says in one word how a machine is, as the status page has it.
 func machineState(entry *agentapi.MachineEntry) string {
 	switch {
-	case !entry.Settled:
+	case !entry.Reconciled():
 		return "changing owner"
-	case entry.Silent:
+	case entry.Unresponsive():
 		return "silent"
-	case entry.Notice:
+	case entry.ReclaimNoticed():
 		return "being taken by the cloud"
-	case entry.Faulty:
+	case entry.Quarantined():
 		return "faulty"
 	case entry.Draining:
 		return "being returned"
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -135,7 +135,7 @@
 func (l *Ledger) tasksOf(entry *agentapi.MachineEntry) map[agentapi.TaskRef]allocation {
 	former := l.held[entry.Machine]
 	held := map[agentapi.TaskRef]allocation{}
-	if !entry.Settled {
+	if !entry.Reconciled() {
 		// An earlier owner's starts may not have shown up yet.
 		maps.Copy(held, former)
 	}
--- a/internal/scheduler/machine_entries.go
+++ b/internal/scheduler/machine_entries.go
@@ -85,7 +85,7 @@
 		s.forget(item)
 		return
 	}
-	if entry.Notice && !j.isFinished() && (j.spec.CanCheckpoint() || j.spec.Shape == job.Service) {
+	if entry.ReclaimNoticed() && !j.isFinished() && (j.spec.CanCheckpoint() || j.spec.Shape == job.Service) {
 		// The machine is being taken away: save and move on.
 		s.stopTaskOrGang(j, listed.Index, j.spec.CheckpointDuration()+saveMargin)
 	}
--- a/internal/scheduler/task_state.go
+++ b/internal/scheduler/task_state.go
@@ -92,5 +92,5 @@
 	if entry.Gone && entry.Rev >= t.ownerRev {
 		return true
 	}
-	return entry.Settled && (laterOwner || sameOwnerLater)
+	return entry.Reconciled() && (laterOwner || sameOwnerLater)
 }
