--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -227,7 +227,7 @@
 	s.collector = &tombstone.GarbageCollector{
 		Store:       c.store,
 		Mirror:      s.mirror,
-		Member:      s.state,
+		Session:     s.state,
 		LeaderEpoch: s.leader.Epoch,
 		TxnOps:      limits.MaxTxnOps,
 		Interval:    garbageCollectionInterval,
@@ -275,7 +275,6 @@
 		Mirror:            s.mirror,
 		Agent:             s.agent,
 		Scheduler:         s.scheduler,
-		Leader:            s.leader,
 		Feed:              s.feed,
 		VersionGate:       s.versionGate,
 		ClusterVersion:    rollout.NewVersionReader(s.mirror),
