--- a/emulator/faultystateclient.go
+++ b/emulator/faultystateclient.go
@@ -68,12 +68,18 @@
 	c.latency, c.delayedShare = latency, delayedShare
 }
 
-// SetTxnDelay sets how late those transactions are from now on, and whether the requests to
-// end a lease are lost with them.
-func (c *FaultyStateClient) SetTxnDelay(d time.Duration, dropRevokes bool) {
+// SetTxnDelay sets how late those transactions are from now on.
+func (c *FaultyStateClient) SetTxnDelay(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.txnDelay, c.dropRevokes = d, dropRevokes
+	c.txnDelay = d
+}
+
+// SetDropRevokes has the requests to end a lease answered and not carried out.
+func (c *FaultyStateClient) SetDropRevokes(on bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.dropRevokes = on
 }
 
 // SetLoseAnswersOnly has transactions that would be delayed carried out at once, so that
--- a/test/integration/delayed_writes_test.go
+++ b/test/integration/delayed_writes_test.go
@@ -81,7 +81,7 @@
 // and nothing waits for it.
 func TestDelayedClaimOfReturnedMachine(t *testing.T) {
 	runScenarioWithBootTime(t, 64, 1, func(b *testbed) {
-		b.setTxnDelay(25*time.Second, false)
+		b.setTxnDelay(25 * time.Second)
 		s := arrayJob(b.nextJobID(), 2)
 		go b.submit("", s, 5*time.Second)
 		name := ""
@@ -149,7 +149,8 @@
 		b.crash("host-0")
 		time.Sleep(6 * time.Second)
 		b.stateClient("host-0").SetFaults(0, 1)
-		b.stateClient("host-0").SetTxnDelay(3*time.Second, true)
+		b.stateClient("host-0").SetTxnDelay(3 * time.Second)
+		b.stateClient("host-0").SetDropRevokes(true)
 		b.start("host-0")
 		time.Sleep(time.Second)
 		b.stateClient("host-0").SetFaults(0, 0)
@@ -171,7 +172,7 @@
 	runScenario(t, 2, func(b *testbed) {
 		b.waitUntil("types are kept", time.Minute, func() bool { return b.keyRevision(statekv.MachineTypesKey) > 0 })
 		b.setStateFaults(0, 1)
-		b.setTxnDelay(30*time.Second, false)
+		b.setTxnDelay(30 * time.Second)
 		if _, err := b.state.Txn(b.ctx, nil, []statekv.Op{{Delete: statekv.MachineTypesKey}}); err != nil {
 			b.t.Fatal(err)
 		}
@@ -194,7 +195,7 @@
 	runScenario(t, 3, func(b *testbed) {
 		first := b.roleHolder(statekv.LeaderKey)
 		b.setStateFaults(0, 1)
-		b.setTxnDelay(3*time.Second, false)
+		b.setTxnDelay(3 * time.Second)
 		b.crash(first)
 		b.waitUntil("another has the role", 20*time.Second, func() bool {
 			h := b.roleHolder(statekv.LeaderKey)
@@ -226,7 +227,7 @@
 			{"submit", "POST", "/submissions", job.Queued},
 			{"cancel", "POST", "/submissions/" + s.ID + "/abort", job.Cancelled},
 		} {
-			b.stateClient("host-1").SetTxnDelay(4*time.Second, false)
+			b.stateClient("host-1").SetTxnDelay(4 * time.Second)
 			b.stateClient("host-1").DelayNextTxns(2)
 			if step.verb == "cancel" {
 				b.history.RecordCancelRequest(s.ID)
--- a/test/integration/testbed_test.go
+++ b/test/integration/testbed_test.go
@@ -335,9 +335,9 @@
 }
 
 // setTxnDelay sets how late delayed transactions are, at all controllers.
-func (b *testbed) setTxnDelay(d time.Duration, dropRevokes bool) {
+func (b *testbed) setTxnDelay(d time.Duration) {
 	for _, h := range b.hosts {
-		b.stateClient(h).SetTxnDelay(d, dropRevokes)
+		b.stateClient(h).SetTxnDelay(d)
 	}
 }
 
--- a/test/integration/validation_test.go
+++ b/test/integration/validation_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"net/http"
+	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -9,68 +11,112 @@
 	"robinstack/internal/statekv"
 )
 
+// invalidSubmission is what is wrong with a submission, and how it is refused.
+type invalidSubmission struct {
+	name string
+	code int
+	edit func(fields map[string]any)
+}
+
+// withField is an edit that sets a field.
+func withField(field string, value any) func(fields map[string]any) {
+	return func(fields map[string]any) { fields[field] = value }
+}
+
+// malformedFields lists submissions with a field that is missing or of another kind.
+func malformedFields() (out []invalidSubmission) {
+	required := []string{
+		"id", "job_class", "owner", "shape", "rank", "pieces", "cpus", "gpus", "mem_gb", "bundle", "pull_gb",
+		"one_zone", "spread", "loaners", "guess_s", "snapshot_every_s", "snapshot_s",
+	}
+	for _, field := range required {
+		out = append(out,
+			invalidSubmission{field + " is missing", 400, func(fields map[string]any) { delete(fields, field) }},
+			invalidSubmission{field + " is null", 400, withField(field, nil)},
+			invalidSubmission{field + " is a list", 400, withField(field, []int{1})})
+	}
+	amounts := []string{
+		"pieces", "cpus", "gpus", "mem_gb", "pull_gb", "guess_s", "snapshot_every_s", "snapshot_s", "due_s",
+	}
+	for _, field := range amounts {
+		out = append(out,
+			invalidSubmission{field + " is negative", 400, withField(field, -1)},
+			invalidSubmission{field + " is a word", 400, withField(field, "one")},
+			invalidSubmission{field + " is out of range", 400, withField(field, 1e300)})
+	}
+	for _, field := range []string{"one_zone", "spread", "loaners"} {
+		out = append(out, invalidSubmission{field + " is a number", 400, withField(field, 1)})
+	}
+	return out
+}
+
+// invalidValues are submissions with a value that is none, or with which the job never runs.
+var invalidValues = []invalidSubmission{
+	{"half a task", 400, withField("pieces", 1.5)},
+	{"no task", 400, withField("pieces", 0)},
+	{"too many tasks", 400, withField("pieces", 100_001)},
+	{"an unknown rank", 400, withField("rank", "urgent")},
+	{"an unknown shape", 400, withField("shape", "round")},
+	{"a malformed id", 400, withField("id", "job-1")},
+	{"host_kinds is a word", 400, withField("host_kinds", "box")},
+	{"site is a number", 400, withField("site", 1)},
+	{"waits_on is a word", 400, withField("waits_on", "wk-1")},
+	{"an unknown team", 422, withField("owner", "nobody")},
+	{"an unknown type", 422, withField("host_kinds", []string{"g9"})},
+	{"no type", 422, withField("host_kinds", []string{})},
+	{"an unknown zone", 422, withField("site", "z")},
+	{"too large", 422, withField("gpus", 3)},
+	{"over the quota", 422, func(fields map[string]any) {
+		fields["owner"], fields["shape"], fields["pieces"] = "full", job.Gang, 7
+	}},
+	{"depends on an unknown job", 422, withField("waits_on", []string{"wk-999999"})},
+	{"depends on itself", 422, func(fields map[string]any) { fields["waits_on"] = []any{fields["id"]} }},
+}
+
+// changesID reports whether a submission is of another job, or of none.
+func (c *invalidSubmission) changesID() bool {
+	return strings.HasPrefix(c.name, "id ")
+}
+
+// submitInvalid submits what is invalid at a controller: it must be refused, or put off by
+// the one that restarts, and not be recorded.
+func (b *testbed) submitInvalid(host, restarting string, c invalidSubmission) {
+	s := arrayJob(b.nextJobID(), 1)
+	b.history.RecordInvalidSubmission(s)
+	fields := submissionOf(s)
+	c.edit(fields)
+	code, _ := b.submitOnce(host, s.ID, fields)
+	if code != c.code && code != http.StatusServiceUnavailable {
+		b.t.Errorf("%s at %s: %d", c.name, host, code)
+	}
+	if code == http.StatusServiceUnavailable && host != restarting {
+		b.t.Errorf("%s at %s, which is well, is put off", c.name, host)
+	}
+	if c.code == http.StatusUnprocessableEntity || !c.changesID() {
+		if b.queryOnce("host-0", s.ID); b.keyRevision(job.RecordKey(s.ID)) > 0 {
+			b.t.Errorf("%s was recorded", c.name)
+		}
+	}
+}
+
 // A submission that lacks a field, has one of another kind, or can never run is refused at
 // every controller, also by one that has just begun, and is never recorded.
 func TestInvalidSubmissionsAreNeverAccepted(t *testing.T) {
 	runScenario(t, 44, func(b *testbed) {
-		type invalid struct {
-			what string
-			code int
-			edit func(fields map[string]any)
-		}
-		var all []invalid
-		for _, field := range []string{"id", "job_class", "owner", "shape", "rank", "pieces", "cpus", "gpus", "mem_gb", "bundle", "pull_gb", "one_zone", "spread", "loaners", "guess_s", "snapshot_every_s", "snapshot_s"} {
-			all = append(all, invalid{field + " is missing", 400, func(fields map[string]any) { delete(fields, field) }},
-				invalid{field + " is null", 400, func(fields map[string]any) { fields[field] = nil }},
-				invalid{field + " is a list", 400, func(fields map[string]any) { fields[field] = []int{1} }})
-		}
-		for _, field := range []string{"pieces", "cpus", "gpus", "mem_gb", "pull_gb", "guess_s", "snapshot_every_s", "snapshot_s", "due_s"} {
-			all = append(all, invalid{field + " is negative", 400, func(fields map[string]any) { fields[field] = -1 }}, invalid{field + " is a word", 400, func(fields map[string]any) { fields[field] = "one" }},
-				invalid{field + " is out of range", 400, func(fields map[string]any) { fields[field] = 1e300 }})
-		}
-		for _, field := range []string{"one_zone", "spread", "loaners"} {
-			all = append(all, invalid{field + " is a number", 400, func(fields map[string]any) { fields[field] = 1 }})
-		}
-		set := func(field string, v any) func(fields map[string]any) {
-			return func(fields map[string]any) { fields[field] = v }
-		}
-		all = append(all, invalid{"half a task", 400, set("pieces", 1.5)}, invalid{"no task", 400, set("pieces", 0)}, invalid{"too many tasks", 400, set("pieces", 100_001)},
-			invalid{"a rank that is none", 400, set("rank", "urgent")}, invalid{"a shape that is none", 400, set("shape", "round")}, invalid{"a form of id that is none", 400, set("id", "job-1")},
-			invalid{"host_kinds is a word", 400, set("host_kinds", "box")}, invalid{"site is a number", 400, set("site", 1)}, invalid{"waits_on is a word", 400, set("waits_on", "wk-1")},
-			invalid{"an unknown team", 422, set("owner", "nobody")}, invalid{"an unknown type", 422, set("host_kinds", []string{"g9"})}, invalid{"no type", 422, set("host_kinds", []string{})},
-			invalid{"an unknown zone", 422, set("site", "z")}, invalid{"too large", 422, set("gpus", 3)}, invalid{"over the limit", 422, func(fields map[string]any) { fields["owner"], fields["shape"], fields["pieces"] = "full", job.Gang, 7 }},
-			invalid{"waits for none", 422, set("waits_on", []string{"wk-999999"})}, invalid{"waits for itself", 422, func(fields map[string]any) { fields["waits_on"] = []any{fields["id"]} }})
-		send := func(host string, c invalid) {
-			s := arrayJob(b.nextJobID(), 1)
-			b.history.RecordInvalidSubmission(s)
-			fields := submissionOf(s)
-			c.edit(fields)
-			code, _ := b.submitOnce(host, s.ID, fields)
-			if code != c.code && code != 503 {
-				b.t.Errorf("%s at %s: %d", c.what, host, code)
-			}
-			if code == 503 && host != "host-1" {
-				b.t.Errorf("%s at %s, which is well, is put off", c.what, host)
-			}
-			if c.code == 422 || c.what[:2] != "id" {
-				if b.queryOnce("host-0", s.ID); b.keyRevision(job.RecordKey(s.ID)) > 0 {
-					b.t.Errorf("%s was recorded", c.what)
-				}
-			}
-		}
-		time.Sleep(2 * time.Minute) // jobs that wait for others are accepted
-		for k, c := range all {
+		const restarting = "host-1"
+		time.Sleep(2 * time.Minute) // jobs that depend on others are accepted
+		for k, c := range slices.Concat(malformedFields(), invalidValues) {
 			if k%10 == 0 {
-				b.crash("host-1")
-				b.start("host-1")
+				b.crash(restarting)
+				b.start(restarting)
 			}
 			for _, h := range b.hosts {
-				send(h, c)
+				b.submitInvalid(h, restarting, c)
 			}
 		}
 		s := arrayJob(b.nextJobID(), 1)
 		if !b.submit("", s, time.Second) {
-			b.t.Fatal("one that is well is not accepted")
+			b.t.Fatal("a valid one is not accepted")
 		}
 		time.Sleep(20 * time.Second)
 		b.history.CheckFinalState()
@@ -97,9 +143,9 @@
 		}
 		time.Sleep(10 * time.Second)
 		for _, h := range b.hosts {
-			good, unfit := arrayJob(b.nextJobID(), 1), arrayJob(b.nextJobID(), 1)
-			unfit.GPUs = 100
-			for _, s := range []job.Spec{good, unfit} {
+			valid, tooLarge := arrayJob(b.nextJobID(), 1), arrayJob(b.nextJobID(), 1)
+			tooLarge.GPUs = 100
+			for _, s := range []job.Spec{valid, tooLarge} {
 				b.history.RecordSubmission(s)
 				if code, _ := b.callAsUser(h, http.MethodPost, "/submissions", submissionOf(s), 5*time.Second); code != 503 {
 					b.t.Errorf("%s at %s: %d", s.ID, h, code)
@@ -108,7 +154,7 @@
 					b.t.Errorf("%s was recorded", s.ID)
 				}
 			}
-			fields := submissionOf(good)
+			fields := submissionOf(valid)
 			delete(fields, "cpus")
 			if code, _ := b.callAsUser(h, http.MethodPost, "/submissions", fields, 5*time.Second); code != 400 {
 				b.t.Errorf("one that lacks a field at %s: %d", h, code)
