--- a/test/docs/names_test.go
+++ b/test/docs/names_test.go
@@ -34,11 +34,7 @@
 
 // Every name and path in backticks on the architecture page exists in the sources.
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
-	page, err := os.ReadFile(filepath.Join(moduleRoot, architecturePage))
-	if err != nil {
-		t.Fatal(err)
-	}
-	text, _, found := strings.Cut(string(page), sectionOfFormerNames)
+	text, _, found := strings.Cut(readPage(t, architecturePage), sectionOfFormerNames)
 	if !found {
 		t.Errorf("%s has no section %q", architecturePage, strings.TrimSpace(sectionOfFormerNames))
 	}
@@ -68,6 +64,16 @@
 	}
 }
 
+// readPage returns the text of a page, given as a path in the module.
+func readPage(t *testing.T, page string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(moduleRoot, page))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
 // declared lists what packages of the module declare: "package.Name" for what stands at
 // the top, "package.Type.Name" for methods and fields.
 type declared struct {
