--- a/internal/config/worker_timing.go
+++ b/internal/config/worker_timing.go
@@ -29,8 +29,8 @@
 // that it does not know was written, and acknowledged to its user, after that. A worker's lease
 // counts from the sending of a heartbeat, which comes before its answer, so delivery costs nothing;
 // what is left to allow for is the drift of both clocks, 0.05% each, and the kill itself: together
-// well under leaseGraceMargin. See "The hold time" in docs/design.md. It is never less than what
-// renewals and watches take when all is well; settings under which that would be too long are
+// well under leaseGraceMargin. See "The lease grace period" in docs/design.md. It is never less
+// than what renewals and watches take when all is well; settings under which that would be too long are
 // rejected (Parse).
 func (s *Settings) LeaseGracePeriod() time.Duration {
 	slack := s.Workers.CancellationDeadline - s.Workers.LeaseDuration
