--- a/internal/clusteragent/commit.go
+++ b/internal/clusteragent/commit.go
@@ -26,27 +26,27 @@
 	for i := range reply.Verdicts {
 		reply.Verdicts[i] = agentapi.Refused
 	}
-	starts, ctx := s.agent.reserveAndStart(&r, reply)
+	starts := make([]<-chan string, len(r.Refs)) // nil: the task is not being started
+	ctx := s.agent.reserveAndStart(&r, reply, starts)
 	awaitStarts(ctx, starts, reply.Verdicts)
 	return nil
 }
 
 // reserveAndStart checks a commit and reserves capacity for its tasks, and has them started.
-// It fills in the reply, but for the results of the starts, which come by the channels; nil
-// stands for tasks that are not being started.
+// It fills in the reply, but for the results of the starts, which come by the channels that it
+// sets in starts, and returns the context that bounds the wait for them.
 func (a *Agent) reserveAndStart(
-	r *agentapi.CommitRequest, reply *agentapi.CommitReply,
-) (starts []<-chan string, ctx context.Context) {
+	r *agentapi.CommitRequest, reply *agentapi.CommitReply, starts []<-chan string,
+) context.Context {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m := a.machines[r.Machine]
 	if reply.Why = a.commitConflict(m, r, now); reply.Why != "" {
 		a.counters.Conflicts++
-		return nil, a.ctx
+		return a.ctx
 	}
 	a.counters.Commits++
-	starts = make([]<-chan string, len(r.Refs))
 	sending := false
 	for i, ref := range r.Refs {
 		t, why := a.reserve(m, r, ref, now)
@@ -70,7 +70,7 @@
 	}
 	// From this version on, an entry without the task proves it gone.
 	reply.Ver, reply.Rev = a.changes.version, m.Ownership.Rev
-	return starts, a.ctx
+	return a.ctx
 }
 
 // commitConflict says why nothing of a commit can be carried out, or "". The mutex is held.
@@ -111,7 +111,7 @@
 		return nil, "machine fetches other images"
 	}
 	spec := r.Spec
-	t = machine.NewReserved(ref, r.Slot, &spec, now.Add(-r.Age))
+	t = machine.NewReserved(key, ref, r.Slot, &spec, now.Add(-r.Age))
 	m.AddTask(key, t)
 	return t, ""
 }
--- a/internal/machine/heartbeat.go
+++ b/internal/machine/heartbeat.go
@@ -18,7 +18,8 @@
 	changed = m.applyEpoch(r, now)
 	gang := m.gangPriority()
 	changed = m.applyContact(r, now) || changed
-	listed, shown := m.applyListed(r, now)
+	listed := make(map[AttemptKey]bool, len(r.Tasks)) // made here, so that a small one needs no memory
+	shown := m.applyListed(r, listed, now)
 	gone := m.removeUnlisted(r, listed, now, executed)
 	idle := m.applyOccupancy(gang, now)
 	return changed || shown || gone || idle
@@ -62,9 +63,8 @@
 	return changed
 }
 
-// applyListed brings the tasks that a heartbeat lists up to date.
-func (m *Machine) applyListed(r *worker.Heartbeat, now time.Time) (listed map[AttemptKey]bool, changed bool) {
-	listed = make(map[AttemptKey]bool, len(r.Tasks))
+// applyListed brings the tasks that a heartbeat lists up to date, and adds them to listed.
+func (m *Machine) applyListed(r *worker.Heartbeat, listed map[AttemptKey]bool, now time.Time) (changed bool) {
 	for i := range r.Tasks {
 		w := &r.Tasks[i]
 		key := AttemptKey{w.ID, w.Attempt}
@@ -88,7 +88,7 @@
 		t.start.delivery = startListed
 		m.takeOutcome(t, now)
 	}
-	return listed, changed
+	return changed
 }
 
 // differs reports whether a heartbeat shows something new about the task.
--- a/internal/machine/task.go
+++ b/internal/machine/task.go
@@ -96,10 +96,13 @@
 	lastSent  time.Time
 }
 
-// NewReserved returns a task that has capacity reserved for it.
-func NewReserved(ref agentapi.TaskRef, jobShard string, spec *job.Spec, submitted time.Time) *Task {
+// NewReserved returns a task that has capacity reserved for it. key is that of ref, which the
+// caller has made to look for the attempt.
+func NewReserved(
+	key AttemptKey, ref agentapi.TaskRef, jobShard string, spec *job.Spec, submitted time.Time,
+) *Task {
 	return &Task{
-		Ref: ref, ID: job.TaskID(ref.Job, ref.Index), JobShard: jobShard,
+		Ref: ref, ID: key.TaskID, JobShard: jobShard,
 		Spec: spec, submitted: submitted, state: Reserved,
 	}
 }
--- a/internal/machine/task_test.go
+++ b/internal/machine/task_test.go
@@ -13,7 +13,8 @@
 // however often a heartbeat repeats one.
 func TestTransitionsBookTimeOnThePhaseThatEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
-	task := NewReserved(agentapi.TaskRef{Job: "wk-1"}, "s", &job.Spec{}, now)
+	ref := agentapi.TaskRef{Job: "wk-1"}
+	task := NewReserved(KeyOf(ref), ref, "s", &job.Spec{}, now)
 	steps := []struct {
 		next  TaskState
 		after time.Duration
@@ -52,7 +53,7 @@
 	}
 	beat(1, m.Ownership.Token())
 	ref := agentapi.TaskRef{Job: "wk-1", Attempt: 1}
-	task := NewReserved(ref, "s", &job.Spec{}, now)
+	task := NewReserved(KeyOf(ref), ref, "s", &job.Spec{}, now)
 	m.AddTask(KeyOf(ref), task)
 	result := m.Start(task, now)
 	sent := m.Ownership.Token()
