--- a/test/integration/cancellation_test.go
+++ b/test/integration/cancellation_test.go
@@ -11,6 +11,56 @@
 	"robinstack/internal/statekv"
 )
 
+// jobOfTeam is an array of a team.
+func (b *testbed) jobOfTeam(team string, tasks int) job.Spec {
+	s := arrayJob(b.nextJobID(), tasks)
+	s.Team = team
+	return s
+}
+
+// fillZones has so many machines up in each zone that those which do not answer a new owner
+// are waited for, and not returned as few.
+func (b *testbed) fillZones() (fillers []job.Spec) {
+	b.t.Helper()
+	for _, zone := range zones {
+		s := inZone(zone, arrayJob(b.nextJobID(), 10))
+		if !b.submit("", s, time.Hour) {
+			b.t.Fatal("not accepted")
+		}
+		fillers = append(fillers, s)
+	}
+	b.waitUntil("machines are up", 2*time.Minute, func() bool { return b.tasksOnMachines(fillers) == 30 })
+	return fillers
+}
+
+// useQuotas has both teams with a quota use all of it, and submit more. The first two of the
+// running jobs may be gangs.
+func (b *testbed) useQuotas(withGangs bool) (running []job.Spec) {
+	b.t.Helper()
+	for _, s := range []job.Spec{
+		b.jobOfTeam("full", 2), b.jobOfTeam("small", 2), b.jobOfTeam("full", 2), b.jobOfTeam("full", 2),
+		b.jobOfTeam("small", 2),
+	} {
+		if withGangs && len(running) < 2 {
+			s = withShape(job.Gang, s)
+		}
+		if !b.submit("", s, time.Hour) {
+			b.t.Fatal("not accepted")
+		}
+		running = append(running, s)
+	}
+	b.waitUntil("all run", 2*time.Minute, func() bool { return b.tasksOnMachines(running) == 10 })
+	for _, s := range []job.Spec{
+		b.jobOfTeam("full", 2), b.jobOfTeam("small", 1), b.jobOfTeam("full", 3), b.jobOfTeam("small", 2),
+	} {
+		if !b.submit("", s, 20*time.Second) {
+			b.t.Fatal("not accepted")
+		}
+	}
+	time.Sleep(10 * time.Second)
+	return running
+}
+
 // Every team is at its quota. Jobs are cancelled whose machines are partitioned or hang, and a
 // role fails: the quota that they held is granted when they are proven gone, by nobody
 // sooner, and it is granted then.
@@ -20,87 +70,56 @@
 		"hung":        func(m *emulator.SimulatedMachine, on bool) { m.Hung = on },
 	} {
 		for _, duration := range []time.Duration{28 * time.Second, 45 * time.Second} { // within a lease, and beyond it
-			for _, role := range roles {
-				for k, downtime := range downtimesOf(role) {
-					t.Run(fmt.Sprint(faultName, " for ", duration, ", the ", role, " is back after ", downtime), func(t *testing.T) {
-						t.Parallel()
-						runScenarioWithMachines(t, 61, 5, 40, func(b *testbed) {
-							// Every owner has so many machines that those which do not answer its
-							// successor are waited for, and not returned as few.
-							var fillers []job.Spec
-							for _, zone := range zones {
-								s := inZone(zone, arrayJob(b.nextJobID(), 10))
-								if !b.submit("", s, time.Hour) {
-									b.t.Fatal("not accepted")
-								}
-								fillers = append(fillers, s)
-							}
-							b.waitUntil("machines are up", 2*time.Minute, func() bool { return b.tasksOnMachines(fillers) == 30 })
-							jobOfTeam := func(name string, n int) job.Spec {
-								s := arrayJob(b.nextJobID(), n)
-								s.Team = name
-								return s
-							}
-							var first []job.Spec
-							for _, s := range []job.Spec{jobOfTeam("full", 2), jobOfTeam("small", 2), jobOfTeam("full", 2), jobOfTeam("full", 2), jobOfTeam("small", 2)} {
-								if k%2 == 1 && len(first) < 2 {
-									s = withShape(job.Gang, s)
-								}
-								if !b.submit("", s, time.Hour) {
-									b.t.Fatal("not accepted")
-								}
-								first = append(first, s)
-							}
-							b.waitUntil("all run", 2*time.Minute, func() bool { return b.tasksOnMachines(first) == 10 })
-							for _, s := range []job.Spec{jobOfTeam("full", 2), jobOfTeam("small", 1), jobOfTeam("full", 3), jobOfTeam("small", 2)} {
-								if !b.submit("", s, 20*time.Second) {
-									b.t.Fatal("not accepted")
-								}
-							}
-							time.Sleep(10 * time.Second)
-							cancelled := first[:2]
-							affected := map[string]bool{}
-							b.cloud.ForEachMachine(func(name string, _ *emulator.SimulatedMachine) { affected[name] = true })
-							for name := range affected {
-								b.withMachine(name, func(m *emulator.SimulatedMachine) { set(m, true) })
-							}
-							sessions := b.sessionRevisions()
-							restart := b.stopFor(b.hostsOf(role, first[0].ID), downtime)
-							for _, s := range cancelled {
-								go func() {
-									if !b.cancel("", s.ID) {
-										b.t.Error("the cancellation is not acknowledged")
-									}
-								}()
-							}
-							time.Sleep(duration)
-							for name := range affected {
-								b.withMachine(name, func(m *emulator.SimulatedMachine) { set(m, false) })
-							}
-							for _, s := range cancelled {
-								if downtime < downtimeBeyondLease && b.history.CancelAcknowledgedAt(s.ID).IsZero() {
-									b.t.Errorf("the cancellation of %s was not acknowledged while its machine was unreachable", s.ID)
+			for k, f := range failovers(roles) {
+				t.Run(fmt.Sprint(faultName, " for ", duration, ", ", f), func(t *testing.T) {
+					t.Parallel()
+					runScenarioWithMachines(t, 61, 5, 40, func(b *testbed) {
+						fillers := b.fillZones()
+						running := b.useQuotas(k%2 == 1)
+						cancelled := running[:2]
+						affected := map[string]bool{}
+						b.cloud.ForEachMachine(func(name string, _ *emulator.SimulatedMachine) { affected[name] = true })
+						for name := range affected {
+							b.withMachine(name, func(m *emulator.SimulatedMachine) { set(m, true) })
+						}
+						sessions := b.sessionRevisions()
+						restart := b.fail(f, running[0].ID)
+						for _, s := range cancelled {
+							go func() {
+								if !b.cancel("", s.ID) {
+									b.t.Error("the cancellation is not acknowledged")
 								}
+							}()
+						}
+						time.Sleep(duration)
+						for name := range affected {
+							b.withMachine(name, func(m *emulator.SimulatedMachine) { set(m, false) })
+						}
+						for _, s := range cancelled {
+							if f.downtime < downtimeBeyondLease && b.history.CancelAcknowledgedAt(s.ID).IsZero() {
+								b.t.Errorf("the cancellation of %s was not acknowledged while its machine was unreachable", s.ID)
 							}
-							if b.sessionRevisions() == sessions && downtime != never {
-								b.t.Error("no session changed: this shows nothing")
-							}
-							restart()
-							b.history.RecordFaultsEnded()
-							time.Sleep(4 * time.Minute)
-							if stayed := b.history.TimesToStopAfterCancel(); downtime < downtimeBeyondLease && (len(stayed) == 0 || stayed[len(stayed)-1] < 5*time.Second) {
-								b.t.Errorf("tasks stayed for %v after the acknowledgement: this shows nothing", stayed)
-							}
-							for _, s := range append(fillers, first[2:]...) { // the rest ends
-								b.cancel("", s.ID)
-							}
-							time.Sleep(2 * time.Minute)
-							b.t.Logf("tasks stayed for %v; %d starts after a confirmed cancellation", b.history.TimesToStopAfterCancel(), b.history.StartsAfterCancel())
-							b.history.CheckFinalState()
-							b.checkNoViolations()
-						})
+						}
+						if b.sessionRevisions() == sessions && f.downtime != never {
+							b.t.Error("no session changed: this shows nothing")
+						}
+						restart()
+						b.history.RecordFaultsEnded()
+						time.Sleep(4 * time.Minute)
+						stayed := b.history.TimesToStopAfterCancel()
+						if f.downtime < downtimeBeyondLease && (len(stayed) == 0 || stayed[len(stayed)-1] < 5*time.Second) {
+							b.t.Errorf("tasks stayed for %v after the acknowledgement: this shows nothing", stayed)
+						}
+						for _, s := range append(fillers, running[2:]...) { // the rest ends
+							b.cancel("", s.ID)
+						}
+						time.Sleep(2 * time.Minute)
+						b.t.Logf("tasks stayed for %v; %d starts after an acknowledged cancellation",
+							b.history.TimesToStopAfterCancel(), b.history.StartsAfterCancel())
+						b.history.CheckFinalState()
+						b.checkNoViolations()
 					})
-				}
+				})
 			}
 		}
 	}
@@ -109,63 +128,61 @@
 // Jobs are cancelled in each of the seconds of a failover: by a crash, a planned rollout, a
 // return. Users are answered by the failed one just before, by its successor, or by a third.
 func TestCancellationDuringFailover(t *testing.T) {
-	for _, role := range roles[:3] {
-		for _, downtime := range downtimesOf(role) {
-			t.Run(fmt.Sprint("the ", role, " is back after ", downtime), func(t *testing.T) {
-				t.Parallel()
-				runScenario(t, 62, func(b *testbed) {
-					var jobs []job.Spec
-					for k := range 11 {
-						s := inZone(zones[k%2], arrayJob(b.nextJobID(), 1))
-						if k%4 == 3 {
-							s = withShape(job.Service, s)
-						}
-						if !b.submit("host-0", s, time.Hour) {
-							b.t.Fatal("not accepted")
-						}
-						jobs = append(jobs, s)
-					}
-					b.waitUntil("they run", 3*time.Minute, func() bool { return b.tasksOnMachines(jobs) == len(jobs) })
-					time.Sleep(10 * time.Second)
-					failing := b.hostsOf(role, jobs[0].ID)
-					if len(failing) != 1 || failing[0] == "" {
-						b.t.Fatalf("the %s is %v", role, failing)
-					}
-					began := b.keyRevision(statekv.SessionPrefix + failing[0])
-					if !b.cancelPromptly(failing[0], jobs[0].ID) {
-						b.t.Fatal("not acknowledged by the old one")
+	for _, f := range failovers(roles[:3]) {
+		t.Run(fmt.Sprint(f), func(t *testing.T) {
+			t.Parallel()
+			runScenario(t, 62, func(b *testbed) {
+				var jobs []job.Spec
+				for k := range 11 {
+					s := inZone(zones[k%2], arrayJob(b.nextJobID(), 1))
+					if k%4 == 3 {
+						s = withShape(job.Service, s)
 					}
-					restart := b.stopFor(failing, downtime)
-					var users sync.WaitGroup
-					for k, s := range jobs[1:] { // one each half second
-						users.Go(func() {
-							time.Sleep(time.Duration(k) * 500 * time.Millisecond)
-							b.cancelPromptly(b.hosts[k%3], s.ID)
-						})
+					if !b.submit("host-0", s, time.Hour) {
+						b.t.Fatal("not accepted")
 					}
-					users.Wait()
-					took := time.Since(b.history.CancelAcknowledgedAt(jobs[0].ID))
-					time.Sleep(workers.CancellationDeadline)
-					if now := b.keyRevision(statekv.SessionPrefix + failing[0]); now == began {
-						b.t.Error("its session goes on: this shows nothing")
-					}
-					acknowledged := 0
-					for _, s := range jobs[1:] {
-						if at := b.history.CancelAcknowledgedAt(s.ID); !at.IsZero() && at.Sub(b.history.CancelAcknowledgedAt(jobs[0].ID)) < 8*time.Second {
-							acknowledged++
-						}
-					}
-					if acknowledged < 5 {
-						b.t.Errorf("%d cancellations were acknowledged within 8 s of the end: this shows little", acknowledged)
+					jobs = append(jobs, s)
+				}
+				b.waitUntil("they run", 3*time.Minute, func() bool { return b.tasksOnMachines(jobs) == len(jobs) })
+				time.Sleep(10 * time.Second)
+				failing := b.hostsOf(f.role, jobs[0].ID)
+				if len(failing) != 1 || failing[0] == "" {
+					b.t.Fatalf("the %s is %v", f.role, failing)
+				}
+				began := b.keyRevision(statekv.SessionPrefix + failing[0])
+				if !b.cancelPromptly(failing[0], jobs[0].ID) {
+					b.t.Fatal("not acknowledged by the old one")
+				}
+				restart := b.stopFor(failing, f.downtime)
+				var users sync.WaitGroup
+				for k, s := range jobs[1:] { // one each half second
+					users.Go(func() {
+						time.Sleep(time.Duration(k) * 500 * time.Millisecond)
+						b.cancelPromptly(b.hosts[k%3], s.ID)
+					})
+				}
+				users.Wait()
+				took := time.Since(b.history.CancelAcknowledgedAt(jobs[0].ID))
+				time.Sleep(workers.CancellationDeadline)
+				if now := b.keyRevision(statekv.SessionPrefix + failing[0]); now == began {
+					b.t.Error("its session goes on: this shows nothing")
+				}
+				acknowledged := 0
+				for _, s := range jobs[1:] {
+					if at := b.history.CancelAcknowledgedAt(s.ID); !at.IsZero() && at.Sub(b.history.CancelAcknowledgedAt(jobs[0].ID)) < 8*time.Second {
+						acknowledged++
 					}
-					restart()
-					b.t.Logf("%d acknowledged within 8 s, all in %v; tasks stayed for %v; %d starts after it", acknowledged, took, b.history.TimesToStopAfterCancel(), b.history.StartsAfterCancel())
-					b.history.RecordFaultsEnded()
-					time.Sleep(2 * time.Minute)
-					b.checkNoViolations()
-				})
+				}
+				if acknowledged < 5 {
+					b.t.Errorf("%d cancellations were acknowledged within 8 s of the end: this shows little", acknowledged)
+				}
+				restart()
+				b.t.Logf("%d acknowledged within 8 s, all in %v; tasks stayed for %v; %d starts after it", acknowledged, took, b.history.TimesToStopAfterCancel(), b.history.StartsAfterCancel())
+				b.history.RecordFaultsEnded()
+				time.Sleep(2 * time.Minute)
+				b.checkNoViolations()
 			})
-		}
+		})
 	}
 }
 
--- a/test/integration/delayed_writes_test.go
+++ b/test/integration/delayed_writes_test.go
@@ -16,62 +16,60 @@
 // was written late, or by a controller that is no more.
 func TestFastBootsWithDelayedWrites(t *testing.T) {
 	for _, answersOnly := range []bool{false, true} {
-		for _, role := range roles {
-			for _, downtime := range downtimesOf(role) {
-				t.Run(fmt.Sprint("answers alone are lost: ", answersOnly, ", the ", role, " is back after ", downtime), func(t *testing.T) {
-					t.Parallel()
-					runScenarioWithBootTime(t, 63, 1, func(b *testbed) {
-						b.setLoseAnswersOnly(answersOnly)
-						b.setStateFaults(0, 0.5)
-						var jobs []job.Spec
-						for k := range 5 {
-							s := arrayJob(b.nextJobID(), 3)
-							if k%3 == 2 {
-								s = withShape(job.Gang, s)
-							}
-							jobs = append(jobs, s)
-							go b.submit("", s, 25*time.Second)
+		for _, f := range failovers(roles) {
+			t.Run(fmt.Sprint("answers alone are lost: ", answersOnly, ", ", f), func(t *testing.T) {
+				t.Parallel()
+				runScenarioWithBootTime(t, 63, 1, func(b *testbed) {
+					b.setLoseAnswersOnly(answersOnly)
+					b.setStateFaults(0, 0.5)
+					var jobs []job.Spec
+					for k := range 5 {
+						s := arrayJob(b.nextJobID(), 3)
+						if k%3 == 2 {
+							s = withShape(job.Gang, s)
 						}
-						b.waitUntil("some run", 2*time.Minute, func() bool { return b.tasksOnMachines(jobs) >= 2 })
-						up := 0
-						b.cloud.ForEachMachine(func(string, *emulator.SimulatedMachine) { up++ })
-						running := ""
-						for _, s := range jobs {
-							if running == "" && b.history.TasksOnMachines(s.ID) > 0 {
-								running = s.ID
-							}
+						jobs = append(jobs, s)
+						go b.submit("", s, 25*time.Second)
+					}
+					b.waitUntil("some run", 2*time.Minute, func() bool { return b.tasksOnMachines(jobs) >= 2 })
+					up := 0
+					b.cloud.ForEachMachine(func(string, *emulator.SimulatedMachine) { up++ })
+					running := ""
+					for _, s := range jobs {
+						if running == "" && b.history.TasksOnMachines(s.ID) > 0 {
+							running = s.ID
 						}
-						sessions := b.sessionRevisions()
-						restart := b.stopFor(b.hostsOf(role, running), downtime)
-						for range 3 {
-							go b.submit("", arrayJob(b.nextJobID(), 2), 10*time.Second)
-						}
-						time.Sleep(max(25*time.Second, downtime+15*time.Second)) // those that are back meet it too
-						unanswered := 0
-						for _, h := range b.hosts {
-							unanswered += b.stateClient(h).UnansweredTxns()
-						}
-						if b.t.Logf("%d transactions got no answer", unanswered); unanswered < 5 {
-							b.t.Error("writes hardly lagged: this shows little")
-						}
-						if downtime < downtimeBeyondLease && b.sessionRevisions() == sessions {
-							b.t.Error("no session changed: this shows nothing")
-						}
-						if up == 0 {
-							b.t.Error("no machine was up when the role failed: this shows nothing")
-						}
-						b.setStateFaults(0, 0)
-						more := 0
-						b.cloud.ForEachMachine(func(string, *emulator.SimulatedMachine) { more++ })
-						b.t.Logf("%d machines when it ended, %d later", up, more)
-						restart()
-						b.history.RecordFaultsEnded()
-						time.Sleep(5 * time.Minute)
-						b.history.CheckFinalState()
-						b.checkNoViolations()
-					})
+					}
+					sessions := b.sessionRevisions()
+					restart := b.fail(f, running)
+					for range 3 {
+						go b.submit("", arrayJob(b.nextJobID(), 2), 10*time.Second)
+					}
+					time.Sleep(max(25*time.Second, f.downtime+15*time.Second)) // those that are back meet it too
+					unanswered := 0
+					for _, h := range b.hosts {
+						unanswered += b.stateClient(h).UnansweredTxns()
+					}
+					if b.t.Logf("%d transactions got no answer", unanswered); unanswered < 5 {
+						b.t.Error("writes hardly lagged: this shows little")
+					}
+					if f.downtime < downtimeBeyondLease && b.sessionRevisions() == sessions {
+						b.t.Error("no session changed: this shows nothing")
+					}
+					if up == 0 {
+						b.t.Error("no machine was up when the role failed: this shows nothing")
+					}
+					b.setStateFaults(0, 0)
+					more := 0
+					b.cloud.ForEachMachine(func(string, *emulator.SimulatedMachine) { more++ })
+					b.t.Logf("%d machines when it ended, %d later", up, more)
+					restart()
+					b.history.RecordFaultsEnded()
+					time.Sleep(5 * time.Minute)
+					b.history.CheckFinalState()
+					b.checkNoViolations()
 				})
-			}
+			})
 		}
 	}
 }
--- a/test/integration/lost_answers_test.go
+++ b/test/integration/lost_answers_test.go
@@ -16,44 +16,42 @@
 // their own write for another's, nor another's for their own.
 func TestAppliedTransactionsWithLostAnswers(t *testing.T) {
 	for _, share := range []float64{0.4, 1} {
-		for _, role := range roles {
-			for _, downtime := range downtimesOf(role) {
-				t.Run(fmt.Sprint(share, " of them, the ", role, " is back after ", downtime), func(t *testing.T) {
-					t.Parallel()
-					runScenario(t, 51, func(b *testbed) {
-						long := b.startRunningJob("host-0", "b", job.Array)
-						b.setLoseAnswersOnly(true)
-						b.setStateFaults(0, share)
-						before := b.appliedUnansweredTxns()
-						for k := range 12 {
-							s := arrayJob(b.nextJobID(), 1+k%3)
-							go b.submitStaggered("", s, 5*time.Second, 3*time.Second)
-							if k%3 == 0 {
-								go func() { time.Sleep(3 * time.Second); b.cancel("", s.ID) }()
-							}
+		for _, f := range failovers(roles) {
+			t.Run(fmt.Sprint(share, " of them, ", f), func(t *testing.T) {
+				t.Parallel()
+				runScenario(t, 51, func(b *testbed) {
+					long := b.startRunningJob("host-0", "b", job.Array)
+					b.setLoseAnswersOnly(true)
+					b.setStateFaults(0, share)
+					before := b.appliedUnansweredTxns()
+					for k := range 12 {
+						s := arrayJob(b.nextJobID(), 1+k%3)
+						go b.submitStaggered("", s, 5*time.Second, 3*time.Second)
+						if k%3 == 0 {
+							go func() { time.Sleep(3 * time.Second); b.cancel("", s.ID) }()
 						}
-						time.Sleep(4 * time.Second)
-						restart := b.stopFor(b.hostsOf(role, long.ID), downtime)
-						go b.cancel("host-2", long.ID)
-						time.Sleep(max(20*time.Second, downtime+10*time.Second))
-						for range 2 {
-							go b.submit("", withShape(job.Gang, arrayJob(b.nextJobID(), 2)), 5*time.Second)
-						}
-						time.Sleep(15 * time.Second)
-						b.setStateFaults(0, 0)
-						n := b.appliedUnansweredTxns() - before
-						if b.t.Logf("%d transactions were carried out without an answer", n); n < 10 {
-							b.t.Error("this shows little")
-						}
-						restart()
-						b.history.RecordFaultsEnded()
-						b.cancel("", long.ID) // its user may have given up
-						time.Sleep(5 * time.Minute)
-						b.history.CheckFinalState()
-						b.checkNoViolations()
-					})
+					}
+					time.Sleep(4 * time.Second)
+					restart := b.fail(f, long.ID)
+					go b.cancel("host-2", long.ID)
+					time.Sleep(max(20*time.Second, f.downtime+10*time.Second))
+					for range 2 {
+						go b.submit("", withShape(job.Gang, arrayJob(b.nextJobID(), 2)), 5*time.Second)
+					}
+					time.Sleep(15 * time.Second)
+					b.setStateFaults(0, 0)
+					n := b.appliedUnansweredTxns() - before
+					if b.t.Logf("%d transactions were carried out without an answer", n); n < 10 {
+						b.t.Error("this shows little")
+					}
+					restart()
+					b.history.RecordFaultsEnded()
+					b.cancel("", long.ID) // its user may have given up
+					time.Sleep(5 * time.Minute)
+					b.history.CheckFinalState()
+					b.checkNoViolations()
 				})
-			}
+			})
 		}
 	}
 }
--- a/test/integration/roles_test.go
+++ b/test/integration/roles_test.go
@@ -43,6 +43,30 @@
 	return downtimes
 }
 
+// failover is the failure of a role, and how long those who have it are down.
+type failover struct {
+	role     string
+	downtime time.Duration
+}
+
+func (f failover) String() string { return fmt.Sprint("the ", f.role, " is back after ", f.downtime) }
+
+// failovers lists the failures of roles with all downtimes of each.
+func failovers(roles []string) (out []failover) {
+	for _, role := range roles {
+		for _, downtime := range downtimesOf(role) {
+			out = append(out, failover{role, downtime})
+		}
+	}
+	return out
+}
+
+// fail has the hosts that have the role for a job end, and begin again after the downtime.
+// What it returns brings back those that never would.
+func (b *testbed) fail(f failover, job string) (restart func()) {
+	return b.stopFor(b.hostsOf(f.role, job), f.downtime)
+}
+
 // hostsOf lists the hosts that have a role for a job.
 func (b *testbed) hostsOf(role, id string) []string {
 	switch role {
--- a/test/integration/stale_heartbeats_test.go
+++ b/test/integration/stale_heartbeats_test.go
@@ -22,89 +22,87 @@
 // tasks that have ended since and were forgotten. Nothing is taken for gone, for running or
 // for reconciled on their strength.
 func TestStaleHeartbeatsDuringFailover(t *testing.T) {
-	for _, role := range roles {
-		for _, downtime := range downtimesOf(role) {
-			for _, capture := range []string{sameEpoch, endedEpoch, beforeWork} {
-				t.Run(fmt.Sprint(capture, ", the ", role, " is back after ", downtime), func(t *testing.T) {
-					t.Parallel()
-					runScenario(t, 65, func(b *testbed) {
-						short, long := inZone("a", arrayJob(b.nextJobID(), 2)), inZone("a", arrayJob(b.nextJobID(), 2))
-						b.submit("host-0", short, 15*time.Second)
+	for _, f := range failovers(roles) {
+		for _, capture := range []string{sameEpoch, endedEpoch, beforeWork} {
+			t.Run(fmt.Sprint(capture, ", ", f), func(t *testing.T) {
+				t.Parallel()
+				runScenario(t, 65, func(b *testbed) {
+					short, long := inZone("a", arrayJob(b.nextJobID(), 2)), inZone("a", arrayJob(b.nextJobID(), 2))
+					b.submit("host-0", short, 15*time.Second)
+					b.submit("host-0", long, 3*time.Minute)
+					first := inZone("a", arrayJob(b.nextJobID(), 6))
+					b.submit("host-0", first, 5*time.Second)
+					b.waitUntil("both run", time.Minute, func() bool {
+						return b.history.TasksOnMachines(short.ID) == 2 && b.history.TasksOnMachines(long.ID) == 2
+					})
+					b.waitUntil("the first is over", time.Minute, func() bool {
+						return b.history.TaskCompleted(job.TaskID(first.ID, 5)) && b.history.TasksOnMachines(first.ID) == 0
+					})
+					time.Sleep(4 * time.Second)
+					b.forEachMachine(func(m *emulator.SimulatedMachine) { m.CaptureHeartbeat() })
+					switch capture {
+					case beforeWork:
+						// What has begun since is in no captured heartbeat, and a new owner
+						// gets those before any other.
+						long = inZone("a", arrayJob(b.nextJobID(), 6))
 						b.submit("host-0", long, 3*time.Minute)
-						first := inZone("a", arrayJob(b.nextJobID(), 6))
-						b.submit("host-0", first, 5*time.Second)
-						b.waitUntil("both run", time.Minute, func() bool {
-							return b.history.TasksOnMachines(short.ID) == 2 && b.history.TasksOnMachines(long.ID) == 2
-						})
-						b.waitUntil("the first is over", time.Minute, func() bool {
-							return b.history.TaskCompleted(job.TaskID(first.ID, 5)) && b.history.TasksOnMachines(first.ID) == 0
-						})
+						b.waitUntil("the long one runs too", time.Minute, func() bool { return b.history.TasksOnMachines(long.ID) == 6 })
 						time.Sleep(4 * time.Second)
-						b.forEachMachine(func(m *emulator.SimulatedMachine) { m.CaptureHeartbeat() })
-						switch capture {
-						case beforeWork:
-							// What has begun since is in no captured heartbeat, and a new owner
-							// gets those before any other.
-							long = inZone("a", arrayJob(b.nextJobID(), 6))
-							b.submit("host-0", long, 3*time.Minute)
-							b.waitUntil("the long one runs too", time.Minute, func() bool { return b.history.TasksOnMachines(long.ID) == 6 })
-							time.Sleep(4 * time.Second)
-						case endedEpoch:
-							// Answers come too late for the workers: their leases expire.
-							b.forEachMachine(func(m *emulator.SimulatedMachine) { m.AnswerDelay = 4500 * time.Millisecond })
-							time.Sleep(workers.LeaseDuration + 6*time.Second)
-							b.forEachMachine(func(m *emulator.SimulatedMachine) { m.AnswerDelay = 0 })
-							b.waitUntil("they run again", 3*time.Minute, func() bool { return b.history.TasksOnMachines(short.ID)+b.history.TasksOnMachines(long.ID) > 1 })
-						default:
-							b.waitUntil("the short one has run", 3*time.Minute, func() bool {
-								return b.history.TaskCompleted(job.TaskID(short.ID, 0)) && b.history.TaskCompleted(job.TaskID(short.ID, 1))
-							})
-							time.Sleep(8 * time.Second) // it is forgotten
-						}
-						before, sessions := b.history.TaskStarts(), b.sessionRevisions()
-						if capture == beforeWork {
-							if n := b.capturedHeartbeatsWithout(long.ID); n == 0 {
-								b.t.Fatal("no captured heartbeat was sent before its machine's work began: this shows nothing")
-							}
-							b.forEachMachine(func(m *emulator.SimulatedMachine) { m.HeartbeatsLost, m.CommandsLost = true, true })
-							go func() {
-								time.Sleep(max(0, downtime) + 10*time.Second)
-								b.forEachMachine(func(m *emulator.SimulatedMachine) { m.HeartbeatsLost, m.CommandsLost = false, false })
-							}()
-						} else if n := b.staleCapturedHeartbeats(short.ID, capture == endedEpoch); n == 0 {
-							b.t.Fatal("no captured heartbeat lists a task that is over: this shows nothing")
+					case endedEpoch:
+						// Answers come too late for the workers: their leases expire.
+						b.forEachMachine(func(m *emulator.SimulatedMachine) { m.AnswerDelay = 4500 * time.Millisecond })
+						time.Sleep(workers.LeaseDuration + 6*time.Second)
+						b.forEachMachine(func(m *emulator.SimulatedMachine) { m.AnswerDelay = 0 })
+						b.waitUntil("they run again", 3*time.Minute, func() bool { return b.history.TasksOnMachines(short.ID)+b.history.TasksOnMachines(long.ID) > 1 })
+					default:
+						b.waitUntil("the short one has run", 3*time.Minute, func() bool {
+							return b.history.TaskCompleted(job.TaskID(short.ID, 0)) && b.history.TaskCompleted(job.TaskID(short.ID, 1))
+						})
+						time.Sleep(8 * time.Second) // it is forgotten
+					}
+					before, sessions := b.history.TaskStarts(), b.sessionRevisions()
+					if capture == beforeWork {
+						if n := b.capturedHeartbeatsWithout(long.ID); n == 0 {
+							b.t.Fatal("no captured heartbeat was sent before its machine's work began: this shows nothing")
 						}
-						restart := b.stopFor(b.hostsOf(role, long.ID), downtime)
-						arrived := 0
-						for range 40 { // from the failure on, through the acquisition
+						b.forEachMachine(func(m *emulator.SimulatedMachine) { m.HeartbeatsLost, m.CommandsLost = true, true })
+						go func() {
+							time.Sleep(max(0, f.downtime) + 10*time.Second)
+							b.forEachMachine(func(m *emulator.SimulatedMachine) { m.HeartbeatsLost, m.CommandsLost = false, false })
+						}()
+					} else if n := b.staleCapturedHeartbeats(short.ID, capture == endedEpoch); n == 0 {
+						b.t.Fatal("no captured heartbeat lists a task that is over: this shows nothing")
+					}
+					restart := b.fail(f, long.ID)
+					arrived := 0
+					for range 40 { // from the failure on, through the acquisition
+						arrived += b.sendCapturedHeartbeats()
+						time.Sleep(200 * time.Millisecond)
+					}
+					if f.downtime == downtimeBeyondLease {
+						time.Sleep(f.downtime - 10*time.Second)
+						for range 20 {
 							arrived += b.sendCapturedHeartbeats()
 							time.Sleep(200 * time.Millisecond)
 						}
-						if downtime == downtimeBeyondLease {
-							time.Sleep(downtime - 10*time.Second)
-							for range 20 {
-								arrived += b.sendCapturedHeartbeats()
-								time.Sleep(200 * time.Millisecond)
-							}
-						}
-						if b.sessionRevisions() == sessions && downtime != never {
-							b.t.Error("no session changed: this shows nothing")
-						}
-						if arrived < 50 {
-							b.t.Errorf("%d copies arrived: this shows little", arrived)
-						}
-						restart()
-						b.history.RecordFaultsEnded()
-						time.Sleep(30 * time.Second)
-						if again := b.history.TaskStarts() - before - b.cloud.TasksLostToScaleIn(); again > 0 && downtime != downtimeBeyondLease && capture == sameEpoch {
-							b.t.Errorf("%d tasks were started again", again)
-						}
-						time.Sleep(6 * time.Minute)
-						b.history.CheckFinalState()
-						b.checkNoViolations()
-					})
+					}
+					if b.sessionRevisions() == sessions && f.downtime != never {
+						b.t.Error("no session changed: this shows nothing")
+					}
+					if arrived < 50 {
+						b.t.Errorf("%d copies arrived: this shows little", arrived)
+					}
+					restart()
+					b.history.RecordFaultsEnded()
+					time.Sleep(30 * time.Second)
+					if again := b.history.TaskStarts() - before - b.cloud.TasksLostToScaleIn(); again > 0 && f.downtime != downtimeBeyondLease && capture == sameEpoch {
+						b.t.Errorf("%d tasks were started again", again)
+					}
+					time.Sleep(6 * time.Minute)
+					b.history.CheckFinalState()
+					b.checkNoViolations()
 				})
-			}
+			})
 		}
 	}
 }
