--- a/cmd/robinstack/check.go
+++ b/cmd/robinstack/check.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -24,7 +23,7 @@
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if against != "" {
-				if err := checkCompatibility(cmd.Context(), cmd.OutOrStdout(), against); err != nil || len(args) == 0 {
+				if err := checkCompatibility(cmd, against); err != nil || len(args) == 0 {
 					return err
 				}
 			}
@@ -63,12 +62,12 @@
 
 // checkCompatibility tells whether this build reads what is stored: in a file of answers to
 // GET /keys, or in the state service at an address.
-func checkCompatibility(ctx context.Context, out io.Writer, source string) error {
-	report, err := readStored(ctx, source)
+func checkCompatibility(cmd *cobra.Command, source string) error {
+	report, err := readStored(cmd, source)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	if err := report.Print(out); err != nil {
+	if err := report.Print(cmd.OutOrStdout()); err != nil {
 		return err
 	}
 	if !report.Compatible() {
@@ -77,7 +76,7 @@
 	return nil
 }
 
-func readStored(ctx context.Context, source string) (*rollout.CompatibilityReport, error) {
+func readStored(cmd *cobra.Command, source string) (*rollout.CompatibilityReport, error) {
 	dump, err := os.Open(source)
 	if err == nil {
 		defer func() { _ = dump.Close() }() // it was read only
@@ -87,5 +86,5 @@
 		return nil, err
 	}
 	client := statekv.NewClient(source, checkRequestsPerSecond, checkChangesPerSecond, checkControllers)
-	return rollout.CheckStore(ctx, client)
+	return rollout.CheckStore(cmd.Context(), client)
 }
--- a/cmd/robinstack/main.go
+++ b/cmd/robinstack/main.go
@@ -55,7 +55,11 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runController(cmd.Context(), settingsPath, policyPath)
+			c, err := newController(settingsPath, policyPath)
+			if err != nil {
+				return err
+			}
+			return c.Run(cmd.Context())
 		},
 	}
 	root.Flags().StringVar(&settingsPath, "config", "", "the platform's settings file (JSON)")
@@ -80,25 +84,25 @@
 	gcPercent         = 400
 )
 
-// runController runs one controller until ctx ends.
-func runController(ctx context.Context, settingsPath, policyPath string) error {
+// newController returns a controller that does not run yet, and sets this process up for it.
+func newController(settingsPath, policyPath string) (*controller.Controller, error) {
 	if settingsPath == "" {
-		return fmt.Errorf("%w: --config is missing", errUsage)
+		return nil, fmt.Errorf("%w: --config is missing", errUsage)
 	}
 	settings, err := config.Load(settingsPath)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errUsage, err)
+		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
 	operatorPolicy, err := loadPolicy(policyPath)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	startLog()
 	if settings.MemoryBytes > 0 {
 		debug.SetMemoryLimit(settings.MemoryBytes * memoryLimitTenths / 10)
 		debug.SetGCPercent(gcPercent)
 	}
-	return controller.New(settings, operatorPolicy).Run(ctx)
+	return controller.New(settings, operatorPolicy), nil
 }
 
 // loadPolicy reads the operators' policy file; "" is the default policy.
