--- a/emulator/history.go
+++ b/emulator/history.go
@@ -20,7 +20,7 @@
 	mu            sync.Mutex
 	faultsEndedAt time.Time // since when there are no faults; zero: there may be some
 	jobs          map[string]*jobHistory
-	usage         map[string]job.Need // by team
+	usage         map[string]job.Resources // by team
 	clock         LogicalTime
 	violations    []string
 	trace         []traceEntry
@@ -76,7 +76,7 @@
 		settings:  settings,
 		startTime: time.Now(),
 		jobs:      map[string]*jobHistory{},
-		usage:     map[string]job.Need{},
+		usage:     map[string]job.Resources{},
 	}
 }
 
--- a/emulator/history_rules_test.go
+++ b/emulator/history_rules_test.go
@@ -20,9 +20,9 @@
 }
 
 var (
-	oneTaskJob   = job.Spec{ID: "wk-1", Team: "t", Shape: job.Array, Tasks: 1, Need: job.Need{GPUs: 1}}
+	oneTaskJob   = job.Spec{ID: "wk-1", Team: "t", Shape: job.Array, Tasks: 1, Need: job.Resources{GPUs: 1}}
 	dependentJob = job.Spec{
-		ID: "wk-2", Team: "t", Shape: job.Array, Tasks: 3, Need: job.Need{GPUs: 1}, WaitsOn: []string{"wk-1"},
+		ID: "wk-2", Team: "t", Shape: job.Array, Tasks: 3, Need: job.Resources{GPUs: 1}, WaitsOn: []string{"wk-1"},
 	}
 )
 
--- a/emulator/history_tasks.go
+++ b/emulator/history_tasks.go
@@ -98,7 +98,7 @@
 const quotaSlack = 1e-6
 
 // exceedsQuota reports whether a team's use is beyond its quota; a quota of 0 is none.
-func exceedsQuota(team *config.Team, use job.Need) bool {
+func exceedsQuota(team *config.Team, use job.Resources) bool {
 	return team.GPUQuota > 0 && use.GPUs > team.GPUQuota+quotaSlack ||
 		team.CPUQuota > 0 && use.CPUs > team.CPUQuota+quotaSlack
 }
--- a/emulator/simulatedmachine.go
+++ b/emulator/simulatedmachine.go
@@ -113,7 +113,7 @@
 }
 
 // freeCapacity is what the tasks on the machine leave of it.
-func (m *SimulatedMachine) freeCapacity() job.Need {
+func (m *SimulatedMachine) freeCapacity() job.Resources {
 	free := job.Capacity(m.machineType)
 	for _, task := range m.tasks {
 		if task.State != worker.TaskExited {
--- a/internal/agentapi/messages.go
+++ b/internal/agentapi/messages.go
@@ -201,7 +201,7 @@
 	TaskRef
 	Slot  string // job shard
 	Team  string
-	Need  job.Need
+	Need  job.Resources
 	Known bool   // the job's record has been read
 	State string // as the worker names it, or Starting
 	Cause string // for which it ended
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -68,7 +68,7 @@
 }
 
 // limitToQuotas cuts the demand down to what the teams' quotas let run.
-func limitToQuotas(demands []Demand, settings *config.Settings, usage map[string]job.Need) {
+func limitToQuotas(demands []Demand, settings *config.Settings, usage map[string]job.Resources) {
 	const unlimited = 1e18 // of CPUs, GPUs or GB
 	usage = maps.Clone(usage)
 	for i := range demands {
@@ -78,7 +78,7 @@
 			continue
 		}
 		team := settings.Teams[name]
-		free := job.Need{CPUs: unlimited, GPUs: unlimited, MemoryGB: unlimited}
+		free := job.Resources{CPUs: unlimited, GPUs: unlimited, MemoryGB: unlimited}
 		if team.CPUQuota > 0 {
 			free.CPUs = team.CPUQuota - usage[name].CPUs
 		}
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -119,7 +119,7 @@
 	LedgerMachines int                       // in the quota ledger
 
 	Demand    *DemandReports
-	TeamUsage map[string]job.Need // held and granted
+	TeamUsage map[string]job.Resources // held and granted
 }
 
 // Plan is what to do now, and what there is to say about it.
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -12,9 +12,9 @@
 // offer is a pool with what the packing needs to know of it.
 type offer struct {
 	Pool
-	capacity  job.Need // of one machine
-	price     float64  // per hour
-	available int      // machines that may be requested now
+	capacity  job.Resources // of one machine
+	price     float64       // per hour
+	available int           // machines that may be requested now
 }
 
 // listOffers lists what may be requested, the cheapest machines first. available says how
--- a/internal/autoscaler/packing.go
+++ b/internal/autoscaler/packing.go
@@ -11,7 +11,7 @@
 type bin struct {
 	Pool
 	name  string
-	free  job.Need
+	free  job.Resources
 	empty bool
 	used  bool // the packing put waiting tasks on it
 }
@@ -37,7 +37,7 @@
 // maxGPUBucket is the bucket of all bins with at least so many free GPUs.
 const maxGPUBucket = 64
 
-func gpuBucket(free job.Need) int {
+func gpuBucket(free job.Resources) int {
 	const rounding = 1e-9 // sums of fractions are not exact
 	return max(0, min(maxGPUBucket, int(free.GPUs+rounding)))
 }
--- a/internal/autoscaler/packing_test.go
+++ b/internal/autoscaler/packing_test.go
@@ -13,8 +13,8 @@
 		"small": {Name: "small", CPUs: 24, GPUs: 4, MemoryGB: 96, OnDemandPrice: 13, SpotPrice: 5, Zones: []string{"a"}},
 		"big":   {Name: "big", CPUs: 64, GPUs: 8, MemoryGB: 512, OnDemandPrice: 25, SpotPrice: 10, Zones: []string{"a"}},
 	}
-	d := []Demand{{Spec: job.Spec{Need: job.Need{CPUs: 6, GPUs: 1, MemoryGB: 48}, Spot: true, Rank: "normal"}, Waiting: 10}}
-	bins := []*bin{{Pool: Pool{Type: "small", Zone: "a"}, name: "m1", free: job.Need{CPUs: 24, GPUs: 4, MemoryGB: 96}}}
+	d := []Demand{{Spec: job.Spec{Need: job.Resources{CPUs: 6, GPUs: 1, MemoryGB: 48}, Spot: true, Rank: "normal"}, Waiting: 10}}
+	bins := []*bin{{Pool: Pool{Type: "small", Zone: "a"}, name: "m1", free: job.Resources{CPUs: 24, GPUs: 4, MemoryGB: 96}}}
 	requested, _ := pack(d, bins, turnover{}, listOffers(types, func(Pool) int { return 100 }), 20)
 	if len(requested) != 1 || requested[Pool{"big", "a", true}] != 1 || !bins[0].used {
 		t.Fatalf("two on the machine there, eight on one big spot machine: %v", requested)
@@ -72,8 +72,8 @@
 // it, in the zone where its running tasks hold it, although another has a free machine.
 func TestJobHeldInAZoneScalesOutThere(t *testing.T) {
 	types := map[string]cloud.MachineType{"box": {Name: "box", CPUs: 16, GPUs: 2, MemoryGB: 64, OnDemandPrice: 10, Zones: []string{"a", "b"}}}
-	elsewhere := &bin{Pool: Pool{Type: "box", Zone: "a"}, name: "m1", free: job.Need{CPUs: 16, GPUs: 2, MemoryGB: 64}}
-	spec := job.Spec{Shape: job.Array, OneZone: true, Rank: "normal", Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}
+	elsewhere := &bin{Pool: Pool{Type: "box", Zone: "a"}, name: "m1", free: job.Resources{CPUs: 16, GPUs: 2, MemoryGB: 64}}
+	spec := job.Spec{Shape: job.Array, OneZone: true, Rank: "normal", Need: job.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}}
 	requested, _ := pack([]Demand{{Spec: spec, Waiting: 2, Running: 1, Zone: "b"}}, []*bin{elsewhere}, turnover{}, listOffers(types, func(Pool) int { return 10 }), 10)
 	if want := (Pool{"box", "b", false}); len(requested) != 1 || requested[want] != 1 || elsewhere.used {
 		t.Errorf("requested %v, a machine of the other zone is used: %v", requested, elsewhere.used)
--- a/internal/autoscaler/pool_test.go
+++ b/internal/autoscaler/pool_test.go
@@ -24,7 +24,7 @@
 	}
 	now = now.Add(11 * time.Second)
 	types := map[string]cloud.MachineType{"big": {Name: "big", GPUs: 8, OnDemandPrice: 25, SpotPrice: 10, Zones: []string{"a"}}}
-	d := []Demand{{Spec: job.Spec{Rank: "normal", Need: job.Need{GPUs: 8}, Spot: true}, Waiting: 10}}
+	d := []Demand{{Spec: job.Spec{Rank: "normal", Need: job.Resources{GPUs: 8}, Spot: true}, Waiting: 10}}
 	requested, _ := pack(d, nil, turnover{}, listOffers(types, func(p Pool) int { return limits.available(p, now) }), 100)
 	if requested[p] != probeMachines || requested[Pool{"big", "a", false}] != 10-probeMachines {
 		t.Fatalf("%v", requested)
--- a/internal/autoscaler/turnover.go
+++ b/internal/autoscaler/turnover.go
@@ -59,7 +59,7 @@
 }
 
 // placeSize compares places of different needs.
-func placeSize(need job.Need) float64 {
+func placeSize(need job.Resources) float64 {
 	if need.GPUs > 0 {
 		return need.GPUs
 	}
--- a/internal/clusteragent/backfill.go
+++ b/internal/clusteragent/backfill.go
@@ -47,7 +47,7 @@
 // taskEnd is when a task will have ended, and what it takes until then.
 type taskEnd struct {
 	left float64 // seconds
-	need job.Need
+	need job.Resources
 }
 
 // taskEnds lists the ends of the tasks that run to an end, the earliest first.
--- a/internal/clusteragent/bench_test.go
+++ b/internal/clusteragent/bench_test.go
@@ -39,7 +39,7 @@
 
 func benchRequest(epoch uint64) agentapi.Request {
 	return agentapi.Request{Slot: "s", Epoch: epoch, Tasks: 8, Share: 0.04, Least: 48, Spare: 3,
-		Spec: job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 9, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
+		Spec: job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 9, Need: job.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
 }
 
 // BenchmarkHeartbeat is the taking of a worker's heartbeat by the owner of its machine.
--- a/internal/clusteragent/capacity_index.go
+++ b/internal/clusteragent/capacity_index.go
@@ -68,7 +68,7 @@
 // draw returns, in random order, the machines on which a task of such a need may fit, as far
 // as GPUs decide that. Those that are not owned any more it drops.
 func (r *capacityIndex) draw(
-	need job.Need, types map[string]cloud.MachineType, owned func(*ownedMachine) bool,
+	need job.Resources, types map[string]cloud.MachineType, owned func(*ownedMachine) bool,
 ) []*ownedMachine {
 	r.refresh(types)
 	var pool []*ownedMachine
--- a/internal/clusteragent/capacity_index_test.go
+++ b/internal/clusteragent/capacity_index_test.go
@@ -39,13 +39,13 @@
 					break
 				}
 			default:
-				need := job.Need{GPUs: float64(rapid.IntRange(0, 4).Draw(t, "gpus"))}
+				need := job.Resources{GPUs: float64(rapid.IntRange(0, 4).Draw(t, "gpus"))}
 				key := machine.AttemptKey{TaskID: "known", Attempt: uint64(n)}
 				m.AddTask(key, &machine.Task{Spec: &job.Spec{Need: need}})
 			}
 			want := rapid.IntRange(0, 8).Draw(t, "wanted")
 			seen := map[string]bool{}
-			for _, m := range a.capacity.draw(job.Need{GPUs: float64(want)}, types, a.owns) {
+			for _, m := range a.capacity.draw(job.Resources{GPUs: float64(want)}, types, a.owns) {
 				seen[m.Name] = true
 			}
 			for name, m := range a.machines {
--- a/internal/clusteragent/commit_test.go
+++ b/internal/clusteragent/commit_test.go
@@ -142,7 +142,7 @@
 		n, w, epoch := bed.startOwner()
 		gang := func(attempt uint64) string {
 			req := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []agentapi.TaskRef{{Job: "wk-2", Attempt: attempt}}}
-			req.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 1, GPUs: 2, MemoryGB: 1}}
+			req.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Resources{CPUs: 1, GPUs: 2, MemoryGB: 1}}
 			req.Slot, req.Epoch = "s", epoch
 			var reply agentapi.CommitReply
 			if err := n.service.Commit(req, &reply); err != nil {
--- a/internal/clusteragent/fair_share_test.go
+++ b/internal/clusteragent/fair_share_test.go
@@ -23,7 +23,7 @@
 		epoch := n.takeJobShard("s", 0)
 		request := func(class, shape, rank string, gpus float64, tasks int) agentapi.Request {
 			r := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: tasks, Least: 9, Spare: 5, Parts: true}
-			r.Spec = job.Spec{ID: "wk-9", Class: class, Team: "t", Shape: shape, Rank: rank, Tasks: tasks, Need: job.Need{CPUs: 1, GPUs: gpus, MemoryGB: 1}, CheckpointS: 10, SaveS: 6}
+			r.Spec = job.Spec{ID: "wk-9", Class: class, Team: "t", Shape: shape, Rank: rank, Tasks: tasks, Need: job.Resources{CPUs: 1, GPUs: gpus, MemoryGB: 1}, CheckpointS: 10, SaveS: 6}
 			return r
 		}
 		var boxes []*emulator.Worker
--- a/internal/clusteragent/job_lookup_test.go
+++ b/internal/clusteragent/job_lookup_test.go
@@ -14,7 +14,7 @@
 // listed and left, and its task goes on.
 func TestUnreadableRecordDoesNotBlockOtherRecords(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
-		good := job.Record{JobShard: "s", Spec: job.Spec{ID: "wk-2", Team: "t", Shape: job.Array, Rank: "normal", Tasks: 1, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
+		good := job.Record{JobShard: "s", Spec: job.Spec{ID: "wk-2", Team: "t", Shape: job.Array, Rank: "normal", Tasks: 1, Need: job.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
 		for key, v := range map[string]any{job.RecordKey("wk-1"): "mangled", job.RecordKey("wk-2"): good} {
 			if _, err := bed.state.Txn(bed.ctx, nil, []statekv.Op{{Set: key, Value: v}}); err != nil {
 				t.Fatal(err)
--- a/internal/clusteragent/preempt.go
+++ b/internal/clusteragent/preempt.go
@@ -52,8 +52,8 @@
 // victimOptions lists the tasks that may be stopped for the request, the cheapest first, and
 // returns what is free with those gone that are being stopped.
 func (a *Agent) victimOptions(
-	m *ownedMachine, r *agentapi.Request, free job.Need, now time.Time,
-) (options []*machine.Task, freeSoon job.Need) {
+	m *ownedMachine, r *agentapi.Request, free job.Resources, now time.Time,
+) (options []*machine.Task, freeSoon job.Resources) {
 	costs := map[*machine.Task]float64{}
 	for _, t := range m.Tasks() {
 		switch {
@@ -73,7 +73,9 @@
 
 // pickVictims picks as many of the options, in their order, as the spec needs to fit, and
 // returns what is free without them.
-func pickVictims(options []*machine.Task, spec *job.Spec, free job.Need) (stop []*machine.Task, left job.Need) {
+func pickVictims(
+	options []*machine.Task, spec *job.Spec, free job.Resources,
+) (stop []*machine.Task, left job.Resources) {
 	n := 0
 	for ; n < len(options) && !spec.FitsIn(free); n++ {
 		free = free.AddScaled(options[n].Spec.Need, 1)
--- a/internal/clusteragent/preempt_test.go
+++ b/internal/clusteragent/preempt_test.go
@@ -23,7 +23,7 @@
 			time.Sleep(time.Second)
 			req := agentapi.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev}
 			req.Slot, req.Epoch, req.Age = "s", epoch, age
-			req.Spec = job.Spec{ID: id, Shape: job.Array, Rank: "normal", Tasks: tasks, Need: job.Need{CPUs: 4, GPUs: 1, MemoryGB: 1}, EstimateS: 60, DeadlineS: &due, CheckpointS: 10, SaveS: 6}
+			req.Spec = job.Spec{ID: id, Shape: job.Array, Rank: "normal", Tasks: tasks, Need: job.Resources{CPUs: 4, GPUs: 1, MemoryGB: 1}, EstimateS: 60, DeadlineS: &due, CheckpointS: 10, SaveS: 6}
 			for _, i := range indices {
 				req.Refs = append(req.Refs, agentapi.TaskRef{Job: id, Index: i, Attempt: uint64(i + 1)})
 			}
@@ -38,7 +38,7 @@
 		put("risk", "wk-5", 8, -60*time.Second, 0, 1)   // 100 s to spare: it may wait for longer
 		put("early", "wk-3", 8, -150*time.Second, 0, 1) // time enough to run again
 		gang := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: 5, Least: 9, Spare: 5}
-		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 5, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
+		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 5, Need: job.Resources{CPUs: 8, GPUs: 2, MemoryGB: 9}}
 		var found agentapi.SampleReply
 		if err := n.service.Clearable(gang, &found); err != nil || len(found.Candidates) != 5 {
 			t.Fatal(found, err)
@@ -67,7 +67,7 @@
 		n.commit("m1", "s", epoch, 0, 1)
 		gang := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
 		gang.Slot, gang.Epoch = "s", epoch
-		gang.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "normal", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
+		gang.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "normal", Tasks: 1, Need: job.Resources{CPUs: 8, GPUs: 2, MemoryGB: 9}}
 		var reply agentapi.CommitReply
 		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != agentapi.Refused {
 			t.Fatalf("equal priority: %+v %v", reply, err)
@@ -96,7 +96,7 @@
 func TestPreemptionSparesTasksThatNeedNotStop(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n, w, epoch := bed.startOwner()
-		for k, need := range []job.Need{{CPUs: 6, GPUs: 1}, {CPUs: 0.5}} {
+		for k, need := range []job.Resources{{CPUs: 6, GPUs: 1}, {CPUs: 0.5}} {
 			req := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Index: k, Attempt: uint64(k + 1)}}}
 			req.Spec = job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 2, Need: need}
 			req.Slot, req.Epoch = "s", epoch
@@ -109,7 +109,7 @@
 		}
 		gang := agentapi.CommitRequest{Machine: "m1", Rev: n.entries()["m1"].Rev}
 		gang.Slot, gang.Epoch = "s", epoch
-		gang.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 7, GPUs: 2}}
+		gang.Spec = job.Spec{ID: "wk-2", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Resources{CPUs: 7, GPUs: 2}}
 		var reply agentapi.CommitReply
 		if err := n.service.Clear(gang, &reply); err != nil || reply.Verdicts[0] != agentapi.Held {
 			t.Fatalf("%+v %v", reply, err)
--- a/internal/clusteragent/registration_test.go
+++ b/internal/clusteragent/registration_test.go
@@ -67,7 +67,7 @@
 			}
 		}
 		gang := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: 1, Least: 9, Spare: 5}
-		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{CPUs: 8, GPUs: 2, MemoryGB: 9}}
+		gang.Spec = job.Spec{ID: "wk-9", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Resources{CPUs: 8, GPUs: 2, MemoryGB: 9}}
 		preemptible := func() int {
 			n.sendHeartbeat(w)
 			var found agentapi.SampleReply
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -44,14 +44,14 @@
 )
 
 // countFits counts how many of the tasks fit on m, and returns what is free there.
-func (a *Agent) countFits(m *ownedMachine, need job.Need) (int, job.Need) {
+func (a *Agent) countFits(m *ownedMachine, need job.Resources) (int, job.Resources) {
 	t, ok := a.types()[m.Type]
 	if !ok {
-		return 0, job.Need{}
+		return 0, job.Resources{}
 	}
 	free, known := m.FreeCapacity(job.Capacity(t))
 	if !known {
-		return 0, job.Need{}
+		return 0, job.Resources{}
 	}
 	return need.CountIn(free), free
 }
@@ -180,7 +180,7 @@
 // expensive machines idle, so that they are returned, and ordinary ones to jobs that
 // may not use spot machines.
 func score(
-	types map[string]cloud.MachineType, m *machine.Machine, spec *job.Spec, free job.Need, image float64,
+	types map[string]cloud.MachineType, m *machine.Machine, spec *job.Spec, free job.Resources, image float64,
 ) float64 {
 	capacity, left := job.Capacity(types[m.Type]), free.AddScaled(spec.Need, -1)
 	full := 0.0
--- a/internal/clusteragent/testbed_test.go
+++ b/internal/clusteragent/testbed_test.go
@@ -141,7 +141,7 @@
 func (n *node) commit(machine, jobShard string, epoch uint64, index int, attempt uint64) string {
 	n.bed.t.Helper()
 	req := agentapi.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Index: index, Attempt: attempt}}}
-	req.Spec = job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 9, Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}}
+	req.Spec = job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 9, Need: job.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}}
 	req.Slot, req.Epoch = jobShard, epoch
 	var reply agentapi.CommitReply
 	if err := n.service.Commit(req, &reply); err != nil {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -151,8 +151,8 @@
 }
 
 // heldByTeam sums up what the tasks of each team take of their machines.
-func heldByTeam(entries []agentapi.MachineEntry) map[string]job.Need {
-	held := map[string]job.Need{}
+func heldByTeam(entries []agentapi.MachineEntry) map[string]job.Resources {
+	held := map[string]job.Resources{}
 	for i := range entries {
 		for _, task := range entries[i].Tasks {
 			if task.State != worker.TaskExited {
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -29,7 +29,7 @@
 			entry.Tasks = []agentapi.TaskEntry{
 				{
 					TaskRef: agentapi.TaskRef{Job: "wk-1", Index: i},
-					Need:    job.Need{GPUs: 3},
+					Need:    job.Resources{GPUs: 3},
 					State:   worker.TaskRunning,
 				},
 				{State: worker.TaskExited},
--- a/internal/job/resources.go
+++ b/internal/job/resources.go
@@ -14,7 +14,7 @@
 }
 
 // Need is another name of Resources. Spec embeds it under this name, which gob sends as
-// the field's name. Nothing else should use it.
+// the field's name; nothing else uses it.
 type Need = Resources
 
 // roundingSlack is how far amounts may be beyond what holds them: sums of fractions are
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -24,7 +24,7 @@
 	request := quota.Request{Slot: "s", Epoch: 1, Probe: true}
 	for k := range tasks {
 		ref := agentapi.TaskRef{Job: "wk-1", Index: k, Attempt: 1}
-		request.Wants = append(request.Wants, quota.GrantRequest{Ref: ref, Team: "t", Need: job.Need{GPUs: 1}})
+		request.Wants = append(request.Wants, quota.GrantRequest{Ref: ref, Team: "t", Need: job.Resources{GPUs: 1}})
 	}
 	service := NewService(l)
 	b.ReportAllocs()
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -85,7 +85,7 @@
 
 // TeamUsage is what each team holds or is granted, for the status page, and whether this
 // controller is leader, without which that is out of date.
-func (l *Leader) TeamUsage() (usage map[string]job.Need, isLeader bool) {
+func (l *Leader) TeamUsage() (usage map[string]job.Resources, isLeader bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.ledger.Usage()), l.epoch != 0
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -55,7 +55,7 @@
 func grant(t *testing.T, l *Leader, index, gpus int, release ...agentapi.TaskRef) bool {
 	t.Helper()
 	var reply quota.Reply
-	request := quota.GrantRequest{Ref: agentapi.TaskRef{Job: "wk-1", Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
+	request := quota.GrantRequest{Ref: agentapi.TaskRef{Job: "wk-1", Index: index, Attempt: 1}, Team: "t", Need: job.Resources{GPUs: float64(gpus)}}
 	if err := NewService(l).Permit(quota.Request{Slot: "s", Epoch: 1, Wants: []quota.GrantRequest{request}, Release: release}, &reply); err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newLeader(t, t.Context())
 		l.reconciled = true
-		task := agentapi.TaskEntry{TaskRef: agentapi.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Need{GPUs: 8}, Known: true, State: worker.TaskRunning}
+		task := agentapi.TaskEntry{TaskRef: agentapi.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Resources{GPUs: 8}, Known: true, State: worker.TaskRunning}
 		l.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: true, Tasks: []agentapi.TaskEntry{task}}})
 		l.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: false}})
 		if grant(t, l, 0, 3) {
--- a/internal/leader/ledger.go
+++ b/internal/leader/ledger.go
@@ -71,8 +71,8 @@
 // unattributed is what may be on machines without anyone knowing: of a machine that has
 // not shown all that earlier leaders granted, or has a task of an unknown team, that is as
 // much as it can hold, and it may be any team's. The caller holds the mutex.
-func (l *Leader) unattributed() job.Need {
-	var sum job.Need
+func (l *Leader) unattributed() job.Resources {
+	var sum job.Resources
 	if l.reconciled && l.ledger.FullyAttributed() {
 		return sum
 	}
--- a/internal/leader/reservation_test.go
+++ b/internal/leader/reservation_test.go
@@ -22,14 +22,14 @@
 		grant := func(id string, index, gpus int, release ...agentapi.TaskRef) bool {
 			t.Helper()
 			var reply quota.Reply
-			request := quota.GrantRequest{Ref: agentapi.TaskRef{Job: id, Index: index, Attempt: 1}, Team: "t", Need: job.Need{GPUs: float64(gpus)}}
+			request := quota.GrantRequest{Ref: agentapi.TaskRef{Job: id, Index: index, Attempt: 1}, Team: "t", Need: job.Resources{GPUs: float64(gpus)}}
 			if err := NewService(l).Permit(quota.Request{Slot: "s", Epoch: 1, Wants: []quota.GrantRequest{request}, Release: release}, &reply); err != nil {
 				t.Fatal(err)
 			}
 			return reply.Granted[0]
 		}
 		reservation := func(id string, since int64) quota.Reservation {
-			return quota.Reservation{Job: id, Team: "t", Need: job.Need{GPUs: 8}, Since: since}
+			return quota.Reservation{Job: id, Team: "t", Need: job.Resources{GPUs: 8}, Since: since}
 		}
 		reserve := func(id string, since int64) bool {
 			t.Helper()
--- a/internal/leader/scaling_test.go
+++ b/internal/leader/scaling_test.go
@@ -15,7 +15,7 @@
 		l, _ := newLeader(t, t.Context())
 		l.reconciled = true
 		l.policy.WarmTasksPerGangClass = 1
-		spec := job.Spec{ID: "wk-1", Class: "train", Team: "t", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Need{GPUs: 8}}
+		spec := job.Spec{ID: "wk-1", Class: "train", Team: "t", Shape: job.Gang, Rank: "high", Tasks: 1, Need: job.Resources{GPUs: 8}}
 		demand := func(jobs ...autoscaler.Demand) int {
 			if err := NewService(l).Demand(autoscaler.DemandRequest{Host: "host-0", Jobs: jobs}, &struct{}{}); err != nil {
 				t.Fatal(err)
--- a/internal/machine/usage.go
+++ b/internal/machine/usage.go
@@ -6,9 +6,9 @@
 // machines, of which few have changed.
 type usage struct {
 	valid    bool
-	need     job.Need // in all
-	known    bool     // whether all tasks' needs are
-	occupied bool     // whether there are any tasks
+	need     job.Resources // in all
+	known    bool          // whether all tasks' needs are
+	occupied bool          // whether there are any tasks
 }
 
 // usageChanged has what is free worked out anew.
@@ -40,7 +40,7 @@
 }
 
 // FreeCapacity is what is free of a capacity; known is false while a task's needs are unknown.
-func (m *Machine) FreeCapacity(capacity job.Need) (free job.Need, known bool) {
+func (m *Machine) FreeCapacity(capacity job.Resources) (free job.Resources, known bool) {
 	u := m.currentUsage()
 	return capacity.AddScaled(u.need, -1), u.known
 }
--- a/internal/quota/decide.go
+++ b/internal/quota/decide.go
@@ -10,8 +10,8 @@
 // Snapshot is what a decision about grants goes by.
 type Snapshot struct {
 	Teams        map[string]config.Team
-	Usage        map[string]job.Need // held and granted, by team
-	Unattributed job.Need            // held by nobody knows which team: it may be any
+	Usage        map[string]job.Resources // held and granted, by team
+	Unattributed job.Resources            // held by nobody knows which team: it may be any
 	Reservations *Reservations
 	Now          time.Time
 }
@@ -20,7 +20,7 @@
 // capacity for. It changes nothing; earlier requests go first.
 func Decide(requests []GrantRequest, snapshot *Snapshot) []bool {
 	granted := make([]bool, len(requests))
-	added := map[string]job.Need{}
+	added := map[string]job.Resources{}
 	for i, request := range requests {
 		total := added[request.Team].AddScaled(request.Need, 1)
 		kept := snapshot.Reservations.keptFrom(request, snapshot.Now)
@@ -37,12 +37,12 @@
 // all that its job needs.
 func CanStart(reservation *Reservation, snapshot *Snapshot) bool {
 	return snapshot.Reservations.holder(reservation.Team) == reservation.Job &&
-		snapshot.allows(reservation.Team, reservation.Need, job.Need{})
+		snapshot.allows(reservation.Team, reservation.Need, job.Resources{})
 }
 
 // allows reports whether a team's quota admits an addition beside what is kept for another
 // of its jobs, also if all that is unattributed is the team's.
-func (s *Snapshot) allows(team string, addition, kept job.Need) bool {
+func (s *Snapshot) allows(team string, addition, kept job.Resources) bool {
 	total := s.Usage[team].AddScaled(addition, 1).AddScaled(s.Unattributed, 1).AddScaled(kept, 1)
 	limits := s.Teams[team]
 	if limits.CPUQuota > 0 && total.CPUs > limits.CPUQuota {
--- a/internal/quota/decide_test.go
+++ b/internal/quota/decide_test.go
@@ -15,7 +15,7 @@
 			"gpus": {Name: "gpus", GPUQuota: 10},
 			"cpus": {Name: "cpus", CPUQuota: 16},
 		},
-		Usage:        map[string]job.Need{"gpus": gpus(6)},
+		Usage:        map[string]job.Resources{"gpus": gpus(6)},
 		Reservations: NewReservations(),
 		Now:          now,
 	}
@@ -29,8 +29,8 @@
 		grantRequest("wk-1", "gpus", gpus(3)),
 		grantRequest("wk-2", "gpus", gpus(2)),
 		grantRequest("wk-3", "gpus", gpus(1)),
-		grantRequest("wk-4", "cpus", job.Need{CPUs: 17}),
-		grantRequest("wk-5", "cpus", job.Need{CPUs: 16, GPUs: 100}),
+		grantRequest("wk-4", "cpus", job.Resources{CPUs: 17}),
+		grantRequest("wk-5", "cpus", job.Resources{CPUs: 16, GPUs: 100}),
 		grantRequest("wk-6", "unlimited", gpus(1000)),
 	}, snapshot)
 	if want := []bool{true, false, true, false, true, true}; !slices.Equal(granted, want) {
@@ -44,11 +44,11 @@
 // What nobody can attribute may be any team's.
 func TestDecideCountsUnattributedForEachTeam(t *testing.T) {
 	snapshot := testSnapshot(time.Time{}.Add(time.Hour))
-	snapshot.Unattributed = job.Need{CPUs: 8, GPUs: 4}
+	snapshot.Unattributed = job.Resources{CPUs: 8, GPUs: 4}
 	granted := Decide([]GrantRequest{
 		grantRequest("wk-1", "gpus", gpus(1)),
-		grantRequest("wk-2", "cpus", job.Need{CPUs: 9}),
-		grantRequest("wk-3", "cpus", job.Need{CPUs: 8}),
+		grantRequest("wk-2", "cpus", job.Resources{CPUs: 9}),
+		grantRequest("wk-3", "cpus", job.Resources{CPUs: 8}),
 	}, snapshot)
 	if want := []bool{false, false, true}; !slices.Equal(granted, want) {
 		t.Errorf("granted %v, want %v", granted, want)
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -12,7 +12,7 @@
 // known yet.
 type allocation struct {
 	team string
-	need job.Need
+	need job.Resources
 }
 
 // grant is an allocation of a task that no machine has shown yet.
@@ -29,7 +29,7 @@
 	grants       map[agentapi.TaskRef]grant
 	held         map[string]map[agentapi.TaskRef]allocation // by machine
 	unattributed map[string]bool                            // machines with tasks of unknown teams
-	usage        map[string]job.Need                        // by team: held and granted
+	usage        map[string]job.Resources                   // by team: held and granted
 }
 
 // NewLedger returns an empty ledger.
@@ -38,13 +38,13 @@
 		grants:       map[agentapi.TaskRef]grant{},
 		held:         map[string]map[agentapi.TaskRef]allocation{},
 		unattributed: map[string]bool{},
-		usage:        map[string]job.Need{},
+		usage:        map[string]job.Resources{},
 	}
 }
 
 // Usage is what each team holds or is granted. The caller must not change it, and it
 // follows the ledger.
-func (l *Ledger) Usage() map[string]job.Need { return l.usage }
+func (l *Ledger) Usage() map[string]job.Resources { return l.usage }
 
 // MachineCount is the number of machines of which the ledger has an entry.
 func (l *Ledger) MachineCount() int { return len(l.held) }
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -10,13 +10,13 @@
 
 func taskRef(id string) agentapi.TaskRef { return agentapi.TaskRef{Job: id, Attempt: 1} }
 
-func gpus(n float64) job.Need { return job.Need{GPUs: n} }
+func gpus(n float64) job.Resources { return job.Resources{GPUs: n} }
 
-func grantRequest(id, team string, need job.Need) GrantRequest {
+func grantRequest(id, team string, need job.Resources) GrantRequest {
 	return GrantRequest{Ref: taskRef(id), Team: team, Need: need}
 }
 
-func checkUsage(t *testing.T, l *Ledger, team string, want job.Need) {
+func checkUsage(t *testing.T, l *Ledger, team string, want job.Resources) {
 	t.Helper()
 	if got := l.Usage()[team]; got != want {
 		t.Errorf("team %q uses %+v, want %+v", team, got, want)
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -23,14 +23,14 @@
 type GrantRequest struct {
 	Ref  agentapi.TaskRef
 	Team string
-	Need job.Need
+	Need job.Resources
 }
 
 // Reservation is a job for which free capacity below its team's quota is kept.
 type Reservation struct {
 	Job, Team string
-	Need      job.Need // of all that it needs to start
-	Since     int64    // when it could start, in milliseconds since 1970: the earliest goes first
+	Need      job.Resources // of all that it needs to start
+	Since     int64         // when it could start, in milliseconds since 1970: the earliest goes first
 }
 
 // Reply says which requests were granted.
--- a/internal/quota/reservations.go
+++ b/internal/quota/reservations.go
@@ -42,10 +42,10 @@
 func (r *Reservations) holder(team string) string { return r.byTeam[team].Job }
 
 // keptFrom is what is kept from a task of another job of the team.
-func (r *Reservations) keptFrom(request GrantRequest, now time.Time) job.Need {
+func (r *Reservations) keptFrom(request GrantRequest, now time.Time) job.Resources {
 	held, ok := r.byTeam[request.Team]
 	if !ok || held.Job == request.Ref.Job || !now.Before(held.until) {
-		return job.Need{}
+		return job.Resources{}
 	}
 	return held.Need
 }
--- a/internal/scheduler/cluster_helpers_test.go
+++ b/internal/scheduler/cluster_helpers_test.go
@@ -21,7 +21,7 @@
 		Shape: shape,
 		Rank:  "normal",
 		Tasks: tasks,
-		Need:  job.Need{CPUs: 1, GPUs: gpus, MemoryGB: 1},
+		Need:  job.Resources{CPUs: 1, GPUs: gpus, MemoryGB: 1},
 		Image: "i",
 		Spot:  true,
 	}
--- a/internal/scheduler/quota_grants.go
+++ b/internal/scheduler/quota_grants.go
@@ -122,7 +122,7 @@
 		Reserve: &quota.Reservation{
 			Job:   j.spec.ID,
 			Team:  j.spec.Team,
-			Need:  job.Need{}.AddScaled(j.spec.Need, float64(tasks)),
+			Need:  job.Resources{}.AddScaled(j.spec.Need, float64(tasks)),
 			Since: j.readyAt.UnixMilli(),
 		},
 	})
--- a/internal/scheduler/scheduling_class.go
+++ b/internal/scheduler/scheduling_class.go
@@ -13,7 +13,7 @@
 // classKey stands for what a job asks of machines: if one such found no capacity, those
 // behind it in the queue that ask for the same need not try just now.
 type classKey struct {
-	need    job.Need
+	need    job.Resources
 	spot    bool
 	oneZone bool
 	tasks   int // of a gang
--- a/test/integration/users_test.go
+++ b/test/integration/users_test.go
@@ -206,7 +206,7 @@
 func arrayJob(id string, tasks int) job.Spec {
 	return job.Spec{
 		ID: id, Class: "c", Team: "t", Shape: job.Array, Rank: "normal", Tasks: tasks,
-		Need: job.Need{CPUs: 1, GPUs: 1, MemoryGB: 1}, Image: "i", EstimateS: 60,
+		Need: job.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}, Image: "i", EstimateS: 60,
 	}
 }
 
--- a/test/wireformat/forms.go
+++ b/test/wireformat/forms.go
@@ -35,7 +35,8 @@
 			}
 			name := m.Name + " " + role
 			current := message{form: Describe(in), stream: encodeFilled(t, in)}
-			fmt.Fprintf(&all, "== %s\n%sgob %s\n", name, current.form, base64.StdEncoding.EncodeToString(current.stream))
+			stream := base64.StdEncoding.EncodeToString(current.stream)
+			fmt.Fprintf(&all, "== %s\n%sgob %s\n", name, current.form, stream)
 			if Updating() {
 				continue
 			}
--- a/tools/audit/log.go
+++ b/tools/audit/log.go
@@ -36,8 +36,8 @@
 // Log is what was read from the logs of a cluster.
 type Log struct {
 	machines    map[string]*machine
-	prices      map[string][]price  // by machine type, in the order of the lines
-	capacity    map[string]job.Need // by machine type
+	prices      map[string][]price       // by machine type, in the order of the lines
+	capacity    map[string]job.Resources // by machine type
 	jobs        map[string]*jobRecord
 	first, last time.Time // of the lines
 
@@ -62,7 +62,7 @@
 	l := &Log{
 		machines: map[string]*machine{},
 		prices:   map[string][]price{},
-		capacity: map[string]job.Need{},
+		capacity: map[string]job.Resources{},
 		jobs:     map[string]*jobRecord{},
 	}
 	in := bufio.NewReaderSize(r, maxLineBytes)
@@ -165,6 +165,6 @@
 }
 
 // need reads what a task takes of its machine, or a machine has.
-func (r *numberReader) need() job.Need {
-	return job.Need{CPUs: r.number("cpus"), GPUs: r.number("gpus"), MemoryGB: r.number("mem_gb")}
+func (r *numberReader) need() job.Resources {
+	return job.Resources{CPUs: r.number("cpus"), GPUs: r.number("gpus"), MemoryGB: r.number("mem_gb")}
 }
--- a/tools/audit/machinetime.go
+++ b/tools/audit/machinetime.go
@@ -24,7 +24,7 @@
 	job    string
 	end    time.Time
 	spent  [phaseCount]time.Duration
-	need   job.Need
+	need   job.Resources
 	useful time.Duration // of what it ran: what counts in the end
 }
 
@@ -85,7 +85,7 @@
 
 // uses lays the phases of all tasks on the machine's time. Of a run that counts in part the
 // first part counts.
-func (m *machine) uses(capacity job.Need) []use {
+func (m *machine) uses(capacity job.Resources) []use {
 	var out []use
 	for k := range m.runs {
 		run := &m.runs[k]
--- a/tools/scaletest/users.go
+++ b/tools/scaletest/users.go
@@ -129,7 +129,7 @@
 		Shape:     c.Shape,
 		Rank:      c.Rank,
 		Tasks:     c.Tasks[rand.IntN(len(c.Tasks))],
-		Need:      job.Need{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB},
+		Need:      job.Resources{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB},
 		Image:     fmt.Sprintf("%s-%d", c.Name, rand.IntN(c.Images)),
 		ImageGB:   imageGB,
 		OneZone:   c.OneZone,
