--- a/test/integration/stale_heartbeats_test.go
+++ b/test/integration/stale_heartbeats_test.go
@@ -8,6 +8,7 @@
 
 	"robinstack/emulator"
 	"robinstack/internal/job"
+	"robinstack/internal/policy"
 )
 
 // When the heartbeats of TestStaleHeartbeatsDuringFailover were captured.
@@ -26,7 +27,7 @@
 		for _, capture := range []string{sameEpoch, endedEpoch, beforeWork} {
 			t.Run(fmt.Sprint(capture, ", ", f), func(t *testing.T) {
 				t.Parallel()
-				runScenario(t, 65, func(b *testbed) {
+				runScenarioWithPolicy(t, 65, defaultBootS, defaultMaxMachines, capturePolicy(capture), func(b *testbed) {
 					short, long := inZone("a", arrayJob(b.nextJobID(), 2)), inZone("a", arrayJob(b.nextJobID(), 2))
 					b.submit("host-0", short, 15*time.Second)
 					b.submit("host-0", long, 3*time.Minute)
@@ -107,6 +108,17 @@
 	}
 }
 
+// capturePolicy keeps the machines of an ended worker epoch while the scenario goes on: tasks
+// that were killed with the epoch start again on any machine, and those that are empty then
+// would now and then be returned, all whose captured heartbeat lists what the scenario is about.
+func capturePolicy(capture string) *policy.Policy {
+	operators := policy.Default()
+	if capture == endedEpoch {
+		operators.ScaleInIdleTime = time.Hour
+	}
+	return operators
+}
+
 // staleCapturedHeartbeats counts the machines whose captured heartbeat lists a task of a job: of
 // an earlier worker epoch, or of this one and the task is not listed any more.
 func (b *testbed) staleCapturedHeartbeats(id string, earlier bool) (n int) {
--- a/test/integration/testbed_test.go
+++ b/test/integration/testbed_test.go
@@ -32,6 +32,7 @@
 	history *emulator.History
 	network *controllerNetwork
 	hosts   []string
+	policy  *policy.Policy // of all controllers
 
 	mu                   sync.Mutex
 	rng                  *rand.Rand
@@ -119,11 +120,20 @@
 // runScenarioWithMachines runs one with up to so many machines.
 func runScenarioWithMachines(
 	t *testing.T, seed uint64, bootS float64, maxMachines int, scenario func(b *testbed),
+) {
+	t.Helper()
+	runScenarioWithPolicy(t, seed, bootS, maxMachines, policy.Default(), scenario)
+}
+
+// runScenarioWithPolicy runs one whose controllers have a policy of their own.
+func runScenarioWithPolicy(
+	t *testing.T, seed uint64, bootS float64, maxMachines int, operators *policy.Policy, scenario func(b *testbed),
 ) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		b := newTestbed(ctx, t, seed)
+		b.policy = operators
 		stopExpiry := make(chan struct{})
 		go b.state.ExpireLeases(stopExpiry)
 		defer func() {
@@ -190,7 +200,7 @@
 		b.stateClients[host] = emulator.NewFaultyStateClient(b.state, b.rng.Uint64())
 	}
 	ctx, stop := context.WithCancel(b.ctx)
-	c := controller.Assemble(b.settings(host), policy.Default(), controller.ExternalSystems{
+	c := controller.Assemble(b.settings(host), b.policy, controller.ExternalSystems{
 		StateStore:     b.stateClients[host],
 		MigrationStore: b.stateClients[host],
 		Cloud:          b.cloud,
