--- a/cmd/robinstack/scale.go
+++ b/cmd/robinstack/scale.go
@@ -81,10 +81,8 @@
 	if err != nil {
 		return err
 	}
-	if err := result.Print(out); err != nil {
-		return err
-	}
-	if err := writeJSON(flags.json, result); err != nil {
+	// Both are tried: the figures of a long run are kept where one of them can be written.
+	if err := errors.Join(result.Print(out), writeJSON(flags.json, result)); err != nil {
 		return err
 	}
 	if n := len(result.Load.Violations); n > 0 {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -63,8 +63,9 @@
 func (v *validation) workerTiming(timing WorkerTiming) {
 	v.require(timing.HeartbeatInterval > 0, "facts.workers.report_s", aboveZero)
 	v.require(timing.LeaseDuration > timing.HeartbeatInterval, "facts.workers.lease_s", "must be above report_s")
-	slack := timing.CancellationDeadline - timing.LeaseDuration
-	v.require(slack >= minCancellationSlack, "facts.workers.cancel_s",
+	// Added, not subtracted: what is too large for a duration is negative, and must be refused.
+	earliest := timing.LeaseDuration + minCancellationSlack
+	v.require(timing.CancellationDeadline >= earliest, "facts.workers.cancel_s",
 		fmt.Sprintf("must be at least %v above lease_s", minCancellationSlack))
 	v.require(timing.GangWaitTimeout > 0, "facts.workers.gang_wait_s", aboveZero)
 }
--- a/internal/statekv/pacing.go
+++ b/internal/statekv/pacing.go
@@ -58,13 +58,13 @@
 func (c *Client) paceRequest(ctx context.Context) error {
 	reservation := c.limits.requests.ReserveN(time.Now(), 1)
 	if !reservation.OK() {
-		return fmt.Errorf("%w: client-side limit below one request", ErrRejected)
+		return fmt.Errorf("%w: 1 at once are more than its own limit", ErrRejected)
 	}
 	delay := reservation.Delay()
 	deadline, ok := ctx.Deadline()
 	if delay > maxQueueTime || ok && time.Until(deadline) < delay {
 		reservation.Cancel()
-		return fmt.Errorf("%w: client-side limit", ErrRejected)
+		return fmt.Errorf("%w: own limit", ErrRejected)
 	}
 	if err := wait(ctx, delay); err != nil {
 		reservation.Cancel()
@@ -82,7 +82,7 @@
 	}
 	delay, ok := c.writes.reserve(n, longest, now)
 	if !ok {
-		return fmt.Errorf("%w: client-side limit", ErrRejected)
+		return fmt.Errorf("%w: own limit", ErrRejected)
 	}
 	if err := wait(ctx, delay); err != nil {
 		c.writes.refund(n)
@@ -95,7 +95,7 @@
 func wait(ctx context.Context, delay time.Duration) error {
 	select {
 	case <-ctx.Done():
-		return fmt.Errorf("%w: client-side limit: %w", ErrRejected, ctx.Err())
+		return fmt.Errorf("%w: own limit: %w", ErrRejected, ctx.Err())
 	case <-time.After(delay):
 		return nil
 	}
--- a/internal/statekv/readindex.go
+++ b/internal/statekv/readindex.go
@@ -20,7 +20,7 @@
 // shows then is a linearizable read. However many ask, one request at a time goes to the state
 // service.
 func (m *Mirror) ReadIndex(ctx context.Context) error {
-	b := m.joinBarrier(ctx)
+	b := m.joinBarrier() //nolint:contextcheck // the request is made for all who wait
 	select {
 	case <-b.done:
 	case <-ctx.Done():
@@ -33,8 +33,8 @@
 }
 
 // joinBarrier returns the barrier that the next request answers, and has that made. Whoever
-// joins first starts it for all, so it does not end with that caller's context.
-func (m *Mirror) joinBarrier(ctx context.Context) *barrier {
+// joins first starts it for all, so it has nothing of that caller's context.
+func (m *Mirror) joinBarrier() *barrier {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.nextBarrier == nil {
@@ -42,7 +42,7 @@
 	}
 	if !m.asking {
 		m.asking = true
-		go m.askRevision(context.WithoutCancel(ctx))
+		go m.askRevision(context.Background())
 	}
 	return m.nextBarrier
 }
--- a/internal/statekv/store.go
+++ b/internal/statekv/store.go
@@ -18,12 +18,13 @@
 	"time"
 )
 
-// Errors that a caller has to tell apart.
+// Errors that a caller has to tell apart. Their texts reach operators in answers of the roll-out
+// commands.
 var (
 	// ErrNotFound says that the key or the lease does not exist.
 	ErrNotFound = errors.New("not found")
 	// ErrRejected says that the request was not carried out.
-	ErrRejected = errors.New("rejected by the state service")
+	ErrRejected = errors.New("refused by the state service")
 	// ErrOutcomeUnknown says that no answer came: the request may be carried out now, later or
 	// never.
 	ErrOutcomeUnknown = errors.New("outcome unknown")
@@ -39,7 +40,7 @@
 	Failed []string // their keys
 }
 
-func (e *ConflictError) Error() string { return fmt.Sprintf("compares failed: %v", e.Failed) }
+func (e *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", e.Failed) }
 
 // IsConflict reports whether err says that a transaction's compares did not hold.
 func IsConflict(err error) bool {
