--- a/internal/clusteragent/agent.go
+++ b/internal/clusteragent/agent.go
@@ -44,6 +44,8 @@
 	// tell. Set it before Run.
 	AcknowledgedUntil func(rev uint64) time.Time
 
+	senders sync.WaitGroup // goroutines that send commands to machines
+
 	mu          sync.Mutex
 	ctx         context.Context     // of Run
 	startSender func(*ownedMachine) // has a machine's commands sent while Run goes on; nil: it does not
@@ -104,12 +106,13 @@
 // inspectEvery is how often the agent looks for what time brings.
 const inspectEvery = 250 * time.Millisecond
 
-// Run looks after the machines until ctx ends.
+// Run looks after the machines until ctx ends. Commands that are on their way then end by
+// their own time limits; Wait waits for them.
 func (a *Agent) Run(ctx context.Context) {
-	var duties, senders sync.WaitGroup
+	var duties sync.WaitGroup
 	a.mu.Lock()
 	a.ctx = ctx
-	a.startSender = func(m *ownedMachine) { senders.Go(func() { a.sendCommands(ctx, m) }) }
+	a.startSender = func(m *ownedMachine) { a.senders.Go(func() { a.sendCommands(ctx, m) }) }
 	a.mu.Unlock()
 	duties.Go(func() { a.runClaims(ctx) })
 	duties.Go(func() { a.runLookups(ctx) })
@@ -128,9 +131,12 @@
 	a.mu.Lock()
 	a.startSender = nil
 	a.mu.Unlock()
-	senders.Wait()
 }
 
+// Wait waits, once Run has returned, until the last of its commands has ended. A session need
+// not: the token and its ended lease fence them.
+func (a *Agent) Wait() { a.senders.Wait() }
+
 func (a *Agent) runContext() context.Context {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,6 +16,7 @@
 	"net"
 	"net/http"
 	"net/rpc"
+	"sync"
 	"time"
 
 	"robinstack/internal/cloud"
@@ -62,6 +63,8 @@
 	gateway        *gateway.Gateway
 	pauses         pauseDetector
 	connect        func(server *rpc.Server, handshake *peer.Service) Network
+
+	unanswered sync.WaitGroup // what ended sessions have sent and still wait for
 }
 
 // Store is the state service, whose request limit is divided among the live controllers.
@@ -152,6 +155,7 @@
 
 // RunSessions runs one session after the other until ctx ends.
 func (c *Controller) RunSessions(ctx context.Context) {
+	defer c.unanswered.Wait()
 	lastLogged := ""
 	for ctx.Err() == nil {
 		err := c.runSession(ctx, recovery.NewTimeline(time.Now()))
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -81,8 +81,7 @@
 	if err != nil {
 		return err
 	}
-	defer s.duties.Wait()
-	defer cancel()
+	defer s.end(cancel)
 	leaseLost := s.startKeepingUp(ctx, servePeers)
 	// No role acts on a view that is older than this session's own registration.
 	if err := s.mirror.Wait(ctx, s.state.Incarnation); err != nil {
@@ -95,6 +94,16 @@
 	return err
 }
 
+// end ends the components and waits for their duties. What these have sent and what has no
+// answer yet is left to end by itself: the next session does not wait for machines and peers
+// that do not answer.
+func (s *session) end(cancel context.CancelFunc) {
+	cancel()
+	s.duties.Wait()
+	s.controller.unanswered.Go(s.agent.Wait)
+	s.controller.unanswered.Go(s.scheduler.Wait)
+}
+
 // open reads the cluster's keys and registers this session in the state service.
 func (s *session) open(ctx context.Context) error {
 	c := s.controller
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -135,7 +135,8 @@
 	}
 }
 
-// Run places jobs until ctx ends, and returns when all that it started has ended.
+// Run places jobs until ctx ends. Placements, writes and calls that are under way then end by
+// their own time limits; Wait waits for them.
 func (s *Scheduler) Run(ctx context.Context, feed *changefeed.Feed) {
 	s.mu.Lock()
 	s.feed = feed
@@ -154,9 +155,12 @@
 	every(shardReleaseInterval, s.releaseShards)
 	s.runQueue(ctx)
 	duties.Wait()
-	s.background.Wait()
 }
 
+// Wait waits, once Run has returned, until all that it started has ended. A session need not:
+// epochs and the session's compare fence it.
+func (s *Scheduler) Wait() { s.background.Wait() }
+
 // runEvery runs a duty until ctx ends.
 func runEvery(ctx context.Context, interval time.Duration, duty func(context.Context)) {
 	tick := time.NewTicker(interval)
