--- /dev/null
+++ b/test/wireformat/names_http_test.go
@@ -0,0 +1,226 @@
+package wireformat
+
+import (
+	"fmt"
+	"go/ast"
+	"go/token"
+	"regexp"
+	"strings"
+)
+
+// servedRoute matches a route in a server that compares the method and the path as one string.
+var servedRoute = regexp.MustCompile(`^(GET|POST|PUT|DELETE) /`)
+
+// routeMethods are the methods of the HTTP framework that add a route.
+var routeMethods = regexp.MustCompile(`^(Get|Post|Put|Patch|Delete|All|Use)$`)
+
+// collectRoutes gathers the routes that servers answer.
+func collectRoutes(c *collection) {
+	c.eachNode(func(f *goFile, node ast.Node) {
+		switch node := node.(type) {
+		case *ast.BasicLit:
+			if route := unquote(node.Value); servedRoute.MatchString(route) {
+				c.add(in("HTTP route", f), route, node.Pos())
+			}
+		case *ast.CallExpr:
+			selector, ok := node.Fun.(*ast.SelectorExpr)
+			if !ok || len(node.Args) < 2 || !routeMethods.MatchString(selector.Sel.Name) {
+				return
+			}
+			if route, ok := c.module.stringValue(f, node.Args[0]); ok && strings.HasPrefix(route, "/") {
+				c.add(in("HTTP route", f), strings.ToUpper(selector.Sel.Name)+" "+route, node.Pos())
+			}
+		}
+	})
+}
+
+// requestPath matches a literal that begins the path of a request.
+var requestPath = regexp.MustCompile(`^/[a-z_]`)
+
+// collectRequests gathers the requests that clients send, method and path, and every path that
+// stands in a literal. A request whose path is not known at the place has its method alone.
+func collectRequests(c *collection) {
+	c.eachNode(func(f *goFile, node ast.Node) {
+		if f.pkg.dir == ownPackage {
+			return
+		}
+		var parts []ast.Expr
+		switch node := node.(type) {
+		case *ast.BasicLit:
+			if literal := unquote(node.Value); requestPath.MatchString(literal) {
+				c.add(in("HTTP path", f), literal, node.Pos())
+			}
+		case *ast.CallExpr:
+			if !strings.HasPrefix(qualifiedName(node.Fun), "httptest.") {
+				parts = node.Args
+			}
+		case *ast.CompositeLit:
+			parts = node.Elts
+		}
+		if request := c.request(f, parts); request != "" {
+			c.add(in("HTTP request", f), request, node.Pos())
+		}
+	})
+}
+
+// request returns the method and path among arguments or elements, or "" without a method.
+func (c *collection) request(f *goFile, parts []ast.Expr) string {
+	method, requestedPath := "", ""
+	for _, part := range parts {
+		if pair, ok := part.(*ast.KeyValueExpr); ok {
+			part = pair.Value
+		}
+		if name, ok := strings.CutPrefix(qualifiedName(part), "http.Method"); ok {
+			method = strings.ToUpper(name)
+		}
+		_, address, found := strings.Cut(strings.TrimPrefix(c.pattern(f, part), "http://"), "/")
+		if found && requestedPath == "" {
+			requestedPath = " /" + address
+		}
+	}
+	if method == "" {
+		return ""
+	}
+	return method + requestedPath
+}
+
+// pattern renders a string expression, with * for what is not constant.
+func (c *collection) pattern(f *goFile, expr ast.Expr) string {
+	if value, ok := c.module.stringValue(f, expr); ok {
+		return value
+	}
+	switch expr := expr.(type) {
+	case *ast.BinaryExpr:
+		if expr.Op == token.ADD {
+			return c.pattern(f, expr.X) + c.pattern(f, expr.Y)
+		}
+	case *ast.CallExpr:
+		if qualifiedName(expr.Fun) == "fmt.Sprintf" {
+			return c.pattern(f, expr.Args[0])
+		}
+	}
+	return "*"
+}
+
+// qualifiedName returns package.Name of a selector on an identifier, or "".
+func qualifiedName(expr ast.Expr) string {
+	if selector, ok := expr.(*ast.SelectorExpr); ok {
+		if qualifier, ok := selector.X.(*ast.Ident); ok {
+			return qualifier.Name + "." + selector.Sel.Name
+		}
+	}
+	return ""
+}
+
+// parameterMethods are the methods that read or set a parameter of a path or a query.
+var parameterMethods = regexp.MustCompile(`^(Params|Query|Get|Set)$`)
+
+// collectParameters gathers the names of path and query parameters outside of map literals.
+func collectParameters(c *collection) {
+	c.eachNode(func(f *goFile, node ast.Node) {
+		call, ok := node.(*ast.CallExpr)
+		if !ok || f.pkg.dir == ownPackage {
+			return
+		}
+		selector, ok := call.Fun.(*ast.SelectorExpr)
+		if !ok || len(call.Args) == 0 || !parameterMethods.MatchString(selector.Sel.Name) {
+			return
+		}
+		owner := typeName(selector.X)
+		literal, ok := call.Args[0].(*ast.BasicLit)
+		if !ok || owner == "Tag" || owner == "Header" {
+			return
+		}
+		if name := unquote(literal.Value); nameLike.MatchString(name) {
+			c.add(in("HTTP parameter", f), name, call.Pos())
+		}
+	})
+}
+
+// collectHeaders gathers the headers that are set, with the value where it is constant.
+func collectHeaders(c *collection) {
+	c.eachNode(func(f *goFile, node ast.Node) {
+		call, ok := node.(*ast.CallExpr)
+		if !ok || f.pkg.dir == ownPackage {
+			return
+		}
+		name := headerName(call)
+		if name == "" {
+			return
+		}
+		if len(call.Args) == 0 {
+			c.add(in("HTTP header", f), name, call.Pos())
+			return
+		}
+		if value, ok := c.module.stringValue(f, call.Args[len(call.Args)-1]); ok {
+			name += ": " + value
+		}
+		c.add(in("HTTP header", f), name, call.Pos())
+	})
+}
+
+// headerName returns the header that a call sets, or "".
+func headerName(call *ast.CallExpr) string {
+	selector, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok {
+		return ""
+	}
+	if selector.Sel.Name == "SetConnectionClose" {
+		return "Connection: close"
+	}
+	if len(call.Args) == 0 {
+		return ""
+	}
+	if constant, ok := strings.CutPrefix(qualifiedName(call.Args[0]), "fiber.Header"); ok {
+		return hyphenate(constant)
+	}
+	switch {
+	case selector.Sel.Name == "SetContentType":
+		return "Content-Type"
+	case selector.Sel.Name == "Set" && typeName(selector.X) == "Header":
+		if literal, ok := call.Args[0].(*ast.BasicLit); ok {
+			return unquote(literal.Value)
+		}
+	}
+	return ""
+}
+
+// hyphenate writes RetryAfter as Retry-After.
+func hyphenate(name string) string {
+	var b strings.Builder
+	for i, r := range name {
+		if i > 0 && r >= 'A' && r <= 'Z' {
+			b.WriteByte('-')
+		}
+		b.WriteRune(r)
+	}
+	return b.String()
+}
+
+// collectStatusCodes gathers the HTTP status codes that a package sends or compares, once each,
+// and the texts of errors in answers.
+func collectStatusCodes(c *collection) {
+	seen := map[string]bool{}
+	c.eachNode(func(f *goFile, node ast.Node) {
+		if f.pkg.dir == ownPackage {
+			return
+		}
+		switch node := node.(type) {
+		case *ast.SelectorExpr:
+			_, code, ok := strings.Cut(qualifiedName(node), ".Status")
+			qualifier := typeName(node.X)
+			key := fmt.Sprint(f.pkg.dir, code)
+			if ok && code != "" && (qualifier == "http" || qualifier == "fiber") && !seen[key] {
+				seen[key] = true
+				c.add(in("HTTP status", f), code, node.Pos())
+			}
+		case *ast.CompositeLit:
+			if typeName(node.Type) != "requestError" || len(node.Elts) != 2 {
+				return
+			}
+			if text, ok := c.module.stringValue(f, node.Elts[1]); ok {
+				c.add(in("HTTP error text", f), text, node.Pos())
+			}
+		}
+	})
+}
