--- a/internal/agentapi/messages.go
+++ b/internal/agentapi/messages.go
@@ -1,7 +1,8 @@
-// Package agentapi holds the net/rpc messages of the service "Agent": what schedulers,
-// the elected leader and change feeds ask the owner of a machine, and its answers. Field
-// names and kinds are the wire format (gob) and must not change, which is why some are not
-// the terms that the code uses otherwise. It owns no state and may import package job only.
+// Package agentapi defines the messages of the net/rpc service "Agent": the requests that
+// schedulers, the elected leader and change feeds send to the owner of a machine, and the replies.
+// Type and field names are part of the wire format (gob) and must not change; some of them
+// therefore differ from the terms used elsewhere in the code. The package holds no state and may
+// import only package job.
 package agentapi
 
 import (
@@ -10,7 +11,7 @@
 	"robinstack/internal/job"
 )
 
-// Health tells which paths of a controller work.
+// Health reports the state of a controller's connections and lists its quarantined machines.
 type Health struct {
 	Host    string               `json:"host"`
 	StateOK bool                 `json:"state_service_reached"`
@@ -19,28 +20,29 @@
 	Marked  []QuarantinedMachine `json:"machines_marked"`
 }
 
-// QuarantinedMachine is a machine that gets no tasks because tasks failed there.
+// QuarantinedMachine is a machine that gets no new tasks because tasks of the listed jobs failed on
+// it.
 type QuarantinedMachine struct {
 	Machine string   `json:"machine"`
 	Why     string   `json:"why"`
 	Jobs    []string `json:"jobs"`
 }
 
-// Request describes what a scheduler looks for.
+// Request describes the placement that a scheduler wants.
 type Request struct {
 	Spec  job.Spec
 	Slot  string        // job shard
-	Epoch uint64        // revision of the job shard's key: later schedulers outrank earlier ones
-	Zones []string      // zones that are allowed right now; nil: any
-	Avoid []string      // machines on which the job failed
-	Age   time.Duration // since the job was submitted
-	Tasks int           // tasks that look for a place
-	Share float64       // share of the owned machines to sample (the paper's N_p)
-	Least int           // and how many at least, if there are so many
-	Left  time.Duration // until the job's tasks should have started by its objective; 0: at once
-	Near  bool          // only machines that have the image
-	Spare int           // candidates to return beyond those that the tasks need
-	Parts bool          // classes that wait with less than their fair share are not preempted
+	Epoch uint64        // revision of the job shard's key; a higher epoch supersedes a lower one
+	Zones []string      // zones in which tasks may be placed at present; nil: all zones
+	Avoid []string      // machines on which the job has failed
+	Age   time.Duration // time since the job became ready to run
+	Tasks int           // number of tasks to place
+	Share float64       // fraction of the owned machines to sample (N_p in the Vela paper)
+	Least int           // minimum number of machines to sample, if the owner has that many
+	Left  time.Duration // time until the start deadline of the job's tasks; 0: they are due now
+	Near  bool          // consider only machines that have the image
+	Spare int           // number of candidates to return in addition to those that the tasks need
+	Parts bool          // do not preempt waiting classes that are below their fair share
 }
 
 // Candidate is a machine that passed the filters, with its score.
@@ -49,20 +51,20 @@
 	Host    string
 	Rev     uint64
 	Zone    string
-	Fits    int     // how many of the job's tasks fit
-	Image   float64 // 1: the machine has the image; less: it is on its way
+	Fits    int     // number of the job's tasks that fit
+	Image   float64 // 1: the machine has the image; between 0 and 1: it is fetching the image; 0: neither
 	Score   float64
 }
 
-// SampleReply is the answer to a sampling request.
+// SampleReply is the reply to a sampling request.
 type SampleReply struct {
 	Candidates []Candidate
 	Drawn      int
-	Exhausted  bool // every owned machine was drawn without finding enough
-	Crowded    bool // some with capacity fetch other images
+	Exhausted  bool // all owned machines were examined without finding enough candidates
+	Crowded    bool // machines with free capacity were skipped because they are fetching other images
 }
 
-// TaskRef names one attempt at a task.
+// TaskRef identifies one attempt of a task.
 type TaskRef struct {
 	Job     string
 	Index   int
@@ -75,120 +77,121 @@
 	Machine string
 	Rev     uint64
 	Refs    []TaskRef
-	Hold    bool // reserve only, for a gang that is being assembled
+	Hold    bool // only reserve capacity, for a gang that is being assembled
 
-	StewardEpoch uint64 // of the leader that granted it, for a team with a quota
-	JobRev       uint64 // revision of the job's record as the scheduler knows it; 0: an earlier version's
+	StewardEpoch uint64 // epoch of the leader that issued the quota grant, for teams with a quota
+	JobRev       uint64 // revision of the job record known to the scheduler; 0: sent by an earlier version
 }
 
-// Results of a commit, for each of its tasks.
+// Results of a commit, one for each task.
 const (
-	Started    = "started"   // a heartbeat has shown the task
-	Held       = "held"      // reserved
-	Refused    = "refused"   // certainly not started and never will be
-	Unresolved = "unsettled" // sent; the machine's entry will show what became of it
+	Started    = "started"   // a heartbeat has listed the task
+	Held       = "held"      // capacity is reserved for the task
+	Refused    = "refused"   // the task has not been started and will not be
+	Unresolved = "unsettled" // the outcome is unknown; a later entry of the machine will show it
 )
 
-// CommitReply has a result for each task.
+// CommitReply holds one result for each task of a commit.
 type CommitReply struct {
 	Verdicts []string
-	Why      string // the latest reason for a refusal, for the log
-	Ver      uint64 // an entry of this version or later without a task proves it gone
-	Rev      uint64 // revision of the ownership
+	Why      string // reason of the last refusal, for diagnostics
+	Ver      uint64 // an entry of this or a later version that does not list a task proves that the task is gone
+	Rev      uint64 // ownership revision of the machine
 }
 
-// StopRequest asks for tasks to be stopped or, once ended and recorded, forgotten.
+// StopRequest asks the owner to stop tasks, or to forget tasks that have ended and whose end is
+// recorded.
 type StopRequest struct {
 	Items []StopItem
 }
 
-// StopItem names a task on a machine.
+// StopItem identifies a task on a machine.
 type StopItem struct {
 	Machine string
 	TaskRef
-	Grace  time.Duration // time to save
-	Forget bool          // its end is recorded
+	Grace  time.Duration // time for the task to save a checkpoint
+	Forget bool          // the end of the task is recorded: the worker may drop the task
 }
 
-// Attribution says whether a machine or the job is to blame for a task that failed.
+// Attribution states whether the machine or the job caused the failure of a task.
 type Attribution struct {
 	Machine string
 	Job     string
-	AtFault bool // the machine: the job runs well elsewhere
+	AtFault bool // the machine is at fault: the job runs well on other machines
 }
 
-// ResolveRequest makes commits harmless that may still be under way.
+// ResolveRequest asks the owner to make sure that commits without a reply start no task later.
 type ResolveRequest struct {
 	Machine string
 	Rev     uint64
 	Refs    []TaskRef
 }
 
-// ResolveReply says which of them were on a machine already.
+// ResolveReply reports which of the tasks are already on the machine.
 type ResolveReply struct {
 	Present []bool
 	Ver     uint64
 }
 
-// WatchRequest asks for the machines that changed.
+// WatchRequest asks for the machines that changed since a version.
 type WatchRequest struct {
-	Instance uint64 // session of the agent that Since belongs to
+	Instance uint64 // incarnation of the agent's session in which Since was issued
 	Since    uint64
-	MinRev   uint64 // state revision that the agent must have seen before it answers
+	MinRev   uint64 // state revision that the agent's mirror must have reached before the agent replies
 	Wait     time.Duration
 }
 
-// WatchReply lists the changes.
+// WatchReply lists the machines that changed.
 type WatchReply struct {
 	Host     string
 	Instance uint64
 	Ver      uint64
 	StateOK  bool
-	// Seen is a revision such that no cancellation that the agent has acknowledged, and no
-	// machine that it took, is of a later one; 0: an earlier version's.
+	// Seen is an upper bound on the revisions of the cancellations that the agent has acknowledged
+	// and of the machines that it has taken over. 0 means that the agent runs an earlier version.
 	Seen    uint64
-	More    bool // there are more changes up to now: ask again
+	More    bool // the reply is truncated: request the remaining changes
 	Entries []MachineEntry
 }
 
-// MachineEntry is what an agent knows about one of its machines.
+// MachineEntry is an agent's view of one of its machines.
 type MachineEntry struct {
 	Machine  string
 	Host     string
-	Rev      uint64 // revision of this ownership
-	Ver      uint64 // of the agent's latest change of this machine
+	Rev      uint64 // ownership revision
+	Ver      uint64 // version of the agent's latest change to this machine
 	Type     string
 	Zone     string
 	Spot     bool
-	Settled  bool          // reconciled: no earlier owner's command can arrive any more
-	Draining bool          // it gets no new tasks, or has been deleted
-	Silent   bool          // unresponsive, or its heartbeats or commands are lost
+	Settled  bool          // reconciled: commands of earlier owners can no longer take effect
+	Draining bool          // the machine gets no new tasks, or has been deleted
+	Silent   bool          // the machine is unresponsive, or its heartbeats or commands are lost
 	Faulty   bool          // quarantined
-	Blamed   []string      // jobs that run well elsewhere and failed here
-	Gone     bool          // its key has been removed
-	Notice   bool          // the cloud has announced that it takes the machine back
-	Idle     time.Duration // time without tasks, when the entry was made
-	Received time.Time     // when the feed got it, by the receiver's clock
-	Images   []string      // known to be on the machine
+	Blamed   []string      // jobs that failed on this machine and run well on others
+	Gone     bool          // the machine's key has been removed
+	Notice   bool          // the cloud has announced that it will reclaim the machine
+	Idle     time.Duration // time without tasks when the entry was created; 0: the machine is not idle
+	Received time.Time     // when the change feed received the entry, by the receiver's clock
+	Images   []string      // images known to be on the machine
 	Tasks    []TaskEntry
 }
 
-// Reconciled reports whether no command of an earlier owner can arrive any more, so that what
-// the entry does not list is proven gone.
+// Reconciled reports whether commands of earlier owners can no longer take effect, so that any task
+// missing from the entry is proven gone.
 func (e *MachineEntry) Reconciled() bool { return e.Settled }
 
-// Unresponsive reports whether the machine is silent, or its heartbeats or commands are lost.
+// Unresponsive reports whether the machine is unresponsive, or its heartbeats or commands are lost.
 func (e *MachineEntry) Unresponsive() bool { return e.Silent }
 
-// Quarantined reports whether the machine gets no tasks because jobs failed there that run well
-// elsewhere.
+// Quarantined reports whether the machine gets no new tasks because jobs failed on it that run well
+// on other machines.
 func (e *MachineEntry) Quarantined() bool { return e.Faulty }
 
-// ReclaimNoticed reports whether the cloud has announced that it takes the machine back.
+// ReclaimNoticed reports whether the cloud has announced that it will reclaim the machine.
 func (e *MachineEntry) ReclaimNoticed() bool { return e.Notice }
 
-// IdleFor is how long the machine has had no tasks by now, or 0. Entries come
-// only with changes, so the time since then counts too.
+// IdleFor returns how long the machine has had no tasks at now, or 0 if it is not idle. Entries are
+// sent only on changes, so the time since the entry was received is added.
 func (e *MachineEntry) IdleFor(now time.Time) time.Duration {
 	if e.Idle == 0 || len(e.Tasks) > 0 {
 		return 0
@@ -196,26 +199,26 @@
 	return e.Idle + now.Sub(e.Received)
 }
 
-// TaskEntry is a task on a machine.
+// TaskEntry is an agent's view of a task on one of its machines.
 type TaskEntry struct {
 	TaskRef
 	Slot  string // job shard
 	Team  string
 	Need  job.Resources
 	Known bool   // the job's record has been read
-	State string // as the worker names it, or Starting
-	Cause string // for which it ended
-	Saved bool   // a checkpoint of it has been saved
+	State string // state in the worker protocol, or Starting
+	Cause string // why the task ended
+	Saved bool   // the task has saved a checkpoint
 }
 
-// Starting is the state of a task whose start no heartbeat has shown yet.
+// Starting is the state of a task that is being started and that no heartbeat has listed yet.
 const Starting = "starting"
 
-// MachinesRequest names machines, for draining or after their deletion.
+// MachinesRequest lists machines to drain or reopen, or machines that the cloud has deleted.
 type MachinesRequest struct {
 	Names []string
-	On    bool // drain, or open again; nothing after a deletion
+	On    bool // true: drain the machines; false: reopen them; unused for deleted machines
 }
 
-// MachinesReply names those for which the request was carried out.
+// MachinesReply lists the machines for which the request was carried out.
 type MachinesReply struct{ Names []string }
