--- a/internal/clusteragent/agent.go
+++ b/internal/clusteragent/agent.go
@@ -1,16 +1,17 @@
-// Package clusteragent is the Cluster Agent of the Vela paper: it looks after the machines
-// that a controller owns. It answers sampling requests, commits tasks with
-// reserve-lock-check, passes commands to the workers and keeps track of what their heartbeats
-// show; it takes over machine shards whose owner's session has ended, and evens them out.
+// Package clusteragent implements the Cluster Agent of the Vela paper, which manages the machines
+// that a controller owns. It answers sampling requests, commits tasks with reserve-lock-check,
+// sends commands to the workers and tracks the state that their heartbeats report. It takes over
+// machine shards whose owner's session has ended and balances machine shards between controllers.
 //
-// It owns the state of those machines (package machine), the shards held, claims under way,
-// and what it remembers of cancelled jobs and deleted machines. One mutex, Agent.mu, guards
-// all of it and is never held over I/O. State of one concern is a type of its own in the file
-// of that concern: shardHoldings, claimQueue, changeLog, jobLookups, cancellations and others;
-// their methods expect the mutex to be held.
+// The package owns the state of those machines (package machine), the machine shards held, pending
+// claims, and the records of cancelled jobs and removed machines. A single mutex, Agent.mu, guards
+// all of it and is never held during I/O. The state of each concern has a type and a file of its
+// own: shardHoldings, claimQueue, changeLog, jobLookups, cancellations and others. The caller of
+// their methods must hold Agent.mu.
 //
-// It may import the state service's client and mirror, the keys of ownership, the messages of
-// agents and workers, jobs and settings; not the schedulers, leaders and gateways that use it.
+// The package may import the state service's client and mirror, the ownership keys, the messages of
+// agents and workers, jobs and settings; it must not import the schedulers, leaders and gateways
+// that use it.
 package clusteragent
 
 import (
@@ -26,7 +27,8 @@
 	"robinstack/internal/worker"
 )
 
-// Agent owns machines. Its mutex guards all its state and is never held over I/O.
+// Agent manages the machines that this controller owns. mu guards its state and is never held
+// during I/O.
 type Agent struct {
 	settings *config.Settings
 	store    statekv.Store
@@ -36,29 +38,29 @@
 	types    func() map[string]cloud.MachineType
 	zones    zoneRules
 
-	// LastEntry is what an earlier owner showed of a machine; nil: nothing is known. Set it
-	// before Run.
+	// LastEntry returns the last entry that an earlier owner published of a machine; nil if no such
+	// entries are available. It must be set before Run.
 	LastEntry func(machine string) agentapi.MachineEntry
 
-	// AcknowledgedUntil is Feed.AcknowledgedUntil of package changefeed; nil: nobody can
-	// tell. Set it before Run.
+	// AcknowledgedUntil is Feed.AcknowledgedUntil of package changefeed; nil if the
+	// acknowledgements of other controllers are not available. It must be set before Run.
 	AcknowledgedUntil func(rev uint64) time.Time
 
-	senders sync.WaitGroup // goroutines that send commands to machines
+	senders sync.WaitGroup // goroutines that send commands to workers
 
 	mu          sync.Mutex
-	ctx         context.Context     // of Run
-	startSender func(*ownedMachine) // has a machine's commands sent while Run goes on; nil: it does not
+	ctx         context.Context     // context of Run; nil before Run is called
+	startSender func(*ownedMachine) // starts the command sender of a machine; nil unless Run is active
 	machines    map[string]*ownedMachine
 	changes     changeLog
 
 	shards     shardHoldings
 	sightings  shardSightings
 	strays     strayVisits
-	zoneSizes  map[string]int // machines of the fleet, by zone
+	zoneSizes  map[string]int // number of machines in the cluster by zone
 	redirects  redirects
 	claims     claimQueue
-	tombstones recentNames // machines whose keys were removed lately
+	tombstones recentNames // machines whose keys were removed recently
 
 	cancellations cancellations
 	lookups       jobLookups
@@ -68,24 +70,24 @@
 	contention machine.FetchContention
 	fairShare  fairShare
 
-	malformed           map[string]bool // machines whose heartbeats were rejected, to log it once
-	heartbeatsSolicited bool            // in the present outage of the state service
-	inspectionTurn      int             // which of inspectionTurns parts of the machines is inspected
+	malformed           map[string]bool // machines with a rejected heartbeat, to log each one once
+	heartbeatsSolicited bool            // heartbeats have been solicited in the current outage of the state service
+	inspectionTurn      int             // batch of machines that the current inspection covers, below inspectionBatches
 	counters            Counters
 }
 
-// Counters count what the paper's mechanisms did.
+// Counters counts samples, drawn machines, exhausted samples, commits and conflicts.
 type Counters struct {
 	Samples, Drawn, Exhausted, Commits, Conflicts uint64
 }
 
-// New returns an agent without machines.
+// New returns an agent that owns no machines.
 func New(
-	settings *config.Settings, store statekv.Store, mirror *statekv.Mirror, member *statekv.Session,
+	settings *config.Settings, store statekv.Store, mirror *statekv.Mirror, session *statekv.Session,
 	workers worker.Commander, types func() map[string]cloud.MachineType,
 ) *Agent {
 	return &Agent{
-		settings: settings, store: store, mirror: mirror, session: member, workers: workers, types: types,
+		settings: settings, store: store, mirror: mirror, session: session, workers: workers, types: types,
 		zones:         zoneRules{settings},
 		machines:      map[string]*ownedMachine{},
 		changes:       newChangeLog(),
@@ -103,21 +105,21 @@
 	}
 }
 
-// inspectEvery is how often the agent looks for what time brings.
+// inspectionInterval is the time between two inspections of the machines.
 const inspectEvery = 250 * time.Millisecond
 
-// Run looks after the machines until ctx ends. Commands that are on their way then end by
-// their own time limits; Wait waits for them.
+// Run manages the machines until ctx ends. Commands that are in flight at that point end by their
+// own timeouts; Wait waits for them.
 func (a *Agent) Run(ctx context.Context) {
-	var duties sync.WaitGroup
+	var loops sync.WaitGroup
 	a.mu.Lock()
 	a.ctx = ctx
 	a.startSender = func(m *ownedMachine) { a.senders.Go(func() { a.sendCommands(ctx, m) }) }
 	a.mu.Unlock()
-	duties.Go(func() { a.runClaims(ctx) })
-	duties.Go(func() { a.runLookups(ctx) })
-	duties.Go(func() { a.runKeyRemoval(ctx) })
-	duties.Go(func() { a.runShardOwnership(ctx) })
+	loops.Go(func() { a.runClaims(ctx) })
+	loops.Go(func() { a.runLookups(ctx) })
+	loops.Go(func() { a.runKeyRemoval(ctx) })
+	loops.Go(func() { a.runShardOwnership(ctx) })
 	tick := time.NewTicker(inspectEvery)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -127,14 +129,15 @@
 		case <-tick.C:
 		}
 	}
-	duties.Wait()
+	loops.Wait()
 	a.mu.Lock()
 	a.startSender = nil
 	a.mu.Unlock()
 }
 
-// Wait waits, once Run has returned, until the last of its commands has ended. A session need
-// not: the token and its ended lease fence them.
+// Wait waits until the last command has ended; call it after Run has returned. Ending the session
+// need not wait for this: the fencing token and the ended lease fence commands that are still in
+// flight.
 func (a *Agent) Wait() { a.senders.Wait() }
 
 func (a *Agent) runContext() context.Context {
@@ -146,7 +149,7 @@
 	return a.ctx
 }
 
-// Snapshot returns the agent's counters and machines.
+// Snapshot returns the agent's counters and the entries of its machines.
 func (a *Agent) Snapshot() (Counters, []agentapi.MachineEntry) {
 	now := time.Now()
 	a.mu.Lock()
--- a/internal/clusteragent/backfill.go
+++ b/internal/clusteragent/backfill.go
@@ -10,22 +10,23 @@
 	"robinstack/internal/machine"
 )
 
-// Every job has to begin within a time that users were promised, the largest too. In a
-// full fleet the capacity that comes free is taken at once, by whatever fits: a gang of
-// sixteen machines never finds sixteen, however early its turn. So for one that has
-// waited half of that time capacity is reserved as it comes free, on the machines that will
-// have it soonest, and nothing is stopped that preemption would not stop.
+// Backfill reservations let large jobs meet their start deadlines. In a full cluster, freed
+// capacity is taken at once by any task that fits, so a gang of sixteen machines never finds
+// sixteen free machines, whatever its place in the queue. For a job that has waited half of its
+// start deadline, capacity is therefore reserved as it becomes free, on the machines that will have
+// it soonest. No task is stopped for it that preemption would not stop.
 //
-// Of two jobs with such reservations, the one that could start earlier has the machine,
-// wherever they meet: so the one that waits longest gets all it asks for, and no two wait for
-// each other. What is reserved is given back backfillHold after its job has asked for it last.
+// If two jobs want to reserve the same machine, the one that could have started earlier gets it on
+// every owner. The job that has waited longest thus gets all the machines that it asks for, and no
+// two jobs wait for each other. A reservation lapses backfillHold after the job's last request for
+// it.
 
-// backfillHold is how long a machine is reserved for a job as its capacity comes free, from
-// when its scheduler asked for it last; schedulers ask again every second or two.
+// backfillHold is how long a backfill reservation lasts after the scheduler's last request for it;
+// schedulers repeat the request every second or two.
 const backfillHold = 6 * time.Second
 
-// secondsUntilFree is about how many seconds it takes until tasks that run to their ends leave
-// enough capacity for one of the request's; ok is false where they never do.
+// secondsUntilFree estimates the time until enough of the tasks on m have finished for one task of
+// the request to fit. ok is false if that never happens. The caller must hold a.mu.
 func (a *Agent) secondsUntilFree(m *ownedMachine, r *agentapi.Request, now time.Time) (wait float64, ok bool) {
 	t, known := a.types()[m.Type]
 	if !known || !r.Spec.FitsIn(job.Capacity(t)) {
@@ -35,30 +36,31 @@
 	if !known {
 		return 0, false
 	}
-	for _, e := range taskEnds(m.Machine, now) {
+	for _, end := range taskEnds(m.Machine, now) {
 		if r.Spec.FitsIn(free) {
 			break
 		}
-		free, wait = free.AddScaled(e.need, 1), e.left
+		free, wait = free.AddScaled(end.need, 1), end.left
 	}
 	return wait, r.Spec.FitsIn(free)
 }
 
-// taskEnd is when a task will have ended, and what it takes until then.
+// taskEnd is the estimated end of a task and the resources that it then frees.
 type taskEnd struct {
-	left float64 // seconds
+	left float64
 	need job.Resources
 }
 
-// taskEnds lists the ends of the tasks that run to an end, the earliest first.
+// taskEnds returns the estimated ends of all tasks on m except those of services, the earliest
+// first.
 func taskEnds(m *machine.Machine, now time.Time) []taskEnd {
 	var ends []taskEnd
 	for _, t := range m.Tasks() {
 		switch {
 		case !t.Occupies() || t.Spec.Shape == job.Service:
 		case t.State() == machine.Running:
-			left := max(0, t.Spec.EstimateS-now.Sub(t.RunningSince()).Seconds())
-			ends = append(ends, taskEnd{left, t.Spec.Need})
+			secondsLeft := max(0, t.Spec.EstimateS-now.Sub(t.RunningSince()).Seconds())
+			ends = append(ends, taskEnd{secondsLeft, t.Spec.Need})
 		default:
 			ends = append(ends, taskEnd{t.Spec.EstimateS, t.Spec.Need})
 		}
@@ -67,8 +69,8 @@
 	return ends
 }
 
-// backfillIneligible says why a machine cannot be reserved for a job as its capacity comes
-// free, or nothing.
+// backfillIneligibleReason returns why the machine cannot get a backfill reservation for the
+// request's job, or "". The caller must hold a.mu.
 func (a *Agent) backfillIneligible(m *ownedMachine, r *agentapi.Request, now time.Time) string {
 	why := a.ineligible(m, r, now)
 	if why == reservedForOther && m.Reservation.OutrankedBy(r, now) || why == heldForGangs {
@@ -77,8 +79,8 @@
 	return why
 }
 
-// Gatherable lists machines that will have capacity for a task of the request, those first
-// that are reserved for its job already and then those that will have it soonest.
+// Gatherable lists machines that will have capacity for a task of the request: machines that are
+// already reserved for its job first, then those that will have the capacity soonest.
 func (s *Service) Gatherable(r agentapi.Request, reply *agentapi.SampleReply) error {
 	a := s.agent
 	now := time.Now()
@@ -101,7 +103,7 @@
 	return nil
 }
 
-// Gather reserves a machine for a job as its capacity comes free.
+// Gather gives a job a backfill reservation of a machine.
 func (s *Service) Gather(r agentapi.CommitRequest, reply *agentapi.CommitReply) error {
 	a := s.agent
 	a.reserveMachine(&r, reply, func(m *ownedMachine, now time.Time) (hold time.Duration, ok bool) {
--- a/internal/clusteragent/capacity_index.go
+++ b/internal/clusteragent/capacity_index.go
@@ -7,84 +7,84 @@
 	"robinstack/internal/job"
 )
 
-// capacityIndex keeps an agent's machines by the GPUs that are free on them. In a full
-// fleet a draw would look at hundreds of machines and find a few with capacity; so it
-// draws among those that may have it. The agent's mutex guards it.
+// capacityIndex groups an agent's machines by their number of free GPUs. In a full cluster, drawing
+// from all machines would examine hundreds of them to find a few with capacity; with the index,
+// only machines that may have capacity are drawn. Agent.mu guards it.
 type capacityIndex struct {
-	dirty    map[*ownedMachine]bool // to be sorted in anew
+	dirty    map[*ownedMachine]bool // machines to be assigned to a bucket again
 	bucketOf map[*ownedMachine]int
 	buckets  [maxGPUBuckets + 1]map[*ownedMachine]bool
 }
 
 const (
-	// maxGPUBuckets is the number of free GPUs up to which machines are told apart.
+	// maxGPUBucket is the last bucket: it holds all machines with this many free GPUs or more.
 	maxGPUBuckets = 16
-	// gpuRounding makes up for sums of fractions that fall short of a whole GPU.
+	// gpuEpsilon compensates for rounding errors in sums of fractional GPUs.
 	gpuRounding = 1e-9
 )
 
 func newCapacityIndex() *capacityIndex {
-	r := &capacityIndex{dirty: map[*ownedMachine]bool{}, bucketOf: map[*ownedMachine]int{}}
-	for k := range r.buckets {
-		r.buckets[k] = map[*ownedMachine]bool{}
+	index := &capacityIndex{dirty: map[*ownedMachine]bool{}, bucketOf: map[*ownedMachine]int{}}
+	for k := range index.buckets {
+		index.buckets[k] = map[*ownedMachine]bool{}
 	}
-	return r
+	return index
 }
 
-func gpuBucket(amount float64) int { return max(0, min(maxGPUBuckets, int(amount+gpuRounding))) }
+func gpuBucket(gpus float64) int { return max(0, min(maxGPUBuckets, int(gpus+gpuRounding))) }
 
-// markChanged notes that what is free on a machine may have changed.
-func (r *capacityIndex) markChanged(m *ownedMachine) { r.dirty[m] = true }
+// markChanged records that the free capacity of a machine may have changed.
+func (c *capacityIndex) markChanged(m *ownedMachine) { c.dirty[m] = true }
 
-// refresh sorts in what has changed. Machines of unknown type, and with tasks of
-// which it is not known yet what they need, are in no bucket.
-func (r *capacityIndex) refresh(types map[string]cloud.MachineType) {
-	for m := range r.dirty {
-		r.leaveBucket(m)
+// refresh assigns changed machines to their buckets. Machines of unknown type, and machines with a
+// task whose needs are not known yet, are in no bucket.
+func (c *capacityIndex) refresh(types map[string]cloud.MachineType) {
+	for m := range c.dirty {
+		c.leaveBucket(m)
 		t, known := types[m.Type]
 		if !known {
-			continue // stays dirty until it is
+			continue // stays dirty until the type is known
 		}
-		delete(r.dirty, m)
+		delete(c.dirty, m)
 		if free, known := m.FreeCapacity(job.Capacity(t)); known {
-			k := gpuBucket(free.GPUs)
-			r.buckets[k][m], r.bucketOf[m] = true, k
+			bucket := gpuBucket(free.GPUs)
+			c.buckets[bucket][m], c.bucketOf[m] = true, bucket
 		}
 	}
 }
 
-func (r *capacityIndex) leaveBucket(m *ownedMachine) {
-	if k, ok := r.bucketOf[m]; ok {
-		delete(r.buckets[k], m)
-		delete(r.bucketOf, m)
+func (c *capacityIndex) leaveBucket(m *ownedMachine) {
+	if bucket, ok := c.bucketOf[m]; ok {
+		delete(c.buckets[bucket], m)
+		delete(c.bucketOf, m)
 	}
 }
 
-func (r *capacityIndex) remove(m *ownedMachine) {
-	delete(r.dirty, m)
-	r.leaveBucket(m)
+func (c *capacityIndex) remove(m *ownedMachine) {
+	delete(c.dirty, m)
+	c.leaveBucket(m)
 }
 
-// draw returns, in random order, the machines on which a task of such a need may fit, as far
-// as GPUs decide that. Those that are not owned any more it drops.
-func (r *capacityIndex) draw(
+// draw returns, in random order, the machines with enough free GPUs for a task with the given need.
+// It removes machines that are no longer owned from the index.
+func (c *capacityIndex) draw(
 	need job.Resources, types map[string]cloud.MachineType, owned func(*ownedMachine) bool,
 ) []*ownedMachine {
-	r.refresh(types)
-	var pool []*ownedMachine
-	for k := gpuBucket(need.GPUs); k < len(r.buckets); k++ {
-		for m := range r.buckets[k] {
+	c.refresh(types)
+	var machines []*ownedMachine
+	for bucket := gpuBucket(need.GPUs); bucket < len(c.buckets); bucket++ {
+		for m := range c.buckets[bucket] {
 			if !owned(m) || m.Deregistered() {
-				r.remove(m) // given up or gone since
+				c.remove(m) // released or deregistered
 				continue
 			}
-			pool = append(pool, m)
+			machines = append(machines, m)
 		}
 	}
-	shuffle(pool)
-	return pool
+	shuffle(machines)
+	return machines
 }
 
-func shuffle(pool []*ownedMachine) {
-	rand.Shuffle(len(pool), func(i, j int) { pool[i], pool[j] = pool[j], pool[i] })
+func shuffle(machines []*ownedMachine) {
+	rand.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
 }
--- a/internal/clusteragent/change_log.go
+++ b/internal/clusteragent/change_log.go
@@ -10,15 +10,15 @@
 	"robinstack/internal/agentapi"
 )
 
-// changeLog keeps the machines in the order of their last changes, so that a watch looks only
-// at those that changed.
+// changeLog orders the machines by their last change, so that a watch examines only those that
+// changed.
 type changeLog struct {
 	version uint64
-	order   list.List     // of *ownedMachine
-	changed chan struct{} // closed and replaced with every change
+	order   list.List     // elements are *ownedMachine, the latest change last
+	changed chan struct{} // closed and replaced on every change
 }
 
-// changeMark is a machine's place in the change log.
+// changePosition is the position of a machine in the change log.
 type changeMark struct {
 	version uint64
 	element *list.Element
@@ -26,7 +26,7 @@
 
 func newChangeLog() changeLog { return changeLog{changed: make(chan struct{})} }
 
-// mark marks a machine as changed for the watchers.
+// markChanged moves a machine to the end of the log with a new version and wakes the watchers.
 func (l *changeLog) mark(m *ownedMachine) {
 	l.version++
 	m.change.version = l.version
@@ -39,38 +39,40 @@
 	l.changed = make(chan struct{})
 }
 
-// since returns the machines that changed after a version, the earliest changes first. It
-// looks only at those, and drops those that are not owned any more.
+// since returns the machines that changed after the given version, the earliest change first. It
+// removes machines that are no longer owned from the part of the log that it examines.
 func (l *changeLog) since(version uint64, owned func(*ownedMachine) bool) []*ownedMachine {
 	var changed []*ownedMachine
-	for at := l.order.Back(); at != nil; {
-		m, before := at.Value.(*ownedMachine), at.Prev()
+	for element := l.order.Back(); element != nil; {
+		m, previous := element.Value.(*ownedMachine), element.Prev()
 		if !owned(m) {
-			l.order.Remove(at)
-			at = before
+			l.order.Remove(element)
+			element = previous
 			continue
 		}
 		if m.change.version <= version {
 			break
 		}
 		changed = append(changed, m)
-		at = before
+		element = previous
 	}
 	slices.Reverse(changed)
 	return changed
 }
 
 const (
-	// maxWatchEntries bounds the entries of one answer.
+	// maxWatchEntries bounds the number of entries in one reply to a watch.
 	maxWatchEntries = 300
-	// watchCoalesce gathers changes: a machine that changes several times goes out once.
+	// watchCoalescingDelay is the delay before a reply in which further changes are collected, so
+	// that a machine that changes several times is sent once.
 	watchCoalesce = 60 * time.Millisecond
 )
 
-// errNotCaughtUp says that the agent does not know yet of what a watch asks it to know.
-var errNotCaughtUp = errors.New("agent has not caught up with the state service")
+// errNotCaughtUp is returned if the mirror does not reach the revision that a watch requires in
+// time.
+var errNotCaughtUp = errors.New("agent's mirror did not reach the required state revision in time")
 
-// Watch returns the machines that changed, at once or as soon as some do.
+// Watch returns the machines that changed since a version, as soon as there are any.
 func (s *Service) Watch(r agentapi.WatchRequest, reply *agentapi.WatchReply) error {
 	a := s.agent
 	ctx, cancel := context.WithTimeout(a.runContext(), r.Wait)
@@ -78,16 +80,17 @@
 	if a.mirror.Wait(ctx, r.MinRev) != nil {
 		return errNotCaughtUp
 	}
-	since, first := r.Since, false
+	since, newSession := r.Since, false
 	if r.Instance != a.session.Incarnation {
-		since, first = 0, true
+		since, newSession = 0, true
 	}
 	for {
 		a.mu.Lock()
 		changed := a.changes.changed
-		// Only the first answer of a session comes at once whatever there is: an
-		// agent without machines must not be asked in a tight loop.
-		if a.changes.version > since || first || ctx.Err() != nil {
+		// The first reply of a session is sent at once, even without changes. Later ones wait for a
+		// change or the timeout: otherwise watchers of an agent without machines would poll in a
+		// tight loop.
+		if a.changes.version > since || newSession || ctx.Err() != nil {
 			a.showChanges(since, reply)
 			a.mu.Unlock()
 			return nil
@@ -96,21 +99,21 @@
 		select {
 		case <-ctx.Done():
 		case <-changed:
-			// Changes come in groups: a short pause saves answers.
+			// Changes come in bursts; a short delay reduces the number of replies.
 			time.Sleep(watchCoalesce)
 		}
 	}
 }
 
-// showChanges answers a watch with the machines that changed after a version. The mutex is
-// held.
+// fillWatchReply fills in the reply to a watch with the machines that changed after a version. The
+// caller must hold a.mu.
 func (a *Agent) showChanges(since uint64, reply *agentapi.WatchReply) {
 	now := time.Now()
 	reply.Host, reply.Instance, reply.Ver = a.session.Host, a.session.Incarnation, a.changes.version
 	reply.StateOK, reply.Seen = a.session.HoldsLease(), a.coveredRev()
 	changed := a.changes.since(since, a.owns)
 	if len(changed) > maxWatchEntries {
-		// The next answer goes on from the last of these.
+		// The next request continues after the last of these entries.
 		changed = changed[:maxWatchEntries]
 		reply.Ver, reply.More = changed[maxWatchEntries-1].change.version, true
 	}
--- a/internal/clusteragent/claims.go
+++ b/internal/clusteragent/claims.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// maxQueuedClaims bounds the claims that wait; the workers of others come again.
+	// maxQueuedClaims bounds the queued claims. Workers whose claim does not fit send another
+	// heartbeat.
 	maxQueuedClaims = 256
-	// claimTimeout is how long writing claims may take.
+	// claimTimeout bounds the transaction that writes a batch of claims.
 	claimTimeout = 2 * time.Second
-	// claimRetryEvery is how often the state service's budget is asked again.
+	// claimBudgetPollInterval is the time between two checks of the state service's write budget.
 	claimRetryEvery = 50 * time.Millisecond
 )
 
-// machineClaim is a machine that is to be written into one of our shards.
+// machineClaim is a request to write a machine's key into one of this controller's machine shards.
 type machineClaim struct {
 	name        string
 	key         shard.MachineRecord
-	replacesRev uint64 // revision of the key that the claim replaces
+	replacesRev uint64 // revision of the key that the claim replaces; 0: the machine has no key
 	done        chan struct{}
 }
 
-// acquisition is how the machine came here: the claim of a machine that has a key already takes
-// it over.
+// acquisition returns how the claim acquires the machine: claiming a machine that already has a key
+// is a takeover.
 func (c *machineClaim) acquisition() acquisition {
 	if c.replacesRev == 0 {
 		return registered
@@ -37,27 +38,28 @@
 	return takenOver
 }
 
-// claimQueue is the claims that wait to be written. The agent's mutex guards pending.
+// claimQueue holds the claims that wait to be written. Agent.mu guards pending.
 type claimQueue struct {
 	queue   chan machineClaim
-	pending map[string]bool // machines in the queue
+	pending map[string]bool // machines whose claims are queued or being written
 }
 
 func newClaimQueue() claimQueue {
 	return claimQueue{queue: make(chan machineClaim, maxQueuedClaims), pending: map[string]bool{}}
 }
 
-// enqueueClaim queues a claim, at most one for each machine at a time. The channel is
-// closed once it was tried; nil means that it cannot be queued.
+// enqueueClaim queues a claim, at most one per machine at a time. The returned channel is closed
+// after the attempt to write the claim; it is nil if the claim could not be queued. a.mu must not
+// be held.
 func (a *Agent) enqueueClaim(name string, key shard.MachineRecord, replacesRev uint64) <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.claims.pending[name] || len(a.shards.intake) == 0 {
 		return nil
 	}
-	k := a.zones.intakeIndex(name, key.Zone, len(a.shards.intake))
-	if key.Shard = a.shards.intake[k]; key.Shard == "" {
-		a.shards.missing[k] = true // it comes again
+	place := a.zones.intakeIndex(name, key.Zone, len(a.shards.intake))
+	if key.Shard = a.shards.intake[place]; key.Shard == "" {
+		a.shards.missing[place] = true // the claim is repeated by a later heartbeat or reconcileOwnership
 		return nil
 	}
 	c := machineClaim{name: name, key: key, replacesRev: replacesRev, done: make(chan struct{})}
@@ -70,14 +72,14 @@
 	}
 }
 
-// heldShards returns the shards held, with their keys' revisions.
+// heldShards returns the machine shards held, with the revisions of their keys.
 func (a *Agent) heldShards() map[string]uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.shards.revs
 }
 
-// runClaims writes claims in groups, as many as one transaction may hold.
+// runClaims writes queued claims in batches that fit into one transaction.
 func (a *Agent) runClaims(ctx context.Context) {
 	for {
 		var batch []machineClaim
@@ -90,21 +92,22 @@
 		for len(batch) < a.store.TxnBatchSize(a.settings.StateLimits.MaxTxnOps) && len(a.claims.queue) > 0 {
 			batch = append(batch, <-a.claims.queue)
 		}
-		// Meanwhile another controller may have claimed it, or taken the shard.
+		// While a claim was queued, another controller may have claimed the machine or taken the
+		// shard.
 		shards := a.heldShards()
-		open := slices.DeleteFunc(slices.Clone(batch), func(c machineClaim) bool {
+		current := slices.DeleteFunc(slices.Clone(batch), func(c machineClaim) bool {
 			kv, _ := a.mirror.Get(statekv.MachinePrefix + c.name)
 			return kv.Rev != c.replacesRev || shards[c.key.Shard] == 0
 		})
-		for len(open) > 0 && !a.store.Allow(statekv.ClassClaim, len(open)) && ctx.Err() == nil {
+		for len(current) > 0 && !a.store.Allow(statekv.ClassClaim, len(current)) && ctx.Err() == nil {
 			time.Sleep(claimRetryEvery)
 		}
-		a.writeClaims(ctx, open, shards)
+		a.writeClaims(ctx, current, shards)
 		a.endClaims(batch)
 	}
 }
 
-// endClaims tells those who wait for claims that they were tried.
+// completeClaims notifies those who wait for the claims that the claims have been attempted.
 func (a *Agent) endClaims(batch []machineClaim) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,8 +117,8 @@
 	}
 }
 
-// writeClaims writes claims, leaving out those that others were faster with. A
-// claim of ours whose answer was lost is taken up once the mirror shows it.
+// writeClaims writes claims and leaves out those that conflict with a faster controller. A claim
+// whose reply was lost is adopted once the mirror shows it.
 func (a *Agent) writeClaims(ctx context.Context, batch []machineClaim, shards map[string]uint64) {
 	for len(batch) > 0 && ctx.Err() == nil {
 		rev, err := a.writeClaimBatch(ctx, batch, shards)
@@ -135,38 +138,38 @@
 		if !errors.As(err, &conflict) {
 			return
 		}
-		left := withoutConflicts(batch, conflict.Failed)
-		if len(left) == len(batch) {
-			return // our own condition failed: this session is over
+		remaining := withoutConflicts(batch, conflict.Failed)
+		if len(remaining) == len(batch) {
+			return // the compare on the session's own key failed: the session has ended
 		}
-		batch = left
+		batch = remaining
 	}
 }
 
-// writeClaimBatch writes claims with one transaction.
+// writeClaimBatch writes claims in a single transaction.
 func (a *Agent) writeClaimBatch(
 	ctx context.Context, batch []machineClaim, shards map[string]uint64,
 ) (rev uint64, err error) {
-	var when []statekv.Compare
-	var then []statekv.Op
+	var compares []statekv.Compare
+	var ops []statekv.Op
 	for _, c := range batch {
 		key := statekv.MachinePrefix + c.name
-		when = append(when, statekv.Compare{Key: key, Rev: c.replacesRev})
-		held := statekv.Compare{Key: statekv.MachineShardPrefix + c.key.Shard, Rev: shards[c.key.Shard]}
-		if !slices.Contains(when, held) {
-			// Another may take the shard from this session: a machine put into
-			// it then would have two owners with one token.
-			when = append(when, held)
+		compares = append(compares, statekv.Compare{Key: key, Rev: c.replacesRev})
+		shardCompare := statekv.Compare{Key: statekv.MachineShardPrefix + c.key.Shard, Rev: shards[c.key.Shard]}
+		if !slices.Contains(compares, shardCompare) {
+			// Another controller may take the shard from this session. A machine claimed into the
+			// shard after that would have two owners with the same fencing token.
+			compares = append(compares, shardCompare)
 		}
-		was, _ := a.mirror.Get(key)
-		then = append(then, statekv.Op{Set: key, Value: statekv.PreserveUnknown(was.Value, c.key)})
+		previous, _ := a.mirror.Get(key)
+		ops = append(ops, statekv.Op{Set: key, Value: statekv.PreserveUnknown(previous.Value, c.key)})
 	}
-	tctx, cancel := context.WithTimeout(ctx, claimTimeout)
+	txnCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	return a.session.Write(tctx, when, then)
+	return a.session.Write(txnCtx, compares, ops)
 }
 
-// withoutConflicts keeps the claims that have none of the failed keys.
+// withoutConflicts returns the claims whose machine and shard keys are not among the failed keys.
 func withoutConflicts(batch []machineClaim, failed []string) []machineClaim {
 	return slices.DeleteFunc(slices.Clone(batch), func(c machineClaim) bool {
 		return slices.Contains(failed, statekv.MachinePrefix+c.name) ||
--- a/internal/clusteragent/commands.go
+++ b/internal/clusteragent/commands.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// unreconciledTimeout is how long a command to a machine that is not reconciled waits
-	// for its answer, and unreconciledPause the time until the next: with the client's own
-	// 2 s and a pause of a second none would be sent again before the machine counts as
-	// unresponsive, and the loss of one message would cost all that runs there.
+	// unreconciledCommandTimeout bounds the wait for the reply to a command to a machine that is
+	// not reconciled, and unreconciledRetryDelay is the delay before the next command. With the
+	// client's own timeout of 2 s and a delay of a second, no command would be repeated before the
+	// machine counts as unresponsive, so the loss of one message would cost all tasks on it.
 	unreconciledTimeout = 700 * time.Millisecond
 	unreconciledPause   = 150 * time.Millisecond
-	// unresponsivePause is that once it counts as unresponsive. Of a zone that is cut off,
-	// four machines in five would be in a try at any moment, with a connection each.
+	// unresponsiveRetryDelay is the delay for unresponsive machines. With unreconciledRetryDelay,
+	// four in five machines of a zone that is cut off would have a command in flight, and so a
+	// connection open, at any time.
 	unresponsivePause = 2 * time.Second
-	// retryPause is the time until the next command after one that failed.
+	// commandRetryDelay is the delay before the next command after one that failed.
 	retryPause = time.Second
 )
 
-// sendCommands sends the commands of one machine, one at a time.
+// sendCommands sends commands to the worker of one machine, one at a time, until ctx ends or the
+// machine is released or deregistered.
 func (a *Agent) sendCommands(ctx context.Context, m *ownedMachine) {
 	for {
 		select {
@@ -37,18 +39,18 @@
 	}
 }
 
-// outgoing is a command that is about to be sent.
+// outgoingCommands is a message to a worker that is about to be sent.
 type outgoing struct {
 	address  string
 	token    uint64
 	epoch    uint64
 	commands []worker.Command
-	timeout  time.Duration // 0: the client's own
-	pause    time.Duration // until the next try if it has no answer
+	timeout  time.Duration // 0: the client's own timeout
+	pause    time.Duration // delay before the next message if this one gets no reply
 }
 
-// sendDueCommands sends the commands that are due and takes the state that answers
-// them. It returns whether there is more to send at once.
+// sendDueCommands sends the due commands and applies the machine state in the reply. It reports
+// whether more commands are to be sent at once.
 func (a *Agent) sendDueCommands(ctx context.Context, m *ownedMachine) bool {
 	now := time.Now()
 	out, due := a.nextCommand(m, now)
@@ -74,8 +76,8 @@
 	return a.commandAnswered(m, &out, state, executed)
 }
 
-// nextCommand returns the command that is due, if one is and may be sent. What it holds counts
-// as sent.
+// nextCommands returns the commands that are due, if there are any and sending is allowed at now.
+// They count as sent.
 func (a *Agent) nextCommand(m *ownedMachine, now time.Time) (out outgoing, due bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -102,8 +104,9 @@
 	return out, true
 }
 
-// commandUnanswered takes in that a command had no answer: it may still arrive. A raised token
-// makes it harmless as soon as a heartbeat shows it. The mutex is held.
+// handleCommandFailure records that a message got no reply. The message may still arrive; raising
+// the token makes it harmless as soon as a heartbeat shows the raised token. The caller must hold
+// a.mu.
 func (a *Agent) commandUnanswered(m *ownedMachine, out *outgoing, sent time.Time, err error) {
 	slog.Debug("command outcome unknown", "machine", m.Name, "err", err)
 	lostBefore := m.Liveness.CommandsLost(sent)
@@ -115,11 +118,11 @@
 	m.retryAt = time.Now().Add(out.pause)
 }
 
-// commandAnswered takes in the state that answers a command, and returns whether there is more
-// to send at once. The mutex is held.
+// handleCommandReply applies the machine state in the reply to a message, and reports whether more
+// commands are to be sent at once. The caller must hold a.mu.
 func (a *Agent) commandAnswered(m *ownedMachine, out *outgoing, state *worker.Heartbeat, executed bool) bool {
 	if state.Machine != m.Name || state.Address != m.Address {
-		a.logMalformed(state, "it answers for machine "+m.Name)
+		a.logMalformed(state, "received as the reply of machine "+m.Name)
 		m.retryAt = time.Now().Add(retryPause)
 		return false
 	}
@@ -130,11 +133,11 @@
 		a.release(m)
 		return false
 	}
-	var proof uint64
+	var executedToken uint64
 	if executed {
-		proof = out.token
+		executedToken = out.token
 	}
-	if !a.applyHeartbeat(m, state, time.Now(), proof) && executed {
+	if !a.applyHeartbeat(m, state, time.Now(), executedToken) && executed {
 		m.FenceOvertakenStart(out.token)
 	}
 	if !executed && state.WorkerEpoch == out.epoch {
--- a/internal/clusteragent/commit.go
+++ b/internal/clusteragent/commit.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// reservationTime is how long capacity is kept for a gang that is being assembled.
+	// gangReservationTimeout bounds how long capacity is reserved for a gang that is being
+	// assembled.
 	reservationTime = 10 * time.Second
-	// startWait is how long a commit waits for the workers to show its tasks.
+	// startTimeout bounds how long a commit waits for heartbeats to list its tasks.
 	startWait = 3 * time.Second
-	// resolvedFor is how long an attempt that was given up is refused.
+	// abandonedAttemptRetention is how long commits of an abandoned attempt are refused.
 	resolvedFor = 15 * time.Minute
 )
 
-// Commit reserves capacity for tasks on a machine, checks the latest state and
-// the reservations, and sends the starts (the paper's commit pipeline).
+// Commit checks a commit against the latest state and the reservations of the machine, reserves
+// capacity for its tasks and sends the start commands (the commit pipeline of the Vela paper).
 func (s *Service) Commit(r agentapi.CommitRequest, reply *agentapi.CommitReply) error {
 	reply.Verdicts = make([]string, len(r.Refs))
 	for i := range reply.Verdicts {
 		reply.Verdicts[i] = agentapi.Refused
 	}
-	starts := make([]<-chan string, len(r.Refs)) // nil: the task is not being started
+	starts := make([]<-chan string, len(r.Refs)) // nil for tasks that are not being started
 	ctx := s.agent.reserveAndStart(&r, reply, starts)
 	awaitStarts(ctx, starts, reply.Verdicts)
 	return nil
 }
 
-// reserveAndStart checks a commit and reserves capacity for its tasks, and has them started.
-// It fills in the reply, but for the results of the starts, which come by the channels that it
-// sets in starts, and returns the context that bounds the wait for them.
+// reserveAndStart checks a commit, reserves capacity for its tasks and has them started. It fills
+// in the reply except for the results of the starts: these arrive on the channels that it stores in
+// starts. It returns the context that bounds the wait for them.
 func (a *Agent) reserveAndStart(
 	r *agentapi.CommitRequest, reply *agentapi.CommitReply, starts []<-chan string,
 ) context.Context {
@@ -47,56 +48,57 @@
 		return a.ctx
 	}
 	a.counters.Commits++
-	sending := false
+	startQueued := false
 	for i, ref := range r.Refs {
 		t, why := a.reserve(m, r, ref, now)
 		switch {
 		case t == nil:
 			reply.Why = why
 		case t.State() != machine.Reserved:
-			// A repeated request: the entry shows what became of it.
+			// The request was repeated: the machine's entry shows the outcome.
 			reply.Verdicts[i] = agentapi.Unresolved
 		case r.Hold:
 			t.KeepReserved(now.Add(reservationTime))
 			reply.Verdicts[i] = agentapi.Held
 		default:
 			starts[i] = m.Start(t, now)
-			sending = true
+			startQueued = true
 		}
 	}
-	if sending {
+	if startQueued {
 		a.changes.mark(m)
 		m.wake()
 	}
-	// From this version on, an entry without the task proves it gone.
+	// An entry of this or a later version without the task proves that the task is gone.
 	reply.Ver, reply.Rev = a.changes.version, m.Ownership.Rev
 	return a.ctx
 }
 
-// commitConflict says why nothing of a commit can be carried out, or "". The mutex is held.
+// commitConflict returns why no task of a commit can be started, or "". The caller must hold a.mu.
 func (a *Agent) commitConflict(m *ownedMachine, r *agentapi.CommitRequest, now time.Time) string {
 	switch {
 	case m == nil || m.Ownership.Rev != r.Rev:
-		return "machine is not owned here"
+		return "machine is not owned by this controller under the requested revision"
 	case !a.session.HoldsLease():
-		return "owner is not certain of its lease"
+		return "owner's session lease may have ended"
 	case !a.isLatestEpoch(statekv.JobShardPrefix+r.Slot, r.Epoch):
-		return "scheduler is not the job shard's latest"
+		return "scheduler epoch is older than the job shard's latest"
 	case a.settings.HasQuota(r.Spec.Team) && !a.isLatestEpoch(statekv.LeaderKey, r.StewardEpoch):
-		return "quota grant is not from the latest leader"
+		return "quota grant is not from the latest leader epoch"
 	case a.isFinished(r.Spec.ID, r.JobRev):
 		return "job is finished"
 	}
 	return a.ineligible(m, &r.Request, now)
 }
 
-// reserve returns the task of an attempt, with capacity reserved for it if it is new, or nil
-// and why it gets none. The mutex is held.
+// reserveTask returns the task of an attempt. If the attempt is new, it adds the task to the
+// machine and thereby reserves capacity. It returns nil and the reason if the attempt is refused.
+// The caller must hold a.mu.
 func (a *Agent) reserve(
 	m *ownedMachine, r *agentapi.CommitRequest, ref agentapi.TaskRef, now time.Time,
 ) (t *machine.Task, why string) {
 	if a.resolved.has(ref) {
-		return nil, "attempt was given up"
+		return nil, "attempt was abandoned"
 	}
 	key := machine.KeyOf(ref)
 	if t := m.Task(key); t != nil {
@@ -104,11 +106,11 @@
 	}
 	if n, _ := a.countFits(m, r.Spec.Need); n == 0 {
 		a.counters.Conflicts++
-		return nil, "no capacity left"
+		return nil, "not enough free capacity on the machine"
 	}
 	if a.contention.Contended(m.Machine, &r.Spec) {
 		a.counters.Conflicts++
-		return nil, "machine fetches other images"
+		return nil, "machine is fetching other images"
 	}
 	spec := r.Spec
 	t = machine.NewReserved(key, ref, r.Slot, &spec, now.Add(-r.Age))
@@ -116,8 +118,8 @@
 	return t, ""
 }
 
-// awaitStarts waits for the results of starts, and takes them for unresolved where none comes
-// in time.
+// awaitStarts waits for the results of starts. A start without a result within startTimeout counts
+// as unresolved.
 func awaitStarts(ctx context.Context, starts []<-chan string, results []string) {
 	timeout := time.NewTimer(startWait)
 	defer timeout.Stop()
@@ -143,15 +145,15 @@
 	}
 }
 
-// isLatestEpoch reports whether epoch is the latest revision of a role's key as far
-// as known. An agent answers a new holder's watch only once it knows that
-// holder's epoch, so after that no commit under the earlier one passes here.
+// isLatestEpoch reports whether epoch is the latest revision of a role's key in the mirror. An
+// agent answers the watch of a new holder only after its mirror shows the new epoch; after that
+// answer, commits under the earlier epoch are refused here.
 func (a *Agent) isLatestEpoch(key string, epoch uint64) bool {
 	kv, ok := a.mirror.Get(key)
 	return ok && kv.Rev <= epoch || !ok && epoch > a.mirror.Rev()
 }
 
-// Stop asks for tasks to be stopped, or forgotten once they have ended.
+// Stop stops tasks, or has the worker forget tasks that have ended.
 func (s *Service) Stop(r agentapi.StopRequest, _ *struct{}) error {
 	a := s.agent
 	a.mu.Lock()
@@ -179,12 +181,13 @@
 	return nil
 }
 
-// errNotOwned refuses to resolve commits that went to another owner.
-var errNotOwned = errors.New("machine is not owned here under that revision")
+// errNotOwned is returned for commits that were sent to another owner, or to another ownership of
+// the machine.
+var errNotOwned = errors.New("machine is not owned by this controller under the requested revision")
 
-// Void makes commits harmless that were sent but not answered, unless the task
-// is on the machine already. Only the owner that the commit went to can say so:
-// to a later session of the same controller the task is unknown although it may run.
+// Void resolves commits that were sent but not answered: tasks that are not yet on the machine will
+// never be started by them. Only the owner to which a commit was sent can resolve it: a later
+// session of the same controller does not know the task, which may be running.
 func (s *Service) Void(r agentapi.ResolveRequest, reply *agentapi.ResolveReply) error {
 	a := s.agent
 	a.mu.Lock()
@@ -210,8 +213,8 @@
 	return nil
 }
 
-// resolvedAttempts is the attempts that were given up, which must not be started any more, and
-// since when. The agent's mutex guards it.
+// abandonedAttempts holds the attempts that schedulers have abandoned, which must not be started
+// any more, with the time of the abandonment. Agent.mu guards it.
 type resolvedAttempts map[agentapi.TaskRef]time.Time
 
 func (r resolvedAttempts) has(ref agentapi.TaskRef) bool {
@@ -220,8 +223,8 @@
 }
 
 func (r resolvedAttempts) expire(now time.Time) {
-	for ref, at := range r {
-		if now.Sub(at) > resolvedFor {
+	for ref, abandonedAt := range r {
+		if now.Sub(abandonedAt) > resolvedFor {
 			delete(r, ref)
 		}
 	}
--- a/internal/clusteragent/fair_share.go
+++ b/internal/clusteragent/fair_share.go
@@ -8,53 +8,53 @@
 	"robinstack/internal/machine"
 )
 
-// Ranks say who goes first, and gangs of a higher rank preempt what arrays run. A class that
-// is stopped as often as it starts never gets on: on a day on
-// which machines were lost, tasks of arrays held a fifth of what there was while gangs
-// held more than half, and tasks were preempted for more gangs still.
+// Priorities decide which job goes first, and gangs of higher priority preempt tasks of job arrays.
+// A class that is preempted as often as it starts tasks makes no progress: on a day on which
+// machines were lost, job arrays held a fifth of the capacity and gangs more than half, and tasks
+// of the arrays were still preempted for further gangs.
 //
-// So each class that has work has a fair share: where n classes have work, an n-th of what an
-// owner's machines hold. While a class waits with less than its share, a class that has
-// more than its own does not stop its tasks. What a waiting class has then falls only by
-// its own tasks' ends, and what others have beyond their shares goes, as it ends, to
-// whoever is first in the queue. Each owner sees to it for its own machines, by what it
-// knows anyway; jobs and machines are spread over owners, so that the fleet's shares are
-// those of its owners. Teams without a guarantee where others have one, and work of the
-// lowest rank, fill what is spare: they have no share.
+// Therefore each class with work has a fair share: with n such classes, 1/n of an owner's machines.
+// While a class is waiting and below its share, classes above their own shares do not preempt its
+// tasks. Its usage then shrinks only as its own tasks end, and capacity that other classes use above
+// their shares goes to the first job in the queue as their tasks end. Each owner enforces this for
+// its own machines with the data that it has anyway; jobs and machines are spread over the owners,
+// so the shares hold for the whole cluster as well. Teams without a guarantee, if other teams have
+// one, and jobs of the lowest priority only use spare capacity and have no share.
 
-// fairShare is what the classes have of an owner's machines. The agent's mutex guards it.
+// fairShare is the usage of an owner's machines by class. Agent.mu guards it.
 type fairShare struct {
 	computedAt time.Time
-	usage      map[string]float64   // machines, counted by the largest share of any amount, by class
-	machines   float64              // that there are
-	waiting    map[string]time.Time // classes that found too little capacity, and when last
+	usage      map[string]float64   // by class, in machines: sum of the tasks' dominant shares
+	machines   float64              // number of operational machines
+	waiting    map[string]time.Time // classes that found too little capacity, with the time of the last such request
 }
 
 const (
-	// fairShareInterval is how often the machines are added up.
+	// fairShareRefreshInterval is the minimum time between two computations of the usage.
 	fairShareInterval = 500 * time.Millisecond
-	// waitingFor is how long a class counts as waiting after a request that found too
-	// little capacity: its schedulers come again after a second or two.
+	// waitingTimeout is how long a class counts as waiting after a request that found too little
+	// capacity; schedulers repeat such requests after a second or two.
 	waitingFor = 4 * time.Second
 )
 
-// current reports whether the usage is as of a moment ago.
+// isCurrent reports whether the usage was computed within fairShareRefreshInterval.
 func (f *fairShare) current(now time.Time) bool {
 	return now.Sub(f.computedAt) < fairShareInterval && f.usage != nil
 }
 
-// perClass is what each class that has work may count on, in machines.
+// machinesPerClass returns the fair share of each class that uses machines or is waiting, in
+// machines.
 func (f *fairShare) perClass() float64 {
 	n := len(f.usage)
 	for class := range f.waiting {
-		if _, has := f.usage[class]; !has {
+		if _, counted := f.usage[class]; !counted {
 			n++
 		}
 	}
 	return f.machines / float64(max(1, n))
 }
 
-// noteWaiting notes that a class found too little capacity.
+// noteWaiting records that a class found too little capacity.
 func (f *fairShare) noteWaiting(class string, now time.Time) {
 	if f.waiting == nil {
 		f.waiting = map[string]time.Time{}
@@ -62,12 +62,14 @@
 	f.waiting[class] = now
 }
 
-// hasFairShare reports whether jobs like this one have a fair share.
-func (a *Agent) hasFairShare(s *job.Spec) bool {
-	return s.Priority() > job.LowestPriority && !a.settings.Unguaranteed(s.Team)
+// hasFairShare reports whether the job counts towards the fair share of its class: it is not of the
+// lowest priority, and its team has a guarantee if any team has one.
+func (a *Agent) hasFairShare(spec *job.Spec) bool {
+	return spec.Priority() > job.LowestPriority && !a.settings.Unguaranteed(spec.Team)
 }
 
-// currentFairShare returns the fair share as of a moment ago. The mutex is held.
+// currentFairShare returns the usage by class, recomputed if it is older than
+// fairShareRefreshInterval. The caller must hold a.mu.
 func (a *Agent) currentFairShare(now time.Time) *fairShare {
 	f := &a.fairShare
 	if f.current(now) {
@@ -95,24 +97,24 @@
 	return f
 }
 
-// noteWaitingClass notes that a request found too little capacity. The mutex is held.
+// noteWaitingClass records that the request found too little capacity. The caller must hold a.mu.
 func (a *Agent) noteWaitingClass(r *agentapi.Request, now time.Time) {
 	if a.hasFairShare(&r.Spec) {
 		a.fairShare.noteWaiting(r.Spec.Class, now)
 	}
 }
 
-// protectedByFairShare reports whether a task on m may not be stopped for the request: its
-// class waits with less than its share, and the request's has more than its own and does not
-// miss the longest objective for its wait by that. The mutex is held.
+// protectedByFairShare reports whether fair share forbids preempting a task on m for the request:
+// the task's class is waiting and below its share, the request's class is at or above its own, and
+// the request would not miss its longest start target as a result. The caller must hold a.mu.
 func (a *Agent) protectedByFairShare(
 	t *machine.Task, r *agentapi.Request, m *ownedMachine, now time.Time,
 ) bool {
 	if !r.Parts || !a.hasFairShare(t.Spec) {
 		return false
 	}
-	waits := a.settings.StartTargets(r.Spec.Class)
-	if n := len(waits); n > 0 && waits[n-1]-r.Age <= preemptionTime(r, a.types()[m.Type]) {
+	startTargets := a.settings.StartTargets(r.Spec.Class)
+	if n := len(startTargets); n > 0 && startTargets[n-1]-r.Age <= preemptionTime(r, a.types()[m.Type]) {
 		return false
 	}
 	f := a.currentFairShare(now)
--- a/internal/clusteragent/heartbeat.go
+++ b/internal/clusteragent/heartbeat.go
@@ -10,35 +10,37 @@
 	"robinstack/internal/worker"
 )
 
-// HeartbeatReply is the answer to a worker's heartbeat: commands, or where to send it instead.
+// HeartbeatReply is the reply to a worker's heartbeat: commands, or the controller to contact
+// instead.
 type HeartbeatReply struct {
-	Owner      bool // Answer holds
+	Owner      bool // this controller accepts the heartbeat, and Answer is valid
 	Answer     worker.HeartbeatResponse
-	RedirectTo string // controller to report to, if known
-	Malformed  string // why it is malformed
+	RedirectTo string // host of the controller to report to; "" if unknown
+	Malformed  string // why the heartbeat is malformed; "" if it is not
 }
 
 const (
-	// ownerWait is how long a heartbeat waits for its machine's next owner.
+	// ownerWaitTimeout bounds how long a heartbeat waits for the next owner of its machine.
 	ownerWait = 1500 * time.Millisecond
-	// claimWait is how long it waits for a claim: the worker gives up after 4 s.
+	// claimWaitTimeout bounds how long a heartbeat waits for the claim of its machine. The worker
+	// gives up after 4 s.
 	claimWait = 3 * time.Second
 )
 
-// Heartbeat takes a worker's heartbeat.
+// Heartbeat handles a worker's heartbeat and returns the reply.
 func (a *Agent) Heartbeat(ctx context.Context, r *worker.Heartbeat) HeartbeatReply {
 	now := time.Now()
 	if reply, owned := a.answerOwned(r); owned {
 		return reply
 	}
-	// A machine of an owner whose session has just ended gets a new one at once.
+	// If the session of the machine's owner has just ended, wait for the takeover by the successor.
 	for deadline := time.Now().Add(ownerWait); ; {
 		rev := a.mirror.Rev()
 		if reply, done := a.answerUnowned(ctx, r, now); done {
 			return reply
 		}
-		wctx, cancel := context.WithDeadline(ctx, deadline)
-		err := a.mirror.Wait(wctx, rev+1)
+		waitCtx, cancel := context.WithDeadline(ctx, deadline)
+		err := a.mirror.Wait(waitCtx, rev+1)
 		cancel()
 		if err != nil {
 			return HeartbeatReply{}
@@ -46,9 +48,9 @@
 	}
 }
 
-// answerUnowned answers a heartbeat of a machine that this controller does not look after: it
-// claims or adopts the machine, or names its owner. done is false while the machine's owner is
-// not alive.
+// answerUnowned answers a heartbeat of a machine that this controller does not manage: it claims or
+// adopts the machine, or redirects the worker to the owner. done is false if the owner is not
+// alive.
 func (a *Agent) answerUnowned(
 	ctx context.Context, r *worker.Heartbeat, now time.Time,
 ) (reply HeartbeatReply, done bool) {
@@ -56,7 +58,7 @@
 	holder, ownedRev := shard.OwnerOf(a.mirror, kv)
 	switch {
 	case !exists && a.isTombstoned(r.Machine, now):
-		return HeartbeatReply{}, true // a late copy: nobody answers for it any more
+		return HeartbeatReply{}, true // late copy from a deregistered machine: not answered
 	case !exists:
 		if host := a.redirectToZone(r, now); host != "" {
 			return HeartbeatReply{RedirectTo: host}, true
@@ -77,7 +79,8 @@
 	return HeartbeatReply{}, false
 }
 
-// claimAndAnswer claims the machine that sent a heartbeat and answers once it is owned.
+// claimAndAnswer claims the machine that sent a heartbeat and answers the heartbeat after the
+// attempt.
 func (a *Agent) claimAndAnswer(ctx context.Context, r *worker.Heartbeat, replacesRev uint64) HeartbeatReply {
 	key := shard.MachineRecord{Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	done := a.enqueueClaim(r.Machine, key, replacesRev)
@@ -93,13 +96,13 @@
 	return reply
 }
 
-// answerOwned answers a heartbeat of a machine that this controller looks after; owned is false
-// where it does not.
+// answerOwned answers a heartbeat of a machine that this controller manages. owned is false if it
+// does not manage the machine.
 func (a *Agent) answerOwned(r *worker.Heartbeat) (reply HeartbeatReply, owned bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	// Not before: in a starved process a heartbeat may have waited here for seconds,
-	// while others of the same worker were answered.
+	// Read the clock only with a.mu held: in a process short of CPU time, a heartbeat may wait for
+	// the mutex for seconds, while later heartbeats of the same worker are answered.
 	now := time.Now()
 	m := a.machines[r.Machine]
 	if m == nil {
@@ -112,7 +115,7 @@
 	a.applyHeartbeat(m, r, now, 0)
 	if len(a.unverifiedTasks(m)) > 0 {
 		a.verifyTasks(m)
-		// Meanwhile much may have come.
+		// verifyTasks releases a.mu while it waits, so the preconditions have to be checked again.
 		now = time.Now()
 		if !a.owns(m) || !m.Operational() || !m.Liveness.IsLatestHeartbeat(r) || !a.mayAnswer(now) {
 			return HeartbeatReply{}, true
@@ -126,8 +129,8 @@
 	return HeartbeatReply{Owner: true, Answer: answer}, true
 }
 
-// rejectHeartbeat returns the answer to a heartbeat that renews no lease here. The mutex is
-// held.
+// rejectHeartbeat returns the reply to a heartbeat that must not renew the worker's lease here.
+// rejected is false if the heartbeat can be accepted. The caller must hold a.mu.
 func (a *Agent) rejectHeartbeat(
 	m *ownedMachine, r *worker.Heartbeat, now time.Time,
 ) (reply HeartbeatReply, rejected bool) {
@@ -139,17 +142,17 @@
 		return HeartbeatReply{Malformed: why}, true
 	}
 	if m.Liveness.Duplicate(r) {
-		// A copy, however late: it renews nothing, and commands would be taken for sent.
-		// Should it be a worker's present heartbeat after all, an answer without the
-		// commands that are due, or after the lease grace period, would renew its lease.
+		// An empty reply to a duplicate renews no lease, and no command counts as sent with it. If
+		// the worker is in fact still waiting for the reply to this heartbeat, a reply without the
+		// due commands, or one after the lease grace period, would wrongly renew its lease.
 		return HeartbeatReply{}, true
 	}
 	if m.Liveness.NoteHeartbeat(now) {
 		a.changes.mark(m)
 	}
 	if r.FencingToken > m.Ownership.Token() {
-		// The worker has seen a successor's token: an answer with ours would
-		// be dropped and keep the worker here while its lease runs out.
+		// The worker has seen a successor's token. It would drop a reply with the token of this
+		// controller and keep reporting here until its lease runs out.
 		a.release(m)
 		return HeartbeatReply{RedirectTo: a.ownerHostOf(r.Machine)}, true
 	}
@@ -157,18 +160,18 @@
 		return HeartbeatReply{}, true
 	}
 	if !a.stillOurs(m) {
-		// Its successor counts on us to stop, whatever else keeps us answering.
+		// The successor relies on this controller to stop answering, even if its lease grace period
+		// goes on.
 		a.release(m)
 		return HeartbeatReply{RedirectTo: a.ownerHostOf(r.Machine)}, true
 	}
 	return HeartbeatReply{}, false
 }
 
-// applyHeartbeat takes a heartbeat, or the answer to a command, into what is known of the
-// machine and returns whether anything changed; then those who watch it are told. The mutex is
-// held.
-func (a *Agent) applyHeartbeat(m *ownedMachine, r *worker.Heartbeat, now time.Time, executed uint64) bool {
-	if !m.Apply(r, now, executed) {
+// applyHeartbeat applies a heartbeat, or the reply to a command, to the machine's state. It reports
+// whether anything changed, in which case it also notifies the watchers. The caller must hold a.mu.
+func (a *Agent) applyHeartbeat(m *ownedMachine, r *worker.Heartbeat, now time.Time, executedToken uint64) bool {
+	if !m.Apply(r, now, executedToken) {
 		return false
 	}
 	m.TrackFetches(now, a.types()[m.Type], &a.contention)
@@ -177,10 +180,10 @@
 	return true
 }
 
-// maxMalformedLogged bounds the machines whose rejected heartbeats are remembered.
+// maxMalformedLogged bounds the record of machines whose rejected heartbeats have been logged.
 const maxMalformedLogged = 1000
 
-// logMalformed logs a heartbeat that cannot be, once for each machine. The mutex is held.
+// logMalformed logs a rejected heartbeat, once per machine. The caller must hold a.mu.
 func (a *Agent) logMalformed(r *worker.Heartbeat, why string) {
 	if a.malformed[r.Machine] {
 		return
@@ -193,7 +196,8 @@
 		"epoch", r.WorkerEpoch, "sequence", r.Sequence)
 }
 
-// ownerHostOf returns the living owner of a machine, or "" if it is not another controller.
+// ownerHostOf returns the host of the machine's owner if that is another controller that is alive,
+// or "".
 func (a *Agent) ownerHostOf(name string) string {
 	kv, ok := a.mirror.Get(statekv.MachinePrefix + name)
 	holder, _ := shard.OwnerOf(a.mirror, kv)
@@ -203,8 +207,9 @@
 	return holder.Host
 }
 
-// stillOurs reports whether a machine is ours by the keys that the mirror shows. While this
-// controller is certain of its lease that is looked after all the time (reconcileOwnership).
+// stillOwned reports whether the keys in the mirror show this controller as the machine's owner. It
+// returns true without a check while the session certainly holds its lease: in that state
+// reconcileOwnership continuously releases machines that have another owner.
 func (a *Agent) stillOurs(m *ownedMachine) bool {
 	if a.session.HoldsLease() {
 		return true
--- a/internal/clusteragent/inspect.go
+++ b/internal/clusteragent/inspect.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// unreconciledQuiet is how long a machine may leave its new owner's commands
-	// unanswered before it counts as unresponsive: a command that its worker gets is
-	// answered within milliseconds, and one that is lost is sent again by then.
+	// unreconciledResponseTimeout is how long a machine may leave the commands of its new owner
+	// unanswered before it counts as unresponsive. A worker answers a command within milliseconds,
+	// and a lost command is repeated within this time.
 	unreconciledQuiet = 1600 * time.Millisecond
-	// quietMargin is what a machine may be late beyond two heartbeats' intervals.
+	// heartbeatDelayMargin is added to two heartbeat intervals before a machine counts as
+	// unresponsive.
 	quietMargin = 2 * time.Second
-	// exitRecheckAfter is how long an ended task may stay on its machine before it is
-	// looked up whether its job has finished. Recording what ended takes a few seconds at
-	// most while the state service answers.
+	// exitRecheckDelay is how long an ended task may stay on its machine before the agent checks
+	// whether its job has finished. While the state service answers, recording the end of a task
+	// takes a few seconds at most.
 	exitRecheckAfter = 20 * time.Second
-	// goneKeptFor is how long a deregistered machine is shown as gone.
+	// deregisteredRetention is how long a deregistered machine remains in the change log as gone.
 	goneKeptFor = 2 * time.Minute
-	// inspectionTurns is how many looks it takes until each machine has been inspected;
-	// those of which something is urgent are at each.
+	// inspectionBatches is the number of inspections that it takes to cover all machines. Machines
+	// that are unreconciled or unresponsive are covered by each inspection.
 	inspectionTurns = 4
 )
 
-// inspect does what time brings: reservations expire, unresponsive machines are noticed, and
-// tasks of unreachable workers are gone once their lease ran out.
+// inspect applies the effects of time: reservations expire, machines become unresponsive, and tasks
+// of unreachable workers are removed once the worker's lease has expired.
 func (a *Agent) inspect(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -40,7 +41,7 @@
 	}
 }
 
-// inspectMachine does what time brings to one machine. The mutex is held.
+// inspectMachine applies the effects of time to one machine. The caller must hold a.mu.
 func (a *Agent) inspectMachine(m *ownedMachine, now time.Time) {
 	if m.Deregistered() {
 		if now.Sub(m.Liveness.LastContact) > goneKeptFor {
@@ -49,7 +50,7 @@
 		return
 	}
 	if !m.Operational() {
-		return // deleted: only its key is left
+		return // deleted; only its key is left
 	}
 	changed := m.CheckLiveness(now, a.livenessLimits())
 	expired := m.Expired(now, a.settings.WorkerLeaseExpiry())
@@ -68,7 +69,8 @@
 	}
 }
 
-// livenessLimits are the times after which a machine counts as out of contact.
+// livenessLimits returns the times after which a machine counts as unresponsive or its heartbeats
+// as lost.
 func (a *Agent) livenessLimits() machine.LivenessLimits {
 	return machine.LivenessLimits{
 		Heartbeat:    a.settings.Workers.LeaseDuration * 2 / 3,
@@ -77,9 +79,9 @@
 	}
 }
 
-// recheckExited has the records read of jobs whose tasks have been ended for long. The word to
-// forget them may have gone to an earlier owner; until they are gone, the machine is not idle.
-// The mutex is held.
+// recheckExited schedules another read of the job records of tasks that ended more than
+// exitRecheckDelay ago. The request to forget such a task may have gone to an earlier owner, and
+// the machine is not idle until the task is forgotten. The caller must hold a.mu.
 func (a *Agent) recheckExited(m *ownedMachine, now time.Time) {
 	for _, t := range m.Tasks() {
 		if t.RecheckExit(now, exitRecheckAfter) {
--- a/internal/clusteragent/lease_grace.go
+++ b/internal/clusteragent/lease_grace.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
-// mayAnswer reports whether this controller may still act for its machines: a successor counts
-// on it to stop in time.
+// withinLeaseGrace reports whether this controller may still act for its machines. A successor
+// relies on the earlier owner to stop at the end of the lease grace period.
 func (a *Agent) mayAnswer(now time.Time) bool { return a.leaseGraceLeft(now) > 0 }
 
-// leaseGraceLeft is how much longer this controller may act for its machines, if it does not
-// reach the state service again.
+// leaseGraceRemaining returns how long this controller may still act for its machines if it does
+// not reach the state service again.
 func (a *Agent) leaseGraceLeft(now time.Time) time.Duration {
-	known := a.session.LastRenewal()
-	if fresh := a.mirror.FreshAsOf(); fresh.Before(known) {
-		known = fresh
+	freshAsOf := a.session.LastRenewal()
+	if mirrorFreshAsOf := a.mirror.FreshAsOf(); mirrorFreshAsOf.Before(freshAsOf) {
+		freshAsOf = mirrorFreshAsOf
 	}
 	grace := a.settings.LeaseGracePeriod()
-	if left := grace - now.Sub(known); left > grace*3/4 || a.AcknowledgedUntil == nil {
-		return left
+	if remaining := grace - now.Sub(freshAsOf); remaining > grace*3/4 || a.AcknowledgedUntil == nil {
+		return remaining
 	}
-	// In an outage that all meet nobody can acknowledge anything new, and they all say so.
-	if acknowledged := a.AcknowledgedUntil(a.mirror.Rev()); acknowledged.After(known) {
-		known = acknowledged
+	// In an outage that affects all controllers, none of them can acknowledge a new cancellation.
+	// While all of them confirm this, the grace period counts from their confirmations.
+	if acknowledged := a.AcknowledgedUntil(a.mirror.Rev()); acknowledged.After(freshAsOf) {
+		freshAsOf = acknowledged
 	}
-	return grace - now.Sub(known)
+	return grace - now.Sub(freshAsOf)
 }
 
-// solicitBefore is how long before the end of the lease grace period the workers are asked for
-// a heartbeat once more.
+// solicitLeadTime is how long before the end of the lease grace period the workers are asked for
+// another heartbeat.
 const solicitBefore = 1500 * time.Millisecond
 
-// solicitHeartbeats raises the tokens of all machines when the lease grace period is about to
-// end: a worker that sees a higher token sends a heartbeat within half a second, so that its
-// lease counts from the end of that period, and not from up to a heartbeat's interval before.
-// An outage of the state service or a cut of the zone may be over by then. The mutex is held.
+// solicitHeartbeats raises the fencing tokens of all machines shortly before the lease grace period
+// ends. A worker that sees a higher token sends a heartbeat within half a second, so its lease
+// counts from the end of that period instead of from up to one heartbeat interval earlier. By the
+// time the lease runs out, the outage of the state service or the partition of the zone may be
+// over. The caller must hold a.mu.
 func (a *Agent) solicitHeartbeats(now time.Time) {
-	left := a.leaseGraceLeft(now)
-	if left > solicitBefore || left <= 0 || a.session.HoldsLease() {
-		a.heartbeatsSolicited = a.heartbeatsSolicited && left <= solicitBefore
+	remaining := a.leaseGraceLeft(now)
+	if remaining > solicitBefore || remaining <= 0 || a.session.HoldsLease() {
+		a.heartbeatsSolicited = a.heartbeatsSolicited && remaining <= solicitBefore
 		return
 	}
 	if a.heartbeatsSolicited {
--- a/internal/clusteragent/owned_machine.go
+++ b/internal/clusteragent/owned_machine.go
@@ -11,15 +11,15 @@
 	"robinstack/internal/shard"
 )
 
-// ownedMachine is a machine with what this controller needs to look after it. The agent's
-// mutex guards it.
+// ownedMachine is a machine together with the data that this controller needs to manage it.
+// Agent.mu guards it.
 type ownedMachine struct {
 	*machine.Machine
 	change         changeMark
-	inspectionTurn int           // in which of the turns it is inspected
-	wakeup         chan struct{} // has its commands sent
-	stopped        chan struct{} // closed when they are no longer
-	retryAt        time.Time     // no command is sent before
+	inspectionTurn int           // inspection batch of the machine, below inspectionBatches
+	wakeup         chan struct{} // wakes the command sender
+	stopped        chan struct{} // closed when the machine is released or deregistered; ends the command sender
+	retryAt        time.Time     // earliest time of the next command
 }
 
 func newOwnedMachine(m *machine.Machine, index *capacityIndex) *ownedMachine {
@@ -34,7 +34,7 @@
 	return owned
 }
 
-// wake has the commands sent that are due.
+// wakeSender has the command sender send the commands that are due.
 func (m *ownedMachine) wake() {
 	select {
 	case m.wakeup <- struct{}{}:
@@ -46,23 +46,23 @@
 	return m.Entry(host, m.change.version, now)
 }
 
-// owns reports whether m is what this controller looks after under that name: it may have been
-// given up, and taken up anew, while the mutex was not held.
+// owns reports whether m is still the machine that this controller manages under that name. While
+// a.mu was not held, the machine may have been released and acquired again as a new ownedMachine.
 func (a *Agent) owns(m *ownedMachine) bool { return a.machines[m.Name] == m }
 
-// acquisition is how a machine came to this controller.
+// acquisition is how this controller became the owner of a machine.
 type acquisition int
 
 const (
-	// registered machines had no owner before.
+	// registered: the machine had no owner before.
 	registered acquisition = iota
-	// takenOver machines had one, which may go on answering their workers for a time.
+	// takenOver: the machine had an earlier owner, which may still answer its worker for a time.
 	takenOver
 )
 
-// beginOwnership begins to look after a machine. keyRev is its key's revision, rev that of
-// our ownership.
-func (a *Agent) beginOwnership(name string, key *shard.MachineRecord, keyRev, rev uint64, how acquisition) {
+// beginOwnership starts to manage a machine. keyRev is the revision of the machine's key, rev the
+// ownership revision. a.mu must not be held.
+func (a *Agent) beginOwnership(name string, key *shard.MachineRecord, keyRev, rev uint64, acquiredBy acquisition) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -75,8 +75,8 @@
 		last := a.LastEntry(name)
 		m.Restore(&last, now)
 	}
-	if how == takenOver {
-		// The earlier owner may go on answering for its lease grace period.
+	if acquiredBy == takenOver {
+		// The earlier owner may answer the worker until its lease grace period ends.
 		m.Ownership.TakeOver(now.Add(a.settings.LeaseGracePeriod()))
 		a.cancellations.noteAcknowledged(rev)
 	}
@@ -88,14 +88,14 @@
 		a.startSender(m)
 	}
 	m.wake()
-	if how == registered {
+	if acquiredBy == registered {
 		slog.Info(logline.MachineRegistered, "machine", name, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
 	}
 	slog.Debug("machine ownership acquired", "machine", name, "type", m.Type, "zone", m.Zone, "spot", m.Spot,
-		"revision", strconv.FormatUint(rev, 10), "taken_over", how == takenOver)
+		"revision", strconv.FormatUint(rev, 10), "taken_over", acquiredBy == takenOver)
 }
 
-// release gives up a machine that a successor owns.
+// release stops managing a machine that a successor owns. The caller must hold a.mu.
 func (a *Agent) release(m *ownedMachine) {
 	if !a.owns(m) {
 		return
@@ -104,14 +104,14 @@
 	m.Release(time.Now())
 	a.shards.released[m.Name] = m.Ownership.Rev
 	if !m.Deregistered() {
-		// Of one that is, the sender has stopped already; a late heartbeat of it has reached
-		// another controller.
+		// The command sender of a deregistered machine has stopped already. Its release means that
+		// a late heartbeat of it has reached another controller.
 		close(m.stopped)
 	}
 	a.forgetMachine(m)
 }
 
-// forgetMachine drops a machine from what this controller looks after.
+// forgetMachine removes a machine from the agent's state. The caller must hold a.mu.
 func (a *Agent) forgetMachine(m *ownedMachine) {
 	delete(a.machines, m.Name)
 	a.capacity.remove(m)
--- a/internal/clusteragent/preempt.go
+++ b/internal/clusteragent/preempt.go
@@ -14,43 +14,44 @@
 	"robinstack/internal/machine"
 )
 
-// preemptionHold is how long a machine stays reserved for the job that tasks were preempted
-// for, beyond the time those need to save.
+// preemptionHold is how long a machine stays reserved for the preempting job after the preempted
+// tasks have had their time to save.
 const preemptionHold = 10 * time.Second
 
-// victims picks the tasks to stop so that the request's need fits on m: tasks
-// of arrays of lower priority, those first that lose least. ok is false where
-// that does not make enough capacity free. The cost is in GPU-seconds:
-// of work lost, and of fetching the image where the machine does not have it.
+// findVictims selects the tasks to preempt so that one task of the request fits on m. Victims are
+// tasks of job arrays of lower priority, those with the lowest cost first. ok is false if
+// preemption is not allowed now or does not free enough capacity. cost is in GPU-seconds: the work
+// lost, the expected lateness cost, and the time to fetch the image if the machine does not have
+// it. The caller must hold a.mu.
 func (a *Agent) victims(
 	m *ownedMachine, r *agentapi.Request, now time.Time,
-) (stop []*machine.Task, cost float64, ok bool) {
-	t, known := a.types()[m.Type]
+) (victims []*machine.Task, cost float64, ok bool) {
+	machineType, known := a.types()[m.Type]
 	hasImage := m.Images.Has(r.Spec.Image)
-	if !known || r.Near && !hasImage || !startOverdue(r, t) || a.manyClaimsPending() {
+	if !known || r.Near && !hasImage || !startOverdue(r, machineType) || a.manyClaimsPending() {
 		return nil, 0, false
 	}
 	if a.ineligible(m, r, now) != "" {
 		return nil, 0, false
 	}
-	free, known := m.FreeCapacity(job.Capacity(t))
+	free, known := m.FreeCapacity(job.Capacity(machineType))
 	if !known {
 		return nil, 0, false
 	}
 	options, free := a.victimOptions(m, r, free, now)
-	stop, free = pickVictims(options, &r.Spec, free)
-	for _, t := range stop {
-		cost += t.PreemptionLoss(now)
+	victims, free = pickVictims(options, &r.Spec, free)
+	for _, task := range victims {
+		cost += task.PreemptionLoss(now)
 	}
-	cost += a.latenessOf(stop, now)
-	if !hasImage && t.FetchGBPerS > 0 {
-		cost += r.Spec.ImageGB / t.FetchGBPerS * max(r.Spec.GPUs, 1)
+	cost += a.latenessOf(victims, now)
+	if !hasImage && machineType.FetchGBPerS > 0 {
+		cost += r.Spec.ImageGB / machineType.FetchGBPerS * max(r.Spec.GPUs, 1)
 	}
-	return stop, cost, r.Spec.FitsIn(free)
+	return victims, cost, r.Spec.FitsIn(free)
 }
 
-// victimOptions lists the tasks that may be stopped for the request, the cheapest first, and
-// returns what is free with those gone that are being stopped.
+// potentialVictims returns the tasks on m that may be preempted for the request, the cheapest
+// first, and the free capacity of m once the tasks that are already being stopped have ended.
 func (a *Agent) victimOptions(
 	m *ownedMachine, r *agentapi.Request, free job.Resources, now time.Time,
 ) (options []*machine.Task, freeSoon job.Resources) {
@@ -71,116 +72,116 @@
 	return options, free
 }
 
-// pickVictims picks as many of the options, in their order, as the spec needs to fit, and
-// returns what is free without them.
+// selectVictims selects from options, in order, as many tasks as are needed for the spec to fit,
+// and returns the free capacity without them.
 func pickVictims(
 	options []*machine.Task, spec *job.Spec, free job.Resources,
-) (stop []*machine.Task, left job.Resources) {
+) (victims []*machine.Task, remaining job.Resources) {
 	n := 0
 	for ; n < len(options) && !spec.FitsIn(free); n++ {
 		free = free.AddScaled(options[n].Spec.Need, 1)
 	}
-	// What was picked early may turn out not to be in the way: small tasks are
-	// the cheapest to stop, and free the least.
+	// Spare victims that turn out to be unnecessary: small tasks are the cheapest to stop, so they
+	// are selected first, but free the least capacity.
 	for k := n - 1; k >= 0; k-- {
 		if without := free.AddScaled(options[k].Spec.Need, -1); spec.FitsIn(without) {
 			free = without
 			continue
 		}
-		stop = append(stop, options[k])
+		victims = append(victims, options[k])
 	}
-	return stop, free
+	return victims, free
 }
 
 const (
-	// minPendingClaims wait at any time in a large fleet, and one in pendingClaimsPart of
-	// the machines.
+	// Preemption is suspended while the number of pending claims exceeds both minPendingClaims and
+	// one per pendingClaimsDivisor owned machines. In a large cluster a few are always pending.
 	minPendingClaims  = 2
 	pendingClaimsPart = 20
 )
 
-// manyClaimsPending reports whether many of the machines that report here wait to be written
-// into a shard, as when a fleet begins: those will have capacity, and what is stopped for
-// gangs on the few that are registered would be placed there again and stopped again. The
-// mutex is held.
+// manyClaimsPending reports whether many of the machines that report to this controller wait to be
+// claimed, as when a cluster starts. These machines will soon provide capacity; tasks preempted now
+// would be placed again on the few machines that are registered already and be preempted again. The
+// caller must hold a.mu.
 func (a *Agent) manyClaimsPending() bool {
 	return len(a.claims.pending) > max(minPendingClaims, len(a.machines)/pendingClaimsPart)
 }
 
-// startOverdue reports whether a job that waits for capacity needs it made now to start
-// by its service-level objective: with time left, gangs that end make it for nothing.
+// startOverdue reports whether capacity for the job has to be freed now for it to meet its start
+// deadline. If there is time left, gangs that finish free the capacity without any loss of work.
 func startOverdue(r *agentapi.Request, t cloud.MachineType) bool {
 	return r.Left <= preemptionTime(r, t)
 }
 
-// fetchAllowance is how much longer a fetch may take than the machine type says.
+// fetchTimeFactor allows for image fetches that are slower than the rate of the machine type.
 const fetchAllowance = 1.5
 
-// preemptionTime is about how long it takes from a preemption on a machine until the
-// job's tasks run there.
+// preemptionTime estimates the time from a preemption on a machine until the job's tasks run there.
 func preemptionTime(r *agentapi.Request, t cloud.MachineType) time.Duration {
-	fetch := time.Duration(0)
+	fetchTime := time.Duration(0)
 	if t.FetchGBPerS > 0 {
-		fetch = time.Duration(fetchAllowance * r.Spec.ImageGB / t.FetchGBPerS * float64(time.Second))
+		fetchTime = time.Duration(fetchAllowance * r.Spec.ImageGB / t.FetchGBPerS * float64(time.Second))
 	}
-	return fetch + 2*preemptionHold
+	return fetchTime + 2*preemptionHold
 }
 
-// A job is done with its last task. Where a fifth of all tasks of arrays were stopped,
-// spread over all jobs, nearly every job was late: with the GPU time that label-read had
-// on kuopio-fleet's busy day another order could have kept 0.97 of its deadlines, and
-// 0.35 were. So what is stopped is sought where few jobs become late by it.
+// A job finishes with its last task, so preemption selects victims such that few jobs become late.
+// When a fifth of all tasks of job arrays were preempted, spread over all jobs, nearly every job
+// was late: on the busy day of the kuopio-fleet workload, the class label-read met 0.35 of its
+// deadlines, although its GPU time would have sufficed for 0.97 in another order.
 const (
-	// latenessCost is what a job that becomes late counts for, in GPU-seconds.
+	// latenessPenalty is the cost of a job becoming late, in GPU-seconds.
 	latenessCost = 300.0
-	// requeueTime is about how long a task that was stopped takes until it runs again, and
-	// requeueTimeMax how long it takes at most: in a full fleet it waits for a place once
-	// more.
+	// typicalRequeueTime is the usual time until a preempted task runs again. maxRequeueTime is an
+	// upper estimate, for a full cluster in which the task has to wait for capacity again.
 	requeueTime    = 50 * time.Second
 	requeueTimeMax = 3 * requeueTime
-	// smallJobTasks is the size of a job beyond which one task of it is worth less: the
-	// more tasks a job has, the more likely it is that others are stopped too, by
-	// owners that do not know of each other. All prefer the same jobs this way, and of
-	// those that are spared there are more.
+	// smallJobTasks is the number of tasks of a job above which the cost of preempting one of them
+	// decreases. The more tasks a job has, the more likely it is that other owners, which decide
+	// independently, preempt some of them too. With this weight all owners prefer the same jobs,
+	// and more jobs are spared.
 	smallJobTasks = 8.0
 )
 
-// lateness is what the task's job may lose by its being stopped: nothing if there is
-// time enough to run it again, or if the job is too late for all limits already.
+// expectedLatenessCost returns the expected lateness cost, in GPU-seconds, of preempting a task. It
+// is 0 if there is enough time to run the task again, or if the job has already missed all its
+// targets.
 func (a *Agent) lateness(t *machine.Task, now time.Time) float64 {
-	rest := config.Seconds(t.Spec.EstimateS)
+	remaining := config.Seconds(t.Spec.EstimateS)
 	if t.State() == machine.Running {
-		rest = max(0, rest-now.Sub(t.RunningSince()))
+		remaining = max(0, remaining-now.Sub(t.RunningSince()))
 	}
 	deadlines := t.Deadlines(func(spec *job.Spec) []time.Duration {
 		return a.settings.CompletionTargets(spec.Class, spec.DeadlineS)
 	})
-	for k, deadline := range deadlines {
-		if slack := deadline - now.Sub(t.Submitted()) - rest; slack >= 0 {
+	for missedTargets, deadline := range deadlines {
+		if slack := deadline - now.Sub(t.Submitted()) - remaining; slack >= 0 {
 			risk := min(1, max(0, (requeueTimeMax-slack).Seconds()/(requeueTimeMax-requeueTime).Seconds()))
-			size := smallJobTasks / max(smallJobTasks, float64(t.Spec.Tasks))
-			return risk * latenessCost / float64(k+1) * size
+			sizeFactor := smallJobTasks / max(smallJobTasks, float64(t.Spec.Tasks))
+			return risk * latenessCost / float64(missedTargets+1) * sizeFactor
 		}
 	}
 	return 0
 }
 
-// latenessOf is what the tasks' jobs may lose. A job is late with its last task: two of its
-// tasks stopped are no worse than one.
+// totalLatenessCost returns the expected lateness cost of preempting the tasks. It counts each job
+// once, with its most expensive task: a job finishes with its last task, so preempting two of its
+// tasks makes it no later than preempting one.
 func (a *Agent) latenessOf(tasks []*machine.Task, now time.Time) float64 {
-	late := map[string]float64{}
+	costByJob := map[string]float64{}
 	for _, t := range tasks {
-		late[t.Ref.Job] = max(late[t.Ref.Job], a.lateness(t, now))
+		costByJob[t.Ref.Job] = max(costByJob[t.Ref.Job], a.lateness(t, now))
 	}
 	total := 0.0
-	for _, l := range late {
-		total += l
+	for _, cost := range costByJob {
+		total += cost
 	}
 	return total
 }
 
-// Clearable lists the machines on which stopping tasks of lower priority would
-// make enough capacity free; the less that loses, the higher the score.
+// Clearable lists the machines on which preempting tasks of lower priority would free enough
+// capacity for a task of the request. The score is the negative cost of the preemption.
 func (s *Service) Clearable(r agentapi.Request, reply *agentapi.SampleReply) error {
 	a := s.agent
 	now := time.Now()
@@ -193,11 +194,11 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	pool := a.shuffledMachines()
-	wanted := sampleTarget(&r, len(pool))
+	machines := a.shuffledMachines()
+	wanted := sampleTarget(&r, len(machines))
 	capacity := newCapacityCount(&r)
 	var found []agentapi.Candidate
-	for _, m := range pool {
+	for _, m := range machines {
 		if len(found) >= wanted && capacity.enough() {
 			break
 		}
@@ -212,19 +213,20 @@
 	return nil
 }
 
-// shuffledMachines returns the owned machines in random order. The mutex is held.
+// shuffledMachines returns the owned machines in random order. The caller must hold a.mu.
 func (a *Agent) shuffledMachines() []*ownedMachine {
-	pool := make([]*ownedMachine, 0, len(a.machines))
+	machines := make([]*ownedMachine, 0, len(a.machines))
 	for _, m := range a.machines {
 		if !m.Deregistered() {
-			pool = append(pool, m)
+			machines = append(machines, m)
 		}
 	}
-	shuffle(pool)
-	return pool
+	shuffle(machines)
+	return machines
 }
 
-// Clear preempts tasks of lower priority on a machine and reserves it for the job.
+// Clear preempts tasks of lower priority on a machine and reserves the machine for the request's
+// job.
 func (s *Service) Clear(r agentapi.CommitRequest, reply *agentapi.CommitReply) error {
 	a := s.agent
 	a.reserveMachine(&r, reply, func(m *ownedMachine, now time.Time) (hold time.Duration, ok bool) {
@@ -233,21 +235,21 @@
 	return nil
 }
 
-// preempt has tasks stopped on m so that the request's need fits, and returns how long the
-// machine is to be reserved for its job. The mutex is held.
+// preempt stops tasks on m so that the request's need fits, and returns how long the machine has to
+// be reserved for the job. The caller must hold a.mu.
 func (a *Agent) preempt(m *ownedMachine, r *agentapi.Request, now time.Time) (hold time.Duration, ok bool) {
-	stop, cost, ok := a.victims(m, r, now)
+	victims, cost, ok := a.victims(m, r, now)
 	if !ok {
 		return 0, false
 	}
-	longest := time.Duration(0)
-	for _, t := range stop {
-		longest = max(longest, t.Preempt())
+	longestGrace := time.Duration(0)
+	for _, t := range victims {
+		longestGrace = max(longestGrace, t.Preempt())
 	}
 	m.wake()
-	if len(stop) > 0 {
+	if len(victims) > 0 {
 		slog.Info("preempting tasks for gang", "machine", m.Name, "job", r.Spec.ID,
-			"preempted", len(stop), "cost", cost)
+			"preempted", len(victims), "cost", cost)
 	}
-	return longest + preemptionHold, true
+	return longestGrace + preemptionHold, true
 }
--- a/internal/clusteragent/reserve.go
+++ b/internal/clusteragent/reserve.go
@@ -7,8 +7,9 @@
 	"robinstack/internal/statekv"
 )
 
-// reservable returns the machine that a scheduler asks to have reserved for a job, or nil
-// where it or this owner is not the latest. The mutex is held.
+// reservableMachine returns the machine that a scheduler wants to reserve, or nil if this
+// controller does not own it under the requested revision, is not certain of its lease, or the
+// scheduler's epoch is outdated. The caller must hold a.mu.
 func (a *Agent) reservable(r *agentapi.CommitRequest) *ownedMachine {
 	m := a.machines[r.Machine]
 	if m == nil || m.Ownership.Rev != r.Rev || !a.session.HoldsLease() {
@@ -20,8 +21,8 @@
 	return m
 }
 
-// reserveMachine reserves the request's machine for its job, for as long as prepare says, if it
-// does. prepare is called with the mutex held.
+// reserveMachine reserves the machine of the request for its job if prepare returns ok, for the
+// time that prepare returns. It calls prepare with a.mu held.
 func (a *Agent) reserveMachine(
 	r *agentapi.CommitRequest, reply *agentapi.CommitReply,
 	prepare func(m *ownedMachine, now time.Time) (hold time.Duration, ok bool),
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -12,38 +12,40 @@
 	"robinstack/internal/machine"
 )
 
-// ineligible says why tasks like these cannot be placed on m, or nothing. It is the
-// Filter stage of sampling and the conflict check of the commit.
+// ineligibleReason returns why tasks of the request cannot be placed on m, or "" if they can. It
+// implements the Filter stage of sampling and the conflict check of commits. The caller must hold
+// a.mu.
 func (a *Agent) ineligible(m *ownedMachine, r *agentapi.Request, now time.Time) string {
 	if why := m.Unavailable(now); why != "" {
 		return why
 	}
 	switch {
 	case m.Ownership.Rev > a.mirror.Rev():
-		return "machine was claimed just now"
+		return "mirror has not reached the machine's ownership revision"
 	case !r.Spec.AllowsMachine(m.Type, m.Zone, m.Spot):
 		return "machine is not allowed for the job"
 	case r.Zones != nil && !slices.Contains(r.Zones, m.Zone):
-		return "zone is not open to the job"
+		return "zone is not allowed for the job at present"
 	case slices.Contains(r.Avoid, m.Name):
-		return "job failed here before"
+		return "job has failed on this machine"
 	case m.GangHold.Excludes(r.Spec.Priority(), now):
 		return heldForGangs
 	case m.Reservation.HeldByOther(r.Spec.ID, now):
 		return reservedForOther
 	case m.Quarantine.FailedLately(r.Spec.ID, now):
-		return "job failed here before"
+		return "job has failed on this machine"
 	}
 	return ""
 }
 
-// Reasons that do not keep a job from having the machine reserved for it.
+// Reasons that do not prevent a backfill reservation of the machine.
 const (
 	heldForGangs     = "machine is held for gangs"
 	reservedForOther = "machine is reserved for another job"
 )
 
-// countFits counts how many of the tasks fit on m, and returns what is free there.
+// countFits returns how many tasks with the given need fit on m, and the free capacity of m. Both
+// are zero if the machine type or the need of a task on m is unknown.
 func (a *Agent) countFits(m *ownedMachine, need job.Resources) (int, job.Resources) {
 	t, ok := a.types()[m.Type]
 	if !ok {
@@ -56,9 +58,9 @@
 	return need.CountIn(free), free
 }
 
-// Sample draws owned machines without replacement until the share wanted has
-// passed the filters, and scores them (the paper's second sampling step). The
-// best of those go back, as many as the request can use.
+// Sample draws owned machines without replacement until the requested share has passed the filters,
+// and scores them (the second sampling step of the Vela paper). It returns the candidates with the
+// highest scores, as many as the request can use.
 func (s *Service) Sample(r agentapi.Request, reply *agentapi.SampleReply) error {
 	a := s.agent
 	now := time.Now()
@@ -100,19 +102,19 @@
 	return nil
 }
 
-// candidate is a machine on which n tasks fit, without a score.
+// candidate returns an unscored candidate for a machine on which n tasks fit.
 func (a *Agent) candidate(m *ownedMachine, n int) agentapi.Candidate {
 	return agentapi.Candidate{Machine: m.Name, Host: a.session.Host, Rev: m.Ownership.Rev, Zone: m.Zone, Fits: n}
 }
 
-// sampleTarget is how many of n machines have to pass the filters before the draw may
-// end: the share N_p, and in any case some to choose from.
+// sampleTarget returns how many of n machines have to pass the filters before drawing may stop: the
+// share N_p, but at least the minimum sample size of the request.
 func sampleTarget(r *agentapi.Request, n int) int {
 	return min(n, max(1, r.Least, int(math.Ceil(r.Share*float64(n)))))
 }
 
-// capacityCount counts for how many tasks machines have capacity: in all, or by zone
-// where it matters in which zone that is.
+// capacityCount counts the tasks for which machines have capacity. It counts by zone if the job has
+// to run in one zone or is spread over zones, and over all zones otherwise.
 type capacityCount struct {
 	tasks   int
 	byZone  bool
@@ -124,50 +126,52 @@
 	return &capacityCount{tasks: r.Tasks, byZone: r.Spec.OneZone || r.Spec.Spread, zones: map[string]int{}}
 }
 
-// add counts n and returns how many there were before in the same place.
+// add adds n to the count of the zone and returns the previous count.
 func (c *capacityCount) add(zone string, n int) int {
 	if !c.byZone {
 		zone = ""
 	}
-	before := c.zones[zone]
-	c.zones[zone] = before + n
-	c.largest = max(c.largest, before+n)
-	return before
+	previous := c.zones[zone]
+	c.zones[zone] = previous + n
+	c.largest = max(c.largest, previous+n)
+	return previous
 }
 
 func (c *capacityCount) enough() bool { return c.largest >= c.tasks }
 
-// bestCandidates keeps the candidates of the highest scores that have capacity for all the
-// tasks, and some more for MultiBind to fall back to.
+// bestCandidates returns the candidates with the highest scores whose capacity, counted as by
+// capacityCount, suffices for all tasks, and up to r.Spare further ones per zone as fallbacks for
+// MultiBind.
 func bestCandidates(found []agentapi.Candidate, r *agentapi.Request) []agentapi.Candidate {
 	slices.SortFunc(found, func(a, b agentapi.Candidate) int {
 		return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Machine, b.Machine))
 	})
 	capacity := newCapacityCount(r)
-	spare := map[string]int{}
+	sparesByZone := map[string]int{}
 	return slices.DeleteFunc(found, func(c agentapi.Candidate) bool {
 		if capacity.add(c.Zone, c.Fits) < r.Tasks {
 			return false
 		}
-		spare[c.Zone]++
-		return spare[c.Zone] > r.Spare
+		sparesByZone[c.Zone]++
+		return sparesByZone[c.Zone] > r.Spare
 	})
 }
 
 const (
-	// reservedScore puts machines that were reserved for the job before all others.
+	// reservedScore ranks machines that are reserved for the job above all others.
 	reservedScore = 1000
-	// Weights of the Score plugins, and what an expensive place costs.
+	// Weights of the Score plugins, and the penalty for an expensive machine.
 	fullnessWeight   = 100
 	cheapnessWeight  = 150
 	imageWeight      = 100
 	expensivePenalty = 200
-	// expensiveBelow is the cheapness below which a place is taken only where there is no
-	// other, full or not: so such machines empty and are returned.
+	// expensiveThreshold is the cost efficiency below which a machine is used only if there is no
+	// other, regardless of its utilization, so that expensive machines become idle and can be
+	// deprovisioned.
 	expensiveBelow = 0.25
 )
 
-// reservedBonus is the score for a machine that is reserved for the request's job.
+// reservedBonus returns the score bonus of a machine that is reserved for the request's job.
 func reservedBonus(m *machine.Machine, r *agentapi.Request, now time.Time) float64 {
 	if m.Reservation.HeldBy(r.Spec.ID, now) {
 		return reservedScore
@@ -175,33 +179,33 @@
 	return 0
 }
 
-// score sums the Score plugins: the machine left fullest (0 to 100), the image
-// already there (100) or on its way, and how cheap the place is (0 to 150). The last leaves
-// expensive machines idle, so that they are returned, and ordinary ones to jobs that
-// may not use spot machines.
+// score returns the sum of the Score plugins: utilization of the machine after placement (0 to
+// 100), presence of the image (100, or less while it is being fetched) and cost efficiency (0 to
+// 150). Cost efficiency leaves expensive machines idle, so that they can be deprovisioned, and
+// leaves on-demand machines to jobs that may not use spot machines.
 func score(
 	types map[string]cloud.MachineType, m *machine.Machine, spec *job.Spec, free job.Resources, image float64,
 ) float64 {
-	capacity, left := job.Capacity(types[m.Type]), free.AddScaled(spec.Need, -1)
-	full := 0.0
+	capacity, remaining := job.Capacity(types[m.Type]), free.AddScaled(spec.Need, -1)
+	utilization := 0.0
 	amounts := [][2]float64{
-		{left.CPUs, capacity.CPUs}, {left.GPUs, capacity.GPUs}, {left.MemoryGB, capacity.MemoryGB},
+		{remaining.CPUs, capacity.CPUs}, {remaining.GPUs, capacity.GPUs}, {remaining.MemoryGB, capacity.MemoryGB},
 	}
 	for _, amount := range amounts {
 		if amount[1] > 0 {
-			full = max(full, 1-amount[0]/amount[1])
+			utilization = max(utilization, 1-amount[0]/amount[1])
 		}
 	}
-	cheap := cheapness(types, spec, m.Type, m.Spot)
-	total := fullnessWeight*full + cheapnessWeight*cheap + imageWeight*image
-	if cheap < expensiveBelow {
+	efficiency := cheapness(types, spec, m.Type, m.Spot)
+	total := fullnessWeight*utilization + cheapnessWeight*efficiency + imageWeight*image
+	if efficiency < expensiveBelow {
 		total -= expensivePenalty
 	}
 	return total
 }
 
-// cheapness compares what a place for a task costs on a machine with the least
-// that it costs on any the job may use: 1 for the cheapest, towards 0 for expensive.
+// costEfficiency compares the cost of a task on the machine with the lowest cost on any machine
+// type that the job may use: 1 for the cheapest, approaching 0 for expensive ones.
 func cheapness(types map[string]cloud.MachineType, spec *job.Spec, typeName string, spot bool) float64 {
 	cost := func(t cloud.MachineType, spot bool) float64 {
 		n := spec.CountIn(job.Capacity(t))
@@ -210,14 +214,14 @@
 		}
 		return t.HourlyPrice(spot) / float64(n)
 	}
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, t := range types {
 		if spec.AllowsType(t.Name) {
-			least = min(least, cost(t, spec.Spot))
+			lowest = min(lowest, cost(t, spec.Spot))
 		}
 	}
-	if own := cost(types[typeName], spot); !math.IsInf(own, 1) && !math.IsInf(least, 1) {
-		return min(1, least/own)
+	if own := cost(types[typeName], spot); !math.IsInf(own, 1) && !math.IsInf(lowest, 1) {
+		return min(1, lowest/own)
 	}
 	return 0
 }
--- a/internal/clusteragent/service.go
+++ b/internal/clusteragent/service.go
@@ -6,14 +6,14 @@
 	"robinstack/internal/agentapi"
 )
 
-// Service is what other controllers, and this one's scheduler and leader, call by net/rpc. The
-// names of its methods are the wire format.
+// Service is the net/rpc service that other controllers, and the scheduler and leader of this one,
+// call. Its method names are part of the wire format.
 type Service struct{ agent *Agent }
 
 // NewService returns the net/rpc service of an agent.
 func NewService(a *Agent) *Service { return &Service{agent: a} }
 
-// Judge takes what schedulers found out about tasks that failed.
+// Judge records the failure attributions of schedulers on the machines concerned.
 func (s *Service) Judge(attributions []agentapi.Attribution, _ *struct{}) error {
 	a := s.agent
 	now := time.Now()
@@ -28,7 +28,8 @@
 	return nil
 }
 
-// Health returns the state of this controller's paths and its quarantined machines.
+// Health reports the state of this controller's connections and its quarantined and suspected
+// machines.
 func (s *Service) Health(_ struct{}, reply *agentapi.Health) error {
 	a := s.agent
 	now := time.Now()
@@ -43,15 +44,15 @@
 		if now.Sub(m.Liveness.LastContact) < 2*a.settings.Workers.HeartbeatInterval {
 			reply.Heard++
 		}
-		if mark, marked := m.quarantineMark(now); marked {
-			reply.Marked = append(reply.Marked, mark)
+		if status, restricted := m.quarantineMark(now); restricted {
+			reply.Marked = append(reply.Marked, status)
 		}
 	}
 	return nil
 }
 
-// quarantineMark says why the machine gets no tasks for its failures, if so.
-func (m *ownedMachine) quarantineMark(now time.Time) (mark agentapi.QuarantinedMachine, marked bool) {
+// quarantineStatus returns why the machine gets no new tasks if that is due to failures of tasks.
+func (m *ownedMachine) quarantineMark(now time.Time) (status agentapi.QuarantinedMachine, restricted bool) {
 	switch {
 	case m.Quarantine.Active:
 		return agentapi.QuarantinedMachine{
@@ -66,5 +67,5 @@
 			Jobs:    m.Quarantine.UnattributedJobs(),
 		}, true
 	}
-	return mark, false
+	return status, false
 }
