--- a/internal/clusteragent/bench_test.go
+++ b/internal/clusteragent/bench_test.go
@@ -11,12 +11,13 @@
 	"robinstack/internal/job"
 )
 
-// benchMachines is how many machines an owner has in benchmarks, about those of one of
-// three controllers in a fleet of 600.
+// benchMachines is the number of machines of the owner in benchmarks, about that of one of three
+// controllers in a cluster of 600 machines.
 const benchMachines = 200
 
-// benchNode returns an owner of benchMachines machines, their workers and a job shard's epoch.
-func benchNode(b *testing.B) (n *node, machines []*emulator.Worker, epoch uint64) {
+// benchNode starts an owner of benchMachines machines. It returns the owner, the workers of the
+// machines and the epoch of a job shard.
+func benchNode(b *testing.B) (n *node, workers []*emulator.Worker, epoch uint64) {
 	b.Helper()
 	level := slog.SetLogLoggerLevel(slog.LevelError)
 	b.Cleanup(func() { slog.SetLogLoggerLevel(level) })
@@ -25,16 +26,16 @@
 	var claims sync.WaitGroup
 	for k := range benchMachines {
 		w := bed.workers.Add(fmt.Sprintf("vm-%06d", k), "box", "a")
-		machines = append(machines, w)
+		workers = append(workers, w)
 		claims.Go(func() { n.sendHeartbeat(w) })
 	}
 	claims.Wait()
-	for _, w := range machines {
+	for _, w := range workers {
 		if reply := n.sendHeartbeat(w); !reply.Owner {
-			b.Fatalf("%s is not owned: %+v", w.Heartbeat.Machine, reply)
+			b.Fatalf("%s is not owned: got reply %+v", w.Heartbeat.Machine, reply)
 		}
 	}
-	return n, machines, n.takeJobShard("s", 0)
+	return n, workers, n.takeJobShard("s", 0)
 }
 
 func benchRequest(epoch uint64) agentapi.Request {
@@ -42,46 +43,46 @@
 		Spec: job.Spec{ID: "wk-1", Shape: job.Array, Rank: "normal", Tasks: 9, Need: job.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
 }
 
-// BenchmarkHeartbeat is the taking of a worker's heartbeat by the owner of its machine.
+// BenchmarkHeartbeat measures how an owner handles a worker's heartbeat.
 func BenchmarkHeartbeat(b *testing.B) {
-	n, machines, _ := benchNode(b)
+	n, workers, _ := benchNode(b)
 	b.ReportAllocs()
 	for k := 0; b.Loop(); k++ {
-		if reply := n.sendHeartbeat(machines[k%len(machines)]); !reply.Owner {
-			b.Fatalf("%+v", reply)
+		if reply := n.sendHeartbeat(workers[k%len(workers)]); !reply.Owner {
+			b.Fatalf("got reply %+v, want it accepted", reply)
 		}
 	}
 }
 
-// BenchmarkSample is one sampling step over the machines of an owner.
+// BenchmarkSample measures one sampling step over the machines of an owner.
 func BenchmarkSample(b *testing.B) {
 	n, _, epoch := benchNode(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		var reply agentapi.SampleReply
 		if err := n.service.Sample(benchRequest(epoch), &reply); err != nil || len(reply.Candidates) == 0 {
-			b.Fatalf("%+v %v", reply, err)
+			b.Fatalf("got reply %+v, error %v", reply, err)
 		}
 	}
 }
 
-// BenchmarkCommit reserves capacity for a task and gives it back, without a command.
+// BenchmarkCommit measures reserving and releasing capacity for a task, without any command.
 func BenchmarkCommit(b *testing.B) {
-	n, machines, epoch := benchNode(b)
+	n, workers, epoch := benchNode(b)
 	var revs []uint64
 	entries := n.entries()
-	for _, w := range machines {
+	for _, w := range workers {
 		revs = append(revs, entries[w.Heartbeat.Machine].Rev)
 	}
 	b.ReportAllocs()
 	for k := 0; b.Loop(); k++ {
-		at, ref := k%len(machines), agentapi.TaskRef{Job: "wk-1", Attempt: uint64(k + 1)}
-		machine := machines[at].Heartbeat.Machine
-		request := agentapi.CommitRequest{Request: benchRequest(epoch), Machine: machine, Rev: revs[at], Hold: true}
+		index, ref := k%len(workers), agentapi.TaskRef{Job: "wk-1", Attempt: uint64(k + 1)}
+		machine := workers[index].Heartbeat.Machine
+		request := agentapi.CommitRequest{Request: benchRequest(epoch), Machine: machine, Rev: revs[index], Hold: true}
 		request.Refs = []agentapi.TaskRef{ref}
 		var reply agentapi.CommitReply
 		if err := n.service.Commit(request, &reply); err != nil || reply.Verdicts[0] != agentapi.Held {
-			b.Fatalf("%+v %v", reply, err)
+			b.Fatalf("got reply %+v, error %v", reply, err)
 		}
 		stop := agentapi.StopRequest{Items: []agentapi.StopItem{{Machine: machine, TaskRef: ref}}}
 		if err := n.service.Stop(stop, &struct{}{}); err != nil {
--- a/internal/clusteragent/capacity_index_test.go
+++ b/internal/clusteragent/capacity_index_test.go
@@ -12,9 +12,9 @@
 	"robinstack/internal/machine"
 )
 
-// Whatever comes to machines, goes from them or is given up, a draw sees exactly
-// those that have the GPUs free: one that it misses is never filled, and one that it
-// sees in vain is looked at for each job that waits.
+// After any sequence of added tasks, removed tasks and removed machines, draw returns exactly the
+// machines that have the requested GPUs free. A machine that it misses would never be filled; one
+// without the capacity would be examined for each waiting job.
 func TestCapacityIndexDrawsEveryMachineWithFreeGPUs(t *testing.T) {
 	types := map[string]cloud.MachineType{"box": {Name: "box", GPUs: 8, CPUs: 64, MemoryGB: 512}}
 	rapid.Check(t, func(t *rapid.T) {
@@ -51,12 +51,12 @@
 			for name, m := range a.machines {
 				free, known := m.FreeCapacity(job.Capacity(types["box"]))
 				if has := known && max(0, free.GPUs) >= float64(want); has != seen[name] {
-					t.Fatalf("%s with %v GPUs free (known %v): drawn %v for %d", name, free.GPUs, known, seen[name], want)
+					t.Fatalf("%s with %v GPUs free (known: %v): drawn: %v for a need of %d GPUs", name, free.GPUs, known, seen[name], want)
 				}
 				delete(seen, name)
 			}
 			if len(seen) > 0 {
-				t.Fatalf("machines that were given up: %v", seen)
+				t.Fatalf("machines drawn that are no longer owned: %v", seen)
 			}
 		}
 	})
--- a/internal/clusteragent/change_log_test.go
+++ b/internal/clusteragent/change_log_test.go
@@ -11,9 +11,9 @@
 	"robinstack/internal/machine"
 )
 
-// What a watcher gets goes by the machines that changed and not by those there are;
-// it must still get each that changed, in the order of the changes, and none that was
-// given up: one left out would be counted on for ever.
+// A watch is answered from the change log instead of from all machines. It must still return each
+// changed machine, in the order of the changes, and no machine that is no longer owned: watchers
+// would keep stale state of a machine left out for ever.
 func TestChangeLogReturnsChangedMachinesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := &Agent{machines: map[string]*ownedMachine{}, changes: newChangeLog(), capacity: newCapacityIndex()}
@@ -43,7 +43,7 @@
 				got = append(got, m.Name)
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("changed since %d of %d: %v, got %v", since, a.changes.version, want, got)
+				t.Fatalf("changes since version %d of %d: want %v, got %v", since, a.changes.version, want, got)
 			}
 		}
 	})
--- a/internal/clusteragent/claims_test.go
+++ b/internal/clusteragent/claims_test.go
@@ -8,13 +8,13 @@
 	"robinstack/internal/agentapi"
 )
 
-// Claims that meet a conflict, because another controller was faster for some
-// of the machines, ended the process: the rest must be claimed.
-func TestRemainingClaimsSurviveAConflict(t *testing.T) {
+// A batch of claims in which another controller has already claimed some of the machines must not
+// end the process, and the remaining machines must be claimed.
+func TestClaimConflictKeepsRemainingClaims(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n := bed.startNode("host-0")
 		w1, w2 := bed.workers.Add("m1", "box", "a"), bed.workers.Add("m2", "box", "a")
-		bed.state.SetOutage(false, true) // claims are written, but their answers are lost
+		bed.state.SetOutage(false, true) // claims are written, but their replies are lost
 		go n.sendHeartbeat(w1)
 		go n.sendHeartbeat(w2)
 		synctest.Wait()
@@ -23,13 +23,13 @@
 		n.sendHeartbeat(w1)
 		n.sendHeartbeat(w2)
 		if len(n.entries()) != 2 {
-			t.Fatalf("machines %v", n.entries())
+			t.Fatalf("got machines %v, want m1 and m2", n.entries())
 		}
 	})
 }
 
-// A machine that was deleted and whose late heartbeat another controller met is
-// given up once more: that must not end the process.
+// A deleted machine is released once more if another controller claims it because of a late
+// heartbeat. Releasing a deregistered machine must not end the process.
 func TestDeletedMachineClaimedElsewhereIsReleased(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n, other := bed.startNode("host-0"), bed.startNode("host-1")
@@ -44,14 +44,14 @@
 		other.sendHeartbeat(w)
 		time.Sleep(2 * time.Second)
 		if len(n.entries()) != 0 || len(other.entries()) != 1 {
-			t.Fatal("the late heartbeat belongs to the other controller now")
+			t.Fatal("after the late heartbeat: want the machine owned by host-1 only")
 		}
 	})
 }
 
-// A claim that was written although its answer was lost is taken up even if the
-// worker never sends a heartbeat again: until somebody looks after the machine, no job shard
-// that is adopted can be reconciled.
+// A claim that was written although its reply was lost is adopted even if the worker never sends
+// another heartbeat. As long as no controller manages the machine, no job shard that is taken over
+// can be reconciled.
 func TestClaimWithLostAnswerIsAdopted(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n := bed.startNode("host-0")
@@ -62,7 +62,7 @@
 		bed.state.SetOutage(false, false)
 		time.Sleep(5 * time.Second)
 		if e, ok := n.entries()["m1"]; !ok || !e.Settled {
-			t.Fatalf("nobody looks after the machine: %+v", e)
+			t.Fatalf("got entry %+v, want the machine owned and reconciled", e)
 		}
 	})
 }
--- a/internal/clusteragent/commands.go
+++ b/internal/clusteragent/commands.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// outgoingCommands is a message to a worker that is about to be sent.
+// commandBatch is a message with commands that is about to be sent to a worker.
 type outgoing struct {
 	address  string
 	token    uint64
--- a/internal/clusteragent/commit_test.go
+++ b/internal/clusteragent/commit_test.go
@@ -10,29 +10,29 @@
 	"robinstack/internal/worker"
 )
 
-// A start whose command got no answer is neither repeated nor given up until
-// the worker shows a token under which a late copy of it is dead. Guards
-// against ran_twice.
+// A start command without a reply is neither repeated nor abandoned until the worker shows a
+// fencing token under which a late copy of it has no effect. Guards against ran_twice: otherwise
+// the task could start elsewhere and, by the late copy, here as well.
 func TestUnansweredStartIsFenced(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n, w, epoch := bed.startOwner()
 		bed.workers.WithLock(func() { w.HoldCommands = true })
 		if got := n.commit("m1", "s", epoch, 0, 1); got != agentapi.Unresolved {
-			t.Fatalf("result %q while the command is unanswered", got)
+			t.Fatalf("got result %q while the command is unanswered, want unsettled", got)
 		}
 		if len(n.entries()["m1"].Tasks) != 1 {
-			t.Fatal("the task must keep its place while it may still start")
+			t.Fatal("the task lost its capacity although it may still start")
 		}
 		bed.workers.WithLock(func() { w.HoldCommands = false })
 		n.sendHeartbeat(w)
 		time.Sleep(3 * time.Second)
 		n.sendHeartbeat(w)
 		if got := n.entries()["m1"].Tasks; len(got) != 0 {
-			t.Fatalf("task %v is still booked after the worker showed the raised token without it", got)
+			t.Fatalf("got tasks %v after the worker showed the raised token without any, want none", got)
 		}
 		bed.workers.DeliverHeldCommands(w)
 		if len(w.Started) != 0 {
-			t.Fatalf("late command started %v", w.Started)
+			t.Fatalf("late copy of the start command started %v", w.Started)
 		}
 	})
 }
@@ -47,16 +47,16 @@
 		time.Sleep(time.Second)
 		latest := n.takeJobShard("s", old)
 		if got := n.commit("m1", "s", old, 0, 1); got != agentapi.Refused {
-			t.Fatalf("stale commit: %q", got)
+			t.Fatalf("commit under the stale epoch: got %q, want refused", got)
 		}
 		if got := n.commit("m1", "s", latest, 0, 2); got != agentapi.Started {
-			t.Fatalf("latest commit: %q", got)
+			t.Fatalf("commit under the latest epoch: got %q, want started", got)
 		}
 	})
 }
 
-// Tasks found on a machine whose job is over, or was never known, are stopped
-// and forgotten by the machine's new owner. Guards against ran_cancelled.
+// The new owner of a machine stops and forgets tasks whose job is finished or unknown. Guards
+// against ran_cancelled.
 func TestTasksOfFinishedJobsAreStopped(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n := bed.startNode("host-0")
@@ -68,24 +68,24 @@
 		time.Sleep(3 * time.Second)
 		n.sendHeartbeat(w)
 		if bed.taskCount(w) != 0 {
-			t.Fatal("a task without a job goes on")
+			t.Fatal("a task of an unknown job is still running")
 		}
 	})
 }
 
-// Capacity that is reserved or may be taken by a start under way is not given twice.
-func TestReservedCapacityIsNotGivenTwice(t *testing.T) {
+// Capacity that is reserved, or that a pending start may use, is not allocated a second time.
+func TestReservedCapacityIsNotAllocatedTwice(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n, _, epoch := bed.startOwner()
 		got := []string{n.commit("m1", "s", epoch, 0, 1), n.commit("m1", "s", epoch, 1, 2), n.commit("m1", "s", epoch, 2, 3)}
 		if got[0] != agentapi.Started || got[1] != agentapi.Started || got[2] != agentapi.Refused {
-			t.Fatalf("results %v on a machine with capacity for two", got)
+			t.Fatalf("got results %v on a machine with capacity for two tasks, want two started and one refused", got)
 		}
 	})
 }
 
-// An ended task is forgotten only when that was asked for, which schedulers do
-// once its end is durable.
+// A worker forgets an ended task only on request, and schedulers request it only after the end has
+// been recorded durably.
 func TestEndedTaskIsForgottenOnlyOnRequest(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n, w, epoch := bed.startOwner()
@@ -94,34 +94,34 @@
 		n.sendHeartbeat(w)
 		time.Sleep(2 * time.Second)
 		if bed.taskCount(w) != 1 {
-			t.Fatal("forgotten before anyone asked")
+			t.Fatal("ended task was forgotten without a request")
 		}
 		if err := n.service.Stop(agentapi.StopRequest{Items: []agentapi.StopItem{{Machine: "m1", TaskRef: agentapi.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
 			t.Fatal(err)
 		}
-		n.sendHeartbeat(w) // the answer takes it along: forgetting has time
+		n.sendHeartbeat(w) // the reply carries the forget command: it is not urgent enough for a command of its own
 		if bed.taskCount(w) != 0 {
-			t.Fatal("not forgotten")
+			t.Fatal("ended task was not forgotten on request")
 		}
 	})
 }
 
-// A later session of the same controller does not know what its earlier one
-// started: asked to resolve a commit, it must not say that the task never came.
-// That had the task started a second time elsewhere (ran_twice).
-func TestOnlyTheAskedOwnerResolvesACommit(t *testing.T) {
+// A later session of the same controller does not know the tasks that the earlier session started.
+// When asked to resolve a commit, it must not report such a task as absent: the task would be
+// started a second time elsewhere (ran_twice).
+func TestOnlyOriginalOwnerResolvesCommit(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n, w, epoch := bed.startOwner()
-		rev := n.entries()["m1"].Rev
+		ownershipRev := n.entries()["m1"].Rev
 		if got := n.commit("m1", "s", epoch, 0, 1); got != agentapi.Started {
-			t.Fatalf("result %q", got)
+			t.Fatalf("got result %q, want started", got)
 		}
 		resolve := func(n *node) (reply agentapi.ResolveReply, err error) {
-			err = n.service.Void(agentapi.ResolveRequest{Machine: "m1", Rev: rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Attempt: 1}}}, &reply)
+			err = n.service.Void(agentapi.ResolveRequest{Machine: "m1", Rev: ownershipRev, Refs: []agentapi.TaskRef{{Job: "wk-1", Attempt: 1}}}, &reply)
 			return reply, err
 		}
 		if reply, err := resolve(n); err != nil || !reply.Present[0] {
-			t.Fatal("the task is there", reply, err)
+			t.Fatal("resolution by the owner: want the task reported as present, got", reply, err)
 		}
 		n.stop()
 		synctest.Wait()
@@ -130,13 +130,13 @@
 		}
 		bed.workers.WithLock(func() { w.HoldCommands = true })
 		if reply, err := resolve(bed.startNode("host-0")); err == nil {
-			t.Fatalf("the next session answered %v", reply)
+			t.Fatalf("resolution by a later session: got %v, want an error", reply)
 		}
 	})
 }
 
-// A machine that a gang has just left is kept for the next gang for a moment:
-// arrays filled it at once and were stopped for that gang, their work lost.
+// A machine is held for other gangs for a short time after a gang has left it. Otherwise job arrays
+// fill the machine at once and are preempted for the next gang, which loses their work.
 func TestMachineIsHeldForGangsAfterAGangLeaves(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n, w, epoch := bed.startOwner()
@@ -152,18 +152,18 @@
 		}
 		for attempt := uint64(1); attempt <= 2; attempt++ {
 			if got := gang(attempt); got != agentapi.Started {
-				t.Fatalf("gang, attempt %d: %q", attempt, got)
+				t.Fatalf("gang attempt %d: got %q, want started", attempt, got)
 			}
 			bed.workers.EndTask(w, "wk-2/0", worker.CauseDone)
 			n.sendHeartbeat(w)
 			if got := n.commit("m1", "s", epoch, 0, 10+attempt); got != agentapi.Refused {
-				t.Fatalf("array at once: %q", got)
+				t.Fatalf("array right after the gang: got %q, want refused", got)
 			}
 		}
 		time.Sleep(9 * time.Second)
 		n.sendHeartbeat(w)
 		if got := n.commit("m1", "s", epoch, 0, 20); got != agentapi.Started {
-			t.Fatalf("array later: %q", got)
+			t.Fatalf("array after the hold: got %q, want started", got)
 		}
 	})
 }
--- a/internal/clusteragent/fair_share_test.go
+++ b/internal/clusteragent/fair_share_test.go
@@ -11,25 +11,25 @@
 	"robinstack/internal/job"
 )
 
-// A class that waits with less than its fair share is not stopped by one that has more than
-// its own, whatever their ranks: gangs that held more than half of a fleet went on
-// having arrays stopped that held a fifth of it and could not get on. It is where the
-// class does not wait, and by one that has less than its share as well.
+// A waiting class below its fair share is not preempted for a class above its own share, whatever
+// the priorities: gangs that held more than half of a cluster kept preempting job arrays that held
+// a fifth of it, so the arrays made no progress. It may be preempted if it is not waiting, or for a
+// class that is below its own share.
 func TestWaitingClassBelowFairShareIsNotPreempted(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
-		set := settings()
-		set.Objectives = []config.Objective{{Kind: "wait", Class: "gangs", Within: 30 * time.Second}, {Kind: "wait", Class: "gangs", Within: 200 * time.Second}}
-		n := bed.startNodeWith(set, "host-0", bed.state)
+		cfg := settings()
+		cfg.Objectives = []config.Objective{{Kind: "wait", Class: "gangs", Within: 30 * time.Second}, {Kind: "wait", Class: "gangs", Within: 200 * time.Second}}
+		n := bed.startNodeWith(cfg, "host-0", bed.state)
 		epoch := n.takeJobShard("s", 0)
 		request := func(class, shape, rank string, gpus float64, tasks int) agentapi.Request {
 			r := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: tasks, Least: 9, Spare: 5, Parts: true}
 			r.Spec = job.Spec{ID: "wk-9", Class: class, Team: "t", Shape: shape, Rank: rank, Tasks: tasks, Need: job.Resources{CPUs: 1, GPUs: gpus, MemoryGB: 1}, CheckpointS: 10, SaveS: 6}
 			return r
 		}
-		var boxes []*emulator.Worker
-		for k := range 4 { // three machines of a gang's class, one of an array's
+		var workers []*emulator.Worker
+		for k := range 4 { // three machines are used by the gangs' class, one by the arrays' class
 			w := bed.workers.Add(fmt.Sprintf("m%d", k), "box", "a")
-			boxes = append(boxes, w)
+			workers = append(workers, w)
 			n.sendHeartbeat(w)
 			time.Sleep(time.Second)
 			req := agentapi.CommitRequest{Request: request("gangs", job.Gang, "high", 2, 1), Machine: w.Heartbeat.Machine, Rev: n.entries()[w.Heartbeat.Machine].Rev,
@@ -53,29 +53,29 @@
 			return len(found.Candidates)
 		}
 		if got := preemptible("gangs"); got != 1 {
-			t.Errorf("nobody of the arrays waits: %d machines can be preempted", got)
+			t.Errorf("arrays not waiting: got %d preemptible machines, want 1", got)
 		}
 		var found agentapi.SampleReply
 		if err := n.service.Sample(request("arrays", job.Array, "normal", 2, 3), &found); err != nil || len(found.Candidates) != 0 {
 			t.Fatal(found, err)
 		}
 		if got := preemptible("gangs"); got != 0 {
-			t.Errorf("they wait, with a fourth of the machines: %d can be preempted by a class that has the rest", got)
+			t.Errorf("arrays waiting with a quarter of the machines: got %d machines preemptible for the class with the rest, want 0", got)
 		}
-		late := request("gangs", job.Gang, "high", 2, 1)
-		late.Age = 200 * time.Second
-		if err := n.service.Clearable(late, &found); err != nil || len(found.Candidates) != 1 {
-			t.Errorf("one that would miss the longest objective for its wait: %v, %v", found.Candidates, err)
+		overdue := request("gangs", job.Gang, "high", 2, 1)
+		overdue.Age = 200 * time.Second
+		if err := n.service.Clearable(overdue, &found); err != nil || len(found.Candidates) != 1 {
+			t.Errorf("request about to miss its longest start target: got candidates %v, error %v, want one candidate", found.Candidates, err)
 		}
 		if got := preemptible("others"); got != 1 {
-			t.Errorf("a class that has nothing yet: %d can be preempted", got)
+			t.Errorf("class without machines: got %d preemptible machines, want 1", got)
 		}
 		time.Sleep(5 * time.Second)
-		for _, w := range boxes {
+		for _, w := range workers {
 			n.sendHeartbeat(w)
 		}
 		if got := preemptible("gangs"); got != 1 {
-			t.Errorf("they do not wait any more: %d can be preempted", got)
+			t.Errorf("arrays no longer waiting: got %d preemptible machines, want 1", got)
 		}
 	})
 }
--- a/internal/clusteragent/liveness_test.go
+++ b/internal/clusteragent/liveness_test.go
@@ -7,8 +7,8 @@
 	"robinstack/internal/agentapi"
 )
 
-// An agent without machines must not answer a watch at once again and again:
-// its own feed then asked in a loop that used up the processor.
+// An agent without machines must not answer consecutive watches at once: its own change feed would
+// poll in a tight loop that uses up the CPU.
 func TestWatchWithoutMachinesBlocks(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n := bed.startNode("host-0")
@@ -18,13 +18,13 @@
 			t.Fatal(err)
 		}
 		if time.Since(began) < 2*time.Second {
-			t.Fatal("answered at once with nothing to say")
+			t.Fatal("watch without changes returned before its timeout")
 		}
 	})
 }
 
-// A worker that nobody can have answered for longer than its lease has ended
-// its tasks; before that they keep their places.
+// A worker that no controller can have answered for longer than its lease has ended its tasks.
+// Until then the tasks keep their capacity.
 func TestUnresponsiveMachineKeepsTasksUntilLeaseExpiry(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n, w, epoch := bed.startOwner()
@@ -33,19 +33,19 @@
 		bed.workers.WithLock(func() { w.HoldCommands = true })
 		time.Sleep(28 * time.Second)
 		if e := n.entries()["m1"]; !e.Silent || len(e.Tasks) != 1 {
-			t.Fatalf("within the lease: %+v", e)
+			t.Fatalf("within the lease: got %+v, want it unresponsive with one task", e)
 		}
 		time.Sleep(6 * time.Second)
 		if e := n.entries()["m1"]; len(e.Tasks) != 0 {
-			t.Fatalf("after the lease: %+v", e)
+			t.Fatalf("after the lease: got %+v, want no tasks", e)
 		}
 	})
 }
 
-// A worker whose lease ran out begins an epoch with a lease of its own, whether
-// anybody answers it or not. Controllers that answered commands but, for want of
-// processor time, no heartbeats, counted from the last heartbeat of the epoch before:
-// they gave tasks up that went on running. Guards against ran_twice.
+// A worker whose lease has expired begins a new epoch, which has a lease of its own from its
+// beginning, answered or not. A controller short of CPU time may answer commands but no heartbeats;
+// if it counted the lease from the last heartbeat of the earlier epoch, it would consider tasks
+// gone that are still running. Guards against ran_twice.
 func TestNewWorkerEpochHasItsOwnLease(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n := bed.startNode("host-0")
@@ -57,52 +57,52 @@
 		}
 		bed.workers.WithLock(func() { w.HoldCommands = true })
 		n.commit("m1", "s", epoch, 0, 1)
-		time.Sleep(14 * time.Second) // after 20 s without a heartbeat it would get nothing new
+		time.Sleep(14 * time.Second) // after 20 s without a heartbeat the machine would get no new tasks
 		bed.workers.WithLock(func() { w.HoldCommands, w.Heartbeat.WorkerEpoch, w.Heartbeat.Tasks = false, 2, nil })
 		time.Sleep(3 * time.Second)
 		if got := n.commit("m1", "s", epoch, 1, 2); got != agentapi.Started {
-			t.Fatalf("result %q", got)
+			t.Fatalf("got result %q, want started", got)
 		}
-		time.Sleep(20 * time.Second) // beyond the lease of the first epoch, not of the second
+		time.Sleep(20 * time.Second) // longer than the lease of the first epoch, shorter than that of the second
 		if e := n.entries()["m1"]; len(e.Tasks) != 1 {
-			t.Fatalf("the task was given up within its epoch's lease: %+v", e)
+			t.Fatalf("task removed within the lease of its epoch: got %+v, want one task", e)
 		}
 		time.Sleep(20 * time.Second)
 		if e := n.entries()["m1"]; len(e.Tasks) != 0 {
-			t.Fatalf("after the lease: %+v", e)
+			t.Fatalf("after the lease: got %+v, want no tasks", e)
 		}
 	})
 }
 
-// Commands reach a machine, and its heartbeats come no more: before its lease can end it
-// gets nothing new, however well it answers. Its next heartbeat opens it again.
+// If commands reach a machine but its heartbeats are lost, it must get no new tasks, even though it
+// answers commands: its lease is not renewed and the tasks would be killed when it expires. The
+// next heartbeat makes the machine eligible again.
 func TestMachineWithLostHeartbeatsGetsNoNewTasks(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n, w, epoch := bed.startOwner()
-		for k := range 4 { // it is asked all the time, and answers
+		for k := range 4 { // each commit sends a command, which the worker answers
 			if got := n.commit("m1", "s", epoch, k, uint64(k+1)); got != agentapi.Started {
-				t.Fatalf("result %q", got)
+				t.Fatalf("got result %q, want started", got)
 			}
 			bed.workers.WithLock(func() { w.Heartbeat.Tasks = nil })
 			time.Sleep(6 * time.Second)
 		}
 		if e := n.entries()["m1"]; !e.Silent {
-			t.Errorf("after 25 s without a heartbeat: %+v", e)
+			t.Errorf("after 25 s without a heartbeat: got %+v, want it unresponsive", e)
 		}
 		if got := n.commit("m1", "s", epoch, 5, 6); got != agentapi.Refused {
-			t.Errorf("result %q", got)
+			t.Errorf("commit without heartbeats: got result %q, want refused", got)
 		}
 		n.sendHeartbeat(w)
 		if got := n.commit("m1", "s", epoch, 6, 7); got != agentapi.Started {
-			t.Errorf("once it has sent a heartbeat: result %q", got)
+			t.Errorf("commit after a heartbeat: got result %q, want started", got)
 		}
 	})
 }
 
-// Where the cancellation time is hardly longer than the worker's lease, an owner
-// whose lease is held must still answer every heartbeat: it took its own view of
-// the fleet for outdated between two watches, and machines went from owner to
-// owner for ever.
+// If the cancellation deadline is hardly longer than the worker lease, the lease grace period is
+// short. An owner that holds its lease must still answer every heartbeat. Otherwise it considers
+// its mirror outdated between two watches, and machines move from owner to owner for ever.
 func TestOwnerAnswersWithShortLeaseGracePeriod(t *testing.T) {
 	cancelDeadline = 33 * time.Second
 	defer func() { cancelDeadline = 60 * time.Second }()
@@ -113,7 +113,7 @@
 		for i := range 40 {
 			time.Sleep(300 * time.Millisecond)
 			if !n.sendHeartbeat(w).Owner {
-				t.Fatalf("heartbeat %d was turned away", i)
+				t.Fatalf("heartbeat %d was not accepted", i)
 			}
 		}
 	})
--- a/internal/clusteragent/planning_test.go
+++ b/internal/clusteragent/planning_test.go
@@ -13,7 +13,7 @@
 	"robinstack/internal/statekv"
 )
 
-// planningFleet is a view of three controllers, of which host-2's session has ended. self is host-0.
+// planningFleet is a fleetView of three controllers for host-0. The session of host-2 has ended.
 type planningFleet struct {
 	t    *testing.T
 	view fleetView
@@ -40,7 +40,7 @@
 	return statekv.KV{Key: key, Value: raw, Rev: 7}
 }
 
-// addShard adds a shard of a controller with that many machines.
+// addShard adds a machine shard owned by the given host, with the given number of machines.
 func (f *planningFleet) addShard(id string, host, index, machines int) {
 	f.t.Helper()
 	holder := statekv.Holder{Host: fmt.Sprintf("host-%d", host), Incarnation: uint64(host + 1)}
@@ -61,54 +61,55 @@
 	return keys
 }
 
-// What is held stays, what falls to this controller is taken, a shard without machines is
-// removed instead, and those of living owners only where they are wanted.
+// The plan keeps the shards that are held, takes those that this controller has to take over,
+// removes instead those of them that have no machines, and takes shards of live owners only if
+// wanted.
 func TestTakeoverPlanFollowsSuccession(t *testing.T) {
 	f := newPlanningFleet(t)
 	f.addShard("own", 0, 0, 2)
-	f.addShard("living", 1, 0, 2)
+	f.addShard("live", 1, 0, 2)
 	f.addShard("unreachable", 1, 1, 2)
-	for index := range 2 { // one of them falls to this controller, whichever it is
+	for index := range 2 { // this controller is the successor of one of the two
 		f.addShard(fmt.Sprint("ended", index), 2, index, 2)
 		f.addShard(fmt.Sprint("empty", index), 2, index, 0)
 	}
-	mine := 0
+	ownIndex := 0
 	if f.view.zones.successor(&shard.Record{Holder: statekv.Holder{Host: "host-2"}, Index: 0}, f.view.hosts) != "host-0" {
-		mine = 1
+		ownIndex = 1
 	}
 	wanted := map[string]string{statekv.MachineShardPrefix + "unreachable": "a reason"}
 	plan := planTakeover(&f.view, f.view.hosts, wanted)
 	if got := slices.Collect(maps.Keys(plan.held)); !slices.Equal(got, []string{"own"}) {
-		t.Errorf("held: %v", got)
+		t.Errorf("shards held: got %v, want own", got)
 	}
-	if got := roleKeys(plan.take); !slices.Equal(got, []string{"unreachable", fmt.Sprint("ended", mine)}) {
-		t.Errorf("to take: %v", got)
+	if got := roleKeys(plan.take); !slices.Equal(got, []string{"unreachable", fmt.Sprint("ended", ownIndex)}) {
+		t.Errorf("shards to take: got %v, want unreachable and the ended one that this controller succeeds to", got)
 	}
-	if got := roleKeys(plan.empty); !slices.Equal(got, []string{fmt.Sprint("empty", mine)}) {
-		t.Errorf("to remove: %v", got)
+	if got := roleKeys(plan.empty); !slices.Equal(got, []string{fmt.Sprint("empty", ownIndex)}) {
+		t.Errorf("shards to remove: got %v, want the empty one that this controller succeeds to", got)
 	}
-	if from := plan.take[0].PreviousHolder; from != (statekv.Holder{}) {
-		t.Errorf("a shard that is wanted from a living owner is taken only once %v has ended", from)
+	if previousHolder := plan.take[0].PreviousHolder; previousHolder != (statekv.Holder{}) {
+		t.Errorf("taking a shard from a live owner must not require that the session of %v has ended", previousHolder)
 	}
-	if from := plan.take[1].PreviousHolder; from.Host != "host-2" {
-		t.Errorf("a shard is taken although the session of %v need not have ended", from)
+	if previousHolder := plan.take[1].PreviousHolder; previousHolder.Host != "host-2" {
+		t.Errorf("taking over a shard must require that the session of host-2 has ended, not that of %v", previousHolder)
 	}
 }
 
-// A shard is taken from a living owner once a quarter of its workers, and three at least, have
-// come again, and it has had that owner for a while.
-func TestStrayWorkersMoveTheirShard(t *testing.T) {
+// A shard is taken from a live owner once a quarter of its workers, and at least three, have come
+// here repeatedly, provided that the shard has had this owner for some time.
+func TestStrayWorkersTriggerShardTakeover(t *testing.T) {
 	cases := map[string]struct {
 		machines, strays   int
 		ownedFor, straying time.Duration
 		taken              bool
 	}{
-		"a quarter":            {40, 10, time.Minute, 5 * time.Second, true},
-		"less than a quarter":  {40, 9, time.Minute, 5 * time.Second, false},
-		"all of a small one":   {2, 2, time.Minute, 5 * time.Second, false},
-		"three of a small one": {3, 3, time.Minute, 5 * time.Second, true},
-		"a new owner":          {40, 40, 9 * time.Second, 5 * time.Second, false},
-		"only just":            {40, 40, time.Minute, time.Second, true}, // this controller is next in line
+		"a quarter":              {40, 10, time.Minute, 5 * time.Second, true},
+		"less than a quarter":    {40, 9, time.Minute, 5 * time.Second, false},
+		"all of a small shard":   {2, 2, time.Minute, 5 * time.Second, false},
+		"three of a small shard": {3, 3, time.Minute, 5 * time.Second, true},
+		"a new owner":            {40, 40, 9 * time.Second, 5 * time.Second, false},
+		"recent visits":          {40, 40, time.Minute, time.Second, true}, // this controller is the successor, so it does not wait
 	}
 	for name, c := range cases {
 		f := newPlanningFleet(t)
@@ -117,32 +118,32 @@
 		sightings := shardSightings{key: {rev: 7, since: f.view.now.Add(-c.ownedFor)}}
 		strays := map[string]strayShard{"s": {workers: c.strays, first: f.view.now.Add(-c.straying)}}
 		if wanted := planStrayTakeover(&f.view, strays, sightings); (wanted[key] != "") != c.taken {
-			t.Errorf("%s: %v", name, wanted)
+			t.Errorf("%s: got shards %v", name, wanted)
 		}
 	}
 }
 
-// A controller that owns next to nothing takes shards of the one that owns most, until it has
-// three quarters of its part, and none that is not safe to take.
-func TestBalancePlanStopsNearTheMean(t *testing.T) {
+// A controller that owns almost no machines takes shards of the controller that owns the most,
+// until it has three quarters of the mean, and only shards that are safe to take.
+func TestBalancePlanStopsAtThreeQuartersOfMean(t *testing.T) {
 	f := newPlanningFleet(t)
 	for k := range 10 {
 		f.addShard(fmt.Sprint("s", k), 1, k, 10)
 	}
 	gap, uneven := findImbalance(&f.view)
 	if !uneven || gap.richest != "host-1" || gap.mean != 50 || gap.mine != 0 || gap.theirs != 100 {
-		t.Fatalf("%+v, uneven: %v", gap, uneven)
+		t.Fatalf("got %+v, uneven: %v", gap, uneven)
 	}
 	unsafe := func(machines []statekv.KV) bool { return shard.ParseMachineRecord(machines[0]).Shard == "s1" }
 	wanted, machines := planBalance(&f.view, gap, unsafe)
 	if len(wanted) != 4 || len(machines) != 40 {
-		t.Errorf("%d shards with %d machines", len(wanted), len(machines))
+		t.Errorf("got %d shards with %d machines, want 4 with 40", len(wanted), len(machines))
 	}
 	if _, taken := wanted[statekv.MachineShardPrefix+"s1"]; taken {
-		t.Error("a shard was taken that is not safe to take")
+		t.Error("the plan takes a shard that is not safe to take")
 	}
 	f.addShard("own", 0, 0, 20)
 	if gap, uneven := findImbalance(&f.view); uneven {
-		t.Errorf("with a third of its part: %+v", gap)
+		t.Errorf("with a third of the mean: got imbalance %+v, want none", gap)
 	}
 }
--- a/internal/clusteragent/testbed_test.go
+++ b/internal/clusteragent/testbed_test.go
@@ -17,7 +17,7 @@
 
 var types = map[string]cloud.MachineType{"box": {Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64}}
 
-// cancelDeadline is the cancellation time; a scenario may shorten it.
+// cancelDeadline is the cancellation deadline in settings; a test may shorten it.
 var cancelDeadline = 60 * time.Second
 
 func settings() *config.Settings {
@@ -26,7 +26,7 @@
 		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
 }
 
-// testbed is a state service and workers for the controllers of a test.
+// testbed provides an emulated state service and workers for the controllers of a test.
 type testbed struct {
 	t       testing.TB
 	ctx     context.Context
@@ -38,7 +38,8 @@
 	return &testbed{t: t, ctx: ctx, state: emulator.NewStateService(), workers: emulator.NewWorkers()}
 }
 
-// runScenario runs a test on a testbed of its own, by a clock that goes on when all wait.
+// runScenario runs a test on a testbed of its own in a synctest bubble, whose clock advances when
+// all goroutines are blocked.
 func runScenario(t *testing.T, f func(t *testing.T, bed *testbed)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -47,7 +48,7 @@
 	})
 }
 
-// node is one controller's agent with its view of the state service.
+// node is the agent of one controller with its session and mirror of the state service.
 type node struct {
 	bed     *testbed
 	agent   *clusteragent.Agent
@@ -62,7 +63,7 @@
 	return bed.startNodeWith(settings(), host, bed.state)
 }
 
-// startNodeInZone starts one of three controllers in two zones, host-1 in b.
+// startNodeInZone starts one of three controllers in two zones; host-1 is in zone b.
 func (bed *testbed) startNodeInZone(host, zone string, setup ...func(*clusteragent.Agent)) *node {
 	bed.t.Helper()
 	s := settings()
@@ -96,12 +97,12 @@
 	if err := mirror.Wait(ctx, session.Incarnation); err != nil {
 		bed.t.Fatal(err)
 	}
-	time.Sleep(time.Second) // its shards are made
+	time.Sleep(time.Second) // until it has created its machine shards
 	return &node{bed: bed, agent: a, service: clusteragent.NewService(a), session: session, mirror: mirror, stop: stop}
 }
 
-// startOwner starts a controller that owns machine m1 and a job shard s, and returns m1's
-// worker and the job shard's epoch.
+// startOwner starts a controller that owns machine m1 and job shard s. It returns the controller,
+// the worker of m1 and the epoch of the job shard.
 func (bed *testbed) startOwner() (n *node, w *emulator.Worker, epoch uint64) {
 	bed.t.Helper()
 	n = bed.startNode("host-0")
@@ -112,13 +113,13 @@
 	return n, w, epoch
 }
 
-// taskCount is how many tasks a worker has.
+// taskCount returns the number of tasks on a worker.
 func (bed *testbed) taskCount(w *emulator.Worker) (n int) {
 	bed.workers.WithLock(func() { n = len(w.Heartbeat.Tasks) })
 	return n
 }
 
-// sendHeartbeat has a worker send a heartbeat to n and take the answer.
+// sendHeartbeat sends a worker's heartbeat to n and delivers the reply to the worker.
 func (n *node) sendHeartbeat(w *emulator.Worker) clusteragent.HeartbeatReply {
 	r := n.bed.workers.NextHeartbeat(w)
 	reply := n.agent.Heartbeat(context.Background(), &r)
@@ -137,7 +138,7 @@
 	return out
 }
 
-// commit asks for one task of job wk-1 to be started on a machine, and returns the result.
+// commit commits one task of job wk-1 to a machine and returns the result.
 func (n *node) commit(machine, jobShard string, epoch uint64, index int, attempt uint64) string {
 	n.bed.t.Helper()
 	req := agentapi.CommitRequest{Machine: machine, Rev: n.entries()[machine].Rev, Refs: []agentapi.TaskRef{{Job: "wk-1", Index: index, Attempt: attempt}}}
@@ -150,8 +151,8 @@
 	return reply.Verdicts[0]
 }
 
-// takeJobShard makes n the scheduler of a job shard whose key had revision seen, and returns
-// its epoch.
+// takeJobShard makes n the scheduler of a job shard whose key has the revision seen, and returns
+// the new epoch.
 func (n *node) takeJobShard(name string, seen uint64) uint64 {
 	n.bed.t.Helper()
 	rev, err := n.session.Acquire(context.Background(), statekv.Role{Key: statekv.JobShardPrefix + name, ExpectedRev: seen, Value: n.session.Holder})
