--- a/internal/clusteragent/change_log.go
+++ b/internal/clusteragent/change_log.go
@@ -3,7 +3,7 @@
 import (
 	"container/list"
 	"context"
-	"errors"
+	"fmt"
 	"slices"
 	"time"
 
@@ -68,17 +68,13 @@
 	watchCoalesce = 60 * time.Millisecond
 )
 
-// errNotCaughtUp is returned if the mirror does not reach the revision that a watch requires in
-// time.
-var errNotCaughtUp = errors.New("agent's mirror did not reach the required state revision in time")
-
 // Watch returns the machines that changed since a version, as soon as there are any.
 func (s *Service) Watch(r agentapi.WatchRequest, reply *agentapi.WatchReply) error {
 	a := s.agent
 	ctx, cancel := context.WithTimeout(a.runContext(), r.Wait)
 	defer cancel()
 	if a.mirror.Wait(ctx, r.MinRev) != nil {
-		return errNotCaughtUp
+		return fmt.Errorf("agent's mirror has not reached state revision %d", r.MinRev)
 	}
 	since, newSession := r.Since, false
 	if r.Instance != a.session.Incarnation {
--- a/internal/clusteragent/change_log_test.go
+++ b/internal/clusteragent/change_log_test.go
@@ -13,7 +13,7 @@
 
 // A watch is answered from the change log instead of from all machines. It must still return each
 // changed machine, in the order of the changes, and no machine that is no longer owned: watchers
-// would keep stale state of a machine left out for ever.
+// would rely on the outdated entry of an omitted machine for ever.
 func TestChangeLogReturnsChangedMachinesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := &Agent{machines: map[string]*ownedMachine{}, changes: newChangeLog(), capacity: newCapacityIndex()}
--- a/internal/clusteragent/commit.go
+++ b/internal/clusteragent/commit.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"time"
 
 	"robinstack/internal/agentapi"
@@ -181,10 +181,6 @@
 	return nil
 }
 
-// errNotOwned is returned for commits that were sent to another owner, or to another ownership of
-// the machine.
-var errNotOwned = errors.New("machine is not owned by this controller under the requested revision")
-
 // Void resolves commits that were sent but not answered: tasks that are not yet on the machine will
 // never be started by them. Only the owner to which a commit was sent can resolve it: a later
 // session of the same controller does not know the task, which may be running.
@@ -194,7 +190,7 @@
 	defer a.mu.Unlock()
 	m := a.machines[r.Machine]
 	if m == nil || m.Ownership.Rev != r.Rev || m.Deregistered() {
-		return errNotOwned
+		return fmt.Errorf("machine %s is not owned by this controller under revision %d", r.Machine, r.Rev)
 	}
 	reply.Present = make([]bool, len(r.Refs))
 	for i, ref := range r.Refs {
--- a/internal/clusteragent/commit_test.go
+++ b/internal/clusteragent/commit_test.go
@@ -99,7 +99,7 @@
 		if err := n.service.Stop(agentapi.StopRequest{Items: []agentapi.StopItem{{Machine: "m1", TaskRef: agentapi.TaskRef{Job: "wk-1", Attempt: 1}, Forget: true}}}, &struct{}{}); err != nil {
 			t.Fatal(err)
 		}
-		n.sendHeartbeat(w) // the reply carries the forget command: it is not urgent enough for a command of its own
+		n.sendHeartbeat(w) // the reply carries the forget command, which is not urgent
 		if bed.taskCount(w) != 0 {
 			t.Fatal("ended task was not forgotten on request")
 		}
--- a/internal/clusteragent/preempt_test.go
+++ b/internal/clusteragent/preempt_test.go
@@ -32,7 +32,7 @@
 			}
 		}
 		startTasks("tight", "wk-1", 8, 20*time.Second, 0, 1)   // slack of 20 s: late if preempted
-		startTasks("large", "wk-4", 80, 20*time.Second, 0, 1)  // the same slack, but more likely to be late because of other preemptions
+		startTasks("large", "wk-4", 80, 20*time.Second, 0, 1)  // same slack; other preemptions are more likely
 		startTasks("late", "wk-2", 8, 200*time.Second, 0, 1)   // has missed its deadline
 		startTasks("risk", "wk-5", 8, -60*time.Second, 0, 1)   // slack of 100 s: requeueing may take longer
 		startTasks("early", "wk-3", 8, -150*time.Second, 0, 1) // enough slack to run again
