--- a/internal/clusteragent/planning_test.go
+++ b/internal/clusteragent/planning_test.go
@@ -98,11 +98,11 @@
 
 // A shard is taken from a live owner once a quarter of its workers, and at least three, have come
 // here repeatedly, provided that the shard has had this owner for some time.
-func TestStrayWorkersTriggerShardTakeover(t *testing.T) {
+func TestUnreachableOwnerTriggersShardTakeover(t *testing.T) {
 	cases := map[string]struct {
-		machines, strays   int
-		ownedFor, straying time.Duration
-		taken              bool
+		machines, misdirected    int
+		ownedFor, misdirectedFor time.Duration
+		taken                    bool
 	}{
 		"a quarter":              {40, 10, time.Minute, 5 * time.Second, true},
 		"less than a quarter":    {40, 9, time.Minute, 5 * time.Second, false},
@@ -116,8 +116,8 @@
 		f.addShard("s", 1, 0, c.machines)
 		key := f.view.shards[0].Key
 		sightings := shardSightings{key: {rev: 7, since: f.view.now.Add(-c.ownedFor)}}
-		strays := map[string]strayShard{"s": {workers: c.strays, first: f.view.now.Add(-c.straying)}}
-		if wanted := planStrayTakeover(&f.view, strays, sightings); (wanted[key] != "") != c.taken {
+		misdirected := map[string]strayShard{"s": {workers: c.misdirected, first: f.view.now.Add(-c.misdirectedFor)}}
+		if wanted := planStrayTakeover(&f.view, misdirected, sightings); (wanted[key] != "") != c.taken {
 			t.Errorf("%s: got shards %v", name, wanted)
 		}
 	}
