--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -1,6 +1,6 @@
-// Package shard reads the keys of machines and of machine shards: a machine's key names its
-// shard, and the shard's key names the controller that owns it. It owns no state and may
-// import the state service's client only.
+// Package shard decodes the keys of machines and of machine shards: a machine's key names its
+// shard, and the shard's key names the controller that owns it. The package has no state and may
+// import only the client of the state service.
 package shard
 
 import (
@@ -11,7 +11,7 @@
 	"robinstack/internal/statekv"
 )
 
-// MachineRecord is what a machine's key in the state service holds.
+// MachineRecord is the value of a machine's key in the state service.
 type MachineRecord struct {
 	Shard   string `json:"shard"`
 	Address string `json:"address"`
@@ -20,78 +20,80 @@
 	Spot    bool   `json:"spot"`
 }
 
-// Record is what a machine shard's key holds. Index spreads the shards of an owner whose
-// session has ended among the others.
+// Record is the value of a machine shard's key. Index determines the zone that the shard belongs
+// to, and spreads the shards of an owner whose session has ended over its successors.
 type Record struct {
 	statekv.Holder
 	Index int `json:"index"`
 }
 
-// RecordSchema is the schema of the keys of machines and shards that this build writes and
-// reads.
+// RecordSchema is the schema version of machine and shard keys that this build writes, and the
+// highest that it reads.
 const RecordSchema = 0
 
-// ParseValue reads a key for the mirror, once for all who look at it. An error says why
-// a machine's or a shard's key cannot be read.
+// ParseValue decodes the value of a machine's or a machine shard's key, so that the mirror decodes
+// it once for all readers. It returns a *MachineRecord, a *Record, an error if the value cannot be
+// decoded, or nil for other keys.
 func ParseValue(key string, value json.RawMessage) any {
 	switch {
 	case strings.HasPrefix(key, statekv.MachinePrefix):
-		return parseAs[MachineRecord]("a machine's key", value)
+		return parseValueAs[MachineRecord]("machine key", value)
 	case strings.HasPrefix(key, statekv.MachineShardPrefix):
-		return parseAs[Record]("a shard's key", value)
+		return parseValueAs[Record]("machine shard key", value)
 	}
 	return nil
 }
 
-func parseAs[T any](kind string, value json.RawMessage) any {
-	v := new(T)
-	if err := json.Unmarshal(value, v); err != nil {
+func parseValueAs[T any](kind string, value json.RawMessage) any {
+	record := new(T)
+	if err := json.Unmarshal(value, record); err != nil {
 		return fmt.Errorf("%s: %w", kind, err)
 	}
 	if err := statekv.CheckSchema(kind, value, RecordSchema); err != nil {
 		return err
 	}
-	return v
+	return record
 }
 
-func parsedAs[T any](kv statekv.KV) *T {
-	if k, ok := kv.Parsed.(*T); ok {
-		return k
+func recordOf[T any](kv statekv.KV) *T {
+	if record, ok := kv.Parsed.(*T); ok {
+		return record
 	}
-	k, _ := ParseValue(kv.Key, kv.Value).(*T)
-	return k
+	record, _ := ParseValue(kv.Key, kv.Value).(*T)
+	return record
 }
 
-// ParseMachineRecord returns what a machine's key holds, or nil if it cannot be read.
-func ParseMachineRecord(kv statekv.KV) *MachineRecord { return parsedAs[MachineRecord](kv) }
+// ParseMachineRecord returns the decoded value of a machine's key, or nil if it cannot be decoded.
+func ParseMachineRecord(kv statekv.KV) *MachineRecord { return recordOf[MachineRecord](kv) }
 
-// ParseRecord returns what a shard's key holds, or nil if it cannot be read.
-func ParseRecord(kv statekv.KV) *Record { return parsedAs[Record](kv) }
+// ParseRecord returns the decoded value of a shard's key, or nil if it cannot be decoded.
+func ParseRecord(kv statekv.KV) *Record { return recordOf[Record](kv) }
 
-// OwnerOf returns who owns the machine of a key, if its shard has an owner, and
-// the revision that this ownership has: that of the later of the two keys.
+// OwnerOf returns the owner of the machine with the given key, or the zero Holder if its shard has
+// no owner, and the ownership revision: the later of the revisions of the machine's and the shard's
+// key.
 func OwnerOf(mirror *statekv.Mirror, kv statekv.KV) (holder statekv.Holder, rev uint64) {
-	key := ParseMachineRecord(kv)
-	if key == nil {
+	record := ParseMachineRecord(kv)
+	if record == nil {
 		return holder, kv.Rev
 	}
-	shard, ok := mirror.Get(statekv.MachineShardPrefix + key.Shard)
+	shardKV, ok := mirror.Get(statekv.MachineShardPrefix + record.Shard)
 	if !ok {
 		return holder, kv.Rev
 	}
-	return HolderOf(shard), max(kv.Rev, shard.Rev)
+	return HolderOf(shardKV), max(kv.Rev, shardKV.Rev)
 }
 
-// OwnerIndex is the shards' owners by shard id, for those who look through all machines.
+// OwnerIndex holds the owners of shards by shard id, for callers that iterate over all machines.
 type OwnerIndex map[string]Ownership
 
-// Ownership is who owns a shard, under which revision of its key.
+// Ownership is the owner of a shard, with the revision of the shard's key.
 type Ownership struct {
 	Holder statekv.Holder
 	Rev    uint64
 }
 
-// NewOwnerIndex returns the owners of shards by the shards' keys.
+// NewOwnerIndex returns the owners that the given shard keys name.
 func NewOwnerIndex(shards []statekv.KV) OwnerIndex {
 	index := make(OwnerIndex, len(shards))
 	for _, kv := range shards {
@@ -100,16 +102,17 @@
 	return index
 }
 
-// OwnerOf is the function OwnerOf for a machine's key that has been read, of revision rev.
-func (o OwnerIndex) OwnerOf(key *MachineRecord, rev uint64) (statekv.Holder, uint64) {
-	shard := o[key.Shard]
-	return shard.Holder, max(rev, shard.Rev)
+// OwnerOf is like the function OwnerOf, for a decoded machine key of revision rev.
+func (o OwnerIndex) OwnerOf(record *MachineRecord, rev uint64) (statekv.Holder, uint64) {
+	ownership := o[record.Shard]
+	return ownership.Holder, max(rev, ownership.Rev)
 }
 
-// HolderOf returns who owns a shard by its key, or the zero Holder if it cannot be read.
-func HolderOf(shard statekv.KV) statekv.Holder {
-	if key := ParseRecord(shard); key != nil {
-		return key.Holder
+// HolderOf returns the owner that a shard's key names, or the zero Holder if the key cannot be
+// decoded.
+func HolderOf(shardKV statekv.KV) statekv.Holder {
+	if record := ParseRecord(shardKV); record != nil {
+		return record.Holder
 	}
 	return statekv.Holder{}
 }
