--- a/internal/changefeed/feed.go
+++ b/internal/changefeed/feed.go
@@ -1,7 +1,7 @@
-// Package changefeed watches what the agents of all controllers know about their machines.
-// It owns the latest entry of every machine and how far each agent is known to have caught
-// up, both guarded by the mutex of Feed, which is never held over a call. It may import the
-// messages of agents, the keys of ownership, the mirror and the caller of peers.
+// Package changefeed watches the machine states of the agents of all controllers. It holds the
+// latest entry of every machine, and the state revision up to which each agent is known to have
+// caught up. Feed.mu guards both and is never held over a call. The package may import the agents'
+// messages, the ownership keys, the mirror and the peer client.
 package changefeed
 
 import (
@@ -18,22 +18,22 @@
 )
 
 const (
-	// longPoll is how long an agent waits for changes before it answers a watch.
-	longPoll = 2 * time.Second
-	// caughtUpPoll is that where the question is only whether it has caught up.
-	caughtUpPoll = 100 * time.Millisecond
-	// watchTimeout is how long a watch may take in all.
+	// longPollTimeout is how long an agent waits for changes before it answers a watch.
+	longPollTimeout = 2 * time.Second
+	// catchUpPollTimeout is how long an agent waits if the watch only asks whether it has caught up.
+	catchUpPollTimeout = 100 * time.Millisecond
+	// watchTimeout bounds one watch call.
 	watchTimeout = 4 * time.Second
-	// retryPause is the time until the next watch after one that failed.
-	retryPause = 400 * time.Millisecond
-	// recentAnswer is how lately an agent must have answered to count as reachable.
-	recentAnswer = 4 * time.Second
+	// retryInterval is the time until the next watch after a failed one.
+	retryInterval = 400 * time.Millisecond
+	// reachableTimeout is how recently an agent must have answered to count as reachable.
+	reachableTimeout = 4 * time.Second
 )
 
-// Feed watches what all agents know about their machines. It serves to track
-// tasks that were placed, not to place them: that goes by sampling.
+// Feed watches the machine states of all agents. It serves to track placed tasks, not to place
+// them: placement uses sampling.
 type Feed struct {
-	call     peer.Caller
+	peers    peer.Caller
 	mirror   *statekv.Mirror
 	hosts    []string
 	minRev   func() uint64
@@ -41,32 +41,33 @@
 
 	mu      sync.Mutex
 	entries map[string]agentapi.MachineEntry
-	acks    map[string]ack
-	pollNow chan struct{} // closed and replaced to have all agents asked anew
+	agents  map[string]agentState
+	pollNow chan struct{} // closed and replaced to interrupt the watches in flight
 }
 
-// ack says up to which state revision an agent is known to have caught up.
-type ack struct {
-	incarnation uint64
-	rev         uint64
-	stateOK     bool
-	answeredAt  time.Time
+// agentState is what an agent's answers to watches show, such as the revision up to which the agent
+// is known to have caught up with the state service.
+type agentState struct {
+	incarnation  uint64
+	confirmedRev uint64
+	stateOK      bool
+	answeredAt   time.Time
 
-	// When askedAt was, no cancellation that the agent had acknowledged, and no machine that
-	// it had taken, was of a later revision than coveredRev; 0: it has not said.
-	coveredRev uint64
-	askedAt    time.Time
+	// At watchSentAt, no cancellation that the agent had acknowledged, and no machine that it had taken
+	// over, had a revision later than coveredRev. 0: the agent has not reported one.
+	coveredRev  uint64
+	watchSentAt time.Time
 }
 
-// New returns a feed; minRev is the highest epoch that the agents must
-// know of before they answer, onChange gets every change.
+// New returns a feed. minRev returns the highest epoch that the agents must have seen before they
+// answer, and onChange receives every changed entry.
 func New(
-	call peer.Caller, mirror *statekv.Mirror, hosts []string,
+	peers peer.Caller, mirror *statekv.Mirror, hosts []string,
 	minRev func() uint64, onChange func([]agentapi.MachineEntry),
 ) *Feed {
 	return &Feed{
-		call: call, mirror: mirror, hosts: hosts, minRev: minRev, onChange: onChange,
-		entries: map[string]agentapi.MachineEntry{}, acks: map[string]ack{}, pollNow: make(chan struct{}),
+		peers: peers, mirror: mirror, hosts: hosts, minRev: minRev, onChange: onChange,
+		entries: map[string]agentapi.MachineEntry{}, agents: map[string]agentState{}, pollNow: make(chan struct{}),
 	}
 }
 
@@ -79,9 +80,9 @@
 	watches.Wait()
 }
 
-// PollNow has all agents asked anew, for minRev has grown: where nothing changes, a
-// question that is under way would be answered 2 s later, and only the next one
-// says that the agent knows of the new epoch.
+// PollNow interrupts the watches in flight, so that all agents are asked again with the present
+// minRev. Without it, a watch in flight is answered up to 2 s later if nothing changes, and only
+// the next one confirms that the agent has seen the new epoch.
 func (f *Feed) PollNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,7 +90,7 @@
 	f.pollNow = make(chan struct{})
 }
 
-func (f *Feed) pollNowChannel() <-chan struct{} {
+func (f *Feed) pollNowSignal() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.pollNow
@@ -97,27 +98,27 @@
 
 // watchHost watches one agent until ctx ends.
 func (f *Feed) watchHost(ctx context.Context, host string) {
-	var incarnation, since, asked uint64
+	var incarnation, since, requestedRev uint64
 	for ctx.Err() == nil {
-		pollNow := f.pollNowChannel()
-		req := agentapi.WatchRequest{Instance: incarnation, Since: since, MinRev: f.minRev(), Wait: longPoll}
-		if req.MinRev > asked {
-			req.Wait, asked = caughtUpPoll, req.MinRev
+		pollNow := f.pollNowSignal()
+		req := agentapi.WatchRequest{Instance: incarnation, Since: since, MinRev: f.minRev(), Wait: longPollTimeout}
+		if req.MinRev > requestedRev {
+			req.Wait, requestedRev = catchUpPollTimeout, req.MinRev
 		}
-		sent := time.Now()
+		sentAt := time.Now()
 		reply, err := f.watch(ctx, host, &req, pollNow)
 		switch {
 		case err == nil:
 			incarnation, since = reply.Instance, reply.Ver
-			f.onChange(f.apply(host, &req, reply, sent))
+			f.onChange(f.apply(host, &req, reply, sentAt))
 		case isClosed(pollNow):
-			// It was given up for that: the next one asks anew.
+			// PollNow interrupted the watch: the next one has the new minRev.
 		default:
 			slog.Debug("machine state watch failed", "host", host, "err", err)
-			f.noteFailure(host)
+			f.recordFailure(host)
 			select {
 			case <-ctx.Done():
-			case <-time.After(retryPause):
+			case <-time.After(retryInterval):
 			}
 		}
 	}
@@ -132,56 +133,56 @@
 	}
 }
 
-// watch asks an agent for changes; the question is given up when pollNow is closed.
+// watch asks an agent for changes. The call is cancelled when pollNow is closed.
 func (f *Feed) watch(
 	ctx context.Context, host string, req *agentapi.WatchRequest, pollNow <-chan struct{},
 ) (*agentapi.WatchReply, error) {
-	cctx, cancel := context.WithTimeout(ctx, watchTimeout)
-	var interrupter sync.WaitGroup
-	interrupter.Go(func() {
+	callCtx, cancel := context.WithTimeout(ctx, watchTimeout)
+	var canceller sync.WaitGroup
+	canceller.Go(func() {
 		select {
 		case <-pollNow:
 			cancel()
-		case <-cctx.Done():
+		case <-callCtx.Done():
 		}
 	})
 	var reply agentapi.WatchReply
-	err := f.call.Call(cctx, host, "Agent.Watch", *req, &reply)
+	err := f.peers.Call(callCtx, host, "Agent.Watch", *req, &reply)
 	cancel()
-	interrupter.Wait()
+	canceller.Wait()
 	return &reply, err
 }
 
-// noteFailure notes that an agent did not answer.
-func (f *Feed) noteFailure(host string) {
+// recordFailure records that an agent did not answer a watch.
+func (f *Feed) recordFailure(host string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	a := f.acks[host]
-	a.stateOK = false
-	f.acks[host] = a
+	state := f.agents[host]
+	state.stateOK = false
+	f.agents[host] = state
 }
 
-// apply takes in an agent's answer to a watch that was sent at a time, and returns the entries
-// that are new.
+// apply stores an agent's answer to a watch that was sent at the given time, and returns the
+// entries that changed.
 func (f *Feed) apply(
-	host string, req *agentapi.WatchRequest, reply *agentapi.WatchReply, sent time.Time,
+	host string, req *agentapi.WatchRequest, reply *agentapi.WatchReply, sentAt time.Time,
 ) (changed []agentapi.MachineEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known := ack{
-		incarnation: reply.Instance, rev: req.MinRev, stateOK: reply.StateOK, answeredAt: time.Now(),
-		coveredRev: reply.Seen, askedAt: sent,
+	state := agentState{
+		incarnation: reply.Instance, confirmedRev: req.MinRev, stateOK: reply.StateOK, answeredAt: time.Now(),
+		coveredRev: reply.Seen, watchSentAt: sentAt,
 	}
 	if reply.More {
-		// Not all of it is here yet, so nothing is confirmed by it.
-		known.rev = 0
-		if old := f.acks[host]; old.incarnation == reply.Instance {
-			known.rev = min(old.rev, req.MinRev)
+		// The answer is incomplete, so it confirms nothing new.
+		state.confirmedRev = 0
+		if previous := f.agents[host]; previous.incarnation == reply.Instance {
+			state.confirmedRev = min(previous.confirmedRev, req.MinRev)
 		}
 	}
-	f.acks[host] = known
+	f.agents[host] = state
 	for _, e := range reply.Entries {
-		if old, ok := f.entries[e.Machine]; ok && !newer(&e, &old) {
+		if previous, ok := f.entries[e.Machine]; ok && !isNewer(&e, &previous) {
 			continue
 		}
 		e.Received = time.Now()
@@ -191,29 +192,30 @@
 	return changed
 }
 
-// newer reports whether an entry is later than another one of the same machine.
-func newer(e, old *agentapi.MachineEntry) bool {
-	return e.Rev > old.Rev || e.Rev == old.Rev && e.Ver > old.Ver
+// isNewer reports whether entry is later than previous, an entry of the same machine.
+func isNewer(entry, previous *agentapi.MachineEntry) bool {
+	return entry.Rev > previous.Rev || entry.Rev == previous.Rev && entry.Ver > previous.Ver
 }
 
-// Entries returns all machines that are not gone, as last shown. Machines
-// whose key has been removed are dropped: their tasks are proven gone.
+// Entries returns the latest entries of all registered machines. It drops machines whose key has
+// been removed: their tasks are proven to have ended.
 func (f *Feed) Entries() []agentapi.MachineEntry {
 	rev := f.mirror.Rev()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([]agentapi.MachineEntry, 0, len(f.entries))
+	entries := make([]agentapi.MachineEntry, 0, len(f.entries))
 	for name, e := range f.entries {
 		if _, ok := f.mirror.Get(statekv.MachinePrefix + name); e.Gone || !ok && rev > e.Rev {
 			delete(f.entries, name)
 			continue
 		}
-		out = append(out, e)
+		entries = append(entries, e)
 	}
-	return out
+	return entries
 }
 
-// OwnerHost returns the host that a machine's latest entry came from.
+// OwnerHost returns the host that reported a machine's latest entry, and whether there is such an
+// entry.
 func (f *Feed) OwnerHost(machine string) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -221,73 +223,75 @@
 	return e.Host, ok && !e.Gone
 }
 
-// LastEntry returns a machine's latest entry, so that what is known of a machine
-// survives its owner.
+// LastEntry returns a machine's latest entry. A new owner restores from it what the former owner
+// knew of the machine.
 func (f *Feed) LastEntry(machine string) agentapi.MachineEntry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.entries[machine]
 }
 
-// AllEpochs is the revision up to which a machine that is no more counts as confirmed.
+// AllEpochs is the epoch up to which a machine that has been deregistered counts as confirmed.
 const AllEpochs = ^uint64(0)
 
-// ConfirmedEpoch returns the epoch up to which a machine is confirmed, or 0 and why
-// it is not: everything that may run on it, according to its key, is in the latest
-// entry, and its owner refuses commits that were sent under earlier epochs.
-func (f *Feed) ConfirmedEpoch(kv statekv.KV) (epoch uint64, why string) {
+// ConfirmedEpoch returns the epoch up to which a machine is confirmed, or 0. Confirmed means that
+// the latest entry lists everything that may run on the machine under its present ownership, and
+// that the owner refuses commits sent under earlier epochs. reason says why the machine is not
+// confirmed up to a later epoch.
+func (f *Feed) ConfirmedEpoch(kv statekv.KV) (epoch uint64, reason string) {
 	holder, rev := shard.OwnerOf(f.mirror, kv)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e, known := f.entries[kv.Key[len(statekv.MachinePrefix):]]
-	a := f.acks[holder.Host]
+	entry, known := f.entries[kv.Key[len(statekv.MachinePrefix):]]
+	state := f.agents[holder.Host]
 	switch {
 	case holder.Host == "":
-		return 0, "it has no owner"
+		return 0, "machine has no owner"
 	case !known:
-		return 0, "its owner " + holder.Host + " has not shown it"
-	case e.Rev != rev:
+		return 0, "owner " + holder.Host + " has not reported the machine"
+	case entry.Rev != rev:
 		return 0, fmt.Sprintf(
-			"the entry by %s is of revision %d, ownership by %s of %d", e.Host, e.Rev, holder.Host, rev)
-	case a.incarnation != holder.Incarnation:
-		return 0, "its owner " + holder.Host + " has begun a new session"
-	case !e.Reconciled():
-		return 0, "it has not answered its owner " + holder.Host
+			"latest entry is from %s at ownership revision %d; the owner is %s at revision %d", entry.Host, entry.Rev, holder.Host, rev)
+	case state.incarnation != holder.Incarnation:
+		return 0, "owner " + holder.Host + " has opened a new session"
+	case !entry.Reconciled():
+		return 0, "machine is not reconciled with its owner " + holder.Host
 	}
-	return a.rev, "its owner " + holder.Host + " has not caught up"
+	return state.confirmedRev, "owner " + holder.Host + " has not caught up with the state service"
 }
 
-// AcknowledgedUntil is a moment up to which no controller had acknowledged a cancellation later
-// than rev to a user, or taken a machine from another; the zero time if one of them, this one
-// included, has not said so. One that does not answer may have acknowledged whatever it likes,
-// also if its session seems to be over.
+// AcknowledgedUntil returns a time up to which no controller had acknowledged to a user a
+// cancellation later than rev, or had taken over a machine later than rev. It returns the zero time
+// if this is unknown for any controller, including this one. A controller that does not answer may
+// have acknowledged any cancellation since its last answer, even if its session appears to have
+// ended.
 func (f *Feed) AcknowledgedUntil(rev uint64) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var earliest time.Time
 	for _, host := range f.hosts {
-		a := f.acks[host]
-		if a.coveredRev == 0 || a.coveredRev > rev {
+		state := f.agents[host]
+		if state.coveredRev == 0 || state.coveredRev > rev {
 			return time.Time{}
 		}
-		if earliest.IsZero() || a.askedAt.Before(earliest) {
-			earliest = a.askedAt
+		if earliest.IsZero() || state.watchSentAt.Before(earliest) {
+			earliest = state.watchSentAt
 		}
 	}
 	return earliest
 }
 
-// PeerCounts counts the other agents that answered lately, and those of them that reach the
-// state service by their own word.
+// PeerCounts counts the other agents that answered recently, and how many of these report that they
+// reach the state service.
 func (f *Feed) PeerCounts(self string) (reachable, served int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for host, a := range f.acks {
-		if host == self || time.Since(a.answeredAt) >= recentAnswer {
+	for host, state := range f.agents {
+		if host == self || time.Since(state.answeredAt) >= reachableTimeout {
 			continue
 		}
 		reachable++
-		if a.stateOK {
+		if state.stateOK {
 			served++
 		}
 	}
--- a/internal/changefeed/feed_test.go
+++ b/internal/changefeed/feed_test.go
@@ -7,52 +7,52 @@
 	"robinstack/internal/agentapi"
 )
 
-// An answer that is not complete yet confirms nothing beyond what was confirmed before, and
-// nothing at all of another session of the agent.
+// An incomplete answer must confirm nothing beyond what was confirmed before, and nothing at all if
+// it belongs to another session of the agent.
 func TestIncompleteAnswerConfirmsNothingNew(t *testing.T) {
 	f := New(nil, nil, []string{"a"}, nil, nil)
 	answer := func(incarnation, minRev uint64, more bool) uint64 {
 		req := agentapi.WatchRequest{MinRev: minRev}
 		f.apply("a", &req, &agentapi.WatchReply{Instance: incarnation, More: more}, time.Now())
-		return f.acks["a"].rev
+		return f.agents["a"].confirmedRev
 	}
 	if got := answer(1, 5, false); got != 5 {
-		t.Errorf("complete: confirmed up to %d", got)
+		t.Errorf("complete answer: got confirmed revision %d, want 5", got)
 	}
 	if got := answer(1, 9, true); got != 5 {
-		t.Errorf("incomplete: confirmed up to %d", got)
+		t.Errorf("incomplete answer: got confirmed revision %d, want 5", got)
 	}
 	if got := answer(2, 9, true); got != 0 {
-		t.Errorf("incomplete, of another session: confirmed up to %d", got)
+		t.Errorf("incomplete answer of another session: got confirmed revision %d, want 0", got)
 	}
 }
 
-// Entries of an earlier owner, and earlier ones of the same, replace nothing.
-func TestOnlyNewerEntriesAreTaken(t *testing.T) {
+// Entries of a former owner, and earlier entries of the same owner, must not replace an entry.
+func TestOnlyNewerEntriesAreApplied(t *testing.T) {
 	f := New(nil, nil, []string{"a", "b"}, nil, nil)
-	take := func(host string, rev, ver uint64) int {
+	applyEntry := func(host string, rev, ver uint64) int {
 		e := agentapi.MachineEntry{Machine: "m1", Host: host, Rev: rev, Ver: ver}
 		reply := agentapi.WatchReply{Entries: []agentapi.MachineEntry{e}}
 		return len(f.apply(host, &agentapi.WatchRequest{}, &reply, time.Now()))
 	}
-	steps := []struct {
+	cases := []struct {
 		host     string
 		rev, ver uint64
-		taken    int
+		applied  int
 	}{{"a", 1, 7, 1}, {"a", 1, 7, 0}, {"a", 1, 6, 0}, {"a", 1, 8, 1}, {"b", 2, 1, 1}, {"a", 1, 9, 0}}
-	for _, s := range steps {
-		if got := take(s.host, s.rev, s.ver); got != s.taken {
-			t.Errorf("%+v: %d taken", s, got)
+	for _, c := range cases {
+		if got := applyEntry(c.host, c.rev, c.ver); got != c.applied {
+			t.Errorf("%+v: got %d entries applied, want %d", c, got, c.applied)
 		}
 	}
 	if host, ok := f.OwnerHost("m1"); host != "b" || !ok {
-		t.Errorf("its owner is %q", host)
+		t.Errorf("got owner %q (%v), want b", host, ok)
 	}
 }
 
-// Where one agent has not said up to which revision it has acknowledged cancellations, or is
-// beyond the one asked for, nothing is known; else the earliest question counts.
-func TestAcknowledgedUntilTakesEveryAgent(t *testing.T) {
+// The time is unknown while an agent has not reported a covered revision, or has reported one later
+// than asked for. Otherwise it is that of the earliest watch.
+func TestAcknowledgedUntilNeedsEveryAgent(t *testing.T) {
 	f := New(nil, nil, []string{"a", "b"}, nil, nil)
 	first := time.Unix(1000, 0)
 	answer := func(host string, covered uint64, asked time.Time) {
@@ -60,13 +60,13 @@
 	}
 	answer("a", 4, first)
 	if got := f.AcknowledgedUntil(9); !got.IsZero() {
-		t.Errorf("b has not answered: %v", got)
+		t.Errorf("b has not answered: got %v, want the zero time", got)
 	}
 	answer("b", 6, first.Add(time.Second))
 	if got := f.AcknowledgedUntil(9); !got.Equal(first) {
-		t.Errorf("both have: %v", got)
+		t.Errorf("both have answered: got %v, want %v", got, first)
 	}
 	if got := f.AcknowledgedUntil(5); !got.IsZero() {
-		t.Errorf("b is beyond it: %v", got)
+		t.Errorf("b has reported a later revision: got %v, want the zero time", got)
 	}
 }
