--- a/internal/clusteragent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// quietBeforeBalance is how long no shard may have changed hands before they are
-	// evened out.
+	// quietBeforeBalance is how long no shard may have changed owner before shards are rebalanced.
 	quietBeforeBalance = 15 * time.Second
-	// minMachinesPerHost is the number of machines per controller below which owning more
-	// or fewer than others makes no difference.
+	// minMachinesPerHost is the mean number of machines per controller below which shards are not
+	// rebalanced, because the difference does not matter.
 	minMachinesPerHost = 4
-	// reachabilityProbes is how many of the machines are asked before their shards are taken.
+	// reachabilityProbes is the number of machines that are probed before their shards are taken.
 	reachabilityProbes = 3
-	// probeTimeout is how long a machine may take to answer.
+	// probeTimeout bounds the time that a machine has to answer a probe.
 	probeTimeout = time.Second
 )
 
-// shardsToBalance lists shards to take from the controller that owns most, with the reason, if
-// this one owns least and less than a quarter of its part, and can reach the machines.
+// shardsToBalance lists, with the reason, the shards to take from the controller that owns most
+// machines. The list is empty unless this controller owns fewest, at most a quarter of the mean,
+// and can reach the machines in the shards.
 func (a *Agent) shardsToBalance(ctx context.Context, view *fleetView) map[string]string {
 	a.mu.Lock()
 	unchangedSince := a.sightings.note(view.shards, view.now)
@@ -37,7 +37,7 @@
 	if !uneven {
 		return nil
 	}
-	// Those of this controller's own zone first.
+	// Shards of this controller's zone come first.
 	slices.SortStableFunc(view.shards, func(x, y statekv.KV) int { return a.otherZone(x) - a.otherZone(y) })
 	wanted, machines := planBalance(view, gap, a.anyUnreconciled)
 	if len(wanted) == 0 || !a.reaches(ctx, machines) {
@@ -46,71 +46,73 @@
 	return wanted
 }
 
-// imbalance is how many machines this controller and the one that owns most have.
+// imbalance compares the number of machines of this controller with the mean and with the
+// controller that owns most.
 type imbalance struct {
 	richest      string
 	mean         int
 	mine, theirs int
 }
 
-// findImbalance reports whether this controller owns least, and less than a quarter of its part.
+// findImbalance reports whether this controller owns fewest machines, and at most a quarter of the
+// mean.
 func findImbalance(view *fleetView) (gap imbalance, uneven bool) {
 	if len(view.machines) < minMachinesPerHost*len(view.hosts) {
 		return gap, false
 	}
 	owned := map[string]int{}
 	for _, kv := range view.shards {
-		if key := shard.ParseRecord(kv); key != nil && view.alive(key.Holder) {
-			owned[key.Host] += view.sizes[shardID(kv)]
+		if record := shard.ParseRecord(kv); record != nil && view.alive(record.Holder) {
+			owned[record.Host] += view.sizes[shardID(kv)]
 		}
 	}
-	poorest := ""
+	smallestOwner := ""
 	for _, h := range view.hosts {
 		if gap.richest == "" || owned[h] > owned[gap.richest] {
 			gap.richest = h
 		}
-		if poorest == "" || owned[h] < owned[poorest] {
-			poorest = h
+		if smallestOwner == "" || owned[h] < owned[smallestOwner] {
+			smallestOwner = h
 		}
 	}
 	gap.mean = len(view.machines) / len(view.hosts)
 	gap.mine, gap.theirs = owned[view.self.Host], owned[gap.richest]
-	return gap, poorest == view.self.Host && gap.mine <= gap.mean/4
+	return gap, smallestOwner == view.self.Host && gap.mine <= gap.mean/4
 }
 
-// planBalance picks shards of the controller that owns most until this one has three quarters
-// of its part, in the order of the view, and lists the machines in them. Shards of which
-// unsafe says so stay where they are.
+// planBalance selects shards of the controller that owns most machines, in the order of the view,
+// until this controller has three quarters of the mean, and lists the machines in them. It leaves
+// out shards for whose machines unsafe returns true.
 func planBalance(
 	view *fleetView, gap imbalance, unsafe func(machines []statekv.KV) bool,
 ) (wanted map[string]string, machines []statekv.KV) {
-	inShard := map[string][]statekv.KV{}
+	machinesByShard := map[string][]statekv.KV{}
 	for _, kv := range view.machines {
-		if key := shard.ParseMachineRecord(kv); key != nil {
-			inShard[key.Shard] = append(inShard[key.Shard], kv)
+		if record := shard.ParseMachineRecord(kv); record != nil {
+			machinesByShard[record.Shard] = append(machinesByShard[record.Shard], kv)
 		}
 	}
 	wanted = map[string]string{}
-	mine, theirs := gap.mine, gap.theirs
+	ownMachines, largestMachines := gap.mine, gap.theirs
 	for _, kv := range view.shards {
-		in := inShard[shardID(kv)]
-		n := len(in)
-		key := shard.ParseRecord(kv)
-		if key == nil || key.Host != gap.richest || n == 0 || mine+n > theirs-n || unsafe(in) {
+		shardMachines := machinesByShard[shardID(kv)]
+		count := len(shardMachines)
+		record := shard.ParseRecord(kv)
+		if record == nil || record.Host != gap.richest || count == 0 || ownMachines+count > largestMachines-count || unsafe(shardMachines) {
 			continue
 		}
-		wanted[kv.Key] = "machines are evened out"
-		machines = append(machines, in...)
-		mine, theirs = mine+n, theirs-n
-		if mine >= gap.mean*3/4 {
+		wanted[kv.Key] = "machines are rebalanced"
+		machines = append(machines, shardMachines...)
+		ownMachines, largestMachines = ownMachines+count, largestMachines-count
+		if ownMachines >= gap.mean*3/4 {
 			break
 		}
 	}
 	return wanted, machines
 }
 
-// anyUnreconciled reports whether any of the machines is unresponsive or has not answered its
-// owner yet: another owner would have to wait for its lease from the start.
+// anyUnreconciled reports whether any of the machines is unresponsive or not reconciled with its
+// owner: a new owner would have to wait for the full lease of such a machine again.
 func (a *Agent) anyUnreconciled(machines []statekv.KV) bool {
 	return a.LastEntry != nil && slices.ContainsFunc(machines, func(kv statekv.KV) bool {
 		e := a.LastEntry(machineName(kv))
@@ -118,7 +120,7 @@
 	})
 }
 
-// otherZone is 1 for a shard of another zone than this controller's, else 0.
+// otherZone returns 0 for a shard of this controller's zone and 1 for any other, as a sort key.
 func (a *Agent) otherZone(kv statekv.KV) int {
 	if a.zones.ownZone(kv) {
 		return 0
@@ -126,13 +128,13 @@
 	return 1
 }
 
-// reaches reports whether some of the machines, drawn at random, answer here. A
-// command under token 0 is never carried out and answered with a heartbeat.
+// reaches reports whether a few of the machines, chosen at random, answer a probe. The probe is a
+// command with fencing token 0, which a worker never executes and answers with a heartbeat.
 func (a *Agent) reaches(ctx context.Context, machines []statekv.KV) bool {
 	for range min(reachabilityProbes, len(machines)) {
 		address := shard.ParseMachineRecord(machines[rand.IntN(len(machines))]).Address
-		cctx, cancel := context.WithTimeout(ctx, probeTimeout)
-		_, _, err := a.workers.Send(cctx, address, 0, 1, nil)
+		probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
+		_, _, err := a.workers.Send(probeCtx, address, 0, 1, nil)
 		cancel()
 		if err != nil {
 			return false
--- a/internal/clusteragent/cancellation.go
+++ b/internal/clusteragent/cancellation.go
@@ -10,73 +10,74 @@
 	"robinstack/internal/tombstone"
 )
 
-// A job whose cancellation was acknowledged to its user must be on no machine cancel_s later,
-// whatever has become of its scheduler: that may be refused by the state service, dead,
-// starting, or unable to reach this owner, and then nobody else says that its tasks have to
-// stop. So ownership keeps the rule itself. An owner never renews the lease of a worker that
-// lists a task of a finished job unless the same answer carries the kill of that task: the
-// worker that gets the one gets the other, and the one that gets neither loses its lease.
-// The argument is in docs/design.md, "What is cancelled goes".
+// A job whose cancellation was acknowledged to its user must have no task on any machine after
+// cancel_s, whatever the state of its scheduler: the scheduler may be refused by the state service,
+// crashed, starting, or unable to reach this owner, and then nothing else requests that the tasks
+// stop. The owner of a machine therefore enforces this itself: it renews the lease of a worker that
+// lists a task of a finished job only in an answer that also carries the command to kill that task.
+// A worker that receives the answer receives both; a worker that does not loses its lease. The
+// argument is in docs/design.md, "What is cancelled goes".
 
 const (
-	// cancelledFor is how long a cancelled job is remembered, so that nothing of it is
-	// started here. Later, its record tells.
+	// cancelledFor is how long a cancelled job is remembered, so that none of its tasks starts
+	// here. After that, the missing job record shows that the job is finished.
 	cancelledFor     = 10 * time.Minute
 	maxCancelledJobs = 20_000
-	// lookupWait is how long a heartbeat waits for what is not known of its tasks' jobs to
-	// be read. Its worker gives up after 4 s.
+	// lookupWait bounds how long a heartbeat waits until the unread job records of its tasks are
+	// read. The worker gives up after 4 s.
 	lookupWait = 2500 * time.Millisecond
 )
 
-// cancellations is what this controller knows of cancelled jobs. The agent's mutex guards it.
+// cancellations is what this controller knows of cancelled jobs. Agent.mu guards it.
 type cancellations struct {
-	jobs            recentNames // whose cancellation was seen
-	acknowledgedRev uint64      // latest revision that was acknowledged to a user, or taken from an owner
+	jobs            recentNames // jobs whose cancellation was seen
+	acknowledgedRev uint64      // latest revision of a cancellation acknowledged to a user, or of a machine taken over
 }
 
 func newCancellations() cancellations {
 	return cancellations{jobs: newRecentNames(cancelledFor, maxCancelledJobs)}
 }
 
-// noteAcknowledged notes a cancellation, or a machine taken from another owner, of a revision.
+// noteAcknowledged records the revision of an acknowledged cancellation or of a takeover of a
+// machine.
 func (c *cancellations) noteAcknowledged(rev uint64) {
 	c.acknowledgedRev = max(c.acknowledgedRev, rev)
 }
 
-// OnWatchEvents takes what the mirror watches, before it counts as seen: an answer to a worker
-// that is given on the strength of that view knows of every cancellation in it. nil says
-// that all was read anew.
+// OnWatchEvents processes events of the mirror's watch before the mirror counts them as seen. An
+// answer to a worker that relies on the mirror thus takes into account every cancellation that the
+// mirror shows. events is nil if the mirror has been reloaded.
 func (a *Agent) OnWatchEvents(events []statekv.Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if events == nil {
-		// What was removed in between is in no event.
+		// A reload yields no events for the keys that were removed in between.
 		a.verifyTasksWhere(func(*machine.Task) bool { return true })
 		a.lookups.trigger()
 		return
 	}
 	now := time.Now()
-	cancelled, unclear := map[string]bool{}, map[string]bool{}
+	cancelled, undecodable := map[string]bool{}, map[string]bool{}
 	for _, e := range events {
-		c, ok := tombstone.ChangeOf(e)
+		change, ok := tombstone.ChangeOf(e)
 		switch {
 		case !ok:
-		case c.Err != nil:
-			unclear[c.ID] = true // whether it was cancelled; that its open record is gone can be read
-		case c.Status == job.Cancelled:
-			cancelled[c.ID] = true
-			a.cancellations.jobs.add(c.ID, now)
+		case change.Err != nil:
+			undecodable[change.ID] = true // undecodable tombstone: reading the job record shows whether the job is finished
+		case change.Status == job.Cancelled:
+			cancelled[change.ID] = true
+			a.cancellations.jobs.add(change.ID, now)
 		}
 	}
-	if len(cancelled) == 0 && len(unclear) == 0 {
+	if len(cancelled) == 0 && len(undecodable) == 0 {
 		return
 	}
 	a.stopCancelled(cancelled, now)
-	a.verifyTasksWhere(func(t *machine.Task) bool { return unclear[t.Ref.Job] })
+	a.verifyTasksWhere(func(t *machine.Task) bool { return undecodable[t.Ref.Job] })
 	a.lookups.trigger()
 }
 
-// stopCancelled stops the tasks of jobs that are cancelled. The mutex is held.
+// stopCancelled stops the tasks of cancelled jobs. The caller must hold a.mu.
 func (a *Agent) stopCancelled(jobs map[string]bool, now time.Time) {
 	for _, m := range a.machines {
 		changed := false
@@ -93,10 +94,10 @@
 	}
 }
 
-// StopCancelledJob takes note of a cancellation that is about to be acknowledged to a user,
-// before any watch has shown it: its tasks stop now, and none starts here any more. No rule
-// depends on this: whoever does not get it sees it by its watch, or is bounded by the lease
-// grace period.
+// StopCancelledJob stops the tasks of a job whose cancellation is about to be acknowledged to its
+// user, before any watch has shown it, and prevents that more of its tasks start here. No guarantee
+// depends on this call: a controller that does not receive it sees the cancellation in its watch,
+// or is bounded by the lease grace period.
 func (a *Agent) StopCancelledJob(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,70 +106,71 @@
 	a.stopCancelled(map[string]bool{id: true}, now)
 }
 
-// Cancelled is Agent.StopCancelledJob, for the controller that tells the user.
+// Cancelled calls Agent.StopCancelledJob on behalf of the controller that acknowledges the
+// cancellation to the user.
 func (s *Service) Cancelled(id string, _ *struct{}) error {
 	s.agent.StopCancelledJob(id)
 	return nil
 }
 
-// IsCancellation reports whether a change tells of a cancellation, or may do so.
+// IsCancellation reports whether an event shows the cancellation of a job, or may do so.
 func IsCancellation(e statekv.Event) bool {
-	c, ok := tombstone.ChangeOf(e)
-	return ok && (c.Err != nil || c.Status == job.Cancelled)
+	change, ok := tombstone.ChangeOf(e)
+	return ok && (change.Err != nil || change.Status == job.Cancelled)
 }
 
-// NoteAcknowledgement notes that a cancellation that this controller has written at a revision
-// is about to be acknowledged to a user: the mirror may not show it yet.
+// NoteAcknowledgement records that a cancellation, which this controller wrote at revision rev, is
+// about to be acknowledged to its user. The mirror may not show that revision yet.
 func (a *Agent) NoteAcknowledgement(rev uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancellations.noteAcknowledged(rev)
 }
 
-// coveredRev is the latest revision that matters to owners of machines and of which this
-// controller knows: no cancellation that it has acknowledged to a user by now, and no machine
-// that it took from another, is of a later one. What earlier sessions acknowledged, they had
-// seen before this one joined. The mutex is held.
+// coveredRev returns a revision such that no cancellation that this controller has acknowledged to
+// a user by now, and no machine that it has taken over, has a later one. The session's incarnation
+// covers earlier sessions: they had seen the cancellations that they acknowledged before this
+// session opened. The caller must hold a.mu.
 func (a *Agent) coveredRev() uint64 {
 	return max(a.session.Incarnation, a.cancellations.acknowledgedRev, a.mirror.TrackedRev())
 }
 
-// isFinished reports whether a job is finished, for a scheduler that took it for open: either
-// its cancellation was seen, or its record, which the scheduler last saw at revision rev, is
-// gone by a later one. A scheduler of an earlier version names no revision. The mutex is held.
-func (a *Agent) isFinished(id string, rev uint64) bool {
-	if a.cancellations.jobs.known(id) {
+// isFinished reports whether a job that its scheduler regards as open is finished: either its
+// cancellation was seen, or its record, which the scheduler last saw at revision rev, has been
+// removed at a later one. Schedulers of earlier versions send rev 0. The caller must hold a.mu.
+func (a *Agent) isFinished(jobID string, rev uint64) bool {
+	if a.cancellations.jobs.known(jobID) {
 		return true
 	}
 	if rev == 0 {
 		return false
 	}
-	seen := a.mirror.Rev() // first: what is absent after that was removed, or is older
-	_, open := a.mirror.Get(job.RecordKey(id))
-	return !open && seen >= rev
+	mirrorRev := a.mirror.Rev() // before Get: a record missing then is missing at this revision or a later one
+	_, open := a.mirror.Get(job.RecordKey(jobID))
+	return !open && mirrorRev >= rev
 }
 
-// unverifiedTasks lists the tasks of m of which it is not known whether their jobs go on. What
-// the mirror has open goes on as of its view, whose age the lease grace period counts in; what
-// it does not have is finished, or was accepted so lately that only a read can tell. A damaged
-// record is there.
+// unverifiedTasks returns the tasks of m whose jobs may have finished. If the mirror has the record
+// of a job, the job is open as of the mirror's view; the lease grace period accounts for the age of
+// that view. Otherwise the job is finished, or was accepted so recently that only a read from the
+// state service can tell. A record that cannot be decoded counts as present.
 func (a *Agent) unverifiedTasks(m *ownedMachine) []*machine.Task {
-	var out []*machine.Task
+	var unverified []*machine.Task
 	for _, t := range m.Tasks() {
 		if !t.NeedsVerification() {
 			continue
 		}
 		if _, open := a.mirror.Get(job.RecordKey(t.Ref.Job)); !open {
-			out = append(out, t)
+			unverified = append(unverified, t)
 		}
 	}
-	return out
+	return unverified
 }
 
-// verifyTasks waits for the records of a machine's unverified jobs to be read. Where that
-// cannot be done, their tasks are stopped: to stop one of a job that goes on costs its
-// time, and to keep one of a cancelled job breaks a promise. The mutex is held before and
-// after, not meanwhile.
+// verifyTasks waits until the job records of a machine's unverified tasks have been read. Tasks
+// whose records cannot be read are stopped: stopping a task of an open job only costs its run time,
+// while keeping a task of a cancelled job breaks the cancellation guarantee. The caller must hold
+// a.mu, which is released while waiting.
 func (a *Agent) verifyTasks(m *ownedMachine) {
 	deadline := time.Now().Add(lookupWait)
 	for len(a.unverifiedTasks(m)) > 0 && a.owns(m) {
--- a/internal/clusteragent/intake.go
+++ b/internal/clusteragent/intake.go
@@ -11,102 +11,103 @@
 	"robinstack/internal/statekv"
 )
 
-// chooseIntakeShards picks, for each place in the list of intake shards, a shard held that
-// takes new machines: the one that did, else one of the same place that was taken
-// over, so that there are no more shards after many failures than before. Where
-// there is none it makes one, which it adds to held; places for which that failed stay empty
-// until the next time. It returns the latest revision among all held.
+// chooseIntakeShards selects, for each intake index, a held shard that takes new machines: the
+// present one, else one with the same index that was taken over, so that repeated failovers do not
+// increase the number of shards. Where there is none, it creates a shard and adds it to held. An
+// index for which that fails stays empty until the next pass. latest is the highest revision of the
+// held shards.
 func (a *Agent) chooseIntakeShards(
 	ctx context.Context, held map[string]heldShard,
-) (intake []string, latest uint64) {
+) (intake []string, latestRev uint64) {
 	a.mu.Lock()
 	intake = slices.Clone(a.shards.intake)
 	a.mu.Unlock()
 	if intake == nil {
 		intake = make([]string, a.zones.intakeShards())
 	}
-	created := a.fillIntake(intake, held)
-	a.createShards(ctx, intake, created, held)
+	toCreate := a.fillIntake(intake, held)
+	a.createShards(ctx, intake, toCreate, held)
 	for _, h := range held {
-		latest = max(latest, h.rev)
+		latestRev = max(latestRev, h.rev)
 	}
-	return intake, latest
+	return intake, latestRev
 }
 
-// fillIntake fills the empty places of the intake list from the shards held, and with names
-// of new ones, whose places it returns: as many as one transaction may create.
-func (a *Agent) fillIntake(intake []string, held map[string]heldShard) (created []int) {
-	places := a.zones.intakeShards()
+// fillIntake fills the empty intake indexes with held shards, and otherwise with the ids of shards
+// to create. It returns the indexes of the latter, at most as many as one transaction may create.
+func (a *Agent) fillIntake(intake []string, held map[string]heldShard) (toCreate []int) {
+	intakeCount := a.zones.intakeShards()
 	ids := slices.Sorted(maps.Keys(held))
-	for k := range intake {
-		if _, ok := held[intake[k]]; ok {
+	for index := range intake {
+		if _, ok := held[intake[index]]; ok {
 			continue
 		}
-		intake[k] = ""
-		if !a.needsIntakeShard(k) || len(created) >= a.store.MaxTxnOps(a.settings.StateLimits.MaxTxnOps) {
+		intake[index] = ""
+		if !a.needsIntakeShard(index) || len(toCreate) >= a.store.MaxTxnOps(a.settings.StateLimits.MaxTxnOps) {
 			continue
 		}
-		at := slices.IndexFunc(ids, func(id string) bool { return held[id].index%places == k })
-		if at >= 0 {
-			intake[k] = ids[at]
+		position := slices.IndexFunc(ids, func(id string) bool { return held[id].index%intakeCount == index })
+		if position >= 0 {
+			intake[index] = ids[position]
 			continue
 		}
-		intake[k] = a.newShardID(k)
-		created = append(created, k)
+		intake[index] = a.newShardID(index)
+		toCreate = append(toCreate, index)
 	}
-	return created
+	return toCreate
 }
 
-// createShards writes the keys of the new shards at the given places of the intake list and
-// adds them to held, or empties the places.
-func (a *Agent) createShards(ctx context.Context, intake []string, places []int, held map[string]heldShard) {
-	if len(places) == 0 {
+// createShards writes the keys of the new shards at the given intake indexes and adds the shards to
+// held. If the write fails, it empties these indexes.
+func (a *Agent) createShards(ctx context.Context, intake []string, indexes []int, held map[string]heldShard) {
+	if len(indexes) == 0 {
 		return
 	}
-	var when []statekv.Compare
-	var then []statekv.Op
-	for _, k := range places {
-		key, value := statekv.MachineShardPrefix+intake[k], shard.Record{Holder: a.session.Holder, Index: k}
-		// Once only: a copy applied late must not raise the revision of a
-		// shard that has machines by then.
-		when = append(when, statekv.Compare{Key: key})
-		then = append(then, statekv.Op{Set: key, Value: value})
+	var compares []statekv.Compare
+	var ops []statekv.Op
+	for _, index := range indexes {
+		key, value := statekv.MachineShardPrefix+intake[index], shard.Record{Holder: a.session.Holder, Index: index}
+		// The key must not exist yet: a duplicate request that is applied late must not raise the
+		// revision of a shard that has machines by then.
+		compares = append(compares, statekv.Compare{Key: key})
+		ops = append(ops, statekv.Op{Set: key, Value: value})
 	}
-	tctx, cancel := context.WithTimeout(ctx, shardWriteTimeout)
+	txnCtx, cancel := context.WithTimeout(ctx, shardWriteTimeout)
 	defer cancel()
-	rev, err := a.session.Write(tctx, when, then)
+	rev, err := a.session.Write(txnCtx, compares, ops)
 	if err != nil {
-		// What was taken over must not wait for this.
+		// Not returned as an error: machines that were taken over must not wait for new shards.
 		slog.Debug("machine shard creation failed", "err", err)
-		for _, k := range places {
-			intake[k] = "" // if it was made after all, the mirror will show it
+		for _, index := range indexes {
+			intake[index] = "" // if the write was applied after all, the mirror will show the shard
 		}
 		return
 	}
-	for _, k := range places {
-		held[intake[k]] = heldShard{rev, k}
+	for _, index := range indexes {
+		held[intake[index]] = heldShard{rev, index}
 	}
 }
 
-// needsIntakeShard reports whether new machines of place k's zone come here: those of
-// this controller's own zone, and of others once one has come.
-func (a *Agent) needsIntakeShard(k int) bool {
+// needsIntakeShard reports whether this controller takes new machines of the zone of intake index
+// k: its own zone, a zone of which a machine was to be claimed here before, or any zone if its own
+// is not among the configured zones.
+func (a *Agent) needsIntakeShard(index int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	own := a.settings.Zone
-	return a.shards.missing[k] || a.zones.ofShard(k) == own || !slices.Contains(a.settings.Zones, own)
+	ownZone := a.settings.Zone
+	return a.shards.missing[index] || a.zones.ofShard(index) == ownZone || !slices.Contains(a.settings.Zones, ownZone)
 }
 
-// newShardID names a shard for place k that this session has not made yet: one that
-// was taken from it keeps its name.
-func (a *Agent) newShardID(k int) string {
+// newShardID returns an unused id for a shard of intake index k. A shard that another controller
+// took from this session keeps its id.
+func (a *Agent) newShardID(index int) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for {
-		id := fmt.Sprintf("%s.%d.%d.%d", a.session.Host, a.session.Incarnation, a.shards.generations[k], k)
+		id := fmt.Sprintf("%s.%d.%d.%d", a.session.Host, a.session.Incarnation, a.shards.generations[index], index)
 		if _, exists := a.mirror.Get(statekv.MachineShardPrefix + id); !exists {
 			return id
 		}
-		a.shards.generations[k]++
+		a.shards.generations[index]++
 	}
 }
--- a/internal/clusteragent/job_lookup.go
+++ b/internal/clusteragent/job_lookup.go
@@ -12,29 +12,28 @@
 )
 
 const (
-	// lookupPause is the time between two rounds of reading records: heartbeats come in
-	// groups.
+	// lookupPause is the time between two rounds of record reads. One round serves many heartbeats,
+	// because these arrive in groups.
 	lookupPause = 100 * time.Millisecond
-	// lookupRetryPause is that after a round that failed.
+	// lookupRetryPause is the time until the next round after a failed one.
 	lookupRetryPause = time.Second
 )
 
-// jobLookups is the jobs whose records have to be read. The agent's mutex guards unread and
-// done.
+// jobLookups holds the jobs whose records have to be read. Agent.mu guards unread and done.
 type jobLookups struct {
-	wanted chan struct{}   // has them read
-	unread map[string]bool // by id
-	done   chan struct{}   // closed and replaced when some were
+	wanted chan struct{}   // starts a round of reads
+	unread map[string]bool // job ids
+	done   chan struct{}   // closed and replaced when records have been read
 }
 
 func newJobLookups() jobLookups {
 	return jobLookups{wanted: make(chan struct{}, 1), unread: map[string]bool{}, done: make(chan struct{})}
 }
 
-// add has a job's record read once that is triggered.
+// add registers a job whose record is read after the next trigger.
 func (l *jobLookups) add(id string) { l.unread[id] = true }
 
-// trigger has the records read soon, if there are any to read.
+// trigger starts a round of reads if any job is registered.
 func (l *jobLookups) trigger() {
 	if len(l.unread) == 0 {
 		return
@@ -45,20 +44,20 @@
 	}
 }
 
-// take returns the jobs to read and leaves none.
+// take removes all registered jobs and returns them.
 func (l *jobLookups) take() map[string]bool {
 	ids := l.unread
 	l.unread = map[string]bool{}
 	return ids
 }
 
-// announce wakes those who wait for records to be read.
+// announce wakes the goroutines that wait for records to be read.
 func (l *jobLookups) announce() {
 	close(l.done)
 	l.done = make(chan struct{})
 }
 
-// lookUpJobs has the records read of jobs whose tasks m turned out to have. The mutex is held.
+// lookUpJobs starts reading the job records of m's unverified tasks. The caller must hold a.mu.
 func (a *Agent) lookUpJobs(m *ownedMachine) {
 	for _, t := range m.Tasks() {
 		if t.Unverified {
@@ -68,12 +67,12 @@
 	a.lookups.trigger()
 }
 
-// verifyTasksWhere has the records checked of the jobs of all such tasks, once that is
-// triggered. The mutex is held.
-func (a *Agent) verifyTasksWhere(which func(*machine.Task) bool) {
+// verifyTasksWhere marks all tasks for which selected is true as unverified and registers their jobs. Their
+// records are read after the next trigger. The caller must hold a.mu.
+func (a *Agent) verifyTasksWhere(selected func(*machine.Task) bool) {
 	for _, m := range a.machines {
 		for _, t := range m.Tasks() {
-			if which(t) {
+			if selected(t) {
 				t.Unverified = true
 				a.lookups.add(t.Ref.Job)
 			}
@@ -81,8 +80,8 @@
 	}
 }
 
-// OnJobShardMoved has the tasks of a job shard checked against their records: its earlier
-// scheduler may have left tasks of jobs that are finished.
+// OnJobShardMoved checks the tasks of a job shard against their job records: the former scheduler
+// may have left tasks of finished jobs.
 func (a *Agent) OnJobShardMoved(jobShard string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -90,8 +89,8 @@
 	a.lookups.trigger()
 }
 
-// runLookups reads the records of jobs whose tasks were found on machines, or
-// whose scheduler changed: what is finished is stopped, the rest gets its needs.
+// runLookups reads the records of jobs whose tasks were found on machines, or whose scheduler
+// changed. Tasks of finished jobs are stopped; the others get their resource needs from the record.
 func (a *Agent) runLookups(ctx context.Context) {
 	for {
 		select {
@@ -123,27 +122,29 @@
 	}
 }
 
-// lookUp finds the records and takes what was found out of ids.
+// lookUp reads the records of the jobs in ids, applies them, and removes the jobs that were read
+// from ids.
 func (a *Agent) lookUp(ctx context.Context, ids map[string]bool) error {
 	a.applyRecords(a.mirroredRecords(ids))
-	// What the mirror does not have is finished, or came just now: a read tells.
+	// A job that the mirror does not have is finished or was just accepted: a read from the state
+	// service tells which.
 	for id := range ids {
 		kv, err := a.store.Get(ctx, job.RecordKey(id))
-		var rec *job.Record
+		var record *job.Record
 		if err == nil {
-			rec, err = job.ParseRecord(kv.Value)
+			record, err = job.ParseRecord(kv.Value)
 		}
 		if err != nil && !errors.Is(err, statekv.ErrNotFound) {
 			return err
 		}
-		a.applyRecords(map[string]*job.Record{id: rec})
+		a.applyRecords(map[string]*job.Record{id: record})
 		delete(ids, id)
 	}
 	return nil
 }
 
-// mirroredRecords returns the records that the mirror has, and takes those and the ones that
-// cannot be read out of ids.
+// mirroredRecords returns the records that the mirror has. It removes these jobs, and those whose
+// records cannot be decoded, from ids.
 func (a *Agent) mirroredRecords(ids map[string]bool) map[string]*job.Record {
 	found := map[string]*job.Record{}
 	for id := range ids {
@@ -152,19 +153,19 @@
 			continue
 		}
 		delete(ids, id)
-		rec, err := job.ParseRecord(kv.Value)
+		record, err := job.ParseRecord(kv.Value)
 		if err != nil {
-			// Nothing is known of the job, so its tasks are left alone; the records
-			// of others must not wait for it.
+			// Nothing is known of the job, so its tasks are left alone. The records of other jobs
+			// must not wait for this one.
 			a.mirror.ReportUndecodable(kv.Key, err)
 			continue
 		}
-		found[id] = rec
+		found[id] = record
 	}
 	return found
 }
 
-// applyRecords takes in records; nil stands for a job that is finished.
+// applyRecords applies records to the tasks of their jobs. A nil record stands for a finished job.
 func (a *Agent) applyRecords(records map[string]*job.Record) {
 	if len(records) == 0 {
 		return
@@ -181,19 +182,19 @@
 	}
 }
 
-// applyRecordsTo takes the records into the unverified tasks of a machine, and returns whether
-// there were any.
+// applyRecordsTo applies the records to the unverified tasks of a machine, and reports whether it
+// had any such tasks.
 func applyRecordsTo(m *machine.Machine, records map[string]*job.Record) (changed bool) {
 	for _, t := range m.Tasks() {
-		rec, read := records[t.Ref.Job]
-		if !read || !t.Unverified {
+		record, wasRead := records[t.Ref.Job]
+		if !wasRead || !t.Unverified {
 			continue
 		}
 		changed = true
-		if rec == nil {
+		if record == nil {
 			t.SetJobFinished()
 		} else {
-			t.SetRecord(rec)
+			t.SetRecord(record)
 		}
 	}
 	return changed
--- a/internal/clusteragent/job_lookup_test.go
+++ b/internal/clusteragent/job_lookup_test.go
@@ -9,13 +9,13 @@
 	"robinstack/internal/worker"
 )
 
-// A record that cannot be read kept an agent from reading all others, again and again,
-// so that the tasks of every job that it had taken over stayed unknown to it. It is
-// listed and left, and its task goes on.
-func TestUnreadableRecordDoesNotBlockOtherRecords(t *testing.T) {
+// A job record that cannot be decoded kept an agent from reading all other records, so that the
+// tasks of all jobs that it had taken over stayed unknown to it. Such a record must be listed as
+// undecodable and left unchanged, and its task must keep running.
+func TestUndecodableRecordDoesNotBlockOtherRecords(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
-		good := job.Record{JobShard: "s", Spec: job.Spec{ID: "wk-2", Team: "t", Shape: job.Array, Rank: "normal", Tasks: 1, Need: job.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
-		for key, v := range map[string]any{job.RecordKey("wk-1"): "mangled", job.RecordKey("wk-2"): good} {
+		decodable := job.Record{JobShard: "s", Spec: job.Spec{ID: "wk-2", Team: "t", Shape: job.Array, Rank: "normal", Tasks: 1, Need: job.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}}}
+		for key, v := range map[string]any{job.RecordKey("wk-1"): "mangled", job.RecordKey("wk-2"): decodable} {
 			if _, err := bed.state.Txn(bed.ctx, nil, []statekv.Op{{Set: key, Value: v}}); err != nil {
 				t.Fatal(err)
 			}
@@ -36,13 +36,13 @@
 			known[task.Job] = task.Known
 		}
 		if len(known) != 2 || known["wk-1"] || !known["wk-2"] {
-			t.Errorf("known: %v", known)
+			t.Errorf("got known jobs %v, want wk-2 known and wk-1 unknown", known)
 		}
 		if bed.taskCount(w) != 2 {
-			t.Errorf("%d tasks are on the machine", bed.taskCount(w))
+			t.Errorf("got %d tasks on the machine, want 2", bed.taskCount(w))
 		}
-		if bad := n.mirror.Undecodable(); bad[job.RecordKey("wk-1")] == "" {
-			t.Errorf("listed: %v", bad)
+		if undecodable := n.mirror.Undecodable(); undecodable[job.RecordKey("wk-1")] == "" {
+			t.Errorf("got undecodable keys %v, want the record of wk-1 among them", undecodable)
 		}
 	})
 }
--- a/internal/clusteragent/recent_names.go
+++ b/internal/clusteragent/recent_names.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// recentNames remembers names for a time, up to a limit.
+// recentNames is a set of names that were added recently, up to a limit.
 type recentNames struct {
 	keepFor time.Duration
 	limit   int
@@ -13,8 +13,8 @@
 	return recentNames{keepFor: keepFor, limit: limit, addedAt: map[string]time.Time{}}
 }
 
-// add remembers a name from now on. At the limit others are dropped: those that have expired,
-// and any others until the number is below it.
+// add adds a name, or renews it. At the limit it first drops the expired names, and any others
+// until the number is below the limit.
 func (r *recentNames) add(name string, now time.Time) {
 	if len(r.addedAt) >= r.limit {
 		for old, at := range r.addedAt {
@@ -28,13 +28,13 @@
 
 func (r *recentNames) remove(name string) { delete(r.addedAt, name) }
 
-// known reports whether a name is remembered, however old.
+// known reports whether the set has a name, whatever its age.
 func (r *recentNames) known(name string) bool {
 	_, ok := r.addedAt[name]
 	return ok
 }
 
-// recent reports whether a name was added within the time.
+// recent reports whether a name was added within keepFor.
 func (r *recentNames) recent(name string, now time.Time) bool {
 	at, ok := r.addedAt[name]
 	return ok && now.Sub(at) < r.keepFor
--- a/internal/clusteragent/removal.go
+++ b/internal/clusteragent/removal.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// keyRemovalEvery is how often the keys of deleted machines are looked for.
+	// keyRemovalEvery is the interval between two passes that remove the keys of deleted machines.
 	keyRemovalEvery = 500 * time.Millisecond
-	// keyRemovalTimeout is how long their removal may take.
+	// keyRemovalTimeout bounds one transaction that removes keys.
 	keyRemovalTimeout = 3 * time.Second
-	// maxKeysRemoved bounds the keys that are removed with one transaction.
+	// maxKeysRemoved bounds the number of keys that one transaction removes.
 	maxKeysRemoved = 8
 )
 
-// Drain closes machines without tasks to new ones, or opens them again.
+// Drain closes machines to new tasks or, if r.On is false, opens them again. It does not close a
+// machine that has tasks, unless the machine is unresponsive or quarantined.
 func (s *Service) Drain(r agentapi.MachinesRequest, reply *agentapi.MachinesReply) error {
 	a := s.agent
 	a.mu.Lock()
@@ -42,8 +43,8 @@
 	return nil
 }
 
-// Removed tells the agent that the cloud has deleted machines: their tasks are
-// gone. Their keys follow when the state service's budget allows it.
+// Removed notes that the cloud has deleted machines, so that their tasks have ended. The keys of
+// the machines are removed later, within the write budget of the state service.
 func (s *Service) Removed(r agentapi.MachinesRequest, reply *agentapi.MachinesReply) error {
 	a := s.agent
 	a.mu.Lock()
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// runKeyRemoval removes the keys of deleted machines, many at a time.
+// runKeyRemoval removes the keys of deleted machines in batches.
 func (a *Agent) runKeyRemoval(ctx context.Context) {
 	tick := time.NewTicker(keyRemovalEvery)
 	defer tick.Stop()
@@ -84,8 +85,8 @@
 	}
 }
 
-// deletedMachines lists machines whose keys are to be removed, as many as one transaction
-// takes.
+// deletedMachines returns deleted machines whose keys are still to be removed, at most as many as
+// one transaction may remove.
 func (a *Agent) deletedMachines() []*ownedMachine {
 	var batch []*ownedMachine
 	a.mu.Lock()
@@ -98,8 +99,8 @@
 	return batch
 }
 
-// removeEachKey removes the keys each for itself: one of the machines has another owner by
-// now. It returns the last error.
+// removeEachKey removes the keys one by one, after a batch failed because one of the machines has
+// another owner by now. It returns the error of the last removal.
 func (a *Agent) removeEachKey(ctx context.Context, batch []*ownedMachine) (err error) {
 	for _, m := range batch {
 		if err = a.removeMachineKeys(ctx, []*ownedMachine{m}); statekv.IsConflict(err) {
@@ -110,23 +111,24 @@
 }
 
 func (a *Agent) removeMachineKeys(ctx context.Context, batch []*ownedMachine) error {
-	var when []statekv.Compare
-	var then []statekv.Op
+	var compares []statekv.Compare
+	var ops []statekv.Op
 	for _, m := range batch {
 		key := statekv.MachinePrefix + m.Name
-		when = append(when, statekv.Compare{Key: key, Rev: m.Ownership.KeyRev})
-		then = append(then, statekv.Op{Delete: key})
+		compares = append(compares, statekv.Compare{Key: key, Rev: m.Ownership.KeyRev})
+		ops = append(ops, statekv.Op{Delete: key})
 	}
-	tctx, cancel := context.WithTimeout(ctx, keyRemovalTimeout)
+	txnCtx, cancel := context.WithTimeout(ctx, keyRemovalTimeout)
 	defer cancel()
-	_, err := a.session.Write(tctx, when, then)
+	_, err := a.session.Write(txnCtx, compares, ops)
 	if err == nil {
 		a.markDeregistered(batch)
 	}
 	return err
 }
 
-// markDeregistered takes note that the keys of machines are gone.
+// markDeregistered records that the keys of the machines have been removed, or belong to another
+// owner.
 func (a *Agent) markDeregistered(batch []*ownedMachine) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/clusteragent/shards.go
+++ b/internal/clusteragent/shards.go
@@ -10,51 +10,52 @@
 	"robinstack/internal/statekv"
 )
 
-// Ownership goes by shards: a machine's key names its shard, and the shard's key
-// names the owner. When an owner dies, its hundreds of machines change hands
-// with one write for each of a few shards, while all their work goes on.
+// Machine ownership is indirect: a machine's key names its machine shard, and the shard's key names
+// the controller that owns all machines of the shard. When an owner's session ends, its hundreds of
+// machines change owner with one write for each of a few shards, and their tasks keep running.
 
 const (
-	// ownershipEvery is how often the shards are looked through.
+	// ownershipEvery is the interval between two passes over the machine shards.
 	ownershipEvery = 500 * time.Millisecond
-	// takeoverTimeout is how long taking shards, and waiting for the mirror to show what
-	// their former owners claimed last, may take.
+	// takeoverTimeout bounds the acquisition of shards, and the wait until the mirror shows the
+	// last claims of their former owners.
 	takeoverTimeout = 3 * time.Second
-	// shardWriteTimeout is how long making or removing shards may take.
+	// shardWriteTimeout bounds the transaction that creates or removes shards.
 	shardWriteTimeout = 2 * time.Second
-	// maxShardsRemoved bounds the empty shards that are removed with one transaction.
+	// maxShardsRemoved bounds the number of empty shards that one transaction removes.
 	maxShardsRemoved = 8
 )
 
-// shardHoldings is which shards this session holds. The agent's mutex guards it.
+// shardHoldings is the set of machine shards that this session owns. Agent.mu guards it.
 type shardHoldings struct {
-	revs        map[string]uint64 // shards held, with their keys' revisions
-	intake      []string          // those that take new machines, by place; "": none yet
-	missing     map[int]bool      // places for which there was none when a machine came
-	generations map[int]int       // how often this session had to make a shard for each place
-	released    map[string]uint64 // machines given up, with the revision of our ownership
+	revs        map[string]uint64 // owned shards, with the revisions of their keys
+	intake      []string          // intake shards by intake index; "": none yet
+	missing     map[int]bool      // intake indexes that had no shard when a machine was to be claimed
+	generations map[int]int       // generation number in the ids of new shards, by intake index
+	released    map[string]uint64 // released machines, with the revision of the ownership that ended
 }
 
 func newShardHoldings() shardHoldings {
 	return shardHoldings{missing: map[int]bool{}, generations: map[int]int{}, released: map[string]uint64{}}
 }
 
-// heldShard is a shard that this session holds.
+// heldShard is a machine shard that this session owns.
 type heldShard struct {
-	rev   uint64 // of the shard's key
+	rev   uint64 // revision of the shard's key
 	index int
 }
 
-// fleetView is what one look at the mirror shows of ownership, for the planners.
+// fleetView is the ownership state that the mirror shows at one moment. It is the input of the
+// planning functions.
 type fleetView struct {
 	self     statekv.Holder
-	alive    func(statekv.Holder) bool // whether a session goes on
+	alive    func(statekv.Holder) bool // reports whether a session is alive
 	zones    zoneRules
 	now      time.Time
-	hosts    []string // that are alive
+	hosts    []string // hosts with a live session
 	shards   []statekv.KV
 	machines []statekv.KV
-	sizes    map[string]int // machines by shard
+	sizes    map[string]int // number of machines by shard id
 }
 
 func shardID(kv statekv.KV) string { return kv.Key[len(statekv.MachineShardPrefix):] }
@@ -73,9 +74,9 @@
 	}
 }
 
-// updateOwnership takes shards whose owner's session is over or whose workers cannot
-// reach it, and new ones if this controller has none, and takes up the machines
-// in them.
+// updateOwnership acquires shards whose owner's session has ended or whose workers cannot reach
+// their owner, creates intake shards where this controller has none, and begins ownership of the
+// machines in its shards.
 func (a *Agent) updateOwnership(ctx context.Context) {
 	hosts := a.session.AliveHosts()
 	if !a.session.HoldsLease() || !slices.Contains(hosts, a.session.Host) {
@@ -93,10 +94,10 @@
 	plan := planTakeover(&view, a.session.Successors(a.settings.Hosts()), wanted)
 	a.takeShards(ctx, &plan, wanted)
 	intake, latest := a.chooseIntakeShards(ctx, plan.held)
-	// What an earlier owner claimed last is in the mirror by then.
-	wctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
+	// At this revision the mirror shows the last claims of the former owners.
+	waitCtx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
-	if a.mirror.Wait(wctx, latest) != nil {
+	if a.mirror.Wait(waitCtx, latest) != nil {
 		return
 	}
 	a.mu.Lock()
@@ -106,78 +107,80 @@
 	}
 	a.mu.Unlock()
 	a.removeEmptyShards(ctx, &plan, intake, view.sizes)
-	// Machines first: whoever is in a shard that came since belongs to its owner.
+	// The machine keys are read before the shard keys. In the opposite order, a machine that is
+	// claimed into a shard created between the two reads would appear to have no owner.
 	machines := a.mirror.Dir(statekv.MachinePrefix)
 	a.reconcileOwnership(hosts, machines, shard.NewOwnerIndex(a.mirror.Dir(statekv.MachineShardPrefix)))
 }
 
-// takeoverPlan is which shards this session holds, and which it should take or remove.
+// takeoverPlan lists the shards that this session owns and those that it should acquire or remove.
 type takeoverPlan struct {
 	held  map[string]heldShard
 	take  []statekv.Role
-	empty []statekv.Role           // of sessions that are over, without machines
-	keys  map[string]*shard.Record // of the shards to take, as they were
+	empty []statekv.Role           // shards without machines whose owner's session has ended
+	keys  map[string]*shard.Record // previous records of the shards to take, by key
 }
 
-// planTakeover finds the shards that fall to this controller: those whose owner's session is
-// over and that it succeeds, and those wanted from living owners. Those without machines it
-// leaves, to be removed later: after a crash of all controllers the state service's limit is
-// what the others wait for.
+// planTakeover selects the shards that this controller acquires: those whose owner's session has
+// ended and of which it is the successor, and those in wanted, which have living owners. Shards
+// without machines are not acquired but listed for later removal: after a crash of all controllers
+// the write limit of the state service determines how long the other shards wait.
 func planTakeover(view *fleetView, successors []string, wanted map[string]string) takeoverPlan {
 	plan := takeoverPlan{held: map[string]heldShard{}, keys: map[string]*shard.Record{}}
 	for _, kv := range view.shards {
-		key := shard.ParseRecord(kv)
-		if key == nil {
+		record := shard.ParseRecord(kv)
+		if record == nil {
 			continue
 		}
-		if key.Holder == view.self {
-			plan.held[shardID(kv)] = heldShard{kv.Rev, key.Index}
+		if record.Holder == view.self {
+			plan.held[shardID(kv)] = heldShard{kv.Rev, record.Index}
 			continue
 		}
-		_, taken := wanted[kv.Key]
-		from := key.Holder
-		if taken {
-			from = statekv.Holder{}
-		} else if view.alive(key.Holder) || view.zones.successor(key, successors) != view.self.Host {
+		_, isWanted := wanted[kv.Key]
+		previousHolder := record.Holder
+		if isWanted {
+			previousHolder = statekv.Holder{}
+		} else if view.alive(record.Holder) || view.zones.successor(record, successors) != view.self.Host {
 			continue
 		}
-		value := shard.Record{Holder: view.self, Index: key.Index}
-		role := statekv.Role{Key: kv.Key, ExpectedRev: kv.Rev, PreviousHolder: from, Value: value}
-		if view.sizes[shardID(kv)] == 0 && !taken {
+		value := shard.Record{Holder: view.self, Index: record.Index}
+		role := statekv.Role{Key: kv.Key, ExpectedRev: kv.Rev, PreviousHolder: previousHolder, Value: value}
+		if view.sizes[shardID(kv)] == 0 && !isWanted {
 			plan.empty = append(plan.empty, role)
 			continue
 		}
-		plan.keys[kv.Key] = key
+		plan.keys[kv.Key] = record
 		plan.take = append(plan.take, role)
 	}
 	return plan
 }
 
-// takeShards takes the shards that a plan says, and adds those it got to the ones held. Wanted
-// is why shards are taken from living owners.
+// takeShards acquires the shards in plan.take and adds those acquired to plan.held. wanted holds
+// the reasons for taking shards from living owners.
 func (a *Agent) takeShards(ctx context.Context, plan *takeoverPlan, wanted map[string]string) {
 	if len(plan.take) == 0 {
 		return
 	}
-	tctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
+	txnCtx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
-	taken, err := a.session.AcquireAll(tctx, plan.take, a.settings.StateLimits.MaxTxnOps)
+	taken, err := a.session.AcquireAll(txnCtx, plan.take, a.settings.StateLimits.MaxTxnOps)
 	if err != nil {
 		slog.Debug("machine shard acquisition failed", "err", err)
 	}
 	for key, rev := range taken {
-		id, was := key[len(statekv.MachineShardPrefix):], plan.keys[key]
-		plan.held[id] = heldShard{rev, was.Index}
-		slog.Info("machine shard acquired", "machine_shard", id, "previous_owner", was.Host,
+		id, previous := key[len(statekv.MachineShardPrefix):], plan.keys[key]
+		plan.held[id] = heldShard{rev, previous.Index}
+		slog.Info("machine shard acquired", "machine_shard", id, "previous_owner", previous.Host,
 			"revision", rev, "reason", wanted[key])
 	}
 }
 
-// removeEmptyShards removes the keys of shards in which there are no machines and which
-// take no new ones: of this controller, and of those whose session the state service
-// too has over; what these write late carries the condition that it goes on. Should a
-// machine have been claimed into one unseen, it is claimed anew like any whose shard
-// is lost.
+// removeEmptyShards removes the keys of shards that have no machines and take no new ones: shards
+// of this controller, and shards whose owner's session has ended. The transaction requires that
+// this session has ended in the state service too. Every write of a session requires that the
+// session still exists, so late writes of the former owner fail. If a machine was claimed into a
+// removed shard before the mirror showed it, the machine is claimed again, like any machine whose
+// shard does not exist.
 func (a *Agent) removeEmptyShards(
 	ctx context.Context, plan *takeoverPlan, intake []string, sizes map[string]int,
 ) {
@@ -187,42 +190,43 @@
 			empty = append(empty, statekv.Role{Key: statekv.MachineShardPrefix + id, ExpectedRev: h.rev})
 		}
 	}
-	most := a.store.MaxTxnOps(min(maxShardsRemoved, a.settings.StateLimits.MaxTxnOps))
-	var when []statekv.Compare
-	var then []statekv.Op
-	for _, r := range empty[:min(most, len(empty))] {
-		when = append(when, a.session.RoleCompares(r)...)
-		then = append(then, statekv.Op{Delete: r.Key})
+	limit := a.store.MaxTxnOps(min(maxShardsRemoved, a.settings.StateLimits.MaxTxnOps))
+	var compares []statekv.Compare
+	var ops []statekv.Op
+	for _, r := range empty[:min(limit, len(empty))] {
+		compares = append(compares, a.session.RoleCompares(r)...)
+		ops = append(ops, statekv.Op{Delete: r.Key})
 	}
-	if len(then) == 0 || !a.store.Allow(statekv.ClassMaintenance, len(then)) {
+	if len(ops) == 0 || !a.store.Allow(statekv.ClassMaintenance, len(ops)) {
 		return
 	}
-	tctx, cancel := context.WithTimeout(ctx, shardWriteTimeout)
+	txnCtx, cancel := context.WithTimeout(ctx, shardWriteTimeout)
 	defer cancel()
-	_, err := a.session.Write(tctx, when, then)
-	slog.Debug("empty machine shards removed", "machine_shards", len(then), "err", err)
+	_, err := a.session.Write(txnCtx, compares, ops)
+	slog.Debug("empty machine shards removed", "machine_shards", len(ops), "err", err)
 }
 
-// reconcileOwnership takes up the machines that are ours by their keys, gives up those that
-// are not any more, and claims those whose shard has been lost.
-func (a *Agent) reconcileOwnership(hosts []string, keys []statekv.KV, owners shard.OwnerIndex) {
-	ours, ownerless := a.sortByOwner(keys, owners)
+// reconcileOwnership adopts the machines whose keys name this controller as their owner, releases
+// those that have another owner, and claims its part of the machines whose shard does not exist.
+// These are divided among the live controllers by the hash of the machine name.
+func (a *Agent) reconcileOwnership(hosts []string, machines []statekv.KV, owners shard.OwnerIndex) {
+	owned, ownerless := a.sortByOwner(machines, owners)
 	for _, kv := range ownerless {
 		name := machineName(kv)
-		if key := shard.ParseMachineRecord(kv); key != nil && hosts[hashOf(name)%len(hosts)] == a.session.Host {
-			a.enqueueClaim(name, *key, kv.Rev)
+		if record := shard.ParseMachineRecord(kv); record != nil && hosts[hashOf(name)%len(hosts)] == a.session.Host {
+			a.enqueueClaim(name, *record, kv.Rev)
 		}
 	}
-	for _, kv := range ours {
+	for _, kv := range owned {
 		if !a.adopt(kv) {
 			a.enqueueClaim(machineName(kv), *shard.ParseMachineRecord(kv), kv.Rev)
 		}
 	}
 }
 
-// sortByOwner returns the machines to take up, and those without owner, and gives up those
-// that have another owner.
-func (a *Agent) sortByOwner(keys []statekv.KV, owners shard.OwnerIndex) (ours, ownerless []statekv.KV) {
+// sortByOwner returns the machines to adopt and the machines without an owner, and releases the
+// machines that have another owner.
+func (a *Agent) sortByOwner(machines []statekv.KV, owners shard.OwnerIndex) (owned, ownerless []statekv.KV) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for name := range a.shards.released {
@@ -230,38 +234,39 @@
 			delete(a.shards.released, name)
 		}
 	}
-	for _, kv := range keys {
-		key := shard.ParseMachineRecord(kv)
-		if key == nil {
+	for _, kv := range machines {
+		record := shard.ParseMachineRecord(kv)
+		if record == nil {
 			ownerless = append(ownerless, kv)
 			continue
 		}
-		holder, rev := owners.OwnerOf(key, kv.Rev)
+		holder, rev := owners.OwnerOf(record, kv.Rev)
 		m := a.machines[machineName(kv)]
 		switch {
 		case holder == (statekv.Holder{}):
 			ownerless = append(ownerless, kv)
 		case holder == a.session.Holder && (m == nil || rev > m.Ownership.Rev):
 			if m != nil {
-				// It was another's in between: what we know of it is old.
+				// Another controller owned the machine in between, so its state is out of date
+				// here.
 				a.release(m)
 			}
-			ours = append(ours, kv)
+			owned = append(owned, kv)
 		case m != nil && rev > m.Ownership.Rev:
 			a.release(m)
 		}
 	}
-	return ours, ownerless
+	return owned, ownerless
 }
 
-// adopt looks after a machine that is ours by its key. It returns false for one
-// that was given up under this very ownership: then its worker has seen a
-// successor that the mirror does not show yet, or nobody knows what runs there,
-// and only a claim, a write under a condition, can make it ours again.
+// adopt begins ownership of a machine whose keys name this controller as its owner. It returns
+// false for a machine that was released under the same ownership revision: either its worker has
+// seen the token of a successor that the mirror does not show yet, or it is unknown which tasks run
+// there. Only a claim, which is a conditional write, can make this controller the owner again.
 func (a *Agent) adopt(kv statekv.KV) bool {
-	key := shard.ParseMachineRecord(kv)
+	record := shard.ParseMachineRecord(kv)
 	holder, rev := shard.OwnerOf(a.mirror, kv)
-	if key == nil || holder != a.session.Holder {
+	if record == nil || holder != a.session.Holder {
 		return true
 	}
 	name := machineName(kv)
@@ -271,6 +276,6 @@
 	if released >= rev {
 		return false
 	}
-	a.beginOwnership(name, key, kv.Rev, rev, takenOver)
+	a.beginOwnership(name, record, kv.Rev, rev, takenOver)
 	return true
 }
--- a/internal/clusteragent/strays.go
+++ b/internal/clusteragent/strays.go
@@ -10,87 +10,94 @@
 	"robinstack/internal/worker"
 )
 
-// Machines change hands also while their owner lives: when their workers
-// plainly cannot reach it, so that they do not die of an owner that has lost
-// only them, and (balance.go) when another controller has come back with nothing to own, so
-// that the next failure of one controller is not one of the whole fleet.
+// A machine can change owner while its owner is alive: if its worker cannot reach the owner, so
+// that the worker's lease does not expire although only this connection is lost, and (balance.go)
+// if a restarted controller owns no machines, so that the next failure of one controller does not
+// affect the whole cluster.
 
 const (
-	// visitWindow is the time after which a further visit is not counted with
-	// the earlier ones: with five controllers that answer or hang, a worker
-	// takes that long to try all of them.
+	// visitWindow is the longest time between two misdirected heartbeats of a worker that are
+	// counted together. With five controllers that answer or time out, a worker needs that long to
+	// try all of them.
 	visitWindow = 30 * time.Second
-	// maxStrayWorkers bounds the workers whose visits are counted.
+	// maxStrayWorkers bounds the number of workers whose misdirected heartbeats are counted.
 	maxStrayWorkers = 4096
-	// minOwnershipAge is how long a shard must have had its owner before it is taken from it.
+	// minOwnershipAge is how long a shard must have had its owner before it is taken from that
+	// owner.
 	minOwnershipAge = 10 * time.Second
-	// minStrayWorkers is how many workers of a shard must have come, at least.
+	// minStrayWorkers is the minimum number of a shard's workers with repeated misdirected
+	// heartbeats for which the shard is taken from its owner.
 	minStrayWorkers = 3
-	// strayShardPart is the part of a shard's workers that must have come: one in so many.
+	// strayShardPart is the minimum fraction of a shard's workers for the same: one in
+	// strayShardPart.
 	strayShardPart = 4
-	// nonSuccessorDelay is how long workers must have come here before their shard is
-	// taken by a controller that is not next in line for it.
+	// nonSuccessorDelay is how long a shard's workers must have sent heartbeats here before a
+	// controller that is not the successor for the shard takes it.
 	nonSuccessorDelay = 4 * time.Second
-	// A worker has come again from repeatedVisits on. It cannot reach its owner after
-	// strayVisitsAtOnce, or after strayVisitsOverTime within more than minOwnershipAge.
+	// Numbers of misdirected heartbeats of one worker: from repeatedVisits on, the worker counts
+	// towards the takeover of its shard. It is considered unable to reach its owner after
+	// strayVisitsAtOnce, or after strayVisitsOverTime if the first is older than minOwnershipAge.
 	repeatedVisits      = 2
 	strayVisitsOverTime = 3
 	strayVisitsAtOnce   = 4
 )
 
-// strayVisits counts, by machine, how often a worker came here although its owner lives. A
-// worker that comes once may not have known its owner; it is sent there, and comes again only
-// if it got no answer. The agent's mutex guards it.
+// strayVisits counts, by machine, the misdirected heartbeats: those that a worker sends here
+// although the owner of its machine is another, living controller. A single one may only mean that
+// the worker did not know its owner. The worker is redirected to the owner, and sends further
+// heartbeats here only if the owner does not answer. Agent.mu guards it.
 type strayVisits map[string]strayVisit
 
-// strayVisit is how often one worker came, under one ownership.
+// strayVisit counts the misdirected heartbeats of one worker under one ownership.
 type strayVisit struct {
 	rev         uint64
 	count       int
 	first, last time.Time
-	latest      machine.Serial // the latest that was counted: copies of it are no visits
+	latest      machine.Serial // the last heartbeat counted; duplicates of it are ignored
 }
 
-// count notes that a worker came although its owner, of revision rev, is alive, and reports
-// whether it has come so often that it plainly cannot reach that owner.
-func (s strayVisits) count(r *worker.Heartbeat, rev uint64, now time.Time) bool {
-	v := s[r.Machine]
+// count records a misdirected heartbeat of a machine whose ownership has revision rev, and reports
+// whether the worker is considered unable to reach its owner.
+func (s strayVisits) count(heartbeat *worker.Heartbeat, rev uint64, now time.Time) bool {
+	v := s[heartbeat.Machine]
 	if v.rev != rev || now.Sub(v.last) > visitWindow {
 		v = strayVisit{rev: rev, first: now, latest: v.latest}
 	}
-	if !v.latest.Before(machine.SerialOf(r)) {
-		return false // a copy that came late: its worker is elsewhere by now
+	if !v.latest.Before(machine.SerialOf(heartbeat)) {
+		return false // a delayed duplicate: the worker now reports to another controller
 	}
-	v.latest = machine.SerialOf(r)
+	v.latest = machine.SerialOf(heartbeat)
 	v.count++
 	v.last = now
 	if len(s) > maxStrayWorkers {
 		clear(s)
 	}
-	s[r.Machine] = v
+	s[heartbeat.Machine] = v
 	return v.count >= strayVisitsAtOnce || v.count >= strayVisitsOverTime && now.Sub(v.first) > minOwnershipAge
 }
 
-// countStrayVisit notes that a worker came although its owner is alive, and says
-// whether it has come so often that it plainly cannot reach that owner.
-func (a *Agent) countStrayVisit(r *worker.Heartbeat, rev uint64, now time.Time) bool {
+// countStrayVisit is strayVisits.count, except that it counts nothing while this controller may
+// have lost its session.
+func (a *Agent) countStrayVisit(heartbeat *worker.Heartbeat, rev uint64, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.session.HoldsLease() {
-		// In an outage owners stop when their lease grace period is over, and their
-		// workers go from one controller to the next.
+		// In an outage of the state service, owners stop answering at the end of their lease grace
+		// period, and their workers try one controller after the other.
 		return false
 	}
-	return a.strays.count(r, rev, now)
+	return a.strays.count(heartbeat, rev, now)
 }
 
-// strayShard is how many workers of a shard came again, and since when.
+// strayShard is the number of a shard's workers with repeated misdirected heartbeats, and the time
+// of the first of these heartbeats.
 type strayShard struct {
 	workers int
 	first   time.Time
 }
 
-// byShard counts the workers that came again, by their shards, and drops visits that are old.
+// byShard counts the workers with repeated misdirected heartbeats by shard, and drops expired
+// counts.
 func (s strayVisits) byShard(mirror *statekv.Mirror, now time.Time) map[string]strayShard {
 	shards := map[string]strayShard{}
 	for name, v := range s {
@@ -102,25 +109,25 @@
 			continue
 		}
 		kv, _ := mirror.Get(statekv.MachinePrefix + name)
-		key := shard.ParseMachineRecord(kv)
-		if key == nil {
+		record := shard.ParseMachineRecord(kv)
+		if record == nil {
 			continue
 		}
 		if _, rev := shard.OwnerOf(mirror, kv); v.rev != rev {
 			continue
 		}
-		stray := shards[key.Shard]
+		stray := shards[record.Shard]
 		if stray.workers == 0 || v.first.Before(stray.first) {
 			stray.first = v.first
 		}
 		stray.workers++
-		shards[key.Shard] = stray
+		shards[record.Shard] = stray
 	}
 	return shards
 }
 
-// unreachableShards lists the shards of living owners of which so many workers came
-// here again that their owner has plainly lost them, with the reason.
+// unreachableShards lists, with the reason, the shards of living owners whose workers cannot reach
+// their owner, according to the misdirected heartbeats received here.
 func (a *Agent) unreachableShards(view *fleetView) map[string]string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -129,25 +136,25 @@
 	return planStrayTakeover(view, strays, a.sightings)
 }
 
-// planStrayTakeover picks the shards to take from living owners that have lost their workers.
+// planStrayTakeover selects the shards to take from living owners that the workers cannot reach.
 func planStrayTakeover(
 	view *fleetView, strays map[string]strayShard, sightings shardSightings,
 ) (wanted map[string]string) {
 	for _, kv := range view.shards {
-		key, id := shard.ParseRecord(kv), shardID(kv)
+		record, id := shard.ParseRecord(kv), shardID(kv)
 		stray := strays[id]
 		if stray.workers < max(minStrayWorkers, (view.sizes[id]+strayShardPart-1)/strayShardPart) {
 			continue
 		}
-		if key == nil || key.Holder == view.self || !view.alive(key.Holder) {
+		if record == nil || record.Holder == view.self || !view.alive(record.Holder) {
 			continue
 		}
 		if view.now.Sub(sightings[kv.Key].since) < minOwnershipAge {
 			continue
 		}
 		delay := nonSuccessorDelay
-		others := slices.DeleteFunc(slices.Clone(view.hosts), func(h string) bool { return h == key.Host })
-		if view.zones.successor(key, others) == view.self.Host {
+		otherHosts := slices.DeleteFunc(slices.Clone(view.hosts), func(h string) bool { return h == record.Host })
+		if view.zones.successor(record, otherHosts) == view.self.Host {
 			delay = 0
 		}
 		if view.now.Sub(stray.first) < delay {
@@ -156,13 +163,13 @@
 		if wanted == nil {
 			wanted = map[string]string{}
 		}
-		wanted[kv.Key] = "its workers cannot reach the owner"
+		wanted[kv.Key] = "workers cannot reach the owner"
 	}
 	return wanted
 }
 
-// shardSightings is under which revision each shard was seen last, and since when. The agent's
-// mutex guards it.
+// shardSightings holds, by shard key, the last revision seen and when it was first seen. Agent.mu
+// guards it.
 type shardSightings map[string]shardSighting
 
 type shardSighting struct {
@@ -170,11 +177,12 @@
 	since time.Time
 }
 
-// sightingsSlack is how many shards that are no more may be remembered beside those there are.
+// sightingsSlack is how many entries shardSightings may have beyond twice the number of existing
+// shards. Above that, all entries are dropped.
 const sightingsSlack = 100
 
-// note keeps for how long each shard has had its owner, and returns since when
-// none has changed.
+// note records since when each shard has had its present owner, and returns the time of the latest
+// change among all shards.
 func (s shardSightings) note(shards []statekv.KV, now time.Time) time.Time {
 	latest := time.Time{}
 	for _, kv := range shards {
--- a/internal/clusteragent/tombstones.go
+++ b/internal/clusteragent/tombstones.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// The keys of machines are removed only once the cloud has deleted them, and their
-// names are never used again. A copy of a heartbeat that comes after that, minutes late,
-// would look like that of a new machine: it would be claimed, written down, asked for an
-// answer, and deleted once more.
+// The key of a machine is removed only after the cloud has deleted the machine, and machine names
+// are not reused. A duplicate of a heartbeat that arrives minutes after the removal would look like
+// the heartbeat of a new machine: the machine would be claimed, its key written, its worker probed,
+// and the machine deleted again.
 
 const (
-	// tombstoneTime is how long such a machine is remembered: copies come up to some leases late.
+	// tombstoneTime is how long the removal of a machine's key is remembered: duplicates of
+	// heartbeats arrive up to a few lease durations late.
 	tombstoneTime = 10 * time.Minute
 	maxTombstones = 8000
 )
 
-// OnMachineRemoved takes note of a machine whose key was removed.
+// OnMachineRemoved records that the key of a machine was removed.
 func (a *Agent) OnMachineRemoved(machine string) {
 	now := time.Now()
 	a.mu.Lock()
@@ -21,7 +22,7 @@
 	a.tombstones.add(machine, now)
 }
 
-// isTombstoned reports whether the key of a machine was removed lately.
+// isTombstoned reports whether the key of a machine was removed within tombstoneTime.
 func (a *Agent) isTombstoned(machine string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/clusteragent/zones.go
+++ b/internal/clusteragent/zones.go
@@ -11,40 +11,38 @@
 	"robinstack/internal/worker"
 )
 
-// A zone may be cut off from everything for a minute. The machines in it go on
-// with their tasks as long as their owner can answer them, and those of an owner
-// outside die when their leases run out. So machines belong to controllers of
-// their own zone, as far as those can carry them.
-
-// shardsPerZone is how many shards for each zone an owner starts with: machines that
-// share a fate share a shard, so that it can change hands when a zone's workers
-// cannot reach their owner.
+// A zone may be disconnected from all others for a minute. Its machines keep running their tasks as
+// long as their owner can answer them; machines whose owner is in another zone lose their leases.
+// Machines are therefore owned by controllers of their own zone, as far as these have the capacity.
+
+// shardsPerZone is the number of intake shards of an owner for each zone. A shard has machines of
+// one zone only, so that it can change owner when the workers of a zone cannot reach the owner.
 const shardsPerZone = 2
 
 func hashOf(name string) int {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(name)) // a hash never fails
+	_, _ = h.Write([]byte(name)) // hash.Hash.Write never returns an error
 	return int(h.Sum32() >> 1)
 }
 
-// zoneRules says which controllers and shards are for which zone. It reads settings only.
+// zoneRules assigns controllers and shards to zones. It reads only the settings.
 type zoneRules struct{ settings *config.Settings }
 
-// hostsIn keeps the hosts in the zone, if there are any; else all.
+// hostsIn returns the hosts in the zone, or all hosts if there are none.
 func (z zoneRules) hostsIn(hosts []string, zone string) []string {
-	var in []string
+	var inZone []string
 	for _, h := range hosts {
 		if zone != "" && z.settings.ZoneOf(h) == zone {
-			in = append(in, h)
+			inZone = append(inZone, h)
 		}
 	}
-	if in == nil {
+	if inZone == nil {
 		return hosts
 	}
-	return in
+	return inZone
 }
 
-// ofShard is the zone whose machines a shard is for.
+// ofShard returns the zone of the machines that belong into a shard with the given index.
 func (z zoneRules) ofShard(index int) string {
 	if len(z.settings.Zones) == 0 {
 		return ""
@@ -52,44 +50,44 @@
 	return z.settings.Zones[index/shardsPerZone%len(z.settings.Zones)]
 }
 
-// intakeShards is how many shards of an owner take new machines.
+// intakeShards returns the number of intake shards of an owner.
 func (z zoneRules) intakeShards() int { return shardsPerZone * max(1, len(z.settings.Zones)) }
 
-// intakeIndex is the place among n intake shards for a machine.
-func (z zoneRules) intakeIndex(name, zone string, n int) int {
-	k := max(0, slices.Index(z.settings.Zones, zone))
-	return (k*shardsPerZone + hashOf(name)%shardsPerZone) % n
+// intakeIndex returns the intake index of a machine, given that there are n intake shards.
+func (z zoneRules) intakeIndex(name, zone string, intakeCount int) int {
+	zoneIndex := max(0, slices.Index(z.settings.Zones, zone))
+	return (zoneIndex*shardsPerZone + hashOf(name)%shardsPerZone) % intakeCount
 }
 
-// successor is who takes over a shard whose owner's session has ended: the same
-// controller if it is back, or one of the others, each a few, of the shard's zone
-// if there are any.
-func (z zoneRules) successor(key *shard.Record, hosts []string) string {
-	if slices.Contains(hosts, key.Host) {
-		return key.Host
+// successor returns the host that takes over a shard whose owner's session has ended: the same host
+// if it is alive again, else one of the hosts of the shard's zone, or of all hosts if that zone has
+// none. The shards of one owner are spread over these hosts.
+func (z zoneRules) successor(record *shard.Record, hosts []string) string {
+	if slices.Contains(hosts, record.Host) {
+		return record.Host
 	}
-	hosts = z.hostsIn(hosts, z.ofShard(key.Index))
-	return hosts[(hashOf(key.Host)+key.Index)%len(hosts)]
+	hosts = z.hostsIn(hosts, z.ofShard(record.Index))
+	return hosts[(hashOf(record.Host)+record.Index)%len(hosts)]
 }
 
-// ownZone reports whether a shard is for the zone of this controller.
+// ownZone reports whether a shard belongs to the zone of this controller.
 func (z zoneRules) ownZone(kv statekv.KV) bool {
-	key := shard.ParseRecord(kv)
-	return key != nil && z.ofShard(key.Index) == z.settings.Zone
+	record := shard.ParseRecord(kv)
+	return record != nil && z.ofShard(record.Index) == z.settings.Zone
 }
 
 const (
-	// redirectInterval is how long after a new machine was sent to a controller of its zone
-	// it is claimed by whoever it comes to: it plainly was not taken there.
+	// redirectInterval is how long after a redirect to its zone a new machine is claimed by
+	// whichever controller it reports to, because the controller of its zone did not claim it.
 	redirectInterval = 15 * time.Second
-	// maxRedirects bounds the machines of which that is remembered.
+	// maxRedirects bounds the number of machines whose redirects are remembered.
 	maxRedirects = 4096
 )
 
-// redirects is when new machines were sent to a controller of their zone last.
+// redirects holds when each new machine was last redirected to a controller of its zone.
 type redirects map[string]time.Time
 
-// note remembers a machine that is sent elsewhere now.
+// note records that a machine is redirected now.
 func (r redirects) note(machine string, now time.Time) {
 	if len(r) > maxRedirects {
 		clear(r)
@@ -97,40 +95,40 @@
 	r[machine] = now
 }
 
-// redirectToZone names the controller that a new machine's worker should report to
-// instead, or nothing if it is to be claimed here. A zone whose controllers would
-// own more than twice the mean shares its machines out.
-func (a *Agent) redirectToZone(r *worker.Heartbeat, now time.Time) string {
+// redirectToZone returns the controller to which a new machine's worker should report instead, or
+// "" if the machine is to be claimed here. If the controllers of a zone would own more than twice
+// the mean number of machines, controllers of all zones claim its machines.
+func (a *Agent) redirectToZone(heartbeat *worker.Heartbeat, now time.Time) string {
 	hosts := a.session.AliveHosts()
-	in := a.zones.hostsIn(hosts, r.Zone)
-	if a.settings.Zone == r.Zone || len(in) == len(hosts) {
+	zoneHosts := a.zones.hostsIn(hosts, heartbeat.Zone)
+	if a.settings.Zone == heartbeat.Zone || len(zoneHosts) == len(hosts) {
 		return ""
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	all := 0
+	total := 0
 	for _, n := range a.zoneSizes {
-		all += n
+		total += n
 	}
-	if a.zoneSizes[r.Zone]*len(hosts) > 2*all*len(in) {
+	if a.zoneSizes[heartbeat.Zone]*len(hosts) > 2*total*len(zoneHosts) {
 		return ""
 	}
-	if now.Sub(a.redirects[r.Machine]) < redirectInterval {
+	if now.Sub(a.redirects[heartbeat.Machine]) < redirectInterval {
 		return ""
 	}
-	a.redirects.note(r.Machine, now)
-	return in[hashOf(r.Machine)%len(in)]
+	a.redirects.note(heartbeat.Machine, now)
+	return zoneHosts[hashOf(heartbeat.Machine)%len(zoneHosts)]
 }
 
-// countMachines takes note of how many machines each zone has, and returns how many each
-// shard has, by its id.
+// countMachines updates the number of machines of each zone, and returns the number of machines of
+// each shard, by shard id.
 func (a *Agent) countMachines(machines []statekv.KV) (sizes map[string]int) {
 	zones := map[string]int{}
 	sizes = map[string]int{}
 	for _, kv := range machines {
-		if key := shard.ParseMachineRecord(kv); key != nil {
-			zones[key.Zone]++
-			sizes[key.Shard]++
+		if record := shard.ParseMachineRecord(kv); record != nil {
+			zones[record.Zone]++
+			sizes[record.Shard]++
 		}
 	}
 	a.mu.Lock()
