--- a/internal/changefeed/feed.go
+++ b/internal/changefeed/feed.go
@@ -53,8 +53,8 @@
 	stateOK      bool
 	answeredAt   time.Time
 
-	// At watchSentAt, no cancellation that the agent had acknowledged, and no machine that it had taken
-	// over, had a revision later than coveredRev. 0: the agent has not reported one.
+	// At watchSentAt, no cancellation that the agent had acknowledged, and no machine that it had
+	// taken over, had a revision later than coveredRev. 0: the agent has not reported one.
 	coveredRev  uint64
 	watchSentAt time.Time
 }
@@ -251,7 +251,8 @@
 		return 0, "owner " + holder.Host + " has not reported the machine"
 	case entry.Rev != rev:
 		return 0, fmt.Sprintf(
-			"latest entry is from %s at ownership revision %d; the owner is %s at revision %d", entry.Host, entry.Rev, holder.Host, rev)
+			"latest entry is from %s at ownership revision %d; the owner is %s at revision %d",
+			entry.Host, entry.Rev, holder.Host, rev)
 	case state.incarnation != holder.Incarnation:
 		return 0, "owner " + holder.Host + " has opened a new session"
 	case !entry.Reconciled():
--- a/internal/clusteragent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -24,7 +24,7 @@
 
 // shardsToBalance lists, with the reason, the shards to take from the controller that owns most
 // machines. The list is empty unless this controller owns fewest, at most a quarter of the mean,
-// and can reach the machines in the shards.
+// and can reach the machines in the shards, and no shard has changed owner for quietBeforeBalance.
 func (a *Agent) shardsToBalance(ctx context.Context, view *fleetView) map[string]string {
 	a.mu.Lock()
 	unchangedSince := a.sightings.note(view.shards, view.now)
@@ -54,8 +54,8 @@
 	mine, theirs int
 }
 
-// findImbalance reports whether this controller owns fewest machines, and at most a quarter of the
-// mean.
+// findImbalance reports whether this controller owns the fewest machines, and at most a quarter of
+// the mean.
 func findImbalance(view *fleetView) (gap imbalance, uneven bool) {
 	if len(view.machines) < minMachinesPerHost*len(view.hosts) {
 		return gap, false
@@ -98,7 +98,8 @@
 		shardMachines := machinesByShard[shardID(kv)]
 		count := len(shardMachines)
 		record := shard.ParseRecord(kv)
-		if record == nil || record.Host != gap.richest || count == 0 || ownMachines+count > largestMachines-count || unsafe(shardMachines) {
+		if record == nil || record.Host != gap.richest || count == 0 ||
+			ownMachines+count > largestMachines-count || unsafe(shardMachines) {
 			continue
 		}
 		wanted[kv.Key] = "machines are rebalanced"
--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -14,7 +14,8 @@
 	"robinstack/internal/statekv"
 )
 
-// addMachines starts n workers that send heartbeats to a, and waits until a owns their machines.
+// addMachines starts n workers that send heartbeats to owner, and waits until it owns their
+// machines.
 func addMachines(owner *node, n int) []*emulator.Worker {
 	var workers []*emulator.Worker
 	for i := range n {
--- a/internal/clusteragent/cancellation.go
+++ b/internal/clusteragent/cancellation.go
@@ -63,7 +63,7 @@
 		switch {
 		case !ok:
 		case change.Err != nil:
-			undecodable[change.ID] = true // undecodable tombstone: reading the job record shows whether the job is finished
+			undecodable[change.ID] = true // the job record shows whether the job is finished
 		case change.Status == job.Cancelled:
 			cancelled[change.ID] = true
 			a.cancellations.jobs.add(change.ID, now)
@@ -95,9 +95,9 @@
 }
 
 // StopCancelledJob stops the tasks of a job whose cancellation is about to be acknowledged to its
-// user, before any watch has shown it, and prevents that more of its tasks start here. No guarantee
-// depends on this call: a controller that does not receive it sees the cancellation in its watch,
-// or is bounded by the lease grace period.
+// user, before any watch has shown it, and keeps further tasks of the job from starting here. No
+// guarantee depends on this call: a controller that does not receive it sees the cancellation in
+// its watch, or is bounded by the lease grace period.
 func (a *Agent) StopCancelledJob(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/clusteragent/duplicates_test.go
+++ b/internal/clusteragent/duplicates_test.go
@@ -289,7 +289,7 @@
 	})
 }
 
-// unreachableState is a state service that one controller cannot reach while off is set.
+// unreachableState is a state service that one controller cannot reach while cutOff is set.
 type unreachableState struct {
 	*emulator.StateService
 	cutOff atomic.Bool
--- a/internal/clusteragent/intake.go
+++ b/internal/clusteragent/intake.go
@@ -14,8 +14,8 @@
 // chooseIntakeShards selects, for each intake index, a held shard that takes new machines: the
 // present one, else one with the same index that was taken over, so that repeated failovers do not
 // increase the number of shards. Where there is none, it creates a shard and adds it to held. An
-// index for which that fails stays empty until the next pass. latest is the highest revision of the
-// held shards.
+// index for which that fails stays empty until the next pass. latestRev is the highest revision of
+// the held shards.
 func (a *Agent) chooseIntakeShards(
 	ctx context.Context, held map[string]heldShard,
 ) (intake []string, latestRev uint64) {
@@ -88,18 +88,19 @@
 	}
 }
 
-// needsIntakeShard reports whether this controller takes new machines of the zone of intake index
-// k: its own zone, a zone of which a machine was to be claimed here before, or any zone if its own
-// is not among the configured zones.
+// needsIntakeShard reports whether this controller takes new machines of the zone of an intake
+// index: its own zone, a zone of which a machine was to be claimed here before, or any zone if its
+// own is not among the configured zones.
 func (a *Agent) needsIntakeShard(index int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	ownZone := a.settings.Zone
-	return a.shards.missing[index] || a.zones.ofShard(index) == ownZone || !slices.Contains(a.settings.Zones, ownZone)
+	return a.shards.missing[index] || a.zones.ofShard(index) == ownZone ||
+		!slices.Contains(a.settings.Zones, ownZone)
 }
 
-// newShardID returns an unused id for a shard of intake index k. A shard that another controller
-// took from this session keeps its id.
+// newShardID returns an unused id for a shard with the given intake index. A shard that another
+// controller took from this session keeps its id.
 func (a *Agent) newShardID(index int) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/clusteragent/job_lookup.go
+++ b/internal/clusteragent/job_lookup.go
@@ -21,7 +21,7 @@
 
 // jobLookups holds the jobs whose records have to be read. Agent.mu guards unread and done.
 type jobLookups struct {
-	wanted chan struct{}   // starts a round of reads
+	wanted chan struct{}   // signals runLookups to start a round of reads
 	unread map[string]bool // job ids
 	done   chan struct{}   // closed and replaced when records have been read
 }
@@ -67,8 +67,8 @@
 	a.lookups.trigger()
 }
 
-// verifyTasksWhere marks all tasks for which selected is true as unverified and registers their jobs. Their
-// records are read after the next trigger. The caller must hold a.mu.
+// verifyTasksWhere marks all tasks for which selected returns true as unverified and registers
+// their jobs. Their records are read after the next trigger. The caller must hold a.mu.
 func (a *Agent) verifyTasksWhere(selected func(*machine.Task) bool) {
 	for _, m := range a.machines {
 		for _, t := range m.Tasks() {
--- a/internal/clusteragent/registration_test.go
+++ b/internal/clusteragent/registration_test.go
@@ -42,7 +42,8 @@
 	})
 }
 
-// maintenanceBudget is a state service that has no budget for deferrable requests while closed is set.
+// maintenanceBudget is a state service that has no budget for deferrable requests while exhausted
+// is set.
 type maintenanceBudget struct {
 	*emulator.StateService
 	exhausted atomic.Bool
--- a/internal/clusteragent/shards.go
+++ b/internal/clusteragent/shards.go
@@ -36,7 +36,9 @@
 }
 
 func newShardHoldings() shardHoldings {
-	return shardHoldings{missing: map[int]bool{}, generations: map[int]int{}, released: map[string]uint64{}}
+	return shardHoldings{
+		missing: map[int]bool{}, generations: map[int]int{}, released: map[string]uint64{},
+	}
 }
 
 // heldShard is a machine shard that this session owns.
@@ -94,7 +96,7 @@
 	plan := planTakeover(&view, a.session.Successors(a.settings.Hosts()), wanted)
 	a.takeShards(ctx, &plan, wanted)
 	intake, latest := a.chooseIntakeShards(ctx, plan.held)
-	// At this revision the mirror shows the last claims of the former owners.
+	// Once the mirror has reached this revision, it shows the last claims of the former owners.
 	waitCtx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
 	if a.mirror.Wait(waitCtx, latest) != nil {
@@ -124,7 +126,8 @@
 // planTakeover selects the shards that this controller acquires: those whose owner's session has
 // ended and of which it is the successor, and those in wanted, which have living owners. Shards
 // without machines are not acquired but listed for later removal: after a crash of all controllers
-// the write limit of the state service determines how long the other shards wait.
+// the write limit of the state service bounds the takeover, and writes for empty shards would delay
+// that of the other shards.
 func planTakeover(view *fleetView, successors []string, wanted map[string]string) takeoverPlan {
 	plan := takeoverPlan{held: map[string]heldShard{}, keys: map[string]*shard.Record{}}
 	for _, kv := range view.shards {
@@ -176,11 +179,11 @@
 }
 
 // removeEmptyShards removes the keys of shards that have no machines and take no new ones: shards
-// of this controller, and shards whose owner's session has ended. The transaction requires that
-// this session has ended in the state service too. Every write of a session requires that the
-// session still exists, so late writes of the former owner fail. If a machine was claimed into a
-// removed shard before the mirror showed it, the machine is claimed again, like any machine whose
-// shard does not exist.
+// of this controller, and shards whose owner's session has ended. The transaction requires that the
+// former owner's session has ended in the state service too, and every write of a session requires
+// that the session still exists, so late writes of the former owner fail. If a machine was claimed
+// into a removed shard and the mirror did not show it yet, the machine is claimed again, like any
+// machine whose shard does not exist.
 func (a *Agent) removeEmptyShards(
 	ctx context.Context, plan *takeoverPlan, intake []string, sizes map[string]int,
 ) {
--- a/internal/clusteragent/strays.go
+++ b/internal/clusteragent/strays.go
@@ -10,9 +10,9 @@
 	"robinstack/internal/worker"
 )
 
-// A machine can change owner while its owner is alive: if its worker cannot reach the owner, so
-// that the worker's lease does not expire although only this connection is lost, and (balance.go)
-// if a restarted controller owns no machines, so that the next failure of one controller does not
+// A machine can change owner while its owner is alive: if its worker cannot reach the owner,
+// because the worker's lease would expire although only that connection is lost, and (balance.go)
+// if a restarted controller owns no machines, because the next failure of one controller would
 // affect the whole cluster.
 
 const (
@@ -25,10 +25,10 @@
 	// minOwnershipAge is how long a shard must have had its owner before it is taken from that
 	// owner.
 	minOwnershipAge = 10 * time.Second
-	// minStrayWorkers is the minimum number of a shard's workers with repeated misdirected
-	// heartbeats for which the shard is taken from its owner.
+	// minStrayWorkers is how many workers of a shard, at least, must have sent repeated misdirected
+	// heartbeats before the shard is taken from its owner.
 	minStrayWorkers = 3
-	// strayShardPart is the minimum fraction of a shard's workers for the same: one in
+	// strayShardPart sets the fraction of a shard's workers that must have done so: one in
 	// strayShardPart.
 	strayShardPart = 4
 	// nonSuccessorDelay is how long a shard's workers must have sent heartbeats here before a
@@ -116,12 +116,12 @@
 		if _, rev := shard.OwnerOf(mirror, kv); v.rev != rev {
 			continue
 		}
-		stray := shards[record.Shard]
-		if stray.workers == 0 || v.first.Before(stray.first) {
-			stray.first = v.first
+		count := shards[record.Shard]
+		if count.workers == 0 || v.first.Before(count.first) {
+			count.first = v.first
 		}
-		stray.workers++
-		shards[record.Shard] = stray
+		count.workers++
+		shards[record.Shard] = count
 	}
 	return shards
 }
@@ -132,24 +132,25 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sightings.note(view.shards, view.now)
-	strays := a.strays.byShard(a.mirror, view.now)
-	return planStrayTakeover(view, strays, a.sightings)
+	misdirected := a.strays.byShard(a.mirror, view.now)
+	return planStrayTakeover(view, misdirected, a.sightings)
 }
 
 // planStrayTakeover selects the shards to take from living owners that the workers cannot reach.
 func planStrayTakeover(
-	view *fleetView, strays map[string]strayShard, sightings shardSightings,
+	view *fleetView, misdirected map[string]strayShard, ownershipTimes shardSightings,
 ) (wanted map[string]string) {
 	for _, kv := range view.shards {
 		record, id := shard.ParseRecord(kv), shardID(kv)
-		stray := strays[id]
-		if stray.workers < max(minStrayWorkers, (view.sizes[id]+strayShardPart-1)/strayShardPart) {
+		count := misdirected[id]
+		if count.workers < max(minStrayWorkers,
+			(view.sizes[id]+strayShardPart-1)/strayShardPart) {
 			continue
 		}
 		if record == nil || record.Holder == view.self || !view.alive(record.Holder) {
 			continue
 		}
-		if view.now.Sub(sightings[kv.Key].since) < minOwnershipAge {
+		if view.now.Sub(ownershipTimes[kv.Key].since) < minOwnershipAge {
 			continue
 		}
 		delay := nonSuccessorDelay
@@ -157,7 +158,7 @@
 		if view.zones.successor(record, otherHosts) == view.self.Host {
 			delay = 0
 		}
-		if view.now.Sub(stray.first) < delay {
+		if view.now.Sub(count.first) < delay {
 			continue
 		}
 		if wanted == nil {
@@ -186,13 +187,13 @@
 func (s shardSightings) note(shards []statekv.KV, now time.Time) time.Time {
 	latest := time.Time{}
 	for _, kv := range shards {
-		seen := s[kv.Key]
-		if seen.rev != kv.Rev {
-			seen = shardSighting{kv.Rev, now}
-			s[kv.Key] = seen
+		ownershipTime := s[kv.Key]
+		if ownershipTime.rev != kv.Rev {
+			ownershipTime = shardSighting{kv.Rev, now}
+			s[kv.Key] = ownershipTime
 		}
-		if seen.since.After(latest) {
-			latest = seen.since
+		if ownershipTime.since.After(latest) {
+			latest = ownershipTime.since
 		}
 	}
 	if len(s) > 2*len(shards)+sightingsSlack {
--- a/internal/clusteragent/zones.go
+++ b/internal/clusteragent/zones.go
@@ -42,7 +42,7 @@
 	return inZone
 }
 
-// ofShard returns the zone of the machines that belong into a shard with the given index.
+// ofShard returns the zone of the machines that belong in a shard with the given index.
 func (z zoneRules) ofShard(index int) string {
 	if len(z.settings.Zones) == 0 {
 		return ""
@@ -53,7 +53,7 @@
 // intakeShards returns the number of intake shards of an owner.
 func (z zoneRules) intakeShards() int { return shardsPerZone * max(1, len(z.settings.Zones)) }
 
-// intakeIndex returns the intake index of a machine, given that there are n intake shards.
+// intakeIndex returns the intake index of a machine, among intakeCount intake shards.
 func (z zoneRules) intakeIndex(name, zone string, intakeCount int) int {
 	zoneIndex := max(0, slices.Index(z.settings.Zones, zone))
 	return (zoneIndex*shardsPerZone + hashOf(name)%shardsPerZone) % intakeCount
