--- a/internal/clusteragent/agent.go
+++ b/internal/clusteragent/agent.go
@@ -6,7 +6,7 @@
 // The package owns the state of those machines (package machine), the machine shards held, pending
 // claims, and the records of cancelled jobs and removed machines. A single mutex, Agent.mu, guards
 // all of it and is never held during I/O. The state of each concern has a type and a file of its
-// own: shardHoldings, claimQueue, changeLog, jobLookups, cancellations and others. The caller of
+// own: shardOwnership, claimQueue, changeLog, jobLookups, cancellations and others. The caller of
 // their methods must hold Agent.mu.
 //
 // The package may import the state service's client and mirror, the ownership keys, the messages of
@@ -54,17 +54,17 @@
 	machines    map[string]*ownedMachine
 	changes     changeLog
 
-	shards     shardHoldings
-	sightings  shardSightings
-	strays     strayVisits
-	zoneSizes  map[string]int // number of machines in the cluster by zone
-	redirects  redirects
-	claims     claimQueue
-	tombstones recentNames // machines whose keys were removed recently
+	shards         shardOwnership
+	ownershipTimes shardOwnershipTimes
+	misdirected    misdirectedHeartbeats
+	zoneSizes      map[string]int // number of machines in the cluster by zone
+	redirects      redirects
+	claims         claimQueue
+	tombstones     recentNames // machines whose keys were removed recently
 
 	cancellations cancellations
 	lookups       jobLookups
-	resolved      resolvedAttempts
+	abandoned     abandonedAttempts
 
 	capacity   *capacityIndex
 	contention machine.FetchContention
@@ -72,7 +72,7 @@
 
 	malformed           map[string]bool // machines with a rejected heartbeat, to log each one once
 	heartbeatsSolicited bool            // heartbeats have been solicited in the current outage of the state service
-	inspectionTurn      int             // batch of machines that the current inspection covers, below inspectionBatches
+	inspectionBatch     int             // batch of machines that the current inspection covers, below inspectionBatches
 	counters            Counters
 }
 
@@ -88,25 +88,25 @@
 ) *Agent {
 	return &Agent{
 		settings: settings, store: store, mirror: mirror, session: session, workers: workers, types: types,
-		zones:         zoneRules{settings},
-		machines:      map[string]*ownedMachine{},
-		changes:       newChangeLog(),
-		shards:        newShardHoldings(),
-		sightings:     shardSightings{},
-		strays:        strayVisits{},
-		redirects:     redirects{},
-		claims:        newClaimQueue(),
-		tombstones:    newRecentNames(tombstoneTime, maxTombstones),
-		cancellations: newCancellations(),
-		lookups:       newJobLookups(),
-		resolved:      resolvedAttempts{},
-		capacity:      newCapacityIndex(),
-		malformed:     map[string]bool{},
+		zones:          zoneRules{settings},
+		machines:       map[string]*ownedMachine{},
+		changes:        newChangeLog(),
+		shards:         newShardOwnership(),
+		ownershipTimes: shardOwnershipTimes{},
+		misdirected:    misdirectedHeartbeats{},
+		redirects:      redirects{},
+		claims:         newClaimQueue(),
+		tombstones:     newRecentNames(tombstoneRetention, maxTombstones),
+		cancellations:  newCancellations(),
+		lookups:        newJobLookups(),
+		abandoned:      abandonedAttempts{},
+		capacity:       newCapacityIndex(),
+		malformed:      map[string]bool{},
 	}
 }
 
 // inspectionInterval is the time between two inspections of the machines.
-const inspectEvery = 250 * time.Millisecond
+const inspectionInterval = 250 * time.Millisecond
 
 // Run manages the machines until ctx ends. Commands that are in flight at that point end by their
 // own timeouts; Wait waits for them.
@@ -120,7 +120,7 @@
 	loops.Go(func() { a.runLookups(ctx) })
 	loops.Go(func() { a.runKeyRemoval(ctx) })
 	loops.Go(func() { a.runShardOwnership(ctx) })
-	tick := time.NewTicker(inspectEvery)
+	tick := time.NewTicker(inspectionInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		a.inspect(time.Now())
--- a/internal/clusteragent/backfill.go
+++ b/internal/clusteragent/backfill.go
@@ -40,15 +40,15 @@
 		if r.Spec.FitsIn(free) {
 			break
 		}
-		free, wait = free.AddScaled(end.need, 1), end.left
+		free, wait = free.AddScaled(end.need, 1), end.secondsLeft
 	}
 	return wait, r.Spec.FitsIn(free)
 }
 
 // taskEnd is the estimated end of a task and the resources that it then frees.
 type taskEnd struct {
-	left float64
-	need job.Resources
+	secondsLeft float64
+	need        job.Resources
 }
 
 // taskEnds returns the estimated ends of all tasks on m except those of services, the earliest
@@ -65,15 +65,15 @@
 			ends = append(ends, taskEnd{t.Spec.EstimateS, t.Spec.Need})
 		}
 	}
-	slices.SortFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.left, b.left) })
+	slices.SortFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.secondsLeft, b.secondsLeft) })
 	return ends
 }
 
 // backfillIneligibleReason returns why the machine cannot get a backfill reservation for the
 // request's job, or "". The caller must hold a.mu.
-func (a *Agent) backfillIneligible(m *ownedMachine, r *agentapi.Request, now time.Time) string {
-	why := a.ineligible(m, r, now)
-	if why == reservedForOther && m.Reservation.OutrankedBy(r, now) || why == heldForGangs {
+func (a *Agent) backfillIneligibleReason(m *ownedMachine, r *agentapi.Request, now time.Time) string {
+	why := a.ineligibleReason(m, r, now)
+	if why == reasonReservedForOther && m.Reservation.OutrankedBy(r, now) || why == reasonHeldForGangs {
 		return ""
 	}
 	return why
@@ -88,7 +88,7 @@
 	defer a.mu.Unlock()
 	var found []agentapi.Candidate
 	for _, m := range a.machines {
-		if m.Deregistered() || a.backfillIneligible(m, &r, now) != "" {
+		if m.Deregistered() || a.backfillIneligibleReason(m, &r, now) != "" {
 			continue
 		}
 		wait, ok := a.secondsUntilFree(m, &r, now)
@@ -107,7 +107,7 @@
 func (s *Service) Gather(r agentapi.CommitRequest, reply *agentapi.CommitReply) error {
 	a := s.agent
 	a.reserveMachine(&r, reply, func(m *ownedMachine, now time.Time) (hold time.Duration, ok bool) {
-		return backfillHold, a.backfillIneligible(m, &r.Request, now) == ""
+		return backfillHold, a.backfillIneligibleReason(m, &r.Request, now) == ""
 	})
 	return nil
 }
--- a/internal/clusteragent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// quietBeforeBalance is how long no shard may have changed owner before shards are rebalanced.
-	quietBeforeBalance = 15 * time.Second
+	// rebalanceQuietPeriod is how long no shard may have changed owner before shards are rebalanced.
+	rebalanceQuietPeriod = 15 * time.Second
 	// minMachinesPerHost is the mean number of machines per controller below which shards are not
 	// rebalanced, because the difference does not matter.
 	minMachinesPerHost = 4
@@ -22,13 +22,13 @@
 	probeTimeout = time.Second
 )
 
-// shardsToBalance lists, with the reason, the shards to take from the controller that owns most
+// shardsToRebalance lists, with the reason, the shards to take from the controller that owns most
 // machines. The list is empty unless this controller owns fewest, at most a quarter of the mean,
-// and can reach the machines in the shards, and no shard has changed owner for quietBeforeBalance.
-func (a *Agent) shardsToBalance(ctx context.Context, view *fleetView) map[string]string {
+// and can reach the machines in the shards, and no shard has changed owner for rebalanceQuietPeriod.
+func (a *Agent) shardsToRebalance(ctx context.Context, view *ownershipView) map[string]string {
 	a.mu.Lock()
-	unchangedSince := a.sightings.note(view.shards, view.now)
-	quiet := len(a.shards.intake) > 0 && view.now.Sub(unchangedSince) >= quietBeforeBalance
+	unchangedSince := a.ownershipTimes.update(view.shards, view.now)
+	quiet := len(a.shards.intake) > 0 && view.now.Sub(unchangedSince) >= rebalanceQuietPeriod
 	a.mu.Unlock()
 	if !quiet {
 		return nil
@@ -38,8 +38,8 @@
 		return nil
 	}
 	// Shards of this controller's zone come first.
-	slices.SortStableFunc(view.shards, func(x, y statekv.KV) int { return a.otherZone(x) - a.otherZone(y) })
-	wanted, machines := planBalance(view, gap, a.anyUnreconciled)
+	slices.SortStableFunc(view.shards, func(x, y statekv.KV) int { return a.otherZoneOrder(x) - a.otherZoneOrder(y) })
+	wanted, machines := planRebalance(view, gap, a.anyUnreconciled)
 	if len(wanted) == 0 || !a.reaches(ctx, machines) {
 		return nil
 	}
@@ -49,42 +49,42 @@
 // imbalance compares the number of machines of this controller with the mean and with the
 // controller that owns most.
 type imbalance struct {
-	richest      string
-	mean         int
-	mine, theirs int
+	largestOwner                 string
+	mean                         int
+	ownMachines, largestMachines int
 }
 
 // findImbalance reports whether this controller owns the fewest machines, and at most a quarter of
 // the mean.
-func findImbalance(view *fleetView) (gap imbalance, uneven bool) {
+func findImbalance(view *ownershipView) (gap imbalance, uneven bool) {
 	if len(view.machines) < minMachinesPerHost*len(view.hosts) {
 		return gap, false
 	}
 	owned := map[string]int{}
 	for _, kv := range view.shards {
 		if record := shard.ParseRecord(kv); record != nil && view.alive(record.Holder) {
-			owned[record.Host] += view.sizes[shardID(kv)]
+			owned[record.Host] += view.machinesPerShard[shardID(kv)]
 		}
 	}
 	smallestOwner := ""
 	for _, h := range view.hosts {
-		if gap.richest == "" || owned[h] > owned[gap.richest] {
-			gap.richest = h
+		if gap.largestOwner == "" || owned[h] > owned[gap.largestOwner] {
+			gap.largestOwner = h
 		}
 		if smallestOwner == "" || owned[h] < owned[smallestOwner] {
 			smallestOwner = h
 		}
 	}
 	gap.mean = len(view.machines) / len(view.hosts)
-	gap.mine, gap.theirs = owned[view.self.Host], owned[gap.richest]
-	return gap, smallestOwner == view.self.Host && gap.mine <= gap.mean/4
+	gap.ownMachines, gap.largestMachines = owned[view.self.Host], owned[gap.largestOwner]
+	return gap, smallestOwner == view.self.Host && gap.ownMachines <= gap.mean/4
 }
 
-// planBalance selects shards of the controller that owns most machines, in the order of the view,
+// planRebalance selects shards of the controller that owns most machines, in the order of the view,
 // until this controller has three quarters of the mean, and lists the machines in them. It leaves
 // out shards for whose machines unsafe returns true.
-func planBalance(
-	view *fleetView, gap imbalance, unsafe func(machines []statekv.KV) bool,
+func planRebalance(
+	view *ownershipView, gap imbalance, unsafe func(machines []statekv.KV) bool,
 ) (wanted map[string]string, machines []statekv.KV) {
 	machinesByShard := map[string][]statekv.KV{}
 	for _, kv := range view.machines {
@@ -93,12 +93,12 @@
 		}
 	}
 	wanted = map[string]string{}
-	ownMachines, largestMachines := gap.mine, gap.theirs
+	ownMachines, largestMachines := gap.ownMachines, gap.largestMachines
 	for _, kv := range view.shards {
 		shardMachines := machinesByShard[shardID(kv)]
 		count := len(shardMachines)
 		record := shard.ParseRecord(kv)
-		if record == nil || record.Host != gap.richest || count == 0 ||
+		if record == nil || record.Host != gap.largestOwner || count == 0 ||
 			ownMachines+count > largestMachines-count || unsafe(shardMachines) {
 			continue
 		}
@@ -121,9 +121,9 @@
 	})
 }
 
-// otherZone returns 0 for a shard of this controller's zone and 1 for any other, as a sort key.
-func (a *Agent) otherZone(kv statekv.KV) int {
-	if a.zones.ownZone(kv) {
+// otherZoneOrder returns 0 for a shard of this controller's zone and 1 for any other, as a sort key.
+func (a *Agent) otherZoneOrder(kv statekv.KV) int {
+	if a.zones.inOwnZone(kv) {
 		return 0
 	}
 	return 1
--- a/internal/clusteragent/bench_test.go
+++ b/internal/clusteragent/bench_test.go
@@ -31,7 +31,7 @@
 	}
 	claims.Wait()
 	for _, w := range workers {
-		if reply := n.sendHeartbeat(w); !reply.Owner {
+		if reply := n.sendHeartbeat(w); !reply.Accepted {
 			b.Fatalf("%s is not owned: got reply %+v", w.Heartbeat.Machine, reply)
 		}
 	}
@@ -48,7 +48,7 @@
 	n, workers, _ := benchNode(b)
 	b.ReportAllocs()
 	for k := 0; b.Loop(); k++ {
-		if reply := n.sendHeartbeat(workers[k%len(workers)]); !reply.Owner {
+		if reply := n.sendHeartbeat(workers[k%len(workers)]); !reply.Accepted {
 			b.Fatalf("got reply %+v, want it accepted", reply)
 		}
 	}
--- a/internal/clusteragent/cancellation.go
+++ b/internal/clusteragent/cancellation.go
@@ -19,13 +19,13 @@
 // argument is in docs/design.md, "What is cancelled goes".
 
 const (
-	// cancelledFor is how long a cancelled job is remembered, so that none of its tasks starts
+	// cancelledRetention is how long a cancelled job is remembered, so that none of its tasks starts
 	// here. After that, the missing job record shows that the job is finished.
-	cancelledFor     = 10 * time.Minute
-	maxCancelledJobs = 20_000
-	// lookupWait bounds how long a heartbeat waits until the unread job records of its tasks are
+	cancelledRetention = 10 * time.Minute
+	maxCancelledJobs   = 20_000
+	// lookupTimeout bounds how long a heartbeat waits until the unread job records of its tasks are
 	// read. The worker gives up after 4 s.
-	lookupWait = 2500 * time.Millisecond
+	lookupTimeout = 2500 * time.Millisecond
 )
 
 // cancellations is what this controller knows of cancelled jobs. Agent.mu guards it.
@@ -35,12 +35,12 @@
 }
 
 func newCancellations() cancellations {
-	return cancellations{jobs: newRecentNames(cancelledFor, maxCancelledJobs)}
+	return cancellations{jobs: newRecentNames(cancelledRetention, maxCancelledJobs)}
 }
 
-// noteAcknowledged records the revision of an acknowledged cancellation or of a takeover of a
+// recordAcknowledgedRev records the revision of an acknowledged cancellation or of a takeover of a
 // machine.
-func (c *cancellations) noteAcknowledged(rev uint64) {
+func (c *cancellations) recordAcknowledgedRev(rev uint64) {
 	c.acknowledgedRev = max(c.acknowledgedRev, rev)
 }
 
@@ -52,7 +52,7 @@
 	defer a.mu.Unlock()
 	if events == nil {
 		// A reload yields no events for the keys that were removed in between.
-		a.verifyTasksWhere(func(*machine.Task) bool { return true })
+		a.markUnverified(func(*machine.Task) bool { return true })
 		a.lookups.trigger()
 		return
 	}
@@ -73,7 +73,7 @@
 		return
 	}
 	a.stopCancelled(cancelled, now)
-	a.verifyTasksWhere(func(t *machine.Task) bool { return undecodable[t.Ref.Job] })
+	a.markUnverified(func(t *machine.Task) bool { return undecodable[t.Ref.Job] })
 	a.lookups.trigger()
 }
 
@@ -88,8 +88,8 @@
 			}
 		}
 		if changed {
-			m.wake()
-			a.changes.mark(m)
+			m.wakeSender()
+			a.changes.markChanged(m)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 func (a *Agent) NoteAcknowledgement(rev uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cancellations.noteAcknowledged(rev)
+	a.cancellations.recordAcknowledgedRev(rev)
 }
 
 // coveredRev returns a revision such that no cancellation that this controller has acknowledged to
@@ -139,7 +139,7 @@
 // cancellation was seen, or its record, which the scheduler last saw at revision rev, has been
 // removed at a later one. Schedulers of earlier versions send rev 0. The caller must hold a.mu.
 func (a *Agent) isFinished(jobID string, rev uint64) bool {
-	if a.cancellations.jobs.known(jobID) {
+	if a.cancellations.jobs.contains(jobID) {
 		return true
 	}
 	if rev == 0 {
@@ -172,9 +172,9 @@
 // while keeping a task of a cancelled job breaks the cancellation guarantee. The caller must hold
 // a.mu, which is released while waiting.
 func (a *Agent) verifyTasks(m *ownedMachine) {
-	deadline := time.Now().Add(lookupWait)
+	deadline := time.Now().Add(lookupTimeout)
 	for len(a.unverifiedTasks(m)) > 0 && a.owns(m) {
-		done := a.lookups.done
+		done := a.lookups.completed
 		a.lookups.trigger()
 		a.mu.Unlock()
 		timer := time.NewTimer(time.Until(deadline))
@@ -191,6 +191,6 @@
 	for _, t := range a.unverifiedTasks(m) {
 		slog.Info("orphaned task stopped", "task", t.ID, "machine", m.Name)
 		t.RequestStop(0)
-		a.changes.mark(m)
+		a.changes.markChanged(m)
 	}
 }
--- a/internal/clusteragent/capacity_index.go
+++ b/internal/clusteragent/capacity_index.go
@@ -13,14 +13,14 @@
 type capacityIndex struct {
 	dirty    map[*ownedMachine]bool // machines to be assigned to a bucket again
 	bucketOf map[*ownedMachine]int
-	buckets  [maxGPUBuckets + 1]map[*ownedMachine]bool
+	buckets  [maxGPUBucket + 1]map[*ownedMachine]bool
 }
 
 const (
 	// maxGPUBucket is the last bucket: it holds all machines with this many free GPUs or more.
-	maxGPUBuckets = 16
+	maxGPUBucket = 16
 	// gpuEpsilon compensates for rounding errors in sums of fractional GPUs.
-	gpuRounding = 1e-9
+	gpuEpsilon = 1e-9
 )
 
 func newCapacityIndex() *capacityIndex {
@@ -31,7 +31,7 @@
 	return index
 }
 
-func gpuBucket(gpus float64) int { return max(0, min(maxGPUBuckets, int(gpus+gpuRounding))) }
+func gpuBucket(gpus float64) int { return max(0, min(maxGPUBucket, int(gpus+gpuEpsilon))) }
 
 // markChanged records that the free capacity of a machine may have changed.
 func (c *capacityIndex) markChanged(m *ownedMachine) { c.dirty[m] = true }
@@ -40,7 +40,7 @@
 // task whose needs are not known yet, are in no bucket.
 func (c *capacityIndex) refresh(types map[string]cloud.MachineType) {
 	for m := range c.dirty {
-		c.leaveBucket(m)
+		c.removeFromBucket(m)
 		t, known := types[m.Type]
 		if !known {
 			continue // stays dirty until the type is known
@@ -53,7 +53,7 @@
 	}
 }
 
-func (c *capacityIndex) leaveBucket(m *ownedMachine) {
+func (c *capacityIndex) removeFromBucket(m *ownedMachine) {
 	if bucket, ok := c.bucketOf[m]; ok {
 		delete(c.buckets[bucket], m)
 		delete(c.bucketOf, m)
@@ -62,7 +62,7 @@
 
 func (c *capacityIndex) remove(m *ownedMachine) {
 	delete(c.dirty, m)
-	c.leaveBucket(m)
+	c.removeFromBucket(m)
 }
 
 // draw returns, in random order, the machines with enough free GPUs for a task with the given need.
--- a/internal/clusteragent/change_log.go
+++ b/internal/clusteragent/change_log.go
@@ -19,7 +19,7 @@
 }
 
 // changePosition is the position of a machine in the change log.
-type changeMark struct {
+type changePosition struct {
 	version uint64
 	element *list.Element
 }
@@ -27,7 +27,7 @@
 func newChangeLog() changeLog { return changeLog{changed: make(chan struct{})} }
 
 // markChanged moves a machine to the end of the log with a new version and wakes the watchers.
-func (l *changeLog) mark(m *ownedMachine) {
+func (l *changeLog) markChanged(m *ownedMachine) {
 	l.version++
 	m.change.version = l.version
 	if m.change.element == nil {
@@ -65,7 +65,7 @@
 	maxWatchEntries = 300
 	// watchCoalescingDelay is the delay before a reply in which further changes are collected, so
 	// that a machine that changes several times is sent once.
-	watchCoalesce = 60 * time.Millisecond
+	watchCoalescingDelay = 60 * time.Millisecond
 )
 
 // Watch returns the machines that changed since a version, as soon as there are any.
@@ -87,7 +87,7 @@
 		// change or the timeout: otherwise watchers of an agent without machines would poll in a
 		// tight loop.
 		if a.changes.version > since || newSession || ctx.Err() != nil {
-			a.showChanges(since, reply)
+			a.fillWatchReply(since, reply)
 			a.mu.Unlock()
 			return nil
 		}
@@ -96,14 +96,14 @@
 		case <-ctx.Done():
 		case <-changed:
 			// Changes come in bursts; a short delay reduces the number of replies.
-			time.Sleep(watchCoalesce)
+			time.Sleep(watchCoalescingDelay)
 		}
 	}
 }
 
 // fillWatchReply fills in the reply to a watch with the machines that changed after a version. The
 // caller must hold a.mu.
-func (a *Agent) showChanges(since uint64, reply *agentapi.WatchReply) {
+func (a *Agent) fillWatchReply(since uint64, reply *agentapi.WatchReply) {
 	now := time.Now()
 	reply.Host, reply.Instance, reply.Ver = a.session.Host, a.session.Incarnation, a.changes.version
 	reply.StateOK, reply.Seen = a.session.HoldsLease(), a.coveredRev()
--- a/internal/clusteragent/change_log_test.go
+++ b/internal/clusteragent/change_log_test.go
@@ -23,11 +23,11 @@
 			case m == nil:
 				id := machine.Identity{Name: name}
 				a.machines[name] = newOwnedMachine(machine.New(id, 0, 0, time.Time{}), a.capacity)
-				a.changes.mark(a.machines[name])
+				a.changes.markChanged(a.machines[name])
 			case rapid.IntRange(0, 3).Draw(t, "step") == 0:
 				delete(a.machines, name)
 			default:
-				a.changes.mark(m)
+				a.changes.markChanged(m)
 			}
 			since := rapid.Uint64Range(0, a.changes.version).Draw(t, "since")
 			var want []string
--- a/internal/clusteragent/claims.go
+++ b/internal/clusteragent/claims.go
@@ -18,7 +18,7 @@
 	// claimTimeout bounds the transaction that writes a batch of claims.
 	claimTimeout = 2 * time.Second
 	// claimBudgetPollInterval is the time between two checks of the state service's write budget.
-	claimRetryEvery = 50 * time.Millisecond
+	claimBudgetPollInterval = 50 * time.Millisecond
 )
 
 // machineClaim is a request to write a machine's key into one of this controller's machine shards.
@@ -59,7 +59,7 @@
 	}
 	place := a.zones.intakeIndex(name, key.Zone, len(a.shards.intake))
 	if key.Shard = a.shards.intake[place]; key.Shard == "" {
-		a.shards.missing[place] = true // the claim is repeated by a later heartbeat or reconcileOwnership
+		a.shards.missingIntake[place] = true // the claim is repeated by a later heartbeat or reconcileOwnership
 		return nil
 	}
 	c := machineClaim{name: name, key: key, replacesRev: replacesRev, done: make(chan struct{})}
@@ -100,15 +100,15 @@
 			return kv.Rev != c.replacesRev || shards[c.key.Shard] == 0
 		})
 		for len(current) > 0 && !a.store.Allow(statekv.ClassClaim, len(current)) && ctx.Err() == nil {
-			time.Sleep(claimRetryEvery)
+			time.Sleep(claimBudgetPollInterval)
 		}
 		a.writeClaims(ctx, current, shards)
-		a.endClaims(batch)
+		a.completeClaims(batch)
 	}
 }
 
 // completeClaims notifies those who wait for the claims that the claims have been attempted.
-func (a *Agent) endClaims(batch []machineClaim) {
+func (a *Agent) completeClaims(batch []machineClaim) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, c := range batch {
--- a/internal/clusteragent/commit.go
+++ b/internal/clusteragent/commit.go
@@ -13,11 +13,11 @@
 const (
 	// gangReservationTimeout bounds how long capacity is reserved for a gang that is being
 	// assembled.
-	reservationTime = 10 * time.Second
+	gangReservationTimeout = 10 * time.Second
 	// startTimeout bounds how long a commit waits for heartbeats to list its tasks.
-	startWait = 3 * time.Second
+	startTimeout = 3 * time.Second
 	// abandonedAttemptRetention is how long commits of an abandoned attempt are refused.
-	resolvedFor = 15 * time.Minute
+	abandonedAttemptRetention = 15 * time.Minute
 )
 
 // Commit checks a commit against the latest state and the reservations of the machine, reserves
@@ -50,7 +50,7 @@
 	a.counters.Commits++
 	startQueued := false
 	for i, ref := range r.Refs {
-		t, why := a.reserve(m, r, ref, now)
+		t, why := a.reserveTask(m, r, ref, now)
 		switch {
 		case t == nil:
 			reply.Why = why
@@ -58,7 +58,7 @@
 			// The request was repeated: the machine's entry shows the outcome.
 			reply.Verdicts[i] = agentapi.Unresolved
 		case r.Hold:
-			t.KeepReserved(now.Add(reservationTime))
+			t.KeepReserved(now.Add(gangReservationTimeout))
 			reply.Verdicts[i] = agentapi.Held
 		default:
 			starts[i] = m.Start(t, now)
@@ -66,8 +66,8 @@
 		}
 	}
 	if startQueued {
-		a.changes.mark(m)
-		m.wake()
+		a.changes.markChanged(m)
+		m.wakeSender()
 	}
 	// An entry of this or a later version without the task proves that the task is gone.
 	reply.Ver, reply.Rev = a.changes.version, m.Ownership.Rev
@@ -88,16 +88,16 @@
 	case a.isFinished(r.Spec.ID, r.JobRev):
 		return "job is finished"
 	}
-	return a.ineligible(m, &r.Request, now)
+	return a.ineligibleReason(m, &r.Request, now)
 }
 
 // reserveTask returns the task of an attempt. If the attempt is new, it adds the task to the
 // machine and thereby reserves capacity. It returns nil and the reason if the attempt is refused.
 // The caller must hold a.mu.
-func (a *Agent) reserve(
+func (a *Agent) reserveTask(
 	m *ownedMachine, r *agentapi.CommitRequest, ref agentapi.TaskRef, now time.Time,
 ) (t *machine.Task, why string) {
-	if a.resolved.has(ref) {
+	if a.abandoned.has(ref) {
 		return nil, "attempt was abandoned"
 	}
 	key := machine.KeyOf(ref)
@@ -121,7 +121,7 @@
 // awaitStarts waits for the results of starts. A start without a result within startTimeout counts
 // as unresolved.
 func awaitStarts(ctx context.Context, starts []<-chan string, results []string) {
-	timeout := time.NewTimer(startWait)
+	timeout := time.NewTimer(startTimeout)
 	defer timeout.Stop()
 	expired := false
 	for i, start := range starts {
@@ -170,13 +170,13 @@
 		}
 		switch {
 		case m.Withdraw(key, time.Now()):
-			a.changes.mark(m)
+			a.changes.markChanged(m)
 		case item.Forget:
 			t.RequestForget()
 		default:
 			t.RequestStop(item.Grace)
 		}
-		m.wake()
+		m.wakeSender()
 	}
 	return nil
 }
@@ -202,7 +202,7 @@
 			}
 		}
 		if !reply.Present[i] {
-			a.resolved[ref] = time.Now()
+			a.abandoned[ref] = time.Now()
 		}
 	}
 	reply.Ver = a.changes.version
@@ -211,16 +211,16 @@
 
 // abandonedAttempts holds the attempts that schedulers have abandoned, which must not be started
 // any more, with the time of the abandonment. Agent.mu guards it.
-type resolvedAttempts map[agentapi.TaskRef]time.Time
+type abandonedAttempts map[agentapi.TaskRef]time.Time
 
-func (r resolvedAttempts) has(ref agentapi.TaskRef) bool {
+func (r abandonedAttempts) has(ref agentapi.TaskRef) bool {
 	_, ok := r[ref]
 	return ok
 }
 
-func (r resolvedAttempts) expire(now time.Time) {
+func (r abandonedAttempts) expire(now time.Time) {
 	for ref, abandonedAt := range r {
-		if now.Sub(abandonedAt) > resolvedFor {
+		if now.Sub(abandonedAt) > abandonedAttemptRetention {
 			delete(r, ref)
 		}
 	}
--- a/internal/clusteragent/duplicates_test.go
+++ b/internal/clusteragent/duplicates_test.go
@@ -270,7 +270,7 @@
 		}
 		lastAnswer := time.Now()
 		for time.Since(start) < 50*time.Second {
-			if reply := a.sendHeartbeat(w); reply.Owner {
+			if reply := a.sendHeartbeat(w); reply.Accepted {
 				lastAnswer = time.Now()
 			}
 			time.Sleep(time.Second)
--- a/internal/clusteragent/fair_share.go
+++ b/internal/clusteragent/fair_share.go
@@ -31,20 +31,20 @@
 
 const (
 	// fairShareRefreshInterval is the minimum time between two computations of the usage.
-	fairShareInterval = 500 * time.Millisecond
+	fairShareRefreshInterval = 500 * time.Millisecond
 	// waitingTimeout is how long a class counts as waiting after a request that found too little
 	// capacity; schedulers repeat such requests after a second or two.
-	waitingFor = 4 * time.Second
+	waitingTimeout = 4 * time.Second
 )
 
 // isCurrent reports whether the usage was computed within fairShareRefreshInterval.
-func (f *fairShare) current(now time.Time) bool {
-	return now.Sub(f.computedAt) < fairShareInterval && f.usage != nil
+func (f *fairShare) isCurrent(now time.Time) bool {
+	return now.Sub(f.computedAt) < fairShareRefreshInterval && f.usage != nil
 }
 
 // machinesPerClass returns the fair share of each class that uses machines or is waiting, in
 // machines.
-func (f *fairShare) perClass() float64 {
+func (f *fairShare) machinesPerClass() float64 {
 	n := len(f.usage)
 	for class := range f.waiting {
 		if _, counted := f.usage[class]; !counted {
@@ -54,8 +54,8 @@
 	return f.machines / float64(max(1, n))
 }
 
-// noteWaiting records that a class found too little capacity.
-func (f *fairShare) noteWaiting(class string, now time.Time) {
+// recordWaiting records that a class found too little capacity.
+func (f *fairShare) recordWaiting(class string, now time.Time) {
 	if f.waiting == nil {
 		f.waiting = map[string]time.Time{}
 	}
@@ -72,7 +72,7 @@
 // fairShareRefreshInterval. The caller must hold a.mu.
 func (a *Agent) currentFairShare(now time.Time) *fairShare {
 	f := &a.fairShare
-	if f.current(now) {
+	if f.isCurrent(now) {
 		return f
 	}
 	f.computedAt, f.usage, f.machines = now, map[string]float64{}, 0
@@ -90,17 +90,17 @@
 		}
 	}
 	for class, at := range f.waiting {
-		if now.Sub(at) > waitingFor {
+		if now.Sub(at) > waitingTimeout {
 			delete(f.waiting, class)
 		}
 	}
 	return f
 }
 
-// noteWaitingClass records that the request found too little capacity. The caller must hold a.mu.
-func (a *Agent) noteWaitingClass(r *agentapi.Request, now time.Time) {
+// recordWaitingClass records that the request found too little capacity. The caller must hold a.mu.
+func (a *Agent) recordWaitingClass(r *agentapi.Request, now time.Time) {
 	if a.hasFairShare(&r.Spec) {
-		a.fairShare.noteWaiting(r.Spec.Class, now)
+		a.fairShare.recordWaiting(r.Spec.Class, now)
 	}
 }
 
@@ -119,6 +119,6 @@
 	}
 	f := a.currentFairShare(now)
 	_, waiting := f.waiting[t.Spec.Class]
-	share := f.perClass()
+	share := f.machinesPerClass()
 	return waiting && f.usage[t.Spec.Class] < share && f.usage[r.Spec.Class] >= share
 }
--- a/internal/clusteragent/heartbeat.go
+++ b/internal/clusteragent/heartbeat.go
@@ -13,7 +13,7 @@
 // HeartbeatReply is the reply to a worker's heartbeat: commands, or the controller to contact
 // instead.
 type HeartbeatReply struct {
-	Owner      bool // this controller accepts the heartbeat, and Answer is valid
+	Accepted   bool // this controller accepts the heartbeat, and Answer is valid
 	Answer     worker.HeartbeatResponse
 	RedirectTo string // host of the controller to report to; "" if unknown
 	Malformed  string // why the heartbeat is malformed; "" if it is not
@@ -21,10 +21,10 @@
 
 const (
 	// ownerWaitTimeout bounds how long a heartbeat waits for the next owner of its machine.
-	ownerWait = 1500 * time.Millisecond
+	ownerWaitTimeout = 1500 * time.Millisecond
 	// claimWaitTimeout bounds how long a heartbeat waits for the claim of its machine. The worker
 	// gives up after 4 s.
-	claimWait = 3 * time.Second
+	claimWaitTimeout = 3 * time.Second
 )
 
 // Heartbeat handles a worker's heartbeat and returns the reply.
@@ -34,7 +34,7 @@
 		return reply
 	}
 	// If the session of the machine's owner has just ended, wait for the takeover by the successor.
-	for deadline := time.Now().Add(ownerWait); ; {
+	for deadline := time.Now().Add(ownerWaitTimeout); ; {
 		rev := a.mirror.Rev()
 		if reply, done := a.answerUnowned(ctx, r, now); done {
 			return reply
@@ -65,13 +65,13 @@
 		}
 		return a.claimAndAnswer(ctx, r, 0), true
 	case holder == a.session.Holder:
-		if !a.adopt(kv) {
+		if !a.adoptMachine(kv) {
 			return a.claimAndAnswer(ctx, r, kv.Rev), true
 		}
 		reply, _ = a.answerOwned(r)
 		return reply, true
 	case a.session.Alive(holder):
-		if a.countStrayVisit(r, ownedRev, now) {
+		if a.recordMisdirectedHeartbeat(r, ownedRev, now) {
 			return a.claimAndAnswer(ctx, r, kv.Rev), true
 		}
 		return HeartbeatReply{RedirectTo: holder.Host}, true
@@ -89,7 +89,7 @@
 	}
 	select {
 	case <-done:
-	case <-time.After(claimWait):
+	case <-time.After(claimWaitTimeout):
 	case <-ctx.Done():
 	}
 	reply, _ := a.answerOwned(r)
@@ -117,16 +117,16 @@
 		a.verifyTasks(m)
 		// verifyTasks releases a.mu while it waits, so the preconditions have to be checked again.
 		now = time.Now()
-		if !a.owns(m) || !m.Operational() || !m.Liveness.IsLatestHeartbeat(r) || !a.mayAnswer(now) {
+		if !a.owns(m) || !m.Operational() || !m.Liveness.IsLatestHeartbeat(r) || !a.withinLeaseGrace(now) {
 			return HeartbeatReply{}, true
 		}
 	}
 	m.Ownership.NoteAnswer(now)
 	if m.CommandDue(now) {
-		m.wake()
+		m.wakeSender()
 	}
 	answer := worker.HeartbeatResponse{FencingToken: m.Ownership.Token(), Commands: m.AnswerCommands(now)}
-	return HeartbeatReply{Owner: true, Answer: answer}, true
+	return HeartbeatReply{Accepted: true, Answer: answer}, true
 }
 
 // rejectHeartbeat returns the reply to a heartbeat that must not renew the worker's lease here.
@@ -148,7 +148,7 @@
 		return HeartbeatReply{}, true
 	}
 	if m.Liveness.NoteHeartbeat(now) {
-		a.changes.mark(m)
+		a.changes.markChanged(m)
 	}
 	if r.FencingToken > m.Ownership.Token() {
 		// The worker has seen a successor's token. It would drop a reply with the token of this
@@ -156,10 +156,10 @@
 		a.release(m)
 		return HeartbeatReply{RedirectTo: a.ownerHostOf(r.Machine)}, true
 	}
-	if !a.mayAnswer(now) {
+	if !a.withinLeaseGrace(now) {
 		return HeartbeatReply{}, true
 	}
-	if !a.stillOurs(m) {
+	if !a.stillOwned(m) {
 		// The successor relies on this controller to stop answering, even if its lease grace period
 		// goes on.
 		a.release(m)
@@ -175,8 +175,8 @@
 		return false
 	}
 	m.TrackFetches(now, a.types()[m.Type], &a.contention)
-	a.changes.mark(m)
-	a.lookUpJobs(m)
+	a.changes.markChanged(m)
+	a.requestLookups(m)
 	return true
 }
 
@@ -210,7 +210,7 @@
 // stillOwned reports whether the keys in the mirror show this controller as the machine's owner. It
 // returns true without a check while the session certainly holds its lease: in that state
 // reconcileOwnership continuously releases machines that have another owner.
-func (a *Agent) stillOurs(m *ownedMachine) bool {
+func (a *Agent) stillOwned(m *ownedMachine) bool {
 	if a.session.HoldsLease() {
 		return true
 	}
--- a/internal/clusteragent/inspect.go
+++ b/internal/clusteragent/inspect.go
@@ -10,19 +10,19 @@
 	// unreconciledResponseTimeout is how long a machine may leave the commands of its new owner
 	// unanswered before it counts as unresponsive. A worker answers a command within milliseconds,
 	// and a lost command is repeated within this time.
-	unreconciledQuiet = 1600 * time.Millisecond
+	unreconciledResponseTimeout = 1600 * time.Millisecond
 	// heartbeatDelayMargin is added to two heartbeat intervals before a machine counts as
 	// unresponsive.
-	quietMargin = 2 * time.Second
+	heartbeatDelayMargin = 2 * time.Second
 	// exitRecheckDelay is how long an ended task may stay on its machine before the agent checks
 	// whether its job has finished. While the state service answers, recording the end of a task
 	// takes a few seconds at most.
-	exitRecheckAfter = 20 * time.Second
+	exitRecheckDelay = 20 * time.Second
 	// deregisteredRetention is how long a deregistered machine remains in the change log as gone.
-	goneKeptFor = 2 * time.Minute
+	deregisteredRetention = 2 * time.Minute
 	// inspectionBatches is the number of inspections that it takes to cover all machines. Machines
 	// that are unreconciled or unresponsive are covered by each inspection.
-	inspectionTurns = 4
+	inspectionBatches = 4
 )
 
 // inspect applies the effects of time: reservations expire, machines become unresponsive, and tasks
@@ -30,12 +30,12 @@
 func (a *Agent) inspect(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.resolved.expire(now)
+	a.abandoned.expire(now)
 	a.solicitHeartbeats(now)
-	a.inspectionTurn = (a.inspectionTurn + 1) % inspectionTurns
+	a.inspectionBatch = (a.inspectionBatch + 1) % inspectionBatches
 	for _, m := range a.machines {
 		urgent := !m.Ownership.Reconciled() || m.Liveness.Unresponsive()
-		if urgent || m.inspectionTurn == a.inspectionTurn {
+		if urgent || m.inspectionBatch == a.inspectionBatch {
 			a.inspectMachine(m, now)
 		}
 	}
@@ -44,7 +44,7 @@
 // inspectMachine applies the effects of time to one machine. The caller must hold a.mu.
 func (a *Agent) inspectMachine(m *ownedMachine, now time.Time) {
 	if m.Deregistered() {
-		if now.Sub(m.Liveness.LastContact) > goneKeptFor {
+		if now.Sub(m.Liveness.LastContact) > deregisteredRetention {
 			a.forgetMachine(m)
 		}
 		return
@@ -62,10 +62,10 @@
 		changed = true
 	}
 	if changed {
-		a.changes.mark(m)
+		a.changes.markChanged(m)
 	}
 	if !m.Ownership.Reconciled() || m.CommandDue(now) {
-		m.wake()
+		m.wakeSender()
 	}
 }
 
@@ -74,8 +74,8 @@
 func (a *Agent) livenessLimits() machine.LivenessLimits {
 	return machine.LivenessLimits{
 		Heartbeat:    a.settings.Workers.LeaseDuration * 2 / 3,
-		Quiet:        2*a.settings.Workers.HeartbeatInterval + quietMargin,
-		Unreconciled: unreconciledQuiet,
+		Quiet:        2*a.settings.Workers.HeartbeatInterval + heartbeatDelayMargin,
+		Unreconciled: unreconciledResponseTimeout,
 	}
 }
 
@@ -84,7 +84,7 @@
 // the machine is not idle until the task is forgotten. The caller must hold a.mu.
 func (a *Agent) recheckExited(m *ownedMachine, now time.Time) {
 	for _, t := range m.Tasks() {
-		if t.RecheckExit(now, exitRecheckAfter) {
+		if t.RecheckExit(now, exitRecheckDelay) {
 			a.lookups.add(t.Ref.Job)
 			a.lookups.trigger()
 		}
--- a/internal/clusteragent/intake.go
+++ b/internal/clusteragent/intake.go
@@ -23,20 +23,20 @@
 	intake = slices.Clone(a.shards.intake)
 	a.mu.Unlock()
 	if intake == nil {
-		intake = make([]string, a.zones.intakeShards())
+		intake = make([]string, a.zones.intakeShardCount())
 	}
-	toCreate := a.fillIntake(intake, held)
-	a.createShards(ctx, intake, toCreate, held)
+	toCreate := a.assignIntakeShards(intake, held)
+	a.createIntakeShards(ctx, intake, toCreate, held)
 	for _, h := range held {
 		latestRev = max(latestRev, h.rev)
 	}
 	return intake, latestRev
 }
 
-// fillIntake fills the empty intake indexes with held shards, and otherwise with the ids of shards
+// assignIntakeShards fills the empty intake indexes with held shards, and otherwise with the ids of shards
 // to create. It returns the indexes of the latter, at most as many as one transaction may create.
-func (a *Agent) fillIntake(intake []string, held map[string]heldShard) (toCreate []int) {
-	intakeCount := a.zones.intakeShards()
+func (a *Agent) assignIntakeShards(intake []string, held map[string]heldShard) (toCreate []int) {
+	intakeCount := a.zones.intakeShardCount()
 	ids := slices.Sorted(maps.Keys(held))
 	for index := range intake {
 		if _, ok := held[intake[index]]; ok {
@@ -57,9 +57,9 @@
 	return toCreate
 }
 
-// createShards writes the keys of the new shards at the given intake indexes and adds the shards to
+// createIntakeShards writes the keys of the new shards at the given intake indexes and adds the shards to
 // held. If the write fails, it empties these indexes.
-func (a *Agent) createShards(ctx context.Context, intake []string, indexes []int, held map[string]heldShard) {
+func (a *Agent) createIntakeShards(ctx context.Context, intake []string, indexes []int, held map[string]heldShard) {
 	if len(indexes) == 0 {
 		return
 	}
@@ -95,7 +95,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	ownZone := a.settings.Zone
-	return a.shards.missing[index] || a.zones.ofShard(index) == ownZone ||
+	return a.shards.missingIntake[index] || a.zones.zoneOfShard(index) == ownZone ||
 		!slices.Contains(a.settings.Zones, ownZone)
 }
 
@@ -105,10 +105,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for {
-		id := fmt.Sprintf("%s.%d.%d.%d", a.session.Host, a.session.Incarnation, a.shards.generations[index], index)
+		id := fmt.Sprintf("%s.%d.%d.%d", a.session.Host, a.session.Incarnation, a.shards.idGenerations[index], index)
 		if _, exists := a.mirror.Get(statekv.MachineShardPrefix + id); !exists {
 			return id
 		}
-		a.shards.generations[index]++
+		a.shards.idGenerations[index]++
 	}
 }
--- a/internal/clusteragent/job_lookup.go
+++ b/internal/clusteragent/job_lookup.go
@@ -12,53 +12,53 @@
 )
 
 const (
-	// lookupPause is the time between two rounds of record reads. One round serves many heartbeats,
+	// lookupInterval is the time between two rounds of record reads. One round serves many heartbeats,
 	// because these arrive in groups.
-	lookupPause = 100 * time.Millisecond
-	// lookupRetryPause is the time until the next round after a failed one.
-	lookupRetryPause = time.Second
+	lookupInterval = 100 * time.Millisecond
+	// lookupRetryInterval is the time until the next round after a failed one.
+	lookupRetryInterval = time.Second
 )
 
 // jobLookups holds the jobs whose records have to be read. Agent.mu guards unread and done.
 type jobLookups struct {
-	wanted chan struct{}   // signals runLookups to start a round of reads
-	unread map[string]bool // job ids
-	done   chan struct{}   // closed and replaced when records have been read
+	triggered chan struct{}   // signals runLookups to start a round of reads
+	pending   map[string]bool // job ids
+	completed chan struct{}   // closed and replaced when records have been read
 }
 
 func newJobLookups() jobLookups {
-	return jobLookups{wanted: make(chan struct{}, 1), unread: map[string]bool{}, done: make(chan struct{})}
+	return jobLookups{triggered: make(chan struct{}, 1), pending: map[string]bool{}, completed: make(chan struct{})}
 }
 
 // add registers a job whose record is read after the next trigger.
-func (l *jobLookups) add(id string) { l.unread[id] = true }
+func (l *jobLookups) add(id string) { l.pending[id] = true }
 
 // trigger starts a round of reads if any job is registered.
 func (l *jobLookups) trigger() {
-	if len(l.unread) == 0 {
+	if len(l.pending) == 0 {
 		return
 	}
 	select {
-	case l.wanted <- struct{}{}:
+	case l.triggered <- struct{}{}:
 	default:
 	}
 }
 
-// take removes all registered jobs and returns them.
-func (l *jobLookups) take() map[string]bool {
-	ids := l.unread
-	l.unread = map[string]bool{}
+// takePending removes all registered jobs and returns them.
+func (l *jobLookups) takePending() map[string]bool {
+	ids := l.pending
+	l.pending = map[string]bool{}
 	return ids
 }
 
-// announce wakes the goroutines that wait for records to be read.
-func (l *jobLookups) announce() {
-	close(l.done)
-	l.done = make(chan struct{})
+// notifyWaiters wakes the goroutines that wait for records to be read.
+func (l *jobLookups) notifyWaiters() {
+	close(l.completed)
+	l.completed = make(chan struct{})
 }
 
-// lookUpJobs starts reading the job records of m's unverified tasks. The caller must hold a.mu.
-func (a *Agent) lookUpJobs(m *ownedMachine) {
+// requestLookups starts reading the job records of m's unverified tasks. The caller must hold a.mu.
+func (a *Agent) requestLookups(m *ownedMachine) {
 	for _, t := range m.Tasks() {
 		if t.Unverified {
 			a.lookups.add(t.Ref.Job)
@@ -67,9 +67,9 @@
 	a.lookups.trigger()
 }
 
-// verifyTasksWhere marks all tasks for which selected returns true as unverified and registers
+// markUnverified marks all tasks for which selected returns true as unverified and registers
 // their jobs. Their records are read after the next trigger. The caller must hold a.mu.
-func (a *Agent) verifyTasksWhere(selected func(*machine.Task) bool) {
+func (a *Agent) markUnverified(selected func(*machine.Task) bool) {
 	for _, m := range a.machines {
 		for _, t := range m.Tasks() {
 			if selected(t) {
@@ -85,7 +85,7 @@
 func (a *Agent) OnJobShardMoved(jobShard string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.verifyTasksWhere(func(t *machine.Task) bool { return t.JobShard == jobShard })
+	a.markUnverified(func(t *machine.Task) bool { return t.JobShard == jobShard })
 	a.lookups.trigger()
 }
 
@@ -96,16 +96,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.lookups.wanted:
+		case <-a.lookups.triggered:
 		}
 		a.mu.Lock()
-		ids := a.lookups.take()
+		ids := a.lookups.takePending()
 		a.mu.Unlock()
-		err := a.lookUp(ctx, ids)
-		pause := lookupPause
+		err := a.readRecords(ctx, ids)
+		pause := lookupInterval
 		if err != nil {
 			slog.Debug("job records read failed", "jobs", len(ids), "err", err)
-			pause = lookupRetryPause
+			pause = lookupRetryInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -122,9 +122,9 @@
 	}
 }
 
-// lookUp reads the records of the jobs in ids, applies them, and removes the jobs that were read
+// readRecords reads the records of the jobs in ids, applies them, and removes the jobs that were read
 // from ids.
-func (a *Agent) lookUp(ctx context.Context, ids map[string]bool) error {
+func (a *Agent) readRecords(ctx context.Context, ids map[string]bool) error {
 	a.applyRecords(a.mirroredRecords(ids))
 	// A job that the mirror does not have is finished or was just accepted: a read from the state
 	// service tells which.
@@ -172,12 +172,12 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.lookups.announce()
+	a.lookups.notifyWaiters()
 	for _, m := range a.machines {
 		if applyRecordsTo(m.Machine, records) {
 			m.RecordsChanged()
-			m.wake()
-			a.changes.mark(m)
+			m.wakeSender()
+			a.changes.markChanged(m)
 		}
 	}
 }
--- a/internal/clusteragent/lease_grace.go
+++ b/internal/clusteragent/lease_grace.go
@@ -7,11 +7,11 @@
 
 // withinLeaseGrace reports whether this controller may still act for its machines. A successor
 // relies on the earlier owner to stop at the end of the lease grace period.
-func (a *Agent) mayAnswer(now time.Time) bool { return a.leaseGraceLeft(now) > 0 }
+func (a *Agent) withinLeaseGrace(now time.Time) bool { return a.leaseGraceRemaining(now) > 0 }
 
 // leaseGraceRemaining returns how long this controller may still act for its machines if it does
 // not reach the state service again.
-func (a *Agent) leaseGraceLeft(now time.Time) time.Duration {
+func (a *Agent) leaseGraceRemaining(now time.Time) time.Duration {
 	freshAsOf := a.session.LastRenewal()
 	if mirrorFreshAsOf := a.mirror.FreshAsOf(); mirrorFreshAsOf.Before(freshAsOf) {
 		freshAsOf = mirrorFreshAsOf
@@ -30,7 +30,7 @@
 
 // solicitLeadTime is how long before the end of the lease grace period the workers are asked for
 // another heartbeat.
-const solicitBefore = 1500 * time.Millisecond
+const solicitLeadTime = 1500 * time.Millisecond
 
 // solicitHeartbeats raises the fencing tokens of all machines shortly before the lease grace period
 // ends. A worker that sees a higher token sends a heartbeat within half a second, so its lease
@@ -38,9 +38,9 @@
 // time the lease runs out, the outage of the state service or the partition of the zone may be
 // over. The caller must hold a.mu.
 func (a *Agent) solicitHeartbeats(now time.Time) {
-	remaining := a.leaseGraceLeft(now)
-	if remaining > solicitBefore || remaining <= 0 || a.session.HoldsLease() {
-		a.heartbeatsSolicited = a.heartbeatsSolicited && remaining <= solicitBefore
+	remaining := a.leaseGraceRemaining(now)
+	if remaining > solicitLeadTime || remaining <= 0 || a.session.HoldsLease() {
+		a.heartbeatsSolicited = a.heartbeatsSolicited && remaining <= solicitLeadTime
 		return
 	}
 	if a.heartbeatsSolicited {
@@ -51,7 +51,7 @@
 	for _, m := range a.machines {
 		if m.Operational() && m.Ownership.Reconciled() && !m.Liveness.Unresponsive() {
 			m.Ownership.RaiseToken()
-			m.wake()
+			m.wakeSender()
 			n++
 		}
 	}
--- a/internal/clusteragent/liveness_test.go
+++ b/internal/clusteragent/liveness_test.go
@@ -112,7 +112,7 @@
 		n.sendHeartbeat(w)
 		for i := range 40 {
 			time.Sleep(300 * time.Millisecond)
-			if !n.sendHeartbeat(w).Owner {
+			if !n.sendHeartbeat(w).Accepted {
 				t.Fatalf("heartbeat %d was not accepted", i)
 			}
 		}
--- a/internal/clusteragent/owned_machine.go
+++ b/internal/clusteragent/owned_machine.go
@@ -15,19 +15,19 @@
 // Agent.mu guards it.
 type ownedMachine struct {
 	*machine.Machine
-	change         changeMark
-	inspectionTurn int           // inspection batch of the machine, below inspectionBatches
-	wakeup         chan struct{} // wakes the command sender
-	stopped        chan struct{} // closed when the machine is released or deregistered; ends the command sender
-	retryAt        time.Time     // earliest time of the next command
+	change          changePosition
+	inspectionBatch int           // inspection batch of the machine, below inspectionBatches
+	wakeup          chan struct{} // wakes the command sender
+	stopped         chan struct{} // closed when the machine is released or deregistered; ends the command sender
+	retryAt         time.Time     // earliest time of the next command
 }
 
 func newOwnedMachine(m *machine.Machine, index *capacityIndex) *ownedMachine {
 	owned := &ownedMachine{
-		Machine:        m,
-		inspectionTurn: hashOf(m.Name) % inspectionTurns,
-		wakeup:         make(chan struct{}, 1),
-		stopped:        make(chan struct{}),
+		Machine:         m,
+		inspectionBatch: hashName(m.Name) % inspectionBatches,
+		wakeup:          make(chan struct{}, 1),
+		stopped:         make(chan struct{}),
 	}
 	m.OnUsageChange = func() { index.markChanged(owned) }
 	index.markChanged(owned)
@@ -35,7 +35,7 @@
 }
 
 // wakeSender has the command sender send the commands that are due.
-func (m *ownedMachine) wake() {
+func (m *ownedMachine) wakeSender() {
 	select {
 	case m.wakeup <- struct{}{}:
 	default:
@@ -78,16 +78,16 @@
 	if acquiredBy == takenOver {
 		// The earlier owner may answer the worker until its lease grace period ends.
 		m.Ownership.TakeOver(now.Add(a.settings.LeaseGracePeriod()))
-		a.cancellations.noteAcknowledged(rev)
+		a.cancellations.recordAcknowledgedRev(rev)
 	}
 	a.machines[name] = m
-	delete(a.shards.released, name)
+	delete(a.shards.releasedMachines, name)
 	a.tombstones.remove(name)
-	a.changes.mark(m)
+	a.changes.markChanged(m)
 	if a.startSender != nil {
 		a.startSender(m)
 	}
-	m.wake()
+	m.wakeSender()
 	if acquiredBy == registered {
 		slog.Info(logline.MachineRegistered, "machine", name, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
 	}
@@ -102,7 +102,7 @@
 	}
 	slog.Info("machine ownership lost", "machine", m.Name)
 	m.Release(time.Now())
-	a.shards.released[m.Name] = m.Ownership.Rev
+	a.shards.releasedMachines[m.Name] = m.Ownership.Rev
 	if !m.Deregistered() {
 		// The command sender of a deregistered machine has stopped already. Its release means that
 		// a late heartbeat of it has reached another controller.
--- a/internal/clusteragent/planning_test.go
+++ b/internal/clusteragent/planning_test.go
@@ -13,21 +13,21 @@
 	"robinstack/internal/statekv"
 )
 
-// planningFleet is a fleetView of three controllers for host-0. The session of host-2 has ended.
+// planningFleet is a ownershipView of three controllers for host-0. The session of host-2 has ended.
 type planningFleet struct {
 	t    *testing.T
-	view fleetView
+	view ownershipView
 }
 
 func newPlanningFleet(t *testing.T) *planningFleet {
 	ended := statekv.Holder{Host: "host-2", Incarnation: 3}
-	return &planningFleet{t: t, view: fleetView{
-		self:  statekv.Holder{Host: "host-0", Incarnation: 1},
-		alive: func(h statekv.Holder) bool { return h != ended },
-		zones: zoneRules{&config.Settings{Host: "host-0"}},
-		now:   time.Unix(1000, 0),
-		hosts: []string{"host-0", "host-1"},
-		sizes: map[string]int{},
+	return &planningFleet{t: t, view: ownershipView{
+		self:             statekv.Holder{Host: "host-0", Incarnation: 1},
+		alive:            func(h statekv.Holder) bool { return h != ended },
+		zones:            zoneRules{&config.Settings{Host: "host-0"}},
+		now:              time.Unix(1000, 0),
+		hosts:            []string{"host-0", "host-1"},
+		machinesPerShard: map[string]int{},
 	}}
 }
 
@@ -46,7 +46,7 @@
 	holder := statekv.Holder{Host: fmt.Sprintf("host-%d", host), Incarnation: uint64(host + 1)}
 	record := shard.Record{Holder: holder, Index: index}
 	f.view.shards = append(f.view.shards, f.kv(statekv.MachineShardPrefix+id, record))
-	f.view.sizes[id] = machines
+	f.view.machinesPerShard[id] = machines
 	for k := range machines {
 		name := fmt.Sprintf("%s%s.%d", statekv.MachinePrefix, id, k)
 		f.view.machines = append(f.view.machines, f.kv(name, shard.MachineRecord{Shard: id, Address: name}))
@@ -82,16 +82,16 @@
 	if got := slices.Collect(maps.Keys(plan.held)); !slices.Equal(got, []string{"own"}) {
 		t.Errorf("shards held: got %v, want own", got)
 	}
-	if got := roleKeys(plan.take); !slices.Equal(got, []string{"unreachable", fmt.Sprint("ended", ownIndex)}) {
+	if got := roleKeys(plan.acquire); !slices.Equal(got, []string{"unreachable", fmt.Sprint("ended", ownIndex)}) {
 		t.Errorf("shards to take: got %v, want unreachable and the ended one that this controller succeeds to", got)
 	}
 	if got := roleKeys(plan.empty); !slices.Equal(got, []string{fmt.Sprint("empty", ownIndex)}) {
 		t.Errorf("shards to remove: got %v, want the empty one that this controller succeeds to", got)
 	}
-	if previousHolder := plan.take[0].PreviousHolder; previousHolder != (statekv.Holder{}) {
+	if previousHolder := plan.acquire[0].PreviousHolder; previousHolder != (statekv.Holder{}) {
 		t.Errorf("taking a shard from a live owner must not require that the session of %v has ended", previousHolder)
 	}
-	if previousHolder := plan.take[1].PreviousHolder; previousHolder.Host != "host-2" {
+	if previousHolder := plan.acquire[1].PreviousHolder; previousHolder.Host != "host-2" {
 		t.Errorf("taking over a shard must require that the session of host-2 has ended, not that of %v", previousHolder)
 	}
 }
@@ -115,9 +115,9 @@
 		f := newPlanningFleet(t)
 		f.addShard("s", 1, 0, c.machines)
 		key := f.view.shards[0].Key
-		sightings := shardSightings{key: {rev: 7, since: f.view.now.Add(-c.ownedFor)}}
-		misdirected := map[string]strayShard{"s": {workers: c.misdirected, first: f.view.now.Add(-c.misdirectedFor)}}
-		if wanted := planStrayTakeover(&f.view, misdirected, sightings); (wanted[key] != "") != c.taken {
+		sightings := shardOwnershipTimes{key: {rev: 7, since: f.view.now.Add(-c.ownedFor)}}
+		misdirected := map[string]misdirectedShard{"s": {workers: c.misdirected, firstHeartbeat: f.view.now.Add(-c.misdirectedFor)}}
+		if wanted := planUnreachableTakeover(&f.view, misdirected, sightings); (wanted[key] != "") != c.taken {
 			t.Errorf("%s: got shards %v", name, wanted)
 		}
 	}
@@ -131,11 +131,11 @@
 		f.addShard(fmt.Sprint("s", k), 1, k, 10)
 	}
 	gap, uneven := findImbalance(&f.view)
-	if !uneven || gap.richest != "host-1" || gap.mean != 50 || gap.mine != 0 || gap.theirs != 100 {
+	if !uneven || gap.largestOwner != "host-1" || gap.mean != 50 || gap.ownMachines != 0 || gap.largestMachines != 100 {
 		t.Fatalf("got %+v, uneven: %v", gap, uneven)
 	}
 	unsafe := func(machines []statekv.KV) bool { return shard.ParseMachineRecord(machines[0]).Shard == "s1" }
-	wanted, machines := planBalance(&f.view, gap, unsafe)
+	wanted, machines := planRebalance(&f.view, gap, unsafe)
 	if len(wanted) != 4 || len(machines) != 40 {
 		t.Errorf("got %d shards with %d machines, want 4 with 40", len(wanted), len(machines))
 	}
--- a/internal/clusteragent/preempt.go
+++ b/internal/clusteragent/preempt.go
@@ -23,7 +23,7 @@
 // preemption is not allowed now or does not free enough capacity. cost is in GPU-seconds: the work
 // lost, the expected lateness cost, and the time to fetch the image if the machine does not have
 // it. The caller must hold a.mu.
-func (a *Agent) victims(
+func (a *Agent) findVictims(
 	m *ownedMachine, r *agentapi.Request, now time.Time,
 ) (victims []*machine.Task, cost float64, ok bool) {
 	machineType, known := a.types()[m.Type]
@@ -31,19 +31,19 @@
 	if !known || r.Near && !hasImage || !startOverdue(r, machineType) || a.manyClaimsPending() {
 		return nil, 0, false
 	}
-	if a.ineligible(m, r, now) != "" {
+	if a.ineligibleReason(m, r, now) != "" {
 		return nil, 0, false
 	}
 	free, known := m.FreeCapacity(job.Capacity(machineType))
 	if !known {
 		return nil, 0, false
 	}
-	options, free := a.victimOptions(m, r, free, now)
-	victims, free = pickVictims(options, &r.Spec, free)
+	options, free := a.potentialVictims(m, r, free, now)
+	victims, free = selectVictims(options, &r.Spec, free)
 	for _, task := range victims {
 		cost += task.PreemptionLoss(now)
 	}
-	cost += a.latenessOf(victims, now)
+	cost += a.totalLatenessCost(victims, now)
 	if !hasImage && machineType.FetchGBPerS > 0 {
 		cost += r.Spec.ImageGB / machineType.FetchGBPerS * max(r.Spec.GPUs, 1)
 	}
@@ -52,7 +52,7 @@
 
 // potentialVictims returns the tasks on m that may be preempted for the request, the cheapest
 // first, and the free capacity of m once the tasks that are already being stopped have ended.
-func (a *Agent) victimOptions(
+func (a *Agent) potentialVictims(
 	m *ownedMachine, r *agentapi.Request, free job.Resources, now time.Time,
 ) (options []*machine.Task, freeSoon job.Resources) {
 	costs := map[*machine.Task]float64{}
@@ -63,7 +63,7 @@
 			free = free.AddScaled(t.Spec.Need, 1)
 		case t.Spec.Shape == job.Array && t.Spec.Priority() < r.Spec.Priority() &&
 			!a.protectedByFairShare(t, r, m, now):
-			costs[t] = t.PreemptionLoss(now) + a.lateness(t, now)
+			costs[t] = t.PreemptionLoss(now) + a.expectedLatenessCost(t, now)
 		}
 	}
 	options = slices.SortedFunc(maps.Keys(costs), func(x, y *machine.Task) int {
@@ -74,7 +74,7 @@
 
 // selectVictims selects from options, in order, as many tasks as are needed for the spec to fit,
 // and returns the free capacity without them.
-func pickVictims(
+func selectVictims(
 	options []*machine.Task, spec *job.Spec, free job.Resources,
 ) (victims []*machine.Task, remaining job.Resources) {
 	n := 0
@@ -96,8 +96,8 @@
 const (
 	// Preemption is suspended while the number of pending claims exceeds both minPendingClaims and
 	// one per pendingClaimsDivisor owned machines. In a large cluster a few are always pending.
-	minPendingClaims  = 2
-	pendingClaimsPart = 20
+	minPendingClaims     = 2
+	pendingClaimsDivisor = 20
 )
 
 // manyClaimsPending reports whether many of the machines that report to this controller wait to be
@@ -105,7 +105,7 @@
 // would be placed again on the few machines that are registered already and be preempted again. The
 // caller must hold a.mu.
 func (a *Agent) manyClaimsPending() bool {
-	return len(a.claims.pending) > max(minPendingClaims, len(a.machines)/pendingClaimsPart)
+	return len(a.claims.pending) > max(minPendingClaims, len(a.machines)/pendingClaimsDivisor)
 }
 
 // startOverdue reports whether capacity for the job has to be freed now for it to meet its start
@@ -115,13 +115,13 @@
 }
 
 // fetchTimeFactor allows for image fetches that are slower than the rate of the machine type.
-const fetchAllowance = 1.5
+const fetchTimeFactor = 1.5
 
 // preemptionTime estimates the time from a preemption on a machine until the job's tasks run there.
 func preemptionTime(r *agentapi.Request, t cloud.MachineType) time.Duration {
 	fetchTime := time.Duration(0)
 	if t.FetchGBPerS > 0 {
-		fetchTime = time.Duration(fetchAllowance * r.Spec.ImageGB / t.FetchGBPerS * float64(time.Second))
+		fetchTime = time.Duration(fetchTimeFactor * r.Spec.ImageGB / t.FetchGBPerS * float64(time.Second))
 	}
 	return fetchTime + 2*preemptionHold
 }
@@ -132,11 +132,11 @@
 // deadlines, although its GPU time would have sufficed for 0.97 in another order.
 const (
 	// latenessPenalty is the cost of a job becoming late, in GPU-seconds.
-	latenessCost = 300.0
+	latenessPenalty = 300.0
 	// typicalRequeueTime is the usual time until a preempted task runs again. maxRequeueTime is an
 	// upper estimate, for a full cluster in which the task has to wait for capacity again.
-	requeueTime    = 50 * time.Second
-	requeueTimeMax = 3 * requeueTime
+	typicalRequeueTime = 50 * time.Second
+	maxRequeueTime     = 3 * typicalRequeueTime
 	// smallJobTasks is the number of tasks of a job above which the cost of preempting one of them
 	// decreases. The more tasks a job has, the more likely it is that other owners, which decide
 	// independently, preempt some of them too. With this weight all owners prefer the same jobs,
@@ -147,7 +147,7 @@
 // expectedLatenessCost returns the expected lateness cost, in GPU-seconds, of preempting a task. It
 // is 0 if there is enough time to run the task again, or if the job has already missed all its
 // targets.
-func (a *Agent) lateness(t *machine.Task, now time.Time) float64 {
+func (a *Agent) expectedLatenessCost(t *machine.Task, now time.Time) float64 {
 	remaining := config.Seconds(t.Spec.EstimateS)
 	if t.State() == machine.Running {
 		remaining = max(0, remaining-now.Sub(t.RunningSince()))
@@ -157,9 +157,9 @@
 	})
 	for missedTargets, deadline := range deadlines {
 		if slack := deadline - now.Sub(t.Submitted()) - remaining; slack >= 0 {
-			risk := min(1, max(0, (requeueTimeMax-slack).Seconds()/(requeueTimeMax-requeueTime).Seconds()))
+			risk := min(1, max(0, (maxRequeueTime-slack).Seconds()/(maxRequeueTime-typicalRequeueTime).Seconds()))
 			sizeFactor := smallJobTasks / max(smallJobTasks, float64(t.Spec.Tasks))
-			return risk * latenessCost / float64(missedTargets+1) * sizeFactor
+			return risk * latenessPenalty / float64(missedTargets+1) * sizeFactor
 		}
 	}
 	return 0
@@ -168,10 +168,10 @@
 // totalLatenessCost returns the expected lateness cost of preempting the tasks. It counts each job
 // once, with its most expensive task: a job finishes with its last task, so preempting two of its
 // tasks makes it no later than preempting one.
-func (a *Agent) latenessOf(tasks []*machine.Task, now time.Time) float64 {
+func (a *Agent) totalLatenessCost(tasks []*machine.Task, now time.Time) float64 {
 	costByJob := map[string]float64{}
 	for _, t := range tasks {
-		costByJob[t.Ref.Job] = max(costByJob[t.Ref.Job], a.lateness(t, now))
+		costByJob[t.Ref.Job] = max(costByJob[t.Ref.Job], a.expectedLatenessCost(t, now))
 	}
 	total := 0.0
 	for _, cost := range costByJob {
@@ -199,10 +199,10 @@
 	capacity := newCapacityCount(&r)
 	var found []agentapi.Candidate
 	for _, m := range machines {
-		if len(found) >= wanted && capacity.enough() {
+		if len(found) >= wanted && capacity.sufficient() {
 			break
 		}
-		if _, cost, ok := a.victims(m, &r, now); ok {
+		if _, cost, ok := a.findVictims(m, &r, now); ok {
 			capacity.add(m.Zone, 1)
 			c := a.candidate(m, 1)
 			c.Score = -cost
@@ -238,7 +238,7 @@
 // preempt stops tasks on m so that the request's need fits, and returns how long the machine has to
 // be reserved for the job. The caller must hold a.mu.
 func (a *Agent) preempt(m *ownedMachine, r *agentapi.Request, now time.Time) (hold time.Duration, ok bool) {
-	victims, cost, ok := a.victims(m, r, now)
+	victims, cost, ok := a.findVictims(m, r, now)
 	if !ok {
 		return 0, false
 	}
@@ -246,7 +246,7 @@
 	for _, t := range victims {
 		longestGrace = max(longestGrace, t.Preempt())
 	}
-	m.wake()
+	m.wakeSender()
 	if len(victims) > 0 {
 		slog.Info("preempting tasks for gang", "machine", m.Name, "job", r.Spec.ID,
 			"preempted", len(victims), "cost", cost)
--- a/internal/clusteragent/recent_names.go
+++ b/internal/clusteragent/recent_names.go
@@ -4,13 +4,13 @@
 
 // recentNames is a set of names that were added recently, up to a limit.
 type recentNames struct {
-	keepFor time.Duration
-	limit   int
-	addedAt map[string]time.Time
+	retention time.Duration
+	limit     int
+	addedAt   map[string]time.Time
 }
 
 func newRecentNames(keepFor time.Duration, limit int) recentNames {
-	return recentNames{keepFor: keepFor, limit: limit, addedAt: map[string]time.Time{}}
+	return recentNames{retention: keepFor, limit: limit, addedAt: map[string]time.Time{}}
 }
 
 // add adds a name, or renews it. At the limit it first drops the expired names, and any others
@@ -18,7 +18,7 @@
 func (r *recentNames) add(name string, now time.Time) {
 	if len(r.addedAt) >= r.limit {
 		for old, at := range r.addedAt {
-			if now.Sub(at) > r.keepFor || len(r.addedAt) >= r.limit {
+			if now.Sub(at) > r.retention || len(r.addedAt) >= r.limit {
 				delete(r.addedAt, old)
 			}
 		}
@@ -28,14 +28,14 @@
 
 func (r *recentNames) remove(name string) { delete(r.addedAt, name) }
 
-// known reports whether the set has a name, whatever its age.
-func (r *recentNames) known(name string) bool {
+// contains reports whether the set has a name, whatever its age.
+func (r *recentNames) contains(name string) bool {
 	_, ok := r.addedAt[name]
 	return ok
 }
 
-// recent reports whether a name was added within keepFor.
-func (r *recentNames) recent(name string, now time.Time) bool {
+// containsRecent reports whether a name was added within retention.
+func (r *recentNames) containsRecent(name string, now time.Time) bool {
 	at, ok := r.addedAt[name]
-	return ok && now.Sub(at) < r.keepFor
+	return ok && now.Sub(at) < r.retention
 }
--- a/internal/clusteragent/registration_test.go
+++ b/internal/clusteragent/registration_test.go
@@ -22,7 +22,7 @@
 		epoch := n.takeJobShard("s", 0)
 		w := bed.workers.Add("m1", "box", "a")
 		bed.state.SetTxnLatency(3200 * time.Millisecond)
-		if reply := n.sendHeartbeat(w); reply.Owner {
+		if reply := n.sendHeartbeat(w); reply.Accepted {
 			t.Fatal("test setup: the claim did not take longer than the worker waits")
 		}
 		bed.state.SetTxnLatency(0)
@@ -33,7 +33,7 @@
 		if got := n.commit("m1", "s", epoch, 0, 1); got != agentapi.Refused {
 			t.Errorf("commit before any answered heartbeat: got %q, want %q", got, agentapi.Refused)
 		}
-		if reply := n.sendHeartbeat(w); !reply.Owner {
+		if reply := n.sendHeartbeat(w); !reply.Accepted {
 			t.Fatal("heartbeat of an owned machine was not answered")
 		}
 		if got := n.commit("m1", "s", epoch, 0, 2); got != agentapi.Started {
--- a/internal/clusteragent/removal.go
+++ b/internal/clusteragent/removal.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// keyRemovalEvery is the interval between two passes that remove the keys of deleted machines.
-	keyRemovalEvery = 500 * time.Millisecond
+	// keyRemovalInterval is the interval between two passes that remove the keys of deleted machines.
+	keyRemovalInterval = 500 * time.Millisecond
 	// keyRemovalTimeout bounds one transaction that removes keys.
 	keyRemovalTimeout = 3 * time.Second
-	// maxKeysRemoved bounds the number of keys that one transaction removes.
-	maxKeysRemoved = 8
+	// maxKeysRemovedPerTxn bounds the number of keys that one transaction removes.
+	maxKeysRemovedPerTxn = 8
 )
 
 // Drain closes machines to new tasks or, if r.On is false, opens them again. It does not close a
@@ -37,7 +37,7 @@
 		} else {
 			m.EndDrain()
 		}
-		a.changes.mark(m)
+		a.changes.markChanged(m)
 		reply.Names = append(reply.Names, name)
 	}
 	return nil
@@ -55,7 +55,7 @@
 			continue
 		}
 		m.Delete(time.Now())
-		a.changes.mark(m)
+		a.changes.markChanged(m)
 		reply.Names = append(reply.Names, name)
 	}
 	return nil
@@ -63,7 +63,7 @@
 
 // runKeyRemoval removes the keys of deleted machines in batches.
 func (a *Agent) runKeyRemoval(ctx context.Context) {
-	tick := time.NewTicker(keyRemovalEvery)
+	tick := time.NewTicker(keyRemovalInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -92,7 +92,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.machines {
-		if m.KeyLeft() && len(batch) < a.store.MaxTxnOps(min(maxKeysRemoved, a.settings.StateLimits.MaxTxnOps)) {
+		if m.KeyLeft() && len(batch) < a.store.MaxTxnOps(min(maxKeysRemovedPerTxn, a.settings.StateLimits.MaxTxnOps)) {
 			batch = append(batch, m)
 		}
 	}
@@ -136,7 +136,7 @@
 		if a.owns(m) && !m.Deregistered() {
 			m.Deregister(time.Now())
 			close(m.stopped)
-			a.changes.mark(m)
+			a.changes.markChanged(m)
 		}
 	}
 	slog.Info("machines deregistered", "machines", len(batch), "first", batch[0].Name)
--- a/internal/clusteragent/reserve.go
+++ b/internal/clusteragent/reserve.go
@@ -10,7 +10,7 @@
 // reservableMachine returns the machine that a scheduler wants to reserve, or nil if this
 // controller does not own it under the requested revision, is not certain of its lease, or the
 // scheduler's epoch is outdated. The caller must hold a.mu.
-func (a *Agent) reservable(r *agentapi.CommitRequest) *ownedMachine {
+func (a *Agent) reservableMachine(r *agentapi.CommitRequest) *ownedMachine {
 	m := a.machines[r.Machine]
 	if m == nil || m.Ownership.Rev != r.Rev || !a.session.HoldsLease() {
 		return nil
@@ -31,7 +31,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	reply.Verdicts = []string{agentapi.Refused}
-	m := a.reservable(r)
+	m := a.reservableMachine(r)
 	if m == nil {
 		return
 	}
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -15,7 +15,7 @@
 // ineligibleReason returns why tasks of the request cannot be placed on m, or "" if they can. It
 // implements the Filter stage of sampling and the conflict check of commits. The caller must hold
 // a.mu.
-func (a *Agent) ineligible(m *ownedMachine, r *agentapi.Request, now time.Time) string {
+func (a *Agent) ineligibleReason(m *ownedMachine, r *agentapi.Request, now time.Time) string {
 	if why := m.Unavailable(now); why != "" {
 		return why
 	}
@@ -29,9 +29,9 @@
 	case slices.Contains(r.Avoid, m.Name):
 		return "job has failed on this machine"
 	case m.GangHold.Excludes(r.Spec.Priority(), now):
-		return heldForGangs
+		return reasonHeldForGangs
 	case m.Reservation.HeldByOther(r.Spec.ID, now):
-		return reservedForOther
+		return reasonReservedForOther
 	case m.Quarantine.FailedLately(r.Spec.ID, now):
 		return "job has failed on this machine"
 	}
@@ -40,8 +40,8 @@
 
 // Reasons that do not prevent a backfill reservation of the machine.
 const (
-	heldForGangs     = "machine is held for gangs"
-	reservedForOther = "machine is reserved for another job"
+	reasonHeldForGangs     = "machine is held for gangs"
+	reasonReservedForOther = "machine is reserved for another job"
 )
 
 // countFits returns how many tasks with the given need fit on m, and the free capacity of m. Both
@@ -71,12 +71,12 @@
 	capacity := newCapacityCount(&r)
 	var found []agentapi.Candidate
 	for _, m := range a.capacity.draw(r.Spec.Need, a.types(), a.owns) {
-		if len(found) >= wanted && capacity.enough() {
+		if len(found) >= wanted && capacity.sufficient() {
 			break
 		}
 		reply.Drawn++
 		n, free := a.countFits(m, r.Spec.Need)
-		if n == 0 || a.ineligible(m, &r, now) != "" {
+		if n == 0 || a.ineligibleReason(m, &r, now) != "" {
 			continue
 		}
 		if a.contention.Contended(m.Machine, &r.Spec) {
@@ -90,8 +90,8 @@
 		found = append(found, c)
 	}
 	reply.Exhausted = len(found) < wanted
-	if reply.Exhausted && !capacity.enough() {
-		a.noteWaitingClass(&r, now)
+	if reply.Exhausted && !capacity.sufficient() {
+		a.recordWaitingClass(&r, now)
 	}
 	reply.Candidates = bestCandidates(found, &r)
 	a.counters.Samples++
@@ -116,14 +116,14 @@
 // capacityCount counts the tasks for which machines have capacity. It counts by zone if the job has
 // to run in one zone or is spread over zones, and over all zones otherwise.
 type capacityCount struct {
-	tasks   int
-	byZone  bool
-	zones   map[string]int
-	largest int
+	needed      int
+	byZone      bool
+	tasksByZone map[string]int
+	largest     int
 }
 
 func newCapacityCount(r *agentapi.Request) *capacityCount {
-	return &capacityCount{tasks: r.Tasks, byZone: r.Spec.OneZone || r.Spec.Spread, zones: map[string]int{}}
+	return &capacityCount{needed: r.Tasks, byZone: r.Spec.OneZone || r.Spec.Spread, tasksByZone: map[string]int{}}
 }
 
 // add adds n to the count of the zone and returns the previous count.
@@ -131,13 +131,13 @@
 	if !c.byZone {
 		zone = ""
 	}
-	previous := c.zones[zone]
-	c.zones[zone] = previous + n
+	previous := c.tasksByZone[zone]
+	c.tasksByZone[zone] = previous + n
 	c.largest = max(c.largest, previous+n)
 	return previous
 }
 
-func (c *capacityCount) enough() bool { return c.largest >= c.tasks }
+func (c *capacityCount) sufficient() bool { return c.largest >= c.needed }
 
 // bestCandidates returns the candidates with the highest scores whose capacity, counted as by
 // capacityCount, suffices for all tasks, and up to r.Spare further ones per zone as fallbacks for
@@ -161,14 +161,14 @@
 	// reservedScore ranks machines that are reserved for the job above all others.
 	reservedScore = 1000
 	// Weights of the Score plugins, and the penalty for an expensive machine.
-	fullnessWeight   = 100
-	cheapnessWeight  = 150
-	imageWeight      = 100
-	expensivePenalty = 200
+	utilizationWeight    = 100
+	costEfficiencyWeight = 150
+	imageWeight          = 100
+	expensivePenalty     = 200
 	// expensiveThreshold is the cost efficiency below which a machine is used only if there is no
 	// other, regardless of its utilization, so that expensive machines become idle and can be
 	// deprovisioned.
-	expensiveBelow = 0.25
+	expensiveThreshold = 0.25
 )
 
 // reservedBonus returns the score bonus of a machine that is reserved for the request's job.
@@ -196,9 +196,9 @@
 			utilization = max(utilization, 1-amount[0]/amount[1])
 		}
 	}
-	efficiency := cheapness(types, spec, m.Type, m.Spot)
-	total := fullnessWeight*utilization + cheapnessWeight*efficiency + imageWeight*image
-	if efficiency < expensiveBelow {
+	efficiency := costEfficiency(types, spec, m.Type, m.Spot)
+	total := utilizationWeight*utilization + costEfficiencyWeight*efficiency + imageWeight*image
+	if efficiency < expensiveThreshold {
 		total -= expensivePenalty
 	}
 	return total
@@ -206,7 +206,7 @@
 
 // costEfficiency compares the cost of a task on the machine with the lowest cost on any machine
 // type that the job may use: 1 for the cheapest, approaching 0 for expensive ones.
-func cheapness(types map[string]cloud.MachineType, spec *job.Spec, typeName string, spot bool) float64 {
+func costEfficiency(types map[string]cloud.MachineType, spec *job.Spec, typeName string, spot bool) float64 {
 	cost := func(t cloud.MachineType, spot bool) float64 {
 		n := spec.CountIn(job.Capacity(t))
 		if n == 0 || t.HourlyPrice(spot) <= 0 {
--- a/internal/clusteragent/service.go
+++ b/internal/clusteragent/service.go
@@ -22,7 +22,7 @@
 	for i := range attributions {
 		if m := a.machines[attributions[i].Machine]; m != nil && !m.Deregistered() {
 			m.AttributeFailure(&attributions[i], now)
-			a.changes.mark(m)
+			a.changes.markChanged(m)
 		}
 	}
 	return nil
@@ -44,7 +44,7 @@
 		if now.Sub(m.Liveness.LastContact) < 2*a.settings.Workers.HeartbeatInterval {
 			reply.Heard++
 		}
-		if status, restricted := m.quarantineMark(now); restricted {
+		if status, restricted := m.quarantineStatus(now); restricted {
 			reply.Marked = append(reply.Marked, status)
 		}
 	}
@@ -52,7 +52,7 @@
 }
 
 // quarantineStatus returns why the machine gets no new tasks if that is due to failures of tasks.
-func (m *ownedMachine) quarantineMark(now time.Time) (status agentapi.QuarantinedMachine, restricted bool) {
+func (m *ownedMachine) quarantineStatus(now time.Time) (status agentapi.QuarantinedMachine, restricted bool) {
 	switch {
 	case m.Quarantine.Active:
 		return agentapi.QuarantinedMachine{
--- a/internal/clusteragent/shards.go
+++ b/internal/clusteragent/shards.go
@@ -15,29 +15,29 @@
 // machines change owner with one write for each of a few shards, and their tasks keep running.
 
 const (
-	// ownershipEvery is the interval between two passes over the machine shards.
-	ownershipEvery = 500 * time.Millisecond
+	// ownershipInterval is the interval between two passes over the machine shards.
+	ownershipInterval = 500 * time.Millisecond
 	// takeoverTimeout bounds the acquisition of shards, and the wait until the mirror shows the
 	// last claims of their former owners.
 	takeoverTimeout = 3 * time.Second
 	// shardWriteTimeout bounds the transaction that creates or removes shards.
 	shardWriteTimeout = 2 * time.Second
-	// maxShardsRemoved bounds the number of empty shards that one transaction removes.
-	maxShardsRemoved = 8
+	// maxShardsRemovedPerTxn bounds the number of empty shards that one transaction removes.
+	maxShardsRemovedPerTxn = 8
 )
 
-// shardHoldings is the set of machine shards that this session owns. Agent.mu guards it.
-type shardHoldings struct {
-	revs        map[string]uint64 // owned shards, with the revisions of their keys
-	intake      []string          // intake shards by intake index; "": none yet
-	missing     map[int]bool      // intake indexes that had no shard when a machine was to be claimed
-	generations map[int]int       // generation number in the ids of new shards, by intake index
-	released    map[string]uint64 // released machines, with the revision of the ownership that ended
+// shardOwnership is the set of machine shards that this session owns. Agent.mu guards it.
+type shardOwnership struct {
+	revs             map[string]uint64 // owned shards, with the revisions of their keys
+	intake           []string          // intake shards by intake index; "": none yet
+	missingIntake    map[int]bool      // intake indexes that had no shard when a machine was to be claimed
+	idGenerations    map[int]int       // generation number in the ids of new shards, by intake index
+	releasedMachines map[string]uint64 // released machines, with the revision of the ownership that ended
 }
 
-func newShardHoldings() shardHoldings {
-	return shardHoldings{
-		missing: map[int]bool{}, generations: map[int]int{}, released: map[string]uint64{},
+func newShardOwnership() shardOwnership {
+	return shardOwnership{
+		missingIntake: map[int]bool{}, idGenerations: map[int]int{}, releasedMachines: map[string]uint64{},
 	}
 }
 
@@ -47,17 +47,17 @@
 	index int
 }
 
-// fleetView is the ownership state that the mirror shows at one moment. It is the input of the
+// ownershipView is the ownership state that the mirror shows at one moment. It is the input of the
 // planning functions.
-type fleetView struct {
-	self     statekv.Holder
-	alive    func(statekv.Holder) bool // reports whether a session is alive
-	zones    zoneRules
-	now      time.Time
-	hosts    []string // hosts with a live session
-	shards   []statekv.KV
-	machines []statekv.KV
-	sizes    map[string]int // number of machines by shard id
+type ownershipView struct {
+	self             statekv.Holder
+	alive            func(statekv.Holder) bool // reports whether a session is alive
+	zones            zoneRules
+	now              time.Time
+	hosts            []string // hosts with a live session
+	shards           []statekv.KV
+	machines         []statekv.KV
+	machinesPerShard map[string]int // number of machines by shard id
 }
 
 func shardID(kv statekv.KV) string { return kv.Key[len(statekv.MachineShardPrefix):] }
@@ -65,7 +65,7 @@
 func machineName(kv statekv.KV) string { return kv.Key[len(statekv.MachinePrefix):] }
 
 func (a *Agent) runShardOwnership(ctx context.Context) {
-	tick := time.NewTicker(ownershipEvery)
+	tick := time.NewTicker(ownershipInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		a.updateOwnership(ctx)
@@ -84,17 +84,17 @@
 	if !a.session.HoldsLease() || !slices.Contains(hosts, a.session.Host) {
 		return
 	}
-	view := fleetView{
+	view := ownershipView{
 		self: a.session.Holder, alive: a.session.Alive, zones: a.zones, now: time.Now(), hosts: hosts,
 	}
 	view.shards, view.machines = a.mirror.Dir(statekv.MachineShardPrefix), a.mirror.Dir(statekv.MachinePrefix)
-	view.sizes = a.countMachines(view.machines)
+	view.machinesPerShard = a.countMachines(view.machines)
 	wanted := a.unreachableShards(&view)
 	if len(wanted) == 0 {
-		wanted = a.shardsToBalance(ctx, &view)
+		wanted = a.shardsToRebalance(ctx, &view)
 	}
 	plan := planTakeover(&view, a.session.Successors(a.settings.Hosts()), wanted)
-	a.takeShards(ctx, &plan, wanted)
+	a.acquireShards(ctx, &plan, wanted)
 	intake, latest := a.chooseIntakeShards(ctx, plan.held)
 	// Once the mirror has reached this revision, it shows the last claims of the former owners.
 	waitCtx, cancel := context.WithTimeout(ctx, takeoverTimeout)
@@ -108,7 +108,7 @@
 		a.shards.revs[id] = h.rev
 	}
 	a.mu.Unlock()
-	a.removeEmptyShards(ctx, &plan, intake, view.sizes)
+	a.removeEmptyShards(ctx, &plan, intake, view.machinesPerShard)
 	// The machine keys are read before the shard keys. In the opposite order, a machine that is
 	// claimed into a shard created between the two reads would appear to have no owner.
 	machines := a.mirror.Dir(statekv.MachinePrefix)
@@ -117,10 +117,10 @@
 
 // takeoverPlan lists the shards that this session owns and those that it should acquire or remove.
 type takeoverPlan struct {
-	held  map[string]heldShard
-	take  []statekv.Role
-	empty []statekv.Role           // shards without machines whose owner's session has ended
-	keys  map[string]*shard.Record // previous records of the shards to take, by key
+	held            map[string]heldShard
+	acquire         []statekv.Role
+	empty           []statekv.Role           // shards without machines whose owner's session has ended
+	previousRecords map[string]*shard.Record // previous records of the shards to take, by key
 }
 
 // planTakeover selects the shards that this controller acquires: those whose owner's session has
@@ -128,8 +128,8 @@
 // without machines are not acquired but listed for later removal: after a crash of all controllers
 // the write limit of the state service bounds the takeover, and writes for empty shards would delay
 // that of the other shards.
-func planTakeover(view *fleetView, successors []string, wanted map[string]string) takeoverPlan {
-	plan := takeoverPlan{held: map[string]heldShard{}, keys: map[string]*shard.Record{}}
+func planTakeover(view *ownershipView, successors []string, wanted map[string]string) takeoverPlan {
+	plan := takeoverPlan{held: map[string]heldShard{}, previousRecords: map[string]*shard.Record{}}
 	for _, kv := range view.shards {
 		record := shard.ParseRecord(kv)
 		if record == nil {
@@ -148,30 +148,30 @@
 		}
 		value := shard.Record{Holder: view.self, Index: record.Index}
 		role := statekv.Role{Key: kv.Key, ExpectedRev: kv.Rev, PreviousHolder: previousHolder, Value: value}
-		if view.sizes[shardID(kv)] == 0 && !isWanted {
+		if view.machinesPerShard[shardID(kv)] == 0 && !isWanted {
 			plan.empty = append(plan.empty, role)
 			continue
 		}
-		plan.keys[kv.Key] = record
-		plan.take = append(plan.take, role)
+		plan.previousRecords[kv.Key] = record
+		plan.acquire = append(plan.acquire, role)
 	}
 	return plan
 }
 
-// takeShards acquires the shards in plan.take and adds those acquired to plan.held. wanted holds
+// acquireShards acquires the shards in plan.take and adds those acquired to plan.held. wanted holds
 // the reasons for taking shards from living owners.
-func (a *Agent) takeShards(ctx context.Context, plan *takeoverPlan, wanted map[string]string) {
-	if len(plan.take) == 0 {
+func (a *Agent) acquireShards(ctx context.Context, plan *takeoverPlan, wanted map[string]string) {
+	if len(plan.acquire) == 0 {
 		return
 	}
 	txnCtx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
-	taken, err := a.session.AcquireAll(txnCtx, plan.take, a.settings.StateLimits.MaxTxnOps)
+	taken, err := a.session.AcquireAll(txnCtx, plan.acquire, a.settings.StateLimits.MaxTxnOps)
 	if err != nil {
 		slog.Debug("machine shard acquisition failed", "err", err)
 	}
 	for key, rev := range taken {
-		id, previous := key[len(statekv.MachineShardPrefix):], plan.keys[key]
+		id, previous := key[len(statekv.MachineShardPrefix):], plan.previousRecords[key]
 		plan.held[id] = heldShard{rev, previous.Index}
 		slog.Info("machine shard acquired", "machine_shard", id, "previous_owner", previous.Host,
 			"revision", rev, "reason", wanted[key])
@@ -193,7 +193,7 @@
 			empty = append(empty, statekv.Role{Key: statekv.MachineShardPrefix + id, ExpectedRev: h.rev})
 		}
 	}
-	limit := a.store.MaxTxnOps(min(maxShardsRemoved, a.settings.StateLimits.MaxTxnOps))
+	limit := a.store.MaxTxnOps(min(maxShardsRemovedPerTxn, a.settings.StateLimits.MaxTxnOps))
 	var compares []statekv.Compare
 	var ops []statekv.Op
 	for _, r := range empty[:min(limit, len(empty))] {
@@ -213,28 +213,28 @@
 // those that have another owner, and claims its part of the machines whose shard does not exist.
 // These are divided among the live controllers by the hash of the machine name.
 func (a *Agent) reconcileOwnership(hosts []string, machines []statekv.KV, owners shard.OwnerIndex) {
-	owned, ownerless := a.sortByOwner(machines, owners)
+	owned, ownerless := a.classifyByOwner(machines, owners)
 	for _, kv := range ownerless {
 		name := machineName(kv)
-		if record := shard.ParseMachineRecord(kv); record != nil && hosts[hashOf(name)%len(hosts)] == a.session.Host {
+		if record := shard.ParseMachineRecord(kv); record != nil && hosts[hashName(name)%len(hosts)] == a.session.Host {
 			a.enqueueClaim(name, *record, kv.Rev)
 		}
 	}
 	for _, kv := range owned {
-		if !a.adopt(kv) {
+		if !a.adoptMachine(kv) {
 			a.enqueueClaim(machineName(kv), *shard.ParseMachineRecord(kv), kv.Rev)
 		}
 	}
 }
 
-// sortByOwner returns the machines to adopt and the machines without an owner, and releases the
+// classifyByOwner returns the machines to adopt and the machines without an owner, and releases the
 // machines that have another owner.
-func (a *Agent) sortByOwner(machines []statekv.KV, owners shard.OwnerIndex) (owned, ownerless []statekv.KV) {
+func (a *Agent) classifyByOwner(machines []statekv.KV, owners shard.OwnerIndex) (owned, ownerless []statekv.KV) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for name := range a.shards.released {
+	for name := range a.shards.releasedMachines {
 		if _, ok := a.mirror.Get(statekv.MachinePrefix + name); !ok {
-			delete(a.shards.released, name)
+			delete(a.shards.releasedMachines, name)
 		}
 	}
 	for _, kv := range machines {
@@ -262,11 +262,11 @@
 	return owned, ownerless
 }
 
-// adopt begins ownership of a machine whose keys name this controller as its owner. It returns
+// adoptMachine begins ownership of a machine whose keys name this controller as its owner. It returns
 // false for a machine that was released under the same ownership revision: either its worker has
 // seen the token of a successor that the mirror does not show yet, or it is unknown which tasks run
 // there. Only a claim, which is a conditional write, can make this controller the owner again.
-func (a *Agent) adopt(kv statekv.KV) bool {
+func (a *Agent) adoptMachine(kv statekv.KV) bool {
 	record := shard.ParseMachineRecord(kv)
 	holder, rev := shard.OwnerOf(a.mirror, kv)
 	if record == nil || holder != a.session.Holder {
@@ -274,7 +274,7 @@
 	}
 	name := machineName(kv)
 	a.mu.Lock()
-	released := a.shards.released[name]
+	released := a.shards.releasedMachines[name]
 	a.mu.Unlock()
 	if released >= rev {
 		return false
--- a/internal/clusteragent/testbed_test.go
+++ b/internal/clusteragent/testbed_test.go
@@ -123,7 +123,7 @@
 func (n *node) sendHeartbeat(w *emulator.Worker) clusteragent.HeartbeatReply {
 	r := n.bed.workers.NextHeartbeat(w)
 	reply := n.agent.Heartbeat(context.Background(), &r)
-	if reply.Owner {
+	if reply.Accepted {
 		n.bed.workers.DeliverAnswer(w, reply.Answer)
 	}
 	return reply
--- a/internal/clusteragent/tombstones.go
+++ b/internal/clusteragent/tombstones.go
@@ -8,10 +8,10 @@
 // and the machine deleted again.
 
 const (
-	// tombstoneTime is how long the removal of a machine's key is remembered: duplicates of
+	// tombstoneRetention is how long the removal of a machine's key is remembered: duplicates of
 	// heartbeats arrive up to a few lease durations late.
-	tombstoneTime = 10 * time.Minute
-	maxTombstones = 8000
+	tombstoneRetention = 10 * time.Minute
+	maxTombstones      = 8000
 )
 
 // OnMachineRemoved records that the key of a machine was removed.
@@ -22,9 +22,9 @@
 	a.tombstones.add(machine, now)
 }
 
-// isTombstoned reports whether the key of a machine was removed within tombstoneTime.
+// isTombstoned reports whether the key of a machine was removed within tombstoneRetention.
 func (a *Agent) isTombstoned(machine string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.tombstones.recent(machine, now)
+	return a.tombstones.containsRecent(machine, now)
 }
--- a/internal/clusteragent/zones.go
+++ b/internal/clusteragent/zones.go
@@ -19,7 +19,7 @@
 // one zone only, so that it can change owner when the workers of a zone cannot reach the owner.
 const shardsPerZone = 2
 
-func hashOf(name string) int {
+func hashName(name string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name)) // hash.Hash.Write never returns an error
 	return int(h.Sum32() >> 1)
@@ -28,8 +28,8 @@
 // zoneRules assigns controllers and shards to zones. It reads only the settings.
 type zoneRules struct{ settings *config.Settings }
 
-// hostsIn returns the hosts in the zone, or all hosts if there are none.
-func (z zoneRules) hostsIn(hosts []string, zone string) []string {
+// hostsInZone returns the hosts in the zone, or all hosts if there are none.
+func (z zoneRules) hostsInZone(hosts []string, zone string) []string {
 	var inZone []string
 	for _, h := range hosts {
 		if zone != "" && z.settings.ZoneOf(h) == zone {
@@ -42,21 +42,21 @@
 	return inZone
 }
 
-// ofShard returns the zone of the machines that belong in a shard with the given index.
-func (z zoneRules) ofShard(index int) string {
+// zoneOfShard returns the zone of the machines that belong in a shard with the given index.
+func (z zoneRules) zoneOfShard(index int) string {
 	if len(z.settings.Zones) == 0 {
 		return ""
 	}
 	return z.settings.Zones[index/shardsPerZone%len(z.settings.Zones)]
 }
 
-// intakeShards returns the number of intake shards of an owner.
-func (z zoneRules) intakeShards() int { return shardsPerZone * max(1, len(z.settings.Zones)) }
+// intakeShardCount returns the number of intake shards of an owner.
+func (z zoneRules) intakeShardCount() int { return shardsPerZone * max(1, len(z.settings.Zones)) }
 
 // intakeIndex returns the intake index of a machine, among intakeCount intake shards.
 func (z zoneRules) intakeIndex(name, zone string, intakeCount int) int {
 	zoneIndex := max(0, slices.Index(z.settings.Zones, zone))
-	return (zoneIndex*shardsPerZone + hashOf(name)%shardsPerZone) % intakeCount
+	return (zoneIndex*shardsPerZone + hashName(name)%shardsPerZone) % intakeCount
 }
 
 // successor returns the host that takes over a shard whose owner's session has ended: the same host
@@ -66,14 +66,14 @@
 	if slices.Contains(hosts, record.Host) {
 		return record.Host
 	}
-	hosts = z.hostsIn(hosts, z.ofShard(record.Index))
-	return hosts[(hashOf(record.Host)+record.Index)%len(hosts)]
+	hosts = z.hostsInZone(hosts, z.zoneOfShard(record.Index))
+	return hosts[(hashName(record.Host)+record.Index)%len(hosts)]
 }
 
-// ownZone reports whether a shard belongs to the zone of this controller.
-func (z zoneRules) ownZone(kv statekv.KV) bool {
+// inOwnZone reports whether a shard belongs to the zone of this controller.
+func (z zoneRules) inOwnZone(kv statekv.KV) bool {
 	record := shard.ParseRecord(kv)
-	return record != nil && z.ofShard(record.Index) == z.settings.Zone
+	return record != nil && z.zoneOfShard(record.Index) == z.settings.Zone
 }
 
 const (
@@ -87,8 +87,8 @@
 // redirects holds when each new machine was last redirected to a controller of its zone.
 type redirects map[string]time.Time
 
-// note records that a machine is redirected now.
-func (r redirects) note(machine string, now time.Time) {
+// record records that a machine is redirected now.
+func (r redirects) record(machine string, now time.Time) {
 	if len(r) > maxRedirects {
 		clear(r)
 	}
@@ -100,7 +100,7 @@
 // the mean number of machines, controllers of all zones claim its machines.
 func (a *Agent) redirectToZone(heartbeat *worker.Heartbeat, now time.Time) string {
 	hosts := a.session.AliveHosts()
-	zoneHosts := a.zones.hostsIn(hosts, heartbeat.Zone)
+	zoneHosts := a.zones.hostsInZone(hosts, heartbeat.Zone)
 	if a.settings.Zone == heartbeat.Zone || len(zoneHosts) == len(hosts) {
 		return ""
 	}
@@ -116,8 +116,8 @@
 	if now.Sub(a.redirects[heartbeat.Machine]) < redirectInterval {
 		return ""
 	}
-	a.redirects.note(heartbeat.Machine, now)
-	return zoneHosts[hashOf(heartbeat.Machine)%len(zoneHosts)]
+	a.redirects.record(heartbeat.Machine, now)
+	return zoneHosts[hashName(heartbeat.Machine)%len(zoneHosts)]
 }
 
 // countMachines updates the number of machines of each zone, and returns the number of machines of
--- a/internal/clusteragent/zones_test.go
+++ b/internal/clusteragent/zones_test.go
@@ -36,7 +36,7 @@
 			// Workers send heartbeats at intervals, and within half a second of a higher token.
 			if time.Now().After(nextHeartbeat) || token > lastToken {
 				lastToken, nextHeartbeat = token, time.Now().Add(8*time.Second)
-				if n.sendHeartbeat(w).Owner {
+				if n.sendHeartbeat(w).Accepted {
 					lastAnswered = time.Now()
 				}
 			}
@@ -62,11 +62,11 @@
 		time.Sleep(2 * time.Second)
 		w := bed.workers.Add("m1", "box", "b")
 		heartbeat := bed.workers.NextHeartbeat(w)
-		if reply := a.agent.Heartbeat(bed.ctx, &heartbeat); reply.Owner || reply.RedirectTo != "host-1" {
+		if reply := a.agent.Heartbeat(bed.ctx, &heartbeat); reply.Accepted || reply.RedirectTo != "host-1" {
 			t.Fatalf("heartbeat to another zone's controller: got %+v, want a redirect to host-1", reply)
 		}
 		heartbeat = bed.workers.NextHeartbeat(w)
-		if reply := b.agent.Heartbeat(bed.ctx, &heartbeat); !reply.Owner {
+		if reply := b.agent.Heartbeat(bed.ctx, &heartbeat); !reply.Accepted {
 			t.Fatalf("heartbeat to the zone's own controller: got %+v, want it answered", reply)
 		}
 		w = bed.workers.Add("m2", "box", "b")
--- a/internal/gateway/heartbeats.go
+++ b/internal/gateway/heartbeats.go
@@ -22,7 +22,7 @@
 	switch {
 	case reply.Malformed != "":
 		return &requestError{malformed, reply.Malformed}
-	case reply.Owner:
+	case reply.Accepted:
 		if reply.Answer.Commands == nil {
 			reply.Answer.Commands = []worker.Command{}
 		}
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -218,7 +218,7 @@
 				}
 				r := cluster.workers.NextHeartbeat(machine)
 				reply := controller.agent.Heartbeat(cluster.ctx, &r)
-				if reply.Owner {
+				if reply.Accepted {
 					cluster.workers.DeliverAnswer(machine, reply.Answer)
 					break
 				}
