--- a/internal/changefeed/feed.go
+++ b/internal/changefeed/feed.go
@@ -20,7 +20,8 @@
 const (
 	// longPollTimeout is how long an agent waits for changes before it answers a watch.
 	longPollTimeout = 2 * time.Second
-	// catchUpPollTimeout is how long an agent waits if the watch only asks whether it has caught up.
+	// catchUpPollTimeout is how long an agent waits if the watch only asks whether the agent has
+	// caught up.
 	catchUpPollTimeout = 100 * time.Millisecond
 	// watchTimeout bounds one watch call.
 	watchTimeout = 4 * time.Second
@@ -282,9 +283,9 @@
 	return earliest
 }
 
-// PeerCounts counts the other agents that answered recently, and how many of these report that they
-// reach the state service.
-func (f *Feed) PeerCounts(self string) (reachable, served int) {
+// PeerCounts counts the other agents that answered recently, and how many of these reported that
+// they reach the state service.
+func (f *Feed) PeerCounts(self string) (reachable, stateOK int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for host, state := range f.agents {
@@ -293,8 +294,8 @@
 		}
 		reachable++
 		if state.stateOK {
-			served++
+			stateOK++
 		}
 	}
-	return reachable, served
+	return reachable, stateOK
 }
--- a/internal/clusteragent/agent.go
+++ b/internal/clusteragent/agent.go
@@ -1,7 +1,7 @@
 // Package clusteragent implements the Cluster Agent of the Vela paper, which manages the machines
 // that a controller owns. It answers sampling requests, commits tasks with reserve-lock-check,
 // sends commands to the workers and tracks the state that their heartbeats report. It takes over
-// machine shards whose owner's session has ended and balances machine shards between controllers.
+// machine shards whose owner's session has ended and rebalances machine shards between controllers.
 //
 // The package owns the state of those machines (package machine), the machine shards held, pending
 // claims, and the records of cancelled jobs and removed machines. A single mutex, Agent.mu, guards
--- a/internal/clusteragent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// rebalanceQuietPeriod is how long no shard may have changed owner before shards are rebalanced.
+	// rebalanceQuietPeriod is the time without a change of owner of any shard before shards are
+	// rebalanced.
 	rebalanceQuietPeriod = 15 * time.Second
 	// minMachinesPerHost is the mean number of machines per controller below which shards are not
 	// rebalanced, because the difference does not matter.
@@ -22,9 +23,10 @@
 	probeTimeout = time.Second
 )
 
-// shardsToRebalance lists, with the reason, the shards to take from the controller that owns most
-// machines. The list is empty unless this controller owns fewest, at most a quarter of the mean,
-// and can reach the machines in the shards, and no shard has changed owner for rebalanceQuietPeriod.
+// shardsToRebalance lists, with the reason, the shards to take from the controller that owns the
+// most machines. The list is empty unless all of these hold: this controller owns the fewest
+// machines, at most a quarter of the mean; it can reach the machines in the shards; and no shard
+// has changed owner for rebalanceQuietPeriod.
 func (a *Agent) shardsToRebalance(ctx context.Context, view *ownershipView) map[string]string {
 	a.mu.Lock()
 	unchangedSince := a.ownershipTimes.update(view.shards, view.now)
@@ -40,14 +42,14 @@
 	// Shards of this controller's zone come first.
 	slices.SortStableFunc(view.shards, func(x, y statekv.KV) int { return a.otherZoneOrder(x) - a.otherZoneOrder(y) })
 	wanted, machines := planRebalance(view, gap, a.anyUnreconciled)
-	if len(wanted) == 0 || !a.reaches(ctx, machines) {
+	if len(wanted) == 0 || !a.canReach(ctx, machines) {
 		return nil
 	}
 	return wanted
 }
 
 // imbalance compares the number of machines of this controller with the mean and with the
-// controller that owns most.
+// controller that owns the most.
 type imbalance struct {
 	largestOwner                 string
 	mean                         int
@@ -80,9 +82,9 @@
 	return gap, smallestOwner == view.self.Host && gap.ownMachines <= gap.mean/4
 }
 
-// planRebalance selects shards of the controller that owns most machines, in the order of the view,
-// until this controller has three quarters of the mean, and lists the machines in them. It leaves
-// out shards for whose machines unsafe returns true.
+// planRebalance selects shards of the controller that owns the most machines, in the order of the
+// view, until this controller has three quarters of the mean, and lists the machines in them. It
+// leaves out shards for whose machines unsafe returns true.
 func planRebalance(
 	view *ownershipView, gap imbalance, unsafe func(machines []statekv.KV) bool,
 ) (wanted map[string]string, machines []statekv.KV) {
@@ -121,7 +123,8 @@
 	})
 }
 
-// otherZoneOrder returns 0 for a shard of this controller's zone and 1 for any other, as a sort key.
+// otherZoneOrder returns 0 for a shard of this controller's zone and 1 for any other, as a sort
+// key.
 func (a *Agent) otherZoneOrder(kv statekv.KV) int {
 	if a.zones.inOwnZone(kv) {
 		return 0
@@ -129,9 +132,9 @@
 	return 1
 }
 
-// reaches reports whether a few of the machines, chosen at random, answer a probe. The probe is a
+// canReach reports whether a few of the machines, chosen at random, answer a probe. The probe is a
 // command with fencing token 0, which a worker never executes and answers with a heartbeat.
-func (a *Agent) reaches(ctx context.Context, machines []statekv.KV) bool {
+func (a *Agent) canReach(ctx context.Context, machines []statekv.KV) bool {
 	for range min(reachabilityProbes, len(machines)) {
 		address := shard.ParseMachineRecord(machines[rand.IntN(len(machines))]).Address
 		probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
--- a/internal/clusteragent/cancellation.go
+++ b/internal/clusteragent/cancellation.go
@@ -19,8 +19,8 @@
 // argument is in docs/design.md, "What is cancelled goes".
 
 const (
-	// cancelledRetention is how long a cancelled job is remembered, so that none of its tasks starts
-	// here. After that, the missing job record shows that the job is finished.
+	// cancelledRetention is how long a cancelled job is remembered, so that none of its tasks
+	// starts here. After that, the missing job record shows that the job is finished.
 	cancelledRetention = 10 * time.Minute
 	maxCancelledJobs   = 20_000
 	// lookupTimeout bounds how long a heartbeat waits until the unread job records of its tasks are
@@ -174,12 +174,12 @@
 func (a *Agent) verifyTasks(m *ownedMachine) {
 	deadline := time.Now().Add(lookupTimeout)
 	for len(a.unverifiedTasks(m)) > 0 && a.owns(m) {
-		done := a.lookups.completed
+		completed := a.lookups.completed
 		a.lookups.trigger()
 		a.mu.Unlock()
 		timer := time.NewTimer(time.Until(deadline))
 		select {
-		case <-done:
+		case <-completed:
 		case <-timer.C:
 		}
 		timer.Stop()
--- a/internal/clusteragent/capacity_index_test.go
+++ b/internal/clusteragent/capacity_index_test.go
@@ -43,20 +43,20 @@
 				key := machine.AttemptKey{TaskID: "known", Attempt: uint64(n)}
 				m.AddTask(key, &machine.Task{Spec: &job.Spec{Need: need}})
 			}
-			want := rapid.IntRange(0, 8).Draw(t, "wanted")
-			seen := map[string]bool{}
-			for _, m := range a.capacity.draw(job.Resources{GPUs: float64(want)}, types, a.owns) {
-				seen[m.Name] = true
+			neededGPUs := rapid.IntRange(0, 8).Draw(t, "wanted")
+			drawn := map[string]bool{}
+			for _, m := range a.capacity.draw(job.Resources{GPUs: float64(neededGPUs)}, types, a.owns) {
+				drawn[m.Name] = true
 			}
 			for name, m := range a.machines {
 				free, known := m.FreeCapacity(job.Capacity(types["box"]))
-				if has := known && max(0, free.GPUs) >= float64(want); has != seen[name] {
-					t.Fatalf("%s with %v GPUs free (known: %v): drawn: %v for a need of %d GPUs", name, free.GPUs, known, seen[name], want)
+				if has := known && max(0, free.GPUs) >= float64(neededGPUs); has != drawn[name] {
+					t.Fatalf("%s with %v GPUs free (known: %v): drawn: %v for a need of %d GPUs", name, free.GPUs, known, drawn[name], neededGPUs)
 				}
-				delete(seen, name)
+				delete(drawn, name)
 			}
-			if len(seen) > 0 {
-				t.Fatalf("machines drawn that are no longer owned: %v", seen)
+			if len(drawn) > 0 {
+				t.Fatalf("machines drawn that are no longer owned: %v", drawn)
 			}
 		}
 	})
--- a/internal/clusteragent/claims.go
+++ b/internal/clusteragent/claims.go
@@ -57,9 +57,9 @@
 	if a.claims.pending[name] || len(a.shards.intake) == 0 {
 		return nil
 	}
-	place := a.zones.intakeIndex(name, key.Zone, len(a.shards.intake))
-	if key.Shard = a.shards.intake[place]; key.Shard == "" {
-		a.shards.missingIntake[place] = true // the claim is repeated by a later heartbeat or reconcileOwnership
+	index := a.zones.intakeIndex(name, key.Zone, len(a.shards.intake))
+	if key.Shard = a.shards.intake[index]; key.Shard == "" {
+		a.shards.missingIntake[index] = true // the claim is repeated by a later heartbeat or reconcileOwnership
 		return nil
 	}
 	c := machineClaim{name: name, key: key, replacesRev: replacesRev, done: make(chan struct{})}
@@ -72,7 +72,7 @@
 	}
 }
 
-// heldShards returns the machine shards held, with the revisions of their keys.
+// heldShards returns the machine shards that this session owns, with the revisions of their keys.
 func (a *Agent) heldShards() map[string]uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -107,7 +107,8 @@
 	}
 }
 
-// completeClaims notifies those who wait for the claims that the claims have been attempted.
+// completeClaims removes claims from the pending ones after the attempt to write them, and wakes
+// the heartbeats that wait for them.
 func (a *Agent) completeClaims(batch []machineClaim) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -117,8 +118,8 @@
 	}
 }
 
-// writeClaims writes claims and leaves out those that conflict with a faster controller. A claim
-// whose reply was lost is adopted once the mirror shows it.
+// writeClaims writes claims, except those that conflict with a write of another controller. If the
+// reply to a write was lost, its machines are adopted once the mirror shows the claims.
 func (a *Agent) writeClaims(ctx context.Context, batch []machineClaim, shards map[string]uint64) {
 	for len(batch) > 0 && ctx.Err() == nil {
 		rev, err := a.writeClaimBatch(ctx, batch, shards)
--- a/internal/clusteragent/commit.go
+++ b/internal/clusteragent/commit.go
@@ -213,15 +213,15 @@
 // any more, with the time of the abandonment. Agent.mu guards it.
 type abandonedAttempts map[agentapi.TaskRef]time.Time
 
-func (r abandonedAttempts) has(ref agentapi.TaskRef) bool {
-	_, ok := r[ref]
+func (a abandonedAttempts) has(ref agentapi.TaskRef) bool {
+	_, ok := a[ref]
 	return ok
 }
 
-func (r abandonedAttempts) expire(now time.Time) {
-	for ref, abandonedAt := range r {
+func (a abandonedAttempts) expire(now time.Time) {
+	for ref, abandonedAt := range a {
 		if now.Sub(abandonedAt) > abandonedAttemptRetention {
-			delete(r, ref)
+			delete(a, ref)
 		}
 	}
 }
--- a/internal/clusteragent/heartbeat.go
+++ b/internal/clusteragent/heartbeat.go
@@ -55,7 +55,7 @@
 	ctx context.Context, r *worker.Heartbeat, now time.Time,
 ) (reply HeartbeatReply, done bool) {
 	kv, exists := a.mirror.Get(statekv.MachinePrefix + r.Machine)
-	holder, ownedRev := shard.OwnerOf(a.mirror, kv)
+	holder, ownershipRev := shard.OwnerOf(a.mirror, kv)
 	switch {
 	case !exists && a.isTombstoned(r.Machine, now):
 		return HeartbeatReply{}, true // late copy from a deregistered machine: not answered
@@ -71,7 +71,7 @@
 		reply, _ = a.answerOwned(r)
 		return reply, true
 	case a.session.Alive(holder):
-		if a.recordMisdirectedHeartbeat(r, ownedRev, now) {
+		if a.recordMisdirectedHeartbeat(r, ownershipRev, now) {
 			return a.claimAndAnswer(ctx, r, kv.Rev), true
 		}
 		return HeartbeatReply{RedirectTo: holder.Host}, true
--- a/internal/clusteragent/intake.go
+++ b/internal/clusteragent/intake.go
@@ -33,8 +33,9 @@
 	return intake, latestRev
 }
 
-// assignIntakeShards fills the empty intake indexes with held shards, and otherwise with the ids of shards
-// to create. It returns the indexes of the latter, at most as many as one transaction may create.
+// assignIntakeShards fills the empty intake indexes with held shards, and otherwise with the ids of
+// shards to create. It returns the indexes of the latter, at most as many as one transaction may
+// create.
 func (a *Agent) assignIntakeShards(intake []string, held map[string]heldShard) (toCreate []int) {
 	intakeCount := a.zones.intakeShardCount()
 	ids := slices.Sorted(maps.Keys(held))
@@ -57,8 +58,8 @@
 	return toCreate
 }
 
-// createIntakeShards writes the keys of the new shards at the given intake indexes and adds the shards to
-// held. If the write fails, it empties these indexes.
+// createIntakeShards writes the keys of the new shards at the given intake indexes and adds the
+// shards to held. If the write fails, it empties these indexes.
 func (a *Agent) createIntakeShards(ctx context.Context, intake []string, indexes []int, held map[string]heldShard) {
 	if len(indexes) == 0 {
 		return
@@ -94,9 +95,9 @@
 func (a *Agent) needsIntakeShard(index int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	ownZone := a.settings.Zone
-	return a.shards.missingIntake[index] || a.zones.zoneOfShard(index) == ownZone ||
-		!slices.Contains(a.settings.Zones, ownZone)
+	zone := a.settings.Zone
+	return a.shards.missingIntake[index] || a.zones.zoneOfShard(index) == zone ||
+		!slices.Contains(a.settings.Zones, zone)
 }
 
 // newShardID returns an unused id for a shard with the given intake index. A shard that another
--- a/internal/clusteragent/job_lookup.go
+++ b/internal/clusteragent/job_lookup.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// lookupInterval is the time between two rounds of record reads. One round serves many heartbeats,
-	// because these arrive in groups.
+	// lookupInterval is the time between two rounds of record reads. One round serves many
+	// heartbeats, because these arrive in groups.
 	lookupInterval = 100 * time.Millisecond
 	// lookupRetryInterval is the time until the next round after a failed one.
 	lookupRetryInterval = time.Second
 )
 
-// jobLookups holds the jobs whose records have to be read. Agent.mu guards unread and done.
+// jobLookups holds the jobs whose records have to be read. Agent.mu guards pending and completed.
 type jobLookups struct {
 	triggered chan struct{}   // signals runLookups to start a round of reads
 	pending   map[string]bool // job ids
@@ -67,8 +67,8 @@
 	a.lookups.trigger()
 }
 
-// markUnverified marks all tasks for which selected returns true as unverified and registers
-// their jobs. Their records are read after the next trigger. The caller must hold a.mu.
+// markUnverified marks all tasks for which selected returns true as unverified and registers their
+// jobs, whose records are read after the next trigger. The caller must hold a.mu.
 func (a *Agent) markUnverified(selected func(*machine.Task) bool) {
 	for _, m := range a.machines {
 		for _, t := range m.Tasks() {
@@ -122,8 +122,8 @@
 	}
 }
 
-// readRecords reads the records of the jobs in ids, applies them, and removes the jobs that were read
-// from ids.
+// readRecords reads the records of the jobs in ids, applies them, and removes the jobs that were
+// read from ids.
 func (a *Agent) readRecords(ctx context.Context, ids map[string]bool) error {
 	a.applyRecords(a.mirroredRecords(ids))
 	// A job that the mirror does not have is finished or was just accepted: a read from the state
--- a/internal/clusteragent/planning_test.go
+++ b/internal/clusteragent/planning_test.go
@@ -13,7 +13,8 @@
 	"robinstack/internal/statekv"
 )
 
-// planningFleet is a ownershipView of three controllers for host-0. The session of host-2 has ended.
+// planningFleet is an ownershipView of three controllers, as seen by host-0. The session of host-2
+// has ended.
 type planningFleet struct {
 	t    *testing.T
 	view ownershipView
@@ -61,9 +62,9 @@
 	return keys
 }
 
-// The plan keeps the shards that are held, takes those that this controller has to take over,
-// removes instead those of them that have no machines, and takes shards of live owners only if
-// wanted.
+// The plan keeps the shards that are held and acquires those that this controller has to take over.
+// It lists those of the latter that have no machines for removal instead, and includes shards of
+// live owners only if they are wanted.
 func TestTakeoverPlanFollowsSuccession(t *testing.T) {
 	f := newPlanningFleet(t)
 	f.addShard("own", 0, 0, 2)
@@ -83,7 +84,7 @@
 		t.Errorf("shards held: got %v, want own", got)
 	}
 	if got := roleKeys(plan.acquire); !slices.Equal(got, []string{"unreachable", fmt.Sprint("ended", ownIndex)}) {
-		t.Errorf("shards to take: got %v, want unreachable and the ended one that this controller succeeds to", got)
+		t.Errorf("shards to acquire: got %v, want unreachable and the ended one that this controller succeeds to", got)
 	}
 	if got := roleKeys(plan.empty); !slices.Equal(got, []string{fmt.Sprint("empty", ownIndex)}) {
 		t.Errorf("shards to remove: got %v, want the empty one that this controller succeeds to", got)
@@ -96,8 +97,8 @@
 	}
 }
 
-// A shard is taken from a live owner once a quarter of its workers, and at least three, have come
-// here repeatedly, provided that the shard has had this owner for some time.
+// A shard is taken from a live owner once a quarter of its workers, and at least three, have sent
+// repeated heartbeats to this controller, provided that the shard has had this owner for some time.
 func TestUnreachableOwnerTriggersShardTakeover(t *testing.T) {
 	cases := map[string]struct {
 		machines, misdirected    int
@@ -109,15 +110,15 @@
 		"all of a small shard":   {2, 2, time.Minute, 5 * time.Second, false},
 		"three of a small shard": {3, 3, time.Minute, 5 * time.Second, true},
 		"a new owner":            {40, 40, 9 * time.Second, 5 * time.Second, false},
-		"recent visits":          {40, 40, time.Minute, time.Second, true}, // this controller is the successor, so it does not wait
+		"recent heartbeats":      {40, 40, time.Minute, time.Second, true}, // this controller is the successor, so it does not wait
 	}
 	for name, c := range cases {
 		f := newPlanningFleet(t)
 		f.addShard("s", 1, 0, c.machines)
 		key := f.view.shards[0].Key
-		sightings := shardOwnershipTimes{key: {rev: 7, since: f.view.now.Add(-c.ownedFor)}}
-		misdirected := map[string]misdirectedShard{"s": {workers: c.misdirected, firstHeartbeat: f.view.now.Add(-c.misdirectedFor)}}
-		if wanted := planUnreachableTakeover(&f.view, misdirected, sightings); (wanted[key] != "") != c.taken {
+		ownershipTimes := shardOwnershipTimes{key: {rev: 7, since: f.view.now.Add(-c.ownedFor)}}
+		misdirectedByShard := map[string]misdirectedShard{"s": {workers: c.misdirected, firstHeartbeat: f.view.now.Add(-c.misdirectedFor)}}
+		if wanted := planUnreachableTakeover(&f.view, misdirectedByShard, ownershipTimes); (wanted[key] != "") != c.taken {
 			t.Errorf("%s: got shards %v", name, wanted)
 		}
 	}
--- a/internal/clusteragent/preempt.go
+++ b/internal/clusteragent/preempt.go
@@ -195,11 +195,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	machines := a.shuffledMachines()
-	wanted := sampleTarget(&r, len(machines))
+	target := sampleTarget(&r, len(machines))
 	capacity := newCapacityCount(&r)
 	var found []agentapi.Candidate
 	for _, m := range machines {
-		if len(found) >= wanted && capacity.sufficient() {
+		if len(found) >= target && capacity.sufficient() {
 			break
 		}
 		if _, cost, ok := a.findVictims(m, &r, now); ok {
--- a/internal/clusteragent/recent_names.go
+++ b/internal/clusteragent/recent_names.go
@@ -9,8 +9,8 @@
 	addedAt   map[string]time.Time
 }
 
-func newRecentNames(keepFor time.Duration, limit int) recentNames {
-	return recentNames{retention: keepFor, limit: limit, addedAt: map[string]time.Time{}}
+func newRecentNames(retention time.Duration, limit int) recentNames {
+	return recentNames{retention: retention, limit: limit, addedAt: map[string]time.Time{}}
 }
 
 // add adds a name, or renews it. At the limit it first drops the expired names, and any others
--- a/internal/clusteragent/removal.go
+++ b/internal/clusteragent/removal.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// keyRemovalInterval is the interval between two passes that remove the keys of deleted machines.
+	// keyRemovalInterval is the interval between two passes that remove the keys of deleted
+	// machines.
 	keyRemovalInterval = 500 * time.Millisecond
 	// keyRemovalTimeout bounds one transaction that removes keys.
 	keyRemovalTimeout = 3 * time.Second
@@ -43,7 +44,7 @@
 	return nil
 }
 
-// Removed notes that the cloud has deleted machines, so that their tasks have ended. The keys of
+// Removed records that the cloud has deleted machines, so that their tasks have ended. The keys of
 // the machines are removed later, within the write budget of the state service.
 func (s *Service) Removed(r agentapi.MachinesRequest, reply *agentapi.MachinesReply) error {
 	a := s.agent
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -67,11 +67,11 @@
 	types := a.types()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	wanted := sampleTarget(&r, len(a.machines))
+	target := sampleTarget(&r, len(a.machines))
 	capacity := newCapacityCount(&r)
 	var found []agentapi.Candidate
 	for _, m := range a.capacity.draw(r.Spec.Need, a.types(), a.owns) {
-		if len(found) >= wanted && capacity.sufficient() {
+		if len(found) >= target && capacity.sufficient() {
 			break
 		}
 		reply.Drawn++
@@ -89,7 +89,7 @@
 		c.Score = reservedBonus(m.Machine, &r, now) + score(types, m.Machine, &r.Spec, free, c.Image)
 		found = append(found, c)
 	}
-	reply.Exhausted = len(found) < wanted
+	reply.Exhausted = len(found) < target
 	if reply.Exhausted && !capacity.sufficient() {
 		a.recordWaitingClass(&r, now)
 	}
--- a/internal/clusteragent/shards.go
+++ b/internal/clusteragent/shards.go
@@ -124,7 +124,7 @@
 }
 
 // planTakeover selects the shards that this controller acquires: those whose owner's session has
-// ended and of which it is the successor, and those in wanted, which have living owners. Shards
+// ended and of which it is the successor, and those in wanted, which have live owners. Shards
 // without machines are not acquired but listed for later removal: after a crash of all controllers
 // the write limit of the state service bounds the takeover, and writes for empty shards would delay
 // that of the other shards.
@@ -142,7 +142,7 @@
 		_, isWanted := wanted[kv.Key]
 		previousHolder := record.Holder
 		if isWanted {
-			previousHolder = statekv.Holder{}
+			previousHolder = statekv.Holder{} // the owner's session need not have ended
 		} else if view.alive(record.Holder) || view.zones.successor(record, successors) != view.self.Host {
 			continue
 		}
@@ -158,19 +158,19 @@
 	return plan
 }
 
-// acquireShards acquires the shards in plan.take and adds those acquired to plan.held. wanted holds
-// the reasons for taking shards from living owners.
+// acquireShards acquires the shards in plan.acquire and adds those that it acquired to plan.held.
+// wanted holds the reasons for taking shards from live owners.
 func (a *Agent) acquireShards(ctx context.Context, plan *takeoverPlan, wanted map[string]string) {
 	if len(plan.acquire) == 0 {
 		return
 	}
 	txnCtx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
-	taken, err := a.session.AcquireAll(txnCtx, plan.acquire, a.settings.StateLimits.MaxTxnOps)
+	acquired, err := a.session.AcquireAll(txnCtx, plan.acquire, a.settings.StateLimits.MaxTxnOps)
 	if err != nil {
 		slog.Debug("machine shard acquisition failed", "err", err)
 	}
-	for key, rev := range taken {
+	for key, rev := range acquired {
 		id, previous := key[len(statekv.MachineShardPrefix):], plan.previousRecords[key]
 		plan.held[id] = heldShard{rev, previous.Index}
 		slog.Info("machine shard acquired", "machine_shard", id, "previous_owner", previous.Host,
@@ -185,11 +185,11 @@
 // into a removed shard and the mirror did not show it yet, the machine is claimed again, like any
 // machine whose shard does not exist.
 func (a *Agent) removeEmptyShards(
-	ctx context.Context, plan *takeoverPlan, intake []string, sizes map[string]int,
+	ctx context.Context, plan *takeoverPlan, intake []string, machinesPerShard map[string]int,
 ) {
 	empty := plan.empty
 	for id, h := range plan.held {
-		if sizes[id] == 0 && !slices.Contains(intake, id) {
+		if machinesPerShard[id] == 0 && !slices.Contains(intake, id) {
 			empty = append(empty, statekv.Role{Key: statekv.MachineShardPrefix + id, ExpectedRev: h.rev})
 		}
 	}
@@ -209,9 +209,10 @@
 	slog.Debug("empty machine shards removed", "machine_shards", len(ops), "err", err)
 }
 
-// reconcileOwnership adopts the machines whose keys name this controller as their owner, releases
-// those that have another owner, and claims its part of the machines whose shard does not exist.
-// These are divided among the live controllers by the hash of the machine name.
+// reconcileOwnership adopts the machines whose keys name this controller as their owner, and
+// releases those that have another owner. The machines whose shard does not exist are divided among
+// the live controllers by the hash of the machine name; it claims those that fall to this
+// controller.
 func (a *Agent) reconcileOwnership(hosts []string, machines []statekv.KV, owners shard.OwnerIndex) {
 	owned, ownerless := a.classifyByOwner(machines, owners)
 	for _, kv := range ownerless {
@@ -262,10 +263,11 @@
 	return owned, ownerless
 }
 
-// adoptMachine begins ownership of a machine whose keys name this controller as its owner. It returns
-// false for a machine that was released under the same ownership revision: either its worker has
-// seen the token of a successor that the mirror does not show yet, or it is unknown which tasks run
-// there. Only a claim, which is a conditional write, can make this controller the owner again.
+// adoptMachine begins ownership of a machine whose keys name this controller as its owner. It
+// returns false for a machine that was released under the same ownership revision: either its
+// worker has seen the token of a successor that the mirror does not show yet, or it is unknown
+// which tasks run there. Only a claim, which is a conditional write, can make this controller the
+// owner again.
 func (a *Agent) adoptMachine(kv statekv.KV) bool {
 	record := shard.ParseMachineRecord(kv)
 	holder, rev := shard.OwnerOf(a.mirror, kv)
--- a/internal/clusteragent/strays.go
+++ b/internal/clusteragent/strays.go
@@ -10,10 +10,10 @@
 	"robinstack/internal/worker"
 )
 
-// A machine can change owner while its owner is alive: if its worker cannot reach the owner,
-// because the worker's lease would expire although only that connection is lost, and (balance.go)
-// if a restarted controller owns no machines, because the next failure of one controller would
-// affect the whole cluster.
+// A machine shard can also be taken from a live owner, for one of two reasons. Either its workers
+// cannot reach the owner: their leases would expire although only the connection to that one
+// controller is lost. Or (balance.go) a restarted controller owns no machines: the others then own
+// so many that the next failure of one controller could affect the whole cluster.
 
 const (
 	// misdirectedWindow is the longest time between two misdirected heartbeats of a worker that are
@@ -25,27 +25,28 @@
 	// minOwnershipAge is how long a shard must have had its owner before it is taken from that
 	// owner.
 	minOwnershipAge = 10 * time.Second
-	// minUnreachableWorkers is how many workers of a shard, at least, must have sent repeated misdirected
-	// heartbeats before the shard is taken from its owner.
+	// minUnreachableWorkers is the minimum number of workers of a shard that must have sent
+	// repeated misdirected heartbeats before the shard is taken from its owner.
 	minUnreachableWorkers = 3
-	// unreachableShardDivisor sets the fraction of a shard's workers that must have done so: one in
-	// unreachableShardDivisor.
+	// unreachableShardDivisor sets the fraction of the workers of a shard that must have sent
+	// repeated misdirected heartbeats: one in unreachableShardDivisor.
 	unreachableShardDivisor = 4
-	// nonSuccessorDelay is how long a shard's workers must have sent heartbeats here before a
-	// controller that is not the successor for the shard takes it.
+	// nonSuccessorDelay is how long a controller that is not the successor for a shard must have
+	// received heartbeats of the shard's workers before it takes the shard.
 	nonSuccessorDelay = 4 * time.Second
-	// Numbers of misdirected heartbeats of one worker: from misdirectedRepeated on, the worker counts
-	// towards the takeover of its shard. It is considered unable to reach its owner after
-	// unreachableAfterBurst, or after unreachableAfterSustained if the first is older than minOwnershipAge.
+	// Limits on the number of misdirected heartbeats of one worker. From misdirectedRepeated on,
+	// the worker counts towards the takeover of its shard. It is considered unable to reach its
+	// owner after unreachableAfterBurst of them, or after unreachableAfterSustained of them if the
+	// first was received more than minOwnershipAge ago.
 	misdirectedRepeated       = 2
 	unreachableAfterSustained = 3
 	unreachableAfterBurst     = 4
 )
 
-// misdirectedHeartbeats counts, by machine, the misdirected heartbeats: those that a worker sends here
-// although the owner of its machine is another, living controller. A single one may only mean that
-// the worker did not know its owner. The worker is redirected to the owner, and sends further
-// heartbeats here only if the owner does not answer. Agent.mu guards it.
+// misdirectedHeartbeats counts, by machine, the heartbeats that a worker sends to this controller
+// although another, live controller owns its machine. A single one may only mean that the worker
+// did not know its owner. The worker is redirected to the owner, and sends further heartbeats here
+// only if the owner does not answer. Agent.mu guards it.
 type misdirectedHeartbeats map[string]misdirectedCount
 
 // misdirectedCount counts the misdirected heartbeats of one worker under one ownership.
@@ -56,30 +57,30 @@
 	latestSerial machine.Serial // the last heartbeat counted; duplicates of it are ignored
 }
 
-// record records a misdirected heartbeat of a machine whose ownership has revision rev, and reports
-// whether the worker is considered unable to reach its owner.
-func (s misdirectedHeartbeats) record(heartbeat *worker.Heartbeat, rev uint64, now time.Time) bool {
-	v := s[heartbeat.Machine]
-	if v.ownershipRev != rev || now.Sub(v.last) > misdirectedWindow {
-		v = misdirectedCount{ownershipRev: rev, first: now, latestSerial: v.latestSerial}
+// record counts a misdirected heartbeat of a machine whose ownership has revision ownershipRev, and
+// reports whether the worker is considered unable to reach its owner.
+func (s misdirectedHeartbeats) record(heartbeat *worker.Heartbeat, ownershipRev uint64, now time.Time) bool {
+	c := s[heartbeat.Machine]
+	if c.ownershipRev != ownershipRev || now.Sub(c.last) > misdirectedWindow {
+		c = misdirectedCount{ownershipRev: ownershipRev, first: now, latestSerial: c.latestSerial}
 	}
-	if !v.latestSerial.Before(machine.SerialOf(heartbeat)) {
+	if !c.latestSerial.Before(machine.SerialOf(heartbeat)) {
 		return false // a delayed duplicate: the worker now reports to another controller
 	}
-	v.latestSerial = machine.SerialOf(heartbeat)
-	v.count++
-	v.last = now
+	c.latestSerial = machine.SerialOf(heartbeat)
+	c.count++
+	c.last = now
 	if len(s) > maxMisdirectedWorkers {
 		clear(s)
 	}
-	s[heartbeat.Machine] = v
-	return v.count >= unreachableAfterBurst ||
-		v.count >= unreachableAfterSustained && now.Sub(v.first) > minOwnershipAge
+	s[heartbeat.Machine] = c
+	return c.count >= unreachableAfterBurst ||
+		c.count >= unreachableAfterSustained && now.Sub(c.first) > minOwnershipAge
 }
 
-// recordMisdirectedHeartbeat is misdirectedHeartbeats.count, except that it counts nothing while this controller may
-// have lost its session.
-func (a *Agent) recordMisdirectedHeartbeat(heartbeat *worker.Heartbeat, rev uint64, now time.Time) bool {
+// recordMisdirectedHeartbeat is like misdirectedHeartbeats.record, but counts nothing while this
+// controller may have lost its session.
+func (a *Agent) recordMisdirectedHeartbeat(heartbeat *worker.Heartbeat, ownershipRev uint64, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.session.HoldsLease() {
@@ -87,11 +88,11 @@
 		// period, and their workers try one controller after the other.
 		return false
 	}
-	return a.misdirected.record(heartbeat, rev, now)
+	return a.misdirected.record(heartbeat, ownershipRev, now)
 }
 
-// misdirectedShard is the number of a shard's workers with repeated misdirected heartbeats, and the time
-// of the first of these heartbeats.
+// misdirectedShard is the number of workers of a shard with repeated misdirected heartbeats, and
+// the time of the first of these heartbeats.
 type misdirectedShard struct {
 	workers        int
 	firstHeartbeat time.Time
@@ -101,12 +102,12 @@
 // counts.
 func (s misdirectedHeartbeats) byShard(mirror *statekv.Mirror, now time.Time) map[string]misdirectedShard {
 	shards := map[string]misdirectedShard{}
-	for name, v := range s {
-		if now.Sub(v.last) > misdirectedWindow {
+	for name, c := range s {
+		if now.Sub(c.last) > misdirectedWindow {
 			delete(s, name)
 			continue
 		}
-		if v.count < misdirectedRepeated {
+		if c.count < misdirectedRepeated {
 			continue
 		}
 		kv, _ := mirror.Get(statekv.MachinePrefix + name)
@@ -114,37 +115,38 @@
 		if record == nil {
 			continue
 		}
-		if _, rev := shard.OwnerOf(mirror, kv); v.ownershipRev != rev {
+		if _, rev := shard.OwnerOf(mirror, kv); c.ownershipRev != rev {
 			continue
 		}
-		count := shards[record.Shard]
-		if count.workers == 0 || v.first.Before(count.firstHeartbeat) {
-			count.firstHeartbeat = v.first
+		evidence := shards[record.Shard]
+		if evidence.workers == 0 || c.first.Before(evidence.firstHeartbeat) {
+			evidence.firstHeartbeat = c.first
 		}
-		count.workers++
-		shards[record.Shard] = count
+		evidence.workers++
+		shards[record.Shard] = evidence
 	}
 	return shards
 }
 
-// unreachableShards lists, with the reason, the shards of living owners whose workers cannot reach
+// unreachableShards lists, with the reason, the shards of live owners whose workers cannot reach
 // their owner, according to the misdirected heartbeats received here.
 func (a *Agent) unreachableShards(view *ownershipView) map[string]string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ownershipTimes.update(view.shards, view.now)
-	misdirected := a.misdirected.byShard(a.mirror, view.now)
-	return planUnreachableTakeover(view, misdirected, a.ownershipTimes)
+	misdirectedByShard := a.misdirected.byShard(a.mirror, view.now)
+	return planUnreachableTakeover(view, misdirectedByShard, a.ownershipTimes)
 }
 
-// planUnreachableTakeover selects the shards to take from living owners that the workers cannot reach.
+// planUnreachableTakeover selects the shards to take from live owners that the workers cannot
+// reach.
 func planUnreachableTakeover(
-	view *ownershipView, misdirected map[string]misdirectedShard, ownershipTimes shardOwnershipTimes,
+	view *ownershipView, misdirectedByShard map[string]misdirectedShard, ownershipTimes shardOwnershipTimes,
 ) (wanted map[string]string) {
 	for _, kv := range view.shards {
 		record, id := shard.ParseRecord(kv), shardID(kv)
-		count := misdirected[id]
-		if count.workers < max(minUnreachableWorkers,
+		evidence := misdirectedByShard[id]
+		if evidence.workers < max(minUnreachableWorkers,
 			(view.machinesPerShard[id]+unreachableShardDivisor-1)/unreachableShardDivisor) {
 			continue
 		}
@@ -159,7 +161,7 @@
 		if view.zones.successor(record, otherHosts) == view.self.Host {
 			delay = 0
 		}
-		if view.now.Sub(count.firstHeartbeat) < delay {
+		if view.now.Sub(evidence.firstHeartbeat) < delay {
 			continue
 		}
 		if wanted == nil {
@@ -170,8 +172,8 @@
 	return wanted
 }
 
-// shardOwnershipTimes holds, by shard key, the last revision seen and when it was first seen. Agent.mu
-// guards it.
+// shardOwnershipTimes holds, by shard key, the last revision seen of the key and when that revision
+// was first seen. Agent.mu guards it.
 type shardOwnershipTimes map[string]shardOwnershipTime
 
 type shardOwnershipTime struct {
@@ -179,12 +181,12 @@
 	since time.Time
 }
 
-// ownershipTimesSlack is how many entries shardOwnershipTimes may have beyond twice the number of existing
-// shards. Above that, all entries are dropped.
+// ownershipTimesSlack is how many entries shardOwnershipTimes may have beyond twice the number of
+// existing shards. Above that, all entries are dropped.
 const ownershipTimesSlack = 100
 
-// update records since when each shard has had its present owner, and returns the time of the latest
-// change among all shards.
+// update records since when each shard has had its present owner, and returns the time of the
+// latest change among all shards.
 func (s shardOwnershipTimes) update(shards []statekv.KV, now time.Time) time.Time {
 	latest := time.Time{}
 	for _, kv := range shards {
--- a/internal/clusteragent/zones.go
+++ b/internal/clusteragent/zones.go
@@ -77,8 +77,9 @@
 }
 
 const (
-	// redirectInterval is how long after a redirect to its zone a new machine is claimed by
-	// whichever controller it reports to, because the controller of its zone did not claim it.
+	// redirectInterval is how long a new machine is not redirected again after a redirect to its
+	// zone. If it reports to a controller of another zone within this time, the controller of its
+	// zone has not claimed it, and the other controller claims it.
 	redirectInterval = 15 * time.Second
 	// maxRedirects bounds the number of machines whose redirects are remembered.
 	maxRedirects = 4096
@@ -122,17 +123,17 @@
 
 // countMachines updates the number of machines of each zone, and returns the number of machines of
 // each shard, by shard id.
-func (a *Agent) countMachines(machines []statekv.KV) (sizes map[string]int) {
-	zones := map[string]int{}
-	sizes = map[string]int{}
+func (a *Agent) countMachines(machines []statekv.KV) (machinesPerShard map[string]int) {
+	zoneSizes := map[string]int{}
+	machinesPerShard = map[string]int{}
 	for _, kv := range machines {
 		if record := shard.ParseMachineRecord(kv); record != nil {
-			zones[record.Zone]++
-			sizes[record.Shard]++
+			zoneSizes[record.Zone]++
+			machinesPerShard[record.Shard]++
 		}
 	}
 	a.mu.Lock()
-	a.zoneSizes = zones
+	a.zoneSizes = zoneSizes
 	a.mu.Unlock()
-	return sizes
+	return machinesPerShard
 }
