--- a/internal/clusteragent/commands.go
+++ b/internal/clusteragent/commands.go
@@ -53,16 +53,16 @@
 // whether more commands are to be sent at once.
 func (a *Agent) sendDueCommands(ctx context.Context, m *ownedMachine) bool {
 	now := time.Now()
-	out, due := a.nextCommands(m, now)
+	batch, due := a.nextCommands(m, now)
 	if !due {
 		return false
 	}
-	if out.timeout > 0 {
+	if batch.timeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, out.timeout)
+		ctx, cancel = context.WithTimeout(ctx, batch.timeout)
 		defer cancel()
 	}
-	state, executed, err := a.workers.Send(ctx, out.address, out.token, out.epoch, out.commands)
+	state, executed, err := a.workers.Send(ctx, batch.address, batch.token, batch.epoch, batch.commands)
 
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -70,57 +70,57 @@
 		return false
 	}
 	if err != nil {
-		a.handleCommandFailure(m, &out, now, err)
+		a.handleCommandFailure(m, &batch, now, err)
 		return false
 	}
-	return a.handleCommandReply(m, &out, state, executed)
+	return a.handleCommandReply(m, &batch, state, executed)
 }
 
 // nextCommands returns the commands that are due, if there are any and sending is allowed at now.
 // They count as sent.
-func (a *Agent) nextCommands(m *ownedMachine, now time.Time) (out commandBatch, due bool) {
+func (a *Agent) nextCommands(m *ownedMachine, now time.Time) (batch commandBatch, due bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !m.Operational() || !a.owns(m) || now.Before(m.retryAt) || !a.withinLeaseGrace(now) {
-		return out, false
+		return batch, false
 	}
 	if !m.CommandDue(now) {
-		return out, false
+		return batch, false
 	}
 	commands := m.DirectCommands(now)
 	if len(commands) == 0 && !m.Ownership.Unfenced() {
-		return out, false
+		return batch, false
 	}
-	out = commandBatch{
+	batch = commandBatch{
 		address: m.Address, token: m.Ownership.Token(), epoch: max(m.Liveness.Epoch(), 1),
 		commands: commands, retryDelay: commandRetryDelay,
 	}
 	if !m.Ownership.Reconciled() {
-		out.timeout, out.retryDelay = unreconciledCommandTimeout, unreconciledRetryDelay
+		batch.timeout, batch.retryDelay = unreconciledCommandTimeout, unreconciledRetryDelay
 	}
 	if m.Liveness.Unresponsive() {
-		out.retryDelay = unresponsiveRetryDelay
+		batch.retryDelay = unresponsiveRetryDelay
 	}
-	return out, true
+	return batch, true
 }
 
 // handleCommandFailure records that a message got no reply. The message may still arrive; raising
 // the token makes it harmless as soon as a heartbeat shows the raised token. The caller must hold
 // a.mu.
-func (a *Agent) handleCommandFailure(m *ownedMachine, out *commandBatch, sent time.Time, err error) {
+func (a *Agent) handleCommandFailure(m *ownedMachine, batch *commandBatch, sent time.Time, err error) {
 	slog.Debug("command outcome unknown", "machine", m.Name, "err", err)
 	lostBefore := m.Liveness.CommandsLost(sent)
-	m.CommandUnanswered(out.token, sent)
+	m.CommandUnanswered(batch.token, sent)
 	if !lostBefore && m.Liveness.CommandsLost(time.Now()) && !m.Liveness.Unresponsive() {
 		slog.Info("machine commands undeliverable", "machine", m.Name, "failed_commands", m.Liveness.Unanswered())
 		a.changes.markChanged(m)
 	}
-	m.retryAt = time.Now().Add(out.retryDelay)
+	m.retryAt = time.Now().Add(batch.retryDelay)
 }
 
 // handleCommandReply applies the machine state in the reply to a message, and reports whether more
 // commands are to be sent at once. The caller must hold a.mu.
-func (a *Agent) handleCommandReply(m *ownedMachine, out *commandBatch, state *worker.Heartbeat, executed bool) bool {
+func (a *Agent) handleCommandReply(m *ownedMachine, batch *commandBatch, state *worker.Heartbeat, executed bool) bool {
 	if state.Machine != m.Name || state.Address != m.Address {
 		a.logMalformed(state, "received as the reply of machine "+m.Name)
 		m.retryAt = time.Now().Add(commandRetryDelay)
@@ -135,12 +135,12 @@
 	}
 	var executedToken uint64
 	if executed {
-		executedToken = out.token
+		executedToken = batch.token
 	}
 	if !a.applyHeartbeat(m, state, time.Now(), executedToken) && executed {
-		m.FenceOvertakenStart(out.token)
+		m.FenceOvertakenStart(batch.token)
 	}
-	if !executed && state.WorkerEpoch == out.epoch {
+	if !executed && state.WorkerEpoch == batch.epoch {
 		m.retryAt = time.Now().Add(commandRetryDelay)
 		return false
 	}
--- a/internal/clusteragent/job_lookup.go
+++ b/internal/clusteragent/job_lookup.go
@@ -102,14 +102,14 @@
 		ids := a.lookups.takePending()
 		a.mu.Unlock()
 		err := a.readRecords(ctx, ids)
-		pause := lookupInterval
+		delay := lookupInterval
 		if err != nil {
 			slog.Debug("job records read failed", "jobs", len(ids), "err", err)
-			pause = lookupRetryInterval
+			delay = lookupRetryInterval
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 		a.mu.Lock()
 		if err != nil {
--- a/internal/clusteragent/preempt.go
+++ b/internal/clusteragent/preempt.go
@@ -196,14 +196,14 @@
 	defer a.mu.Unlock()
 	machines := a.shuffledMachines()
 	target := sampleTarget(&r, len(machines))
-	capacity := newCapacityCount(&r)
+	foundCapacity := newCapacityCount(&r)
 	var found []agentapi.Candidate
 	for _, m := range machines {
-		if len(found) >= target && capacity.sufficient() {
+		if len(found) >= target && foundCapacity.sufficient() {
 			break
 		}
 		if _, cost, ok := a.findVictims(m, &r, now); ok {
-			capacity.add(m.Zone, 1)
+			foundCapacity.add(m.Zone, 1)
 			c := a.candidate(m, 1)
 			c.Score = -cost
 			found = append(found, c)
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -68,10 +68,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	target := sampleTarget(&r, len(a.machines))
-	capacity := newCapacityCount(&r)
+	foundCapacity := newCapacityCount(&r)
 	var found []agentapi.Candidate
 	for _, m := range a.capacity.draw(r.Spec.Need, a.types(), a.owns) {
-		if len(found) >= target && capacity.sufficient() {
+		if len(found) >= target && foundCapacity.sufficient() {
 			break
 		}
 		reply.Drawn++
@@ -83,14 +83,14 @@
 			reply.Crowded = true
 			continue
 		}
-		capacity.add(m.Zone, n)
+		foundCapacity.add(m.Zone, n)
 		c := a.candidate(m, n)
 		c.Image = m.ImageState(r.Spec.Image)
 		c.Score = reservedBonus(m.Machine, &r, now) + score(types, m.Machine, &r.Spec, free, c.Image)
 		found = append(found, c)
 	}
 	reply.Exhausted = len(found) < target
-	if reply.Exhausted && !capacity.sufficient() {
+	if reply.Exhausted && !foundCapacity.sufficient() {
 		a.recordWaitingClass(&r, now)
 	}
 	reply.Candidates = bestCandidates(found, &r)
@@ -146,10 +146,10 @@
 	slices.SortFunc(found, func(a, b agentapi.Candidate) int {
 		return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Machine, b.Machine))
 	})
-	capacity := newCapacityCount(r)
+	selectedCapacity := newCapacityCount(r)
 	sparesByZone := map[string]int{}
 	return slices.DeleteFunc(found, func(c agentapi.Candidate) bool {
-		if capacity.add(c.Zone, c.Fits) < r.Tasks {
+		if selectedCapacity.add(c.Zone, c.Fits) < r.Tasks {
 			return false
 		}
 		sparesByZone[c.Zone]++
--- a/internal/clusteragent/shards.go
+++ b/internal/clusteragent/shards.go
@@ -95,11 +95,11 @@
 	}
 	plan := planTakeover(&view, a.session.Successors(a.settings.Hosts()), wanted)
 	a.acquireShards(ctx, &plan, wanted)
-	intake, latest := a.chooseIntakeShards(ctx, plan.held)
+	intake, latestRev := a.chooseIntakeShards(ctx, plan.held)
 	// Once the mirror has reached this revision, it shows the last claims of the former owners.
 	waitCtx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
-	if a.mirror.Wait(waitCtx, latest) != nil {
+	if a.mirror.Wait(waitCtx, latestRev) != nil {
 		return
 	}
 	a.mu.Lock()
@@ -276,9 +276,9 @@
 	}
 	name := machineName(kv)
 	a.mu.Lock()
-	released := a.shards.releasedMachines[name]
+	releasedRev := a.shards.releasedMachines[name]
 	a.mu.Unlock()
-	if released >= rev {
+	if releasedRev >= rev {
 		return false
 	}
 	a.beginOwnership(name, record, kv.Rev, rev, takenOver)
--- a/internal/clusteragent/strays.go
+++ b/internal/clusteragent/strays.go
@@ -111,19 +111,19 @@
 			continue
 		}
 		kv, _ := mirror.Get(statekv.MachinePrefix + name)
-		record := shard.ParseMachineRecord(kv)
-		if record == nil {
+		machineRecord := shard.ParseMachineRecord(kv)
+		if machineRecord == nil {
 			continue
 		}
 		if _, rev := shard.OwnerOf(mirror, kv); c.ownershipRev != rev {
 			continue
 		}
-		evidence := shards[record.Shard]
+		evidence := shards[machineRecord.Shard]
 		if evidence.workers == 0 || c.first.Before(evidence.firstHeartbeat) {
 			evidence.firstHeartbeat = c.first
 		}
 		evidence.workers++
-		shards[record.Shard] = evidence
+		shards[machineRecord.Shard] = evidence
 	}
 	return shards
 }
@@ -167,7 +167,7 @@
 		if wanted == nil {
 			wanted = map[string]string{}
 		}
-		wanted[kv.Key] = "workers cannot reach the owner"
+		wanted[kv.Key] = "its workers cannot reach the owner"
 	}
 	return wanted
 }
