--- a/internal/clusteragent/change_log_test.go
+++ b/internal/clusteragent/change_log_test.go
@@ -11,9 +11,9 @@
 	"robinstack/internal/machine"
 )
 
-// What a watcher gets goes by the machines that changed and not by those there are;
-// it must still get each that changed, in the order of the changes, and none that was
-// given up: one left out would be counted on for ever.
+// A watch is answered from the change log instead of from all machines. It must still return each
+// changed machine, in the order of the changes, and no machine that is no longer owned: watchers
+// would rely on the outdated entry of an omitted machine for ever.
 func TestChangeLogReturnsChangedMachinesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := &Agent{machines: map[string]*ownedMachine{}, changes: newChangeLog(), capacity: newCapacityIndex()}
@@ -23,11 +23,11 @@
 			case m == nil:
 				id := machine.Identity{Name: name}
 				a.machines[name] = newOwnedMachine(machine.New(id, 0, 0, time.Time{}), a.capacity)
-				a.changes.mark(a.machines[name])
+				a.changes.markChanged(a.machines[name])
 			case rapid.IntRange(0, 3).Draw(t, "step") == 0:
 				delete(a.machines, name)
 			default:
-				a.changes.mark(m)
+				a.changes.markChanged(m)
 			}
 			since := rapid.Uint64Range(0, a.changes.version).Draw(t, "since")
 			var want []string
@@ -43,7 +43,7 @@
 				got = append(got, m.Name)
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("changed since %d of %d: %v, got %v", since, a.changes.version, want, got)
+				t.Fatalf("changes since version %d of %d: want %v, got %v", since, a.changes.version, want, got)
 			}
 		}
 	})
--- a/internal/clusteragent/commands.go
+++ b/internal/clusteragent/commands.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// unreconciledTimeout is how long a command to a machine that is not reconciled waits
-	// for its answer, and unreconciledPause the time until the next: with the client's own
-	// 2 s and a pause of a second none would be sent again before the machine counts as
-	// unresponsive, and the loss of one message would cost all that runs there.
-	unreconciledTimeout = 700 * time.Millisecond
-	unreconciledPause   = 150 * time.Millisecond
-	// unresponsivePause is that once it counts as unresponsive. Of a zone that is cut off,
-	// four machines in five would be in a try at any moment, with a connection each.
-	unresponsivePause = 2 * time.Second
-	// retryPause is the time until the next command after one that failed.
-	retryPause = time.Second
+	// unreconciledCommandTimeout bounds the wait for the reply to a command to a machine that is
+	// not reconciled, and unreconciledRetryDelay is the delay before the next command. With the
+	// client's own timeout of 2 s and a delay of a second, no command would be repeated before the
+	// machine counts as unresponsive, so the loss of one message would cost all tasks on it.
+	unreconciledCommandTimeout = 700 * time.Millisecond
+	unreconciledRetryDelay     = 150 * time.Millisecond
+	// unresponsiveRetryDelay is the delay for unresponsive machines. With unreconciledRetryDelay,
+	// four in five machines of a zone that is cut off would have a command in flight, and so a
+	// connection open, at any time.
+	unresponsiveRetryDelay = 2 * time.Second
+	// commandRetryDelay is the delay before the next command after one that failed.
+	commandRetryDelay = time.Second
 )
 
-// sendCommands sends the commands of one machine, one at a time.
+// sendCommands sends commands to the worker of one machine, one at a time, until ctx ends or the
+// machine is released or deregistered.
 func (a *Agent) sendCommands(ctx context.Context, m *ownedMachine) {
 	for {
 		select {
@@ -37,30 +39,30 @@
 	}
 }
 
-// outgoing is a command that is about to be sent.
-type outgoing struct {
-	address  string
-	token    uint64
-	epoch    uint64
-	commands []worker.Command
-	timeout  time.Duration // 0: the client's own
-	pause    time.Duration // until the next try if it has no answer
+// commandBatch is a message with commands that is about to be sent to a worker.
+type commandBatch struct {
+	address    string
+	token      uint64
+	epoch      uint64
+	commands   []worker.Command
+	timeout    time.Duration // 0: the client's own timeout
+	retryDelay time.Duration // delay before the next message if this one gets no reply
 }
 
-// sendDueCommands sends the commands that are due and takes the state that answers
-// them. It returns whether there is more to send at once.
+// sendDueCommands sends the due commands and applies the machine state in the reply. It reports
+// whether more commands are to be sent at once.
 func (a *Agent) sendDueCommands(ctx context.Context, m *ownedMachine) bool {
 	now := time.Now()
-	out, due := a.nextCommand(m, now)
+	batch, due := a.nextCommands(m, now)
 	if !due {
 		return false
 	}
-	if out.timeout > 0 {
+	if batch.timeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, out.timeout)
+		ctx, cancel = context.WithTimeout(ctx, batch.timeout)
 		defer cancel()
 	}
-	state, executed, err := a.workers.Send(ctx, out.address, out.token, out.epoch, out.commands)
+	state, executed, err := a.workers.Send(ctx, batch.address, batch.token, batch.epoch, batch.commands)
 
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,77 +70,78 @@
 		return false
 	}
 	if err != nil {
-		a.commandUnanswered(m, &out, now, err)
+		a.handleCommandFailure(m, &batch, now, err)
 		return false
 	}
-	return a.commandAnswered(m, &out, state, executed)
+	return a.handleCommandReply(m, &batch, state, executed)
 }
 
-// nextCommand returns the command that is due, if one is and may be sent. What it holds counts
-// as sent.
-func (a *Agent) nextCommand(m *ownedMachine, now time.Time) (out outgoing, due bool) {
+// nextCommands returns the commands that are due, if there are any and sending is allowed at now.
+// They count as sent.
+func (a *Agent) nextCommands(m *ownedMachine, now time.Time) (batch commandBatch, due bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !m.Operational() || !a.owns(m) || now.Before(m.retryAt) || !a.mayAnswer(now) {
-		return out, false
+	if !m.Operational() || !a.owns(m) || now.Before(m.retryAt) || !a.withinLeaseGrace(now) {
+		return batch, false
 	}
 	if !m.CommandDue(now) {
-		return out, false
+		return batch, false
 	}
 	commands := m.DirectCommands(now)
 	if len(commands) == 0 && !m.Ownership.Unfenced() {
-		return out, false
+		return batch, false
 	}
-	out = outgoing{
+	batch = commandBatch{
 		address: m.Address, token: m.Ownership.Token(), epoch: max(m.Liveness.Epoch(), 1),
-		commands: commands, pause: retryPause,
+		commands: commands, retryDelay: commandRetryDelay,
 	}
 	if !m.Ownership.Reconciled() {
-		out.timeout, out.pause = unreconciledTimeout, unreconciledPause
+		batch.timeout, batch.retryDelay = unreconciledCommandTimeout, unreconciledRetryDelay
 	}
 	if m.Liveness.Unresponsive() {
-		out.pause = unresponsivePause
+		batch.retryDelay = unresponsiveRetryDelay
 	}
-	return out, true
+	return batch, true
 }
 
-// commandUnanswered takes in that a command had no answer: it may still arrive. A raised token
-// makes it harmless as soon as a heartbeat shows it. The mutex is held.
-func (a *Agent) commandUnanswered(m *ownedMachine, out *outgoing, sent time.Time, err error) {
+// handleCommandFailure records that a message got no reply. The message may still arrive; raising
+// the token makes it harmless as soon as a heartbeat shows the raised token. The caller must hold
+// a.mu.
+func (a *Agent) handleCommandFailure(m *ownedMachine, batch *commandBatch, sent time.Time, err error) {
 	slog.Debug("command outcome unknown", "machine", m.Name, "err", err)
 	lostBefore := m.Liveness.CommandsLost(sent)
-	m.CommandUnanswered(out.token, sent)
+	m.CommandUnanswered(batch.token, sent)
 	if !lostBefore && m.Liveness.CommandsLost(time.Now()) && !m.Liveness.Unresponsive() {
 		slog.Info("machine commands undeliverable", "machine", m.Name, "failed_commands", m.Liveness.Unanswered())
-		a.changes.mark(m)
+		a.changes.markChanged(m)
 	}
-	m.retryAt = time.Now().Add(out.pause)
+	m.retryAt = time.Now().Add(batch.retryDelay)
 }
 
-// commandAnswered takes in the state that answers a command, and returns whether there is more
-// to send at once. The mutex is held.
-func (a *Agent) commandAnswered(m *ownedMachine, out *outgoing, state *worker.Heartbeat, executed bool) bool {
+// handleCommandReply applies the machine state in the reply to a message, and reports whether more
+// commands are to be sent at once. The caller must hold a.mu.
+func (a *Agent) handleCommandReply(m *ownedMachine, batch *commandBatch, state *worker.Heartbeat, executed bool) bool {
 	if state.Machine != m.Name || state.Address != m.Address {
-		a.logMalformed(state, "it answers for machine "+m.Name)
-		m.retryAt = time.Now().Add(retryPause)
+		a.logMalformed(state, "received as the reply of machine "+m.Name)
+		m.retryAt = time.Now().Add(commandRetryDelay)
 		return false
 	}
 	if m.Liveness.NoteCommandAnswered() {
-		a.changes.mark(m)
+		a.changes.markChanged(m)
 	}
 	if state.FencingToken > m.Ownership.Token() {
 		a.release(m)
 		return false
 	}
-	var proof uint64
+	var executedToken uint64
 	if executed {
-		proof = out.token
+		executedToken = batch.token
 	}
-	if !a.applyHeartbeat(m, state, time.Now(), proof) && executed {
-		m.FenceOvertakenStart(out.token)
+	if !a.applyHeartbeat(m, state, time.Now(), executedToken) && executed {
+		m.FenceOvertakenStart(batch.token)
 	}
-	if !executed && state.WorkerEpoch == out.epoch {
-		m.retryAt = time.Now().Add(retryPause)
+	if !executed && state.WorkerEpoch == batch.epoch {
+		m.retryAt = time.Now().Add(commandRetryDelay)
 		return false
 	}
 	return true
--- a/internal/clusteragent/removal.go
+++ b/internal/clusteragent/removal.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// keyRemovalEvery is how often the keys of deleted machines are looked for.
-	keyRemovalEvery = 500 * time.Millisecond
-	// keyRemovalTimeout is how long their removal may take.
+	// keyRemovalInterval is the interval between two passes that remove the keys of deleted
+	// machines.
+	keyRemovalInterval = 500 * time.Millisecond
+	// keyRemovalTimeout bounds one transaction that removes keys.
 	keyRemovalTimeout = 3 * time.Second
-	// maxKeysRemoved bounds the keys that are removed with one transaction.
-	maxKeysRemoved = 8
+	// maxKeysRemovedPerTxn bounds the number of keys that one transaction removes.
+	maxKeysRemovedPerTxn = 8
 )
 
-// Drain closes machines without tasks to new ones, or opens them again.
+// Drain closes machines to new tasks or, if r.On is false, opens them again. It does not close a
+// machine that has tasks, unless the machine is unresponsive or quarantined.
 func (s *Service) Drain(r agentapi.MachinesRequest, reply *agentapi.MachinesReply) error {
 	a := s.agent
 	a.mu.Lock()
@@ -36,14 +38,14 @@
 		} else {
 			m.EndDrain()
 		}
-		a.changes.mark(m)
+		a.changes.markChanged(m)
 		reply.Names = append(reply.Names, name)
 	}
 	return nil
 }
 
-// Removed tells the agent that the cloud has deleted machines: their tasks are
-// gone. Their keys follow when the state service's budget allows it.
+// Removed records that the cloud has deleted machines, so that their tasks have ended. The keys of
+// the machines are removed later, within the write budget of the state service.
 func (s *Service) Removed(r agentapi.MachinesRequest, reply *agentapi.MachinesReply) error {
 	a := s.agent
 	a.mu.Lock()
@@ -54,15 +56,15 @@
 			continue
 		}
 		m.Delete(time.Now())
-		a.changes.mark(m)
+		a.changes.markChanged(m)
 		reply.Names = append(reply.Names, name)
 	}
 	return nil
 }
 
-// runKeyRemoval removes the keys of deleted machines, many at a time.
+// runKeyRemoval removes the keys of deleted machines in batches.
 func (a *Agent) runKeyRemoval(ctx context.Context) {
-	tick := time.NewTicker(keyRemovalEvery)
+	tick := time.NewTicker(keyRemovalInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -84,22 +86,22 @@
 	}
 }
 
-// deletedMachines lists machines whose keys are to be removed, as many as one transaction
-// takes.
+// deletedMachines returns deleted machines whose keys are still to be removed, at most as many as
+// one transaction may remove.
 func (a *Agent) deletedMachines() []*ownedMachine {
 	var batch []*ownedMachine
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.machines {
-		if m.KeyLeft() && len(batch) < a.store.MaxTxnOps(min(maxKeysRemoved, a.settings.StateLimits.MaxTxnOps)) {
+		if m.KeyLeft() && len(batch) < a.store.MaxTxnOps(min(maxKeysRemovedPerTxn, a.settings.StateLimits.MaxTxnOps)) {
 			batch = append(batch, m)
 		}
 	}
 	return batch
 }
 
-// removeEachKey removes the keys each for itself: one of the machines has another owner by
-// now. It returns the last error.
+// removeEachKey removes the keys one by one, after a batch failed because one of the machines has
+// another owner by now. It returns the error of the last removal.
 func (a *Agent) removeEachKey(ctx context.Context, batch []*ownedMachine) (err error) {
 	for _, m := range batch {
 		if err = a.removeMachineKeys(ctx, []*ownedMachine{m}); statekv.IsConflict(err) {
@@ -110,23 +112,24 @@
 }
 
 func (a *Agent) removeMachineKeys(ctx context.Context, batch []*ownedMachine) error {
-	var when []statekv.Compare
-	var then []statekv.Op
+	var compares []statekv.Compare
+	var ops []statekv.Op
 	for _, m := range batch {
 		key := statekv.MachinePrefix + m.Name
-		when = append(when, statekv.Compare{Key: key, Rev: m.Ownership.KeyRev})
-		then = append(then, statekv.Op{Delete: key})
+		compares = append(compares, statekv.Compare{Key: key, Rev: m.Ownership.KeyRev})
+		ops = append(ops, statekv.Op{Delete: key})
 	}
-	tctx, cancel := context.WithTimeout(ctx, keyRemovalTimeout)
+	txnCtx, cancel := context.WithTimeout(ctx, keyRemovalTimeout)
 	defer cancel()
-	_, err := a.session.Write(tctx, when, then)
+	_, err := a.session.Write(txnCtx, compares, ops)
 	if err == nil {
 		a.markDeregistered(batch)
 	}
 	return err
 }
 
-// markDeregistered takes note that the keys of machines are gone.
+// markDeregistered records that the keys of the machines have been removed, or belong to another
+// owner.
 func (a *Agent) markDeregistered(batch []*ownedMachine) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -134,7 +137,7 @@
 		if a.owns(m) && !m.Deregistered() {
 			m.Deregister(time.Now())
 			close(m.stopped)
-			a.changes.mark(m)
+			a.changes.markChanged(m)
 		}
 	}
 	slog.Info("machines deregistered", "machines", len(batch), "first", batch[0].Name)
--- a/internal/clusteragent/strays.go
+++ b/internal/clusteragent/strays.go
@@ -10,147 +10,158 @@
 	"robinstack/internal/worker"
 )
 
-// Machines change hands also while their owner lives: when their workers
-// plainly cannot reach it, so that they do not die of an owner that has lost
-// only them, and (balance.go) when another controller has come back with nothing to own, so
-// that the next failure of one controller is not one of the whole fleet.
+// A machine shard can also be taken from a live owner, for one of two reasons. Either its workers
+// cannot reach the owner: their leases would expire although only the connection to that one
+// controller is lost. Or (balance.go) a restarted controller owns no machines: the others then own
+// so many that the next failure of one controller could affect the whole cluster.
 
 const (
-	// visitWindow is the time after which a further visit is not counted with
-	// the earlier ones: with five controllers that answer or hang, a worker
-	// takes that long to try all of them.
-	visitWindow = 30 * time.Second
-	// maxStrayWorkers bounds the workers whose visits are counted.
-	maxStrayWorkers = 4096
-	// minOwnershipAge is how long a shard must have had its owner before it is taken from it.
+	// misdirectedWindow is the longest time between two misdirected heartbeats of a worker that are
+	// counted together. With five controllers that answer or time out, a worker needs that long to
+	// try all of them.
+	misdirectedWindow = 30 * time.Second
+	// maxMisdirectedWorkers bounds the number of workers whose misdirected heartbeats are counted.
+	maxMisdirectedWorkers = 4096
+	// minOwnershipAge is how long a shard must have had its owner before it is taken from that
+	// owner.
 	minOwnershipAge = 10 * time.Second
-	// minStrayWorkers is how many workers of a shard must have come, at least.
-	minStrayWorkers = 3
-	// strayShardPart is the part of a shard's workers that must have come: one in so many.
-	strayShardPart = 4
-	// nonSuccessorDelay is how long workers must have come here before their shard is
-	// taken by a controller that is not next in line for it.
+	// minUnreachableWorkers is the minimum number of workers of a shard that must have sent
+	// repeated misdirected heartbeats before the shard is taken from its owner.
+	minUnreachableWorkers = 3
+	// unreachableShardDivisor sets the fraction of the workers of a shard that must have sent
+	// repeated misdirected heartbeats: one in unreachableShardDivisor.
+	unreachableShardDivisor = 4
+	// nonSuccessorDelay is how long a controller that is not the successor for a shard must have
+	// received heartbeats of the shard's workers before it takes the shard.
 	nonSuccessorDelay = 4 * time.Second
-	// A worker has come again from repeatedVisits on. It cannot reach its owner after
-	// strayVisitsAtOnce, or after strayVisitsOverTime within more than minOwnershipAge.
-	repeatedVisits      = 2
-	strayVisitsOverTime = 3
-	strayVisitsAtOnce   = 4
+	// Limits on the number of misdirected heartbeats of one worker. From misdirectedRepeated on,
+	// the worker counts towards the takeover of its shard. It is considered unable to reach its
+	// owner after unreachableAfterBurst of them, or after unreachableAfterSustained of them if the
+	// first was received more than minOwnershipAge ago.
+	misdirectedRepeated       = 2
+	unreachableAfterSustained = 3
+	unreachableAfterBurst     = 4
 )
 
-// strayVisits counts, by machine, how often a worker came here although its owner lives. A
-// worker that comes once may not have known its owner; it is sent there, and comes again only
-// if it got no answer. The agent's mutex guards it.
-type strayVisits map[string]strayVisit
-
-// strayVisit is how often one worker came, under one ownership.
-type strayVisit struct {
-	rev         uint64
-	count       int
-	first, last time.Time
-	latest      machine.Serial // the latest that was counted: copies of it are no visits
+// misdirectedHeartbeats counts, by machine, the heartbeats that a worker sends to this controller
+// although another, live controller owns its machine. A single one may only mean that the worker
+// did not know its owner. The worker is redirected to the owner, and sends further heartbeats here
+// only if the owner does not answer. Agent.mu guards it.
+type misdirectedHeartbeats map[string]misdirectedCount
+
+// misdirectedCount counts the misdirected heartbeats of one worker under one ownership.
+type misdirectedCount struct {
+	ownershipRev uint64
+	count        int
+	first, last  time.Time
+	latestSerial machine.Serial // the last heartbeat counted; duplicates of it are ignored
 }
 
-// count notes that a worker came although its owner, of revision rev, is alive, and reports
-// whether it has come so often that it plainly cannot reach that owner.
-func (s strayVisits) count(r *worker.Heartbeat, rev uint64, now time.Time) bool {
-	v := s[r.Machine]
-	if v.rev != rev || now.Sub(v.last) > visitWindow {
-		v = strayVisit{rev: rev, first: now, latest: v.latest}
+// record counts a misdirected heartbeat of a machine whose ownership has revision ownershipRev, and
+// reports whether the worker is considered unable to reach its owner.
+func (s misdirectedHeartbeats) record(heartbeat *worker.Heartbeat, ownershipRev uint64, now time.Time) bool {
+	c := s[heartbeat.Machine]
+	if c.ownershipRev != ownershipRev || now.Sub(c.last) > misdirectedWindow {
+		c = misdirectedCount{ownershipRev: ownershipRev, first: now, latestSerial: c.latestSerial}
 	}
-	if !v.latest.Before(machine.SerialOf(r)) {
-		return false // a copy that came late: its worker is elsewhere by now
+	if !c.latestSerial.Before(machine.SerialOf(heartbeat)) {
+		return false // a delayed duplicate: the worker now reports to another controller
 	}
-	v.latest = machine.SerialOf(r)
-	v.count++
-	v.last = now
-	if len(s) > maxStrayWorkers {
+	c.latestSerial = machine.SerialOf(heartbeat)
+	c.count++
+	c.last = now
+	if len(s) > maxMisdirectedWorkers {
 		clear(s)
 	}
-	s[r.Machine] = v
-	return v.count >= strayVisitsAtOnce || v.count >= strayVisitsOverTime && now.Sub(v.first) > minOwnershipAge
+	s[heartbeat.Machine] = c
+	return c.count >= unreachableAfterBurst ||
+		c.count >= unreachableAfterSustained && now.Sub(c.first) > minOwnershipAge
 }
 
-// countStrayVisit notes that a worker came although its owner is alive, and says
-// whether it has come so often that it plainly cannot reach that owner.
-func (a *Agent) countStrayVisit(r *worker.Heartbeat, rev uint64, now time.Time) bool {
+// recordMisdirectedHeartbeat is like misdirectedHeartbeats.record, but counts nothing while this
+// controller may have lost its session.
+func (a *Agent) recordMisdirectedHeartbeat(heartbeat *worker.Heartbeat, ownershipRev uint64, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.session.HoldsLease() {
-		// In an outage owners stop when their lease grace period is over, and their
-		// workers go from one controller to the next.
+		// In an outage of the state service, owners stop answering at the end of their lease grace
+		// period, and their workers try one controller after the other.
 		return false
 	}
-	return a.strays.count(r, rev, now)
+	return a.misdirected.record(heartbeat, ownershipRev, now)
 }
 
-// strayShard is how many workers of a shard came again, and since when.
-type strayShard struct {
-	workers int
-	first   time.Time
+// misdirectedShard is the number of workers of a shard with repeated misdirected heartbeats, and
+// the time of the first of these heartbeats.
+type misdirectedShard struct {
+	workers        int
+	firstHeartbeat time.Time
 }
 
-// byShard counts the workers that came again, by their shards, and drops visits that are old.
-func (s strayVisits) byShard(mirror *statekv.Mirror, now time.Time) map[string]strayShard {
-	shards := map[string]strayShard{}
-	for name, v := range s {
-		if now.Sub(v.last) > visitWindow {
+// byShard counts the workers with repeated misdirected heartbeats by shard, and drops expired
+// counts.
+func (s misdirectedHeartbeats) byShard(mirror *statekv.Mirror, now time.Time) map[string]misdirectedShard {
+	shards := map[string]misdirectedShard{}
+	for name, c := range s {
+		if now.Sub(c.last) > misdirectedWindow {
 			delete(s, name)
 			continue
 		}
-		if v.count < repeatedVisits {
+		if c.count < misdirectedRepeated {
 			continue
 		}
 		kv, _ := mirror.Get(statekv.MachinePrefix + name)
-		key := shard.ParseMachineRecord(kv)
-		if key == nil {
+		machineRecord := shard.ParseMachineRecord(kv)
+		if machineRecord == nil {
 			continue
 		}
-		if _, rev := shard.OwnerOf(mirror, kv); v.rev != rev {
+		if _, rev := shard.OwnerOf(mirror, kv); c.ownershipRev != rev {
 			continue
 		}
-		stray := shards[key.Shard]
-		if stray.workers == 0 || v.first.Before(stray.first) {
-			stray.first = v.first
+		evidence := shards[machineRecord.Shard]
+		if evidence.workers == 0 || c.first.Before(evidence.firstHeartbeat) {
+			evidence.firstHeartbeat = c.first
 		}
-		stray.workers++
-		shards[key.Shard] = stray
+		evidence.workers++
+		shards[machineRecord.Shard] = evidence
 	}
 	return shards
 }
 
-// unreachableShards lists the shards of living owners of which so many workers came
-// here again that their owner has plainly lost them, with the reason.
-func (a *Agent) unreachableShards(view *fleetView) map[string]string {
+// unreachableShards lists, with the reason, the shards of live owners whose workers cannot reach
+// their owner, according to the misdirected heartbeats received here.
+func (a *Agent) unreachableShards(view *ownershipView) map[string]string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.sightings.note(view.shards, view.now)
-	strays := a.strays.byShard(a.mirror, view.now)
-	return planStrayTakeover(view, strays, a.sightings)
+	a.ownershipTimes.update(view.shards, view.now)
+	misdirectedByShard := a.misdirected.byShard(a.mirror, view.now)
+	return planUnreachableTakeover(view, misdirectedByShard, a.ownershipTimes)
 }
 
-// planStrayTakeover picks the shards to take from living owners that have lost their workers.
-func planStrayTakeover(
-	view *fleetView, strays map[string]strayShard, sightings shardSightings,
+// planUnreachableTakeover selects the shards to take from live owners that the workers cannot
+// reach.
+func planUnreachableTakeover(
+	view *ownershipView, misdirectedByShard map[string]misdirectedShard, ownershipTimes shardOwnershipTimes,
 ) (wanted map[string]string) {
 	for _, kv := range view.shards {
-		key, id := shard.ParseRecord(kv), shardID(kv)
-		stray := strays[id]
-		if stray.workers < max(minStrayWorkers, (view.sizes[id]+strayShardPart-1)/strayShardPart) {
+		record, id := shard.ParseRecord(kv), shardID(kv)
+		evidence := misdirectedByShard[id]
+		if evidence.workers < max(minUnreachableWorkers,
+			(view.machinesPerShard[id]+unreachableShardDivisor-1)/unreachableShardDivisor) {
 			continue
 		}
-		if key == nil || key.Holder == view.self || !view.alive(key.Holder) {
+		if record == nil || record.Holder == view.self || !view.alive(record.Holder) {
 			continue
 		}
-		if view.now.Sub(sightings[kv.Key].since) < minOwnershipAge {
+		if view.now.Sub(ownershipTimes[kv.Key].since) < minOwnershipAge {
 			continue
 		}
 		delay := nonSuccessorDelay
-		others := slices.DeleteFunc(slices.Clone(view.hosts), func(h string) bool { return h == key.Host })
-		if view.zones.successor(key, others) == view.self.Host {
+		otherHosts := slices.DeleteFunc(slices.Clone(view.hosts), func(h string) bool { return h == record.Host })
+		if view.zones.successor(record, otherHosts) == view.self.Host {
 			delay = 0
 		}
-		if view.now.Sub(stray.first) < delay {
+		if view.now.Sub(evidence.firstHeartbeat) < delay {
 			continue
 		}
 		if wanted == nil {
@@ -161,33 +172,34 @@
 	return wanted
 }
 
-// shardSightings is under which revision each shard was seen last, and since when. The agent's
-// mutex guards it.
-type shardSightings map[string]shardSighting
+// shardOwnershipTimes holds, by shard key, the last revision seen of the key and when that revision
+// was first seen. Agent.mu guards it.
+type shardOwnershipTimes map[string]shardOwnershipTime
 
-type shardSighting struct {
+type shardOwnershipTime struct {
 	rev   uint64
 	since time.Time
 }
 
-// sightingsSlack is how many shards that are no more may be remembered beside those there are.
-const sightingsSlack = 100
+// ownershipTimesSlack is how many entries shardOwnershipTimes may have beyond twice the number of
+// existing shards. Above that, all entries are dropped.
+const ownershipTimesSlack = 100
 
-// note keeps for how long each shard has had its owner, and returns since when
-// none has changed.
-func (s shardSightings) note(shards []statekv.KV, now time.Time) time.Time {
+// update records since when each shard has had its present owner, and returns the time of the
+// latest change among all shards.
+func (s shardOwnershipTimes) update(shards []statekv.KV, now time.Time) time.Time {
 	latest := time.Time{}
 	for _, kv := range shards {
-		seen := s[kv.Key]
-		if seen.rev != kv.Rev {
-			seen = shardSighting{kv.Rev, now}
-			s[kv.Key] = seen
+		ownershipTime := s[kv.Key]
+		if ownershipTime.rev != kv.Rev {
+			ownershipTime = shardOwnershipTime{kv.Rev, now}
+			s[kv.Key] = ownershipTime
 		}
-		if seen.since.After(latest) {
-			latest = seen.since
+		if ownershipTime.since.After(latest) {
+			latest = ownershipTime.since
 		}
 	}
-	if len(s) > 2*len(shards)+sightingsSlack {
+	if len(s) > 2*len(shards)+ownershipTimesSlack {
 		clear(s)
 	}
 	return latest
