--- a/internal/scheduler/candidate/candidate.go
+++ b/internal/scheduler/candidate/candidate.go
@@ -1,6 +1,7 @@
-// Package candidate decides over sampled candidates: which machines the tasks of a job are
-// tried on, and on which capacity is made for them. All its functions are pure. It owns no
-// state, and imports the messages of the samples and the jobs alone.
+// Package candidate makes the placement decisions that need only the sampled candidates: the
+// machines on which the tasks of a job are tried, and the machines that are freed for them. Its
+// functions are pure, except that Rank sorts in place and PickHosts calls the given Shuffle. The
+// package owns no state and imports only the messages of the samples and the job descriptions.
 package candidate
 
 import (
@@ -11,11 +12,11 @@
 	"robinstack/internal/job"
 )
 
-// Shuffle permutes n elements by swapping them, as math/rand/v2 does.
+// Shuffle permutes n elements by calls of swap, as rand.Shuffle of math/rand/v2 does.
 type Shuffle func(n int, swap func(i, j int))
 
-// PickHosts draws the random share of the controllers to ask (the paper's C_p), one at
-// least.
+// PickHosts draws a random share of the controllers, rounded up, and at least one (C_p in the Vela
+// paper).
 func PickHosts(hosts []string, share float64, shuffle Shuffle) []string {
 	picked := slices.Clone(hosts)
 	shuffle(len(picked), func(i, j int) { picked[i], picked[j] = picked[j], picked[i] })
@@ -27,80 +28,79 @@
 	return picked[:min(len(picked), max(1, count))]
 }
 
-// Rank orders candidates by summed score, best first.
+// Rank sorts candidates by score, highest first.
 func Rank(candidates []agentapi.Candidate) {
 	slices.SortStableFunc(candidates, func(a, b agentapi.Candidate) int {
 		return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Machine, b.Machine))
 	})
 }
 
-// Assign gives each of so many tasks its own list of at most listLength candidates, best
-// first. The first of each list is chosen so that all tasks fit together, as far as the
-// samples go; the others are what MultiBind falls back to. Where not all tasks fit, there
-// are fewer lists.
+// Assign gives each task its own list of at most listLength candidates, best first. The first
+// candidates of all lists together have capacity for all tasks, according to the samples; the
+// others are fallbacks for MultiBind. If not all tasks fit, there are fewer lists than tasks.
 func Assign(candidates []agentapi.Candidate, tasks, listLength int) [][]agentapi.Candidate {
-	left := make([]int, len(candidates))
+	remaining := make([]int, len(candidates))
 	for i, c := range candidates {
-		left[i] = c.Fits
+		remaining[i] = c.Fits
 	}
 	var lists [][]agentapi.Candidate
 	first := 0
 	for len(lists) < tasks {
-		for first < len(candidates) && left[first] == 0 {
+		for first < len(candidates) && remaining[first] == 0 {
 			first++
 		}
 		if first == len(candidates) {
 			break
 		}
-		left[first]--
-		lists = append(lists, listFrom(candidates, first, listLength))
+		remaining[first]--
+		lists = append(lists, rotatedList(candidates, first, listLength))
 	}
 	return lists
 }
 
-// listFrom lists candidates from the first on, and then those before it.
-func listFrom(candidates []agentapi.Candidate, first, length int) []agentapi.Candidate {
+// rotatedList lists at most length candidates in rotation, beginning with index first.
+func rotatedList(candidates []agentapi.Candidate, first, length int) []agentapi.Candidate {
 	list := []agentapi.Candidate{candidates[first]}
-	for k := 1; k < len(candidates) && len(list) < length; k++ {
-		list = append(list, candidates[(first+k)%len(candidates)])
+	for offset := 1; offset < len(candidates) && len(list) < length; offset++ {
+		list = append(list, candidates[(first+offset)%len(candidates)])
 	}
 	return list
 }
 
-// WithImage keeps the candidates that have the image; for tasks of other shapes than gangs
-// also those on which another task fetches it.
+// WithImage keeps the candidates that have the image. For shapes other than gangs it also keeps
+// those on which another task is fetching the image.
 func WithImage(candidates []agentapi.Candidate, shape string) []agentapi.Candidate {
 	return slices.DeleteFunc(slices.Clone(candidates), func(c agentapi.Candidate) bool {
 		return c.Image == 0 || c.Image < 1 && shape == job.Gang
 	})
 }
 
-// AddFound adds to the machines that are chosen to be freed for a job of so many tasks
-// those of the found ones that have capacity for the rest; for a job of one zone those in
-// the zone of the first.
-func AddFound(oneZone bool, chosen, found []agentapi.Candidate, tasks int) []agentapi.Candidate {
-	all := slices.Clone(chosen)
+// AddFound adds to the machines chosen to be freed those machines of withCapacity that are needed
+// for the remaining tasks. If oneZone is set, it adds only machines in the zone of the first
+// machine.
+func AddFound(oneZone bool, chosen, withCapacity []agentapi.Candidate, tasks int) []agentapi.Candidate {
+	machines := slices.Clone(chosen)
 	zone := ""
 	if oneZone {
-		zone = firstZone(chosen, found)
+		zone = firstZone(chosen, withCapacity)
 	}
-	left := tasks - len(chosen)
-	for _, c := range found {
-		if left <= 0 {
+	remaining := tasks - len(chosen)
+	for _, c := range withCapacity {
+		if remaining <= 0 {
 			break
 		}
 		if inZone(c, zone) {
-			all = append(all, c)
-			left -= c.Fits
+			machines = append(machines, c)
+			remaining -= c.Fits
 		}
 	}
-	return all
+	return machines
 }
 
-// ChooseFreed picks the machines to free so that, with the capacity found already, so many
-// tasks fit: of a job of one zone in the zone where that loses least. It returns nil where
-// they would not fit.
-func ChooseFreed(oneZone bool, found, options []agentapi.Candidate, tasks int) []agentapi.Candidate {
+// ChooseFreed chooses the machines to free so that the given number of tasks fits, together with
+// the free capacity of withCapacity. If oneZone is set, all are in the zone with the lowest
+// total cost. It returns nil if the tasks would not fit.
+func ChooseFreed(oneZone bool, withCapacity, options []agentapi.Candidate, tasks int) []agentapi.Candidate {
 	zones := map[string]bool{"": true}
 	if oneZone {
 		zones = zonesOf(options)
@@ -108,7 +108,7 @@
 	var best []agentapi.Candidate
 	bestCost := 0.0
 	for zone := range zones {
-		chosen, cost := chooseFreedIn(zone, found, options, tasks)
+		chosen, cost := chooseToFreeInZone(zone, withCapacity, options, tasks)
 		if len(chosen) > 0 && (best == nil || cost < bestCost) {
 			best, bestCost = chosen, cost
 		}
@@ -116,25 +116,26 @@
 	return best
 }
 
-// chooseFreedIn does so in one zone, or in any for "", and returns what that loses.
-func chooseFreedIn(
-	zone string, found, options []agentapi.Candidate, tasks int,
+// chooseToFreeInZone chooses the machines to free in one zone, or in any zone for "", and returns
+// their total cost. It returns nil if the tasks would not fit.
+func chooseToFreeInZone(
+	zone string, withCapacity, options []agentapi.Candidate, tasks int,
 ) (chosen []agentapi.Candidate, cost float64) {
-	has := map[string]bool{}
-	left := tasks
-	for _, c := range found {
+	usable := map[string]bool{}
+	needed := tasks
+	for _, c := range withCapacity {
 		if inZone(c, zone) {
-			left -= c.Fits
-			has[c.Machine] = true
+			needed -= c.Fits
+			usable[c.Machine] = true
 		}
 	}
 	for _, c := range options {
-		if len(chosen) < left && inZone(c, zone) && !has[c.Machine] {
+		if len(chosen) < needed && inZone(c, zone) && !usable[c.Machine] {
 			chosen = append(chosen, c)
 			cost -= c.Score
 		}
 	}
-	if len(chosen) != left {
+	if len(chosen) != needed {
 		return nil, 0
 	}
 	return chosen, cost
--- a/internal/scheduler/candidate/candidate_test.go
+++ b/internal/scheduler/candidate/candidate_test.go
@@ -17,64 +17,65 @@
 	Rank(candidates)
 	lists := Assign(candidates, 5, 2)
 	var first []string
-	for _, l := range lists {
-		first = append(first, l[0].Machine)
-		if len(l) != 2 || l[0].Machine == l[1].Machine {
-			t.Fatalf("fallbacks %v", l)
+	for _, list := range lists {
+		first = append(first, list[0].Machine)
+		if len(list) != 2 || list[0].Machine == list[1].Machine {
+			t.Fatalf("got list %v, want 2 different machines", list)
 		}
 	}
 	if !slices.Equal(first, []string{"m2", "m2", "m3", "m1"}) {
-		t.Fatalf("first choices %v", first)
+		t.Fatalf("got first candidates %v, want [m2 m2 m3 m1]", first)
 	}
 }
 
-func TestGangZoneHoldsTheWholeGang(t *testing.T) {
+func TestGangZoneFitsWholeGang(t *testing.T) {
 	candidates := []agentapi.Candidate{
 		{Machine: "m1", Zone: "a", Fits: 1, Score: 99},
 		{Machine: "m2", Zone: "b", Fits: 1},
 		{Machine: "m3", Zone: "b", Fits: 1},
 	}
-	if z := GangZone(candidates, 2); z != "b" {
-		t.Fatalf("zone %q", z)
+	if zone := GangZone(candidates, 2); zone != "b" {
+		t.Fatalf("gang of 2: got zone %q, want \"b\"", zone)
 	}
-	if z := GangZone(candidates, 3); z != "" {
-		t.Fatalf("zone %q cannot hold three", z)
+	if zone := GangZone(candidates, 3); zone != "" {
+		t.Fatalf("gang of 3: got zone %q, want none", zone)
 	}
 }
 
-// wrong_place: one_zone and spread look at where the job's other tasks are.
+// One-zone and spread jobs take the zones of their other tasks into account; otherwise tasks are
+// placed in the wrong zone.
 func TestOpenZonesAndSpreadOut(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	oneZone := &job.Spec{OneZone: true, Tasks: 4}
-	if z := OpenZones(oneZone, map[string]int{"b": 1}, zones); !slices.Equal(z, []string{"b"}) {
-		t.Fatalf("one zone: %v", z)
+	if got := OpenZones(oneZone, map[string]int{"b": 1}, zones); !slices.Equal(got, []string{"b"}) {
+		t.Fatalf("one zone: got open zones %v, want [b]", got)
 	}
 	spread := &job.Spec{Spread: true, Tasks: 5}
-	if z := OpenZones(spread, map[string]int{"a": 3, "b": 1}, zones); !slices.Equal(z, []string{"b", "c"}) {
-		t.Fatalf("spread: %v", z)
+	if got := OpenZones(spread, map[string]int{"a": 3, "b": 1}, zones); !slices.Equal(got, []string{"b", "c"}) {
+		t.Fatalf("spread: got open zones %v, want [b c]", got)
 	}
 	lists := [][]agentapi.Candidate{{{Zone: "a"}}, {{Zone: "b"}, {Zone: "a"}}}
-	if out := SpreadOut(lists, map[string]int{"a": 3}, 3); len(out) != 1 || len(out[0]) != 1 || out[0][0].Zone != "b" {
-		t.Fatalf("spread out: %v", out)
+	if got := SpreadOut(lists, map[string]int{"a": 3}, 3); len(got) != 1 || len(got[0]) != 1 || got[0][0].Zone != "b" {
+		t.Fatalf("SpreadOut: got %v, want one list with one candidate in zone b", got)
 	}
 }
 
-// Machines are freed for a gang where that loses least, all in one zone if it must be, and
-// nothing is stopped when it would still not fit.
-func TestChooseFreedTakesCheapestZoneThatHoldsGang(t *testing.T) {
+// Machines are freed for a gang at the lowest cost, all in one zone if the job requires that. No
+// machine is freed if the gang would still not fit.
+func TestChooseFreedTakesCheapestZoneThatFitsGang(t *testing.T) {
 	options := []agentapi.Candidate{
 		{Machine: "m1", Zone: "a", Score: -5},
 		{Machine: "m2", Zone: "b", Score: -20},
 		{Machine: "m3", Zone: "b", Score: -30},
 	}
-	found := []agentapi.Candidate{{Machine: "m4", Zone: "b", Fits: 1}}
-	if got := ChooseFreed(true, found, options, 2); len(got) != 1 || got[0].Machine != "m2" {
-		t.Fatalf("one zone: %v", got)
+	withCapacity := []agentapi.Candidate{{Machine: "m4", Zone: "b", Fits: 1}}
+	if got := ChooseFreed(true, withCapacity, options, 2); len(got) != 1 || got[0].Machine != "m2" {
+		t.Fatalf("one zone: got %v, want m2", got)
 	}
-	if got := ChooseFreed(false, found, options, 2); len(got) != 1 || got[0].Machine != "m1" {
-		t.Fatalf("any zone: %v", got)
+	if got := ChooseFreed(false, withCapacity, options, 2); len(got) != 1 || got[0].Machine != "m1" {
+		t.Fatalf("any zone: got %v, want m1", got)
 	}
 	if got := ChooseFreed(true, nil, options, 3); got != nil {
-		t.Fatalf("does not fit anywhere: %v", got)
+		t.Fatalf("gang that fits in no zone: got %v, want nil", got)
 	}
 }
--- a/internal/scheduler/candidate/zone.go
+++ b/internal/scheduler/candidate/zone.go
@@ -8,21 +8,21 @@
 	"robinstack/internal/job"
 )
 
-// SpreadLimit is how many tasks of a job that is spread over zones one zone may have.
+// SpreadLimit returns the maximum number of tasks in one zone for a job that is spread over zones.
 func SpreadLimit(spec *job.Spec) int { return (spec.Tasks + 1) / 2 }
 
-// OpenZones lists the zones in which a further task may be started, given how many of the
-// job's others are in each; nil means any. Tasks that finished do not count.
-func OpenZones(spec *job.Spec, others map[string]int, zones []string) []string {
+// OpenZones lists the zones in which a further task of the job may start, given the number of its
+// other unfinished tasks by zone. nil means any zone.
+func OpenZones(spec *job.Spec, activeByZone map[string]int, zones []string) []string {
 	switch {
 	case spec.OneZone:
-		for zone := range others {
+		for zone := range activeByZone {
 			return []string{zone}
 		}
 	case spec.Spread:
 		open := []string{}
 		for _, zone := range zones {
-			if others[zone] < SpreadLimit(spec) {
+			if activeByZone[zone] < SpreadLimit(spec) {
 				open = append(open, zone)
 			}
 		}
@@ -31,12 +31,12 @@
 	return nil
 }
 
-// SpreadOut keeps every task to the zone of its first candidate, and leaves out those that
-// would have a zone hold more than the limit, given how many of the job's others are in
-// each.
-func SpreadOut(lists [][]agentapi.Candidate, others map[string]int, limit int) [][]agentapi.Candidate {
+// SpreadOut restricts each list to the zone of its first candidate and drops the lists that would
+// exceed the limit of tasks in a zone, given the number of the job's other unfinished tasks by
+// zone.
+func SpreadOut(lists [][]agentapi.Candidate, activeByZone map[string]int, limit int) [][]agentapi.Candidate {
 	counts := map[string]int{}
-	maps.Copy(counts, others)
+	maps.Copy(counts, activeByZone)
 	var kept [][]agentapi.Candidate
 	for _, list := range lists {
 		zone := list[0].Zone
@@ -49,18 +49,19 @@
 	return kept
 }
 
-// GangZone picks the zone in which a gang of one zone fits best, or "".
+// GangZone returns the zone with the highest total score in which all tasks of a one-zone gang fit,
+// or "" if there is none.
 func GangZone(candidates []agentapi.Candidate, tasks int) string {
-	fits, scores := map[string]int{}, map[string]float64{}
+	capacityByZone, scores := map[string]int{}, map[string]float64{}
 	for _, c := range candidates {
-		if fits[c.Zone] < tasks {
-			scores[c.Zone] += c.Score * float64(min(c.Fits, tasks-fits[c.Zone]))
+		if capacityByZone[c.Zone] < tasks {
+			scores[c.Zone] += c.Score * float64(min(c.Fits, tasks-capacityByZone[c.Zone]))
 		}
-		fits[c.Zone] += c.Fits
+		capacityByZone[c.Zone] += c.Fits
 	}
 	best := ""
-	for zone, f := range fits {
-		if f < tasks {
+	for zone, capacity := range capacityByZone {
+		if capacity < tasks {
 			continue
 		}
 		if best == "" || scores[zone] > scores[best] || scores[zone] == scores[best] && zone < best {
@@ -70,15 +71,15 @@
 	return best
 }
 
-// InZone keeps the candidates of one zone.
+// InZone keeps the candidates in the zone.
 func InZone(candidates []agentapi.Candidate, zone string) []agentapi.Candidate {
 	return slices.DeleteFunc(slices.Clone(candidates), func(c agentapi.Candidate) bool { return c.Zone != zone })
 }
 
-// inZone reports whether a candidate is in the zone, or "" for any.
+// inZone reports whether a candidate is in the zone; every candidate is in zone "".
 func inZone(c agentapi.Candidate, zone string) bool { return zone == "" || c.Zone == zone }
 
-// zonesOf is the set of the candidates' zones.
+// zonesOf returns the set of the candidates' zones.
 func zonesOf(candidates []agentapi.Candidate) map[string]bool {
 	zones := map[string]bool{}
 	for _, c := range candidates {
@@ -87,7 +88,7 @@
 	return zones
 }
 
-// firstZone is the zone of the first of the lists' candidates, or "".
+// firstZone returns the zone of the first candidate in the lists, or "" if they are empty.
 func firstZone(lists ...[]agentapi.Candidate) string {
 	for _, list := range lists {
 		if len(list) > 0 {
