--- a/internal/scheduler/backfill_reservation.go
+++ b/internal/scheduler/backfill_reservation.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// reservationRetryInterval is the time between two tries of a job for which capacity is
+	// reservationRetryInterval is the time between two placements of a job for which capacity is
 	// being reserved.
 	reservationRetryInterval = 700 * time.Millisecond
 
-	// reservationTimeout is how long one request to reserve or preempt may take.
+	// reservationTimeout bounds one request to reserve a machine or to preempt tasks on it.
 	reservationTimeout = time.Second
 )
 
-// reserveBackfill has capacity reserved for a job whose start is overdue, on the machines
-// that will have it soonest; the plan's candidates are those that have it now. It returns
-// whether some is reserved.
-func (s *Scheduler) reserveBackfill(ctx context.Context, p *placement, decided *placementPlan) bool {
+// reserveBackfill reserves capacity for a job whose start is overdue, on the machines that will
+// have capacity soonest. The candidates of the plan have capacity now and are reserved as well. It
+// reports whether any machine is reserved.
+func (s *Scheduler) reserveBackfill(ctx context.Context, p *placement, plan *placementPlan) bool {
 	j := p.job
 	if !s.isOverdue(j) {
 		return false
 	}
-	tasks := 1 // others than gangs begin with their first task
+	tasks := 1 // jobs other than gangs start with their first task
 	if j.isGang() {
 		tasks = p.tasksNeeded()
 	}
@@ -35,27 +35,27 @@
 	if !s.quotaAllows(ctx, j, epoch, tasks) && !s.reserveQuota(ctx, j, epoch, tasks) {
 		return false
 	}
-	request := decided.request
+	request := plan.request
 	request.Tasks = tasks
 	options := s.askOwners(ctx, methodListReservable, request).candidates
 	candidate.Rank(options)
-	chosen := candidate.ChooseFreed(j.spec.OneZone, decided.candidates, options, tasks)
-	if len(chosen) == 0 && len(decided.candidates) == 0 {
+	chosen := candidate.ChooseFreed(j.spec.OneZone, plan.candidates, options, tasks)
+	if len(chosen) == 0 && len(plan.candidates) == 0 {
 		return false
 	}
-	reserved := s.reserveMachines(ctx, methodReserve, p, request, chosen, decided.candidates, tasks)
+	reserved := s.reserveMachines(ctx, methodReserve, p, request, chosen, plan.candidates, tasks)
 	s.noteReservation(j, reserved)
 	return reserved > 0
 }
 
-// isOverdue reports whether the job should have started by now.
+// isOverdue reports whether the start of the job is overdue.
 func (s *Scheduler) isOverdue(j *jobState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return j.startOverdue(time.Now())
 }
 
-// noteReservation notes that capacity is being reserved for the job.
+// noteReservation records that capacity is being reserved for the job.
 func (s *Scheduler) noteReservation(j *jobState, machines int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,18 +70,18 @@
 		"age", time.Since(j.readyAt).Round(time.Second), "machines", machines)
 }
 
-// reserveMachines has owners reserve the chosen machines for a job, by the given method,
-// and what capacity was found for it already: others would take that, and more would have
-// to be reserved. It returns how many are reserved.
+// reserveMachines asks owners, by the given RPC method, to reserve the chosen machines for a job.
+// It also reserves machines that already have capacity: other jobs would take that capacity, and
+// more machines would have to be reserved. It returns the number of machines reserved.
 func (s *Scheduler) reserveMachines(
 	ctx context.Context, method string, p *placement, request agentapi.Request,
-	chosen, found []agentapi.Candidate, tasks int,
+	chosen, withCapacity []agentapi.Candidate, tasks int,
 ) (reserved int) {
 	var (
-		mu    sync.Mutex // guards reserved
+		mu    sync.Mutex // mu guards reserved
 		calls sync.WaitGroup
 	)
-	for _, machine := range candidate.AddFound(p.job.spec.OneZone, chosen, found, tasks) {
+	for _, machine := range candidate.AddFound(p.job.spec.OneZone, chosen, withCapacity, tasks) {
 		calls.Go(func() {
 			if s.reserveMachine(ctx, method, request, machine) {
 				mu.Lock()
@@ -94,15 +94,15 @@
 	return reserved
 }
 
-// reserveMachine has one owner reserve a machine.
+// reserveMachine asks the owner of a machine to reserve it, and reports whether the owner did.
 func (s *Scheduler) reserveMachine(
 	ctx context.Context, method string, request agentapi.Request, machine agentapi.Candidate,
 ) bool {
 	callCtx, cancel := context.WithTimeout(ctx, reservationTimeout)
 	defer cancel()
-	commit := agentapi.CommitRequest{Request: request, Machine: machine.Machine, Rev: machine.Rev}
+	commitRequest := agentapi.CommitRequest{Request: request, Machine: machine.Machine, Rev: machine.Rev}
 	var reply agentapi.CommitReply
-	if err := s.peers.Call(callCtx, machine.Host, method, commit, &reply); err != nil {
+	if err := s.peers.Call(callCtx, machine.Host, method, commitRequest, &reply); err != nil {
 		slog.Debug("machine reservation failed", "method", method, "machine", machine.Machine, "err", err)
 		return false
 	}
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -15,38 +15,40 @@
 	"robinstack/internal/recovery"
 )
 
-// Phase 3, commit: the tasks of a plan get their attempt numbers and quota grants, and are
-// bound to machines at their owners with MultiBind. Gangs are in gang_commit.go.
+// Phase 3 of a placement, the commit: the tasks of a plan get attempt numbers and quota grants, and
+// MultiBind binds them to machines through the owners of the machines. Gangs are in gang_commit.go.
 
-// commitTimeout is how long one commit may take: the owner waits for the worker to report
-// the start.
+// commitTimeout bounds one commit request. The owner answers after the worker has reported the
+// start of the tasks.
 const commitTimeout = 4500 * time.Millisecond
 
-// epochAttemptBits is how many attempts at a job an epoch of its job shard has numbers for,
-// as a power of two: a later scheduler's numbers are above all of an earlier one's.
+// epochAttemptBits is the number of low-order bits of an attempt number that count the attempts
+// within an epoch of the job shard; the epoch is in the bits above. The attempt numbers of a later
+// scheduler are therefore above those of all earlier ones.
 const epochAttemptBits = 20
 
-// binding is one task on its way to a machine.
+// binding is the commit of one task attempt to a machine.
 type binding struct {
 	ref        agentapi.TaskRef
 	candidates []agentapi.Candidate
-	result     string // of its last commit, one of those in agentapi
+	result     string // result of the latest commit, a constant of agentapi
 }
 
-// commitMode says what a commit does on the machine.
+// commitMode selects the effect of a commit on the machine.
 type commitMode uint8
 
 const (
 	// startTasks starts the tasks.
 	startTasks commitMode = iota
-	// holdCapacity only holds capacity for them.
+	// holdCapacity reserves capacity for the tasks without starting them.
 	holdCapacity
 )
 
-// commitPlan binds the plan's tasks to machines. It reports whether capacity was missing.
-func (s *Scheduler) commitPlan(ctx context.Context, p *placement, decided *placementPlan) (noCapacity bool) {
+// commitPlan binds the plan's tasks to machines. It reports whether capacity or a quota grant was
+// missing.
+func (s *Scheduler) commitPlan(ctx context.Context, p *placement, plan *placementPlan) (noCapacity bool) {
 	j := p.job
-	bindings := s.beginAttempts(j, p.tasks[:len(decided.lists)], decided.lists)
+	bindings := s.beginAttempts(j, p.tasks[:len(plan.lists)], plan.lists)
 	if bindings == nil {
 		return false
 	}
@@ -55,11 +57,11 @@
 		s.abandonGranted(j, bindings)
 		return true
 	}
-	refused := slices.DeleteFunc(slices.Clone(bindings), func(b *binding) bool { return slices.Contains(granted, b) })
-	s.abandon(j, refused)
-	noCapacity = len(refused) > 0 || len(decided.lists) < p.tasksNeeded() && !decided.waitsForImage
+	ungranted := slices.DeleteFunc(slices.Clone(bindings), func(b *binding) bool { return slices.Contains(granted, b) })
+	s.abandon(j, ungranted)
+	noCapacity = len(ungranted) > 0 || len(plan.lists) < p.tasksNeeded() && !plan.waitsForImage
 
-	commit := agentapi.CommitRequest{Request: decided.request, StewardEpoch: leaderEpoch, JobRev: s.revisionOf(j)}
+	commit := agentapi.CommitRequest{Request: plan.request, StewardEpoch: leaderEpoch, JobRev: s.revisionOf(j)}
 	if j.isGang() && len(granted) > 1 {
 		return !s.commitGang(ctx, j, commit, granted)
 	}
@@ -67,7 +69,7 @@
 	return noCapacity || slices.ContainsFunc(granted, (*binding).wasRefused)
 }
 
-// wasRefused reports whether the task is certainly not started.
+// wasRefused reports whether the owner refused the task, so that it has certainly not started.
 func (b *binding) wasRefused() bool { return b.result == agentapi.Refused }
 
 // revisionOf returns the revision of the job's record.
@@ -77,9 +79,9 @@
 	return j.revision
 }
 
-// beginAttempts numbers new attempts at tasks, never used before for the job. It returns
-// nil if there are none: the job is finished, its job shard is not held any more, or a
-// member of a gang is not pending.
+// beginAttempts starts a new attempt at each task, with attempt numbers that the job has never
+// used. It returns nil if no attempt can start: the job is finished, its job shard is no longer
+// held, or a member of a gang is not pending.
 func (s *Scheduler) beginAttempts(j *jobState, tasks []int, lists [][]agentapi.Candidate) []*binding {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,12 +92,12 @@
 	s.counters.Placements++
 	j.attempts = max(j.attempts, shard.epoch<<epochAttemptBits)
 	if j.isGang() {
-		j.attempts++ // one for all
+		j.attempts++ // the members of a gang share an attempt number
 	}
 	var bindings []*binding
-	for k, i := range tasks {
-		task := &j.tasks[i]
-		if task.status != taskPending || j.done.Has(i) {
+	for position, index := range tasks {
+		task := &j.tasks[index]
+		if task.status != taskPending || j.done.Has(index) {
 			if j.isGang() {
 				s.undoAttempts(j, bindings)
 				return nil
@@ -105,21 +107,20 @@
 		if !j.isGang() {
 			j.attempts++
 		}
-		task.beginAttempt(j.attempts, lists[k][0].Zone)
-		bindings = append(bindings, &binding{ref: j.ref(i), candidates: lists[k]})
+		task.beginAttempt(j.attempts, lists[position][0].Zone)
+		bindings = append(bindings, &binding{ref: j.ref(index), candidates: lists[position]})
 	}
 	return bindings
 }
 
-// undoAttempts returns tasks whose attempts have just begun to pending. The mutex is held.
+// undoAttempts returns tasks whose attempts have just begun to pending. The caller must hold s.mu.
 func (s *Scheduler) undoAttempts(j *jobState, bindings []*binding) {
 	for _, b := range bindings {
 		s.resetTask(j, b.ref.Index)
 	}
 }
 
-// abandon returns tasks that were certainly not started, and have no quota grant, to the
-// queue.
+// abandon requeues tasks that have certainly not started and have no quota grant.
 func (s *Scheduler) abandon(j *jobState, bindings []*binding) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +129,7 @@
 	}
 }
 
-// abandonGranted does so with tasks that have quota grants, which are released.
+// abandonGranted requeues tasks that have certainly not started, and releases their quota grants.
 func (s *Scheduler) abandonGranted(j *jobState, bindings []*binding) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,8 +140,8 @@
 	}
 }
 
-// returnToQueue returns a task whose commit is under way to pending, unless an entry has
-// shown it meanwhile.
+// returnToQueue sets the task of a binding back to pending. It returns false if the attempt is no
+// longer committing, because a machine entry has shown it in the meantime.
 func (j *jobState) returnToQueue(b *binding) bool {
 	task := &j.tasks[b.ref.Index]
 	if !task.isCommitting(b.ref.Attempt) {
@@ -150,35 +151,35 @@
 	return true
 }
 
-// multiBind commits each task to the first of its candidates that takes it: in each round
-// one request per machine, and on refusal the next candidate.
+// multiBind commits each task to the first of its candidates that accepts it. Each round sends one
+// request per machine; refused tasks go to their next candidates in the next round.
 func (s *Scheduler) multiBind(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding,
 ) {
-	left := bindings
-	for round := 0; len(left) > 0; round++ {
-		groups := s.groupByMachine(j, left, round)
+	remaining := bindings
+	for round := 0; len(remaining) > 0; round++ {
+		groups := s.groupByMachine(j, remaining, round)
 		var calls sync.WaitGroup
 		for _, group := range groups {
 			machine := group[0].candidates[round]
 			calls.Go(func() { s.commit(ctx, j, commit, group, machine, startTasks) })
 		}
 		calls.Wait()
-		var next []*binding
+		var refused []*binding
 		for _, group := range groups {
 			for _, b := range group {
 				if b.wasRefused() {
-					next = append(next, b)
+					refused = append(refused, b)
 				}
 			}
 		}
-		s.countRound(round, len(left), len(next))
-		left = next
+		s.countRound(round, len(remaining), len(refused))
+		remaining = refused
 	}
 }
 
-// groupByMachine groups bindings by their candidate of a round. Those that have none left
-// return to the queue.
+// groupByMachine groups bindings by their candidate of the round. It requeues tasks without a
+// further candidate.
 func (s *Scheduler) groupByMachine(j *jobState, bindings []*binding, round int) map[string][]*binding {
 	groups := map[string][]*binding{}
 	for _, b := range bindings {
@@ -193,7 +194,7 @@
 	return groups
 }
 
-// countRound counts a round of MultiBind.
+// countRound updates the counters for one round of MultiBind.
 func (s *Scheduler) countRound(round, tried, refused int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,7 +204,8 @@
 	}
 }
 
-// commit sends one commit of bindings to a machine's owner, and takes up the results.
+// commit sends one commit request for a group of bindings to the owner of a machine and applies the
+// results.
 func (s *Scheduler) commit(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest,
 	group []*binding, machine agentapi.Candidate, mode commitMode,
@@ -233,7 +235,7 @@
 	}
 }
 
-// sendCommit sends a commit. The reply is empty if that fails.
+// sendCommit sends a commit request. On an error the reply is empty, not nil.
 func (s *Scheduler) sendCommit(
 	ctx context.Context, host string, commit agentapi.CommitRequest,
 ) (*agentapi.CommitReply, error) {
@@ -246,7 +248,7 @@
 	return &reply, nil
 }
 
-// onCommitResult takes up the owner's answer about one binding. The mutex is held.
+// onCommitResult applies the owner's result for one binding. The caller must hold s.mu.
 func (s *Scheduler) onCommitResult(
 	j *jobState, b *binding, machine agentapi.Candidate, reply *agentapi.CommitReply,
 ) {
@@ -254,7 +256,7 @@
 	switch b.result {
 	case agentapi.Started, agentapi.Unresolved:
 		if !task.isCommitting(b.ref.Attempt) {
-			return // the feed was faster
+			return // a machine entry has already shown the attempt
 		}
 		task.place(machine.Machine, machine.Zone, reply.Rev, reply.Ver)
 		task.state = agentapi.Starting
@@ -268,7 +270,7 @@
 			"age", time.Since(j.submittedAt).Round(time.Millisecond))
 	case agentapi.Refused:
 		if task.isPlacedAttempt(b.ref.Attempt) {
-			// The feed was faster: it has shown the task; it will show its end.
+			// A machine entry has already shown the attempt; a later entry will show its end.
 			b.result = agentapi.Unresolved
 		}
 	}
--- a/internal/scheduler/commit_resolution.go
+++ b/internal/scheduler/commit_resolution.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// resolveTimeout is how long one try to resolve a commit may take, and
-	// resolveRetryInterval the pause before the next.
+	// resolveTimeout bounds one request to resolve a commit; resolveRetryInterval is the pause
+	// before the next request.
 	resolveTimeout       = 2 * time.Second
 	resolveRetryInterval = time.Second
 )
 
-// onUnanswered takes up that a commit was not answered: the tasks may be on the machine,
-// until it is resolved. The mutex is held.
+// onUnanswered handles a commit that was not answered: until it is resolved, the tasks may be on
+// the machine. The caller must hold s.mu.
 func (s *Scheduler) onUnanswered(
 	ctx context.Context, j *jobState, group []*binding, machine agentapi.Candidate,
 ) {
@@ -32,9 +32,9 @@
 	s.background.Go(func() { s.resolve(ctx, j, refs, machine) })
 }
 
-// resolve finds out what became of a commit without an answer: its owner has the tasks, or
-// promises that they never start. If the owner's session ends, the next owner's confirmed
-// entry tells.
+// resolve determines the outcome of an unanswered commit by asking the owner it went to. The owner
+// either has the tasks or guarantees that they will never start. If the owner's session ends, the
+// first reconciled entry of the next owner decides, and resolve stops asking.
 func (s *Scheduler) resolve(
 	ctx context.Context, j *jobState, refs []agentapi.TaskRef, machine agentapi.Candidate,
 ) {
@@ -55,14 +55,14 @@
 	}
 }
 
-// isUnresolved reports whether an attempt of a commit is neither resolved nor overtaken by
-// an entry.
+// isUnresolved reports whether an attempt of an unanswered commit is neither resolved nor
+// superseded by a machine entry.
 func (j *jobState) isUnresolved(ref agentapi.TaskRef, ownerRev uint64) bool {
 	task := &j.tasks[ref.Index]
 	return task.isPlacedAttempt(ref.Attempt) && task.entryVersion == unresolved && task.ownerRev == ownerRev
 }
 
-// anyUnresolved reports whether attempts of a commit are still to be resolved.
+// anyUnresolved reports whether any attempt of the commit is still unresolved.
 func (s *Scheduler) anyUnresolved(j *jobState, request agentapi.ResolveRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +74,7 @@
 	return false
 }
 
-// onResolved takes up the owner's answer: the tasks that it does not have never start.
+// onResolved applies the owner's answer. Tasks that the owner does not have will never start.
 func (s *Scheduler) onResolved(j *jobState, request agentapi.ResolveRequest, reply *agentapi.ResolveReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scheduler/decision.go
+++ b/internal/scheduler/decision.go
@@ -8,18 +8,18 @@
 	"robinstack/internal/scheduler/candidate"
 )
 
-// Phase 2, decision: the sampled candidates are ranked, and each task gets its own list of
-// them. What is decided over candidates alone is in package candidate.
+// Phase 2 of a placement, the decision: the sampled candidates are ranked, and each task gets its
+// own list of candidates. Decisions that need only the candidates are in package candidate.
 
-// placementPlan is what a placement is going to commit.
+// placementPlan says which tasks a placement commits, and to which candidates.
 type placementPlan struct {
-	request       agentapi.Request // with the zones that were decided on
+	request       agentapi.Request // restricted to the chosen zone, if there is one
 	candidates    []agentapi.Candidate
-	lists         [][]agentapi.Candidate // for the first tasks of the placement, best first
-	waitsForImage bool                   // it lets capacity go by that would need a fetch
+	lists         [][]agentapi.Candidate // a list for each of the first tasks of the placement, best candidate first
+	waitsForImage bool                   // candidates that would have to fetch the image are left out
 }
 
-// decide ranks the sampled candidates and plans with those that the job takes now.
+// decide ranks the sampled candidates and plans the placement with those that the job accepts now.
 func (s *Scheduler) decide(p *placement, sampled sampleResult) *placementPlan {
 	usable := sampled.candidates
 	candidate.Rank(usable)
@@ -28,32 +28,33 @@
 	if len(withImage) < len(usable) && s.waitsForImage(p, sampled.scarce) {
 		usable, waitsForImage = withImage, true
 	}
-	decided := p.plan(usable, s.policy.MultiBind)
-	decided.waitsForImage = waitsForImage
-	return decided
+	plan := p.plan(usable, s.policy.MultiBind)
+	plan.waitsForImage = waitsForImage
+	return plan
 }
 
-// plan gives the placement's tasks their lists of at most so many candidates. It is pure.
+// plan assigns each task of the placement a list of at most listLength candidates. It has no side
+// effects.
 func (p *placement) plan(usable []agentapi.Candidate, listLength int) *placementPlan {
-	decided := &placementPlan{request: p.request, candidates: usable}
+	plan := &placementPlan{request: p.request, candidates: usable}
 	zone, found := p.chooseZone(usable)
 	if !found {
-		return decided
+		return plan
 	}
 	if zone != "" {
-		decided.candidates = candidate.InZone(usable, zone)
-		decided.request.Zones = []string{zone}
+		plan.candidates = candidate.InZone(usable, zone)
+		plan.request.Zones = []string{zone}
 	}
-	decided.lists = candidate.Assign(decided.candidates, p.tasksNeeded(), listLength)
+	plan.lists = candidate.Assign(plan.candidates, p.tasksNeeded(), listLength)
 	if p.request.Spec.Spread {
 		limit := candidate.SpreadLimit(&p.request.Spec)
-		decided.lists = candidate.SpreadOut(decided.lists, p.othersByZone, limit)
+		plan.lists = candidate.SpreadOut(plan.lists, p.othersByZone, limit)
 	}
-	return decided
+	return plan
 }
 
-// chooseZone returns the zone that the tasks have to be in, or "" for any that are open.
-// It reports false for a gang for all of which no zone has capacity: it is made in one.
+// chooseZone returns the zone in which the tasks must be placed, or "" if any zone of the request
+// will do. found is false for a one-zone gang that fits into no single zone.
 func (p *placement) chooseZone(usable []agentapi.Candidate) (zone string, found bool) {
 	if !p.request.Spec.OneZone || p.request.Zones != nil || len(usable) == 0 {
 		return "", true
@@ -65,14 +66,14 @@
 	return zone, zone != ""
 }
 
-// waitsForImage reports whether the job lets machines without its image go by, for some
-// time from the first that it was offered.
+// waitsForImage reports whether delay scheduling applies now: the job passes over machines without
+// its image for a limited time, which starts when such a machine is first offered.
 func (s *Scheduler) waitsForImage(p *placement, scarce bool) bool {
 	j := p.job
 	fetch := s.fetchTime(j.spec)
 	slack := startSlack(j.startWithin, time.Since(j.readyAt), fetch)
-	bounds, may := j.delayForImage(p.tasksNeeded(), scarce, fetch, slack)
-	if !may {
+	bounds, allowed := j.delayForImage(p.tasksNeeded(), scarce, fetch, slack)
+	if !allowed {
 		return false
 	}
 	now := time.Now()
@@ -81,8 +82,8 @@
 	return j.delay.waits(bounds, &j.preemption, now)
 }
 
-// fetchTime is how long the job's image usually takes, by the slowest machine type that it
-// may use.
+// fetchTime estimates how long the fetch of the job's image takes on the slowest machine type that
+// the job may use.
 func (s *Scheduler) fetchTime(spec *job.Spec) time.Duration {
 	return spec.FetchTime(s.machineTypes())
 }
--- a/internal/scheduler/delay_scheduling.go
+++ b/internal/scheduler/delay_scheduling.go
@@ -4,53 +4,56 @@
 	"time"
 )
 
-// Where the fleet is full, tasks end all over it many times a second, and the capacity that
-// comes free next is as good for a job as what it is offered, but for the image: to fetch
-// it can take half as long as the task runs. So a job lets machines without its image go by
-// for a moment (delay scheduling), and jobs behind it with other images take them. Nothing
-// is left empty for longer than one job's delay.
+// Delay scheduling for container images: a job passes over machines without its image for a short
+// time, and jobs behind it with other images use them. When the cluster is full, tasks end on some
+// machine many times a second, so the next capacity that comes free is as good as the capacity
+// offered now, except that it may not need a fetch of the image. A fetch can take half as long as
+// the task runs. No capacity stays unused for longer than the delay of one job.
 
 const (
-	// arrayDelayShare is the part of the time a fetch takes that an array waits for.
+	// arrayDelayShare is the delay of an array as a share of the fetch time.
 	arrayDelayShare = 0.12
 
-	// gangDelayShare is that for a gang: none of it runs before the slowest fetch is over.
+	// gangDelayShare is the delay of a gang as a share of the fetch time. It is larger than that of
+	// arrays because no member runs before the slowest fetch has ended.
 	gangDelayShare = 0.4
 
-	// maxDelayedGangTasks is the size up to which gangs wait for machines that all have
-	// the image.
+	// maxDelayedGangTasks is the number of tasks up to which a gang waits for machines that all
+	// have the image.
 	maxDelayedGangTasks = 4
 
-	// slowestFetchFactor is how much longer than its rate says the slowest of a gang's
-	// fetches may take, and gangStartMargin what passes besides until it runs.
+	// slowestFetchFactor is the ratio of the slowest fetch of a gang to the estimated fetch time.
+	// gangStartMargin is the additional time until the gang runs.
 	slowestFetchFactor = 1.4
 	gangStartMargin    = 3 * time.Second
 
-	// lateFetchFactor is that factor where a late start would be a pity rather than a loss.
+	// lateFetchFactor is the ratio of the actual to the estimated fetch time that decides whether a
+	// gang preempts for its image. It is lower than slowestFetchFactor because a gang that starts
+	// late in spite of it is acceptable.
 	lateFetchFactor = 1.15
 
-	// preemptionDuration is about how long it takes until preempted machines are free.
+	// preemptionDuration estimates the time from a preemption until the machines are free.
 	preemptionDuration = 8 * time.Second
 
-	// delayRetryInterval is the time between two tries of a job that waits for its image.
+	// delayRetryInterval is the time between two placements of a job that waits for its image.
 	delayRetryInterval = 250 * time.Millisecond
 )
 
-// imageDelay is for how long a job lets machines without its image go by. It is set when
-// it is first offered such.
+// imageDelay limits how long a job passes over machines without its image. It is set when such a
+// machine is first offered to the job.
 type imageDelay struct {
 	until    time.Time
-	maxUntil time.Time // while machines that have the image are preempted for it
+	maxUntil time.Time // applies while machines with the image are being preempted for the job
 }
 
-// imageDelayBounds are the bounds of a delay, from when it begins.
+// imageDelayBounds are the limits of a delay, counted from its start.
 type imageDelayBounds struct {
 	usual, max time.Duration
 }
 
-// delayForImage returns for how long a job, of which so many tasks need a machine, may let
-// machines without its image go by, and false if it takes them at once. Fetch is how long
-// its image usually takes; slack is what the service-level objectives leave (startSlack).
+// delayForImage returns how long a job that needs machines for the given number of tasks may pass
+// over machines without its image, and false if it must accept them at once. fetch is the estimated
+// fetch time of the image; slack is the time that the start targets leave (see startSlack).
 func (j *jobState) delayForImage(tasks int, scarce bool, fetch, slack time.Duration) (imageDelayBounds, bool) {
 	if !j.isGang() {
 		return imageDelayBounds{usual: scale(arrayDelayShare, fetch)}, scarce
@@ -59,35 +62,36 @@
 	return bounds, tasks <= maxDelayedGangTasks
 }
 
-// waits reports whether the job lets machines without its image go by at the time. Machines
-// that are preempted because they have the image are worth a longer delay, as far as the
-// objectives leave it.
-func (d *imageDelay) waits(bounds imageDelayBounds, p *preemption, now time.Time) bool {
+// waits reports whether the job passes over machines without its image at the given time. The delay
+// is longer, within the start targets, while tasks are being preempted on machines because these
+// have the image.
+func (d *imageDelay) waits(bounds imageDelayBounds, preempting *preemption, now time.Time) bool {
 	if d.until.IsZero() {
 		d.until, d.maxUntil = now.Add(bounds.usual), now.Add(bounds.max)
 	}
 	if now.Before(d.until) {
 		return true
 	}
-	return p.scope == machinesWithImage && now.Before(p.until) && now.Before(d.maxUntil)
+	return preempting.scope == machinesWithImage && now.Before(preempting.until) && now.Before(d.maxUntil)
 }
 
-// startSlack is how long a gang that has to fetch its image may wait and still start by the
-// tightest of the service-level objectives for its class that it would probably meet if it
-// began to fetch now; 0 if waiting would put that at risk.
-func startSlack(startWithin []time.Duration, age, fetch time.Duration) time.Duration {
-	tightest := time.Duration(0)
-	for _, within := range startWithin {
-		if within-age >= fetch {
-			tightest = within - age
+// startSlack returns how long a gang that has to fetch its image may wait and still meet a start
+// target: the tightest target that it would meet, by the estimated fetch time, if the fetch began
+// now. It returns 0 if waiting would risk missing that target. startTargets lists all targets
+// in rising order.
+func startSlack(startTargets []time.Duration, age, fetch time.Duration) time.Duration {
+	remaining := time.Duration(0)
+	for _, target := range startTargets {
+		if target-age >= fetch {
+			remaining = target - age
 			break
 		}
 	}
-	return max(0, tightest-scale(slowestFetchFactor, fetch)-gangStartMargin)
+	return max(0, remaining-scale(slowestFetchFactor, fetch)-gangStartMargin)
 }
 
-// timeToStart is how long the job's tasks may wait yet by the tightest of the service-level
-// objectives for its class, and 0 if there is none.
+// timeToStart returns the time left until the job's tightest start target; 0 if the target is
+// missed or there is none.
 func (j *jobState) timeToStart(now time.Time) time.Duration {
 	if len(j.startWithin) == 0 {
 		return 0
@@ -95,15 +99,14 @@
 	return max(0, j.startWithin[0]-now.Sub(j.readyAt))
 }
 
-// fetchMissesObjective reports whether a gang that has to fetch its image would start too
-// late by the tightest of the service-level objectives for its class, and one for which
-// machines with the image are preempted would not.
+// fetchMissesObjective reports whether a gang would miss its tightest start target if it fetched
+// its image, but could meet it if machines with the image were preempted for it.
 func (j *jobState) fetchMissesObjective(fetch time.Duration, now time.Time) bool {
-	left := j.timeToStart(now)
-	return left > preemptionDuration && left < scale(lateFetchFactor, fetch)
+	remaining := j.timeToStart(now)
+	return remaining > preemptionDuration && remaining < scale(lateFetchFactor, fetch)
 }
 
-// scale multiplies a duration.
+// scale multiplies a duration by a factor.
 func scale(factor float64, d time.Duration) time.Duration {
 	return time.Duration(factor * float64(d))
 }
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -8,10 +8,10 @@
 	"robinstack/internal/autoscaler"
 )
 
-// demandTimeout is how long one report of demand may take.
+// demandTimeout bounds one demand report.
 const demandTimeout = 2 * time.Second
 
-// reportDemand tells the leader for what the jobs here need machines.
+// reportDemand reports to the leader which jobs of this scheduler need machines.
 func (s *Scheduler) reportDemand(ctx context.Context) {
 	host, ok := s.leaderHost()
 	if !ok {
@@ -25,8 +25,8 @@
 	}
 }
 
-// demand lists the jobs that may be placed. Nothing is scaled out or kept for those that
-// are blocked or finished.
+// demand lists the runnable jobs. Blocked and finished jobs are left out, so that no machines are
+// added or kept for them.
 func (s *Scheduler) demand() autoscaler.DemandRequest {
 	request := autoscaler.DemandRequest{Host: s.session.Host}
 	s.mu.Lock()
@@ -39,7 +39,7 @@
 	return request
 }
 
-// demand counts the job's tasks with and without a machine.
+// demand returns the job's demand: the number of its tasks with and without a machine.
 func (j *jobState) demand(now time.Time) autoscaler.Demand {
 	demand := autoscaler.Demand{Spec: *j.effective, AgeS: now.Sub(j.readyAt).Seconds()}
 	for i := range j.tasks {
@@ -55,7 +55,7 @@
 		}
 	}
 	if j.failures.jobAtFault {
-		demand.Waiting = 0 // nothing is scaled out for it
+		demand.Waiting = 0 // no scale-out for a job that fails on every machine
 	}
 	return demand
 }
--- a/internal/scheduler/gang_commit.go
+++ b/internal/scheduler/gang_commit.go
@@ -9,24 +9,25 @@
 	"robinstack/internal/agentapi"
 )
 
-// heldTask is a member of a gang with the machine that holds capacity for it.
+// heldTask is a gang member with the machine that has reserved capacity for it.
 type heldTask struct {
 	binding *binding
 	machine agentapi.Candidate
 }
 
-// commitGang places a gang: capacity is held for all of it, machine by machine in one
-// fixed order, before anything is started. It reports whether all of it was started.
+// commitGang places a gang in two steps: it first reserves capacity for all members, one after
+// another in the order of machine names, which is the same for all gangs, and then starts them. It
+// reports whether all members were started or may have been.
 func (s *Scheduler) commitGang(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding,
 ) bool {
-	held, complete := s.holdGang(ctx, j, commit, bindings)
+	reserved, complete := s.holdGang(ctx, j, commit, bindings)
 	if !complete {
-		s.releaseHeld(held)
+		s.releaseHeld(reserved)
 		s.abandonGranted(j, bindings)
 		return false
 	}
-	s.startHeld(ctx, j, commit, held)
+	s.startHeld(ctx, j, commit, reserved)
 	refused := slices.DeleteFunc(slices.Clone(bindings), func(b *binding) bool { return !b.wasRefused() })
 	if len(refused) == 0 {
 		return true
@@ -38,13 +39,13 @@
 	return false
 }
 
-// holdGang has capacity held for each member, and reports whether it was for all. Members
-// also try the candidates of the first.
+// holdGang reserves capacity for each member and reports whether that succeeded for all. Members
+// also try the candidates of the first binding.
 func (s *Scheduler) holdGang(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding,
-) (held []heldTask, complete bool) {
+) (reserved []heldTask, complete bool) {
 	fallbacks := bindings[0].candidates
-	used := map[string]int{}
+	assigned := map[string]int{}
 	ordered := slices.Clone(bindings)
 	slices.SortFunc(ordered, func(a, b *binding) int {
 		return cmp.Or(
@@ -52,24 +53,25 @@
 			cmp.Compare(a.ref.Index, b.ref.Index))
 	})
 	for _, b := range ordered {
-		machine, ok := s.holdMember(ctx, j, commit, b, slices.Concat(b.candidates, fallbacks), used)
+		machine, ok := s.holdMember(ctx, j, commit, b, slices.Concat(b.candidates, fallbacks), assigned)
 		if !ok {
-			return held, false
+			return reserved, false
 		}
-		used[machine.Machine]++
-		held = append(held, heldTask{binding: b, machine: machine})
+		assigned[machine.Machine]++
+		reserved = append(reserved, heldTask{binding: b, machine: machine})
 	}
-	return held, true
+	return reserved, true
 }
 
-// holdMember has capacity held for one member on the first of the candidates that takes it
-// and that is not used up by the members before it. It gives up where that is not known.
+// holdMember reserves capacity for one member on the first candidate that accepts it and is not
+// filled by earlier members. It gives up if a commit remains unresolved, because the candidate may
+// hold the reservation.
 func (s *Scheduler) holdMember(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest,
-	b *binding, candidates []agentapi.Candidate, used map[string]int,
-) (machine agentapi.Candidate, held bool) {
+	b *binding, candidates []agentapi.Candidate, assigned map[string]int,
+) (machine agentapi.Candidate, ok bool) {
 	for _, c := range candidates {
-		if used[c.Machine] >= c.Fits {
+		if assigned[c.Machine] >= c.Fits {
 			continue
 		}
 		s.commit(ctx, j, commit, []*binding{b}, c, holdCapacity)
@@ -83,22 +85,22 @@
 	return agentapi.Candidate{}, false
 }
 
-// releaseHeld has machines release the capacity that they hold.
-func (s *Scheduler) releaseHeld(held []heldTask) {
+// releaseHeld tells machines to release the capacity reserved for the members.
+func (s *Scheduler) releaseHeld(reserved []heldTask) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range held {
+	for _, h := range reserved {
 		s.forget(agentapi.StopItem{Machine: h.machine.Machine, TaskRef: h.binding.ref})
 	}
 }
 
-// startHeld starts all members of a gang, with one commit per machine.
+// startHeld starts all members of a gang with one commit per machine.
 func (s *Scheduler) startHeld(
-	ctx context.Context, j *jobState, commit agentapi.CommitRequest, held []heldTask,
+	ctx context.Context, j *jobState, commit agentapi.CommitRequest, reserved []heldTask,
 ) {
 	groups := map[string][]*binding{}
 	machines := map[string]agentapi.Candidate{}
-	for _, h := range held {
+	for _, h := range reserved {
 		name := h.machine.Machine
 		groups[name] = append(groups[name], h.binding)
 		machines[name] = h.machine
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -8,63 +8,65 @@
 	"robinstack/internal/job"
 )
 
-// jobPhase is how far a job is. A job never returns to an earlier phase.
+// jobPhase is the progress of a job. A job never returns to an earlier phase.
 type jobPhase uint8
 
 const (
-	// jobBlocked: it waits for other jobs, and nothing is done for it.
+	// jobBlocked: the job waits for its dependencies; nothing is scheduled for it.
 	jobBlocked jobPhase = iota
-	// jobRunnable: its tasks may be placed.
+	// jobRunnable: the job's tasks may be placed.
 	jobRunnable
-	// jobFinished: its final status is decided here, and not durable yet.
+	// jobFinished: this scheduler has determined the final status, which is not durable yet.
 	jobFinished
-	// jobRecorded: its final status is durable. It stays until no machine has a task of it.
+	// jobRecorded: the final status is durable. The job is kept until no machine has a task of it.
 	jobRecorded
 )
 
-// jobState is an unfinished job of a job shard that this controller holds, or a finished
-// one that is not yet off all machines.
+// jobState is an unfinished job of a job shard that this controller holds, or a finished job of
+// which machines may still have tasks.
 type jobState struct {
 	spec        *job.Spec
-	record      *job.Record // as it was read: what a later version wrote in it is kept
-	revision    uint64      // of its record
+	record      *job.Record // as read; keeps fields that a later version wrote
+	revision    uint64      // revision of the record
 	shardID     string
 	class       *schedulingClass
 	submittedAt time.Time
-	readyAt     time.Time // when it could start: its submission, or the end of its last dependency
+	readyAt     time.Time // when it became runnable: its submission, or the end of its last dependency
 
-	phase      jobPhase  // changed by advance alone
-	outcome    string    // final status, once finished
-	finishedAt time.Time // when it was found to be done
+	phase      jobPhase  // changed by advance only
+	outcome    string    // final status; "" until finished
+	finishedAt time.Time // when the scheduler found its last task completed
 
-	// accepted says that this session accepted it: nothing of it can run unknown to us.
+	// accepted reports whether this session accepted the job, so that no attempt unknown to this
+	// scheduler can exist.
 	accepted bool
 
 	dependencies dag.Result
-	urgency      dag.Urgency     // handed to it by the jobs that need it
-	effective    *job.Spec       // spec with the rank and deadline that it is treated as having
-	limits       []time.Duration // what the queue's order goes by
-	startWithin  []time.Duration // service-level objectives for when its tasks should have started
+	urgency      dag.Urgency     // rank and deadline derived from the jobs that depend on this one
+	effective    *job.Spec       // spec with the effective rank and deadline
+	limits       []time.Duration // completion targets by which the queue order ranks the job
+	startWithin  []time.Duration // start targets of the service-level objectives, in rising order
 
 	tasks     []taskState
 	done      job.TaskBitmap
 	doneCount int
-	attempts  uint64 // the highest attempt number used
-	begun     bool   // a task of it has been placed
+	attempts  uint64 // highest attempt number used
+	begun     bool   // a task of it has been placed or completed
 
-	placing   bool // its one placement is at work
+	placing   bool // a placement of it is in progress
 	nextTry   time.Time
 	tries     int  // placements that found no capacity
-	reserving bool // capacity is being reserved for it
+	reserving bool // capacity is reserved for it
 
 	completion completion
 	failures   failureHistory
 	delay      imageDelay
-	preemption preemption // its placement's own
+	preemption preemption // used only by the job's placement
 }
 
-// advance is the one place where the phase changes; the outcome is that of the phases
-// from jobFinished on. A later record may correct the outcome: it alone decides.
+// advance is the only place where phase and outcome change. It ignores earlier phases. outcome is
+// the final status from jobFinished on; a repeated advance to the same or a later phase may correct
+// it, because the job's record decides the final status.
 func (j *jobState) advance(to jobPhase, outcome string) {
 	if to < j.phase {
 		return
@@ -72,13 +74,13 @@
 	j.phase, j.outcome = to, outcome
 }
 
-// isFinished reports whether the job's final status is decided, durable or not.
+// isFinished reports whether the final status of the job is determined, durable or not.
 func (j *jobState) isFinished() bool { return j.phase >= jobFinished }
 
-// isGang reports whether its tasks run all together or not at all.
+// isGang reports whether the job's tasks run all together or not at all.
 func (j *jobState) isGang() bool { return j.spec.Shape == job.Gang }
 
-// lastStartObjective is the longest of the objectives for its start, or 0.
+// lastStartObjective returns the longest start target of the job, or 0 if there is none.
 func (j *jobState) lastStartObjective() time.Duration {
 	if len(j.startWithin) == 0 {
 		return 0
@@ -86,7 +88,7 @@
 	return j.startWithin[len(j.startWithin)-1]
 }
 
-// countWaiting counts the tasks without a machine.
+// countWaiting counts the unfinished tasks that are pending.
 func (j *jobState) countWaiting() int {
 	waiting := 0
 	for i := range j.tasks {
@@ -97,7 +99,7 @@
 	return waiting
 }
 
-// countRunning counts the tasks that run, by their workers' last reports.
+// countRunning counts the tasks that run according to the latest reports of their workers.
 func (j *jobState) countRunning() int {
 	running := 0
 	for i := range j.tasks {
@@ -108,7 +110,7 @@
 	return running
 }
 
-// ref names the present attempt at a task.
+// ref returns the reference to the current attempt at a task.
 func (j *jobState) ref(index int) agentapi.TaskRef {
 	return agentapi.TaskRef{Job: j.spec.ID, Index: index, Attempt: j.tasks[index].attempt}
 }
--- a/internal/scheduler/outbox.go
+++ b/internal/scheduler/outbox.go
@@ -9,26 +9,28 @@
 )
 
 const (
-	// outboxTimeout is how long one message to an owner may take.
+	// outboxTimeout bounds one message to an owner.
 	outboxTimeout = 2 * time.Second
 
-	// stopResendInterval is the time after which a stop is sent again while its task is
-	// not gone: its machine may have another owner by then.
+	// stopResendInterval is the time after which a stop is sent again if the attempt is still
+	// present: the machine may have a new owner by then.
 	stopResendInterval = 2 * time.Second
 
-	// maxOutbox is from how many messages of a kind on those that could not be delivered
-	// are dropped.
+	// maxOutbox is the number of queued messages of a kind at which undeliverable messages of that
+	// kind are dropped instead of being queued again.
 	maxOutbox = 10_000
 )
 
-// outbox holds what other controllers are to be told. The scheduler's mutex guards it.
+// outbox holds the undelivered messages to other controllers. Scheduler.mu guards it.
 type outbox struct {
-	forgets      []agentapi.StopItem    // ended attempts that their machines may forget
-	attributions []agentapi.Attribution // failures, for the owners of the machines
-	releases     []agentapi.TaskRef     // quota grants that are not used, for the leader
+	forgets      []agentapi.StopItem    // ended attempts to forget; superseded attempts and gang reservations to stop
+	attributions []agentapi.Attribution // failure attributions, for the owners of the machines
+	releases     []agentapi.TaskRef     // unused quota grants, for the leader
 }
 
-// stopTask has a task stopped, again and again until it is gone. The mutex is held.
+// stopTask requests that a task is stopped; the request is repeated until the task is gone. grace
+// is the time that the task has to save. A later request takes effect only if it shortens grace.
+// The caller must hold s.mu.
 func (s *Scheduler) stopTask(j *jobState, index int, grace time.Duration) {
 	task := &j.tasks[index]
 	if !task.onMachine() || task.status == taskStopping && task.grace <= grace {
@@ -39,7 +41,8 @@
 	s.stopping[j.ref(index)] = true
 }
 
-// stopTaskOrGang stops a task in good order: of a gang, all together. The mutex is held.
+// stopTaskOrGang stops a task or, if the job is a gang, all of its tasks. The caller must hold
+// s.mu.
 func (s *Scheduler) stopTaskOrGang(j *jobState, index int, grace time.Duration) {
 	if !j.isGang() {
 		s.stopTask(j, index, grace)
@@ -48,15 +51,16 @@
 	s.stopAllTasks(j, grace)
 }
 
-// stopAllTasks stops all tasks of a job that are on machines. The mutex is held.
+// stopAllTasks stops all tasks of a job that are on machines. The caller must hold s.mu.
 func (s *Scheduler) stopAllTasks(j *jobState, grace time.Duration) {
 	for i := range j.tasks {
 		s.stopTask(j, i, grace)
 	}
 }
 
-// sendOutbox passes what is to be told to the machines' owners and to the leader. Agents
-// repeat stops to the workers; repeating them here covers a change of owner.
+// sendOutbox sends the queued messages to the owners of machines and to the leader. Agents repeat
+// stops to the workers; the scheduler repeats them to agents because the owner of a machine may
+// change.
 func (s *Scheduler) sendOutbox(ctx context.Context) {
 	now := time.Now()
 	s.mu.Lock()
@@ -73,8 +77,8 @@
 	}
 }
 
-// dueStops lists the stops that are to be sent now, and drops those whose task is gone.
-// The mutex is held.
+// dueStops lists the stops to send now and drops those whose attempt is gone. The caller must hold
+// s.mu.
 func (s *Scheduler) dueStops(now time.Time) []agentapi.StopItem {
 	var due []agentapi.StopItem
 	for ref := range s.stopping {
@@ -91,8 +95,8 @@
 	return due
 }
 
-// stoppingTask returns the task of an attempt that is being stopped, or nil if that is
-// gone. The mutex is held.
+// stoppingTask returns the task of an attempt that is being stopped, or nil if the attempt is gone.
+// The caller must hold s.mu.
 func (s *Scheduler) stoppingTask(ref agentapi.TaskRef) *taskState {
 	j := s.jobs[ref.Job]
 	if j == nil {
@@ -105,7 +109,8 @@
 	return task
 }
 
-// sendStops sends stops and permissions to forget to the owners of the machines.
+// sendStops sends stops and permissions to forget attempts to the owners of the machines. Items for
+// machines without a known owner are dropped.
 func (s *Scheduler) sendStops(ctx context.Context, items []agentapi.StopItem) {
 	byHost := map[string][]agentapi.StopItem{}
 	for _, item := range items {
@@ -118,8 +123,9 @@
 	}
 }
 
-// sendStopsTo sends them to one owner. Permissions to forget are sent again if that
-// fails; stops are sent again anyway.
+// sendStopsTo sends the items to one owner. If that fails, permissions to forget are queued again.
+// Stops are not: dueStops repeats the stops of placed tasks, and a superseded attempt is stopped
+// again when an entry lists it again.
 func (s *Scheduler) sendStopsTo(ctx context.Context, host string, items []agentapi.StopItem) {
 	callCtx, cancel := context.WithTimeout(ctx, outboxTimeout)
 	defer cancel()
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -9,19 +9,19 @@
 	"robinstack/internal/scheduler/candidate"
 )
 
-// placement is one pass of one job through sampling, decision and commit. It holds a
-// snapshot of the job, taken when it began, and is used by its own goroutine alone.
+// placement is one pass of a job through sampling, decision and commit. It holds a snapshot of the
+// job from the start of the pass and is used by a single goroutine.
 type placement struct {
 	job          *jobState
-	tasks        []int          // indices of the tasks that need a machine
-	othersByZone map[string]int // the job's other unfinished tasks, committing or placed
+	tasks        []int          // indices of the tasks to place
+	othersByZone map[string]int // the job's other unfinished tasks, committing or on machines
 	request      agentapi.Request
 }
 
-// tasksNeeded is how many tasks need a machine.
+// tasksNeeded returns the number of tasks to place.
 func (p *placement) tasksNeeded() int { return len(p.tasks) }
 
-// place takes one job through a placement, and says when its next may be.
+// place runs a placement of the job and sets the time before which the next one must not start.
 func (s *Scheduler) place(ctx context.Context, j *jobState) {
 	noCapacity := s.placeOnce(ctx, j)
 	now := time.Now()
@@ -43,26 +43,26 @@
 	s.wake()
 }
 
-// placeOnce carries out the three phases. It reports whether capacity was missing, so that
-// the job's class pauses.
+// placeOnce runs the three phases. It reports whether capacity was missing, in which case the job's
+// scheduling class pauses.
 func (s *Scheduler) placeOnce(ctx context.Context, j *jobState) (noCapacity bool) {
 	p := s.beginPlacement(j)
 	if p == nil {
 		return false
 	}
 	sampled := s.sample(ctx, p)
-	decided := s.decide(p, sampled)
-	switch s.makeCapacity(ctx, p, decided, sampled) {
+	plan := s.decide(p, sampled)
+	switch s.makeCapacity(ctx, p, plan, sampled) {
 	case capacityMissing:
 		return true
 	case capacityAwaited:
 		return false
 	}
-	return s.commitPlan(ctx, p, decided)
+	return s.commitPlan(ctx, p, plan)
 }
 
-// beginPlacement takes the snapshot for a placement, or returns nil if the job is finished
-// or its job shard is not held any more.
+// beginPlacement takes the snapshot for a placement. It returns nil if the job is finished or its
+// job shard is no longer held.
 func (s *Scheduler) beginPlacement(j *jobState) *placement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,51 +98,52 @@
 	return p
 }
 
-// retryIn has the job wait before its next placement.
+// retryIn postpones the job's next placement by the pause.
 func (s *Scheduler) retryIn(j *jobState, pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	j.nextTry = time.Now().Add(pause)
 }
 
-// capacityResult is what became of capacity that a plan is short of.
+// capacityResult says whether a plan has the capacity that it needs.
 type capacityResult uint8
 
 const (
-	// capacityFound: the plan is good enough to be committed.
+	// capacityFound: the plan can be committed.
 	capacityFound capacityResult = iota
-	// capacityAwaited: the job tries again when capacity that is being made for it, or
-	// that it waits for, may be there; its class does not pause.
+	// capacityAwaited: capacity is being freed for the job, or the job waits for other machines. It
+	// tries again when that capacity may be available; its scheduling class does not pause.
 	capacityAwaited
-	// capacityMissing: there is none, so that the job's class pauses.
+	// capacityMissing: there is no capacity, and the job's scheduling class pauses.
 	capacityMissing
 )
 
-// makeCapacity has capacity made where the plan is short of it: the job waits for machines
-// with its image, tasks of lower priority are preempted, or capacity is reserved.
+// makeCapacity obtains the capacity that a plan lacks: the job waits for machines with its image,
+// tasks of lower priority are preempted, or capacity is reserved.
 func (s *Scheduler) makeCapacity(
-	ctx context.Context, p *placement, decided *placementPlan, sampled sampleResult,
+	ctx context.Context, p *placement, plan *placementPlan, sampled sampleResult,
 ) capacityResult {
-	missing := len(decided.lists) < p.tasksNeeded()
-	gangMissing := missing && p.job.isGang()
-	othersMissing := missing && !p.job.isGang()
-	insufficient := len(decided.lists) == 0 || gangMissing
-	if missing && decided.waitsForImage {
-		s.awaitImage(ctx, p, decided)
+	lacksCapacity := len(plan.lists) < p.tasksNeeded()
+	gangLacksCapacity := lacksCapacity && p.job.isGang()
+	nonGangLacksCapacity := lacksCapacity && !p.job.isGang()
+	insufficient := len(plan.lists) == 0 || gangLacksCapacity
+	if lacksCapacity && plan.waitsForImage {
+		s.awaitImage(ctx, p, plan)
 		if insufficient {
 			return capacityAwaited
 		}
 	}
-	if gangMissing && s.preempt(ctx, p, decided, allMachines) {
+	if gangLacksCapacity && s.preempt(ctx, p, plan, allMachines) {
 		return capacityAwaited
 	}
-	if insufficient && s.reserveBackfill(ctx, p, decided) {
+	if insufficient && s.reserveBackfill(ctx, p, plan) {
 		return capacityAwaited
 	}
-	if othersMissing && sampled.crowded {
-		// There is capacity, but not for its image: jobs with others may take it.
+	if nonGangLacksCapacity && sampled.crowded {
+		// Capacity exists, but fetches on those machines would compete with the fetch of this job's
+		// image. Jobs with other images may use it, so the class does not pause.
 		s.retryIn(p.job, s.policy.ResampleDelay)
-		decided.waitsForImage = true
+		plan.waitsForImage = true
 		if insufficient {
 			return capacityAwaited
 		}
@@ -153,11 +154,11 @@
 	return capacityFound
 }
 
-// awaitImage has the job try again soon for machines with its image. Where a gang would
-// start too late if it fetched it, they are preempted for it.
-func (s *Scheduler) awaitImage(ctx context.Context, p *placement, decided *placementPlan) {
+// awaitImage schedules a retry for a job that waits for machines with its image. For a gang that
+// would miss its start target by fetching the image, it also preempts tasks on such machines.
+func (s *Scheduler) awaitImage(ctx context.Context, p *placement, plan *placementPlan) {
 	s.retryIn(p.job, delayRetryInterval)
 	if p.job.isGang() && p.job.fetchMissesObjective(s.fetchTime(p.job.spec), time.Now()) {
-		s.preempt(ctx, p, decided, machinesWithImage)
+		s.preempt(ctx, p, plan, machinesWithImage)
 	}
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -11,33 +11,35 @@
 )
 
 const (
-	// preemptionWait is how long a gang waits for machines that are being preempted before
-	// it has others preempted, beyond the time that tasks may need to save.
+	// preemptionWait bounds how long a gang waits for machines on which tasks are being preempted;
+	// after that it may preempt tasks on other machines. It has to exceed the time that preempted
+	// tasks may need to save.
 	preemptionWait = 12 * time.Second
 
-	// preemptionRetryInterval is the time between two tries of a gang meanwhile.
+	// preemptionRetryInterval is the time between two placements of a gang that waits for preempted
+	// machines.
 	preemptionRetryInterval = 300 * time.Millisecond
 )
 
-// preemptionScope says on which machines tasks are preempted.
+// preemptionScope selects the machines on which tasks may be preempted.
 type preemptionScope uint8
 
 const (
-	// allMachines: on any.
+	// allMachines: any machine.
 	allMachines preemptionScope = iota
-	// machinesWithImage: only where the gang need not fetch its image.
+	// machinesWithImage: only machines that have the gang's image.
 	machinesWithImage
 )
 
-// preemption is what is being preempted for a job. The job's placement alone changes it.
+// preemption is the latest preemption in favour of a job. Only the job's placement uses it.
 type preemption struct {
-	until time.Time // until then it waits for it
+	until time.Time // the job waits for the preempted machines until then
 	scope preemptionScope
 }
 
-// preempt has owners stop tasks of lower priority where a gang would then fit. It returns
-// whether capacity is being made, so that the gang tries again soon.
-func (s *Scheduler) preempt(ctx context.Context, p *placement, decided *placementPlan, scope preemptionScope) bool {
+// preempt asks owners to stop tasks of lower priority where the gang would then fit. It reports
+// whether capacity is being freed, in which case the gang tries again soon.
+func (s *Scheduler) preempt(ctx context.Context, p *placement, plan *placementPlan, scope preemptionScope) bool {
 	j := p.job
 	if !s.mayPreempt(p) {
 		return false
@@ -49,7 +51,7 @@
 	if !s.quotaAllows(ctx, j, p.request.Epoch, p.tasksNeeded()) {
 		return false
 	}
-	request := decided.request
+	request := plan.request
 	request.Near = scope == machinesWithImage
 	if scope == allMachines {
 		request.Left = j.timeToStart(time.Now())
@@ -59,17 +61,17 @@
 		options = s.cheaperThanFetch(j, options)
 	}
 	candidate.Rank(options)
-	chosen := candidate.ChooseFreed(j.spec.OneZone, decided.candidates, options, p.tasksNeeded())
+	chosen := candidate.ChooseFreed(j.spec.OneZone, plan.candidates, options, p.tasksNeeded())
 	if len(chosen) == 0 {
 		return false
 	}
-	s.reserveMachines(ctx, methodPreempt, p, request, chosen, decided.candidates, p.tasksNeeded())
+	s.reserveMachines(ctx, methodPreempt, p, request, chosen, plan.candidates, p.tasksNeeded())
 	j.preemption = preemption{until: time.Now().Add(preemptionWait), scope: scope}
 	s.retryIn(j, preemptionRetryInterval)
 	return true
 }
 
-// mayPreempt reports whether tasks of others may be stopped for the job at all.
+// mayPreempt reports whether the job may preempt tasks of other jobs at all.
 func (s *Scheduler) mayPreempt(p *placement) bool {
 	s.mu.Lock()
 	atFault := p.job.failures.jobAtFault
@@ -77,8 +79,8 @@
 	return s.policy.Preemption && !atFault && p.request.Spec.Priority() > job.LowestPriority
 }
 
-// cheaperThanFetch keeps the machines where stopping tasks loses less than a fetch takes:
-// where tasks do not save, it may lose more.
+// cheaperThanFetch keeps the machines on which preemption loses at most as many GPU-seconds as a
+// fetch of the job's image takes. Preempting tasks that do not save checkpoints may lose more.
 func (s *Scheduler) cheaperThanFetch(j *jobState, options []agentapi.Candidate) []agentapi.Candidate {
 	fetch := s.fetchTime(j.spec).Seconds() * max(1, j.spec.GPUs)
 	return slices.DeleteFunc(options, func(c agentapi.Candidate) bool { return -c.Score > fetch })
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// maxPlacements bounds the placements at work at the same time.
+	// maxPlacements bounds the concurrent placements.
 	maxPlacements = 8
 
-	// What wakes the queue gathers for a moment: under load something does all the time,
-	// and every look goes through all jobs, so that with many the looks are further apart.
+	// Delay between a wake-up and the dispatch, which coalesces wake-ups: under load they arrive
+	// all the time. A dispatch examines all jobs, so the delay grows with their number.
 	minWakeUpPause    = 10 * time.Millisecond
 	wakeUpPausePerJob = 100 * time.Microsecond
 	maxWakeUpPause    = 50 * time.Millisecond
 )
 
-// runQueue dispatches until ctx ends, whenever something wakes the queue.
+// runQueue dispatches on every wake-up and at least once per dispatchInterval, until ctx ends.
 func (s *Scheduler) runQueue(ctx context.Context) {
 	tick := time.NewTicker(dispatchInterval)
 	defer tick.Stop()
@@ -39,7 +39,7 @@
 	return min(maxWakeUpPause, minWakeUpPause+time.Duration(len(s.jobs))*wakeUpPausePerJob)
 }
 
-// wake has the queue looked at soon.
+// wake makes runQueue dispatch soon.
 func (s *Scheduler) wake() {
 	select {
 	case s.wakeUp <- struct{}{}:
@@ -47,14 +47,13 @@
 	}
 }
 
-// queued is a job that may be placed now.
+// queued is a job that may be placed now, with its queue order.
 type queued struct {
 	job   *jobState
 	order float64
 }
 
-// dispatch starts placements for the jobs that wait, those first that the queue's order
-// puts first.
+// dispatch starts placements for the waiting jobs in queue order, up to maxPlacements at a time.
 func (s *Scheduler) dispatch(ctx context.Context) {
 	if !s.session.HoldsLease() {
 		return
@@ -64,7 +63,7 @@
 	defer s.mu.Unlock()
 	s.checkDependencies(now)
 	if s.placements >= maxPlacements {
-		return // the end of one of them wakes the queue
+		return // the end of a placement wakes the queue
 	}
 	for _, next := range s.queue(now) {
 		if s.placements >= maxPlacements {
@@ -81,7 +80,7 @@
 	}
 }
 
-// queue lists the jobs that may be placed now in the queue's order. The mutex is held.
+// queue lists the jobs that may be placed now, in queue order. The caller must hold s.mu.
 func (s *Scheduler) queue(now time.Time) []queued {
 	var queue []queued
 	for _, j := range s.jobs {
@@ -95,7 +94,7 @@
 	return queue
 }
 
-// mayDispatch reports whether a placement of the job may be started. The mutex is held.
+// mayDispatch reports whether a placement of the job may start now. The caller must hold s.mu.
 func (s *Scheduler) mayDispatch(j *jobState, now time.Time) bool {
 	if j.phase != jobRunnable || j.placing || now.Before(j.nextTry) {
 		return false
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -7,38 +7,40 @@
 	"robinstack/internal/policy"
 )
 
-// The queue's order: what of it is not the policy's own. This file decides only; it calls
-// nobody and reads no clock.
+// The part of the queue order that the policy does not define. The functions in this file have no
+// side effects and do not read the clock.
 
 const (
-	// startDeadline is the time within which every job has to start, the largest too, once
-	// it can: operators count it a failed day if they do not.
+	// startDeadline is the time within which every job must start once it is runnable, including
+	// the largest jobs. Operators count a day on which a job misses it as failed.
 	startDeadline = 4 * time.Minute
 
-	// overdueBatchTasks is how many tasks of an overdue array are placed at once: it has
-	// to begin, and then its order is that of any other.
+	// overdueBatchTasks is the number of tasks that are placed at once of an overdue job that is
+	// not a gang. The job only has to start; after that it has no precedence over other jobs.
 	overdueBatchTasks = 8
 
-	// maxBatchTasks bounds how many tasks of a job one placement looks for.
+	// maxBatchTasks bounds the number of tasks in one placement, except for gangs.
 	maxBatchTasks = 64
 )
 
-// Orders of jobs whose start is overdue: before all others of their rank, and, half of the
-// remaining time before startDeadline, before all others at all. Going first stops
-// nobody's work. The policy's order is below firstInRank within a rank, ranks are rankStep
-// apart, and firstOfAll is above all ranks.
+// Queue orders of jobs whose start is overdue. At first such a job precedes all others of its rank;
+// after half of the time that then remains until startDeadline it precedes all other jobs. This
+// precedence preempts no tasks. Within a rank the policy's order stays below firstInRank, ranks are
+// rankStep apart, and firstOfAll is above all ranks.
 const (
 	firstInRank = 5e8
 	rankStep    = 1e9
 	firstOfAll  = 1e11
 )
 
-// overdueAfter is when the start of a job is overdue: it goes first in its rank, and
-// capacity is reserved for it, if no task of it has been placed by then. A gang's is after
-// half of the time, for its machines have to come free; others' after three quarters, for
-// they begin with the first place. Those are mostly jobs that are too late for all their
-// limits, and every minute earlier costs others theirs: on kuopio-fleet's loss 0.03 of
-// label-read's deadlines.
+// overdueAfter returns the age at which the start of a job becomes overdue. If no task of the job
+// has been placed by then, the job goes first in its rank and capacity is reserved for it.
+//
+// A gang is overdue after half of startDeadline, because all of its machines have to come free.
+// Other jobs are overdue after three quarters, because they start with the first machine. Most
+// overdue jobs have already missed all their completion targets, and an earlier precedence makes
+// other jobs miss theirs: each minute earlier cost 0.03 of the deadlines of class label-read in the
+// loss scenario of workload kuopio-fleet.
 func (j *jobState) overdueAfter() time.Duration {
 	if j.isGang() {
 		return startDeadline / 2
@@ -46,7 +48,7 @@
 	return startDeadline * 3 / 4
 }
 
-// startOverdue reports whether a job should have started by now. What fails on every
+// startOverdue reports whether the job should have started by now. A job that fails on every
 // machine is never overdue.
 func (j *jobState) startOverdue(now time.Time) bool {
 	if j.begun || j.phase == jobBlocked || j.failures.jobAtFault {
@@ -55,7 +57,7 @@
 	return now.Sub(j.readyAt) > j.overdueAfter()
 }
 
-// order is the job's place in the queue, higher first.
+// order returns the queue order of a job that does not fail on every machine; higher goes first.
 func (j *jobState) order(pol *policy.Policy, now time.Time) float64 {
 	age := now.Sub(j.readyAt)
 	switch {
@@ -67,7 +69,7 @@
 	return float64(j.effective.Priority())*rankStep + firstInRank + age.Seconds()
 }
 
-// queueOrder is the order, but for jobs that fail on every machine: those come last.
+// queueOrder returns the queue order of the job. Jobs that fail on every machine go last.
 func (j *jobState) queueOrder(pol *policy.Policy, now time.Time) float64 {
 	if j.failures.jobAtFault {
 		return math.Inf(-1)
@@ -75,7 +77,7 @@
 	return j.order(pol, now)
 }
 
-// batchSize is how many of the job's tasks one placement looks for.
+// batchSize returns the maximum number of the job's tasks in one placement.
 func (j *jobState) batchSize(now time.Time) int {
 	switch {
 	case j.isGang():
@@ -88,7 +90,8 @@
 	return maxBatchTasks
 }
 
-// hasPlaceableTasks reports whether tasks wait that one placement can place: of a gang, all.
+// hasPlaceableTasks reports whether the job has waiting tasks that a placement can place. A gang is
+// placed only as a whole.
 func (j *jobState) hasPlaceableTasks() bool {
 	waiting := j.countWaiting()
 	return waiting > 0 && (!j.isGang() || waiting == len(j.tasks))
--- a/internal/scheduler/quota_grants.go
+++ b/internal/scheduler/quota_grants.go
@@ -12,13 +12,13 @@
 	"robinstack/internal/quota"
 )
 
-// quotaTimeout is how long one question to the leader about quotas may take.
+// quotaTimeout bounds one quota request to the leader.
 const quotaTimeout = time.Second
 
-// errNoLeader says that there is no leader whose session is alive.
-var errNoLeader = errors.New("no leader")
+// errNoLeader is returned when no leader has a live session.
+var errNoLeader = errors.New("no leader with a live session")
 
-// callQuota sends the leader a request about quotas.
+// callQuota sends a quota request to the leader.
 func (s *Scheduler) callQuota(ctx context.Context, request quota.Request) (*quota.Reply, error) {
 	host, ok := s.leaderHost()
 	if !ok {
@@ -31,8 +31,9 @@
 	return &reply, nil
 }
 
-// requestGrants asks the leader for quota grants where the team has a quota, and returns
-// the bindings that have one, with the epoch of the leader that gave them.
+// requestGrants requests quota grants from the leader if the team has a quota. It returns the
+// bindings that were granted and the epoch of the leader that granted them. Without a quota it
+// returns all bindings and epoch 0.
 func (s *Scheduler) requestGrants(
 	ctx context.Context, j *jobState, bindings []*binding, epoch uint64,
 ) (granted []*binding, leaderEpoch uint64) {
@@ -48,7 +49,7 @@
 	reply, err := s.callQuota(callCtx, request)
 	if err != nil || len(reply.Granted) != len(bindings) {
 		slog.Debug("quota request failed", "job", j.spec.ID, "err", err)
-		s.queueReleases(bindings) // they may have been granted all the same
+		s.queueReleases(bindings) // the leader may have granted them although the request failed
 		return nil, 0
 	}
 	for i, b := range bindings {
@@ -59,7 +60,7 @@
 	return granted, reply.Epoch
 }
 
-// queueReleases has the leader told that grants of bindings are not used.
+// queueReleases queues the release of the grants of the bindings, which are not used.
 func (s *Scheduler) queueReleases(bindings []*binding) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,15 +69,16 @@
 	}
 }
 
-// queueRelease has the leader told that a grant is not used, where the team has a quota.
-// The mutex is held.
+// queueRelease queues the release of a grant that is not used, if the team has a quota. The caller
+// must hold s.mu.
 func (s *Scheduler) queueRelease(j *jobState, ref agentapi.TaskRef) {
 	if s.settings.HasQuota(j.spec.Team) {
 		s.outbox.releases = append(s.outbox.releases, ref)
 	}
 }
 
-// releaseGrants tells the leader which grants are not used.
+// releaseGrants tells the leader which grants are not used. On failure the releases are queued
+// again.
 func (s *Scheduler) releaseGrants(ctx context.Context, refs []agentapi.TaskRef) {
 	callCtx, cancel := context.WithTimeout(ctx, quotaTimeout)
 	defer cancel()
@@ -90,16 +92,16 @@
 	}
 }
 
-// quotaAllows asks whether the team's quota leaves capacity for so many tasks, so that
-// nothing is preempted in vain. It grants nothing.
+// quotaAllows reports whether the team's quota has capacity for the given number of tasks, so that
+// nothing is preempted or reserved in vain. It acquires no grant.
 func (s *Scheduler) quotaAllows(ctx context.Context, j *jobState, epoch uint64, tasks int) bool {
 	if !s.settings.HasQuota(j.spec.Team) {
 		return true
 	}
 	request := quota.Request{Slot: j.shardID, Epoch: epoch, Probe: true}
-	want := quota.GrantRequest{Ref: agentapi.TaskRef{Job: j.spec.ID}, Team: j.spec.Team, Need: j.spec.Need}
+	grantRequest := quota.GrantRequest{Ref: agentapi.TaskRef{Job: j.spec.ID}, Team: j.spec.Team, Need: j.spec.Need}
 	for range tasks {
-		request.Wants = append(request.Wants, want)
+		request.Wants = append(request.Wants, grantRequest)
 	}
 	callCtx, cancel := context.WithTimeout(ctx, quotaTimeout)
 	defer cancel()
@@ -107,9 +109,9 @@
 	return err == nil && !slices.Contains(reply.Granted, false)
 }
 
-// reserveQuota has the leader keep what the team's quota leaves for a job whose start is
-// overdue, as it comes free: otherwise smaller jobs of the team would take it for ever. It
-// returns whether all of it is there.
+// reserveQuota asks the leader to reserve free capacity within the team's quota, as it becomes
+// available, for a job whose start is overdue. Otherwise smaller jobs of the team would take that
+// capacity indefinitely. It reports whether all of the capacity is available.
 func (s *Scheduler) reserveQuota(ctx context.Context, j *jobState, epoch uint64, tasks int) bool {
 	if !s.settings.HasQuota(j.spec.Team) {
 		return true
--- a/internal/scheduler/sampling.go
+++ b/internal/scheduler/sampling.go
@@ -11,40 +11,40 @@
 	"robinstack/internal/scheduler/candidate"
 )
 
-// Phase 1, sampling: a random share of the controllers is asked for machines with capacity,
-// each of which samples a share of its machines.
+// Phase 1 of a placement, sampling: the scheduler asks a random share of the controllers for
+// machines with capacity, and each controller samples a share of its machines.
 
-// shuffle is the source of randomness of the sampling.
+// shuffle is the source of randomness for choosing the controllers.
 var shuffle candidate.Shuffle = rand.Shuffle
 
-// sampleResult is what the controllers that were asked have found.
+// sampleResult is the merged answer of the controllers that were asked.
 type sampleResult struct {
 	candidates []agentapi.Candidate
-	scarce     bool // all of them looked at every machine they own
-	crowded    bool // there is capacity on machines that fetch other images
+	scarce     bool // every controller that answered drew all of its machines and found too few
+	crowded    bool // capacity exists, but only beside fetches of other images
 }
 
-// sample asks for machines on which the job's tasks have capacity.
+// sample asks for machines that have capacity for tasks of the job.
 func (s *Scheduler) sample(ctx context.Context, p *placement) sampleResult {
-	found := s.askOwners(ctx, methodSample, p.request)
-	if found.scarce {
+	result := s.askOwners(ctx, methodSample, p.request)
+	if result.scarce {
 		s.mu.Lock()
 		p.job.class.scarceUntil = time.Now().Add(scarceDuration)
 		s.mu.Unlock()
 	}
-	return found
+	return result
 }
 
-// askOwners sends a request to a random share of the controllers, and joins their answers.
-// One that does not answer in time is left out.
+// askOwners sends a request to a random share of the controllers and merges the answers.
+// Controllers that fail or do not answer within SampleTimeout are ignored.
 func (s *Scheduler) askOwners(ctx context.Context, method string, request agentapi.Request) sampleResult {
 	hosts := candidate.PickHosts(s.session.AliveHosts(), s.policy.SampleControllerShare, shuffle)
 	callCtx, cancel := context.WithTimeout(ctx, s.policy.SampleTimeout)
 	defer cancel()
 	var (
-		mu    sync.Mutex // guards all
-		all   = sampleResult{scarce: true}
-		calls sync.WaitGroup
+		mu     sync.Mutex // mu guards all
+		merged = sampleResult{scarce: true}
+		calls  sync.WaitGroup
 	)
 	for _, host := range hosts {
 		calls.Go(func() {
@@ -55,14 +55,14 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all.candidates = append(all.candidates, reply.Candidates...)
-			all.scarce = all.scarce && reply.Exhausted
-			all.crowded = all.crowded || reply.Crowded
+			merged.candidates = append(merged.candidates, reply.Candidates...)
+			merged.scarce = merged.scarce && reply.Exhausted
+			merged.crowded = merged.crowded || reply.Crowded
 		})
 	}
 	calls.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counters.Samples += uint64(len(hosts))
-	return all
+	return merged
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,20 +1,19 @@
-// Package scheduler places the tasks of the unfinished jobs in the job shards that this
-// controller holds, follows the attempts at them on the machines and records what has
-// completed.
+// Package scheduler places the tasks of the unfinished jobs in the job shards that this controller
+// holds, tracks their attempts on the machines and records completed tasks.
 //
-// A placement goes through Vela's three phases, one file each: sampling (sampling.go) asks
-// controllers for machines with capacity, the decision (decision.go, package candidate)
-// ranks them and gives each task its list of candidates, and the commit (commit.go, with
-// MultiBind, and gang_commit.go) binds the tasks to machines at their owners. The queue
-// (queue.go, queue_order.go) says whose placement is next.
+// A placement has the three phases of Vela. Sampling (sampling.go) asks controllers for machines
+// with capacity. The decision (decision.go, package candidate) ranks them and gives each task a
+// list of candidates. The commit (commit.go with MultiBind, and gang_commit.go) binds the tasks to
+// machines through the owners of the machines. The queue (queue.go, queue_order.go) selects the
+// jobs that are placed next.
 //
-// The Scheduler owns all state: the jobs, their tasks, the job shards and what is to be
-// sent to other controllers. Its one mutex guards all of it and is never held over I/O.
-// Fields that only a job's own placement uses are marked so: a job has at most one.
+// The Scheduler owns all state: jobs, tasks, job shards and undelivered messages to other
+// controllers. A single mutex guards this state and is never held over I/O. Fields that only the
+// placement of a job uses say so; a job has at most one placement at a time.
 //
-// It speaks to other controllers through peer.Caller with the messages of agentapi, quota
-// and autoscaler, and to the state service through statekv. It must not import the
-// implementations of other roles: clusteragent, gateway, controller.
+// The package calls other controllers through peer.Caller with the messages of agentapi, quota and
+// autoscaler, and the state service through statekv. It must not import the implementations of
+// other roles: clusteragent, gateway, controller.
 package scheduler
 
 import (
@@ -34,20 +33,20 @@
 	"robinstack/internal/statekv"
 )
 
-// Intervals of the duties. Each runs at once at the start and then once per interval; a run
-// that takes longer than that delays the next.
+// Intervals of the background loops. Each loop runs once at the start and then once per interval; a
+// run that takes longer than its interval delays the next.
 const (
-	dispatchInterval       = 150 * time.Millisecond // where nothing wakes the queue
-	shardInterval          = 300 * time.Millisecond // job shards of failed controllers
-	completionInterval     = 100 * time.Millisecond // records of what has completed
-	outboxInterval         = 200 * time.Millisecond // messages to owners of machines
-	demandInterval         = time.Second            // demand, to the leader
-	removedMachineInterval = 2 * time.Second        // tasks on machines that were removed
-	shardReleaseInterval   = 5 * time.Second        // job shards without jobs
-	classCleanupInterval   = 10 * time.Second       // scheduling classes without jobs
+	dispatchInterval       = 150 * time.Millisecond // dispatch when no wake-up arrives
+	shardInterval          = 300 * time.Millisecond // acquire job shards of failed controllers
+	completionInterval     = 100 * time.Millisecond // record completed tasks
+	outboxInterval         = 200 * time.Millisecond // send messages to machine owners and the leader
+	demandInterval         = time.Second            // report demand to the leader
+	removedMachineInterval = 2 * time.Second        // give up tasks on removed machines
+	shardReleaseInterval   = 5 * time.Second        // release job shards without jobs
+	classCleanupInterval   = 10 * time.Second       // delete scheduling classes without jobs
 )
 
-// Scheduler holds the jobs of its job shards. Its mutex guards all its state and is
+// Scheduler holds the jobs of the job shards of this controller. mu guards all of its state and is
 // never held over I/O.
 type Scheduler struct {
 	settings     *config.Settings
@@ -61,49 +60,48 @@
 	dependencies *dag.Tracker
 	feed         *changefeed.Feed // set by Run
 
-	// RecoveryTimeline notes the first start of a task and the reconciliation of job
-	// shards. Set it before Run.
+	// RecoveryTimeline records the first start of a task and the reconciliation of job shards. It
+	// must be set before Run.
 	RecoveryTimeline *recovery.Timeline
 
-	// background counts the goroutines that duties start: placements, writes and calls.
+	// background tracks the goroutines that the loops start: placements, writes and calls.
 	background sync.WaitGroup
 
 	mu         sync.Mutex
 	jobs       map[string]*jobState
 	shards     map[string]*jobShard
-	ownShard   string          // the job shard that takes new jobs; "" before it is created
-	otherJobs  map[string]bool // open jobs in job shards of other controllers
+	ownShard   string          // ID of the job shard that takes new jobs; "" before it is created
+	otherJobs  map[string]bool // IDs of open jobs in job shards of other controllers
 	deletions  map[string]recordDeletion
-	placedOn   map[string]map[agentapi.TaskRef]bool // attempts by machine
-	stopping   map[agentapi.TaskRef]bool            // attempts that are being stopped
+	placedOn   map[string]map[agentapi.TaskRef]bool // by machine: attempts that are or may be there
+	stopping   map[agentapi.TaskRef]bool            // attempts being stopped
 	outbox     outbox
 	classes    map[classKey]*schedulingClass
-	placements int // at work
+	placements int // placements in progress
 	counters   Counters
 
-	dependencyGeneration  uint64 // changes of the dependency tracker that were taken up
+	dependencyGeneration  uint64 // generation of the dependency tracker at the latest check
 	dependenciesCheckedAt time.Time
 
-	wakeUp chan struct{} // wakes the queue
+	wakeUp chan struct{} // signals runQueue; holds at most one pending wake-up
 }
 
-// Counters count what the paper's mechanisms did. The names of the fields are JSON keys of
-// the status.
+// Counters count the events of the scheduler. The field names are JSON keys of the status.
 type Counters struct {
-	Placements uint64 // that got as far as the commit
-	Samples    uint64 // sampling requests
-	Conflicts  uint64 // tasks that a candidate refused
-	Fallbacks  uint64 // tasks that were tried on a further candidate
-	Requeues   uint64 // placements that missed capacity
-	Unanswered uint64 // tasks of commits without an answer
+	Placements uint64 // placements that reached the commit
+	Samples    uint64 // sampling, preemption and reservation queries, one per controller asked
+	Conflicts  uint64 // tasks refused by a candidate
+	Fallbacks  uint64 // tasks committed to a second or later candidate
+	Requeues   uint64 // placements that lacked capacity
+	Unanswered uint64 // tasks whose commit was not answered
 	Lost       uint64 // attempts that ended without completing their task
-	Failed     uint64 // those of them that failed by themselves
-	Suspects   uint64 // jobs that failed on every machine
-	Gathered   uint64 // placements that reserved capacity
+	Failed     uint64 // attempts of Lost that failed on their own
+	Suspects   uint64 // jobs found at fault because they failed on every machine
+	Gathered   uint64 // placements that requested a backfill reservation
 }
 
-// New returns a scheduler without job shards. The function machineTypes returns those
-// that the cloud offers, by name.
+// New returns a scheduler without job shards. machineTypes returns the machine types of the cloud
+// by name.
 func New(
 	settings *config.Settings,
 	pol *policy.Policy,
@@ -135,38 +133,38 @@
 	}
 }
 
-// Run places jobs until ctx ends. Placements, writes and calls that are under way then end by
-// their own time limits; Wait waits for them.
+// Run places jobs until ctx ends. Placements, writes and calls in progress may outlast Run by their
+// own timeouts; Wait waits for them.
 func (s *Scheduler) Run(ctx context.Context, feed *changefeed.Feed) {
 	s.mu.Lock()
 	s.feed = feed
 	s.mu.Unlock()
 
-	var duties sync.WaitGroup
-	every := func(interval time.Duration, duty func(context.Context)) {
-		duties.Go(func() { runEvery(ctx, interval, duty) })
+	var loops sync.WaitGroup
+	startLoop := func(interval time.Duration, fn func(context.Context)) {
+		loops.Go(func() { runEvery(ctx, interval, fn) })
 	}
-	every(shardInterval, s.maintainShards)
-	every(completionInterval, s.recordCompletions)
-	every(outboxInterval, s.sendOutbox)
-	every(demandInterval, s.reportDemand)
-	every(removedMachineInterval, func(context.Context) { s.loseTasksOfRemovedMachines() })
-	every(classCleanupInterval, func(context.Context) { s.dropUnusedClasses() })
-	every(shardReleaseInterval, s.releaseShards)
+	startLoop(shardInterval, s.maintainShards)
+	startLoop(completionInterval, s.recordCompletions)
+	startLoop(outboxInterval, s.sendOutbox)
+	startLoop(demandInterval, s.reportDemand)
+	startLoop(removedMachineInterval, func(context.Context) { s.loseTasksOfRemovedMachines() })
+	startLoop(classCleanupInterval, func(context.Context) { s.dropUnusedClasses() })
+	startLoop(shardReleaseInterval, s.releaseShards)
 	s.runQueue(ctx)
-	duties.Wait()
+	loops.Wait()
 }
 
-// Wait waits, once Run has returned, until all that it started has ended. A session need not:
-// epochs and the session's compare fence it.
+// Wait waits until all goroutines that Run started have ended, after Run has returned. Ending a
+// session does not require Wait: epochs and the compare on the session's key fence later writes.
 func (s *Scheduler) Wait() { s.background.Wait() }
 
-// runEvery runs a duty until ctx ends.
-func runEvery(ctx context.Context, interval time.Duration, duty func(context.Context)) {
+// runEvery calls fn once per interval, the first time at once, until ctx ends.
+func runEvery(ctx context.Context, interval time.Duration, fn func(context.Context)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		duty(ctx)
+		fn(ctx)
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
@@ -174,7 +172,7 @@
 	}
 }
 
-// HighestEpoch is the highest epoch of the job shards held: agents must know of it.
+// HighestEpoch returns the highest epoch of the job shards held. Agents must know of this epoch.
 func (s *Scheduler) HighestEpoch() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,7 +183,7 @@
 	return highest
 }
 
-// OwnJobShard returns the job shard for new jobs and its epoch.
+// OwnJobShard returns the ID and epoch of the job shard that takes new jobs.
 func (s *Scheduler) OwnJobShard() (id string, epoch uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,20 +194,20 @@
 	return s.ownShard, shard.epoch, true
 }
 
-// Counters returns the counters.
+// Counters returns a copy of the counters.
 func (s *Scheduler) Counters() Counters {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counters
 }
 
-// LeaderHost returns the leader's host, or "".
+// LeaderHost returns the leader's host, or "" if no leader has a live session.
 func (s *Scheduler) LeaderHost() string {
 	host, _ := s.leaderHost()
 	return host
 }
 
-// leaderHost returns the leader's host if its session is alive.
+// leaderHost returns the leader's host, if the leader's session is alive.
 func (s *Scheduler) leaderHost() (string, bool) {
 	kv, ok := s.mirror.Get(statekv.LeaderKey)
 	holder, err := statekv.HolderOf(kv)
--- a/internal/scheduler/scheduling_class.go
+++ b/internal/scheduler/scheduling_class.go
@@ -6,35 +6,35 @@
 	"robinstack/internal/job"
 )
 
-// scarceDuration is for how long capacity counts as scarce after a sample that saw all
-// machines.
+// scarceDuration is how long capacity counts as scarce after a sample that exhausted all machines.
 const scarceDuration = 2 * time.Second
 
-// classKey stands for what a job asks of machines: if one such found no capacity, those
-// behind it in the queue that ask for the same need not try just now.
+// classKey identifies the jobs with the same requirements on machines. When one of them finds no
+// capacity, the others need not try until its class may be placed again.
 type classKey struct {
 	need    job.Resources
 	spot    bool
 	oneZone bool
-	tasks   int // of a gang
+	tasks   int // number of tasks of a gang; 0 for other shapes
 	zone    string
 	team    string
 }
 
-// schedulingClass is shared by all jobs with the same key. While capacity for it is scarce
-// they are placed one after the other and pause together: side by side all would get some
-// of what comes free, and as a job is done with its last task, few would be done in time.
+// schedulingClass is the state shared by all jobs with the same key. While capacity is scarce,
+// arrays of a class are placed one after another, and all its jobs pause together. Concurrent
+// placements would give each job a part of the capacity that comes free; since a job finishes only
+// with its last task, few jobs would finish in time.
 type schedulingClass struct {
-	fullUntil   time.Time // none of them found capacity
-	scarceUntil time.Time // a sample saw all machines lately
-	placements  int       // at work
+	fullUntil   time.Time // a job of the class found no capacity; its jobs pause until then
+	scarceUntil time.Time // a recent sample exhausted all machines
+	placements  int       // placements in progress
 }
 
-// classKeyOf returns the key of a job's class.
+// classKeyOf returns the key of the job's scheduling class.
 func classKeyOf(spec *job.Spec) classKey {
 	need := spec.Need
 	if need.GPUs > 0 {
-		need.CPUs, need.MemoryGB = 0, 0 // GPUs are what runs out
+		need.CPUs, need.MemoryGB = 0, 0 // GPUs are the scarce resource of jobs that use them
 	}
 	key := classKey{need: need, spot: spec.Spot, oneZone: spec.OneZone, team: spec.Team}
 	if spec.Shape == job.Gang {
@@ -46,7 +46,8 @@
 	return key
 }
 
-// classFor returns the class of a job's tasks. The mutex is held.
+// classFor returns the scheduling class of the job and creates it if necessary. The caller must
+// hold s.mu.
 func (s *Scheduler) classFor(spec *job.Spec) *schedulingClass {
 	key := classKeyOf(spec)
 	if s.classes[key] == nil {
@@ -55,7 +56,7 @@
 	return s.classes[key]
 }
 
-// dropUnusedClasses forgets the classes that no job has any more.
+// dropUnusedClasses deletes the scheduling classes that no job uses.
 func (s *Scheduler) dropUnusedClasses() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,8 +66,8 @@
 	}
 }
 
-// waitsForClass reports whether an array has to wait until another job of its class is
-// placed.
+// waitsForClass reports whether an array has to wait because another job of its class is being
+// placed while capacity is scarce.
 func (j *jobState) waitsForClass(now time.Time) bool {
 	return j.spec.Shape == job.Array && j.class.placements > 0 && now.Before(j.class.scarceUntil)
 }
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Service is the net/rpc service that other controllers call, registered as "Placer". The
-// names of its methods and of the fields of its messages are the wire format (gob).
+// Service is the net/rpc service of a scheduler, registered as "Placer". The names of its methods
+// and of the fields of its messages are the wire format (gob).
 type Service struct{ scheduler *Scheduler }
 
 // NewService returns the net/rpc service of a scheduler.
 func NewService(scheduler *Scheduler) *Service { return &Service{scheduler: scheduler} }
 
-// CountsReply has the numbers of a job that users are shown.
+// CountsReply has the task counts of a job that are shown to users.
 type CountsReply struct {
 	Done, Running int
 }
 
-// Counts returns a job's finished and running tasks.
+// Counts returns the numbers of completed and running tasks of a job.
 func (s *Service) Counts(id string, reply *CountsReply) error {
 	reply.Done, reply.Running, _ = s.scheduler.Counts(id)
 	return nil
 }
 
-// WaitingJob is a job with tasks that wait, and why they do.
+// WaitingJob describes a job with waiting tasks and the reason why they wait.
 type WaitingJob struct {
 	Job   string  `json:"job"`
 	Class string  `json:"class"`
@@ -32,8 +32,9 @@
 	Tasks int     `json:"tasks_waiting"`
 	AgeS  float64 `json:"age_s"`
 
-	// Of a job with dependencies: when it could start, since its submission, if it can;
-	// and the rank and the time to its deadline that it is treated as having.
+	// ReadyS is set for a runnable job with dependencies: the time from its submission until it
+	// became runnable. Rank and LeftS are set where dependencies between jobs affect the urgency of
+	// the job: its effective rank and the time left until its effective deadline.
 	ReadyS *float64 `json:"ready_s,omitempty"`
 	Rank   string   `json:"treated_as_rank,omitempty"`
 	LeftS  *float64 `json:"treated_as_left_s,omitempty"`
@@ -41,15 +42,16 @@
 	Why string `json:"why"`
 }
 
-// Queue lists at most n waiting jobs, the oldest first.
+// Queue lists at most n waiting jobs, oldest first.
 func (s *Service) Queue(n int, reply *[]WaitingJob) error {
-	waiting := append(*reply, s.scheduler.waitingJobs()...)
-	slices.SortFunc(waiting, func(a, b WaitingJob) int { return int(b.AgeS - a.AgeS) })
-	*reply = waiting[:min(n, len(waiting))]
+	jobs := append(*reply, s.scheduler.waitingJobs()...)
+	slices.SortFunc(jobs, func(a, b WaitingJob) int { return int(b.AgeS - a.AgeS) })
+	*reply = jobs[:min(n, len(jobs))]
 	return nil
 }
 
-// Counts returns a job's finished and running tasks, if it is in a job shard held here.
+// Counts returns the numbers of completed and running tasks of a job. ok is false if the job is in
+// no job shard of this controller.
 func (s *Scheduler) Counts(id string) (done, running int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +62,7 @@
 	return j.doneCount, j.countRunning(), true
 }
 
-// waitingJobs lists the unfinished jobs with tasks that wait, in no order.
+// waitingJobs lists the unfinished jobs with waiting tasks, in no particular order.
 func (s *Scheduler) waitingJobs() []WaitingJob {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,9 +75,10 @@
 	return list
 }
 
-// describeWaiting describes a job of which so many tasks wait. The mutex is held.
+// describeWaiting describes a job with the given number of waiting tasks. The caller must hold
+// s.mu.
 func (s *Scheduler) describeWaiting(j *jobState, waiting int) WaitingJob {
-	described := WaitingJob{
+	result := WaitingJob{
 		Job:   j.spec.ID,
 		Class: j.spec.Class,
 		Team:  j.spec.Team,
@@ -84,20 +87,20 @@
 		Why:   s.whyWaiting(j, waiting),
 	}
 	if j.effective != j.spec {
-		described.Rank = j.effective.Rank
+		result.Rank = j.effective.Rank
 		if j.effective.DeadlineS != nil {
-			left := *j.effective.DeadlineS - time.Since(j.readyAt).Seconds()
-			described.LeftS = &left
+			remaining := *j.effective.DeadlineS - time.Since(j.readyAt).Seconds()
+			result.LeftS = &remaining
 		}
 	}
 	if len(j.spec.WaitsOn) > 0 && j.phase != jobBlocked {
 		ready := j.readyAt.Sub(j.submittedAt).Seconds()
-		described.ReadyS = &ready
+		result.ReadyS = &ready
 	}
-	return described
+	return result
 }
 
-// whyWaiting says why tasks of a job wait. The mutex is held.
+// whyWaiting returns the reason why tasks of a job wait. The caller must hold s.mu.
 func (s *Scheduler) whyWaiting(j *jobState, waiting int) string {
 	switch {
 	case j.phase == jobBlocked:
--- a/internal/scheduler/task_state.go
+++ b/internal/scheduler/task_state.go
@@ -6,44 +6,45 @@
 	"robinstack/internal/agentapi"
 )
 
-// taskStatus is how far an unfinished task is.
+// taskStatus is the state of an unfinished task as the scheduler sees it.
 type taskStatus uint8
 
 const (
 	// taskPending: certainly on no machine.
 	taskPending taskStatus = iota
-	// taskCommitting: an attempt has its number, and its commit is under way.
+	// taskCommitting: an attempt has a number, and its commit is in progress.
 	taskCommitting
 	// taskPlaced: a machine has the attempt, or may have it.
 	taskPlaced
-	// taskStopping: placed, and its machine's owner is asked to stop it until it is gone.
+	// taskStopping: placed, and stops are sent to the machine's owner until the attempt is gone.
 	taskStopping
 )
 
-// taskState is one unfinished task of a job. Its status changes by transition alone.
+// taskState is the state of one unfinished task of a job. Only transition changes status.
 type taskState struct {
 	status  taskStatus
-	state   string // as its worker last reported
+	state   string // latest state reported by the worker
 	attempt uint64
 	machine string
 	zone    string
 
-	// Revision of the machine's ownership, and the version of its entry under it, from
-	// which on an entry without the task proves it gone.
+	// An entry of the machine that does not list the attempt proves it gone if it is of this
+	// ownership revision and of this version or a later one (see provenGone).
 	ownerRev, entryVersion uint64
 
-	grace      time.Duration // that a stop leaves it to save
+	grace      time.Duration // time to save that the stop leaves the task
 	stopSentAt time.Time
 }
 
-// unresolved is the entryVersion of a task whose commit was not answered: only an entry
-// that has it, a later owner, or the owner's promise that it never starts decides.
+// unresolved is the entryVersion of a task whose commit was not answered. What decides then is an
+// entry that lists the attempt, an entry of a later owner, or the owner's guarantee that the
+// attempt will never start.
 const unresolved = ^uint64(0)
 
-// transition is the one place where the status changes: pending, committing, placed,
-// stopping, and from each of them back to pending. An entry may show a pending task as
-// placed: another controller placed it. A task that is being stopped stays so until it is
-// gone, whatever entries show.
+// transition is the only place where status changes: pending, committing, placed, stopping, and
+// back to pending from each of them. A pending task becomes placed directly when a machine entry
+// shows an attempt that another controller placed. A stopping task remains so until it is gone,
+// whatever entries show.
 func (t *taskState) transition(to taskStatus) {
 	switch {
 	case to == taskPending:
@@ -54,13 +55,14 @@
 	}
 }
 
-// beginAttempt has a pending task committed as the numbered attempt.
+// beginAttempt starts a new attempt at a pending task; its commit is to follow.
 func (t *taskState) beginAttempt(attempt uint64, zone string) {
 	*t = taskState{attempt: attempt, zone: zone}
 	t.transition(taskCommitting)
 }
 
-// place notes where the attempt is, and from which entry on its absence counts.
+// place records the attempt's machine and the machine entry from which on its absence proves it
+// gone.
 func (t *taskState) place(machine, zone string, ownerRev, entryVersion uint64) {
 	t.transition(taskPlaced)
 	t.machine, t.zone = machine, zone
@@ -72,20 +74,22 @@
 	return t.status == taskPlaced || t.status == taskStopping
 }
 
-// isPlacedAttempt reports whether the given attempt is the one on a machine.
+// isPlacedAttempt reports whether the given attempt is the one that a machine has or may have.
 func (t *taskState) isPlacedAttempt(attempt uint64) bool {
 	return t.onMachine() && t.attempt == attempt
 }
 
-// isCommitting reports whether the given attempt is the one whose commit is under way.
+// isCommitting reports whether the commit of the given attempt is in progress.
 func (t *taskState) isCommitting(attempt uint64) bool {
 	return t.status == taskCommitting && t.attempt == attempt
 }
 
-// provenGone reports whether an entry of the task's machine that does not list it proves
-// that it is not there. Under the owner that it was committed to, an entry made since then
-// does; under a later owner, any that the worker has confirmed. An unconfirmed one proves
-// nothing: its owner does not know yet what runs.
+// provenGone reports whether a machine entry that does not list the attempt proves that the attempt
+// is not on the machine. Under the owner that the attempt was committed to, a reconciled entry of
+// the commit's version or later proves that, unless the commit is unresolved; so does any
+// reconciled entry of a later owner. An entry that is not reconciled proves nothing, because its
+// owner does not know yet what runs on the machine. An entry that says that the machine is
+// deregistered proves it under this owner and all later ones.
 func (t *taskState) provenGone(entry *agentapi.MachineEntry) bool {
 	laterOwner := entry.Rev > t.ownerRev
 	sameOwnerLater := entry.Rev == t.ownerRev && t.entryVersion != unresolved && entry.Ver >= t.entryVersion
