--- a/internal/scheduler/commit_resolution_test.go
+++ b/internal/scheduler/commit_resolution_test.go
@@ -9,11 +9,12 @@
 	"robinstack/internal/worker"
 )
 
-// Guards against ran_twice and forgotten: a commit without an answer is resolved. Where the
-// owner has the tasks they run on; where it never got the commit they are started anew. A
-// gang, which is committed in two steps, comes to its end as well.
+// An unanswered commit must be resolved: an unresolved one leads to a task that is started twice or
+// never. If the owner has received the commit, its tasks run on; if not, they are started anew. The
+// test loses the request or the answer of one commit, for an array and for a gang, which is
+// committed in two steps.
 func TestUnansweredCommitIsResolved(t *testing.T) {
-	for name, loss := range map[string]commitLoss{"the request is lost": requestLost, "the answer is lost": answerLost} {
+	for name, loss := range map[string]commitLoss{"request lost": requestLost, "answer lost": answerLost} {
 		for _, shape := range []string{job.Array, job.Gang} {
 			t.Run(name+", "+shape, func(t *testing.T) {
 				runScenario(t, func(cluster *testCluster) {
@@ -23,19 +24,19 @@
 					cluster.submit(controller, newSpec("wk-1", shape, 2, 2))
 					cluster.advance(8 * time.Second)
 					if cluster.resolutions == 0 || controller.scheduler.Counters().Unanswered == 0 {
-						t.Fatal("no commit was resolved")
+						t.Fatal("no unanswered commit was counted and resolved")
 					}
 					if got := cluster.countTasks(); got != 2 {
-						t.Errorf("%d tasks on machines", got)
+						t.Errorf("got %d tasks on machines, want 2", got)
 					}
 					cluster.exitAllTasks(worker.CauseDone)
 					cluster.advance(5 * time.Second)
 					if cluster.finalStatus("wk-1") != job.Done {
-						t.Error("not recorded as done")
+						t.Errorf("got final status %q, want %q", cluster.finalStatus("wk-1"), job.Done)
 					}
 					for task, n := range cluster.startCounts() {
 						if n != 1 {
-							t.Errorf("%s was started %d times", task, n)
+							t.Errorf("task %s: got %d starts, want 1", task, n)
 						}
 					}
 				})
@@ -44,7 +45,8 @@
 	}
 }
 
-// A grant whose commit never arrived is released, so that the team's quota does not shrink.
+// The quota grant of a commit that never reached the owner is released; otherwise the team would
+// lose that part of its quota.
 func TestGrantOfUnansweredCommitIsReleased(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -58,14 +60,14 @@
 		cluster.submit(controller, spec)
 		cluster.advance(8 * time.Second)
 		if cluster.released != 1 || cluster.countStarts("wk-1") != 1 {
-			t.Errorf("%d grants released, %d starts", cluster.released, cluster.countStarts("wk-1"))
+			t.Errorf("got %d grants released and %d starts, want 1 and 1", cluster.released, cluster.countStarts("wk-1"))
 		}
 	})
 }
 
-// Without a leader nothing of a team with a quota starts, and what was asked for is released
-// once there is one: the request may have arrived all the same.
-func TestUngrantedTasksWaitForTheLeader(t *testing.T) {
+// Without a leader, no task of a team with a quota starts. Once there is a leader, the grants that
+// were requested before are released, because a failed request may have been carried out.
+func TestTasksWithoutQuotaGrantWaitForLeader(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
 		cluster.advance(3 * time.Second)
@@ -75,12 +77,13 @@
 		cluster.submit(controller, spec)
 		cluster.advance(5 * time.Second)
 		if got := cluster.countStarts("wk-1"); got != 0 {
-			t.Fatalf("%d starts without a grant", got)
+			t.Fatalf("got %d starts without a grant, want 0", got)
 		}
 		cluster.put(statekv.Op{Set: statekv.LeaderKey, Value: controller.session.Holder})
 		cluster.advance(5 * time.Second)
 		if cluster.released == 0 || cluster.countStarts("wk-1") != 1 {
-			t.Errorf("%d grants released, %d starts", cluster.released, cluster.countStarts("wk-1"))
+			t.Errorf("got %d grants released and %d starts, want at least 1 and 1",
+				cluster.released, cluster.countStarts("wk-1"))
 		}
 	})
 }
--- a/internal/scheduler/delay_scheduling_test.go
+++ b/internal/scheduler/delay_scheduling_test.go
@@ -9,8 +9,8 @@
 	"robinstack/internal/worker"
 )
 
-// startWithCachedImage has m1 run a job with image "x" to its end, and fills it with
-// another of image "y"; m2 is free and has neither.
+// startWithCachedImage starts a controller with two machines. m1 has the image "x" from a job that
+// has ended and is full with a job of image "y"; m2 is free and has neither image.
 func startWithCachedImage(cluster *testCluster) *testController {
 	controller := cluster.start("host-0")
 	m2 := cluster.machines[1]
@@ -29,41 +29,43 @@
 	cluster.machines = append(cluster.machines, m2)
 	cluster.advance(4 * time.Second)
 	if cluster.countStarts("wk-2") != 1 || len(cluster.machines[0].Started) != 2 {
-		cluster.t.Fatal("the first machine is not full")
+		cluster.t.Fatal("setup: the second job was not started on m1")
 	}
 	return controller
 }
 
-// Fetching an image took a fifth of all that label tasks had of a full fleet: a job lets a
-// machine without its image go by for a moment (delay scheduling), and takes it then.
+// Delay scheduling: an array passes over a machine without its image for a short time and then
+// accepts it. Without the delay, image fetches took a fifth of the machine time of label tasks on a
+// full cluster.
 func TestArrayDelaysForCachedImage(t *testing.T) {
-	for name, ends := range map[string]bool{"a machine with the image comes free": true, "none does": false} {
+	for name, comesFree := range map[string]bool{"machine with image comes free": true, "none comes free": false} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, func(cluster *testCluster) {
 				controller := startWithCachedImage(cluster)
-				s := newSpec("wk-3", job.Array, 1, 2)
-				s.Image, s.ImageGB = "x", 10 // a fetch of 100 s
-				cluster.submit(controller, s)
+				spec := newSpec("wk-3", job.Array, 1, 2)
+				spec.Image, spec.ImageGB = "x", 10 // a fetch takes 100 s
+				cluster.submit(controller, spec)
 				cluster.advance(4 * time.Second)
 				if cluster.countStarts("wk-3") != 0 {
-					t.Fatal("started at once without the image")
+					t.Fatal("job was started at once on the machine without the image")
 				}
-				if ends {
+				if comesFree {
 					cluster.exitAllTasks(worker.CauseDone)
 				}
 				cluster.advance(14 * time.Second)
-				if got := cluster.wasStartedOn(0, "wk-3/0"); got != ends || cluster.countStarts("wk-3") != 1 {
-					t.Fatalf("on the machine with the image: %v, started %d times", got, cluster.countStarts("wk-3"))
+				if got := cluster.wasStartedOn(0, "wk-3/0"); got != comesFree || cluster.countStarts("wk-3") != 1 {
+					t.Fatalf("started on the machine with the image: got %v, want %v; got %d starts, want 1",
+						got, comesFree, cluster.countStarts("wk-3"))
 				}
 			})
 		})
 	}
 }
 
-// A gang that would miss the objective for its start after a fetch preempts tasks on a
-// machine with its image; one that can fetch in time takes the free one.
+// A gang that would miss its start target by fetching its image preempts tasks on a machine that
+// has the image. A gang that can fetch in time uses the free machine.
 func TestGangPreemptsForCachedImageWhenFetchIsTooLate(t *testing.T) {
-	for name, gb := range map[string]float64{"too late": 2.7, "in time": 0.5} {
+	for name, gb := range map[string]float64{"fetch too late": 2.7, "fetch in time": 0.5} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, func(cluster *testCluster) {
 				cluster.objectives = []config.Objective{
@@ -71,12 +73,13 @@
 					{Kind: "wait", Class: "c", Within: 50 * time.Second},
 				}
 				controller := startWithCachedImage(cluster)
-				s := newSpec("wk-3", job.Gang, 1, 2)
-				s.Image, s.ImageGB, s.Rank = "x", gb, "high"
-				cluster.submit(controller, s)
+				spec := newSpec("wk-3", job.Gang, 1, 2)
+				spec.Image, spec.ImageGB, spec.Rank = "x", gb, "high"
+				cluster.submit(controller, spec)
 				cluster.advance(8 * time.Second)
 				if got := cluster.wasStartedOn(0, "wk-3/0"); got != (gb > 2) || cluster.countStarts("wk-3") != 1 {
-					t.Fatalf("on the machine with the image: %v, started %d times", got, cluster.countStarts("wk-3"))
+					t.Fatalf("started on the machine with the image: got %v, want %v; got %d starts, want 1",
+						got, gb > 2, cluster.countStarts("wk-3"))
 				}
 			})
 		})
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -8,8 +8,8 @@
 	"robinstack/internal/worker"
 )
 
-// A gang starts as a whole or not at all, and a lost member stops the others
-// before the gang starts anew.
+// A gang starts as a whole or not at all. When a member is lost, the others are stopped before the
+// gang starts again.
 func TestGangIsAllOrNothing(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -18,25 +18,25 @@
 		cluster.advance(3 * time.Second)
 		cluster.submit(controller, newSpec("wk-2", job.Gang, 2, 2))
 		cluster.advance(5 * time.Second)
-		if s := cluster.startCounts(); s["wk-2/0"]+s["wk-2/1"] != 0 {
-			t.Fatalf("part of the gang started: %v", s)
+		if starts := cluster.startCounts(); starts["wk-2/0"]+starts["wk-2/1"] != 0 {
+			t.Fatalf("got starts %v, want none of the gang", starts)
 		}
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(5 * time.Second)
-		if s := cluster.startCounts(); s["wk-2/0"] != 1 || s["wk-2/1"] != 1 {
-			t.Fatalf("the gang did not start: %v", s)
+		if starts := cluster.startCounts(); starts["wk-2/0"] != 1 || starts["wk-2/1"] != 1 {
+			t.Fatalf("got starts %v, want one of each gang member", starts)
 		}
 		cluster.workers.EndTask(cluster.machines[0], "wk-2/0", worker.CauseFailed)
 		cluster.workers.EndTask(cluster.machines[0], "wk-2/1", worker.CauseFailed)
 		cluster.advance(2 * time.Second)
 		if got := cluster.countTasks(); got > 1 {
-			t.Fatalf("%d tasks of a broken gang left", got)
+			t.Fatalf("got %d tasks on machines after a member was lost, want at most 1", got)
 		}
 	})
 }
 
-// A gang that must be in one zone preempts there also when every zone has some capacity but
-// none enough: it waited for as long as that lasted.
+// A one-zone gang preempts tasks even if every zone has some capacity but none has enough. It used
+// to wait for as long as that situation lasted.
 func TestOneZoneGangPreempts(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		cluster.machines = append(cluster.machines, cluster.workers.Add("m3", "box", "a"))
@@ -52,15 +52,16 @@
 		cluster.submit(controller, gang)
 		cluster.advance(15 * time.Second)
 		if got := cluster.startCounts(); got["wk-2/0"] != 1 || got["wk-2/1"] != 1 {
-			t.Fatalf("the gang was not started: %v", got)
+			t.Fatalf("got starts %v, want one of each gang member", got)
 		}
 	})
 }
 
-// Half of the machines of a fleet that had run gangs were never scaled in: members
-// that were reported while the gang's end was being written were forgotten by nobody,
-// and with an ended task a machine does not count as idle.
-func TestGangMembersEndingApartAreAllForgotten(t *testing.T) {
+// All members of a gang are forgotten by their machines, including members that are reported as
+// ended while the gang's completion is being written. Such members used to be kept, and since a
+// machine with an ended task does not count as idle, half of the machines of a cluster that had run
+// gangs were never scaled in.
+func TestGangMembersThatEndAtDifferentTimesAreForgotten(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
 		cluster.advance(3 * time.Second)
@@ -68,8 +69,8 @@
 		cluster.advance(4 * time.Second)
 		cluster.state.SetTxnLatency(1500 * time.Millisecond)
 		for i, machine := range cluster.machines {
-			for k := range 2 {
-				cluster.workers.EndTask(machine, job.TaskID("wk-1", k), worker.CauseDone)
+			for task := range 2 {
+				cluster.workers.EndTask(machine, job.TaskID("wk-1", task), worker.CauseDone)
 			}
 			if i == 0 {
 				cluster.advance(time.Second)
@@ -77,7 +78,8 @@
 		}
 		cluster.advance(8 * time.Second)
 		if cluster.finalStatus("wk-1") != job.Done || cluster.countTasks() != 0 {
-			t.Fatalf("%q, with %d ended tasks on machines", cluster.finalStatus("wk-1"), cluster.countTasks())
+			t.Fatalf("got final status %q with %d ended tasks on machines, want %q with 0",
+				cluster.finalStatus("wk-1"), cluster.countTasks(), job.Done)
 		}
 	})
 }
--- a/internal/scheduler/image_delay_test.go
+++ b/internal/scheduler/image_delay_test.go
@@ -7,8 +7,8 @@
 	"robinstack/internal/job"
 )
 
-// A gang waits for machines with its image only as long as it can still fetch it and meet
-// the tightest objective that is within reach.
+// A gang waits for machines with its image only as long as it can still fetch the image and meet
+// the tightest start target that is within reach.
 func TestStartSlackLeavesTimeToFetch(t *testing.T) {
 	objectives := []time.Duration{25 * time.Second, 50 * time.Second}
 	for _, c := range []struct{ age, fetch, want time.Duration }{
@@ -18,50 +18,52 @@
 		{45 * time.Second, 10 * time.Second, 0},
 	} {
 		if got := startSlack(objectives, c.age, c.fetch); got != c.want {
-			t.Errorf("age %v, fetch %v: %v and not %v", c.age, c.fetch, got, c.want)
+			t.Errorf("age %v, fetch %v: got %v, want %v", c.age, c.fetch, got, c.want)
 		}
 	}
 }
 
-// The delay counts from the first machine without the image that a job was offered, and is
-// longer while machines with the image are preempted for it.
-func TestImageDelayCountsFromTheFirstOffer(t *testing.T) {
+// The delay counts from the first offer of a machine without the image. It is longer while machines
+// with the image are being preempted for the job.
+func TestImageDelayCountsFromFirstOffer(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	bounds := imageDelayBounds{usual: 2 * time.Second, max: 6 * time.Second}
 	var delay imageDelay
 	var none preemption
 	if !delay.waits(bounds, &none, now) || !delay.waits(bounds, &none, now.Add(time.Second)) {
-		t.Error("it does not wait")
+		t.Error("job does not wait within its delay")
 	}
 	if delay.waits(bounds, &none, now.Add(3*time.Second)) {
-		t.Error("it waits for longer than its delay")
+		t.Error("job waits beyond its delay")
 	}
 	preempting := preemption{until: now.Add(10 * time.Second), scope: machinesWithImage}
-	if !delay.waits(bounds, &preempting, now.Add(3*time.Second)) || delay.waits(bounds, &preempting, now.Add(7*time.Second)) {
-		t.Error("while machines are preempted it waits for as long as the objectives leave")
+	if !delay.waits(bounds, &preempting, now.Add(3*time.Second)) ||
+		delay.waits(bounds, &preempting, now.Add(7*time.Second)) {
+		t.Error("during preemption on machines with the image, job does not wait until the start target bound")
 	}
 	preempting.scope = allMachines
 	if delay.waits(bounds, &preempting, now.Add(3*time.Second)) {
-		t.Error("it waits for machines that do not have its image")
+		t.Error("job waits beyond its delay during preemption on machines without its image")
 	}
 }
 
-// Arrays wait only where capacity is scarce, gangs only up to a size.
-func TestWhichJobsWaitForTheirImage(t *testing.T) {
+// Arrays wait for their image only while capacity is scarce, gangs only up to maxDelayedGangTasks.
+func TestDelayForImageByShapeSizeAndScarcity(t *testing.T) {
 	array := &jobState{spec: &job.Spec{Shape: job.Array}}
 	gang := &jobState{spec: &job.Spec{Shape: job.Gang}}
 	fetch, slack := 100*time.Second, 15*time.Second
-	if bounds, may := array.delayForImage(1, true, fetch, slack); !may || bounds.usual != 12*time.Second || bounds.max != 0 {
-		t.Errorf("an array: %+v, %v", bounds, may)
+	if bounds, allowed := array.delayForImage(1, true, fetch, slack); !allowed ||
+		bounds.usual != 12*time.Second || bounds.max != 0 {
+		t.Errorf("array: got %+v, %v; want a usual delay of 12s only", bounds, allowed)
 	}
-	if _, may := array.delayForImage(1, false, fetch, slack); may {
-		t.Error("an array waits where capacity is not scarce")
+	if _, allowed := array.delayForImage(1, false, fetch, slack); allowed {
+		t.Error("array waits although capacity is not scarce")
 	}
-	bounds, may := gang.delayForImage(maxDelayedGangTasks, false, fetch, slack)
-	if !may || bounds.usual != slack || bounds.max != slack {
-		t.Errorf("a gang: %+v, %v", bounds, may)
+	bounds, allowed := gang.delayForImage(maxDelayedGangTasks, false, fetch, slack)
+	if !allowed || bounds.usual != slack || bounds.max != slack {
+		t.Errorf("gang: got %+v, %v; want both bounds %v", bounds, allowed, slack)
 	}
-	if _, may := gang.delayForImage(maxDelayedGangTasks+1, true, fetch, slack); may {
-		t.Error("a large gang waits")
+	if _, allowed := gang.delayForImage(maxDelayedGangTasks+1, true, fetch, slack); allowed {
+		t.Error("gang of more than maxDelayedGangTasks tasks waits")
 	}
 }
--- a/internal/scheduler/queue_order_test.go
+++ b/internal/scheduler/queue_order_test.go
@@ -8,17 +8,17 @@
 	"robinstack/internal/policy"
 )
 
-// The queue's order by age: a job that has not begun goes before all others of its rank
-// after three minutes, and before all at all half a minute later, gangs after two and three,
-// and as any other once it has begun; what waits for others, or fails everywhere, does not.
-// Guards against jobs that are too late for all their limits, which the order puts last:
-// half a thousand tasks of such waited for eight minutes on kuopio-fleet's loss.
+// A job that has not started precedes all others of its rank after three minutes and all other jobs
+// half a minute later; a gang does so after two and after three minutes. A job that has started,
+// waits for dependencies or fails on every machine gets no such precedence. Without it, jobs that
+// have missed all their completion targets, which the policy's order puts last, starve: in the loss
+// scenario of workload kuopio-fleet, jobs with half a thousand tasks waited for eight minutes.
 func TestOverdueJobsGoFirst(t *testing.T) {
 	pol := policy.Default()
 	now := time.Unix(10_000, 0)
-	of := func(rank string, age time.Duration, begun bool) *jobState {
-		due := 60.0
-		spec := &job.Spec{ID: "wk-1", Rank: rank, Tasks: 500, EstimateS: 50, DeadlineS: &due}
+	newJob := func(rank string, age time.Duration, begun bool) *jobState {
+		deadlineS := 60.0
+		spec := &job.Spec{ID: "wk-1", Rank: rank, Tasks: 500, EstimateS: 50, DeadlineS: &deadlineS}
 		return &jobState{
 			spec:      spec,
 			effective: spec,
@@ -29,28 +29,28 @@
 		}
 	}
 	order := func(j *jobState) float64 { return j.order(pol, now) }
-	late, fresh := of("normal", 175*time.Second, false), of("normal", time.Second, false)
+	late, fresh := newJob("normal", 175*time.Second, false), newJob("normal", time.Second, false)
 	if order(late) > order(fresh) {
-		t.Error("one that is too late goes before one that is not, although its start is not overdue")
+		t.Error("a job whose start is not overdue precedes a fresh one although it has missed its completion targets")
 	}
-	overdue := of("normal", 185*time.Second, false)
-	if order(overdue) < order(fresh) || order(overdue) > order(of("high", time.Second, false)) {
-		t.Error("it goes first in its rank, and not before a higher one")
+	overdue := newJob("normal", 185*time.Second, false)
+	if order(overdue) < order(fresh) || order(overdue) > order(newJob("high", time.Second, false)) {
+		t.Error("an overdue job does not go first in its rank, or precedes a higher rank")
 	}
-	if order(of("best_effort", 215*time.Second, false)) < order(of("production", time.Second, false)) {
-		t.Error("after three quarters of the time it goes before all")
+	if order(newJob("best_effort", 215*time.Second, false)) < order(newJob("production", time.Second, false)) {
+		t.Error("a job that is overdue for half of the time left until startDeadline does not precede all others")
 	}
-	gang := of("normal", 125*time.Second, false)
+	gang := newJob("normal", 125*time.Second, false)
 	gang.spec.Shape = job.Gang
-	if order(gang) < order(fresh) || order(gang) > order(of("high", time.Second, false)) {
-		t.Error("a gang, whose machines have to come free, is overdue earlier")
+	if order(gang) < order(fresh) || order(gang) > order(newJob("high", time.Second, false)) {
+		t.Error("an overdue gang does not go first in its rank, or precedes a higher rank")
 	}
-	if order(of("normal", 215*time.Second, true)) > order(fresh) {
-		t.Error("it has begun")
+	if order(newJob("normal", 215*time.Second, true)) > order(fresh) {
+		t.Error("a job that has started counts as overdue")
 	}
-	blocked, broken := of("normal", 215*time.Second, false), of("normal", 215*time.Second, false)
-	blocked.phase, broken.failures.jobAtFault = jobBlocked, true
-	if blocked.startOverdue(now) || broken.startOverdue(now) {
-		t.Error("what waits for others, or fails everywhere, is not overdue")
+	blocked, atFault := newJob("normal", 215*time.Second, false), newJob("normal", 215*time.Second, false)
+	blocked.phase, atFault.failures.jobAtFault = jobBlocked, true
+	if blocked.startOverdue(now) || atFault.startOverdue(now) {
+		t.Error("a job that is blocked or fails on every machine counts as overdue")
 	}
 }
--- a/internal/scheduler/scheduling_class_test.go
+++ b/internal/scheduler/scheduling_class_test.go
@@ -8,8 +8,9 @@
 	"robinstack/internal/worker"
 )
 
-// Jobs whose needs differed a little paused each for itself, and took in turns what
-// came free: all got some places, and few were done by their deadlines.
+// Jobs with slightly different needs share a scheduling class, and scarce capacity goes to the
+// first of them. When such jobs paused independently, they took the capacity that came free in
+// turn: every job got some of it, and few finished by their deadlines.
 func TestScarceCapacityGoesToFirstInQueue(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -21,16 +22,16 @@
 		cluster.submit(controller, newSpec("wk-2", job.Array, 3, 1))
 		time.Sleep(400 * time.Millisecond)
 		cluster.submit(controller, second)
-		for k := range 3 {
+		for task := range 3 {
 			time.Sleep(800 * time.Millisecond)
 			for _, machine := range cluster.machines {
-				cluster.workers.EndTask(machine, job.TaskID("wk-1", k), worker.CauseDone)
+				cluster.workers.EndTask(machine, job.TaskID("wk-1", task), worker.CauseDone)
 			}
 			cluster.advance(2 * time.Second)
 		}
 		cluster.advance(3 * time.Second)
-		if a, b := cluster.countStarts("wk-2"), cluster.countStarts("wk-3"); a != 3 || b != 0 {
-			t.Fatalf("%d of 3 tasks of the first started, %d of the second", a, b)
+		if first, last := cluster.countStarts("wk-2"), cluster.countStarts("wk-3"); first != 3 || last != 0 {
+			t.Fatalf("got %d starts of the first job in the queue and %d of the second, want 3 and 0", first, last)
 		}
 	})
 }
--- a/internal/scheduler/start_deadline_test.go
+++ b/internal/scheduler/start_deadline_test.go
@@ -10,18 +10,18 @@
 	"robinstack/internal/worker"
 )
 
-// loadGenerator keeps the machines of a cluster busy: jobs of one small task each come
-// faster than they end, for as long as it is run.
+// loadGenerator keeps the machines of a cluster busy: while it runs, jobs of one small task arrive
+// faster than such jobs end.
 type loadGenerator struct {
 	*testCluster
 	controller   *testController
 	rank         string
 	submitted    int
-	firstSeen    map[string]time.Time // of tasks on machines
-	taskDuration time.Duration        // of each small task
+	firstSeen    map[string]time.Time // when a task attempt was first seen on a machine
+	taskDuration time.Duration        // run time of each small task
 }
 
-// overloadCluster has work of the rank fill the cluster.
+// overloadCluster fills the cluster with small jobs of the given rank.
 func overloadCluster(cluster *testCluster, controller *testController, rank string) *loadGenerator {
 	load := &loadGenerator{
 		testCluster:  cluster,
@@ -34,21 +34,21 @@
 	return load
 }
 
-// advanceUnderLoad lets time pass with small jobs coming and ending.
+// advanceUnderLoad advances time while small jobs arrive and end.
 func (load *loadGenerator) advanceUnderLoad(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		for range 2 {
 			load.submitted++
-			s := newSpec(fmt.Sprintf("wk-9%05d", load.submitted), job.Array, 1, 1)
-			s.Rank, s.EstimateS = load.rank, load.taskDuration.Seconds()
-			load.submit(load.controller, s)
+			spec := newSpec(fmt.Sprintf("wk-9%05d", load.submitted), job.Array, 1, 1)
+			spec.Rank, spec.EstimateS = load.rank, load.taskDuration.Seconds()
+			load.submit(load.controller, spec)
 		}
 		load.advance(3 * time.Second)
-		type on struct {
-			box *emulator.Worker
-			id  string
+		type runningTask struct {
+			worker *emulator.Worker
+			id     string
 		}
-		var over []on
+		var ending []runningTask
 		load.workers.WithLock(func() {
 			for _, machine := range load.machines {
 				for _, t := range machine.Heartbeat.Tasks {
@@ -57,30 +57,31 @@
 						load.firstSeen[key] = time.Now()
 					}
 					if t.State == worker.TaskRunning && time.Since(load.firstSeen[key]) > load.taskDuration {
-						over = append(over, on{machine, t.ID})
+						ending = append(ending, runningTask{machine, t.ID})
 					}
 				}
 			}
 		})
-		for _, o := range over {
-			load.workers.EndTask(o.box, o.id, worker.CauseDone)
+		for _, task := range ending {
+			load.workers.EndTask(task.worker, task.id, worker.CauseDone)
 		}
 	}
 }
 
-// timeToStart lets time pass until the job has begun, and returns how long that took.
-func (load *loadGenerator) timeToStart(id string, most time.Duration) time.Duration {
-	from := time.Now()
-	for time.Since(from) < most && !load.wasStarted(id) {
+// timeToStart advances time until the job starts, but not beyond the limit, and returns the time
+// that passed.
+func (load *loadGenerator) timeToStart(id string, limit time.Duration) time.Duration {
+	start := time.Now()
+	for time.Since(start) < limit && !load.wasStarted(id) {
 		load.advanceUnderLoad(3 * time.Second)
 	}
-	return time.Since(from)
+	return time.Since(start)
 }
 
-// A gang of whole machines begins within four minutes of its submission though smaller
-// work of the same rank, and of a higher one, takes each place that comes free; so do
-// two such at once, for the one that came first has what is reserved for both. Guards against
-// gangs that never find all their machines free at one moment.
+// A gang that needs whole machines starts within four minutes of its submission although smaller
+// jobs of the same or a higher rank take all capacity that comes free. Two such gangs at once start
+// as well, because capacity reserved for both goes to the earlier one. Without reservations, a gang
+// never finds all its machines free at the same moment.
 func TestLargestGangStartsWithinDeadline(t *testing.T) {
 	for _, rank := range []string{"normal", "high"} {
 		runScenario(t, func(cluster *testCluster) {
@@ -91,39 +92,40 @@
 			load.advanceUnderLoad(2 * time.Second)
 			cluster.submit(controller, newSpec("wk-2", job.Gang, 2, 2))
 			if took := load.timeToStart("wk-1", 5*time.Minute); took > 4*time.Minute {
-				t.Fatalf("beside work of rank %s it began after %v", rank, took)
+				t.Fatalf("gang under load of rank %s: got a start after %v, want at most 4m", rank, took)
 			}
 			if took := load.timeToStart("wk-2", 5*time.Minute); took > 2*time.Minute {
-				t.Fatalf("beside work of rank %s the second began %v later", rank, took)
+				t.Fatalf("second gang under load of rank %s: got a start %v after the first, want at most 2m", rank, took)
 			}
 			before := len(cluster.startCounts())
 			load.advanceUnderLoad(30 * time.Second)
 			if len(cluster.startCounts()) < before+8 {
-				t.Errorf("capacity is reserved although both have begun: %d starts", len(cluster.startCounts())-before)
+				t.Errorf("got %d started tasks in 30 s after both gangs started, want at least 8: capacity is still reserved",
+					len(cluster.startCounts())-before)
 			}
 		})
 	}
 }
 
-// The largest array of the lowest rank begins too.
+// The largest array of the lowest rank also starts within the deadline.
 func TestLargestArrayStartsWithinDeadline(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
 		cluster.advance(3 * time.Second)
 		load := overloadCluster(cluster, controller, "high")
-		s := newSpec("wk-1", job.Array, 500, 1)
-		s.Rank = "best_effort"
-		cluster.submit(controller, s)
+		spec := newSpec("wk-1", job.Array, 500, 1)
+		spec.Rank = "best_effort"
+		cluster.submit(controller, spec)
 		if took := load.timeToStart("wk-1", 5*time.Minute); took > 4*time.Minute {
-			t.Fatalf("it began after %v", took)
+			t.Fatalf("array: got a start after %v, want at most 4m", took)
 		}
 	})
 }
 
-// Capacity reserved for a gang that does not begin is released: it was cancelled, or its
-// scheduler crashed, whose successor reserves anew.
+// Capacity reserved for a gang that does not start is released, whether the gang is cancelled or
+// its scheduler crashes. In the latter case the next scheduler reserves capacity anew.
 func TestUnusedReservationIsReleased(t *testing.T) {
-	for _, how := range []string{"cancelled", "scheduler crashes"} {
+	for _, reason := range []string{"cancelled", "scheduler crashes"} {
 		runScenario(t, func(cluster *testCluster) {
 			controller := cluster.start("host-0")
 			cluster.advance(3 * time.Second)
@@ -132,21 +134,22 @@
 			for controller.scheduler.Counters().Gathered == 0 {
 				load.advanceUnderLoad(time.Second)
 			}
-			if how == "cancelled" {
+			if reason == "cancelled" {
 				cluster.cancel("wk-1")
 			} else {
 				cluster.crash(controller, 1)
 				load.controller = cluster.start("host-1")
 				cluster.advance(20 * time.Second)
 				if took := load.timeToStart("wk-1", 5*time.Minute); took > 3*time.Minute {
-					t.Fatalf("its next scheduler had it begin after %v", took)
+					t.Fatalf("gang under the next scheduler: got a start after %v, want at most 3m", took)
 				}
 			}
 			load.advanceUnderLoad(15 * time.Second)
 			before := len(cluster.startCounts())
 			load.advanceUnderLoad(30 * time.Second)
 			if len(cluster.startCounts()) < before+8 {
-				t.Errorf("%s: %d starts in 30 s", how, len(cluster.startCounts())-before)
+				t.Errorf("%s: got %d started tasks in 30 s, want at least 8: capacity is still reserved",
+					reason, len(cluster.startCounts())-before)
 			}
 		})
 	}
