--- a/internal/scheduler/completion_records.go
+++ b/internal/scheduler/completion_records.go
@@ -15,77 +15,81 @@
 )
 
 const (
-	// completionDelay is how long finished tasks of an unfinished job wait at least, so
-	// that one write records many of them.
+	// completionDelay is the minimum time that completed tasks of an unfinished job wait to be
+	// recorded, so that one write records many of them.
 	completionDelay = time.Second
 
-	// maxConcurrentWrites bounds the writes that one look starts.
+	// maxConcurrentWrites bounds the writes that one run of recordCompletions starts, and the job
+	// shards that one run of releaseShards removes.
 	maxConcurrentWrites = 8
 
-	// finalRecordChanges is how many changes a job's final record takes at least.
+	// finalRecordChanges is the number of changes that a job's final record takes from the write
+	// budget: the deleted record and a tombstone in both formats.
 	finalRecordChanges = 3
 
-	// completionTimeout is how long one write may take, with the read after a conflict.
+	// completionTimeout bounds one write, including the read after a conflict.
 	completionTimeout = 3 * time.Second
 
-	// completionRetryPause is the pause after a write that failed.
+	// completionRetryPause is the delay after a failed write.
 	completionRetryPause = 200 * time.Millisecond
 )
 
-// errRecordTooLarge says that a record needs its spec kept in fragments and not all
-// controllers of the fleet can read those yet. What has finished stays in the workers' reports.
+// errRecordTooLarge is returned if a record is too large for one value and its spec cannot be split
+// into fragments, usually because not all controllers of the cluster can read fragments yet. The
+// completed tasks are not lost: the workers keep reporting them until they are recorded.
 var errRecordTooLarge = errors.New(
-	"its record is too large for one value, and not all controllers know spec fragments yet")
+	"job record exceeds the size limit of one value and its spec cannot be split into fragments")
 
-// statusOpen is what readBack returns for a job whose record has no final status.
+// statusOpen is the status that readBack returns for a job whose record still exists.
 const statusOpen = "open"
 
-// completion is what of a job is not durable yet.
+// completion holds the results of a job that are not durable yet.
 type completion struct {
-	dirtyChunks map[int]bool // chunks of finished tasks that have changed
+	dirtyChunks map[int]bool // chunks with newly completed tasks
 	dirtySince  time.Time
-	ended       []agentapi.StopItem // completed attempts, forgotten once that is durable
-	writing     bool                // a write is under way: a job has at most one
+	ended       []agentapi.StopItem // completed attempts, forgotten once their results are durable
+	writing     bool                // a write is in flight; a job has at most one
 }
 
-// markDirty notes that something is to be written, unless that is noted already.
+// markDirty sets the time since which results wait to be recorded, unless it is set.
 func (c *completion) markDirty(now time.Time) {
 	if c.dirtySince.IsZero() {
 		c.dirtySince = now
 	}
 }
 
-// completionWrite is one transaction that records what of a job has finished, and what is
-// undone if it fails.
+// completionWrite is one transaction that records results of a job, with what has to be restored if
+// it fails.
 type completionWrite struct {
-	final         bool // the job's final record
+	final         bool // replaces the job's record by its tombstone
 	compares      []statekv.Compare
 	ops           []statekv.Op
-	specFragments int          // of the job's record from then on
-	chunks        map[int]bool // that it writes
-	chunkCount    int          // that were to be written, for the log
-	hasFailures   bool         // that were to be written
-	ended         int          // completed attempts that it makes durable
+	specFragments int          // number of spec fragments of the record after this write
+	chunks        map[int]bool // chunks that it writes
+	chunkCount    int          // number of dirty chunks when it was prepared, for the log
+	hasFailures   bool         // the failure history was unrecorded when it was prepared
+	ended         int          // number of completed attempts whose results it makes durable
 }
 
-// completionResult is what became of a completionWrite.
+// completionResult is the outcome of a completionWrite.
 type completionResult struct {
-	status   string // "" if it was applied, or what the record says after a conflict
-	revision uint64 // of the job's record
-	err      error  // it is not known, or was not tried
+	status   string // "" if it was applied, else the job's stored status after a conflict
+	revision uint64 // revision of the job's record
+	err      error  // the write failed, has an unknown outcome, or was not sent
 }
 
-// recordCompletions records what has finished: whole jobs at once, tasks in batches, the
-// oldest first and only as many as leave write budget for what cannot wait. Until then
-// they stay in their workers' reports, so nothing is lost.
+// recordCompletions starts writes of results that are not durable yet. Finished jobs are recorded
+// at once. Completed tasks of unfinished jobs are recorded in batches, oldest first, and only as
+// far as the write budget leaves enough for urgent writes. Nothing is lost by waiting, because
+// workers keep reporting completed tasks until they are recorded.
 func (s *Scheduler) recordCompletions(ctx context.Context) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var batches []*jobState
-	started := 0
-	start := func(j *jobState) {
-		started++
+	writes := 0
+	startWrite := func(j *jobState) {
+		writes++
 		j.completion.writing = true
 		s.background.Go(func() { s.recordCompletion(ctx, j.spec.ID, j) })
 	}
@@ -93,8 +97,8 @@
 		switch {
 		case j.phase == jobRecorded || j.completion.writing:
 		case j.phase == jobFinished:
-			if started < maxConcurrentWrites && s.mayWriteFinal(j) {
-				start(j)
+			if writes < maxConcurrentWrites && s.mayWriteFinal(j) {
+				startWrite(j)
 			}
 		case j.hasDueBatch(now):
 			batches = append(batches, j)
@@ -105,28 +109,28 @@
 	})
 	for _, j := range batches {
 		changes := max(1, len(j.completion.dirtyChunks))
-		if started >= maxConcurrentWrites || !s.store.Allow(statekv.ClassMaintenance, changes) {
+		if writes >= maxConcurrentWrites || !s.store.Allow(statekv.ClassMaintenance, changes) {
 			break
 		}
-		start(j)
+		startWrite(j)
 	}
 }
 
-// mayWriteFinal reports whether the final record of a finished job may be written now.
-// That it was cancelled with a dependency can wait for write budget: users are told so
-// already (package dag).
+// mayWriteFinal reports whether the final record of a finished job may be written now. The record
+// of a job that was cancelled by dependency can wait for write budget, because users are already
+// told that it is cancelled (package dag).
 func (s *Scheduler) mayWriteFinal(j *jobState) bool {
 	return j.outcome == job.Done || s.store.Allow(statekv.ClassMaintenance, finalRecordChanges)
 }
 
-// hasDueBatch reports whether something of an unfinished job has waited long enough to be
-// written.
+// hasDueBatch reports whether results of an unfinished job have waited for longer than
+// completionDelay.
 func (j *jobState) hasDueBatch(now time.Time) bool {
 	dirty := len(j.completion.dirtyChunks) > 0 || j.failures.unrecorded
 	return dirty && now.Sub(j.completion.dirtySince) > completionDelay
 }
 
-// recordCompletion writes what of a job has finished.
+// recordCompletion writes the results of a job that are not durable yet.
 func (s *Scheduler) recordCompletion(ctx context.Context, id string, j *jobState) {
 	write := s.prepareWrite(id, j)
 	if write == nil {
@@ -150,13 +154,13 @@
 	case result.status == job.Cancelled || result.status == job.Done:
 		s.onRecorded(id, j, result.status)
 	default:
-		// The record has moved by a write of ours whose answer was lost.
+		// An earlier write of this scheduler, whose response was lost, has changed the record.
 		j.revision = result.revision
 	}
 }
 
-// prepareWrite takes what is to be written off the job, or returns nil if its job shard is
-// not held any more.
+// prepareWrite moves the unrecorded results of a job into a write. It returns nil if the job shard
+// is not held any more.
 func (s *Scheduler) prepareWrite(id string, j *jobState) *completionWrite {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,15 +169,15 @@
 		j.completion.writing = false
 		return nil
 	}
-	// Under the level that its schema goes by: after a change nothing is written any more
-	// in the schema of before.
-	level, unchanged := s.versions.Current()
+	// The write is conditional on the cluster version that determines its schema, so nothing is
+	// written in an earlier schema after the version has changed.
+	version, versionUnchanged := s.versions.Current()
 	write := &completionWrite{
 		final: j.isFinished(),
 		compares: []statekv.Compare{
 			{Key: job.RecordKey(id), Rev: j.revision},
 			{Key: statekv.JobShardPrefix + j.shardID, Rev: shard.epoch},
-			unchanged,
+			versionUnchanged,
 		},
 		chunks:        j.completion.dirtyChunks,
 		chunkCount:    len(j.completion.dirtyChunks),
@@ -183,30 +187,30 @@
 	}
 	j.completion.dirtyChunks, j.completion.dirtySince = map[int]bool{}, time.Time{}
 	if write.final {
-		write.ops = s.finalOps(id, j, level)
+		write.ops = s.finalOps(id, j, version)
 		return write
 	}
-	record := s.openRecord(j, level.Enabled(rollout.FeatureFailureHistory))
-	write.ops = s.recordOps(j, &record, write.chunks, level)
+	record := s.openRecord(j, version.Enabled(rollout.FeatureFailureHistory))
+	write.ops = s.recordOps(j, &record, write.chunks, version)
 	write.specFragments = record.SpecFragments
 	j.failures.unrecorded = false
 	return write
 }
 
-// finalOps are the changes that replace a finished job's record by its tombstone. The mutex
-// is held.
-func (s *Scheduler) finalOps(id string, j *jobState, level rollout.ClusterVersion) []statekv.Op {
+// finalOps returns the changes that replace a finished job's record by its tombstone. The caller
+// must hold s.mu.
+func (s *Scheduler) finalOps(id string, j *jobState, version rollout.ClusterVersion) []statekv.Op {
 	final := tombstone.Tombstone{Status: j.outcome, Tasks: len(j.tasks)}
 	if j.outcome == job.Done {
 		final.CompletedAtMS = j.finishedAt.UnixMilli()
 	}
 	ops := []statekv.Op{{Delete: job.RecordKey(id)}}
-	ops = append(ops, tombstone.WriteOps(id, final, level.TombstoneFormats())...)
-	most := s.store.MaxTxnOps(s.settings.StateLimits.MaxTxnOps) - len(ops)
-	return append(ops, job.DeleteAuxiliaryOps(id, len(j.tasks), j.record.SpecFragments, most)...)
+	ops = append(ops, tombstone.WriteOps(id, final, version.TombstoneFormats())...)
+	maxDeletes := s.store.MaxTxnOps(s.settings.StateLimits.MaxTxnOps) - len(ops)
+	return append(ops, job.DeleteAuxiliaryOps(id, len(j.tasks), j.record.SpecFragments, maxDeletes)...)
 }
 
-// write carries out a completionWrite, and reads the record if that met a conflict.
+// write sends a completionWrite, and reads the job's stored status if the write has a conflict.
 func (s *Scheduler) write(ctx context.Context, id string, write *completionWrite) completionResult {
 	if len(write.ops) == 0 {
 		return completionResult{err: errRecordTooLarge}
@@ -220,8 +224,7 @@
 	return completionResult{revision: revision, err: err}
 }
 
-// readBack finds out what a job's record says after a write of ours met a conflict or was
-// lost.
+// readBack reads a job's stored status and the revision of its record after a conflict.
 func (s *Scheduler) readBack(ctx context.Context, id string) completionResult {
 	kv, err := s.store.Get(ctx, job.RecordKey(id))
 	if err == nil {
@@ -237,16 +240,16 @@
 	return completionResult{status: final.Status}
 }
 
-// onCompletionWritten takes up that a write was applied. The mutex is held.
+// onCompletionWritten handles a write that was applied. The caller must hold s.mu.
 func (s *Scheduler) onCompletionWritten(id string, j *jobState, write *completionWrite, revision uint64) {
 	j.revision, j.record.SpecFragments = revision, write.specFragments
 	ended := write.ended
 	if write.final {
 		j.advance(jobRecorded, j.outcome)
-		// Tasks that another attempt or member made superfluous stop now.
+		// Stop the tasks that another attempt or another member of the gang has made redundant.
 		s.stopAllTasks(j, 0)
-		// Members of a gang that were reported during the write are recorded with it too:
-		// no later write would have them forgotten, and their machines would never count
+		// This write also covers gang members that were reported as completed while it was in
+		// flight. No later write would release their attempts, and their machines would never count
 		// as idle again.
 		ended = len(j.completion.ended)
 	}
@@ -254,16 +257,16 @@
 	s.dropIfGone(id, j)
 }
 
-// restoreUnwritten puts back what a write did not record.
+// restoreUnwritten marks what a failed write did not record as dirty again.
 func (j *jobState) restoreUnwritten(write *completionWrite, now time.Time) {
-	for k := range write.chunks {
-		j.completion.dirtyChunks[k] = true
+	for chunk := range write.chunks {
+		j.completion.dirtyChunks[chunk] = true
 	}
 	j.failures.unrecorded = j.failures.unrecorded || write.hasFailures
 	j.completion.markDirty(now)
 }
 
-// pause waits for a time, or until ctx ends.
+// pause waits for the given time, or until ctx ends.
 func pause(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -13,23 +13,22 @@
 )
 
 const (
-	// dependencyRecheckInterval is how often blocked jobs are checked although nothing
-	// has changed: a final record that could not be read is asked for again.
+	// dependencyRecheckInterval is the interval at which blocked jobs are checked without a change
+	// of the dependency tracker, so that a tombstone whose read failed is requested again.
 	dependencyRecheckInterval = time.Second
 
-	// maxDependenciesShown bounds the jobs that the status names for one that waits for
-	// them.
+	// maxDependenciesShown bounds the dependencies that the status names for one blocked job.
 	maxDependenciesShown = 5
 )
 
-// checkDependencies takes up what has become of the jobs that blocked ones wait for, and
-// how urgent those are that others wait for. The mutex is held.
+// checkDependencies evaluates the dependencies of blocked jobs, and updates the urgency that jobs
+// inherit from their dependents. The caller must hold s.mu.
 func (s *Scheduler) checkDependencies(now time.Time) {
-	changes := s.dependencies.Generation()
-	if changes == s.dependencyGeneration && now.Sub(s.dependenciesCheckedAt) < dependencyRecheckInterval {
+	generation := s.dependencies.Generation()
+	if generation == s.dependencyGeneration && now.Sub(s.dependenciesCheckedAt) < dependencyRecheckInterval {
 		return
 	}
-	s.dependencyGeneration, s.dependenciesCheckedAt = changes, now
+	s.dependencyGeneration, s.dependenciesCheckedAt = generation, now
 	for id, j := range s.jobs {
 		if j.isFinished() {
 			continue
@@ -37,19 +36,18 @@
 		if j.phase == jobBlocked {
 			s.checkBlocked(id, j, now)
 		}
-		// Also when nobody needs it any more: the one that did was cancelled.
+		// The urgency is also reset when the dependent that caused it has been cancelled.
 		if urgency, _ := s.dependencies.Urgency(id); urgency != j.urgency {
 			s.setUrgency(j, urgency)
 		}
 	}
 }
 
-// checkBlocked takes up what has become of a blocked job's dependencies. The mutex is
-// held.
+// checkBlocked evaluates the dependencies of a blocked job. The caller must hold s.mu.
 func (s *Scheduler) checkBlocked(id string, j *jobState, now time.Time) {
 	result, known := s.dependencies.Evaluate(id)
 	if !known {
-		return // its record has not been seen yet
+		return // the dependency tracker has not seen the job's record yet
 	}
 	j.dependencies = result
 	switch result.State {
@@ -60,14 +58,14 @@
 		slog.Info(logline.JobReady,
 			"job", id, "elapsed", j.readyAt.Sub(j.submittedAt).Round(time.Millisecond))
 	case dag.Cancelled:
-		// Nothing of it has ever run: what it waits for cannot become done any more.
+		// No task of the job has ever run, and its dependencies can never all be done.
 		j.advance(jobFinished, job.Cancelled)
 		slog.Info(logline.JobWithdrawn, "job", id, "dependency", result.CancelledBy)
 	}
 }
 
-// readyTime is when a job could start whose last dependency ended at the given time; zero
-// where that is not known.
+// readyTime returns when a job became ready whose last dependency ended at lastEnded: now if
+// lastEnded is zero, which means unknown, or in the future, and never before the submission.
 func readyTime(submittedAt, lastEnded, now time.Time) time.Time {
 	ready := lastEnded
 	if ready.IsZero() || ready.After(now) {
@@ -79,38 +77,38 @@
 	return ready
 }
 
-// setUrgency sets the rank and the deadline that the job is treated as having: its own or,
-// where that is more urgent, what those that need it hand to it. Its deadline counts from
-// when it could start, as its age does. The mutex is held.
+// setUrgency sets the effective rank and deadline of a job: its own ones, or those inherited from
+// its dependents where these are more urgent. The effective deadline counts from the time when the
+// job became ready, as its age does. The caller must hold s.mu.
 func (s *Scheduler) setUrgency(j *jobState, urgency dag.Urgency) {
 	j.urgency = urgency
 	effective := *j.spec
 	if job.PriorityOfRank(urgency.Rank) > effective.Priority() {
 		effective.Rank = urgency.Rank
 	}
-	due := urgency.Deadline
-	own := j.submittedAt.Add(effective.RelativeDeadline())
-	if effective.DeadlineS != nil && (due.IsZero() || own.Before(due)) {
-		due = own
+	deadline := urgency.Deadline
+	ownDeadline := j.submittedAt.Add(effective.RelativeDeadline())
+	if effective.DeadlineS != nil && (deadline.IsZero() || ownDeadline.Before(deadline)) {
+		deadline = ownDeadline
 	}
-	if !due.IsZero() {
-		left := due.Sub(j.readyAt).Seconds()
-		effective.DeadlineS = &left
+	if !deadline.IsZero() {
+		remaining := deadline.Sub(j.readyAt).Seconds()
+		effective.DeadlineS = &remaining
 	}
 	j.effective = &effective
 	j.limits = s.settings.CompletionTargets(effective.Class, effective.DeadlineS)
 }
 
-// describeDependencies says what a blocked job waits for.
+// describeDependencies describes for the status which dependencies a blocked job waits for.
 func (j *jobState) describeDependencies() string {
 	names := slices.Concat(j.dependencies.WaitingOn, j.dependencies.MissingTombstones, j.dependencies.DamagedTombstones)
 	if len(names) == 0 {
 		return "waits for others; its record is being read"
 	}
-	more := ""
+	suffix := ""
 	if len(names) > maxDependenciesShown {
-		more = fmt.Sprintf(" and %d more", len(names)-maxDependenciesShown)
+		suffix = fmt.Sprintf(" and %d more", len(names)-maxDependenciesShown)
 		names = names[:maxDependenciesShown]
 	}
-	return "waits for " + strings.Join(names, ", ") + more
+	return "waits for " + strings.Join(names, ", ") + suffix
 }
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -6,62 +6,62 @@
 	"robinstack/internal/job"
 )
 
-// A failed task is attributed to its machine or to its job. A job of which anything has
-// succeeded is sound, so its failures are the machines'. A job that failed on several
-// machines and succeeded on none was submitted with a mistake: it must cost neither the
-// fleet's capacity nor the machines' good standing. This file decides only; it calls
-// nobody and reads no clock.
+// A failed task is attributed to its machine or to its job. If any task of a job has completed, the
+// job's failures are attributed to the machines. A job that failed on several machines without any
+// completed task was submitted with a mistake; such a job must neither use up the cluster's
+// capacity nor get machines quarantined. The code in this file only decides: it sends no messages
+// and does not read the clock.
 
 const (
-	// jobFaultMachines is on how many machines a job must have failed before it, rather
-	// than they, is at fault; where it failed on one of them again, two are enough.
+	// jobFaultMachines is the number of machines on which a job must have failed before its
+	// failures are attributed to the job. Two machines are enough if it failed again on one of
+	// them.
 	jobFaultMachines = 3
 
-	// avoidDuration is how long a job keeps away from machines on which it failed. Where
-	// there are few, it has to be tried there again.
+	// avoidDuration is how long a job is not placed on machines on which it failed. It is limited
+	// because a job with few eligible machines has to be tried there again.
 	avoidDuration = 40 * time.Second
 
-	// maxAvoided bounds the machines that a job keeps away from, the latest ones.
+	// maxAvoided bounds the machines that a job avoids; the most recent ones are kept.
 	maxAvoided = 6
 
-	// maxBackoff is how long a job that fails on every machine waits at most between two
-	// tries.
+	// maxBackoff is the maximum time between two attempts at a job that fails on every machine.
 	maxBackoff = time.Minute
 
-	// maxBackoffDoublings is after how many failures in a row the pause, of a second at
-	// first, is not doubled any more: it is maxBackoff by then.
+	// maxBackoffDoublings is the number of consecutive failures after which the backoff, which
+	// starts at one second, is not doubled any more: it has reached maxBackoff by then.
 	maxBackoffDoublings = 6
 
-	// maxRecordedFailures is from how many failures in a row on their number is not
-	// recorded any more: the pause between two tries does not grow beyond that.
+	// maxRecordedFailures is the number of consecutive failures after which further ones are not
+	// recorded: the backoff does not grow beyond it.
 	maxRecordedFailures = 6
 )
 
-// attribution says what a failure of a job without any success is attributed to.
+// attribution is what a failure of a job without any completed task is attributed to.
 type attribution uint8
 
 const (
-	// faultUndecided: too few machines have failed it to tell.
+	// faultUndecided: the job has failed on too few machines to decide.
 	faultUndecided attribution = iota
-	// jobFoundAtFault: with this failure it is the job.
+	// jobFoundAtFault: with this failure, the job is found to be at fault.
 	jobFoundAtFault
-	// jobKnownAtFault: it was the job before already.
+	// jobKnownAtFault: the job was already at fault before this failure.
 	jobKnownAtFault
 )
 
-// failureHistory is what is known of a job's failures. All but the machines to avoid counts
-// since any task of it succeeded.
+// failureHistory holds the failures of a job. Except for the avoided machines, it covers the time
+// since a task of the job last completed.
 type failureHistory struct {
-	avoid      []string // machines on which it failed lately, oldest first
+	avoid      []string // machines of recent failures, oldest first
 	avoidUntil time.Time
 
-	failedOn    map[string]bool // machines on which it failed
+	failedOn    map[string]bool // machines on which the job failed
 	consecutive int             // failures that count for the backoff
-	jobAtFault  bool            // it fails on every machine, as far as known
-	unrecorded  bool            // to be written into the job's record
+	jobAtFault  bool            // the failures are attributed to the job
+	unrecorded  bool            // the history has to be written into the job's record
 }
 
-// avoidMachine keeps the job away from a machine for some time.
+// avoidMachine keeps the job off a machine for avoidDuration.
 func (f *failureHistory) avoidMachine(machine string, now time.Time) {
 	f.avoid = append(f.avoid, machine)
 	if len(f.avoid) > maxAvoided {
@@ -70,7 +70,7 @@
 	f.avoidUntil = now.Add(avoidDuration)
 }
 
-// avoided returns the machines to keep away from.
+// avoided returns the machines on which the job must not be placed now.
 func (f *failureHistory) avoided(now time.Time) []string {
 	if now.After(f.avoidUntil) {
 		f.avoid = nil
@@ -78,33 +78,33 @@
 	return f.avoid
 }
 
-// attribute takes up a failure on a machine, of a job without any success.
+// attribute adds a failure, on a machine, of a job without any completed task.
 func (f *failureHistory) attribute(machine string) attribution {
 	if f.failedOn == nil {
 		f.failedOn = map[string]bool{}
 	}
-	again := f.failedOn[machine]
+	repeated := f.failedOn[machine]
 	f.failedOn[machine] = true
-	if !again || f.jobAtFault {
+	if !repeated || f.jobAtFault {
 		f.consecutive++
 	}
 	switch {
 	case f.jobAtFault:
 		return jobKnownAtFault
-	case len(f.failedOn) >= jobFaultMachines || len(f.failedOn) > 1 && again:
+	case len(f.failedOn) >= jobFaultMachines || len(f.failedOn) > 1 && repeated:
 		f.jobAtFault = true
 		return jobFoundAtFault
 	}
 	return faultUndecided
 }
 
-// clear forgets the failures: a task of the job has succeeded. The machines are avoided
-// for their time all the same.
+// clear drops the failures because a task of the job has completed. Machines are still avoided
+// until avoidUntil.
 func (f *failureHistory) clear() {
 	f.failedOn, f.consecutive, f.jobAtFault = nil, 0, false
 }
 
-// restore takes up what an earlier scheduler recorded.
+// restore sets the history to what an earlier scheduler recorded.
 func (f *failureHistory) restore(recorded *job.FailureHistory, now time.Time) {
 	f.failedOn = map[string]bool{}
 	for _, machine := range recorded.Machines {
@@ -115,7 +115,7 @@
 	f.consecutive, f.jobAtFault = recorded.Consecutive, recorded.Suspected
 }
 
-// backoff is the pause before the next try.
+// backoff returns the time to wait before the next attempt.
 func (f *failureHistory) backoff() time.Duration {
 	doublings := min(max(0, f.consecutive), maxBackoffDoublings)
 	return min(maxBackoff, time.Second<<doublings)
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -11,7 +11,7 @@
 	"robinstack/internal/worker"
 )
 
-// onTaskFailed takes up that a task of the job failed on a machine. The mutex is held.
+// onTaskFailed handles a task of the job that failed on a machine. The caller must hold s.mu.
 func (s *Scheduler) onTaskFailed(j *jobState, machine string) {
 	s.counters.Failed++
 	now := time.Now()
@@ -22,9 +22,9 @@
 		return
 	}
 	s.scheduleFailureRecord(j)
-	attributed := j.failures.attribute(machine)
+	result := j.failures.attribute(machine)
 	j.nextTry = now.Add(j.failures.backoff())
-	switch attributed {
+	switch result {
 	case jobKnownAtFault:
 		s.reportAttribution(j, machine, false)
 	case jobFoundAtFault:
@@ -32,8 +32,8 @@
 	}
 }
 
-// onJobAtFault clears the machines on which the job failed, and stops those of its tasks
-// that have not begun to run: they would fail as well. The mutex is held.
+// onJobAtFault clears the machines on which the job failed of suspicion, and stops the job's tasks
+// that have not begun to run, because they would fail as well. The caller must hold s.mu.
 func (s *Scheduler) onJobAtFault(j *jobState) {
 	s.counters.Suspects++
 	slog.Info("job failing on all machines",
@@ -48,9 +48,9 @@
 	}
 }
 
-// scheduleFailureRecord has what is known of the job's failures written into its record
-// soon: its next scheduler would have to fail it on as many machines again. The mutex is
-// held.
+// scheduleFailureRecord schedules a write of the job's failure history into its record. Without it,
+// the next scheduler of the job would need failures on as many machines again before it attributes
+// them to the job. The caller must hold s.mu.
 func (s *Scheduler) scheduleFailureRecord(j *jobState) {
 	if j.failures.consecutive > maxRecordedFailures || !s.versions.Enabled(rollout.FeatureFailureHistory) {
 		return
@@ -59,7 +59,7 @@
 	j.completion.markDirty(time.Now())
 }
 
-// restoreFailures takes up what an earlier scheduler recorded of the job's failures.
+// restoreFailures restores the failure history that an earlier scheduler recorded.
 func (j *jobState) restoreFailures(recorded *job.FailureHistory, now time.Time) {
 	if recorded == nil || j.doneCount > 0 {
 		return
@@ -68,8 +68,8 @@
 	j.nextTry = now.Add(j.failures.backoff())
 }
 
-// onTaskSucceeded takes up that a task of the job has completed: where others of it
-// failed, the machine was at fault. The mutex is held.
+// onTaskSucceeded handles a completed task of the job: the job's earlier failures are attributed to
+// the machines on which they occurred. The caller must hold s.mu.
 func (s *Scheduler) onTaskSucceeded(j *jobState) {
 	for machine := range j.failures.failedOn {
 		s.reportAttribution(j, machine, true)
@@ -81,27 +81,27 @@
 	j.failures.clear()
 }
 
-// reportAttribution has the machine's owner told whether the machine is at fault for a
-// failure of the job. The mutex is held.
+// reportAttribution queues a message to the machine's owner that says whether a failure of the job
+// is attributed to the machine. The caller must hold s.mu.
 func (s *Scheduler) reportAttribution(j *jobState, machine string, machineAtFault bool) {
 	s.outbox.attributions = append(s.outbox.attributions,
 		agentapi.Attribution{Machine: machine, Job: j.spec.ID, AtFault: machineAtFault})
 }
 
-// sendAttributions tells owners what is known of their machines. One that is lost does no
-// harm: suspicion of a machine passes by itself.
+// sendAttributions sends failure attributions to the owners of the machines. A lost message does no
+// harm: suspicion of a machine expires.
 func (s *Scheduler) sendAttributions(ctx context.Context, attributions []agentapi.Attribution) {
 	byHost := map[string][]agentapi.Attribution{}
-	for _, attributed := range attributions {
-		if host, ok := s.feed.OwnerHost(attributed.Machine); ok {
-			byHost[host] = append(byHost[host], attributed)
+	for _, item := range attributions {
+		if host, ok := s.feed.OwnerHost(item.Machine); ok {
+			byHost[host] = append(byHost[host], item)
 		}
 	}
-	for host, list := range byHost {
+	for host, hostAttributions := range byHost {
 		s.background.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, outboxTimeout)
 			defer cancel()
-			if err := s.peers.Call(callCtx, host, methodAttribute, list, &struct{}{}); err != nil {
+			if err := s.peers.Call(callCtx, host, methodAttribute, hostAttributions, &struct{}{}); err != nil {
 				slog.Debug("machine health report to owner failed", "host", host, "err", err)
 			}
 		})
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// deletionRetention is how long a deleted record is remembered at least: a slower
-	// read may still show it.
+	// deletionRetention is the minimum time for which the deletion of a record is kept: a slower
+	// read may still return the record.
 	deletionRetention = time.Minute
 
-	// maxDeletions is from how many remembered deletions on old ones are forgotten.
+	// maxDeletions is the number of kept deletions above which old ones are dropped.
 	maxDeletions = 2000
 )
 
-// recordDeletion is the deletion of a job's record.
+// recordDeletion is the deletion of a job's record, as the watch showed it.
 type recordDeletion struct {
 	revision uint64
 	seenAt   time.Time
 }
 
-// load takes up a job from its record. An accepted job is one that this session has just
-// written: nothing of it has finished yet.
+// load adds a job from its record. accepted says that this session has just written the record, so
+// no task of the job can have completed and no completed chunks are read.
 func (s *Scheduler) load(ctx context.Context, record *job.Record, revision uint64, accepted bool) error {
 	j := &jobState{
 		spec:        &record.Spec,
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// loadChunks reads the chunks of finished tasks that are kept beside the job's record.
+// loadChunks reads the chunks of completed tasks that have keys of their own. Chunk 0 is part of
+// the job's record.
 func (s *Scheduler) loadChunks(ctx context.Context, j *jobState) error {
 	for k := 1; k < job.ChunkCount(j.spec.Tasks); k++ {
 		kv, err := s.store.Get(ctx, job.CompletedChunkKey(j.spec.ID, k))
@@ -79,19 +80,19 @@
 			err = j.done.LoadChunk(k, chunk)
 		}
 		if err != nil {
-			return fmt.Errorf("loading finished tasks of %s: %w", j.spec.ID, err)
+			return fmt.Errorf("loading completed chunk %d of job %s: %w", k, j.spec.ID, err)
 		}
 	}
 	return nil
 }
 
-// add adds a job that was read, unless a later state of it is known.
+// add adds a loaded job, unless a later state of the job is known.
 func (s *Scheduler) add(j *jobState) {
 	id := j.spec.ID
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.deletions[id].revision > j.revision {
-		return // cancelled since the record was read
+		return // the job has been cancelled since its record was read
 	}
 	j.class = s.classFor(j.spec)
 	known := s.jobs[id]
@@ -102,15 +103,15 @@
 	s.wake()
 }
 
-// OnJobAccepted takes up a job whose record this controller has just written.
+// OnJobAccepted adds a job whose record this controller has just written.
 func (s *Scheduler) OnJobAccepted(record *job.Record, revision uint64) {
 	if err := s.load(context.Background(), record, revision, true); err != nil {
 		slog.Error("job load failed", "job", record.Spec.ID, "err", err)
 	}
 }
 
-// OnJobEvent follows the job records: cancellations come from any controller, and a
-// submission of ours may turn out to have been applied after all.
+// OnJobEvent applies a change of a job record from the watch. Any controller may record a
+// cancellation, and a submission of this controller whose response was lost may have been applied.
 func (s *Scheduler) OnJobEvent(event statekv.Event) {
 	id, ok := strings.CutPrefix(event.Key(), job.RecordPrefix)
 	if !ok {
@@ -123,7 +124,8 @@
 	s.onRecordWritten(id, event)
 }
 
-// onRecordDeleted takes up that a job's record was deleted: its final status is durable.
+// onRecordDeleted handles the deletion of a job's record, which means that the job's final status
+// is durable.
 func (s *Scheduler) onRecordDeleted(id string, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +137,8 @@
 	}
 }
 
-// forgetDeletions forgets old deletions where there are many. The mutex is held.
+// forgetDeletions drops old deletions if more than maxDeletions are kept. The caller must hold
+// s.mu.
 func (s *Scheduler) forgetDeletions() {
 	for id, deletion := range s.deletions {
 		if len(s.deletions) > maxDeletions && time.Since(deletion.seenAt) > deletionRetention {
@@ -144,7 +147,7 @@
 	}
 }
 
-// onRecordWritten takes up a job that is not known yet.
+// onRecordWritten handles a written job record: an unknown job of a held job shard is added.
 func (s *Scheduler) onRecordWritten(id string, event statekv.Event) {
 	s.mu.Lock()
 	known := s.jobs[id] != nil || s.otherJobs[id]
@@ -163,8 +166,8 @@
 	s.mu.Lock()
 	shard := s.shards[record.JobShard]
 	if shard == nil {
-		// Its later changes record finished tasks, which need not be read here. A job
-		// shard that is taken over is loaded from a list.
+		// Later records of this job only add completed tasks, so they need not be decoded here. If
+		// its job shard is taken over, its jobs are loaded from the mirror.
 		s.otherJobs[id] = true
 	}
 	s.mu.Unlock()
@@ -174,12 +177,12 @@
 	}
 }
 
-// onFinalRecord stops everything of a job whose record says that it is finished. The mutex
-// is held.
+// onFinalRecord handles a job whose record has been deleted, which means that the job is finished.
+// The caller must hold s.mu.
 func (s *Scheduler) onFinalRecord(id string, j *jobState) {
 	if j.phase == jobFinished && j.outcome == job.Done {
-		// Our own final write is under way, or a cancellation came first: the record
-		// decides, and the completion write will read it.
+		// Either this scheduler's own final write is in flight, or a cancellation was applied
+		// first. The stored tombstone decides, and the completion write reads it after a conflict.
 		return
 	}
 	outcome := j.outcome
@@ -190,8 +193,8 @@
 	s.onRecorded(id, j, outcome)
 }
 
-// onRecorded takes up that a job's final status is durable: what machines still have of it
-// is stopped or forgotten. The mutex is held.
+// onRecorded handles a job whose final status is durable: its running tasks are stopped, and
+// machines may forget its ended attempts. The caller must hold s.mu.
 func (s *Scheduler) onRecorded(id string, j *jobState, outcome string) {
 	j.advance(jobRecorded, outcome)
 	s.stopAllTasks(j, 0)
@@ -199,7 +202,7 @@
 	s.dropIfGone(id, j)
 }
 
-// Resync looks for jobs whose end was missed in a gap of the watch.
+// Resync finishes the jobs whose record was deleted in a gap of the watch.
 func (s *Scheduler) Resync() {
 	revision := s.mirror.Rev()
 	s.mu.Lock()
@@ -212,8 +215,8 @@
 	}
 }
 
-// dropIfGone drops a job whose final status is durable and that no machine has a task of.
-// The mutex is held.
+// dropIfGone drops a job if its final status is durable and no machine has a task of it. The caller
+// must hold s.mu.
 func (s *Scheduler) dropIfGone(id string, j *jobState) {
 	if j.phase != jobRecorded || j.placing {
 		return
--- a/internal/scheduler/job_shard.go
+++ b/internal/scheduler/job_shard.go
@@ -10,68 +10,71 @@
 )
 
 const (
-	// shardWriteTimeout is how long a change of job shards' keys may take.
+	// shardWriteTimeout bounds the creation or acquisition of job shards, over all its writes.
 	shardWriteTimeout = 3 * time.Second
 
-	// shardReleaseTimeout is how long the removal of job shards' keys may take.
+	// shardReleaseTimeout bounds the removal of empty job shards' keys, including the wait until
+	// the mirror has it.
 	shardReleaseTimeout = 2 * time.Second
 )
 
-// jobShard is a job shard that this controller holds. One that was another's has jobs of
-// which tasks may run that nobody here knows of: on machines that have not been confirmed
-// by their owner since the job shard was acquired.
+// jobShard is a job shard that this controller holds. In a job shard acquired from another
+// controller, tasks may run that this scheduler does not know of: those on machines whose owners
+// have not confirmed them since the acquisition.
 type jobShard struct {
 	epoch      uint64
 	acquiredAt time.Time
 	reconciled bool // every machine has been confirmed
 
-	// unconfirmed are the machines that have not, by what decides which jobs they may
-	// have; unconfirmedKinds counts them by that. No machine is added later: one whose
-	// first key is younger than the epoch has an owner that knows the epoch.
+	// unconfirmed holds the machines that have not been confirmed, with the properties that decide
+	// which jobs they are eligible for; unconfirmedKinds counts them by those properties. No
+	// machine is added after the acquisition: the owner of a machine whose key was created later
+	// already knows the epoch and rejects commits of earlier schedulers.
 	unconfirmed      map[string]machineKind
 	unconfirmedKinds map[machineKind]int
 
-	pendingLoggedAt time.Time // when the log last said what it waits for
+	pendingLoggedAt time.Time // when the pending reconciliation was last logged
 }
 
-// machineKind is what never changes about a machine and rules jobs out.
+// machineKind holds the immutable properties of a machine that can make it ineligible for a job.
 type machineKind struct {
 	typeName, zone string
 	spot           bool
 }
 
-// addUnconfirmed notes a machine that is to be confirmed.
-func (shard *jobShard) addUnconfirmed(machine string, kind machineKind) {
+// addUnconfirmed adds a machine that has to be confirmed before the job shard is reconciled.
+func (shard *jobShard) addUnconfirmed(machine string, properties machineKind) {
 	if shard.unconfirmed == nil {
 		shard.unconfirmed, shard.unconfirmedKinds = map[string]machineKind{}, map[machineKind]int{}
 	}
-	shard.unconfirmed[machine] = kind
-	shard.unconfirmedKinds[kind]++
+	shard.unconfirmed[machine] = properties
+	shard.unconfirmedKinds[properties]++
 }
 
-// confirm notes that a machine has shown all that earlier schedulers left on it.
+// confirm removes a machine from the unconfirmed ones: its entry lists every task that earlier
+// schedulers of the job shard may have started on it.
 func (shard *jobShard) confirm(machine string) {
-	kind, ok := shard.unconfirmed[machine]
+	properties, ok := shard.unconfirmed[machine]
 	if !ok {
 		return
 	}
 	delete(shard.unconfirmed, machine)
-	shard.unconfirmedKinds[kind]--
-	if shard.unconfirmedKinds[kind] == 0 {
-		delete(shard.unconfirmedKinds, kind)
+	shard.unconfirmedKinds[properties]--
+	if shard.unconfirmedKinds[properties] == 0 {
+		delete(shard.unconfirmedKinds, properties)
 	}
 }
 
-// markReconciled notes that every machine has been confirmed.
+// markReconciled marks the job shard as reconciled: every machine has been confirmed.
 func (shard *jobShard) markReconciled() {
 	shard.reconciled, shard.unconfirmed, shard.unconfirmedKinds = true, nil, nil
 }
 
-// mayPlace reports whether tasks of the job that are not located can be placed: not
-// before every machine that may have one of them from an earlier scheduler has been
-// confirmed. A machine whose type, zone or kind the job does not allow, or on which its
-// tasks have no capacity, cannot: every owner checks that before it sends a start
-// (clusteragent). The mutex is held.
+// mayPlace reports whether the job's pending tasks can be placed. After a takeover they cannot
+// until every machine on which an earlier scheduler may have started one of them has been
+// confirmed. A machine is ruled out if the job does not allow its type, zone or spot property, or
+// if one of the job's tasks exceeds its capacity: every owner checks this before it sends a start
+// command (package clusteragent). The caller must hold s.mu.
 func (s *Scheduler) mayPlace(j *jobState) bool {
 	shard := s.shards[j.shardID]
 	switch {
@@ -81,9 +84,9 @@
 		return true
 	}
 	types := s.machineTypes()
-	for kind := range shard.unconfirmedKinds {
-		machineType, known := types[kind.typeName]
-		if !j.spec.AllowsMachine(kind.typeName, kind.zone, kind.spot) {
+	for properties := range shard.unconfirmedKinds {
+		machineType, known := types[properties.typeName]
+		if !j.spec.AllowsMachine(properties.typeName, properties.zone, properties.spot) {
 			continue
 		}
 		if !known || j.spec.FitsIn(job.Capacity(machineType)) {
@@ -93,21 +96,21 @@
 	return true
 }
 
-// maintainShards acquires the job shards of schedulers whose session is over, and creates
-// one if this controller has none; then it checks whether those acquired are reconciled.
+// maintainShards creates this controller's own job shard if it has none, acquires the job shards of
+// controllers whose session has ended, and checks whether the acquired ones are reconciled.
 func (s *Scheduler) maintainShards(ctx context.Context) {
 	if !s.session.HoldsLease() {
 		return
 	}
-	if !s.checkShardHolders() { // first, for users wait for it
+	if !s.checkShardHolders() { // before takeovers, because submissions need it
 		s.createOwnShard(ctx)
 	}
 	s.acquireShards(ctx)
 	s.reconcileShards(ctx)
 }
 
-// checkShardHolders ends this session if another controller has acquired one of its job
-// shards, and reports whether it has one for new jobs.
+// checkShardHolders aborts this session if another controller has acquired one of its job shards.
+// It reports whether this controller has an own job shard for new jobs.
 func (s *Scheduler) checkShardHolders() (hasOwnShard bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scheduler/machine_entries.go
+++ b/internal/scheduler/machine_entries.go
@@ -9,11 +9,11 @@
 	"robinstack/internal/worker"
 )
 
-// saveMargin is the time beyond what a task needs to save that it gets when its machine
-// is taken away.
+// saveMargin is added to a task's checkpoint duration to get the grace period of its stop when the
+// machine is about to be reclaimed.
 const saveMargin = time.Second
 
-// OnEntries takes up what the change feed shows of machines.
+// OnEntries applies machine entries from the change feed.
 func (s *Scheduler) OnEntries(entries []agentapi.MachineEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,7 +22,7 @@
 	}
 }
 
-// onEntry takes up one machine. The mutex is held.
+// onEntry applies the entry of one machine. The caller must hold s.mu.
 func (s *Scheduler) onEntry(entry *agentapi.MachineEntry) {
 	listed := make(map[agentapi.TaskRef]bool, len(entry.Tasks))
 	for i := range entry.Tasks {
@@ -38,8 +38,8 @@
 	}
 }
 
-// loseUnlisted takes up the attempts on a machine that its entry does not list, where that
-// proves them gone. The mutex is held.
+// loseUnlisted handles the attempts that are placed on a machine and that its entry does not list:
+// an attempt is lost if this proves it gone. The caller must hold s.mu.
 func (s *Scheduler) loseUnlisted(entry *agentapi.MachineEntry, listed map[agentapi.TaskRef]bool) {
 	placed := s.placedOn[entry.Machine]
 	for ref := range placed {
@@ -58,7 +58,7 @@
 	}
 }
 
-// onAttempt takes up one attempt that a machine's entry lists. The mutex is held.
+// onAttempt applies one attempt that a machine's entry lists. The caller must hold s.mu.
 func (s *Scheduler) onAttempt(entry *agentapi.MachineEntry, listed *agentapi.TaskEntry, j *jobState) {
 	task := &j.tasks[listed.Index]
 	ended := listed.State == worker.TaskExited
@@ -68,7 +68,7 @@
 	}
 	pending := task.status == taskPending
 	if pending && ended || !pending && task.attempt != listed.Attempt {
-		// An attempt that was given up turned up after all.
+		// The attempt was given up as lost, but it was started after all.
 		s.forget(item)
 		return
 	}
@@ -86,13 +86,14 @@
 		return
 	}
 	if entry.ReclaimNoticed() && !j.isFinished() && (j.spec.CanCheckpoint() || j.spec.Shape == job.Service) {
-		// The machine is being taken away: save and move on.
+		// The cloud is about to reclaim the machine: checkpoint the task and restart it elsewhere.
 		s.stopTaskOrGang(j, listed.Index, j.spec.CheckpointDuration()+saveMargin)
 	}
 }
 
-// onAttemptWithResult takes up an attempt that completed its task, or at a task or job
-// that has its result already; it returns whether nothing is left to do. The mutex is held.
+// onAttemptWithResult handles an attempt that completed its task, and attempts at tasks or jobs
+// that already have a result. It reports whether the attempt needs no further handling. The caller
+// must hold s.mu.
 func (s *Scheduler) onAttemptWithResult(listed *agentapi.TaskEntry, j *jobState, item agentapi.StopItem) bool {
 	ended := listed.State == worker.TaskExited
 	switch {
@@ -105,21 +106,21 @@
 		s.dropIfGone(listed.Job, j)
 		return true
 	case ended && listed.Cause == worker.CauseDone:
-		// Forgotten once the completion is durable.
+		// The worker keeps the attempt until the completion is durable.
 		j.completion.ended = append(j.completion.ended, item)
 		s.onTaskCompleted(j, listed.Index)
 		return true
 	case j.done.Has(listed.Index):
-		// Another attempt completed it, or another task of its gang.
+		// Another attempt, or another task of the gang, has completed it.
 		s.forget(item)
 		return true
 	}
 	return false
 }
 
-// loseTasksOfRemovedMachines gives up tasks on machines whose keys have been removed,
-// which is done only once all on them is proven gone. Their owner may have died before its
-// last entry got here.
+// loseTasksOfRemovedMachines marks tasks as lost whose machines' keys have been removed, which
+// happens only once all tasks on a machine are proven gone. The entry that shows this may never
+// arrive if the machine's owner crashes before it sends the entry.
 func (s *Scheduler) loseTasksOfRemovedMachines() {
 	revision := s.mirror.Rev()
 	s.mu.Lock()
@@ -142,7 +143,7 @@
 	}
 }
 
-// notePlaced notes that a machine has an attempt, or may have it. The mutex is held.
+// notePlaced records that an attempt is, or may be, on a machine. The caller must hold s.mu.
 func (s *Scheduler) notePlaced(machine string, ref agentapi.TaskRef) {
 	if s.placedOn[machine] == nil {
 		s.placedOn[machine] = map[agentapi.TaskRef]bool{}
@@ -150,8 +151,8 @@
 	s.placedOn[machine][ref] = true
 }
 
-// forget has a machine's owner told that an attempt may be forgotten, or stopped if it has
-// not ended. The mutex is held.
+// forget queues a message to the machine's owner: it may forget the attempt, or has to stop it if
+// it has not ended. The caller must hold s.mu.
 func (s *Scheduler) forget(item agentapi.StopItem) {
 	s.outbox.forgets = append(s.outbox.forgets, item)
 }
--- a/internal/scheduler/record_schema.go
+++ b/internal/scheduler/record_schema.go
@@ -12,8 +12,8 @@
 	"robinstack/internal/statekv"
 )
 
-// openRecord is what is written of an unfinished job. What is known of its failures is left
-// out where the value would become too large with it.
+// openRecord returns the record to be written for an unfinished job. The failure history is left
+// out if the record would exceed the value size limit with it.
 func (s *Scheduler) openRecord(j *jobState, withFailures bool) job.Record {
 	record := job.Record{
 		Spec:              *j.spec,
@@ -39,21 +39,21 @@
 	return record
 }
 
-// recordOps are the changes that write an unfinished job's record and the chunks of
-// finished tasks, as many as one transaction takes; it removes those from chunks that are
-// left for later, and puts them back into the job's own. A record that is too large, which
-// a version that knew a higher limit wrote, gets its spec split into fragments. It returns nothing
-// where that cannot be done yet.
+// recordOps returns the changes that write an unfinished job's record and its chunks of completed
+// tasks, as many as one transaction takes. Chunks that do not fit are removed from chunks and
+// marked as dirty again. A record that exceeds the value size limit, because an earlier version
+// with a higher limit wrote it, gets its spec split into fragments. If it cannot be split, for
+// example because the cluster version does not enable fragments yet, recordOps returns nil.
 func (s *Scheduler) recordOps(
-	j *jobState, record *job.Record, chunks map[int]bool, level rollout.ClusterVersion,
+	j *jobState, record *job.Record, chunks map[int]bool, version rollout.ClusterVersion,
 ) []statekv.Op {
-	limit, most := s.settings.StateLimits.MaxValueBytes, s.store.MaxTxnOps(s.settings.StateLimits.MaxTxnOps)
+	maxBytes, maxOps := s.settings.StateLimits.MaxValueBytes, s.store.MaxTxnOps(s.settings.StateLimits.MaxTxnOps)
 	var ops []statekv.Op
-	if record.SpecFragments == 0 && record.ExceedsLimit(limit) {
-		if !level.Enabled(rollout.FeatureDependencies) {
+	if record.SpecFragments == 0 && record.ExceedsLimit(maxBytes) {
+		if !version.Enabled(rollout.FeatureDependencies) {
 			return nil
 		}
-		fragments, err := record.SplitSpec(limit, most-1)
+		fragments, err := record.SplitSpec(maxBytes, maxOps-1)
 		if err != nil {
 			slog.Error("job record unusable", "job", record.Spec.ID, "err", err)
 			return nil
@@ -63,8 +63,8 @@
 	ops = append(ops, statekv.Op{Set: job.RecordKey(record.Spec.ID), Value: *record})
 	for k := range chunks {
 		switch {
-		case k == 0: // it is in the record
-		case len(ops) < most:
+		case k == 0: // chunk 0 is part of the record
+		case len(ops) < maxOps:
 			ops = append(ops, statekv.Op{Set: job.CompletedChunkKey(record.Spec.ID, k), Value: j.done.EncodeChunk(k)})
 		default:
 			delete(chunks, k)
--- a/internal/scheduler/shard_acquisition.go
+++ b/internal/scheduler/shard_acquisition.go
@@ -15,10 +15,11 @@
 	"robinstack/internal/statekv"
 )
 
-// shardLoadRetryInterval is the pause before the jobs of acquired shards are read again.
+// shardLoadRetryInterval is the delay before another attempt to load the jobs of acquired job
+// shards.
 const shardLoadRetryInterval = 300 * time.Millisecond
 
-// createOwnShard creates the job shard that takes this controller's new jobs.
+// createOwnShard creates the job shard to which this controller adds new jobs.
 func (s *Scheduler) createOwnShard(ctx context.Context) {
 	writeCtx, cancel := context.WithTimeout(ctx, shardWriteTimeout)
 	defer cancel()
@@ -39,26 +40,26 @@
 	slog.Info("job shard acquired", "job_shard", id, "epoch", epoch)
 }
 
-// acquireShards acquires, all together, the job shards that fall to this controller.
+// acquireShards acquires all job shards whose successor this controller is, in batches.
 func (s *Scheduler) acquireShards(ctx context.Context) {
-	roles, ours := s.acquirableShards()
+	roles, alreadyAcquired := s.acquirableShards()
 	writeCtx, cancel := context.WithTimeout(ctx, shardWriteTimeout)
 	defer cancel()
 	acquired, err := s.session.AcquireAll(writeCtx, roles, s.settings.StateLimits.MaxTxnOps)
 	if err != nil {
 		slog.Debug("job shard acquisition failed", "err", err)
 	}
-	maps.Copy(acquired, ours)
+	maps.Copy(acquired, alreadyAcquired)
 	if len(acquired) > 0 {
 		s.adoptShards(ctx, acquired)
 	}
 }
 
-// acquirableShards returns the job shards to acquire, and those, by key with their epoch,
-// that were acquired before in a write whose answer was lost.
-func (s *Scheduler) acquirableShards() (roles []statekv.Role, ours map[string]uint64) {
+// acquirableShards returns the job shards to acquire. It also returns, as epochs by key, the job
+// shards that this session has already acquired in a write whose response was lost.
+func (s *Scheduler) acquirableShards() (roles []statekv.Role, alreadyAcquired map[string]uint64) {
 	successors := s.session.Successors(s.settings.Hosts())
-	ours = map[string]uint64{}
+	alreadyAcquired = map[string]uint64{}
 	for _, kv := range s.mirror.Dir(statekv.JobShardPrefix) {
 		id := strings.TrimPrefix(kv.Key, statekv.JobShardPrefix)
 		holder, err := statekv.HolderOf(kv)
@@ -67,7 +68,7 @@
 			s.mirror.ReportUndecodable(kv.Key, err)
 		case s.holdsShard(id):
 		case holder == s.session.Holder:
-			ours[kv.Key] = kv.Rev
+			alreadyAcquired[kv.Key] = kv.Rev
 		case !s.session.Alive(holder) && successorOf(id, holder.Host, successors) == s.session.Host:
 			roles = append(roles, statekv.Role{
 				Key:            kv.Key,
@@ -77,7 +78,7 @@
 			})
 		}
 	}
-	return roles, ours
+	return roles, alreadyAcquired
 }
 
 // holdsShard reports whether this controller holds the job shard.
@@ -87,29 +88,30 @@
 	return s.shards[id] != nil
 }
 
-// successorOf is who takes a job shard over: its own controller if it is back, else one of
-// the others, chosen by the shard's name so that they share the shards.
+// successorOf returns the host that takes a job shard over: its previous host if that is one of the
+// given hosts, else one of these, chosen by a hash of the job shard's ID to spread the job shards
+// among them.
 func successorOf(shardID, host string, hosts []string) string {
 	if slices.Contains(hosts, host) || len(hosts) == 0 {
 		return host
 	}
 	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(shardID)) // a hash takes everything
+	_, _ = hash.Write([]byte(shardID)) // Write of a hash never returns an error
 	return hosts[int(hash.Sum32()>>1)%len(hosts)]
 }
 
-// adoptShards takes up the unfinished jobs of job shards that were others', given by key
-// with their epochs.
+// adoptShards loads the unfinished jobs of newly acquired job shards, which are given as epochs by
+// key.
 func (s *Scheduler) adoptShards(ctx context.Context, acquired map[string]uint64) {
-	shards, latest := map[string]*jobShard{}, uint64(0)
+	shards, latestEpoch := map[string]*jobShard{}, uint64(0)
 	for key, epoch := range acquired {
 		id := strings.TrimPrefix(key, statekv.JobShardPrefix)
 		shards[id] = &jobShard{epoch: epoch, acquiredAt: time.Now()}
-		latest = max(latest, epoch)
+		latestEpoch = max(latestEpoch, epoch)
 	}
-	// From then on the mirror has every record that the earlier schedulers wrote, and
-	// every machine to which their starts can have been sent.
-	if s.mirror.Wait(ctx, latest) != nil {
+	// At this revision the mirror has every record that earlier schedulers wrote and every machine
+	// to which they can have sent start commands.
+	if s.mirror.Wait(ctx, latestEpoch) != nil {
 		return
 	}
 	s.listUnconfirmed(shards)
@@ -121,28 +123,28 @@
 		slog.Info("job shard acquired",
 			"job_shard", id, "epoch", held.epoch, "jobs", jobs[id], "machines", len(held.unconfirmed))
 	}
-	// Tasks that the feed has shown already are located now.
+	// Apply the entries that the change feed delivered before the jobs were loaded.
 	if s.feed != nil {
 		s.feed.PollNow()
 		s.OnEntries(s.feed.Entries())
 	}
 }
 
-// listUnconfirmed notes every machine as to be confirmed for each job shard.
+// listUnconfirmed adds every machine to the unconfirmed machines of each job shard.
 func (s *Scheduler) listUnconfirmed(shards map[string]*jobShard) {
 	for _, kv := range s.mirror.Dir(statekv.MachinePrefix) {
 		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
-		var kind machineKind
+		var properties machineKind
 		if key := shard.ParseMachineRecord(kv); key != nil {
-			kind = machineKind{key.Type, key.Zone, key.Spot}
+			properties = machineKind{key.Type, key.Zone, key.Spot}
 		}
 		for _, held := range shards {
-			held.addUnconfirmed(name, kind)
+			held.addUnconfirmed(name, properties)
 		}
 	}
 }
 
-// addShards adds job shards whose jobs are loaded, and counts the jobs by shard.
+// addShards adds job shards whose jobs are loaded and returns the number of jobs by job shard.
 func (s *Scheduler) addShards(shards map[string]*jobShard) map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,8 +156,8 @@
 	return jobs
 }
 
-// loadShardJobs takes up the unfinished jobs of job shards that were others', trying until
-// all are read. It reports false if ctx ended before.
+// loadShardJobs loads the unfinished jobs of acquired job shards and retries until all are loaded.
+// It returns false if ctx ends first.
 func (s *Scheduler) loadShardJobs(ctx context.Context, shards map[string]*jobShard) bool {
 	for {
 		err := s.tryLoadShardJobs(ctx, shards)
--- a/internal/scheduler/shard_reconciliation.go
+++ b/internal/scheduler/shard_reconciliation.go
@@ -12,24 +12,26 @@
 )
 
 const (
-	// pendingLogInterval is how often the log says what a job shard waits for, and
-	// pendingLogAfter for how long it must have waited before.
+	// pendingLogInterval is the minimum time between two log messages about the pending
+	// reconciliation of a job shard; pendingLogAfter is the time after its acquisition before the
+	// first one.
 	pendingLogInterval = 5 * time.Second
 	pendingLogAfter    = time.Second
 
-	// reconciledReportTimeout is how long the report of a reconciled job shard may take.
+	// reconciledReportTimeout bounds the report of one reconciled job shard to the leader.
 	reconciledReportTimeout = 2 * time.Second
 )
 
-// confirmation is up to which epoch a machine's entry is known to show what earlier
-// schedulers left on it, and if not further, why.
+// confirmation is the epoch up to which a machine is confirmed, and the reason why it is not
+// confirmed for later epochs. A machine is confirmed for an epoch if its entry lists every task
+// that schedulers with an earlier epoch may have started on it.
 type confirmation struct {
 	epoch uint64
 	why   string
 }
 
-// reconcileShards checks which machines have shown all that earlier schedulers may have
-// left on them; a job shard is reconciled when every machine has.
+// reconcileShards checks which machines are confirmed. A job shard is reconciled when every machine
+// is confirmed for its epoch.
 func (s *Scheduler) reconcileShards(ctx context.Context) {
 	machines := s.unconfirmedMachines()
 	if s.feed == nil {
@@ -39,7 +41,7 @@
 	reconciled := s.applyConfirmations(s.confirmations(machines), now)
 	if len(reconciled) == 0 {
 		if len(machines) > 0 {
-			s.wake() // some jobs may not have to wait any longer
+			s.wake() // the machines confirmed since may unblock some jobs
 		}
 		return
 	}
@@ -56,7 +58,7 @@
 	s.wake()
 }
 
-// unconfirmedMachines lists the machines that any job shard waits for.
+// unconfirmedMachines returns the machines for whose confirmation any job shard waits.
 func (s *Scheduler) unconfirmedMachines() map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,25 +71,25 @@
 	return machines
 }
 
-// confirmations asks the feed how far the machines are confirmed.
+// confirmations looks up in the change feed up to which epochs the machines are confirmed.
 func (s *Scheduler) confirmations(machines map[string]bool) map[string]confirmation {
-	found := make(map[string]confirmation, len(machines))
+	confirmations := make(map[string]confirmation, len(machines))
 	for machine := range machines {
 		kv, ok := s.mirror.Get(statekv.MachinePrefix + machine)
 		if !ok {
-			// Its key is removed only when its tasks are proven gone.
-			found[machine] = confirmation{epoch: changefeed.AllEpochs}
+			// A machine's key is removed only when all its tasks are proven gone.
+			confirmations[machine] = confirmation{epoch: changefeed.AllEpochs}
 			continue
 		}
 		epoch, why := s.feed.ConfirmedEpoch(kv)
-		found[machine] = confirmation{epoch: epoch, why: why}
+		confirmations[machine] = confirmation{epoch: epoch, why: why}
 	}
-	return found
+	return confirmations
 }
 
-// applyConfirmations confirms machines and returns the job shards that wait for none any
-// more.
-func (s *Scheduler) applyConfirmations(found map[string]confirmation, now time.Time) map[string]*jobShard {
+// applyConfirmations removes confirmed machines from the unreconciled job shards and returns the
+// job shards that have no unconfirmed machine left.
+func (s *Scheduler) applyConfirmations(confirmations map[string]confirmation, now time.Time) map[string]*jobShard {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reconciled := map[string]*jobShard{}
@@ -95,7 +97,7 @@
 		if shard.reconciled {
 			continue
 		}
-		pending := shard.applyConfirmations(found)
+		pending := shard.applyConfirmations(confirmations)
 		if pending == "" {
 			reconciled[id] = shard
 			continue
@@ -103,17 +105,17 @@
 		if now.Sub(shard.pendingLoggedAt) > pendingLogInterval && now.Sub(shard.acquiredAt) > pendingLogAfter {
 			shard.pendingLoggedAt = now
 			slog.Info("job shard reconciliation pending", "job_shard", id,
-				"machines", len(shard.unconfirmed), "machine", pending, "reason", found[pending].why)
+				"machines", len(shard.unconfirmed), "machine", pending, "reason", confirmations[pending].why)
 		}
 	}
 	return reconciled
 }
 
-// applyConfirmations confirms machines and returns one that is still to be confirmed, or
-// "".
-func (shard *jobShard) applyConfirmations(found map[string]confirmation) (pending string) {
+// applyConfirmations removes confirmed machines and returns the name of one that is still
+// unconfirmed, or "".
+func (shard *jobShard) applyConfirmations(confirmations map[string]confirmation) (pending string) {
 	for machine := range shard.unconfirmed {
-		if confirmed, checked := found[machine]; checked && confirmed.epoch >= shard.epoch {
+		if confirmed, checked := confirmations[machine]; checked && confirmed.epoch >= shard.epoch {
 			shard.confirm(machine)
 			continue
 		}
@@ -122,8 +124,8 @@
 	return pending
 }
 
-// reportReconciled tells the leader that what earlier schedulers of the job shard were
-// granted and did not start is not going to be started.
+// reportReconciled tells the leader that the job shard is reconciled. The leader then drops the
+// unused quota grants of earlier epochs, because their tasks can no longer be started.
 func (s *Scheduler) reportReconciled(ctx context.Context, id string, epoch uint64) {
 	callCtx, cancel := context.WithTimeout(ctx, reconciledReportTimeout)
 	defer cancel()
--- a/internal/scheduler/shard_release.go
+++ b/internal/scheduler/shard_release.go
@@ -7,10 +7,10 @@
 	"robinstack/internal/statekv"
 )
 
-// releaseShards removes the keys of job shards without jobs. Nothing can be added to them:
-// whoever acquired a job shard puts no new jobs into it, and what its earlier schedulers
-// wrote late carries the condition that the key has their revision. Otherwise every
-// failure of a controller would leave a job shard behind for good.
+// releaseShards removes the keys of reconciled job shards without jobs. Without this, every
+// controller failure would leave a job shard behind forever. The removal is safe: a controller adds
+// new jobs only to its own job shard, and delayed writes of earlier schedulers carry the compare
+// that the job shard's key has their epoch.
 func (s *Scheduler) releaseShards(ctx context.Context) {
 	if !s.session.HoldsLease() {
 		return
@@ -27,25 +27,25 @@
 		err = s.mirror.Wait(writeCtx, revision)
 	}
 	if err != nil {
-		// If they were removed after all, the mirror will show it.
+		// If the response was lost and the keys are removed, the mirror will show it.
 		slog.Debug("empty job shard removal failed", "job_shards", ids, "err", err)
 		return
 	}
 	s.forgetRemovedShards()
 }
 
-// emptyShards lists reconciled job shards without jobs, as many as one transaction
-// removes, with the transaction.
+// emptyShards lists reconciled job shards without jobs, as many as one transaction can remove, with
+// the compares and changes of that transaction.
 func (s *Scheduler) emptyShards() (ids []string, compares []statekv.Compare, removals []statekv.Op) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	used := map[string]bool{s.ownShard: true}
+	inUse := map[string]bool{s.ownShard: true}
 	for _, j := range s.jobs {
-		used[j.shardID] = true
+		inUse[j.shardID] = true
 	}
-	most := s.store.MaxTxnOps(min(maxConcurrentWrites, s.settings.StateLimits.MaxTxnOps))
+	maxRemovals := s.store.MaxTxnOps(min(maxConcurrentWrites, s.settings.StateLimits.MaxTxnOps))
 	for id, shard := range s.shards {
-		if !shard.reconciled || used[id] || len(removals) >= most {
+		if !shard.reconciled || inUse[id] || len(removals) >= maxRemovals {
 			continue
 		}
 		key := statekv.JobShardPrefix + id
@@ -56,7 +56,7 @@
 	return ids, compares, removals
 }
 
-// forgetRemovedShards drops the job shards whose keys have been removed.
+// forgetRemovedShards drops the job shards whose keys have been removed from the state service.
 func (s *Scheduler) forgetRemovedShards() {
 	revision := s.mirror.Rev()
 	s.mu.Lock()
--- a/internal/scheduler/task_results.go
+++ b/internal/scheduler/task_results.go
@@ -9,16 +9,16 @@
 	"robinstack/internal/worker"
 )
 
-// resetTask returns a task to pending: its attempt is on no machine any more. The mutex is
-// held.
+// resetTask returns a task to pending because its attempt is not on any machine any more. The
+// caller must hold s.mu.
 func (s *Scheduler) resetTask(j *jobState, index int) {
 	task := &j.tasks[index]
 	delete(s.placedOn[task.machine], j.ref(index))
 	task.transition(taskPending)
 }
 
-// onTaskCompleted takes up that a task has completed; a gang completes as a whole. The
-// mutex is held.
+// onTaskCompleted handles the completion of a task; one completed task completes its whole gang.
+// The caller must hold s.mu.
 func (s *Scheduler) onTaskCompleted(j *jobState, index int) {
 	s.resetTask(j, index)
 	s.onTaskSucceeded(j)
@@ -38,7 +38,7 @@
 	s.wake()
 }
 
-// addDone notes a completed task, to be recorded.
+// addDone marks a task as completed and its chunk as to be recorded.
 func (j *jobState) addDone(index int, now time.Time) {
 	if j.done.Has(index) {
 		return
@@ -49,8 +49,8 @@
 	j.completion.markDirty(now)
 }
 
-// onAttemptEnded takes up that an attempt ended without completing its task. The mutex is
-// held.
+// onAttemptEnded handles an attempt that ended without completing its task. The caller must hold
+// s.mu.
 func (s *Scheduler) onAttemptEnded(j *jobState, index int, cause, machine string) {
 	slog.Info("task attempt ended", "task", job.TaskID(j.spec.ID, index), "cause", cause, "machine", machine)
 	if cause == worker.CauseFailed {
@@ -59,8 +59,8 @@
 	s.onTaskLost(j, index)
 }
 
-// onTaskLost takes up that a task is certainly on no machine; the rest of a gang is
-// stopped. The mutex is held.
+// onTaskLost returns a task to pending that is proven gone from its machine. The other tasks of a
+// gang are stopped. The caller must hold s.mu.
 func (s *Scheduler) onTaskLost(j *jobState, index int) {
 	s.counters.Lost++
 	s.resetTask(j, index)
@@ -71,8 +71,8 @@
 	s.wake()
 }
 
-// forgetEndedAttempts has the first so many ended attempts forgotten: their results are
-// durable. The mutex is held.
+// forgetEndedAttempts queues messages to the machines' owners that the first count ended attempts
+// may be forgotten, because their results are durable. The caller must hold s.mu.
 func (s *Scheduler) forgetEndedAttempts(j *jobState, count int) {
 	s.outbox.forgets = append(s.outbox.forgets, j.completion.ended[:count]...)
 	j.completion.ended = j.completion.ended[count:]
