--- a/internal/scheduler/cluster_helpers_test.go
+++ b/internal/scheduler/cluster_helpers_test.go
@@ -12,7 +12,7 @@
 	"robinstack/internal/tombstone"
 )
 
-// newSpec is a job of small tasks that run on any machine.
+// newSpec returns the spec of a job with small tasks that fit on any machine.
 func newSpec(id, shape string, tasks int, gpus float64) job.Spec {
 	return job.Spec{
 		ID:    id,
@@ -27,58 +27,59 @@
 	}
 }
 
-func withGPUs(s job.Spec, gpus float64) job.Spec {
-	s.GPUs = gpus
-	return s
+func withGPUs(spec job.Spec, gpus float64) job.Spec {
+	spec.GPUs = gpus
+	return spec
 }
 
-// dependentSpec is a job of one small task that waits for others.
-func dependentSpec(id string, needs ...string) job.Spec {
-	s := newSpec(id, job.Array, 1, 0)
-	s.WaitsOn = needs
-	return s
+// dependentSpec returns the spec of a job with one small task that depends on other jobs.
+func dependentSpec(id string, dependencies ...string) job.Spec {
+	spec := newSpec(id, job.Array, 1, 0)
+	spec.WaitsOn = dependencies
+	return spec
 }
 
-// submit has a controller accept a job, as its gateway does.
+// submit has a controller accept a job, as the gateway does.
 func (cluster *testCluster) submit(controller *testController, spec job.Spec) {
 	cluster.t.Helper()
 	shardID, _, ok := controller.scheduler.OwnJobShard()
 	if !ok {
-		cluster.t.Fatal("no job shard")
+		cluster.t.Fatal("controller has no own job shard")
 	}
 	record := &job.Record{Spec: spec, JobShard: shardID, SubmittedMS: time.Now().UnixMilli()}
 	key := job.RecordKey(spec.ID)
-	rev, err := controller.session.Write(cluster.ctx, []statekv.Compare{{Key: key}}, []statekv.Op{{Set: key, Value: record}})
+	rev, err := controller.session.Write(cluster.ctx, []statekv.Compare{{Key: key}},
+		[]statekv.Op{{Set: key, Value: record}})
 	if err != nil {
 		cluster.t.Fatal(err)
 	}
 	controller.scheduler.OnJobAccepted(record, rev)
 }
 
-// cancel records a cancellation, as a gateway does.
+// cancel records the cancellation of a job, as the gateway does.
 func (cluster *testCluster) cancel(id string) {
 	cluster.t.Helper()
 	kv, err := cluster.state.Get(cluster.ctx, job.RecordKey(id))
 	if err != nil {
 		cluster.t.Fatal(err)
 	}
-	unchanged := []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}
-	if _, err := cluster.state.Txn(cluster.ctx, unchanged, cancellation(id, 1)); err != nil {
+	compares := []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}
+	if _, err := cluster.state.Txn(cluster.ctx, compares, cancellation(id, 1)); err != nil {
 		cluster.t.Fatal(err)
 	}
 }
 
-// legacyTombstone writes a job's tombstone in the legacy schema.
+// legacyTombstone returns the changes that write a job's tombstone in the legacy format.
 func legacyTombstone(id, status string, tasks int) []statekv.Op {
 	return tombstone.WriteOps(id, tombstone.Tombstone{Status: status, Tasks: tasks}, tombstone.LegacyOnly)
 }
 
-// cancellation replaces a job's record by its tombstone.
+// cancellation returns the changes that replace a job's record by its tombstone.
 func cancellation(id string, tasks int) []statekv.Op {
 	return append(legacyTombstone(id, job.Cancelled, tasks), statekv.Op{Delete: job.RecordKey(id)})
 }
 
-// put writes keys behind the controllers' backs.
+// put writes keys directly to the state service, without a controller.
 func (cluster *testCluster) put(ops ...statekv.Op) {
 	cluster.t.Helper()
 	if _, err := cluster.state.Txn(cluster.ctx, nil, ops); err != nil {
@@ -86,19 +87,19 @@
 	}
 }
 
-// setClusterVersion has the stored cluster version enable the features.
+// setClusterVersion stores a cluster version that enables the features.
 func (cluster *testCluster) setClusterVersion(features ...rollout.Feature) {
 	cluster.t.Helper()
 	version := rollout.ClusterVersion{Schema: 1, Number: len(features), Features: features}
 	cluster.put(statekv.Op{Set: statekv.ClusterVersionKey, Value: version})
 }
 
-// enableDependencies has the stored cluster version enable dependencies between jobs.
+// enableDependencies stores a cluster version that enables dependencies between jobs.
 func (cluster *testCluster) enableDependencies() {
 	cluster.setClusterVersion(rollout.FeatureVersionGate, rollout.FeatureDependencies)
 }
 
-// exitAllTasks has all tasks on machines exit with the cause.
+// exitAllTasks lets all tasks on machines exit with the cause.
 func (cluster *testCluster) exitAllTasks(cause string) {
 	var ids []string
 	cluster.workers.WithLock(func() {
@@ -115,52 +116,52 @@
 	}
 }
 
-// finalStatus is the status in a job's tombstone, or "".
+// finalStatus returns the status in a job's tombstone, or "".
 func (cluster *testCluster) finalStatus(id string) string {
-	f, err := tombstone.Read(cluster.ctx, cluster.state, nil, id)
+	stored, err := tombstone.Read(cluster.ctx, cluster.state, nil, id)
 	if err != nil {
 		return ""
 	}
-	return f.Status
+	return stored.Status
 }
 
-// startCounts counts how often each task was started.
+// startCounts returns how often each task was started, by task ID.
 func (cluster *testCluster) startCounts() map[string]int {
-	out := map[string]int{}
+	counts := map[string]int{}
 	cluster.workers.WithLock(func() {
 		for _, machine := range cluster.machines {
-			for _, s := range machine.Started {
-				out[s]++
+			for _, task := range machine.Started {
+				counts[task]++
 			}
 		}
 	})
-	return out
+	return counts
 }
 
-// countStarts counts how many starts of a job's tasks were carried out.
+// countStarts returns how many start commands for a job's tasks were executed.
 func (cluster *testCluster) countStarts(id string) (n int) {
-	for task, k := range cluster.startCounts() {
+	for task, starts := range cluster.startCounts() {
 		if strings.HasPrefix(task, id+"/") {
-			n += k
+			n += starts
 		}
 	}
 	return n
 }
 
-// wasStarted reports whether a task of the job was ever started.
+// wasStarted reports whether the first task of the job was ever started.
 func (cluster *testCluster) wasStarted(id string) bool { return cluster.startCounts()[id+"/0"] > 0 }
 
-// wasStartedOn reports whether a task was started on the machine with the index.
-func (cluster *testCluster) wasStartedOn(machine int, task string) (yes bool) {
+// wasStartedOn reports whether a task was started on the machine with the given index.
+func (cluster *testCluster) wasStartedOn(machine int, task string) (started bool) {
 	cluster.workers.WithLock(func() {
-		for _, s := range cluster.machines[machine].Started {
-			yes = yes || s == task
+		for _, startedTask := range cluster.machines[machine].Started {
+			started = started || startedTask == task
 		}
 	})
-	return yes
+	return started
 }
 
-// countTasks counts the tasks that are on machines, exited ones too.
+// countTasks returns the number of tasks on machines, including exited ones.
 func (cluster *testCluster) countTasks() (n int) {
 	cluster.workers.WithLock(func() {
 		for _, machine := range cluster.machines {
@@ -170,27 +171,27 @@
 	return n
 }
 
-// allEntries lists the machines of all controllers that are up.
-func allEntries(cluster *testCluster) (all []agentapi.MachineEntry) {
+// allEntries returns the machine entries of all running controllers.
+func allEntries(cluster *testCluster) (entries []agentapi.MachineEntry) {
 	for _, host := range hosts {
 		if controller := cluster.controller(host); controller != nil {
-			_, entries := controller.agent.Snapshot()
-			all = append(all, entries...)
+			_, snapshot := controller.agent.Snapshot()
+			entries = append(entries, snapshot...)
 		}
 	}
-	return all
+	return entries
 }
 
-// waitingJobs lists the waiting jobs of a controller, as its status does.
+// waitingJobs returns the waiting jobs of a controller by ID, as its status shows them.
 func (controller *testController) waitingJobs(cluster *testCluster) map[string]scheduler.WaitingJob {
 	cluster.t.Helper()
 	var list []scheduler.WaitingJob
 	if err := scheduler.NewService(controller.scheduler).Queue(10_000, &list); err != nil {
 		cluster.t.Fatal(err)
 	}
-	out := map[string]scheduler.WaitingJob{}
-	for _, q := range list {
-		out[q.Job] = q
+	jobs := map[string]scheduler.WaitingJob{}
+	for _, waiting := range list {
+		jobs[waiting.Job] = waiting
 	}
-	return out
+	return jobs
 }
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -25,10 +25,10 @@
 	"robinstack/internal/tombstone"
 )
 
-// hosts are the controllers that a test may start.
+// hosts are the hosts of the controllers that a test may start.
 var hosts = []string{"host-0", "host-1"}
 
-// testCluster is a service of two controllers without a network: calls go straight to the
+// testCluster is a cluster of up to two controllers without a network: calls go directly to the
 // net/rpc services. Time is the virtual time of a synctest bubble.
 type testCluster struct {
 	t           *testing.T
@@ -38,20 +38,20 @@
 	mu          sync.Mutex
 	controllers map[string]*testController
 	machines    []*emulator.Worker
-	endpoints   map[*emulator.Worker]string // the host that each sends its heartbeats to
+	endpoints   map[*emulator.Worker]string // host to which each worker sends its heartbeats
 
 	objectives  []config.Objective
-	grantsLeft  int    // tasks that the quota of team full still admits
-	stateLimits [2]int // sizes of a value and of a transaction; zero: the usual ones
-	dropsStops  bool   // requests to stop or forget tasks are lost
+	grantsLeft  int    // remaining quota grants of the team "full", in tasks
+	stateLimits [2]int // maximum bytes of a value and changes of a transaction; zero: the defaults
+	dropsStops  bool   // requests to stop or forget tasks are dropped
 
 	commitLoss  commitLoss // what is lost of the next commits
-	lossesLeft  int        // of how many
-	released    int        // grants that were released
-	resolutions int        // requests to resolve commits
+	lossesLeft  int        // number of commits that are still to be lost
+	released    int        // number of released quota grants
+	resolutions int        // number of requests to resolve commits
 }
 
-// commitLoss is what is lost of a commit on its way.
+// commitLoss says which message of a commit is lost.
 type commitLoss int
 
 const (
@@ -60,7 +60,7 @@
 	answerLost
 )
 
-// testController is one session of a controller.
+// testController is one session of a controller with its components.
 type testController struct {
 	host      string
 	agent     *clusteragent.Agent
@@ -73,7 +73,7 @@
 }
 
 // runScenario runs a test on a cluster of two machines in two zones.
-func runScenario(t *testing.T, f func(cluster *testCluster)) {
+func runScenario(t *testing.T, test func(cluster *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cluster := &testCluster{
@@ -89,11 +89,11 @@
 			cluster.workers.Add("m1", "box", "a"),
 			cluster.workers.Add("m2", "box", "b"),
 		}
-		f(cluster)
+		test(cluster)
 	})
 }
 
-// settings are those of one controller of the cluster.
+// settings returns the settings of one controller of the cluster.
 func (cluster *testCluster) settings(host string) *config.Settings {
 	settings := &config.Settings{
 		Host:       host,
@@ -115,19 +115,20 @@
 		},
 	}
 	if cluster.stateLimits[0] > 0 {
-		settings.StateLimits.MaxValueBytes, settings.StateLimits.MaxTxnOps = cluster.stateLimits[0], cluster.stateLimits[1]
+		settings.StateLimits.MaxValueBytes = cluster.stateLimits[0]
+		settings.StateLimits.MaxTxnOps = cluster.stateLimits[1]
 	}
 	return settings
 }
 
-// machineTypes are the types that the cloud offers.
+// machineTypes returns the machine types that the cloud offers, by name.
 func machineTypes() map[string]cloud.MachineType {
 	return map[string]cloud.MachineType{
 		"box": {Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, FetchGBPerS: 0.1},
 	}
 }
 
-// start begins a session of a controller.
+// start opens a session of a controller and runs its components.
 func (cluster *testCluster) start(host string) *testController {
 	cluster.t.Helper()
 	settings := cluster.settings(host)
@@ -164,7 +165,7 @@
 	cluster.controllers[host] = controller
 	cluster.mu.Unlock()
 	go mirror.Run(ctx)
-	go func() { _ = session.KeepAlive(ctx) }() // its end is that of ctx
+	go func() { _ = session.KeepAlive(ctx) }() // it ends when ctx does
 	go controller.agent.Run(ctx)
 	go feed.Run(ctx)
 	go controller.scheduler.Run(ctx, feed)
@@ -174,7 +175,7 @@
 	return controller
 }
 
-// crash ends a controller's session; its lease, given by its number, is revoked at once.
+// crash stops a controller and revokes its state lease, which is given by its ID, at once.
 func (cluster *testCluster) crash(controller *testController, lease uint64) {
 	cluster.mu.Lock()
 	controller.up = false
@@ -186,7 +187,7 @@
 	}
 }
 
-// controller returns a controller that is up, or nil.
+// controller returns the running controller of a host, or nil.
 func (cluster *testCluster) controller(host string) *testController {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// otherHost is the host of the other controller.
+// otherHost returns the host of the other controller.
 func otherHost(host string) string {
 	if host == "host-0" {
 		return "host-1"
@@ -204,11 +205,12 @@
 	return "host-0"
 }
 
-// advance lets time pass, with every worker sending heartbeats to whoever answers.
+// advance lets time pass. Once a second every worker sends a heartbeat.
 func (cluster *testCluster) advance(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
 		for _, machine := range cluster.machines {
-			// A worker stays with the controller that owns it, and looks for another otherwise.
+			// A worker keeps its controller while that owns the machine, and tries the other one
+			// otherwise.
 			host := cluster.endpoints[machine]
 			for range 3 {
 				controller := cluster.controller(host)
@@ -216,8 +218,8 @@
 					host = otherHost(host)
 					continue
 				}
-				r := cluster.workers.NextHeartbeat(machine)
-				reply := controller.agent.Heartbeat(cluster.ctx, &r)
+				heartbeat := cluster.workers.NextHeartbeat(machine)
+				reply := controller.agent.Heartbeat(cluster.ctx, &heartbeat)
 				if reply.Owner {
 					cluster.workers.DeliverAnswer(machine, reply.Answer)
 					break
@@ -229,7 +231,7 @@
 	}
 }
 
-// Call is the peer.Caller of all controllers.
+// Call implements peer.Caller for all controllers.
 func (cluster *testCluster) Call(ctx context.Context, host, method string, args, reply any) error {
 	done := make(chan error, 1)
 	go func() { done <- cluster.dispatch(host, method, args, reply) }()
@@ -241,7 +243,7 @@
 	}
 }
 
-// dispatch calls the method of the net/rpc service that the host has.
+// dispatch calls a net/rpc method of the controller on the host.
 func (cluster *testCluster) dispatch(host, method string, args, reply any) error {
 	controller := cluster.controller(host)
 	if controller == nil {
@@ -265,7 +267,7 @@
 		return cluster.commit(controller, args.(agentapi.CommitRequest), reply.(*agentapi.CommitReply))
 	case "Agent.Stop":
 		if cluster.dropsStops {
-			return nil // it went to an owner that was about to end
+			return nil // as if the owner had received it just before its crash
 		}
 		return controller.service.Stop(args.(agentapi.StopRequest), &struct{}{})
 	case "Agent.Judge":
@@ -281,7 +283,7 @@
 	return fmt.Errorf("no method %s", method)
 }
 
-// commit carries out a commit, unless it or its answer is to be lost.
+// commit forwards a commit, unless its request or its response is to be lost.
 func (cluster *testCluster) commit(
 	controller *testController, request agentapi.CommitRequest, reply *agentapi.CommitReply,
 ) error {
@@ -304,15 +306,14 @@
 	return controller.service.Commit(request, reply)
 }
 
-// grantQuota answers as a leader with one quota: team full may have so many tasks on
-// machines.
-func (cluster *testCluster) grantQuota(controller *testController, request quota.Request, reply *quota.Reply) {
+// grantQuota answers as a leader that knows one quota: the team "full" has grantsLeft tasks left.
+func (cluster *testCluster) grantQuota(controller *testController, message quota.Request, reply *quota.Reply) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
-	cluster.released += len(request.Release)
-	for _, want := range request.Wants {
-		granted := want.Team != "full" || cluster.grantsLeft > 0
-		if granted && want.Team == "full" && !request.Probe {
+	cluster.released += len(message.Release)
+	for _, request := range message.Wants {
+		granted := request.Team != "full" || cluster.grantsLeft > 0
+		if granted && request.Team == "full" && !message.Probe {
 			cluster.grantsLeft--
 		}
 		reply.Granted = append(reply.Granted, granted)
--- a/internal/scheduler/completion_chunks_test.go
+++ b/internal/scheduler/completion_chunks_test.go
@@ -9,12 +9,13 @@
 	"robinstack/internal/rollout"
 )
 
-// Tasks of all chunks of a large job have finished since the last write: one transaction
-// takes what it may, and the rest goes with the next ones; nothing is left out.
-func TestChunksAreRecordedWithinTransactionLimit(t *testing.T) {
-	const most = 8
+// If tasks of all chunks of a large job complete between two writes, one transaction cannot record
+// all chunks. Each write must stay within the transaction limit, and no chunk may be left out for
+// good.
+func TestCompletedChunksStayWithinTransactionLimit(t *testing.T) {
+	const maxOps = 8
 	s := &Scheduler{
-		settings: &config.Settings{StateLimits: config.StateLimits{MaxValueBytes: 2048, MaxTxnOps: most}},
+		settings: &config.Settings{StateLimits: config.StateLimits{MaxValueBytes: 2048, MaxTxnOps: maxOps}},
 		store:    emulator.NewStateService(),
 	}
 	spec := job.Spec{
@@ -26,27 +27,28 @@
 		done:       job.NewTaskBitmap(spec.Tasks),
 		completion: completion{dirtyChunks: map[int]bool{}},
 	}
-	all := job.ChunkCount(spec.Tasks)
-	for k := range all {
-		j.completion.dirtyChunks[k] = true
+	chunks := job.ChunkCount(spec.Tasks)
+	for chunk := range chunks {
+		j.completion.dirtyChunks[chunk] = true
 	}
 	written := map[string]bool{}
 	for write := 0; len(j.completion.dirtyChunks) > 0; write++ {
-		if write == all {
-			t.Fatalf("%d chunks are never written", len(j.completion.dirtyChunks))
+		if write == chunks {
+			t.Fatalf("%d dirty chunks are never written", len(j.completion.dirtyChunks))
 		}
 		dirty := j.completion.dirtyChunks
 		j.completion.dirtyChunks = map[int]bool{}
 		record := s.openRecord(j, false)
 		ops := s.recordOps(j, &record, dirty, rollout.ClusterVersion{})
-		if len(ops) > most || len(ops) == 0 || len(dirty)+len(j.completion.dirtyChunks) > all {
-			t.Fatalf("%d changes; %d and %d chunks", len(ops), len(dirty), len(j.completion.dirtyChunks))
+		if len(ops) > maxOps || len(ops) == 0 || len(dirty)+len(j.completion.dirtyChunks) > chunks {
+			t.Fatalf("got %d changes with %d written and %d dirty chunks",
+				len(ops), len(dirty), len(j.completion.dirtyChunks))
 		}
 		for _, op := range ops {
 			written[op.Set] = true
 		}
 	}
-	if len(written) != all { // the first chunk is in the record
-		t.Errorf("%d of %d keys were written", len(written), all)
+	if len(written) != chunks { // chunk 0 is part of the record
+		t.Errorf("got %d written keys, want %d", len(written), chunks)
 	}
 }
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -11,8 +11,8 @@
 	"robinstack/internal/worker"
 )
 
-// Guards against too_early: a chain over two controllers goes on step by step, each when
-// the final record of the one before stands, through the crash of either's scheduler.
+// Invariant too_early: a chain of jobs on two controllers proceeds job by job. Each job starts only
+// after the tombstone of the previous one is stored, also if either scheduler crashes.
 func TestDependencyChainAcrossControllers(t *testing.T) {
 	for _, crashed := range []string{"", "host-0", "host-1"} {
 		runScenario(t, func(cluster *testCluster) {
@@ -25,7 +25,7 @@
 			cluster.submit(first, dependentSpec("wk-3", "wk-2", "wk-1"))
 			cluster.advance(5 * time.Second)
 			if !cluster.wasStarted("wk-1") || cluster.wasStarted("wk-2") || cluster.wasStarted("wk-3") {
-				t.Fatal(cluster.startCounts())
+				t.Fatalf("got start counts %v, want only wk-1 started", cluster.startCounts())
 			}
 			if crashed != "" {
 				cluster.crash(cluster.controllers[crashed], map[string]uint64{"host-0": 1, "host-1": 2}[crashed])
@@ -33,26 +33,25 @@
 			for k, id := range []string{"wk-1", "wk-2", "wk-3"} {
 				cluster.advance(15 * time.Second)
 				if next := fmt.Sprintf("wk-%d", k+2); !cluster.wasStarted(id) || cluster.wasStarted(next) {
-					t.Fatal(crashed, id, cluster.startCounts())
+					t.Fatalf("after crash of %q, at %s: got start counts %v", crashed, id, cluster.startCounts())
 				}
 				cluster.exitAllTasks(worker.CauseDone)
 			}
 			cluster.advance(5 * time.Second)
 			if cluster.finalStatus("wk-3") != job.Done {
-				t.Fatal(crashed, "the chain did not come to its end")
+				t.Fatalf("after crash of %q: last job of the chain is not recorded as done", crashed)
 			}
 			for task, n := range cluster.startCounts() {
 				if n != 1 {
-					t.Errorf("%s was started %d times", task, n)
+					t.Errorf("%s: got %d starts, want 1", task, n)
 				}
 			}
 		})
 	}
 }
 
-// A chain through two teams, one of which is at its quota: while its job waits for the one
-// before it requests no grant, and when it is ready it waits for its quota as any
-// other; what comes after it waits for it.
+// In a chain through two teams, one team is at its quota. Its job requests no quota grant while it
+// is blocked, waits for quota once it is ready, and keeps its dependents waiting.
 func TestDependencyChainThroughTeamAtQuota(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -69,28 +68,28 @@
 		cluster.advance(20 * time.Second)
 		waiting := controller.waitingJobs(cluster)
 		if cluster.wasStarted("wk-2") || waiting["wk-2"].ReadyS == nil || waiting["wk-3"].Why != "waits for wk-2" {
-			t.Fatalf("%v, %+v", cluster.startCounts(), waiting)
+			t.Fatalf("got start counts %v, waiting jobs %+v", cluster.startCounts(), waiting)
 		}
 		cluster.mu.Lock()
 		cluster.grantsLeft = 1
 		cluster.mu.Unlock()
 		cluster.advance(5 * time.Second)
 		if !cluster.wasStarted("wk-2") || cluster.wasStarted("wk-3") {
-			t.Fatal(cluster.startCounts())
+			t.Fatalf("got start counts %v, want wk-2 started and wk-3 not", cluster.startCounts())
 		}
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(5 * time.Second)
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(5 * time.Second)
 		if cluster.finalStatus("wk-3") != job.Done {
-			t.Fatal(cluster.startCounts())
+			t.Fatalf("wk-3 is not recorded as done, start counts %v", cluster.startCounts())
 		}
 	})
 }
 
-// A scheduler knows that a job is done and cannot record it: nothing is unblocked. And if
-// its user cancels it in that moment, the one record that was written decides.
-func TestUnrecordedCompletionUnblocksNothing(t *testing.T) {
+// A scheduler that knows that a job is done but cannot record it must not unblock the dependents.
+// If the user cancels the job in the meantime, the stored tombstone decides.
+func TestUnrecordedCompletionDoesNotUnblockDependents(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		runScenario(t, func(cluster *testCluster) {
 			controller := cluster.start("host-0")
@@ -102,7 +101,7 @@
 			cluster.exitAllTasks(worker.CauseDone)
 			cluster.advance(2 * time.Second)
 			if cluster.wasStarted("wk-2") {
-				t.Fatal("it was started before the completion was recorded")
+				t.Fatal("wk-2 was started before the completion of wk-1 was recorded")
 			}
 			cluster.state.SetOutage(false, false)
 			if cancelled {
@@ -110,18 +109,19 @@
 			}
 			cluster.advance(8 * time.Second)
 			if got := cluster.wasStarted("wk-2"); got == cancelled {
-				t.Fatalf("cancelled %v, started %v", cancelled, got)
+				t.Fatalf("wk-1 cancelled %v: got wk-2 started %v", cancelled, got)
 			}
 			if want := map[bool]string{true: job.Cancelled, false: ""}[cancelled]; cluster.finalStatus("wk-2") != want {
-				t.Fatalf("cancelled %v: %q", cancelled, cluster.finalStatus("wk-2"))
+				t.Fatalf("wk-1 cancelled %v: got status %q of wk-2, want %q",
+					cancelled, cluster.finalStatus("wk-2"), want)
 			}
 		})
 	}
 }
 
-// Guards against orphaned: a cancellation reaches the end of a chain although every
-// scheduler of it crashes, and nothing of it ever starts; what depends on another job goes
-// on.
+// Invariant orphaned: a cancellation propagates to the end of a chain although all schedulers
+// crash. No dependent of the cancelled job starts, and jobs without a cancelled dependency
+// complete.
 func TestCancellationPropagatesThroughChain(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		first := cluster.start("host-0")
@@ -154,23 +154,24 @@
 			"wk-9": job.Done,
 		} {
 			if got := cluster.finalStatus(id); got != want {
-				t.Errorf("%s: %q and not %q", id, got, want)
+				t.Errorf("%s: got status %q, want %q", id, got, want)
 			}
 		}
 		for _, id := range []string{"wk-2", "wk-3", "wk-4"} {
 			if cluster.wasStarted(id) {
-				t.Errorf("%s was started", id)
+				t.Errorf("%s was started, want it cancelled before its start", id)
 			}
 		}
 	})
 }
 
-// A job that depends on some that ended long ago, in each schema of tombstones and as
-// production wrote them, starts at once; one that depends on a cancelled one is cancelled
-// at once.
-func TestDependenciesOnOldTombstones(t *testing.T) {
+// Tombstones in any format, including those written by the production version, count as
+// dependencies however old they are: a job whose dependencies are done starts at once, and one with
+// a cancelled dependency is cancelled at once.
+func TestDependenciesOnTombstonesOfAllFormats(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
-		cluster.put(tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 3}, tombstone.CompactOnly)...)
+		cluster.put(tombstone.WriteOps(
+			"wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 3}, tombstone.CompactOnly)...)
 		cluster.put(statekv.Op{Set: "robin/final/wk-2", Value: map[string]any{"status": "done", "tasks": 2}})
 		cluster.put(statekv.Op{Set: "robin/ended/wk-3", Value: []any{1, "w", 2}})
 		time.Sleep(1000 * time.Hour)
@@ -180,13 +181,14 @@
 		cluster.submit(controller, dependentSpec("wk-5", "wk-1", "wk-3"))
 		cluster.advance(4 * time.Second)
 		if !cluster.wasStarted("wk-4") || cluster.wasStarted("wk-5") || cluster.finalStatus("wk-5") != job.Cancelled {
-			t.Fatal(cluster.startCounts(), cluster.finalStatus("wk-5"))
+			t.Fatalf("got start counts %v, status %q of wk-5", cluster.startCounts(), cluster.finalStatus("wk-5"))
 		}
 	})
 }
 
-// A waiting job asks for no machines, and counts its times from when it was ready.
-func TestWaitCountsFromReadiness(t *testing.T) {
+// A blocked job is not started although capacity is free, and its waiting time counts from when it
+// became ready. The next session restores that time from the tombstone of the dependency.
+func TestWaitingTimeCountsFromReadiness(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
 		cluster.advance(3 * time.Second)
@@ -194,70 +196,73 @@
 		for k := range 9 {
 			cluster.submit(controller, dependentSpec(fmt.Sprintf("wk-2%d", k), "wk-1"))
 		}
-		cluster.submit(controller, newSpec("wk-3", job.Array, 8, 1)) // the GPUs' four places; the CPUs are free
+		cluster.submit(controller, newSpec("wk-3", job.Array, 8, 1)) // four of them use all GPUs; CPUs stay free
 		cluster.advance(60 * time.Second)
-		queue := controller.waitingJobs(cluster)
-		if len(queue) != 10 || queue["wk-20"].Why != "waits for wk-1" || queue["wk-20"].ReadyS != nil {
-			t.Fatalf("%+v", queue["wk-20"])
+		allWaiting := controller.waitingJobs(cluster)
+		if len(allWaiting) != 10 || allWaiting["wk-20"].Why != "waits for wk-1" || allWaiting["wk-20"].ReadyS != nil {
+			t.Fatalf("got %d waiting jobs, wk-20 %+v", len(allWaiting), allWaiting["wk-20"])
 		}
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(6 * time.Second)
 		if !cluster.wasStarted("wk-20") {
-			t.Fatal(cluster.startCounts())
+			t.Fatalf("wk-20 was not started, start counts %v", cluster.startCounts())
 		}
-		// The next session knows the moment too, by the tombstone of the job before.
+		// A job submitted after its dependency was done is ready at its submission.
 		cluster.submit(controller, withGPUs(dependentSpec("wk-4", "wk-1"), 2))
 		cluster.advance(3 * time.Second)
-		if q := controller.waitingJobs(cluster)["wk-4"]; q.ReadyS == nil || *q.ReadyS != 0 {
-			t.Fatalf("%+v", q)
+		if waiting := controller.waitingJobs(cluster)["wk-4"]; waiting.ReadyS == nil || *waiting.ReadyS != 0 {
+			t.Fatalf("wk-4: got %+v, want ready at its submission", waiting)
 		}
 		cluster.submit(controller, withGPUs(dependentSpec("wk-5", "wk-20"), 2))
 		cluster.advance(20 * time.Second)
 		cluster.workers.EndTask(cluster.machines[0], "wk-20/0", worker.CauseDone)
 		cluster.workers.EndTask(cluster.machines[1], "wk-20/0", worker.CauseDone)
 		cluster.advance(5 * time.Second)
-		was := controller.waitingJobs(cluster)["wk-5"]
+		before := controller.waitingJobs(cluster)["wk-5"]
 		cluster.crash(controller, 1)
 		time.Sleep(30 * time.Second)
 		controller = cluster.start("host-1")
 		cluster.advance(3 * time.Second)
-		if q := controller.waitingJobs(cluster)["wk-5"]; q.ReadyS == nil || was.ReadyS == nil || *q.ReadyS != *was.ReadyS || *q.ReadyS < 15 {
-			t.Fatalf("%+v, and before %+v", q, was)
+		if waiting := controller.waitingJobs(cluster)["wk-5"]; waiting.ReadyS == nil || before.ReadyS == nil ||
+			*waiting.ReadyS != *before.ReadyS || *waiting.ReadyS < 15 {
+			t.Fatalf("wk-5: got %+v after the takeover, want the ready time of %+v, at least 15 s", waiting, before)
 		}
 	})
 }
 
-// The rank of the last job is that of all that it needs, from when it is submitted until
-// it is cancelled; and never a lower one than their own.
+// The dependencies of a job inherit its rank and deadline from its submission until it is
+// cancelled. An inherited rank never replaces a higher one of their own.
 func TestUrgencyIsInheritedByDependencies(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
 		cluster.advance(3 * time.Second)
-		cluster.submit(controller, newSpec("wk-1", job.Array, 4, 1)) // all places
+		cluster.submit(controller, newSpec("wk-1", job.Array, 4, 1)) // uses all GPUs
 		cluster.advance(3 * time.Second)
 		first := withGPUs(dependentSpec("wk-2"), 1)
 		first.Rank = "best_effort"
 		cluster.submit(controller, first)
 		last := dependentSpec("wk-3", "wk-2")
-		due := 100.0
-		last.Rank, last.DeadlineS, last.EstimateS = "high", &due, 5
+		deadlineS := 100.0
+		last.Rank, last.DeadlineS, last.EstimateS = "high", &deadlineS, 5
 		cluster.submit(controller, last)
 		cluster.advance(3 * time.Second)
-		if q := controller.waitingJobs(cluster)["wk-2"]; q.Rank != "high" || q.LeftS == nil || *q.LeftS > 90 || *q.LeftS < 80 {
-			t.Fatalf("%+v", q)
+		if waiting := controller.waitingJobs(cluster)["wk-2"]; waiting.Rank != "high" ||
+			waiting.LeftS == nil || *waiting.LeftS > 90 || *waiting.LeftS < 80 {
+			t.Fatalf("wk-2: got %+v, want rank high and 80 to 90 s left", waiting)
 		}
 		cluster.cancel("wk-3")
 		cluster.advance(3 * time.Second)
-		if q := controller.waitingJobs(cluster)["wk-2"]; q.Rank != "" && q.Rank != "best_effort" || q.LeftS != nil {
-			t.Fatalf("%+v", q)
+		if waiting := controller.waitingJobs(cluster)["wk-2"]; waiting.Rank != "" && waiting.Rank != "best_effort" ||
+			waiting.LeftS != nil {
+			t.Fatalf("wk-2: got %+v, want its own rank and no deadline", waiting)
 		}
 	})
 }
 
-// A thousand in a chain and a thousand that need one are recorded as cancelled, with
-// nothing started, at the lowest limits of the state service; who asks is told long before
-// (package dag).
-func TestThousandsAreCancelledByDependency(t *testing.T) {
+// The cancellation of one job cancels a chain of 1000 dependents and 1000 direct dependents. All
+// are recorded, and none starts, at the lowest limits of the state service. Users are told of the
+// cancellations earlier (package dag).
+func TestThousandsOfDependentsAreCancelled(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		cluster.state.SetSizeLimits(2048, 8)
 		controller := cluster.start("host-0")
@@ -270,12 +275,13 @@
 		cluster.advance(2 * time.Second)
 		cluster.cancel("wk-0")
 		cluster.advance(50 * time.Second)
-		left := len(cluster.state.ListAll(job.RecordPrefix))
-		if left > 0 || len(cluster.startCounts()) > 1 {
-			t.Errorf("%d are open, started %v", left, cluster.startCounts())
+		open := len(cluster.state.ListAll(job.RecordPrefix))
+		if open > 0 || len(cluster.startCounts()) > 1 {
+			t.Errorf("got %d open jobs and start counts %v, want 0 open and only wk-0 started",
+				open, cluster.startCounts())
 		}
-		if over := cluster.state.SizeViolations(); len(over) > 0 {
-			t.Error(over)
+		if violations := cluster.state.SizeViolations(); len(violations) > 0 {
+			t.Errorf("limits of the state service exceeded: %v", violations)
 		}
 	})
 }
--- a/internal/scheduler/failure_attribution_test.go
+++ b/internal/scheduler/failure_attribution_test.go
@@ -9,7 +9,7 @@
 	"robinstack/internal/worker"
 )
 
-// A job that fails on every machine is tried more and more rarely.
+// A job that fails on every machine is retried with increasing backoff.
 func TestFailingJobIsRetriedWithBackoff(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -20,15 +20,15 @@
 			cluster.exitAllTasks(worker.CauseFailed)
 		}
 		if got := cluster.startCounts()["wk-1/0"]; got < 2 || got > 8 {
-			t.Fatalf("%d tries in a minute", got)
+			t.Fatalf("got %d starts in a minute, want 2 to 8", got)
 		}
 	})
 }
 
-// Jobs submitted with a mistake fail on every machine: two of them had every
-// machine they touched marked as faulty for good. They must cost the machines
-// nothing, be tried one task at a time, and leave the capacity to others; a machine
-// on which only jobs fail that run well elsewhere is found all the same.
+// Jobs submitted with a mistake fail on every machine, and two of them had every machine that they
+// used quarantined permanently. They must not get machines quarantined, must be retried one task at
+// a time, and must leave the capacity to other jobs. A machine on which only jobs fail that run
+// well elsewhere must still be quarantined.
 func TestBrokenJobsDoNotQuarantineMachines(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -43,31 +43,31 @@
 		}
 		cluster.advance(10 * time.Second)
 		if got := cluster.countTasks(); got > 2 {
-			t.Fatalf("%d tasks of jobs that fail everywhere are on machines", got)
+			t.Fatalf("got %d tasks of failing jobs on machines, want at most 2", got)
 		}
 		cluster.submit(controller, newSpec("wk-3", job.Array, 6, 1))
 		cluster.advance(3 * time.Second)
 		_, entries := controller.agent.Snapshot()
-		for _, e := range entries {
-			if e.Faulty {
-				t.Fatalf("%s is marked as faulty", e.Machine)
+		for _, entry := range entries {
+			if entry.Faulty {
+				t.Fatalf("%s is quarantined", entry.Machine)
 			}
 		}
 		if got := len(cluster.startCounts()); got < 6 {
-			t.Fatalf("only %d different tasks were started", got)
+			t.Fatalf("got %d different started tasks, want at least 6", got)
 		}
 		started := 0
 		for k := range 6 {
 			started += cluster.startCounts()[fmt.Sprintf("wk-3/%d", k)]
 		}
 		if started < 4 {
-			t.Fatalf("%d tasks of the job that is well were started: broken ones keep its capacity", started)
+			t.Fatalf("got %d started tasks of the sound job, want at least 4: failing jobs hold its capacity", started)
 		}
 		faulty := cluster.machines[0]
 		var failing []string
 		cluster.workers.WithLock(func() {
-			for _, x := range faulty.Heartbeat.Tasks {
-				failing = append(failing, x.ID)
+			for _, task := range faulty.Heartbeat.Tasks {
+				failing = append(failing, task.ID)
 			}
 		})
 		for _, id := range failing {
@@ -77,9 +77,9 @@
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(3 * time.Second)
 		_, entries = controller.agent.Snapshot()
-		for _, e := range entries {
-			if e.Faulty != (e.Machine == faulty.Heartbeat.Machine) {
-				t.Fatalf("%s: faulty is %v", e.Machine, e.Faulty)
+		for _, entry := range entries {
+			if entry.Faulty != (entry.Machine == faulty.Heartbeat.Machine) {
+				t.Fatalf("%s: got quarantined %v", entry.Machine, entry.Faulty)
 			}
 		}
 	})
--- a/internal/scheduler/failure_history_test.go
+++ b/internal/scheduler/failure_history_test.go
@@ -12,14 +12,14 @@
 	"robinstack/internal/worker"
 )
 
-// A job that fails everywhere was failed anew on several machines by each scheduler that
-// took it over: what the last one knew is in its record, where the fleet has the
-// feature, and only there.
+// Each scheduler that took over a job that fails everywhere needed failures on several machines
+// again to find the job at fault. The failure history is now part of the job's record, if and only
+// if the cluster version enables it.
 func TestFailureHistorySurvivesFailover(t *testing.T) {
-	tries := map[bool]int{}
-	for _, noted := range []bool{false, true} {
+	starts := map[bool]int{}
+	for _, enabled := range []bool{false, true} {
 		runScenario(t, func(cluster *testCluster) {
-			if noted {
+			if enabled {
 				cluster.setClusterVersion(rollout.FeatureVersionGate, rollout.FeatureFailureHistory)
 			}
 			first := cluster.start("host-0")
@@ -35,46 +35,47 @@
 			}
 			cluster.advance(3 * time.Second)
 			kv, err := cluster.state.Get(cluster.ctx, job.RecordKey("wk-1"))
-			if err != nil || strings.Contains(string(kv.Value), `"failed"`) != noted {
-				t.Fatalf("noted %v: %s, %v", noted, kv.Value, err)
+			if err != nil || strings.Contains(string(kv.Value), `"failed"`) != enabled {
+				t.Fatalf("failure history enabled %v: got record %s, error %v", enabled, kv.Value, err)
 			}
-			count := func() (n int) {
-				for _, k := range cluster.startCounts() {
-					n += k
+			countAllStarts := func() (n int) {
+				for _, count := range cluster.startCounts() {
+					n += count
 				}
 				return n
 			}
-			before := count()
+			before := countAllStarts()
 			cluster.crash(first, 1)
 			cluster.advance(8 * time.Second)
 			for range 10 {
 				cluster.advance(2 * time.Second)
 				cluster.exitAllTasks(worker.CauseFailed)
 			}
-			tries[noted] += count() - before
+			starts[enabled] += countAllStarts() - before
 		})
 	}
-	if tries[true] > 2 || tries[false] <= 2*tries[true] {
-		t.Errorf("tries by the next scheduler: %d, without the recorded failures %d", tries[true], tries[false])
+	if starts[true] > 2 || starts[false] <= 2*starts[true] {
+		t.Errorf("got %d starts by the next scheduler with the failure history, %d without",
+			starts[true], starts[false])
 	}
 }
 
-// A record that is nearly as large as a value may be is written without the failures, rather
-// than refused for ever.
-func TestFailureHistoryIsLeftOutOfLargeRecord(t *testing.T) {
+// A record just below the value size limit is written without its failure history, because a write
+// that exceeds the limit would be rejected forever.
+func TestFailureHistoryIsOmittedFromLargeRecord(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		cluster.setClusterVersion(rollout.FeatureVersionGate, rollout.FeatureFailureHistory)
 		controller := cluster.start("host-0")
 		cluster.advance(3 * time.Second)
-		s := newSpec("wk-1", job.Array, 4, 1)
-		s.Image = strings.Repeat("i", 200)
-		for k := 0; len(s.Types) < 50; k++ {
-			s.Types = append(s.Types, fmt.Sprintf("%s%d", strings.Repeat("t", 98), k%10))
+		spec := newSpec("wk-1", job.Array, 4, 1)
+		spec.Image = strings.Repeat("i", 200)
+		for k := 0; len(spec.Types) < 50; k++ {
+			spec.Types = append(spec.Types, fmt.Sprintf("%s%d", strings.Repeat("t", 98), k%10))
 		}
-		s.Types[0] = "box"
-		raw, _ := json.Marshal(job.Record{Spec: s})
-		s.Class = strings.Repeat("c", max(1, 8192-len(raw)-60))
-		cluster.submit(controller, s)
+		spec.Types[0] = "box"
+		raw, _ := json.Marshal(job.Record{Spec: spec})
+		spec.Class = strings.Repeat("c", max(1, 8192-len(raw)-60))
+		cluster.submit(controller, spec)
 		for range 6 {
 			cluster.advance(2 * time.Second)
 			cluster.exitAllTasks(worker.CauseFailed)
@@ -82,8 +83,8 @@
 		cluster.advance(3 * time.Second)
 		kv, err := cluster.state.Get(cluster.ctx, job.RecordKey("wk-1"))
 		if err != nil || len(kv.Value) > 8192 {
-			t.Fatal(len(kv.Value), err)
+			t.Fatalf("got a record of %d bytes, error %v; want at most 8192", len(kv.Value), err)
 		}
-		t.Logf("the record has %d bytes", len(kv.Value))
+		t.Logf("record size: %d bytes", len(kv.Value))
 	})
 }
--- a/internal/scheduler/invariant_checker_test.go
+++ b/internal/scheduler/invariant_checker_test.go
@@ -12,12 +12,12 @@
 	"robinstack/internal/worker"
 )
 
-// invariantChecker compares what is on the machines and in the records with the invariants
-// of the service.
+// invariantChecker checks the tasks on machines and the stored records against the service
+// invariants.
 type invariantChecker struct {
 	*testCluster
 	jobs       map[string]job.Spec
-	cancelled  map[string]time.Time // when that was acknowledged to their users
+	cancelled  map[string]time.Time // when the cancellation was acknowledged to the user
 	started    map[string]bool
 	violations []string
 }
@@ -31,30 +31,30 @@
 	}
 }
 
-// violate notes that an invariant does not hold; the format begins with its name.
-func (checker *invariantChecker) violate(format string, args ...any) {
+// addViolation adds a violation; format begins with the name of the invariant.
+func (checker *invariantChecker) addViolation(format string, args ...any) {
 	checker.violations = append(checker.violations, fmt.Sprintf(format, args...))
 }
 
-// transitiveDependents lists a job with all that wait for it, directly or through others.
+// transitiveDependents returns a job and all jobs that depend on it, directly or transitively.
 func (checker *invariantChecker) transitiveDependents(id string) []string {
-	out := []string{id}
-	for k := 0; k < len(out); k++ {
-		for other, s := range checker.jobs {
-			if slices.Contains(s.WaitsOn, out[k]) && !slices.Contains(out, other) {
-				out = append(out, other)
+	dependents := []string{id}
+	for next := 0; next < len(dependents); next++ {
+		for other, spec := range checker.jobs {
+			if slices.Contains(spec.WaitsOn, dependents[next]) && !slices.Contains(dependents, other) {
+				dependents = append(dependents, other)
 			}
 		}
 	}
-	return out
+	return dependents
 }
 
-// checkNow checks the present moment.
-func (checker *invariantChecker) checkNow() {
+// checkMachines checks the tasks that are on machines now.
+func (checker *invariantChecker) checkMachines() {
 	machinesOf := checker.machinesByTask()
 	for task, machines := range machinesOf {
 		if len(machines) > 1 {
-			checker.violate("ran_twice: %s is on %v", task, machines)
+			checker.addViolation("ran_twice: %s is on %v", task, machines)
 		}
 		checker.checkFirstStart(task)
 	}
@@ -62,15 +62,16 @@
 		if time.Since(at) < 60*time.Second {
 			continue
 		}
-		for _, later := range checker.transitiveDependents(id) {
-			if machinesOf[later+"/0"] != nil {
-				checker.violate("ran_cancelled: %s runs %v after %s was cancelled", later, time.Since(at), id)
+		for _, dependent := range checker.transitiveDependents(id) {
+			if machinesOf[dependent+"/0"] != nil {
+				checker.addViolation("ran_cancelled: %s runs %v after %s was cancelled",
+					dependent, time.Since(at), id)
 			}
 		}
 	}
 }
 
-// machinesByTask lists the machines of each task that has not exited.
+// machinesByTask returns the machines of each task that has not exited.
 func (checker *invariantChecker) machinesByTask() map[string][]string {
 	machines := map[string][]string{}
 	checker.workers.WithLock(func() {
@@ -85,8 +86,8 @@
 	return machines
 }
 
-// checkFirstStart checks, when a job is seen on a machine first, that its dependencies are
-// done.
+// checkFirstStart checks that a job's dependencies are done when one of its tasks is first seen on
+// a machine.
 func (checker *invariantChecker) checkFirstStart(task string) {
 	id, _, _ := strings.Cut(task, "/")
 	if checker.started[id] {
@@ -95,60 +96,61 @@
 	checker.started[id] = true
 	for _, dependency := range checker.jobs[id].WaitsOn {
 		if checker.storedStatus(dependency) != job.Done || checker.hasOpenRecord(dependency) {
-			checker.violate("too_early: %s started before %s was done", task, dependency)
+			checker.addViolation("too_early: %s started before dependency %s was done", task, dependency)
 		}
 	}
 }
 
-// hasOpenRecord reports whether a job's record is stored, also while nobody can read it.
+// hasOpenRecord reports whether a job's record is stored. It also works during an outage of the
+// state service.
 func (checker *invariantChecker) hasOpenRecord(id string) bool {
 	key := job.RecordKey(id)
 	return slices.ContainsFunc(checker.state.ListAll(key), func(kv statekv.KV) bool { return kv.Key == key })
 }
 
-// storedStatus is the status in a job's stored tombstone, or "", also while nobody can read
-// it.
+// storedStatus returns the status in a job's stored tombstone, or "". It also works during an
+// outage of the state service.
 func (checker *invariantChecker) storedStatus(id string) string {
 	stored := append(checker.state.ListAll(tombstone.LegacyKey(id)), checker.state.ListAll(tombstone.Key(id))...)
 	for _, kv := range stored {
-		if of, r, ok, err := tombstone.Parse(kv.Key, kv.Value); ok && err == nil && of == id {
-			return r.Status
+		if storedID, record, ok, err := tombstone.Parse(kv.Key, kv.Value); ok && err == nil && storedID == id {
+			return record.Status
 		}
 	}
 	return ""
 }
 
-// checkOutcomes checks what became of all jobs once the faults are over.
+// checkOutcomes checks the final status of all jobs after the faults have ended.
 func (checker *invariantChecker) checkOutcomes() {
-	gone := map[string]bool{}
+	cancelled := map[string]bool{}
 	for id := range checker.cancelled {
 		if checker.finalStatus(id) == job.Cancelled {
-			for _, later := range checker.transitiveDependents(id) {
-				gone[later] = true
+			for _, dependent := range checker.transitiveDependents(id) {
+				cancelled[dependent] = true
 			}
 		}
 	}
 	for id := range checker.jobs {
 		switch got := checker.finalStatus(id); {
-		case gone[id] && got != job.Cancelled:
-			checker.violate("orphaned: %s is %q and a job before it was cancelled", id, got)
-		case !gone[id] && got == job.Cancelled:
-			checker.violate("went_back: %s is withdrawn and nobody cancelled it", id)
-		case !gone[id] && got != job.Done:
-			checker.violate("forgotten: %s is %q", id, got)
+		case cancelled[id] && got != job.Cancelled:
+			checker.addViolation("orphaned: %s has status %q although a dependency was cancelled", id, got)
+		case !cancelled[id] && got == job.Cancelled:
+			checker.addViolation("went_back: %s is cancelled although no user cancelled it or a dependency", id)
+		case !cancelled[id] && got != job.Done:
+			checker.addViolation("forgotten: %s has status %q, want done", id, got)
 		}
 	}
 }
 
-// openJobWithoutDependencies is an open job that waits for none, or "".
+// openJobWithoutDependencies returns an open job without dependencies that is not cancelled, or "".
 func (checker *invariantChecker) openJobWithoutDependencies() string {
-	for id, s := range checker.jobs {
-		if len(s.WaitsOn) == 0 && checker.hasOpenRecord(id) && checker.cancelled[id].IsZero() {
+	for id, spec := range checker.jobs {
+		if len(spec.WaitsOn) == 0 && checker.hasOpenRecord(id) && checker.cancelled[id].IsZero() {
 			return id
 		}
 	}
 	return ""
 }
 
-// deleteRecord removes a job's record.
+// deleteRecord returns the change that deletes a job's record.
 func deleteRecord(id string) []statekv.Op { return []statekv.Op{{Delete: job.RecordKey(id)}} }
--- a/internal/scheduler/random_faults_test.go
+++ b/internal/scheduler/random_faults_test.go
@@ -17,38 +17,38 @@
 )
 
 const (
-	faultSteps       = 60 // of two seconds, with one fault each
-	submissionSteps  = 45 // of them, the first, with submissions
-	recoverySteps    = 60 // of five seconds, without faults
-	maxDependencyAge = 4  // a job may depend on so many of those submitted before it
+	faultSteps       = 60 // steps of two seconds with one fault each
+	submissionSteps  = 45 // first steps, in which jobs are submitted
+	recoverySteps    = 60 // steps of five seconds without faults
+	maxDependencyAge = 4  // a job depends only on this many jobs submitted last before it
 )
 
-// faultInjector plays random faults on a cluster while jobs are submitted to it.
+// faultInjector injects random faults into a cluster while jobs are submitted to it.
 type faultInjector struct {
 	*invariantChecker
-	random    *rand.Rand
-	sessions  uint64
-	lease     map[string]uint64 // of each host's session, by its number
-	delayed   []delayedHeartbeat
-	submitted []string
+	random          *rand.Rand
+	sessions        uint64
+	leases          map[string]uint64 // state lease ID of the latest session, by host
+	heartbeatCopies []heartbeatCopy
+	submitted       []string
 }
 
-// delayedHeartbeat is a heartbeat that arrives once more.
-type delayedHeartbeat struct {
+// heartbeatCopy is a copy of a heartbeat that arrives later.
+type heartbeatCopy struct {
 	heartbeat worker.Heartbeat
 	deliverAt time.Time
 }
 
-// runRandomFaults plays faults drawn by the seed: controllers that are back within a
-// fraction of a second, or later; outages of the state service and lost answers; machines
-// that commands do not reach; late copies of heartbeats; cancellations; and jobs that wait
-// for others all the while. Then the faults end. The function afterStep, if any, is called
-// after each step.
+// runRandomFaults injects faults drawn from the seed: restarts and crashes of controllers, outages
+// of the state service, lost responses, machines whose commands are delayed, delayed copies of
+// heartbeats, and cancellations. Meanwhile jobs with dependencies are submitted. After the faults
+// the cluster gets time to recover, and then the outcomes are checked. afterStep, if not nil, is
+// called after each step with a fault.
 func runRandomFaults(cluster *testCluster, seed uint64, afterStep func(checker *invariantChecker)) *invariantChecker {
 	f := &faultInjector{
 		invariantChecker: newInvariantChecker(cluster),
 		random:           rand.New(rand.NewPCG(seed, 7)),
-		lease:            map[string]uint64{},
+		leases:           map[string]uint64{},
 	}
 	cluster.enableDependencies()
 	for _, host := range hosts {
@@ -61,12 +61,12 @@
 			f.submitRandomJob(controller, fmt.Sprintf("wk-%d", step))
 		}
 		f.injectFault()
-		f.deliverDelayed()
+		f.deliverHeartbeatCopies()
 		cluster.advance(2 * time.Second)
 		if afterStep != nil {
 			afterStep(f.invariantChecker)
 		}
-		f.checkNow()
+		f.checkMachines()
 		if f.random.IntN(2) == 0 {
 			cluster.exitAllTasks(worker.CauseDone)
 		}
@@ -74,7 +74,7 @@
 	f.endFaults()
 	for range recoverySteps {
 		cluster.advance(5 * time.Second)
-		f.checkNow()
+		f.checkMachines()
 		cluster.exitAllTasks(worker.CauseDone)
 	}
 	f.checkOutcomes()
@@ -86,10 +86,10 @@
 func (f *faultInjector) startSession(host string) {
 	f.start(host)
 	f.sessions++
-	f.lease[host] = f.sessions
+	f.leases[host] = f.sessions
 }
 
-// submitRandomJob submits a job that depends on some of the last ones.
+// submitRandomJob submits a job that depends on a random subset of the jobs submitted last.
 func (f *faultInjector) submitRandomJob(controller *testController, id string) {
 	if _, _, ok := controller.scheduler.OwnJobShard(); !ok || !controller.session.HoldsLease() {
 		return
@@ -106,7 +106,7 @@
 	}
 }
 
-// injectFault draws one fault, or the end of one, or none.
+// injectFault injects or ends one random fault, or does nothing.
 func (f *faultInjector) injectFault() {
 	machine := f.machines[f.random.IntN(len(f.machines))]
 	host := f.randomHost()
@@ -114,7 +114,7 @@
 	case 0:
 		f.restart(host)
 	case 1:
-		f.crashForAWhile(host)
+		f.crashAndRestart(host)
 	case 2:
 		f.state.SetOutage(true, false)
 	case 3:
@@ -126,14 +126,14 @@
 	case 7:
 		f.deliverHeldCommands(machine)
 	case 8:
-		f.copyHeartbeat(machine)
+		f.scheduleHeartbeatCopy(machine)
 	case 9:
 		f.cancelRandomJob()
 	}
 }
 
-// restart ends a session whose controller is back at once: the new session ends the one
-// before.
+// restart stops a controller and starts it again within 300 ms, before its lease expires: the new
+// session ends the previous one.
 func (f *faultInjector) restart(host string) {
 	controller := f.controller(host)
 	if controller == nil {
@@ -148,13 +148,13 @@
 	f.startSession(host)
 }
 
-// crashForAWhile crashes a controller that is back after some seconds, if the other is up.
-func (f *faultInjector) crashForAWhile(host string) {
+// crashAndRestart crashes a controller and starts it again within 10 s, if the other one is running.
+func (f *faultInjector) crashAndRestart(host string) {
 	controller := f.controller(host)
 	if controller == nil || f.controller(otherHost(host)) == nil {
 		return
 	}
-	f.crash(controller, f.lease[host])
+	f.crash(controller, f.leases[host])
 	f.advance(time.Duration(f.random.IntN(10)) * time.Second)
 	f.state.SetOutage(false, false)
 	f.startSession(host)
@@ -165,20 +165,21 @@
 	f.workers.DeliverHeldCommands(machine)
 }
 
-// copyHeartbeat has a machine's last heartbeat arrive again from some moment on.
-func (f *faultInjector) copyHeartbeat(machine *emulator.Worker) {
+// scheduleHeartbeatCopy schedules a copy of a machine's last heartbeat for delivery up to 60 s later.
+func (f *faultInjector) scheduleHeartbeatCopy(machine *emulator.Worker) {
 	var heartbeat worker.Heartbeat
 	f.workers.WithLock(func() {
 		heartbeat = machine.Heartbeat
 		heartbeat.Tasks = slices.Clone(machine.Heartbeat.Tasks)
 	})
 	deliverAt := time.Now().Add(time.Duration(f.random.IntN(60)) * time.Second)
-	f.delayed = append(f.delayed, delayedHeartbeat{heartbeat, deliverAt})
+	f.heartbeatCopies = append(f.heartbeatCopies, heartbeatCopy{heartbeat, deliverAt})
 }
 
-// deliverDelayed sends each copied heartbeat whose moment has come to one of the controllers.
-func (f *faultInjector) deliverDelayed() {
-	for _, copied := range f.delayed {
+// deliverHeartbeatCopies delivers each copied heartbeat that is due to a random controller, at every
+// step again.
+func (f *faultInjector) deliverHeartbeatCopies() {
+	for _, copied := range f.heartbeatCopies {
 		controller := f.controller(f.randomHost())
 		if controller != nil && time.Now().After(copied.deliverAt) {
 			go func() { controller.agent.Heartbeat(f.ctx, &copied.heartbeat) }()
@@ -196,7 +197,8 @@
 	}
 }
 
-// endFaults ends all faults but the crash of controllers, which end by themselves.
+// endFaults ends the outage and delivers the held commands. Controllers that crashed are already
+// running again.
 func (f *faultInjector) endFaults() {
 	f.state.SetOutage(false, false)
 	for _, machine := range f.machines {
@@ -204,34 +206,36 @@
 	}
 }
 
-// trySubmit submits a job if the state service takes it.
-func (cluster *testCluster) trySubmit(controller *testController, s job.Spec) bool {
+// trySubmit submits a job. It reports whether the state service accepted the job, or may have.
+func (cluster *testCluster) trySubmit(controller *testController, spec job.Spec) bool {
 	shardID, epoch, _ := controller.scheduler.OwnJobShard()
-	record := &job.Record{Spec: s, JobShard: shardID, SubmittedMS: time.Now().UnixMilli()}
-	when := append(tombstone.AbsentCompares(s.ID),
-		statekv.Compare{Key: job.RecordKey(s.ID)},
+	record := &job.Record{Spec: spec, JobShard: shardID, SubmittedMS: time.Now().UnixMilli()}
+	compares := append(tombstone.AbsentCompares(spec.ID),
+		statekv.Compare{Key: job.RecordKey(spec.ID)},
 		statekv.Compare{Key: statekv.JobShardPrefix + shardID, Rev: epoch})
-	rev, err := controller.session.Write(cluster.ctx, when, []statekv.Op{{Set: job.RecordKey(s.ID), Value: record}})
+	rev, err := controller.session.Write(cluster.ctx, compares,
+		[]statekv.Op{{Set: job.RecordKey(spec.ID), Value: record}})
 	if err == nil {
 		controller.scheduler.OnJobAccepted(record, rev)
 	}
-	// Without an answer its user asks again, and the record decides what it is answered.
+	// If the outcome is unknown, the user repeats the request, and the stored record decides the
+	// response.
 	return err == nil || errors.Is(err, statekv.ErrOutcomeUnknown)
 }
 
-// tryCancel records a cancellation, and reports whether it was acknowledged to its user.
+// tryCancel records a cancellation. It reports whether the state service applied it, or may have.
 func (cluster *testCluster) tryCancel(id string) bool {
 	kv, err := cluster.state.Get(cluster.ctx, job.RecordKey(id))
 	if err != nil {
 		return false
 	}
-	unchanged := []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}
-	_, err = cluster.state.Txn(cluster.ctx, unchanged, cancellation(id, 1))
+	compares := []statekv.Compare{{Key: kv.Key, Rev: kv.Rev}}
+	_, err = cluster.state.Txn(cluster.ctx, compares, cancellation(id, 1))
 	return err == nil || errors.Is(err, statekv.ErrOutcomeUnknown)
 }
 
-// Under random faults of all kinds together no invariant is violated, and every job is known
-// and comes to its end.
+// Under random combinations of faults no invariant is violated, and every job reaches its final
+// status.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -242,22 +246,24 @@
 					t.Errorf("%d violations: %s", len(checker.violations), strings.Join(shown, "; "))
 				}
 				if len(checker.jobs) < 20 || len(checker.started) < 10 {
-					t.Errorf("only %d jobs, %d began", len(checker.jobs), len(checker.started))
+					t.Errorf("got %d submitted and %d started jobs, want at least 20 and 10",
+						len(checker.jobs), len(checker.started))
 				}
 			})
 		})
 	}
 }
 
-// What the checker must find: a record that says done too early, a task started behind
-// the owners' backs, a job that is lost, and one cancelled without a cause.
-func TestCheckerFindsInjectedViolations(t *testing.T) {
-	for rule, inject := range map[string]func(checker *invariantChecker) bool{
+// The invariant checker must find a tombstone that says done too early, a task that runs twice, a
+// lost job, and a job that was cancelled without a cause.
+func TestInvariantCheckerFindsInjectedViolations(t *testing.T) {
+	for invariant, inject := range map[string]func(checker *invariantChecker) bool{
 		"too_early": func(checker *invariantChecker) bool {
-			for id, s := range checker.jobs {
-				for _, p := range s.WaitsOn {
-					if checker.hasOpenRecord(p) && !checker.started[id] && checker.cancelled[p].IsZero() {
-						checker.put(legacyTombstone(p, job.Done, 1)...)
+			for id, spec := range checker.jobs {
+				for _, dependency := range spec.WaitsOn {
+					if checker.hasOpenRecord(dependency) && !checker.started[id] &&
+						checker.cancelled[dependency].IsZero() {
+						checker.put(legacyTombstone(dependency, job.Done, 1)...)
 						checker.workers.WithLock(func() {
 							heartbeat := &checker.machines[0].Heartbeat
 							heartbeat.Tasks = append(heartbeat.Tasks,
@@ -272,12 +278,12 @@
 		"ran_twice": func(checker *invariantChecker) bool {
 			done := false
 			checker.workers.WithLock(func() {
-				for k, machine := range checker.machines {
-					for _, t := range machine.Heartbeat.Tasks {
-						if t.State == worker.TaskRunning && !done {
-							other := checker.machines[1-k]
+				for i, machine := range checker.machines {
+					for _, task := range machine.Heartbeat.Tasks {
+						if task.State == worker.TaskRunning && !done {
+							other := checker.machines[1-i]
 							other.Heartbeat.Tasks = append(other.Heartbeat.Tasks,
-								worker.Task{ID: t.ID, Attempt: t.Attempt + 1, State: worker.TaskRunning})
+								worker.Task{ID: task.ID, Attempt: task.Attempt + 1, State: worker.TaskRunning})
 							done = true
 						}
 					}
@@ -300,7 +306,7 @@
 			return false
 		},
 	} {
-		t.Run(rule, func(t *testing.T) {
+		t.Run(invariant, func(t *testing.T) {
 			runScenario(t, func(cluster *testCluster) {
 				steps, injected := 0, false
 				checker := runRandomFaults(cluster, 3, func(checker *invariantChecker) {
@@ -308,8 +314,8 @@
 						injected = inject(checker)
 					}
 				})
-				ofRule := func(violation string) bool { return strings.HasPrefix(violation, rule) }
-				if !injected || !slices.ContainsFunc(checker.violations, ofRule) {
+				ofInvariant := func(violation string) bool { return strings.HasPrefix(violation, invariant) }
+				if !injected || !slices.ContainsFunc(checker.violations, ofInvariant) {
 					t.Errorf("injected %v, found %v", injected, checker.violations[:min(4, len(checker.violations))])
 				}
 			})
--- a/internal/scheduler/shard_takeover_test.go
+++ b/internal/scheduler/shard_takeover_test.go
@@ -11,22 +11,23 @@
 	"robinstack/internal/worker"
 )
 
-// crashWithUnresponsiveMachine has host-0 place a job of zone a and one of any zone, has
-// the machine of zone b lose its commands and crashes host-0.
+// crashWithUnresponsiveMachine lets host-0 place one job in zone a and one in any zone, makes the
+// machine in zone b unresponsive and crashes host-0.
 func crashWithUnresponsiveMachine(cluster *testCluster) (survivor *testController, unresponsive *emulator.Worker) {
 	first := cluster.start("host-0")
 	cluster.advance(3 * time.Second)
 	survivor = cluster.start("host-1")
 	cluster.advance(3 * time.Second)
 	zone := "a"
-	local := newSpec("wk-1", job.Array, 4, 1)
-	local.Zone = &zone
-	cluster.submit(first, local)
+	zoneJob := newSpec("wk-1", job.Array, 4, 1)
+	zoneJob.Zone = &zone
+	cluster.submit(first, zoneJob)
 	cluster.advance(2 * time.Second)
 	cluster.submit(first, newSpec("wk-2", job.Array, 4, 1))
 	cluster.advance(4 * time.Second)
 	if cluster.countStarts("wk-1") != 2 || cluster.countStarts("wk-2") != 2 {
-		cluster.t.Fatalf("%d and %d tasks started", cluster.countStarts("wk-1"), cluster.countStarts("wk-2"))
+		cluster.t.Fatalf("got %d and %d started tasks, want 2 and 2",
+			cluster.countStarts("wk-1"), cluster.countStarts("wk-2"))
 	}
 	unresponsive = cluster.machines[1]
 	cluster.workers.WithLock(func() { unresponsive.HoldCommands = true })
@@ -35,68 +36,68 @@
 	return survivor, unresponsive
 }
 
-// A machine that does not answer held up every job of a crashed scheduler, also
-// those that it is not allowed to have. A job that it may have waits until its
-// tasks there are certainly over: or they would run twice.
-func TestUnresponsiveMachineBlocksOnlyJobsItMayHave(t *testing.T) {
+// After a scheduler crash, one unresponsive machine delayed all jobs of the scheduler, also those
+// that are not eligible for the machine. Only a job that may have tasks on it has to wait until
+// these have certainly ended; otherwise they would run twice.
+func TestUnresponsiveMachineBlocksOnlyEligibleJobs(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		crashWithUnresponsiveMachine(cluster)
 		cluster.advance(8 * time.Second)
-		cluster.exitAllTasks(worker.CauseDone) // the two of wk-1 that run on the machine that answers
+		cluster.exitAllTasks(worker.CauseDone) // the two tasks of wk-1 on the responsive machine
 		cluster.advance(8 * time.Second)
 		if n := cluster.countStarts("wk-1"); n != 4 {
-			t.Fatalf("%d of 4 tasks started that the unresponsive machine cannot have", n)
+			t.Fatalf("got %d starts of the job that is not eligible for the unresponsive machine, want 4", n)
 		}
 		if n := cluster.countStarts("wk-2"); n != 0 {
-			t.Fatalf("%d starts elsewhere of a job whose tasks the unresponsive machine may have", n)
+			t.Fatalf("got %d starts of the job that may have tasks on the unresponsive machine, want 0", n)
 		}
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(90 * time.Second)
 		if n := cluster.countStarts("wk-2"); n != 2 {
-			t.Fatalf("%d starts after the unresponsive machine's lease", n)
+			t.Fatalf("got %d starts after the lease of the unresponsive machine expired, want 2", n)
 		}
 	})
 }
 
-// Machines come up all the time. One that was claimed first after the job shard was acquired
-// has an owner that refuses the earlier scheduler's commits, so a job shard does not wait
-// until it is confirmed too.
-func TestReconciliationIgnoresYoungerMachines(t *testing.T) {
+// Reconciliation of a job shard does not wait for machines that were first claimed after its
+// acquisition: their owners reject commits of the earlier scheduler. Otherwise machines that keep
+// joining would delay it.
+func TestReconciliationIgnoresMachinesClaimedLater(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		second, unresponsive := crashWithUnresponsiveMachine(cluster)
 		cluster.advance(4 * time.Second)
-		young := cluster.workers.Add("m3", "box", "a")
-		cluster.workers.WithLock(func() { young.HoldCommands, unresponsive.HoldCommands = true, false })
-		r := cluster.workers.NextHeartbeat(young)
-		second.agent.Heartbeat(cluster.ctx, &r) // claimed, and no heartbeat after that
+		joining := cluster.workers.Add("m3", "box", "a")
+		cluster.workers.WithLock(func() { joining.HoldCommands, unresponsive.HoldCommands = true, false })
+		heartbeat := cluster.workers.NextHeartbeat(joining)
+		second.agent.Heartbeat(cluster.ctx, &heartbeat) // claimed by its first heartbeat; sends no further ones
 		cluster.machines = append(cluster.machines, unresponsive)
 		cluster.advance(3 * time.Second)
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(6 * time.Second)
 		if n := cluster.countStarts("wk-2"); n != 4 {
-			t.Fatalf("%d of 4 tasks started while a younger machine is unconfirmed", n)
+			t.Fatalf("got %d starts while a later claimed machine is unconfirmed, want 4", n)
 		}
 	})
 }
 
-// Every crash left a job shard and machine shards behind for good, and the next crash had to
-// take them over one by one. What a job shard's earlier scheduler wrote late must fail
-// although the job shard's key is gone.
-func TestCrashesLeaveNoShardsBehind(t *testing.T) {
+// Every controller crash left a job shard and machine shards behind forever, and the next crash had
+// to take them over one by one. After the job shard's key is removed, delayed writes of its earlier
+// scheduler must still fail.
+func TestEmptyShardsAreRemovedAfterCrashes(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		for i := range 20 {
 			zone := []string{"a", "b"}[i%2]
 			cluster.machines = append(cluster.machines, cluster.workers.Add(fmt.Sprintf("n%d", i), "box", zone))
 		}
 		lease := uint64(0)
-		var epoch uint64
+		var firstEpoch uint64
 		for round := range 4 {
 			first, second := cluster.start("host-0"), cluster.start("host-1")
 			cluster.advance(45 * time.Second)
 			cluster.submit(first, newSpec(fmt.Sprintf("wk-%d", round), job.Array, 2, 1))
 			cluster.advance(4 * time.Second)
 			if round == 0 {
-				_, epoch, _ = first.scheduler.OwnJobShard()
+				_, firstEpoch, _ = first.scheduler.OwnJobShard()
 			}
 			cluster.crash(first, lease+1)
 			cluster.crash(second, lease+2)
@@ -108,26 +109,26 @@
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(20 * time.Second)
 		if jobShards := cluster.state.ListAll(statekv.JobShardPrefix); len(jobShards) != 2 {
-			t.Errorf("%d job shards for two controllers", len(jobShards))
+			t.Errorf("got %d job shards for two controllers, want 2", len(jobShards))
 		}
-		if shards := cluster.state.ListAll(statekv.MachineShardPrefix); len(shards) > 12 {
-			t.Errorf("%d machine shards for two controllers in two zones", len(shards))
+		if machineShards := cluster.state.ListAll(statekv.MachineShardPrefix); len(machineShards) > 12 {
+			t.Errorf("got %d machine shards for two controllers in two zones, want at most 12", len(machineShards))
 		}
 		for _, controller := range []*testController{first, second} {
 			if _, entries := controller.agent.Snapshot(); len(entries) == 0 {
-				t.Errorf("%s came back with %d of 22 machines", controller.host, len(entries))
+				t.Errorf("%s owns %d of 22 machines, want at least 1", controller.host, len(entries))
 			}
 		}
-		old := []statekv.Compare{{Key: statekv.JobShardPrefix + "host-0.2", Rev: epoch}}
-		if _, err := cluster.state.Txn(cluster.ctx, old, nil); !statekv.IsConflict(err) {
-			t.Errorf("a late write of the first scheduler: %v", err)
+		staleCompares := []statekv.Compare{{Key: statekv.JobShardPrefix + "host-0.2", Rev: firstEpoch}}
+		if _, err := cluster.state.Txn(cluster.ctx, staleCompares, nil); !statekv.IsConflict(err) {
+			t.Errorf("delayed write of the first scheduler: got error %v, want a conflict", err)
 		}
 	})
 }
 
-// Where nothing changes, agents were asked again only after 2 s whether they knew of
-// the new epoch, and twice that passed before job shards were reconciled.
-func TestIdleJobShardsReconcileAtOnce(t *testing.T) {
+// In an idle cluster, agents were asked only every 2 s whether they knew the new epoch, and the
+// reconciliation of a job shard took two such intervals. It must take less than a second.
+func TestIdleJobShardReconcilesWithinOneSecond(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		cluster.start("host-1") // owns the machines
 		cluster.advance(3 * time.Second)
@@ -135,17 +136,17 @@
 		cluster.advance(6 * time.Second)
 		shardID, _, _ := first.scheduler.OwnJobShard()
 		cluster.crash(first, 2)
-		record := job.Record{Spec: newSpec("wk-1", job.Array, 4, 1), JobShard: shardID} // accepted, and not placed yet
+		record := job.Record{Spec: newSpec("wk-1", job.Array, 4, 1), JobShard: shardID} // accepted but not placed yet
 		cluster.put(statekv.Op{Set: job.RecordKey("wk-1"), Value: record})
 		time.Sleep(time.Second)
 		if n := cluster.countStarts("wk-1"); n != 4 {
-			t.Fatalf("%d of 4 tasks started a second after the crash", n)
+			t.Fatalf("got %d starts within a second after the crash, want 4", n)
 		}
 	})
 }
 
-// Guards against ran_twice: a start that the crashed owner had sent arrives at a
-// machine that the job is allowed to use only after the job shard was acquired.
+// Invariant ran_twice: a start command of the crashed owner reaches an eligible machine only after
+// the job shard was acquired by another controller.
 func TestLateStartOnUnresponsiveMachineIsNotRepeated(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		first := cluster.start("host-0")
@@ -154,7 +155,7 @@
 		cluster.advance(3 * time.Second)
 		cluster.workers.WithLock(func() {
 			for _, machine := range cluster.machines {
-				machine.HoldCommands = true // reports get through, commands are held
+				machine.HoldCommands = true // heartbeats get through, commands are held
 			}
 		})
 		cluster.submit(first, newSpec("wk-1", job.Array, 1, 1))
@@ -170,16 +171,16 @@
 		cluster.machines = machines
 		cluster.advance(8 * time.Second)
 		if n := cluster.countStarts("wk-1"); n != 1 {
-			t.Fatalf("the task was started %d times", n)
+			t.Fatalf("got %d starts, want 1", n)
 		}
-		var ran []string
-		for _, e := range allEntries(cluster) {
-			for _, task := range e.Tasks {
-				ran = append(ran, e.Machine+" "+task.State)
+		var onMachines []string
+		for _, entry := range allEntries(cluster) {
+			for _, task := range entry.Tasks {
+				onMachines = append(onMachines, entry.Machine+" "+task.State)
 			}
 		}
-		if len(ran) != 1 {
-			t.Fatalf("on machines: %v", ran)
+		if len(onMachines) != 1 {
+			t.Fatalf("got tasks %v on machines, want one", onMachines)
 		}
 	})
 }
--- a/internal/scheduler/task_lifecycle_test.go
+++ b/internal/scheduler/task_lifecycle_test.go
@@ -12,8 +12,8 @@
 	"robinstack/internal/worker"
 )
 
-// Guards against not_done and ran_twice: more tasks than places, each started
-// once; done is recorded when all are, and only then are they forgotten.
+// Invariants not_done and ran_twice: of more tasks than fit at once each is started once. The job
+// is recorded as done when all tasks are done, and only then are the tasks forgotten.
 func TestArrayRunsToCompletion(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -21,51 +21,56 @@
 		cluster.submit(controller, newSpec("wk-1", job.Array, 6, 1))
 		cluster.advance(4 * time.Second)
 		if got := len(cluster.startCounts()); got != 4 {
-			t.Fatalf("%d tasks started on four places", got)
+			t.Fatalf("got %d started tasks, want 4", got)
 		}
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(5 * time.Second)
 		if cluster.finalStatus("wk-1") != "" {
-			t.Fatal("called done with two tasks left")
+			t.Fatal("job is recorded as finished while two tasks are pending")
 		}
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(5 * time.Second)
 		if cluster.finalStatus("wk-1") != job.Done {
-			t.Fatal("not recorded as done")
+			t.Fatal("job is not recorded as done")
 		}
 		for task, n := range cluster.startCounts() {
 			if n != 1 {
-				t.Errorf("%s was started %d times", task, n)
+				t.Errorf("%s: got %d starts, want 1", task, n)
 			}
 		}
 		if cluster.countTasks() != 0 {
-			t.Error("ended tasks were not forgotten")
+			t.Error("ended tasks are still on machines")
 		}
 	})
 }
 
-// Guards against ran_cancelled and went_back: any controller may write the
-// cancellation; the scheduler stops the tasks and starts no more of them.
+// Invariants ran_cancelled and went_back: any controller may record the cancellation. The job's
+// scheduler then stops its tasks and starts no more of them.
 func TestCancelledJobStops(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
 		cluster.advance(3 * time.Second)
 		cluster.submit(controller, newSpec("wk-1", job.Array, 6, 1))
 		cluster.advance(4 * time.Second)
-		if _, err := cluster.state.Txn(cluster.ctx, nil, []statekv.Op{{Delete: job.RecordKey("wk-1")}, tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Cancelled, Tasks: 6}, tombstone.LegacyOnly)[0]}); err != nil {
+		if _, err := cluster.state.Txn(cluster.ctx, nil, []statekv.Op{
+			{Delete: job.RecordKey("wk-1")},
+			tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Cancelled, Tasks: 6}, tombstone.LegacyOnly)[0],
+		}); err != nil {
 			t.Fatal(err)
 		}
 		cluster.advance(6 * time.Second)
-		if cluster.countTasks() != 0 || len(cluster.startCounts()) != 4 || cluster.finalStatus("wk-1") != job.Cancelled {
-			t.Fatalf("%d tasks on machines, %d started, %s", cluster.countTasks(), len(cluster.startCounts()), cluster.finalStatus("wk-1"))
+		if cluster.countTasks() != 0 || len(cluster.startCounts()) != 4 ||
+			cluster.finalStatus("wk-1") != job.Cancelled {
+			t.Fatalf("got %d tasks on machines, %d started tasks, status %q; want 0, 4, cancelled",
+				cluster.countTasks(), len(cluster.startCounts()), cluster.finalStatus("wk-1"))
 		}
 	})
 }
 
-// Guards against ran_twice and forgotten: when the scheduler whose controller also owned the
-// machines crashes, another adopts its jobs and machines; what runs goes on,
-// and only what never started is started.
-func TestJobsOfCrashedSchedulerAreAdopted(t *testing.T) {
+// Invariants ran_twice and forgotten: the controller that runs the scheduler and owns the machines
+// crashes, and another takes over its jobs and machines. Running tasks go on, and only tasks that
+// were never started are started.
+func TestJobsOfCrashedSchedulerAreTakenOver(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		first := cluster.start("host-0")
 		cluster.advance(3 * time.Second)
@@ -80,18 +85,18 @@
 		cluster.exitAllTasks(worker.CauseDone)
 		cluster.advance(6 * time.Second)
 		if cluster.finalStatus("wk-1") != job.Done {
-			t.Fatal("the adopted job did not finish")
+			t.Fatal("job is not recorded as done after the takeover")
 		}
 		for task, n := range cluster.startCounts() {
 			if n != 1 {
-				t.Errorf("%s was started %d times", task, n)
+				t.Errorf("%s: got %d starts, want 1", task, n)
 			}
 		}
 	})
 }
 
-// Guards against ran_twice: a worker that cannot be reached keeps its task's
-// place until its lease has run out, and only then is the task started again.
+// Invariant ran_twice: a task on an unreachable machine keeps its place until the machine's lease
+// has expired, and only then is it started again.
 func TestTaskOfUnresponsiveMachineWaitsForLeaseExpiry(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -108,18 +113,18 @@
 		cluster.machines = []*emulator.Worker{other}
 		cluster.advance(25 * time.Second)
 		if len(cluster.startCounts()) != 0 {
-			t.Fatal("started elsewhere while it may still run")
+			t.Fatal("task was started elsewhere before the lease of its machine expired")
 		}
 		cluster.advance(15 * time.Second)
 		if cluster.startCounts()["wk-1/0"] != 1 {
-			t.Fatal("not started again after the lease")
+			t.Fatal("task was not started again after the lease of its machine expired")
 		}
 	})
 }
 
-// A machine's key is removed once all on it is proven gone. If its owner dies
-// before its last entry has gone round, the scheduler must see it from the key: the
-// job waited for ever.
+// A machine's key is removed once all its tasks are proven gone. If its owner crashes before the
+// last entry is sent, the scheduler must learn it from the missing key; otherwise the job would
+// wait forever.
 func TestTasksOfRemovedMachineAreRestarted(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		owner := cluster.start("host-0")
@@ -128,27 +133,29 @@
 		cluster.advance(2 * time.Second)
 		cluster.submit(controller, newSpec("wk-1", job.Array, 1, 1))
 		cluster.advance(2 * time.Second)
-		left, gone := cluster.machines[0], cluster.machines[1]
-		if len(left.Started) > 0 {
-			left, gone = gone, left
+		remaining, removed := cluster.machines[0], cluster.machines[1]
+		if len(remaining.Started) > 0 {
+			remaining, removed = removed, remaining
 		}
-		if len(gone.Started) != 1 {
-			t.Fatal("not started")
+		if len(removed.Started) != 1 {
+			t.Fatal("task was not started")
 		}
-		cluster.machines = []*emulator.Worker{left}
-		if _, err := cluster.state.Txn(cluster.ctx, nil, []statekv.Op{{Delete: statekv.MachinePrefix + gone.Heartbeat.Machine}}); err != nil {
+		cluster.machines = []*emulator.Worker{remaining}
+		if _, err := cluster.state.Txn(cluster.ctx, nil, []statekv.Op{
+			{Delete: statekv.MachinePrefix + removed.Heartbeat.Machine},
+		}); err != nil {
 			t.Fatal(err)
 		}
 		cluster.crash(owner, 1)
 		cluster.advance(10 * time.Second)
-		if len(left.Started) != 1 {
-			t.Fatal("the task was not started on the other machine")
+		if len(remaining.Started) != 1 {
+			t.Fatal("task was not started on the other machine")
 		}
 	})
 }
 
-// Guards against ran_twice: an entry that its owner has not confirmed yet does
-// not prove a task gone, not even under the ownership that it was committed to.
+// Invariant ran_twice: an entry that its owner has not reconciled does not prove a task gone, not
+// even under the ownership revision to which the task was committed.
 func TestUnconfirmedEntryDoesNotProveTaskGone(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -156,21 +163,22 @@
 		cluster.submit(controller, newSpec("wk-1", job.Array, 1, 1))
 		cluster.advance(2 * time.Second)
 		_, entries := controller.agent.Snapshot()
-		for _, e := range entries {
+		for _, entry := range entries {
 			unconfirmed := agentapi.MachineEntry{
-				Machine: e.Machine, Host: e.Host, Rev: e.Rev, Ver: e.Ver + 1000, Type: "box", Zone: e.Zone,
+				Machine: entry.Machine, Host: entry.Host, Rev: entry.Rev, Ver: entry.Ver + 1000,
+				Type: "box", Zone: entry.Zone,
 			}
 			controller.scheduler.OnEntries([]agentapi.MachineEntry{unconfirmed})
 		}
 		cluster.advance(4 * time.Second)
 		if got := cluster.startCounts()["wk-1/0"]; got != 1 {
-			t.Fatalf("started %d times", got)
+			t.Fatalf("got %d starts, want 1", got)
 		}
 	})
 }
 
-// The request to forget an ended task may get lost with the owner that it was sent
-// to; the job's record tells the next one.
+// A request to forget an ended task may be lost with the owner to which it was sent. The machine's
+// owner must then learn from the job's stored status that it may forget the task.
 func TestEndedTasksOfFinishedJobsAreForgotten(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -182,18 +190,19 @@
 		cluster.advance(10 * time.Second)
 		cluster.dropsStops = false
 		if cluster.finalStatus("wk-1") != job.Done || cluster.countTasks() != 2 {
-			t.Fatalf("%q, with %d tasks on machines", cluster.finalStatus("wk-1"), cluster.countTasks())
+			t.Fatalf("got status %q with %d tasks on machines, want done with 2",
+				cluster.finalStatus("wk-1"), cluster.countTasks())
 		}
 		cluster.advance(30 * time.Second)
 		if cluster.countTasks() != 0 {
-			t.Fatalf("%d ended tasks of a job that is over stay on machines", cluster.countTasks())
+			t.Fatalf("got %d ended tasks of a finished job on machines, want 0", cluster.countTasks())
 		}
 	})
 }
 
-// What a controller that stood still past its lease had under way, and sends when it
-// goes on as if nothing had happened, has no effect: not a commit at a peer, not a
-// command to a worker, not a write. Guards against ran_twice and went_back.
+// Invariants ran_twice and went_back: a controller that was paused for longer than its lease
+// resumes its pending operations. None of them has an effect: no commit at a peer, no command to a
+// worker, no write.
 func TestPausedControllerIsFenced(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		paused := cluster.start("host-0")
@@ -219,42 +228,42 @@
 			Machine: "m1",
 			Refs:    []agentapi.TaskRef{{Job: "wk-1", Index: 1, Attempt: epoch<<20 + 99}},
 		}
-		for _, e := range entries {
-			if e.Machine == "m1" {
-				commit.Rev = e.Rev
+		for _, entry := range entries {
+			if entry.Machine == "m1" {
+				commit.Rev = entry.Rev
 			}
 		}
 		commit.Spec, commit.Slot, commit.Epoch = newSpec("wk-1", job.Array, 2, 0), shardID, epoch
 		var reply agentapi.CommitReply
 		err := controller.service.Commit(commit, &reply)
 		if err != nil || commit.Rev == 0 || reply.Verdicts[0] != agentapi.Refused {
-			t.Errorf("a commit under the old epoch: %+v %v", reply, err)
+			t.Errorf("commit under the old epoch: got %+v, error %v; want it refused", reply, err)
 		}
-		late := []worker.Command{worker.StartCommand("wk-1/1", 7)}
-		if _, done, _ := cluster.workers.Send(cluster.ctx, "m1", token, 1, late); done {
-			t.Error("a command under the old token was carried out")
+		commands := []worker.Command{worker.StartCommand("wk-1/1", 7)}
+		if _, done, _ := cluster.workers.Send(cluster.ctx, "m1", token, 1, commands); done {
+			t.Error("command under the old fencing token was executed")
 		}
 		deletion := []statekv.Op{{Delete: job.RecordKey("wk-1")}}
 		if _, err := paused.session.Write(cluster.ctx, nil, deletion); !statekv.IsConflict(err) {
-			t.Errorf("a write of the old session: %v", err)
+			t.Errorf("write of the old session: got error %v, want a conflict", err)
 		}
 		cluster.advance(3 * time.Second)
 		if cluster.countTasks() != before {
-			t.Errorf("%d tasks on machines, %d before", cluster.countTasks(), before)
+			t.Errorf("got %d tasks on machines, want %d as before", cluster.countTasks(), before)
 		}
 	})
 }
 
-// A machine that is about to be taken away has its tasks saved and moved; tasks that cannot
-// save run on for as long as the machine is there.
-func TestSpotNoticeMovesTasksThatSave(t *testing.T) {
-	for name, saves := range map[string]bool{"saves": true, "does not save": false} {
+// When the cloud is about to reclaim a machine, tasks that can checkpoint are saved and moved.
+// Other tasks run on for as long as the machine exists.
+func TestSpotNoticeMovesTasksWithCheckpoints(t *testing.T) {
+	for name, canCheckpoint := range map[string]bool{"with checkpoint": true, "without checkpoint": false} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, func(cluster *testCluster) {
 				controller := cluster.start("host-0")
 				cluster.advance(3 * time.Second)
 				spec := newSpec("wk-1", job.Array, 1, 1)
-				if saves {
+				if canCheckpoint {
 					spec.CheckpointS = 10
 				}
 				cluster.submit(controller, spec)
@@ -265,8 +274,8 @@
 				}
 				cluster.workers.WithLock(func() { cluster.machines[from].Heartbeat.SpotNoticeS = new(30.0) })
 				cluster.advance(20 * time.Second)
-				if got := cluster.wasStartedOn(1-from, "wk-1/0"); got != saves {
-					t.Errorf("started on the other machine: %v", got)
+				if got := cluster.wasStartedOn(1-from, "wk-1/0"); got != canCheckpoint {
+					t.Errorf("can checkpoint %v: got started on the other machine %v", canCheckpoint, got)
 				}
 			})
 		})
