--- a/internal/scheduler/completion_records.go
+++ b/internal/scheduler/completion_records.go
@@ -37,8 +37,8 @@
 // errRecordTooLarge is returned if a record is too large for one value and its spec cannot be split
 // into fragments, usually because not all controllers of the cluster can read fragments yet. The
 // completed tasks are not lost: the workers keep reporting them until they are recorded.
-var errRecordTooLarge = errors.New(
-	"job record exceeds the size limit of one value and its spec cannot be split into fragments")
+var errRecordTooLarge = errors.New("job record exceeds the size limit of one value and its spec " +
+	"cannot be split into fragments (too large, or not enabled by the cluster version)")
 
 // statusOpen is the status that readBack returns for a job whose record still exists.
 const statusOpen = "open"
