--- a/internal/scheduler/backfill_reservation.go
+++ b/internal/scheduler/backfill_reservation.go
@@ -37,14 +37,14 @@
 	}
 	request := plan.request
 	request.Tasks = tasks
-	options := s.askOwners(ctx, methodListReservable, request).candidates
+	options := s.queryControllers(ctx, methodListReservable, request).candidates
 	candidate.Rank(options)
-	chosen := candidate.ChooseFreed(j.spec.OneZone, plan.candidates, options, tasks)
+	chosen := candidate.ChooseMachinesToFree(j.spec.OneZone, plan.candidates, options, tasks)
 	if len(chosen) == 0 && len(plan.candidates) == 0 {
 		return false
 	}
 	reserved := s.reserveMachines(ctx, methodReserve, p, request, chosen, plan.candidates, tasks)
-	s.noteReservation(j, reserved)
+	s.recordReservation(j, reserved)
 	return reserved > 0
 }
 
@@ -55,12 +55,12 @@
 	return j.startOverdue(time.Now())
 }
 
-// noteReservation records that capacity is being reserved for the job.
-func (s *Scheduler) noteReservation(j *jobState, machines int) {
+// recordReservation records that capacity is being reserved for the job.
+func (s *Scheduler) recordReservation(j *jobState, machines int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counters.Gathered++
-	j.nextTry = time.Now().Add(reservationRetryInterval)
+	j.nextPlacementAt = time.Now().Add(reservationRetryInterval)
 	if j.reserving {
 		return
 	}
@@ -81,7 +81,7 @@
 		mu    sync.Mutex // mu guards reserved
 		calls sync.WaitGroup
 	)
-	for _, machine := range candidate.AddFound(p.job.spec.OneZone, chosen, withCapacity, tasks) {
+	for _, machine := range candidate.AddMachinesWithCapacity(p.job.spec.OneZone, chosen, withCapacity, tasks) {
 		calls.Go(func() {
 			if s.reserveMachine(ctx, method, request, machine) {
 				mu.Lock()
--- a/internal/scheduler/candidate/candidate.go
+++ b/internal/scheduler/candidate/candidate.go
@@ -67,18 +67,18 @@
 	return list
 }
 
-// WithImage keeps the candidates that have the image. For shapes other than gangs it also keeps
+// FilterByImage keeps the candidates that have the image. For shapes other than gangs it also keeps
 // those on which another task is fetching the image.
-func WithImage(candidates []agentapi.Candidate, shape string) []agentapi.Candidate {
+func FilterByImage(candidates []agentapi.Candidate, shape string) []agentapi.Candidate {
 	return slices.DeleteFunc(slices.Clone(candidates), func(c agentapi.Candidate) bool {
 		return c.Image == 0 || c.Image < 1 && shape == job.Gang
 	})
 }
 
-// AddFound adds to the machines chosen to be freed those machines of withCapacity that are needed
-// for the remaining tasks. If oneZone is set, it adds only machines in the zone of the first
-// machine.
-func AddFound(oneZone bool, chosen, withCapacity []agentapi.Candidate, tasks int) []agentapi.Candidate {
+// AddMachinesWithCapacity adds to the machines chosen to be freed those machines of withCapacity
+// that are needed for the remaining tasks. If oneZone is set, it adds only machines in the zone of
+// the first machine.
+func AddMachinesWithCapacity(oneZone bool, chosen, withCapacity []agentapi.Candidate, tasks int) []agentapi.Candidate {
 	machines := slices.Clone(chosen)
 	zone := ""
 	if oneZone {
@@ -97,10 +97,10 @@
 	return machines
 }
 
-// ChooseFreed chooses the machines to free so that the given number of tasks fits, together with
-// the free capacity of withCapacity. If oneZone is set, all are in the zone with the lowest
-// total cost. It returns nil if the tasks would not fit.
-func ChooseFreed(oneZone bool, withCapacity, options []agentapi.Candidate, tasks int) []agentapi.Candidate {
+// ChooseMachinesToFree chooses the machines to free so that the given number of tasks fits,
+// together with the free capacity of withCapacity. If oneZone is set, all are in the zone with the
+// lowest total cost. It returns nil if the tasks would not fit.
+func ChooseMachinesToFree(oneZone bool, withCapacity, options []agentapi.Candidate, tasks int) []agentapi.Candidate {
 	zones := map[string]bool{"": true}
 	if oneZone {
 		zones = zonesOf(options)
--- a/internal/scheduler/candidate/candidate_test.go
+++ b/internal/scheduler/candidate/candidate_test.go
@@ -44,7 +44,7 @@
 
 // One-zone and spread jobs take the zones of their other tasks into account; otherwise tasks are
 // placed in the wrong zone.
-func TestOpenZonesAndSpreadOut(t *testing.T) {
+func TestOpenZonesAndSpreadLimit(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	oneZone := &job.Spec{OneZone: true, Tasks: 4}
 	if got := OpenZones(oneZone, map[string]int{"b": 1}, zones); !slices.Equal(got, []string{"b"}) {
@@ -55,27 +55,28 @@
 		t.Fatalf("spread: got open zones %v, want [b c]", got)
 	}
 	lists := [][]agentapi.Candidate{{{Zone: "a"}}, {{Zone: "b"}, {Zone: "a"}}}
-	if got := SpreadOut(lists, map[string]int{"a": 3}, 3); len(got) != 1 || len(got[0]) != 1 || got[0][0].Zone != "b" {
-		t.Fatalf("SpreadOut: got %v, want one list with one candidate in zone b", got)
+	got := EnforceSpreadLimit(lists, map[string]int{"a": 3}, 3)
+	if len(got) != 1 || len(got[0]) != 1 || got[0][0].Zone != "b" {
+		t.Fatalf("EnforceSpreadLimit: got %v, want one list with one candidate in zone b", got)
 	}
 }
 
 // Machines are freed for a gang at the lowest cost, all in one zone if the job requires that. No
 // machine is freed if the gang would still not fit.
-func TestChooseFreedTakesCheapestZoneThatFitsGang(t *testing.T) {
+func TestChooseMachinesToFreeTakesCheapestZoneThatFitsGang(t *testing.T) {
 	options := []agentapi.Candidate{
 		{Machine: "m1", Zone: "a", Score: -5},
 		{Machine: "m2", Zone: "b", Score: -20},
 		{Machine: "m3", Zone: "b", Score: -30},
 	}
 	withCapacity := []agentapi.Candidate{{Machine: "m4", Zone: "b", Fits: 1}}
-	if got := ChooseFreed(true, withCapacity, options, 2); len(got) != 1 || got[0].Machine != "m2" {
+	if got := ChooseMachinesToFree(true, withCapacity, options, 2); len(got) != 1 || got[0].Machine != "m2" {
 		t.Fatalf("one zone: got %v, want m2", got)
 	}
-	if got := ChooseFreed(false, withCapacity, options, 2); len(got) != 1 || got[0].Machine != "m1" {
+	if got := ChooseMachinesToFree(false, withCapacity, options, 2); len(got) != 1 || got[0].Machine != "m1" {
 		t.Fatalf("any zone: got %v, want m1", got)
 	}
-	if got := ChooseFreed(true, nil, options, 3); got != nil {
+	if got := ChooseMachinesToFree(true, nil, options, 3); got != nil {
 		t.Fatalf("gang that fits in no zone: got %v, want nil", got)
 	}
 }
--- a/internal/scheduler/candidate/zone.go
+++ b/internal/scheduler/candidate/zone.go
@@ -31,10 +31,10 @@
 	return nil
 }
 
-// SpreadOut restricts each list to the zone of its first candidate and drops the lists that would
-// exceed the limit of tasks in a zone, given the number of the job's other unfinished tasks by
-// zone.
-func SpreadOut(lists [][]agentapi.Candidate, activeByZone map[string]int, limit int) [][]agentapi.Candidate {
+// EnforceSpreadLimit restricts each list to the zone of its first candidate and drops the lists
+// that would exceed the limit of tasks in a zone, given the number of the job's other unfinished
+// tasks by zone.
+func EnforceSpreadLimit(lists [][]agentapi.Candidate, activeByZone map[string]int, limit int) [][]agentapi.Candidate {
 	counts := map[string]int{}
 	maps.Copy(counts, activeByZone)
 	var kept [][]agentapi.Candidate
@@ -44,7 +44,7 @@
 			continue
 		}
 		counts[zone]++
-		kept = append(kept, InZone(list, zone))
+		kept = append(kept, FilterByZone(list, zone))
 	}
 	return kept
 }
@@ -71,8 +71,8 @@
 	return best
 }
 
-// InZone keeps the candidates in the zone.
-func InZone(candidates []agentapi.Candidate, zone string) []agentapi.Candidate {
+// FilterByZone keeps the candidates in the zone.
+func FilterByZone(candidates []agentapi.Candidate, zone string) []agentapi.Candidate {
 	return slices.DeleteFunc(slices.Clone(candidates), func(c agentapi.Candidate) bool { return c.Zone != zone })
 }
 
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -40,26 +40,26 @@
 const (
 	// startTasks starts the tasks.
 	startTasks commitMode = iota
-	// holdCapacity reserves capacity for the tasks without starting them.
-	holdCapacity
+	// reserveOnly reserves capacity for the tasks without starting them.
+	reserveOnly
 )
 
 // commitPlan binds the plan's tasks to machines. It reports whether capacity or a quota grant was
 // missing.
 func (s *Scheduler) commitPlan(ctx context.Context, p *placement, plan *placementPlan) (noCapacity bool) {
 	j := p.job
-	bindings := s.beginAttempts(j, p.tasks[:len(plan.lists)], plan.lists)
+	bindings := s.beginAttempts(j, p.tasks[:len(plan.taskCandidates)], plan.taskCandidates)
 	if bindings == nil {
 		return false
 	}
 	granted, leaderEpoch := s.requestGrants(ctx, j, bindings, p.request.Epoch)
 	if j.isGang() && len(granted) < len(bindings) {
-		s.abandonGranted(j, bindings)
+		s.requeueAndReleaseGrants(j, bindings)
 		return true
 	}
 	ungranted := slices.DeleteFunc(slices.Clone(bindings), func(b *binding) bool { return slices.Contains(granted, b) })
-	s.abandon(j, ungranted)
-	noCapacity = len(ungranted) > 0 || len(plan.lists) < p.tasksNeeded() && !plan.waitsForImage
+	s.requeue(j, ungranted)
+	noCapacity = len(ungranted) > 0 || len(plan.taskCandidates) < p.tasksNeeded() && !plan.waitsForImage
 
 	commit := agentapi.CommitRequest{Request: plan.request, StewardEpoch: leaderEpoch, JobRev: s.revisionOf(j)}
 	if j.isGang() && len(granted) > 1 {
@@ -120,29 +120,30 @@
 	}
 }
 
-// abandon requeues tasks that have certainly not started and have no quota grant.
-func (s *Scheduler) abandon(j *jobState, bindings []*binding) {
+// requeue requeues tasks that have certainly not started and have no quota grant.
+func (s *Scheduler) requeue(j *jobState, bindings []*binding) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, b := range bindings {
-		j.returnToQueue(b)
+		j.requeueTask(b)
 	}
 }
 
-// abandonGranted requeues tasks that have certainly not started, and releases their quota grants.
-func (s *Scheduler) abandonGranted(j *jobState, bindings []*binding) {
+// requeueAndReleaseGrants requeues tasks that have certainly not started, and releases their quota
+// grants.
+func (s *Scheduler) requeueAndReleaseGrants(j *jobState, bindings []*binding) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, b := range bindings {
-		if j.returnToQueue(b) {
+		if j.requeueTask(b) {
 			s.queueRelease(j, b.ref)
 		}
 	}
 }
 
-// returnToQueue sets the task of a binding back to pending. It returns false if the attempt is no
+// requeueTask sets the task of a binding back to pending. It returns false if the attempt is no
 // longer committing, because a machine entry has shown it in the meantime.
-func (j *jobState) returnToQueue(b *binding) bool {
+func (j *jobState) requeueTask(b *binding) bool {
 	task := &j.tasks[b.ref.Index]
 	if !task.isCommitting(b.ref.Attempt) {
 		return false
@@ -185,7 +186,7 @@
 	for _, b := range bindings {
 		if round >= len(b.candidates) {
 			b.result = agentapi.Refused
-			s.abandonGranted(j, []*binding{b})
+			s.requeueAndReleaseGrants(j, []*binding{b})
 			continue
 		}
 		machine := b.candidates[round].Machine
@@ -211,7 +212,7 @@
 	group []*binding, machine agentapi.Candidate, mode commitMode,
 ) {
 	commit.Machine, commit.Rev = machine.Machine, machine.Rev
-	commit.Hold = mode == holdCapacity
+	commit.Hold = mode == reserveOnly
 	commit.Refs = nil
 	for _, b := range group {
 		commit.Refs = append(commit.Refs, b.ref)
@@ -223,7 +224,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if errors.Is(err, peer.ErrNoAnswer) {
-		s.onUnanswered(ctx, j, group, machine)
+		s.onUnansweredCommit(ctx, j, group, machine)
 		return
 	}
 	for i, b := range group {
@@ -258,9 +259,9 @@
 		if !task.isCommitting(b.ref.Attempt) {
 			return // a machine entry has already shown the attempt
 		}
-		task.place(machine.Machine, machine.Zone, reply.Rev, reply.Ver)
-		task.state = agentapi.Starting
-		s.notePlaced(machine.Machine, b.ref)
+		task.markPlaced(machine.Machine, machine.Zone, reply.Rev, reply.Ver)
+		task.reportedState = agentapi.Starting
+		s.addPlacedAttempt(machine.Machine, b.ref)
 		if j.isFinished() {
 			s.stopTask(j, b.ref.Index, 0)
 		}
--- a/internal/scheduler/commit_resolution.go
+++ b/internal/scheduler/commit_resolution.go
@@ -14,9 +14,9 @@
 	resolveRetryInterval = time.Second
 )
 
-// onUnanswered handles a commit that was not answered: until it is resolved, the tasks may be on
-// the machine. The caller must hold s.mu.
-func (s *Scheduler) onUnanswered(
+// onUnansweredCommit handles a commit that was not answered: until it is resolved, the tasks may be
+// on the machine. The caller must hold s.mu.
+func (s *Scheduler) onUnansweredCommit(
 	ctx context.Context, j *jobState, group []*binding, machine agentapi.Candidate,
 ) {
 	refs := make([]agentapi.TaskRef, 0, len(group))
@@ -25,17 +25,17 @@
 		refs = append(refs, b.ref)
 		s.counters.Unanswered++
 		if task := &j.tasks[b.ref.Index]; task.isCommitting(b.ref.Attempt) {
-			task.place(machine.Machine, machine.Zone, machine.Rev, unresolved)
-			s.notePlaced(machine.Machine, b.ref)
+			task.markPlaced(machine.Machine, machine.Zone, machine.Rev, unresolved)
+			s.addPlacedAttempt(machine.Machine, b.ref)
 		}
 	}
-	s.background.Go(func() { s.resolve(ctx, j, refs, machine) })
+	s.background.Go(func() { s.resolveCommit(ctx, j, refs, machine) })
 }
 
-// resolve determines the outcome of an unanswered commit by asking the owner it went to. The owner
-// either has the tasks or guarantees that they will never start. If the owner's session ends, the
-// first reconciled entry of the next owner decides, and resolve stops asking.
-func (s *Scheduler) resolve(
+// resolveCommit determines the outcome of an unanswered commit by asking the owner it went to. The
+// owner either has the tasks or guarantees that they will never start. If the owner's session ends,
+// the first reconciled entry of the next owner decides, and resolveCommit stops asking.
+func (s *Scheduler) resolveCommit(
 	ctx context.Context, j *jobState, refs []agentapi.TaskRef, machine agentapi.Candidate,
 ) {
 	request := agentapi.ResolveRequest{Machine: machine.Machine, Rev: machine.Rev, Refs: refs}
@@ -45,13 +45,13 @@
 		err := s.peers.Call(callCtx, machine.Host, methodResolve, request, &reply)
 		cancel()
 		if err == nil {
-			s.onResolved(j, request, &reply)
+			s.onCommitResolved(j, request, &reply)
 			return
 		}
 		if !s.anyUnresolved(j, request) {
 			return
 		}
-		pause(ctx, resolveRetryInterval)
+		sleep(ctx, resolveRetryInterval)
 	}
 }
 
@@ -74,8 +74,8 @@
 	return false
 }
 
-// onResolved applies the owner's answer. Tasks that the owner does not have will never start.
-func (s *Scheduler) onResolved(j *jobState, request agentapi.ResolveRequest, reply *agentapi.ResolveReply) {
+// onCommitResolved applies the owner's answer. Tasks that the owner does not have will never start.
+func (s *Scheduler) onCommitResolved(j *jobState, request agentapi.ResolveRequest, reply *agentapi.ResolveReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, ref := range request.Refs {
--- a/internal/scheduler/completion_chunks_test.go
+++ b/internal/scheduler/completion_chunks_test.go
@@ -25,7 +25,7 @@
 		spec:       &spec,
 		record:     &job.Record{},
 		done:       job.NewTaskBitmap(spec.Tasks),
-		completion: completion{dirtyChunks: map[int]bool{}},
+		completion: pendingCompletion{dirtyChunks: map[int]bool{}},
 	}
 	chunks := job.ChunkCount(spec.Tasks)
 	for chunk := range chunks {
@@ -38,7 +38,7 @@
 		}
 		dirty := j.completion.dirtyChunks
 		j.completion.dirtyChunks = map[int]bool{}
-		record := s.openRecord(j, false)
+		record := s.buildOpenRecord(j, false)
 		ops := s.recordOps(j, &record, dirty, rollout.ClusterVersion{})
 		if len(ops) > maxOps || len(ops) == 0 || len(dirty)+len(j.completion.dirtyChunks) > chunks {
 			t.Fatalf("got %d changes with %d written and %d dirty chunks",
--- a/internal/scheduler/completion_records.go
+++ b/internal/scheduler/completion_records.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// completionDelay is the minimum time that completed tasks of an unfinished job wait to be
+	// completionBatchDelay is the minimum time that completed tasks of an unfinished job wait to be
 	// recorded, so that one write records many of them.
-	completionDelay = time.Second
+	completionBatchDelay = time.Second
 
-	// maxConcurrentWrites bounds the writes that one run of recordCompletions starts, and the job
+	// maxWritesPerRun bounds the writes that one run of recordCompletions starts, and the job
 	// shards that one run of releaseShards removes.
-	maxConcurrentWrites = 8
+	maxWritesPerRun = 8
 
-	// finalRecordChanges is the number of changes that a job's final record takes from the write
+	// finalRecordOps is the number of changes that a job's final record takes from the write
 	// budget: the deleted record and a tombstone in both formats.
-	finalRecordChanges = 3
+	finalRecordOps = 3
 
-	// completionTimeout bounds one write, including the read after a conflict.
-	completionTimeout = 3 * time.Second
+	// completionWriteTimeout bounds one write, including the read after a conflict.
+	completionWriteTimeout = 3 * time.Second
 
-	// completionRetryPause is the delay after a failed write.
-	completionRetryPause = 200 * time.Millisecond
+	// completionRetryDelay is the delay after a failed write.
+	completionRetryDelay = 200 * time.Millisecond
 )
 
 // errRecordTooLarge is returned if a record is too large for one value and its spec cannot be split
@@ -43,16 +43,16 @@
 // statusOpen is the status that readBack returns for a job whose record still exists.
 const statusOpen = "open"
 
-// completion holds the results of a job that are not durable yet.
-type completion struct {
-	dirtyChunks map[int]bool // chunks with newly completed tasks
-	dirtySince  time.Time
-	ended       []agentapi.StopItem // completed attempts, forgotten once their results are durable
-	writing     bool                // a write is in flight; a job has at most one
+// pendingCompletion holds the results of a job that are not durable yet.
+type pendingCompletion struct {
+	dirtyChunks   map[int]bool // chunks with newly completed tasks
+	dirtySince    time.Time
+	endedAttempts []agentapi.StopItem // completed attempts, forgotten once their results are durable
+	writeInFlight bool                // a write is in flight; a job has at most one
 }
 
 // markDirty sets the time since which results wait to be recorded, unless it is set.
-func (c *completion) markDirty(now time.Time) {
+func (c *pendingCompletion) markDirty(now time.Time) {
 	if c.dirtySince.IsZero() {
 		c.dirtySince = now
 	}
@@ -61,14 +61,14 @@
 // completionWrite is one transaction that records results of a job, with what has to be restored if
 // it fails.
 type completionWrite struct {
-	final         bool // replaces the job's record by its tombstone
-	compares      []statekv.Compare
-	ops           []statekv.Op
-	specFragments int          // number of spec fragments of the record after this write
-	chunks        map[int]bool // chunks that it writes
-	chunkCount    int          // number of dirty chunks when it was prepared, for the log
-	hasFailures   bool         // the failure history was unrecorded when it was prepared
-	ended         int          // number of completed attempts whose results it makes durable
+	final                 bool // replaces the job's record by its tombstone
+	compares              []statekv.Compare
+	ops                   []statekv.Op
+	specFragments         int          // number of spec fragments of the record after this write
+	chunks                map[int]bool // chunks that it writes
+	chunkCount            int          // number of dirty chunks when it was prepared, for the log
+	hadUnrecordedFailures bool         // the failure history was unrecorded when it was prepared
+	endedCount            int          // number of completed attempts whose results it makes durable
 }
 
 // completionResult is the outcome of a completionWrite.
@@ -90,14 +90,14 @@
 	writes := 0
 	startWrite := func(j *jobState) {
 		writes++
-		j.completion.writing = true
+		j.completion.writeInFlight = true
 		s.background.Go(func() { s.recordCompletion(ctx, j.spec.ID, j) })
 	}
 	for _, j := range s.jobs {
 		switch {
-		case j.phase == jobRecorded || j.completion.writing:
+		case j.phase == jobRecorded || j.completion.writeInFlight:
 		case j.phase == jobFinished:
-			if writes < maxConcurrentWrites && s.mayWriteFinal(j) {
+			if writes < maxWritesPerRun && s.mayWriteFinal(j) {
 				startWrite(j)
 			}
 		case j.hasDueBatch(now):
@@ -109,7 +109,7 @@
 	})
 	for _, j := range batches {
 		changes := max(1, len(j.completion.dirtyChunks))
-		if writes >= maxConcurrentWrites || !s.store.Allow(statekv.ClassMaintenance, changes) {
+		if writes >= maxWritesPerRun || !s.store.Allow(statekv.ClassMaintenance, changes) {
 			break
 		}
 		startWrite(j)
@@ -120,14 +120,14 @@
 // of a job that was cancelled by dependency can wait for write budget, because users are already
 // told that it is cancelled (package dag).
 func (s *Scheduler) mayWriteFinal(j *jobState) bool {
-	return j.outcome == job.Done || s.store.Allow(statekv.ClassMaintenance, finalRecordChanges)
+	return j.outcome == job.Done || s.store.Allow(statekv.ClassMaintenance, finalRecordOps)
 }
 
 // hasDueBatch reports whether results of an unfinished job have waited for longer than
-// completionDelay.
+// completionBatchDelay.
 func (j *jobState) hasDueBatch(now time.Time) bool {
 	dirty := len(j.completion.dirtyChunks) > 0 || j.failures.unrecorded
-	return dirty && now.Sub(j.completion.dirtySince) > completionDelay
+	return dirty && now.Sub(j.completion.dirtySince) > completionBatchDelay
 }
 
 // recordCompletion writes the results of a job that are not durable yet.
@@ -136,14 +136,14 @@
 	if write == nil {
 		return
 	}
-	result := s.write(ctx, id, write)
+	result := s.sendWrite(ctx, id, write)
 	if result.err != nil {
 		slog.Debug("completed tasks write failed", "job", id, "chunks", write.chunkCount, "err", result.err)
-		pause(ctx, completionRetryPause)
+		sleep(ctx, completionRetryDelay)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	j.completion.writing = false
+	j.completion.writeInFlight = false
 	if result.err == nil && result.status == "" {
 		s.onCompletionWritten(id, j, write, result.revision)
 		return
@@ -152,7 +152,7 @@
 	switch {
 	case result.err != nil:
 	case result.status == job.Cancelled || result.status == job.Done:
-		s.onRecorded(id, j, result.status)
+		s.onFinalStatusRecorded(id, j, result.status)
 	default:
 		// An earlier write of this scheduler, whose response was lost, has changed the record.
 		j.revision = result.revision
@@ -166,7 +166,7 @@
 	defer s.mu.Unlock()
 	shard := s.shards[j.shardID]
 	if shard == nil {
-		j.completion.writing = false
+		j.completion.writeInFlight = false
 		return nil
 	}
 	// The write is conditional on the cluster version that determines its schema, so nothing is
@@ -179,18 +179,18 @@
 			{Key: statekv.JobShardPrefix + j.shardID, Rev: shard.epoch},
 			versionUnchanged,
 		},
-		chunks:        j.completion.dirtyChunks,
-		chunkCount:    len(j.completion.dirtyChunks),
-		hasFailures:   j.failures.unrecorded,
-		ended:         len(j.completion.ended),
-		specFragments: j.record.SpecFragments,
+		chunks:                j.completion.dirtyChunks,
+		chunkCount:            len(j.completion.dirtyChunks),
+		hadUnrecordedFailures: j.failures.unrecorded,
+		endedCount:            len(j.completion.endedAttempts),
+		specFragments:         j.record.SpecFragments,
 	}
 	j.completion.dirtyChunks, j.completion.dirtySince = map[int]bool{}, time.Time{}
 	if write.final {
 		write.ops = s.finalOps(id, j, version)
 		return write
 	}
-	record := s.openRecord(j, version.Enabled(rollout.FeatureFailureHistory))
+	record := s.buildOpenRecord(j, version.Enabled(rollout.FeatureFailureHistory))
 	write.ops = s.recordOps(j, &record, write.chunks, version)
 	write.specFragments = record.SpecFragments
 	j.failures.unrecorded = false
@@ -210,12 +210,12 @@
 	return append(ops, job.DeleteAuxiliaryOps(id, len(j.tasks), j.record.SpecFragments, maxDeletes)...)
 }
 
-// write sends a completionWrite, and reads the job's stored status if the write has a conflict.
-func (s *Scheduler) write(ctx context.Context, id string, write *completionWrite) completionResult {
+// sendWrite sends a completionWrite, and reads the job's stored status if the write has a conflict.
+func (s *Scheduler) sendWrite(ctx context.Context, id string, write *completionWrite) completionResult {
 	if len(write.ops) == 0 {
 		return completionResult{err: errRecordTooLarge}
 	}
-	writeCtx, cancel := context.WithTimeout(ctx, completionTimeout)
+	writeCtx, cancel := context.WithTimeout(ctx, completionWriteTimeout)
 	defer cancel()
 	revision, err := s.session.Write(writeCtx, write.compares, write.ops)
 	if statekv.IsConflict(err) {
@@ -243,7 +243,7 @@
 // onCompletionWritten handles a write that was applied. The caller must hold s.mu.
 func (s *Scheduler) onCompletionWritten(id string, j *jobState, write *completionWrite, revision uint64) {
 	j.revision, j.record.SpecFragments = revision, write.specFragments
-	ended := write.ended
+	ended := write.endedCount
 	if write.final {
 		j.advance(jobRecorded, j.outcome)
 		// Stop the tasks that another attempt or another member of the gang has made redundant.
@@ -251,9 +251,9 @@
 		// This write also covers gang members that were reported as completed while it was in
 		// flight. No later write would release their attempts, and their machines would never count
 		// as idle again.
-		ended = len(j.completion.ended)
+		ended = len(j.completion.endedAttempts)
 	}
-	s.forgetEndedAttempts(j, ended)
+	s.queueForgetEnded(j, ended)
 	s.dropIfGone(id, j)
 }
 
@@ -262,12 +262,12 @@
 	for chunk := range write.chunks {
 		j.completion.dirtyChunks[chunk] = true
 	}
-	j.failures.unrecorded = j.failures.unrecorded || write.hasFailures
+	j.failures.unrecorded = j.failures.unrecorded || write.hadUnrecordedFailures
 	j.completion.markDirty(now)
 }
 
-// pause waits for the given time, or until ctx ends.
-func pause(ctx context.Context, wait time.Duration) {
+// sleep waits for the given time, or until ctx ends.
+func sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
--- a/internal/scheduler/decision.go
+++ b/internal/scheduler/decision.go
@@ -13,10 +13,10 @@
 
 // placementPlan says which tasks a placement commits, and to which candidates.
 type placementPlan struct {
-	request       agentapi.Request // restricted to the chosen zone, if there is one
-	candidates    []agentapi.Candidate
-	lists         [][]agentapi.Candidate // a list for each of the first tasks of the placement, best candidate first
-	waitsForImage bool                   // candidates that would have to fetch the image are left out
+	request        agentapi.Request // restricted to the chosen zone, if there is one
+	candidates     []agentapi.Candidate
+	taskCandidates [][]agentapi.Candidate // a list for each of the first tasks of the placement, best candidate first
+	waitsForImage  bool                   // candidates that would have to fetch the image are left out
 }
 
 // decide ranks the sampled candidates and plans the placement with those that the job accepts now.
@@ -24,8 +24,8 @@
 	usable := sampled.candidates
 	candidate.Rank(usable)
 	waitsForImage := false
-	withImage := candidate.WithImage(usable, p.job.spec.Shape)
-	if len(withImage) < len(usable) && s.waitsForImage(p, sampled.scarce) {
+	withImage := candidate.FilterByImage(usable, p.job.spec.Shape)
+	if len(withImage) < len(usable) && s.shouldDelayForImage(p, sampled.exhausted) {
 		usable, waitsForImage = withImage, true
 	}
 	plan := p.plan(usable, s.policy.MultiBind)
@@ -42,13 +42,13 @@
 		return plan
 	}
 	if zone != "" {
-		plan.candidates = candidate.InZone(usable, zone)
+		plan.candidates = candidate.FilterByZone(usable, zone)
 		plan.request.Zones = []string{zone}
 	}
-	plan.lists = candidate.Assign(plan.candidates, p.tasksNeeded(), listLength)
+	plan.taskCandidates = candidate.Assign(plan.candidates, p.tasksNeeded(), listLength)
 	if p.request.Spec.Spread {
 		limit := candidate.SpreadLimit(&p.request.Spec)
-		plan.lists = candidate.SpreadOut(plan.lists, p.othersByZone, limit)
+		plan.taskCandidates = candidate.EnforceSpreadLimit(plan.taskCandidates, p.activeByZone, limit)
 	}
 	return plan
 }
@@ -66,20 +66,20 @@
 	return zone, zone != ""
 }
 
-// waitsForImage reports whether delay scheduling applies now: the job passes over machines without
-// its image for a limited time, which starts when such a machine is first offered.
-func (s *Scheduler) waitsForImage(p *placement, scarce bool) bool {
+// shouldDelayForImage reports whether delay scheduling applies now: the job passes over machines
+// without its image for a limited time, which starts when such a machine is first offered.
+func (s *Scheduler) shouldDelayForImage(p *placement, scarce bool) bool {
 	j := p.job
 	fetch := s.fetchTime(j.spec)
-	slack := startSlack(j.startWithin, time.Since(j.readyAt), fetch)
-	bounds, allowed := j.delayForImage(p.tasksNeeded(), scarce, fetch, slack)
+	slack := startSlack(j.startTargets, time.Since(j.readyAt), fetch)
+	bounds, allowed := j.delayBounds(p.tasksNeeded(), scarce, fetch, slack)
 	if !allowed {
 		return false
 	}
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return j.delay.waits(bounds, &j.preemption, now)
+	return j.delay.shouldWait(bounds, &j.preemption, now)
 }
 
 // fetchTime estimates how long the fetch of the job's image takes on the slowest machine type that
--- a/internal/scheduler/delay_scheduling.go
+++ b/internal/scheduler/delay_scheduling.go
@@ -51,21 +51,21 @@
 	usual, max time.Duration
 }
 
-// delayForImage returns how long a job that needs machines for the given number of tasks may pass
+// delayBounds returns how long a job that needs machines for the given number of tasks may pass
 // over machines without its image, and false if it must accept them at once. fetch is the estimated
 // fetch time of the image; slack is the time that the start targets leave (see startSlack).
-func (j *jobState) delayForImage(tasks int, scarce bool, fetch, slack time.Duration) (imageDelayBounds, bool) {
+func (j *jobState) delayBounds(tasks int, scarce bool, fetch, slack time.Duration) (imageDelayBounds, bool) {
 	if !j.isGang() {
-		return imageDelayBounds{usual: scale(arrayDelayShare, fetch)}, scarce
+		return imageDelayBounds{usual: scaleDuration(arrayDelayShare, fetch)}, scarce
 	}
-	bounds := imageDelayBounds{usual: min(scale(gangDelayShare, fetch), slack), max: slack}
+	bounds := imageDelayBounds{usual: min(scaleDuration(gangDelayShare, fetch), slack), max: slack}
 	return bounds, tasks <= maxDelayedGangTasks
 }
 
-// waits reports whether the job passes over machines without its image at the given time. The delay
-// is longer, within the start targets, while tasks are being preempted on machines because these
-// have the image.
-func (d *imageDelay) waits(bounds imageDelayBounds, preempting *preemption, now time.Time) bool {
+// shouldWait reports whether the job passes over machines without its image at the given time. The
+// delay is longer, within the start targets, while tasks are being preempted on machines because
+// these have the image.
+func (d *imageDelay) shouldWait(bounds imageDelayBounds, preempting *preemption, now time.Time) bool {
 	if d.until.IsZero() {
 		d.until, d.maxUntil = now.Add(bounds.usual), now.Add(bounds.max)
 	}
@@ -87,26 +87,26 @@
 			break
 		}
 	}
-	return max(0, remaining-scale(slowestFetchFactor, fetch)-gangStartMargin)
+	return max(0, remaining-scaleDuration(slowestFetchFactor, fetch)-gangStartMargin)
 }
 
-// timeToStart returns the time left until the job's tightest start target; 0 if the target is
+// timeToStartTarget returns the time left until the job's tightest start target; 0 if the target is
 // missed or there is none.
-func (j *jobState) timeToStart(now time.Time) time.Duration {
-	if len(j.startWithin) == 0 {
+func (j *jobState) timeToStartTarget(now time.Time) time.Duration {
+	if len(j.startTargets) == 0 {
 		return 0
 	}
-	return max(0, j.startWithin[0]-now.Sub(j.readyAt))
+	return max(0, j.startTargets[0]-now.Sub(j.readyAt))
 }
 
-// fetchMissesObjective reports whether a gang would miss its tightest start target if it fetched
+// fetchMissesStartTarget reports whether a gang would miss its tightest start target if it fetched
 // its image, but could meet it if machines with the image were preempted for it.
-func (j *jobState) fetchMissesObjective(fetch time.Duration, now time.Time) bool {
-	remaining := j.timeToStart(now)
-	return remaining > preemptionDuration && remaining < scale(lateFetchFactor, fetch)
+func (j *jobState) fetchMissesStartTarget(fetch time.Duration, now time.Time) bool {
+	remaining := j.timeToStartTarget(now)
+	return remaining > preemptionDuration && remaining < scaleDuration(lateFetchFactor, fetch)
 }
 
-// scale multiplies a duration by a factor.
-func scale(factor float64, d time.Duration) time.Duration {
+// scaleDuration multiplies a duration by a factor.
+func scaleDuration(factor float64, d time.Duration) time.Duration {
 	return time.Duration(factor * float64(d))
 }
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		if j.phase == jobBlocked {
-			s.checkBlocked(id, j, now)
+			s.checkBlockedJob(id, j, now)
 		}
 		// The urgency is also reset when the dependent that caused it has been cancelled.
 		if urgency, _ := s.dependencies.Urgency(id); urgency != j.urgency {
@@ -43,8 +43,8 @@
 	}
 }
 
-// checkBlocked evaluates the dependencies of a blocked job. The caller must hold s.mu.
-func (s *Scheduler) checkBlocked(id string, j *jobState, now time.Time) {
+// checkBlockedJob evaluates the dependencies of a blocked job. The caller must hold s.mu.
+func (s *Scheduler) checkBlockedJob(id string, j *jobState, now time.Time) {
 	result, known := s.dependencies.Evaluate(id)
 	if !known {
 		return // the dependency tracker has not seen the job's record yet
@@ -96,7 +96,7 @@
 		effective.DeadlineS = &remaining
 	}
 	j.effective = &effective
-	j.limits = s.settings.CompletionTargets(effective.Class, effective.DeadlineS)
+	j.completionTargets = s.settings.CompletionTargets(effective.Class, effective.DeadlineS)
 }
 
 // describeDependencies describes for the status which dependencies a blocked job waits for.
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -52,8 +52,8 @@
 // failureHistory holds the failures of a job. Except for the avoided machines, it covers the time
 // since a task of the job last completed.
 type failureHistory struct {
-	avoid      []string // machines of recent failures, oldest first
-	avoidUntil time.Time
+	avoidedMachines []string // machines of recent failures, oldest first
+	avoidUntil      time.Time
 
 	failedOn    map[string]bool // machines on which the job failed
 	consecutive int             // failures that count for the backoff
@@ -63,9 +63,9 @@
 
 // avoidMachine keeps the job off a machine for avoidDuration.
 func (f *failureHistory) avoidMachine(machine string, now time.Time) {
-	f.avoid = append(f.avoid, machine)
-	if len(f.avoid) > maxAvoided {
-		f.avoid = f.avoid[1:]
+	f.avoidedMachines = append(f.avoidedMachines, machine)
+	if len(f.avoidedMachines) > maxAvoided {
+		f.avoidedMachines = f.avoidedMachines[1:]
 	}
 	f.avoidUntil = now.Add(avoidDuration)
 }
@@ -73,9 +73,9 @@
 // avoided returns the machines on which the job must not be placed now.
 func (f *failureHistory) avoided(now time.Time) []string {
 	if now.After(f.avoidUntil) {
-		f.avoid = nil
+		f.avoidedMachines = nil
 	}
-	return f.avoid
+	return f.avoidedMachines
 }
 
 // attribute adds a failure, on a machine, of a job without any completed task.
@@ -109,7 +109,7 @@
 	f.failedOn = map[string]bool{}
 	for _, machine := range recorded.Machines {
 		f.failedOn[machine] = true
-		f.avoid = append(f.avoid, machine)
+		f.avoidedMachines = append(f.avoidedMachines, machine)
 	}
 	f.avoidUntil = now.Add(avoidDuration)
 	f.consecutive, f.jobAtFault = recorded.Consecutive, recorded.Suspected
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -17,16 +17,16 @@
 	now := time.Now()
 	j.failures.avoidMachine(machine, now)
 	if j.doneCount > 0 {
-		s.reportAttribution(j, machine, true)
-		j.nextTry = now.Add(s.policy.ResampleDelay)
+		s.queueAttribution(j, machine, true)
+		j.nextPlacementAt = now.Add(s.policy.ResampleDelay)
 		return
 	}
 	s.scheduleFailureRecord(j)
 	result := j.failures.attribute(machine)
-	j.nextTry = now.Add(j.failures.backoff())
+	j.nextPlacementAt = now.Add(j.failures.backoff())
 	switch result {
 	case jobKnownAtFault:
-		s.reportAttribution(j, machine, false)
+		s.queueAttribution(j, machine, false)
 	case jobFoundAtFault:
 		s.onJobAtFault(j)
 	}
@@ -39,10 +39,10 @@
 	slog.Info("job failing on all machines",
 		"job", j.spec.ID, "class", j.spec.Class, "machines", len(j.failures.failedOn))
 	for machine := range j.failures.failedOn {
-		s.reportAttribution(j, machine, false)
+		s.queueAttribution(j, machine, false)
 	}
 	for i := range j.tasks {
-		if state := j.tasks[i].state; state == agentapi.Starting || state == worker.TaskFetching {
+		if state := j.tasks[i].reportedState; state == agentapi.Starting || state == worker.TaskFetching {
 			s.stopTask(j, i, 0)
 		}
 	}
@@ -65,25 +65,25 @@
 		return
 	}
 	j.failures.restore(recorded, now)
-	j.nextTry = now.Add(j.failures.backoff())
+	j.nextPlacementAt = now.Add(j.failures.backoff())
 }
 
 // onTaskSucceeded handles a completed task of the job: the job's earlier failures are attributed to
 // the machines on which they occurred. The caller must hold s.mu.
 func (s *Scheduler) onTaskSucceeded(j *jobState) {
 	for machine := range j.failures.failedOn {
-		s.reportAttribution(j, machine, true)
+		s.queueAttribution(j, machine, true)
 	}
 	if j.failures.jobAtFault {
 		slog.Info("job failure cleared", "job", j.spec.ID)
-		j.nextTry = time.Time{}
+		j.nextPlacementAt = time.Time{}
 	}
 	j.failures.clear()
 }
 
-// reportAttribution queues a message to the machine's owner that says whether a failure of the job
+// queueAttribution queues a message to the machine's owner that says whether a failure of the job
 // is attributed to the machine. The caller must hold s.mu.
-func (s *Scheduler) reportAttribution(j *jobState, machine string, machineAtFault bool) {
+func (s *Scheduler) queueAttribution(j *jobState, machine string, machineAtFault bool) {
 	s.outbox.attributions = append(s.outbox.attributions,
 		agentapi.Attribution{Machine: machine, Job: j.spec.ID, AtFault: machineAtFault})
 }
--- a/internal/scheduler/gang_commit.go
+++ b/internal/scheduler/gang_commit.go
@@ -9,8 +9,8 @@
 	"robinstack/internal/agentapi"
 )
 
-// heldTask is a gang member with the machine that has reserved capacity for it.
-type heldTask struct {
+// reservedTask is a gang member with the machine that has reserved capacity for it.
+type reservedTask struct {
 	binding *binding
 	machine agentapi.Candidate
 }
@@ -21,29 +21,29 @@
 func (s *Scheduler) commitGang(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding,
 ) bool {
-	reserved, complete := s.holdGang(ctx, j, commit, bindings)
+	reserved, complete := s.reserveGang(ctx, j, commit, bindings)
 	if !complete {
-		s.releaseHeld(reserved)
-		s.abandonGranted(j, bindings)
+		s.releaseReserved(reserved)
+		s.requeueAndReleaseGrants(j, bindings)
 		return false
 	}
-	s.startHeld(ctx, j, commit, reserved)
+	s.startReserved(ctx, j, commit, reserved)
 	refused := slices.DeleteFunc(slices.Clone(bindings), func(b *binding) bool { return !b.wasRefused() })
 	if len(refused) == 0 {
 		return true
 	}
-	s.abandonGranted(j, refused)
+	s.requeueAndReleaseGrants(j, refused)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopAllTasks(j, 0)
 	return false
 }
 
-// holdGang reserves capacity for each member and reports whether that succeeded for all. Members
+// reserveGang reserves capacity for each member and reports whether that succeeded for all. Members
 // also try the candidates of the first binding.
-func (s *Scheduler) holdGang(
+func (s *Scheduler) reserveGang(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding,
-) (reserved []heldTask, complete bool) {
+) (reserved []reservedTask, complete bool) {
 	fallbacks := bindings[0].candidates
 	assigned := map[string]int{}
 	ordered := slices.Clone(bindings)
@@ -53,20 +53,20 @@
 			cmp.Compare(a.ref.Index, b.ref.Index))
 	})
 	for _, b := range ordered {
-		machine, ok := s.holdMember(ctx, j, commit, b, slices.Concat(b.candidates, fallbacks), assigned)
+		machine, ok := s.reserveMember(ctx, j, commit, b, slices.Concat(b.candidates, fallbacks), assigned)
 		if !ok {
 			return reserved, false
 		}
 		assigned[machine.Machine]++
-		reserved = append(reserved, heldTask{binding: b, machine: machine})
+		reserved = append(reserved, reservedTask{binding: b, machine: machine})
 	}
 	return reserved, true
 }
 
-// holdMember reserves capacity for one member on the first candidate that accepts it and is not
+// reserveMember reserves capacity for one member on the first candidate that accepts it and is not
 // filled by earlier members. It gives up if a commit remains unresolved, because the candidate may
 // hold the reservation.
-func (s *Scheduler) holdMember(
+func (s *Scheduler) reserveMember(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest,
 	b *binding, candidates []agentapi.Candidate, assigned map[string]int,
 ) (machine agentapi.Candidate, ok bool) {
@@ -74,7 +74,7 @@
 		if assigned[c.Machine] >= c.Fits {
 			continue
 		}
-		s.commit(ctx, j, commit, []*binding{b}, c, holdCapacity)
+		s.commit(ctx, j, commit, []*binding{b}, c, reserveOnly)
 		switch b.result {
 		case agentapi.Held:
 			return c, true
@@ -85,18 +85,18 @@
 	return agentapi.Candidate{}, false
 }
 
-// releaseHeld tells machines to release the capacity reserved for the members.
-func (s *Scheduler) releaseHeld(reserved []heldTask) {
+// releaseReserved tells machines to release the capacity reserved for the members.
+func (s *Scheduler) releaseReserved(reserved []reservedTask) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range reserved {
-		s.forget(agentapi.StopItem{Machine: h.machine.Machine, TaskRef: h.binding.ref})
+		s.queueForget(agentapi.StopItem{Machine: h.machine.Machine, TaskRef: h.binding.ref})
 	}
 }
 
-// startHeld starts all members of a gang with one commit per machine.
-func (s *Scheduler) startHeld(
-	ctx context.Context, j *jobState, commit agentapi.CommitRequest, reserved []heldTask,
+// startReserved starts all members of a gang with one commit per machine.
+func (s *Scheduler) startReserved(
+	ctx context.Context, j *jobState, commit agentapi.CommitRequest, reserved []reservedTask,
 ) {
 	groups := map[string][]*binding{}
 	machines := map[string]agentapi.Candidate{}
--- a/internal/scheduler/image_delay_test.go
+++ b/internal/scheduler/image_delay_test.go
@@ -30,19 +30,19 @@
 	bounds := imageDelayBounds{usual: 2 * time.Second, max: 6 * time.Second}
 	var delay imageDelay
 	var none preemption
-	if !delay.waits(bounds, &none, now) || !delay.waits(bounds, &none, now.Add(time.Second)) {
+	if !delay.shouldWait(bounds, &none, now) || !delay.shouldWait(bounds, &none, now.Add(time.Second)) {
 		t.Error("job does not wait within its delay")
 	}
-	if delay.waits(bounds, &none, now.Add(3*time.Second)) {
+	if delay.shouldWait(bounds, &none, now.Add(3*time.Second)) {
 		t.Error("job waits beyond its delay")
 	}
 	preempting := preemption{until: now.Add(10 * time.Second), scope: machinesWithImage}
-	if !delay.waits(bounds, &preempting, now.Add(3*time.Second)) ||
-		delay.waits(bounds, &preempting, now.Add(7*time.Second)) {
+	if !delay.shouldWait(bounds, &preempting, now.Add(3*time.Second)) ||
+		delay.shouldWait(bounds, &preempting, now.Add(7*time.Second)) {
 		t.Error("during preemption on machines with the image, job does not wait until the start target bound")
 	}
 	preempting.scope = allMachines
-	if delay.waits(bounds, &preempting, now.Add(3*time.Second)) {
+	if delay.shouldWait(bounds, &preempting, now.Add(3*time.Second)) {
 		t.Error("job waits beyond its delay during preemption on machines without its image")
 	}
 }
@@ -52,18 +52,18 @@
 	array := &jobState{spec: &job.Spec{Shape: job.Array}}
 	gang := &jobState{spec: &job.Spec{Shape: job.Gang}}
 	fetch, slack := 100*time.Second, 15*time.Second
-	if bounds, allowed := array.delayForImage(1, true, fetch, slack); !allowed ||
+	if bounds, allowed := array.delayBounds(1, true, fetch, slack); !allowed ||
 		bounds.usual != 12*time.Second || bounds.max != 0 {
 		t.Errorf("array: got %+v, %v; want a usual delay of 12s only", bounds, allowed)
 	}
-	if _, allowed := array.delayForImage(1, false, fetch, slack); allowed {
+	if _, allowed := array.delayBounds(1, false, fetch, slack); allowed {
 		t.Error("array waits although capacity is not scarce")
 	}
-	bounds, allowed := gang.delayForImage(maxDelayedGangTasks, false, fetch, slack)
+	bounds, allowed := gang.delayBounds(maxDelayedGangTasks, false, fetch, slack)
 	if !allowed || bounds.usual != slack || bounds.max != slack {
 		t.Errorf("gang: got %+v, %v; want both bounds %v", bounds, allowed, slack)
 	}
-	if _, allowed := gang.delayForImage(maxDelayedGangTasks+1, true, fetch, slack); allowed {
+	if _, allowed := gang.delayBounds(maxDelayedGangTasks+1, true, fetch, slack); allowed {
 		t.Error("gang of more than maxDelayedGangTasks tasks waits")
 	}
 }
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -29,9 +29,9 @@
 	seenAt   time.Time
 }
 
-// load adds a job from its record. accepted says that this session has just written the record, so
-// no task of the job can have completed and no completed chunks are read.
-func (s *Scheduler) load(ctx context.Context, record *job.Record, revision uint64, accepted bool) error {
+// loadJob adds a job from its record. accepted says that this session has just written the record,
+// so no task of the job can have completed and no completed chunks are read.
+func (s *Scheduler) loadJob(ctx context.Context, record *job.Record, revision uint64, accepted bool) error {
 	j := &jobState{
 		spec:        &record.Spec,
 		record:      record,
@@ -41,32 +41,32 @@
 		accepted:    accepted,
 		tasks:       make([]taskState, record.Spec.Tasks),
 		done:        job.NewTaskBitmap(record.Spec.Tasks),
-		completion:  completion{dirtyChunks: map[int]bool{}},
+		completion:  pendingCompletion{dirtyChunks: map[int]bool{}},
 	}
 	if err := j.done.LoadChunk(0, record.CompletedTasks); err != nil {
 		slog.Error("job record unusable", "job", record.Spec.ID, "err", err)
 	}
 	if !accepted {
-		if err := s.loadChunks(ctx, j); err != nil {
+		if err := s.loadCompletedChunks(ctx, j); err != nil {
 			return err
 		}
 	}
 	j.doneCount = j.done.Len()
-	j.begun = j.doneCount > 0
+	j.started = j.doneCount > 0
 	j.restoreFailures(record.Failures, time.Now())
 	j.readyAt, j.effective = j.submittedAt, j.spec
 	if len(j.spec.WaitsOn) == 0 {
 		j.advance(jobRunnable, "")
 	}
-	j.limits = s.settings.CompletionTargets(j.spec.Class, j.spec.DeadlineS)
-	j.startWithin = s.settings.StartTargets(j.spec.Class)
-	s.add(j)
+	j.completionTargets = s.settings.CompletionTargets(j.spec.Class, j.spec.DeadlineS)
+	j.startTargets = s.settings.StartTargets(j.spec.Class)
+	s.addJob(j)
 	return nil
 }
 
-// loadChunks reads the chunks of completed tasks that have keys of their own. Chunk 0 is part of
-// the job's record.
-func (s *Scheduler) loadChunks(ctx context.Context, j *jobState) error {
+// loadCompletedChunks reads the chunks of completed tasks that have keys of their own. Chunk 0 is
+// part of the job's record.
+func (s *Scheduler) loadCompletedChunks(ctx context.Context, j *jobState) error {
 	for k := 1; k < job.ChunkCount(j.spec.Tasks); k++ {
 		kv, err := s.store.Get(ctx, job.CompletedChunkKey(j.spec.ID, k))
 		if errors.Is(err, statekv.ErrNotFound) {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// add adds a loaded job, unless a later state of the job is known.
-func (s *Scheduler) add(j *jobState) {
+// addJob adds a loaded job, unless a later state of the job is known.
+func (s *Scheduler) addJob(j *jobState) {
 	id := j.spec.ID
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +96,7 @@
 	}
 	j.class = s.classFor(j.spec)
 	known := s.jobs[id]
-	if known == nil || j.revision > known.revision && !known.completion.writing && known.shardID != j.shardID {
+	if known == nil || j.revision > known.revision && !known.completion.writeInFlight && known.shardID != j.shardID {
 		s.jobs[id] = j
 		s.dependenciesCheckedAt = time.Time{}
 	}
@@ -105,7 +105,7 @@
 
 // OnJobAccepted adds a job whose record this controller has just written.
 func (s *Scheduler) OnJobAccepted(record *job.Record, revision uint64) {
-	if err := s.load(context.Background(), record, revision, true); err != nil {
+	if err := s.loadJob(context.Background(), record, revision, true); err != nil {
 		slog.Error("job load failed", "job", record.Spec.ID, "err", err)
 	}
 }
@@ -131,15 +131,15 @@
 	defer s.mu.Unlock()
 	delete(s.otherJobs, id)
 	s.deletions[id] = recordDeletion{revision: revision, seenAt: time.Now()}
-	s.forgetDeletions()
+	s.dropOldDeletions()
 	if j := s.jobs[id]; j != nil && revision > j.revision {
 		s.onFinalRecord(id, j)
 	}
 }
 
-// forgetDeletions drops old deletions if more than maxDeletions are kept. The caller must hold
+// dropOldDeletions drops old deletions if more than maxDeletions are kept. The caller must hold
 // s.mu.
-func (s *Scheduler) forgetDeletions() {
+func (s *Scheduler) dropOldDeletions() {
 	for id, deletion := range s.deletions {
 		if len(s.deletions) > maxDeletions && time.Since(deletion.seenAt) > deletionRetention {
 			delete(s.deletions, id)
@@ -190,15 +190,15 @@
 		slog.Info(logline.JobCancelled, "job", id)
 		outcome = job.Cancelled
 	}
-	s.onRecorded(id, j, outcome)
+	s.onFinalStatusRecorded(id, j, outcome)
 }
 
-// onRecorded handles a job whose final status is durable: its running tasks are stopped, and
-// machines may forget its ended attempts. The caller must hold s.mu.
-func (s *Scheduler) onRecorded(id string, j *jobState, outcome string) {
+// onFinalStatusRecorded handles a job whose final status is durable: its running tasks are stopped,
+// and machines may forget its ended attempts. The caller must hold s.mu.
+func (s *Scheduler) onFinalStatusRecorded(id string, j *jobState, outcome string) {
 	j.advance(jobRecorded, outcome)
 	s.stopAllTasks(j, 0)
-	s.forgetEndedAttempts(j, len(j.completion.ended))
+	s.queueForgetEnded(j, len(j.completion.endedAttempts))
 	s.dropIfGone(id, j)
 }
 
--- a/internal/scheduler/job_shard.go
+++ b/internal/scheduler/job_shard.go
@@ -27,28 +27,29 @@
 	reconciled bool // every machine has been confirmed
 
 	// unconfirmed holds the machines that have not been confirmed, with the properties that decide
-	// which jobs they are eligible for; unconfirmedKinds counts them by those properties. No
+	// which jobs they are eligible for; unconfirmedCounts counts them by those properties. No
 	// machine is added after the acquisition: the owner of a machine whose key was created later
 	// already knows the epoch and rejects commits of earlier schedulers.
-	unconfirmed      map[string]machineKind
-	unconfirmedKinds map[machineKind]int
+	unconfirmed       map[string]machineProperties
+	unconfirmedCounts map[machineProperties]int
 
 	pendingLoggedAt time.Time // when the pending reconciliation was last logged
 }
 
-// machineKind holds the immutable properties of a machine that can make it ineligible for a job.
-type machineKind struct {
+// machineProperties holds the immutable properties of a machine that can make it ineligible for a
+// job.
+type machineProperties struct {
 	typeName, zone string
 	spot           bool
 }
 
 // addUnconfirmed adds a machine that has to be confirmed before the job shard is reconciled.
-func (shard *jobShard) addUnconfirmed(machine string, properties machineKind) {
+func (shard *jobShard) addUnconfirmed(machine string, properties machineProperties) {
 	if shard.unconfirmed == nil {
-		shard.unconfirmed, shard.unconfirmedKinds = map[string]machineKind{}, map[machineKind]int{}
+		shard.unconfirmed, shard.unconfirmedCounts = map[string]machineProperties{}, map[machineProperties]int{}
 	}
 	shard.unconfirmed[machine] = properties
-	shard.unconfirmedKinds[properties]++
+	shard.unconfirmedCounts[properties]++
 }
 
 // confirm removes a machine from the unconfirmed ones: its entry lists every task that earlier
@@ -59,23 +60,23 @@
 		return
 	}
 	delete(shard.unconfirmed, machine)
-	shard.unconfirmedKinds[properties]--
-	if shard.unconfirmedKinds[properties] == 0 {
-		delete(shard.unconfirmedKinds, properties)
+	shard.unconfirmedCounts[properties]--
+	if shard.unconfirmedCounts[properties] == 0 {
+		delete(shard.unconfirmedCounts, properties)
 	}
 }
 
 // markReconciled marks the job shard as reconciled: every machine has been confirmed.
 func (shard *jobShard) markReconciled() {
-	shard.reconciled, shard.unconfirmed, shard.unconfirmedKinds = true, nil, nil
+	shard.reconciled, shard.unconfirmed, shard.unconfirmedCounts = true, nil, nil
 }
 
-// mayPlace reports whether the job's pending tasks can be placed. After a takeover they cannot
+// canPlace reports whether the job's pending tasks can be placed. After a takeover they cannot
 // until every machine on which an earlier scheduler may have started one of them has been
 // confirmed. A machine is ruled out if the job does not allow its type, zone or spot property, or
 // if one of the job's tasks exceeds its capacity: every owner checks this before it sends a start
 // command (package clusteragent). The caller must hold s.mu.
-func (s *Scheduler) mayPlace(j *jobState) bool {
+func (s *Scheduler) canPlace(j *jobState) bool {
 	shard := s.shards[j.shardID]
 	switch {
 	case shard == nil:
@@ -84,7 +85,7 @@
 		return true
 	}
 	types := s.machineTypes()
-	for properties := range shard.unconfirmedKinds {
+	for properties := range shard.unconfirmedCounts {
 		machineType, known := types[properties.typeName]
 		if !j.spec.AllowsMachine(properties.typeName, properties.zone, properties.spot) {
 			continue
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -41,24 +41,24 @@
 	// scheduler can exist.
 	accepted bool
 
-	dependencies dag.Result
-	urgency      dag.Urgency     // rank and deadline derived from the jobs that depend on this one
-	effective    *job.Spec       // spec with the effective rank and deadline
-	limits       []time.Duration // completion targets by which the queue order ranks the job
-	startWithin  []time.Duration // start targets of the service-level objectives, in rising order
+	dependencies      dag.Result
+	urgency           dag.Urgency     // rank and deadline derived from the jobs that depend on this one
+	effective         *job.Spec       // spec with the effective rank and deadline
+	completionTargets []time.Duration // completion targets by which the queue order ranks the job
+	startTargets      []time.Duration // start targets of the service-level objectives, in rising order
 
 	tasks     []taskState
 	done      job.TaskBitmap
 	doneCount int
 	attempts  uint64 // highest attempt number used
-	begun     bool   // a task of it has been placed or completed
+	started   bool   // a task of it has been placed or completed
 
-	placing   bool // a placement of it is in progress
-	nextTry   time.Time
-	tries     int  // placements that found no capacity
-	reserving bool // capacity is reserved for it
+	placing          bool // a placement of it is in progress
+	nextPlacementAt  time.Time
+	failedPlacements int  // placements that found no capacity
+	reserving        bool // capacity is reserved for it
 
-	completion completion
+	completion pendingCompletion
 	failures   failureHistory
 	delay      imageDelay
 	preemption preemption // used only by the job's placement
@@ -80,16 +80,16 @@
 // isGang reports whether the job's tasks run all together or not at all.
 func (j *jobState) isGang() bool { return j.spec.Shape == job.Gang }
 
-// lastStartObjective returns the longest start target of the job, or 0 if there is none.
-func (j *jobState) lastStartObjective() time.Duration {
-	if len(j.startWithin) == 0 {
+// longestStartTarget returns the longest start target of the job, or 0 if there is none.
+func (j *jobState) longestStartTarget() time.Duration {
+	if len(j.startTargets) == 0 {
 		return 0
 	}
-	return j.startWithin[len(j.startWithin)-1]
+	return j.startTargets[len(j.startTargets)-1]
 }
 
-// countWaiting counts the unfinished tasks that are pending.
-func (j *jobState) countWaiting() int {
+// countPending counts the unfinished tasks that are pending.
+func (j *jobState) countPending() int {
 	waiting := 0
 	for i := range j.tasks {
 		if j.tasks[i].status == taskPending && !j.done.Has(i) {
@@ -103,7 +103,7 @@
 func (j *jobState) countRunning() int {
 	running := 0
 	for i := range j.tasks {
-		if j.tasks[i].onMachine() && j.tasks[i].state == "running" {
+		if j.tasks[i].onMachine() && j.tasks[i].reportedState == "running" {
 			running++
 		}
 	}
--- a/internal/scheduler/machine_entries.go
+++ b/internal/scheduler/machine_entries.go
@@ -9,9 +9,9 @@
 	"robinstack/internal/worker"
 )
 
-// saveMargin is added to a task's checkpoint duration to get the grace period of its stop when the
-// machine is about to be reclaimed.
-const saveMargin = time.Second
+// checkpointMargin is added to a task's checkpoint duration to get the grace period of its stop
+// when the machine is about to be reclaimed.
+const checkpointMargin = time.Second
 
 // OnEntries applies machine entries from the change feed.
 func (s *Scheduler) OnEntries(entries []agentapi.MachineEntry) {
@@ -32,15 +32,15 @@
 			s.onAttempt(entry, attempt, j)
 		}
 	}
-	s.loseUnlisted(entry, listed)
+	s.resolveUnlistedAttempts(entry, listed)
 	if len(s.placedOn[entry.Machine]) == 0 {
 		delete(s.placedOn, entry.Machine)
 	}
 }
 
-// loseUnlisted handles the attempts that are placed on a machine and that its entry does not list:
-// an attempt is lost if this proves it gone. The caller must hold s.mu.
-func (s *Scheduler) loseUnlisted(entry *agentapi.MachineEntry, listed map[agentapi.TaskRef]bool) {
+// resolveUnlistedAttempts handles the attempts that are placed on a machine and that its entry does
+// not list: an attempt is lost if this proves it gone. The caller must hold s.mu.
+func (s *Scheduler) resolveUnlistedAttempts(entry *agentapi.MachineEntry, listed map[agentapi.TaskRef]bool) {
 	placed := s.placedOn[entry.Machine]
 	for ref := range placed {
 		j := s.jobs[ref.Job]
@@ -69,25 +69,25 @@
 	pending := task.status == taskPending
 	if pending && ended || !pending && task.attempt != listed.Attempt {
 		// The attempt was given up as lost, but it was started after all.
-		s.forget(item)
+		s.queueForget(item)
 		return
 	}
 	if pending {
 		j.attempts = max(j.attempts, listed.Attempt)
 		task.attempt = listed.Attempt
 	}
-	j.begun, j.reserving = true, false
-	task.place(entry.Machine, entry.Zone, entry.Rev, entry.Ver)
-	task.state = listed.State
-	s.notePlaced(entry.Machine, listed.TaskRef)
+	j.started, j.reserving = true, false
+	task.markPlaced(entry.Machine, entry.Zone, entry.Rev, entry.Ver)
+	task.reportedState = listed.State
+	s.addPlacedAttempt(entry.Machine, listed.TaskRef)
 	if ended {
 		s.onAttemptEnded(j, listed.Index, listed.Cause, entry.Machine)
-		s.forget(item)
+		s.queueForget(item)
 		return
 	}
 	if entry.ReclaimNoticed() && !j.isFinished() && (j.spec.CanCheckpoint() || j.spec.Shape == job.Service) {
 		// The cloud is about to reclaim the machine: checkpoint the task and restart it elsewhere.
-		s.stopTaskOrGang(j, listed.Index, j.spec.CheckpointDuration()+saveMargin)
+		s.stopTaskOrGang(j, listed.Index, j.spec.CheckpointDuration()+checkpointMargin)
 	}
 }
 
@@ -98,7 +98,7 @@
 	ended := listed.State == worker.TaskExited
 	switch {
 	case j.phase == jobRecorded:
-		s.forget(item)
+		s.queueForget(item)
 		if !ended || j.tasks[listed.Index].attempt != listed.Attempt {
 			return false
 		}
@@ -107,21 +107,21 @@
 		return true
 	case ended && listed.Cause == worker.CauseDone:
 		// The worker keeps the attempt until the completion is durable.
-		j.completion.ended = append(j.completion.ended, item)
+		j.completion.endedAttempts = append(j.completion.endedAttempts, item)
 		s.onTaskCompleted(j, listed.Index)
 		return true
 	case j.done.Has(listed.Index):
 		// Another attempt, or another task of the gang, has completed it.
-		s.forget(item)
+		s.queueForget(item)
 		return true
 	}
 	return false
 }
 
-// loseTasksOfRemovedMachines marks tasks as lost whose machines' keys have been removed, which
+// handleRemovedMachines marks tasks as lost whose machines' keys have been removed, which
 // happens only once all tasks on a machine are proven gone. The entry that shows this may never
 // arrive if the machine's owner crashes before it sends the entry.
-func (s *Scheduler) loseTasksOfRemovedMachines() {
+func (s *Scheduler) handleRemovedMachines() {
 	revision := s.mirror.Rev()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,16 +143,16 @@
 	}
 }
 
-// notePlaced records that an attempt is, or may be, on a machine. The caller must hold s.mu.
-func (s *Scheduler) notePlaced(machine string, ref agentapi.TaskRef) {
+// addPlacedAttempt records that an attempt is, or may be, on a machine. The caller must hold s.mu.
+func (s *Scheduler) addPlacedAttempt(machine string, ref agentapi.TaskRef) {
 	if s.placedOn[machine] == nil {
 		s.placedOn[machine] = map[agentapi.TaskRef]bool{}
 	}
 	s.placedOn[machine][ref] = true
 }
 
-// forget queues a message to the machine's owner: it may forget the attempt, or has to stop it if
-// it has not ended. The caller must hold s.mu.
-func (s *Scheduler) forget(item agentapi.StopItem) {
-	s.outbox.forgets = append(s.outbox.forgets, item)
+// queueForget queues a message to the machine's owner: it may forget the attempt, or has to stop it
+// if it has not ended. The caller must hold s.mu.
+func (s *Scheduler) queueForget(item agentapi.StopItem) {
+	s.outbox.forgetItems = append(s.outbox.forgetItems, item)
 }
--- a/internal/scheduler/outbox.go
+++ b/internal/scheduler/outbox.go
@@ -16,16 +16,16 @@
 	// present: the machine may have a new owner by then.
 	stopResendInterval = 2 * time.Second
 
-	// maxOutbox is the number of queued messages of a kind at which undeliverable messages of that
-	// kind are dropped instead of being queued again.
-	maxOutbox = 10_000
+	// maxUndeliveredMessages is the number of queued messages of a kind at which undeliverable
+	// messages of that kind are dropped instead of being queued again.
+	maxUndeliveredMessages = 10_000
 )
 
 // outbox holds the undelivered messages to other controllers. Scheduler.mu guards it.
 type outbox struct {
-	forgets      []agentapi.StopItem    // ended attempts to forget; superseded attempts and gang reservations to stop
-	attributions []agentapi.Attribution // failure attributions, for the owners of the machines
-	releases     []agentapi.TaskRef     // unused quota grants, for the leader
+	forgetItems   []agentapi.StopItem    // ended attempts to forget; superseded attempts and gang reservations to stop
+	attributions  []agentapi.Attribution // failure attributions, for the owners of the machines
+	grantReleases []agentapi.TaskRef     // unused quota grants, for the leader
 }
 
 // stopTask requests that a task is stopped; the request is repeated until the task is gone. grace
@@ -64,8 +64,8 @@
 func (s *Scheduler) sendOutbox(ctx context.Context) {
 	now := time.Now()
 	s.mu.Lock()
-	items := append(s.outbox.forgets, s.dueStops(now)...)
-	releases := s.outbox.releases
+	items := append(s.outbox.forgetItems, s.dueStops(now)...)
+	releases := s.outbox.grantReleases
 	attributions := s.outbox.attributions
 	s.outbox = outbox{}
 	s.mu.Unlock()
@@ -137,8 +137,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, item := range items {
-		if item.Forget && len(s.outbox.forgets) < maxOutbox {
-			s.outbox.forgets = append(s.outbox.forgets, item)
+		if item.Forget && len(s.outbox.forgetItems) < maxUndeliveredMessages {
+			s.outbox.forgetItems = append(s.outbox.forgetItems, item)
 		}
 	}
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -45,7 +45,7 @@
 		return false
 	}
 	if time.Now().Before(j.preemption.until) {
-		s.retryIn(j, preemptionRetryInterval)
+		s.postponePlacement(j, preemptionRetryInterval)
 		return true
 	}
 	if !s.quotaAllows(ctx, j, p.request.Epoch, p.tasksNeeded()) {
@@ -54,20 +54,20 @@
 	request := plan.request
 	request.Near = scope == machinesWithImage
 	if scope == allMachines {
-		request.Left = j.timeToStart(time.Now())
+		request.Left = j.timeToStartTarget(time.Now())
 	}
-	options := s.askOwners(ctx, methodListPreemptible, request).candidates
+	options := s.queryControllers(ctx, methodListPreemptible, request).candidates
 	if scope == machinesWithImage {
 		options = s.cheaperThanFetch(j, options)
 	}
 	candidate.Rank(options)
-	chosen := candidate.ChooseFreed(j.spec.OneZone, plan.candidates, options, p.tasksNeeded())
+	chosen := candidate.ChooseMachinesToFree(j.spec.OneZone, plan.candidates, options, p.tasksNeeded())
 	if len(chosen) == 0 {
 		return false
 	}
 	s.reserveMachines(ctx, methodPreempt, p, request, chosen, plan.candidates, p.tasksNeeded())
 	j.preemption = preemption{until: time.Now().Add(preemptionWait), scope: scope}
-	s.retryIn(j, preemptionRetryInterval)
+	s.postponePlacement(j, preemptionRetryInterval)
 	return true
 }
 
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -13,9 +13,9 @@
 
 	// Delay between a wake-up and the dispatch, which coalesces wake-ups: under load they arrive
 	// all the time. A dispatch examines all jobs, so the delay grows with their number.
-	minWakeUpPause    = 10 * time.Millisecond
-	wakeUpPausePerJob = 100 * time.Microsecond
-	maxWakeUpPause    = 50 * time.Millisecond
+	minCoalesceDelay    = 10 * time.Millisecond
+	coalesceDelayPerJob = 100 * time.Microsecond
+	maxCoalesceDelay    = 50 * time.Millisecond
 )
 
 // runQueue dispatches on every wake-up and at least once per dispatchInterval, until ctx ends.
@@ -28,15 +28,15 @@
 		case <-ctx.Done():
 		case <-tick.C:
 		case <-s.wakeUp:
-			time.Sleep(s.wakeUpPause())
+			time.Sleep(s.coalesceDelay())
 		}
 	}
 }
 
-func (s *Scheduler) wakeUpPause() time.Duration {
+func (s *Scheduler) coalesceDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(maxWakeUpPause, minWakeUpPause+time.Duration(len(s.jobs))*wakeUpPausePerJob)
+	return min(maxCoalesceDelay, minCoalesceDelay+time.Duration(len(s.jobs))*coalesceDelayPerJob)
 }
 
 // wake makes runQueue dispatch soon.
@@ -47,8 +47,8 @@
 	}
 }
 
-// queued is a job that may be placed now, with its queue order.
-type queued struct {
+// queueEntry is a job that may be placed now, with its queue order.
+type queueEntry struct {
 	job   *jobState
 	order float64
 }
@@ -62,11 +62,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.checkDependencies(now)
-	if s.placements >= maxPlacements {
+	if s.activePlacements >= maxPlacements {
 		return // the end of a placement wakes the queue
 	}
-	for _, next := range s.queue(now) {
-		if s.placements >= maxPlacements {
+	for _, next := range s.queuedJobs(now) {
+		if s.activePlacements >= maxPlacements {
 			break
 		}
 		j := next.job
@@ -74,21 +74,21 @@
 			continue
 		}
 		j.placing = true
-		j.class.placements++
-		s.placements++
+		j.class.activePlacements++
+		s.activePlacements++
 		s.background.Go(func() { s.place(ctx, j) })
 	}
 }
 
-// queue lists the jobs that may be placed now, in queue order. The caller must hold s.mu.
-func (s *Scheduler) queue(now time.Time) []queued {
-	var queue []queued
+// queuedJobs lists the jobs that may be placed now, in queue order. The caller must hold s.mu.
+func (s *Scheduler) queuedJobs(now time.Time) []queueEntry {
+	var queue []queueEntry
 	for _, j := range s.jobs {
 		if s.mayDispatch(j, now) {
-			queue = append(queue, queued{job: j, order: j.queueOrder(s.policy, now)})
+			queue = append(queue, queueEntry{job: j, order: j.queueOrder(s.policy, now)})
 		}
 	}
-	slices.SortFunc(queue, func(a, b queued) int {
+	slices.SortFunc(queue, func(a, b queueEntry) int {
 		return cmp.Or(cmp.Compare(b.order, a.order), cmp.Compare(a.job.spec.ID, b.job.spec.ID))
 	})
 	return queue
@@ -96,11 +96,11 @@
 
 // mayDispatch reports whether a placement of the job may start now. The caller must hold s.mu.
 func (s *Scheduler) mayDispatch(j *jobState, now time.Time) bool {
-	if j.phase != jobRunnable || j.placing || now.Before(j.nextTry) {
+	if j.phase != jobRunnable || j.placing || now.Before(j.nextPlacementAt) {
 		return false
 	}
-	if now.Before(j.class.fullUntil) && !j.startOverdue(now) {
+	if now.Before(j.class.pausedUntil) && !j.startOverdue(now) {
 		return false
 	}
-	return s.mayPlace(j) && j.hasPlaceableTasks()
+	return s.canPlace(j) && j.hasPlaceableTasks()
 }
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -25,12 +25,12 @@
 
 // Queue orders of jobs whose start is overdue. At first such a job precedes all others of its rank;
 // after half of the time that then remains until startDeadline it precedes all other jobs. This
-// precedence preempts no tasks. Within a rank the policy's order stays below firstInRank, ranks are
-// rankStep apart, and firstOfAll is above all ranks.
+// precedence preempts no tasks. Within a rank the policy's order stays below overdueRankOffset,
+// ranks are rankStep apart, and overdueGlobalOrder is above all ranks.
 const (
-	firstInRank = 5e8
-	rankStep    = 1e9
-	firstOfAll  = 1e11
+	overdueRankOffset  = 5e8
+	rankStep           = 1e9
+	overdueGlobalOrder = 1e11
 )
 
 // overdueAfter returns the age at which the start of a job becomes overdue. If no task of the job
@@ -51,22 +51,23 @@
 // startOverdue reports whether the job should have started by now. A job that fails on every
 // machine is never overdue.
 func (j *jobState) startOverdue(now time.Time) bool {
-	if j.begun || j.phase == jobBlocked || j.failures.jobAtFault {
+	if j.started || j.phase == jobBlocked || j.failures.jobAtFault {
 		return false
 	}
 	return now.Sub(j.readyAt) > j.overdueAfter()
 }
 
-// order returns the queue order of a job that does not fail on every machine; higher goes first.
-func (j *jobState) order(pol *policy.Policy, now time.Time) float64 {
+// eligibleOrder returns the queue order of a job that does not fail on every machine; higher goes
+// first.
+func (j *jobState) eligibleOrder(pol *policy.Policy, now time.Time) float64 {
 	age := now.Sub(j.readyAt)
 	switch {
 	case !j.startOverdue(now):
-		return pol.QueueOrder(j.effective, age, j.limits, j.lastStartObjective())
+		return pol.QueueOrder(j.effective, age, j.completionTargets, j.longestStartTarget())
 	case age > (startDeadline+j.overdueAfter())/2:
-		return firstOfAll + age.Seconds()
+		return overdueGlobalOrder + age.Seconds()
 	}
-	return float64(j.effective.Priority())*rankStep + firstInRank + age.Seconds()
+	return float64(j.effective.Priority())*rankStep + overdueRankOffset + age.Seconds()
 }
 
 // queueOrder returns the queue order of the job. Jobs that fail on every machine go last.
@@ -74,7 +75,7 @@
 	if j.failures.jobAtFault {
 		return math.Inf(-1)
 	}
-	return j.order(pol, now)
+	return j.eligibleOrder(pol, now)
 }
 
 // batchSize returns the maximum number of the job's tasks in one placement.
@@ -93,6 +94,6 @@
 // hasPlaceableTasks reports whether the job has waiting tasks that a placement can place. A gang is
 // placed only as a whole.
 func (j *jobState) hasPlaceableTasks() bool {
-	waiting := j.countWaiting()
+	waiting := j.countPending()
 	return waiting > 0 && (!j.isGang() || waiting == len(j.tasks))
 }
--- a/internal/scheduler/queue_order_test.go
+++ b/internal/scheduler/queue_order_test.go
@@ -20,15 +20,15 @@
 		deadlineS := 60.0
 		spec := &job.Spec{ID: "wk-1", Rank: rank, Tasks: 500, EstimateS: 50, DeadlineS: &deadlineS}
 		return &jobState{
-			spec:      spec,
-			effective: spec,
-			phase:     jobRunnable,
-			readyAt:   now.Add(-age),
-			begun:     begun,
-			limits:    []time.Duration{time.Minute},
+			spec:              spec,
+			effective:         spec,
+			phase:             jobRunnable,
+			readyAt:           now.Add(-age),
+			started:           begun,
+			completionTargets: []time.Duration{time.Minute},
 		}
 	}
-	order := func(j *jobState) float64 { return j.order(pol, now) }
+	order := func(j *jobState) float64 { return j.eligibleOrder(pol, now) }
 	late, fresh := newJob("normal", 175*time.Second, false), newJob("normal", time.Second, false)
 	if order(late) > order(fresh) {
 		t.Error("a job whose start is not overdue precedes a fresh one although it has missed its completion targets")
--- a/internal/scheduler/quota_grants.go
+++ b/internal/scheduler/quota_grants.go
@@ -65,7 +65,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, b := range bindings {
-		s.outbox.releases = append(s.outbox.releases, b.ref)
+		s.outbox.grantReleases = append(s.outbox.grantReleases, b.ref)
 	}
 }
 
@@ -73,7 +73,7 @@
 // must hold s.mu.
 func (s *Scheduler) queueRelease(j *jobState, ref agentapi.TaskRef) {
 	if s.settings.HasQuota(j.spec.Team) {
-		s.outbox.releases = append(s.outbox.releases, ref)
+		s.outbox.grantReleases = append(s.outbox.grantReleases, ref)
 	}
 }
 
@@ -87,8 +87,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.outbox.releases) < maxOutbox {
-		s.outbox.releases = append(s.outbox.releases, refs...)
+	if len(s.outbox.grantReleases) < maxUndeliveredMessages {
+		s.outbox.grantReleases = append(s.outbox.grantReleases, refs...)
 	}
 }
 
--- a/internal/scheduler/random_faults_test.go
+++ b/internal/scheduler/random_faults_test.go
@@ -148,7 +148,8 @@
 	f.startSession(host)
 }
 
-// crashAndRestart crashes a controller and starts it again within 10 s, if the other one is running.
+// crashAndRestart crashes a controller and starts it again within 10 s, if the other one is
+// running.
 func (f *faultInjector) crashAndRestart(host string) {
 	controller := f.controller(host)
 	if controller == nil || f.controller(otherHost(host)) == nil {
@@ -165,7 +166,8 @@
 	f.workers.DeliverHeldCommands(machine)
 }
 
-// scheduleHeartbeatCopy schedules a copy of a machine's last heartbeat for delivery up to 60 s later.
+// scheduleHeartbeatCopy schedules a copy of a machine's last heartbeat for delivery up to 60 s
+// later.
 func (f *faultInjector) scheduleHeartbeatCopy(machine *emulator.Worker) {
 	var heartbeat worker.Heartbeat
 	f.workers.WithLock(func() {
@@ -176,8 +178,8 @@
 	f.heartbeatCopies = append(f.heartbeatCopies, heartbeatCopy{heartbeat, deliverAt})
 }
 
-// deliverHeartbeatCopies delivers each copied heartbeat that is due to a random controller, at every
-// step again.
+// deliverHeartbeatCopies delivers each copied heartbeat that is due to a random controller, at
+// every step again.
 func (f *faultInjector) deliverHeartbeatCopies() {
 	for _, copied := range f.heartbeatCopies {
 		controller := f.controller(f.randomHost())
--- a/internal/scheduler/record_schema.go
+++ b/internal/scheduler/record_schema.go
@@ -12,9 +12,9 @@
 	"robinstack/internal/statekv"
 )
 
-// openRecord returns the record to be written for an unfinished job. The failure history is left
-// out if the record would exceed the value size limit with it.
-func (s *Scheduler) openRecord(j *jobState, withFailures bool) job.Record {
+// buildOpenRecord returns the record to be written for an unfinished job. The failure history is
+// left out if the record would exceed the value size limit with it.
+func (s *Scheduler) buildOpenRecord(j *jobState, withFailures bool) job.Record {
 	record := job.Record{
 		Spec:              *j.spec,
 		JobShard:          j.shardID,
--- a/internal/scheduler/sampling.go
+++ b/internal/scheduler/sampling.go
@@ -19,15 +19,15 @@
 
 // sampleResult is the merged answer of the controllers that were asked.
 type sampleResult struct {
-	candidates []agentapi.Candidate
-	scarce     bool // every controller that answered drew all of its machines and found too few
-	crowded    bool // capacity exists, but only beside fetches of other images
+	candidates     []agentapi.Candidate
+	exhausted      bool // every controller that answered drew all of its machines and found too few
+	fetchContended bool // capacity exists, but only beside fetches of other images
 }
 
 // sample asks for machines that have capacity for tasks of the job.
 func (s *Scheduler) sample(ctx context.Context, p *placement) sampleResult {
-	result := s.askOwners(ctx, methodSample, p.request)
-	if result.scarce {
+	result := s.queryControllers(ctx, methodSample, p.request)
+	if result.exhausted {
 		s.mu.Lock()
 		p.job.class.scarceUntil = time.Now().Add(scarceDuration)
 		s.mu.Unlock()
@@ -35,15 +35,15 @@
 	return result
 }
 
-// askOwners sends a request to a random share of the controllers and merges the answers.
+// queryControllers sends a request to a random share of the controllers and merges the answers.
 // Controllers that fail or do not answer within SampleTimeout are ignored.
-func (s *Scheduler) askOwners(ctx context.Context, method string, request agentapi.Request) sampleResult {
+func (s *Scheduler) queryControllers(ctx context.Context, method string, request agentapi.Request) sampleResult {
 	hosts := candidate.PickHosts(s.session.AliveHosts(), s.policy.SampleControllerShare, shuffle)
 	callCtx, cancel := context.WithTimeout(ctx, s.policy.SampleTimeout)
 	defer cancel()
 	var (
 		mu     sync.Mutex // mu guards all
-		merged = sampleResult{scarce: true}
+		merged = sampleResult{exhausted: true}
 		calls  sync.WaitGroup
 	)
 	for _, host := range hosts {
@@ -56,8 +56,8 @@
 			mu.Lock()
 			defer mu.Unlock()
 			merged.candidates = append(merged.candidates, reply.Candidates...)
-			merged.scarce = merged.scarce && reply.Exhausted
-			merged.crowded = merged.crowded || reply.Crowded
+			merged.exhausted = merged.exhausted && reply.Exhausted
+			merged.fetchContended = merged.fetchContended || reply.Crowded
 		})
 	}
 	calls.Wait()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -67,18 +67,18 @@
 	// background tracks the goroutines that the loops start: placements, writes and calls.
 	background sync.WaitGroup
 
-	mu         sync.Mutex
-	jobs       map[string]*jobState
-	shards     map[string]*jobShard
-	ownShard   string          // ID of the job shard that takes new jobs; "" before it is created
-	otherJobs  map[string]bool // IDs of open jobs in job shards of other controllers
-	deletions  map[string]recordDeletion
-	placedOn   map[string]map[agentapi.TaskRef]bool // by machine: attempts that are or may be there
-	stopping   map[agentapi.TaskRef]bool            // attempts being stopped
-	outbox     outbox
-	classes    map[classKey]*schedulingClass
-	placements int // placements in progress
-	counters   Counters
+	mu               sync.Mutex
+	jobs             map[string]*jobState
+	shards           map[string]*jobShard
+	ownShard         string          // ID of the job shard that takes new jobs; "" before it is created
+	otherJobs        map[string]bool // IDs of open jobs in job shards of other controllers
+	deletions        map[string]recordDeletion
+	placedOn         map[string]map[agentapi.TaskRef]bool // by machine: attempts that are or may be there
+	stopping         map[agentapi.TaskRef]bool            // attempts being stopped
+	outbox           outbox
+	classes          map[classKey]*schedulingClass
+	activePlacements int // placements in progress
+	counters         Counters
 
 	dependencyGeneration  uint64 // generation of the dependency tracker at the latest check
 	dependenciesCheckedAt time.Time
@@ -142,13 +142,13 @@
 
 	var loops sync.WaitGroup
 	startLoop := func(interval time.Duration, fn func(context.Context)) {
-		loops.Go(func() { runEvery(ctx, interval, fn) })
+		loops.Go(func() { runPeriodically(ctx, interval, fn) })
 	}
 	startLoop(shardInterval, s.maintainShards)
 	startLoop(completionInterval, s.recordCompletions)
 	startLoop(outboxInterval, s.sendOutbox)
 	startLoop(demandInterval, s.reportDemand)
-	startLoop(removedMachineInterval, func(context.Context) { s.loseTasksOfRemovedMachines() })
+	startLoop(removedMachineInterval, func(context.Context) { s.handleRemovedMachines() })
 	startLoop(classCleanupInterval, func(context.Context) { s.dropUnusedClasses() })
 	startLoop(shardReleaseInterval, s.releaseShards)
 	s.runQueue(ctx)
@@ -159,8 +159,8 @@
 // session does not require Wait: epochs and the compare on the session's key fence later writes.
 func (s *Scheduler) Wait() { s.background.Wait() }
 
-// runEvery calls fn once per interval, the first time at once, until ctx ends.
-func runEvery(ctx context.Context, interval time.Duration, fn func(context.Context)) {
+// runPeriodically calls fn once per interval, the first time at once, until ctx ends.
+func runPeriodically(ctx context.Context, interval time.Duration, fn func(context.Context)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
--- a/internal/scheduler/scheduling_class.go
+++ b/internal/scheduler/scheduling_class.go
@@ -25,9 +25,9 @@
 // placements would give each job a part of the capacity that comes free; since a job finishes only
 // with its last task, few jobs would finish in time.
 type schedulingClass struct {
-	fullUntil   time.Time // a job of the class found no capacity; its jobs pause until then
-	scarceUntil time.Time // a recent sample exhausted all machines
-	placements  int       // placements in progress
+	pausedUntil      time.Time // a job of the class found no capacity; its jobs pause until then
+	scarceUntil      time.Time // a recent sample exhausted all machines
+	activePlacements int       // placements in progress
 }
 
 // classKeyOf returns the key of the job's scheduling class.
@@ -69,5 +69,5 @@
 // waitsForClass reports whether an array has to wait because another job of its class is being
 // placed while capacity is scarce.
 func (j *jobState) waitsForClass(now time.Time) bool {
-	return j.spec.Shape == job.Array && j.class.placements > 0 && now.Before(j.class.scarceUntil)
+	return j.spec.Shape == job.Array && j.class.activePlacements > 0 && now.Before(j.class.scarceUntil)
 }
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -68,7 +68,7 @@
 	defer s.mu.Unlock()
 	var list []WaitingJob
 	for _, j := range s.jobs {
-		if waiting := j.countWaiting(); waiting > 0 && !j.isFinished() {
+		if waiting := j.countPending(); waiting > 0 && !j.isFinished() {
 			list = append(list, s.describeWaiting(j, waiting))
 		}
 	}
@@ -84,7 +84,7 @@
 		Team:  j.spec.Team,
 		Tasks: waiting,
 		AgeS:  time.Since(j.submittedAt).Seconds(),
-		Why:   s.whyWaiting(j, waiting),
+		Why:   s.waitReason(j, waiting),
 	}
 	if j.effective != j.spec {
 		result.Rank = j.effective.Rank
@@ -100,25 +100,25 @@
 	return result
 }
 
-// whyWaiting returns the reason why tasks of a job wait. The caller must hold s.mu.
-func (s *Scheduler) whyWaiting(j *jobState, waiting int) string {
+// waitReason returns the reason why tasks of a job wait. The caller must hold s.mu.
+func (s *Scheduler) waitReason(j *jobState, waiting int) string {
 	switch {
 	case j.phase == jobBlocked:
 		return j.describeDependencies()
-	case !s.mayPlace(j):
+	case !s.canPlace(j):
 		return "its last placer has gone; machines are being checked for its tasks"
 	case j.failures.jobAtFault:
 		return fmt.Sprintf("it failed on every one of %d machines; tried again seldom, one task at a time",
 			len(j.failures.failedOn))
-	case j.failures.consecutive > 0 && time.Now().Before(j.nextTry):
+	case j.failures.consecutive > 0 && time.Now().Before(j.nextPlacementAt):
 		return "its tasks failed; trying elsewhere shortly"
 	case j.isGang() && waiting < len(j.tasks):
 		return "tasks of its last attempt are still on machines"
 	case j.placing:
 		return "being placed"
-	case j.tries > 0 && s.settings.HasQuota(j.spec.Team):
+	case j.failedPlacements > 0 && s.settings.HasQuota(j.spec.Team):
 		return "no machine with room, or its team is at its limit"
-	case j.tries > 0:
+	case j.failedPlacements > 0:
 		return "no machine with room"
 	}
 	return "in the queue"
--- a/internal/scheduler/shard_acquisition.go
+++ b/internal/scheduler/shard_acquisition.go
@@ -51,7 +51,7 @@
 	}
 	maps.Copy(acquired, alreadyAcquired)
 	if len(acquired) > 0 {
-		s.adoptShards(ctx, acquired)
+		s.loadAcquiredShards(ctx, acquired)
 	}
 }
 
@@ -100,9 +100,9 @@
 	return hosts[int(hash.Sum32()>>1)%len(hosts)]
 }
 
-// adoptShards loads the unfinished jobs of newly acquired job shards, which are given as epochs by
-// key.
-func (s *Scheduler) adoptShards(ctx context.Context, acquired map[string]uint64) {
+// loadAcquiredShards loads the unfinished jobs of newly acquired job shards, which are given as
+// epochs by key.
+func (s *Scheduler) loadAcquiredShards(ctx context.Context, acquired map[string]uint64) {
 	shards, latestEpoch := map[string]*jobShard{}, uint64(0)
 	for key, epoch := range acquired {
 		id := strings.TrimPrefix(key, statekv.JobShardPrefix)
@@ -114,7 +114,7 @@
 	if s.mirror.Wait(ctx, latestEpoch) != nil {
 		return
 	}
-	s.listUnconfirmed(shards)
+	s.addUnconfirmedMachines(shards)
 	if !s.loadShardJobs(ctx, shards) {
 		return
 	}
@@ -130,13 +130,13 @@
 	}
 }
 
-// listUnconfirmed adds every machine to the unconfirmed machines of each job shard.
-func (s *Scheduler) listUnconfirmed(shards map[string]*jobShard) {
+// addUnconfirmedMachines adds every machine to the unconfirmed machines of each job shard.
+func (s *Scheduler) addUnconfirmedMachines(shards map[string]*jobShard) {
 	for _, kv := range s.mirror.Dir(statekv.MachinePrefix) {
 		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
-		var properties machineKind
+		var properties machineProperties
 		if key := shard.ParseMachineRecord(kv); key != nil {
-			properties = machineKind{key.Type, key.Zone, key.Spot}
+			properties = machineProperties{key.Type, key.Zone, key.Spot}
 		}
 		for _, held := range shards {
 			held.addUnconfirmed(name, properties)
@@ -187,7 +187,7 @@
 			continue
 		}
 		record.KeepUnknownFields(kv.Value)
-		if err := s.load(ctx, record, kv.Rev, false); err != nil {
+		if err := s.loadJob(ctx, record, kv.Rev, false); err != nil {
 			return err
 		}
 	}
--- a/internal/scheduler/shard_reconciliation.go
+++ b/internal/scheduler/shard_reconciliation.go
@@ -13,10 +13,10 @@
 
 const (
 	// pendingLogInterval is the minimum time between two log messages about the pending
-	// reconciliation of a job shard; pendingLogAfter is the time after its acquisition before the
+	// reconciliation of a job shard; pendingLogDelay is the time after its acquisition before the
 	// first one.
 	pendingLogInterval = 5 * time.Second
-	pendingLogAfter    = time.Second
+	pendingLogDelay    = time.Second
 
 	// reconciledReportTimeout bounds the report of one reconciled job shard to the leader.
 	reconciledReportTimeout = 2 * time.Second
@@ -26,8 +26,8 @@
 // confirmed for later epochs. A machine is confirmed for an epoch if its entry lists every task
 // that schedulers with an earlier epoch may have started on it.
 type confirmation struct {
-	epoch uint64
-	why   string
+	epoch  uint64
+	reason string
 }
 
 // reconcileShards checks which machines are confirmed. A job shard is reconciled when every machine
@@ -38,7 +38,7 @@
 		return
 	}
 	now := time.Now()
-	reconciled := s.applyConfirmations(s.confirmations(machines), now)
+	reconciled := s.applyConfirmations(s.lookUpConfirmations(machines), now)
 	if len(reconciled) == 0 {
 		if len(machines) > 0 {
 			s.wake() // the machines confirmed since may unblock some jobs
@@ -71,8 +71,8 @@
 	return machines
 }
 
-// confirmations looks up in the change feed up to which epochs the machines are confirmed.
-func (s *Scheduler) confirmations(machines map[string]bool) map[string]confirmation {
+// lookUpConfirmations looks up in the change feed up to which epochs the machines are confirmed.
+func (s *Scheduler) lookUpConfirmations(machines map[string]bool) map[string]confirmation {
 	confirmations := make(map[string]confirmation, len(machines))
 	for machine := range machines {
 		kv, ok := s.mirror.Get(statekv.MachinePrefix + machine)
@@ -82,7 +82,7 @@
 			continue
 		}
 		epoch, why := s.feed.ConfirmedEpoch(kv)
-		confirmations[machine] = confirmation{epoch: epoch, why: why}
+		confirmations[machine] = confirmation{epoch: epoch, reason: why}
 	}
 	return confirmations
 }
@@ -102,10 +102,10 @@
 			reconciled[id] = shard
 			continue
 		}
-		if now.Sub(shard.pendingLoggedAt) > pendingLogInterval && now.Sub(shard.acquiredAt) > pendingLogAfter {
+		if now.Sub(shard.pendingLoggedAt) > pendingLogInterval && now.Sub(shard.acquiredAt) > pendingLogDelay {
 			shard.pendingLoggedAt = now
 			slog.Info("job shard reconciliation pending", "job_shard", id,
-				"machines", len(shard.unconfirmed), "machine", pending, "reason", confirmations[pending].why)
+				"machines", len(shard.unconfirmed), "machine", pending, "reason", confirmations[pending].reason)
 		}
 	}
 	return reconciled
--- a/internal/scheduler/shard_release.go
+++ b/internal/scheduler/shard_release.go
@@ -15,7 +15,7 @@
 	if !s.session.HoldsLease() {
 		return
 	}
-	s.forgetRemovedShards()
+	s.dropRemovedShards()
 	ids, compares, removals := s.emptyShards()
 	if len(ids) == 0 || !s.store.Allow(statekv.ClassMaintenance, len(ids)) {
 		return
@@ -31,7 +31,7 @@
 		slog.Debug("empty job shard removal failed", "job_shards", ids, "err", err)
 		return
 	}
-	s.forgetRemovedShards()
+	s.dropRemovedShards()
 }
 
 // emptyShards lists reconciled job shards without jobs, as many as one transaction can remove, with
@@ -43,7 +43,7 @@
 	for _, j := range s.jobs {
 		inUse[j.shardID] = true
 	}
-	maxRemovals := s.store.MaxTxnOps(min(maxConcurrentWrites, s.settings.StateLimits.MaxTxnOps))
+	maxRemovals := s.store.MaxTxnOps(min(maxWritesPerRun, s.settings.StateLimits.MaxTxnOps))
 	for id, shard := range s.shards {
 		if !shard.reconciled || inUse[id] || len(removals) >= maxRemovals {
 			continue
@@ -56,8 +56,8 @@
 	return ids, compares, removals
 }
 
-// forgetRemovedShards drops the job shards whose keys have been removed from the state service.
-func (s *Scheduler) forgetRemovedShards() {
+// dropRemovedShards drops the job shards whose keys have been removed from the state service.
+func (s *Scheduler) dropRemovedShards() {
 	revision := s.mirror.Rev()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scheduler/start_deadline_test.go
+++ b/internal/scheduler/start_deadline_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// timeToStart advances time until the job starts, but not beyond the limit, and returns the time
-// that passed.
-func (load *loadGenerator) timeToStart(id string, limit time.Duration) time.Duration {
+// advanceUntilStarted advances time until the job starts, but not beyond the limit, and returns the
+// time that passed.
+func (load *loadGenerator) advanceUntilStarted(id string, limit time.Duration) time.Duration {
 	start := time.Now()
 	for time.Since(start) < limit && !load.wasStarted(id) {
 		load.advanceUnderLoad(3 * time.Second)
@@ -91,10 +91,10 @@
 			cluster.submit(controller, newSpec("wk-1", job.Gang, 2, 2))
 			load.advanceUnderLoad(2 * time.Second)
 			cluster.submit(controller, newSpec("wk-2", job.Gang, 2, 2))
-			if took := load.timeToStart("wk-1", 5*time.Minute); took > 4*time.Minute {
+			if took := load.advanceUntilStarted("wk-1", 5*time.Minute); took > 4*time.Minute {
 				t.Fatalf("gang under load of rank %s: got a start after %v, want at most 4m", rank, took)
 			}
-			if took := load.timeToStart("wk-2", 5*time.Minute); took > 2*time.Minute {
+			if took := load.advanceUntilStarted("wk-2", 5*time.Minute); took > 2*time.Minute {
 				t.Fatalf("second gang under load of rank %s: got a start %v after the first, want at most 2m", rank, took)
 			}
 			before := len(cluster.startCounts())
@@ -116,7 +116,7 @@
 		spec := newSpec("wk-1", job.Array, 500, 1)
 		spec.Rank = "best_effort"
 		cluster.submit(controller, spec)
-		if took := load.timeToStart("wk-1", 5*time.Minute); took > 4*time.Minute {
+		if took := load.advanceUntilStarted("wk-1", 5*time.Minute); took > 4*time.Minute {
 			t.Fatalf("array: got a start after %v, want at most 4m", took)
 		}
 	})
@@ -140,7 +140,7 @@
 				cluster.crash(controller, 1)
 				load.controller = cluster.start("host-1")
 				cluster.advance(20 * time.Second)
-				if took := load.timeToStart("wk-1", 5*time.Minute); took > 3*time.Minute {
+				if took := load.advanceUntilStarted("wk-1", 5*time.Minute); took > 3*time.Minute {
 					t.Fatalf("gang under the next scheduler: got a start after %v, want at most 3m", took)
 				}
 			}
--- a/internal/scheduler/task_results.go
+++ b/internal/scheduler/task_results.go
@@ -27,7 +27,7 @@
 		first, last = 0, len(j.tasks)-1
 	}
 	for i := first; i <= last; i++ {
-		j.addDone(i, time.Now())
+		j.markTaskDone(i, time.Now())
 	}
 	if j.doneCount == len(j.tasks) && !j.isFinished() {
 		j.advance(jobFinished, job.Done)
@@ -38,8 +38,8 @@
 	s.wake()
 }
 
-// addDone marks a task as completed and its chunk as to be recorded.
-func (j *jobState) addDone(index int, now time.Time) {
+// markTaskDone marks a task as completed and its chunk as to be recorded.
+func (j *jobState) markTaskDone(index int, now time.Time) {
 	if j.done.Has(index) {
 		return
 	}
@@ -71,9 +71,9 @@
 	s.wake()
 }
 
-// forgetEndedAttempts queues messages to the machines' owners that the first count ended attempts
+// queueForgetEnded queues messages to the machines' owners that the first count ended attempts
 // may be forgotten, because their results are durable. The caller must hold s.mu.
-func (s *Scheduler) forgetEndedAttempts(j *jobState, count int) {
-	s.outbox.forgets = append(s.outbox.forgets, j.completion.ended[:count]...)
-	j.completion.ended = j.completion.ended[count:]
+func (s *Scheduler) queueForgetEnded(j *jobState, count int) {
+	s.outbox.forgetItems = append(s.outbox.forgetItems, j.completion.endedAttempts[:count]...)
+	j.completion.endedAttempts = j.completion.endedAttempts[count:]
 }
--- a/internal/scheduler/task_state.go
+++ b/internal/scheduler/task_state.go
@@ -22,11 +22,11 @@
 
 // taskState is the state of one unfinished task of a job. Only transition changes status.
 type taskState struct {
-	status  taskStatus
-	state   string // latest state reported by the worker
-	attempt uint64
-	machine string
-	zone    string
+	status        taskStatus
+	reportedState string // latest state reported by the worker
+	attempt       uint64
+	machine       string
+	zone          string
 
 	// An entry of the machine that does not list the attempt proves it gone if it is of this
 	// ownership revision and of this version or a later one (see provenGone).
@@ -61,9 +61,9 @@
 	t.transition(taskCommitting)
 }
 
-// place records the attempt's machine and the machine entry from which on its absence proves it
-// gone.
-func (t *taskState) place(machine, zone string, ownerRev, entryVersion uint64) {
+// markPlaced records the attempt's machine and the machine entry from which on its absence proves
+// it gone.
+func (t *taskState) markPlaced(machine, zone string, ownerRev, entryVersion uint64) {
 	t.transition(taskPlaced)
 	t.machine, t.zone = machine, zone
 	t.ownerRev, t.entryVersion = ownerRev, entryVersion
--- a/internal/scheduler/task_state_test.go
+++ b/internal/scheduler/task_state_test.go
@@ -13,12 +13,12 @@
 	if task.onMachine() || !task.isCommitting(7) || task.isCommitting(6) {
 		t.Fatalf("after beginAttempt: got %+v, want attempt 7 committing", task)
 	}
-	task.place("m1", "a", 3, 4)
+	task.markPlaced("m1", "a", 3, 4)
 	if !task.isPlacedAttempt(7) || task.isPlacedAttempt(6) {
-		t.Fatalf("after place: got %+v, want attempt 7 placed", task)
+		t.Fatalf("after markPlaced: got %+v, want attempt 7 placed", task)
 	}
 	task.transition(taskStopping)
-	task.place("m1", "a", 3, 5)
+	task.markPlaced("m1", "a", 3, 5)
 	if task.status != taskStopping || !task.isPlacedAttempt(7) {
 		t.Errorf("after an entry showed it: got %+v, want attempt 7 stopping", task)
 	}
