--- a/internal/scheduler/candidate/candidate.go
+++ b/internal/scheduler/candidate/candidate.go
@@ -121,16 +121,16 @@
 func chooseToFreeInZone(
 	zone string, withCapacity, options []agentapi.Candidate, tasks int,
 ) (chosen []agentapi.Candidate, cost float64) {
-	usable := map[string]bool{}
+	hasCapacity := map[string]bool{}
 	needed := tasks
 	for _, c := range withCapacity {
 		if inZone(c, zone) {
 			needed -= c.Fits
-			usable[c.Machine] = true
+			hasCapacity[c.Machine] = true
 		}
 	}
 	for _, c := range options {
-		if len(chosen) < needed && inZone(c, zone) && !usable[c.Machine] {
+		if len(chosen) < needed && inZone(c, zone) && !hasCapacity[c.Machine] {
 			chosen = append(chosen, c)
 			cost -= c.Score
 		}
--- a/internal/scheduler/cluster_helpers_test.go
+++ b/internal/scheduler/cluster_helpers_test.go
@@ -69,12 +69,12 @@
 	}
 }
 
-// legacyTombstone returns the changes that write a job's tombstone in the legacy format.
+// legacyTombstone returns the operations that write a job's tombstone in the legacy format.
 func legacyTombstone(id, status string, tasks int) []statekv.Op {
 	return tombstone.WriteOps(id, tombstone.Tombstone{Status: status, Tasks: tasks}, tombstone.LegacyOnly)
 }
 
-// cancellation returns the changes that replace a job's record by its tombstone.
+// cancellation returns the operations that replace a job's record by its tombstone.
 func cancellation(id string, tasks int) []statekv.Op {
 	return append(legacyTombstone(id, job.Cancelled, tasks), statekv.Op{Delete: job.RecordKey(id)})
 }
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -42,7 +42,7 @@
 
 	objectives  []config.Objective
 	grantsLeft  int    // remaining quota grants of the team "full", in tasks
-	stateLimits [2]int // maximum bytes of a value and changes of a transaction; zero: the defaults
+	stateLimits [2]int // maximum bytes of a value and operations of a transaction; zero: the defaults
 	dropsStops  bool   // requests to stop or forget tasks are dropped
 
 	commitLoss  commitLoss // what is lost of the next commits
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -59,7 +59,7 @@
 	}
 	ungranted := slices.DeleteFunc(slices.Clone(bindings), func(b *binding) bool { return slices.Contains(granted, b) })
 	s.requeue(j, ungranted)
-	noCapacity = len(ungranted) > 0 || len(plan.taskCandidates) < p.tasksNeeded() && !plan.waitsForImage
+	noCapacity = len(ungranted) > 0 || len(plan.taskCandidates) < p.tasksNeeded() && !plan.delayedForImage
 
 	commit := agentapi.CommitRequest{Request: plan.request, StewardEpoch: leaderEpoch, JobRev: s.revisionOf(j)}
 	if j.isGang() && len(granted) > 1 {
@@ -113,7 +113,8 @@
 	return bindings
 }
 
-// undoAttempts returns tasks whose attempts have just begun to pending. The caller must hold s.mu.
+// undoAttempts sets tasks whose attempts have just begun back to pending. The caller must hold
+// s.mu.
 func (s *Scheduler) undoAttempts(j *jobState, bindings []*binding) {
 	for _, b := range bindings {
 		s.resetTask(j, b.ref.Index)
--- a/internal/scheduler/completion_chunks_test.go
+++ b/internal/scheduler/completion_chunks_test.go
@@ -41,7 +41,7 @@
 		record := s.buildOpenRecord(j, false)
 		ops := s.recordOps(j, &record, dirty, rollout.ClusterVersion{})
 		if len(ops) > maxOps || len(ops) == 0 || len(dirty)+len(j.completion.dirtyChunks) > chunks {
-			t.Fatalf("got %d changes with %d written and %d dirty chunks",
+			t.Fatalf("got %d operations with %d written and %d dirty chunks",
 				len(ops), len(dirty), len(j.completion.dirtyChunks))
 		}
 		for _, op := range ops {
--- a/internal/scheduler/completion_records.go
+++ b/internal/scheduler/completion_records.go
@@ -23,7 +23,7 @@
 	// shards that one run of releaseShards removes.
 	maxWritesPerRun = 8
 
-	// finalRecordOps is the number of changes that a job's final record takes from the write
+	// finalRecordOps is the number of operations that a job's final record takes from the write
 	// budget: the deleted record and a tombstone in both formats.
 	finalRecordOps = 3
 
@@ -108,8 +108,8 @@
 		return a.completion.dirtySince.Compare(b.completion.dirtySince)
 	})
 	for _, j := range batches {
-		changes := max(1, len(j.completion.dirtyChunks))
-		if writes >= maxWritesPerRun || !s.store.Allow(statekv.ClassMaintenance, changes) {
+		ops := max(1, len(j.completion.dirtyChunks))
+		if writes >= maxWritesPerRun || !s.store.Allow(statekv.ClassMaintenance, ops) {
 			break
 		}
 		startWrite(j)
@@ -197,7 +197,7 @@
 	return write
 }
 
-// finalOps returns the changes that replace a finished job's record by its tombstone. The caller
+// finalOps returns the operations that replace a finished job's record by its tombstone. The caller
 // must hold s.mu.
 func (s *Scheduler) finalOps(id string, j *jobState, version rollout.ClusterVersion) []statekv.Op {
 	final := tombstone.Tombstone{Status: j.outcome, Tasks: len(j.tasks)}
--- a/internal/scheduler/decision.go
+++ b/internal/scheduler/decision.go
@@ -13,23 +13,23 @@
 
 // placementPlan says which tasks a placement commits, and to which candidates.
 type placementPlan struct {
-	request        agentapi.Request // restricted to the chosen zone, if there is one
-	candidates     []agentapi.Candidate
-	taskCandidates [][]agentapi.Candidate // a list for each of the first tasks of the placement, best candidate first
-	waitsForImage  bool                   // candidates that would have to fetch the image are left out
+	request         agentapi.Request // restricted to the chosen zone, if there is one
+	candidates      []agentapi.Candidate
+	taskCandidates  [][]agentapi.Candidate // one list for each of the first tasks, best first
+	delayedForImage bool                   // candidates that would have to fetch the image are left out
 }
 
 // decide ranks the sampled candidates and plans the placement with those that the job accepts now.
 func (s *Scheduler) decide(p *placement, sampled sampleResult) *placementPlan {
 	usable := sampled.candidates
 	candidate.Rank(usable)
-	waitsForImage := false
+	delayedForImage := false
 	withImage := candidate.FilterByImage(usable, p.job.spec.Shape)
 	if len(withImage) < len(usable) && s.shouldDelayForImage(p, sampled.exhausted) {
-		usable, waitsForImage = withImage, true
+		usable, delayedForImage = withImage, true
 	}
 	plan := p.plan(usable, s.policy.MultiBind)
-	plan.waitsForImage = waitsForImage
+	plan.delayedForImage = delayedForImage
 	return plan
 }
 
@@ -68,11 +68,12 @@
 
 // shouldDelayForImage reports whether delay scheduling applies now: the job passes over machines
 // without its image for a limited time, which starts when such a machine is first offered.
-func (s *Scheduler) shouldDelayForImage(p *placement, scarce bool) bool {
+// exhausted reports whether the sample exhausted all machines.
+func (s *Scheduler) shouldDelayForImage(p *placement, exhausted bool) bool {
 	j := p.job
 	fetch := s.fetchTime(j.spec)
 	slack := startSlack(j.startTargets, time.Since(j.readyAt), fetch)
-	bounds, allowed := j.delayBounds(p.tasksNeeded(), scarce, fetch, slack)
+	bounds, allowed := j.delayBounds(p.tasksNeeded(), exhausted, fetch, slack)
 	if !allowed {
 		return false
 	}
--- a/internal/scheduler/delay_scheduling.go
+++ b/internal/scheduler/delay_scheduling.go
@@ -52,19 +52,20 @@
 }
 
 // delayBounds returns how long a job that needs machines for the given number of tasks may pass
-// over machines without its image, and false if it must accept them at once. fetch is the estimated
-// fetch time of the image; slack is the time that the start targets leave (see startSlack).
-func (j *jobState) delayBounds(tasks int, scarce bool, fetch, slack time.Duration) (imageDelayBounds, bool) {
+// over machines without its image, and false if it must accept them at once. exhausted reports
+// whether the sample exhausted all machines, fetch is the estimated fetch time of the image, and
+// slack is the time that the start targets leave (see startSlack).
+func (j *jobState) delayBounds(tasks int, exhausted bool, fetch, slack time.Duration) (imageDelayBounds, bool) {
 	if !j.isGang() {
-		return imageDelayBounds{usual: scaleDuration(arrayDelayShare, fetch)}, scarce
+		return imageDelayBounds{usual: scaleDuration(arrayDelayShare, fetch)}, exhausted
 	}
 	bounds := imageDelayBounds{usual: min(scaleDuration(gangDelayShare, fetch), slack), max: slack}
 	return bounds, tasks <= maxDelayedGangTasks
 }
 
 // shouldWait reports whether the job passes over machines without its image at the given time. The
-// delay is longer, within the start targets, while tasks are being preempted on machines because
-// these have the image.
+// delay is longer, within the start targets, while tasks are being preempted on machines that have
+// the image.
 func (d *imageDelay) shouldWait(bounds imageDelayBounds, preempting *preemption, now time.Time) bool {
 	if d.until.IsZero() {
 		d.until, d.maxUntil = now.Add(bounds.usual), now.Add(bounds.max)
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -78,7 +78,8 @@
 	return f.avoidedMachines
 }
 
-// attribute adds a failure, on a machine, of a job without any completed task.
+// attribute adds a failure on a machine, of a job without any completed task, and returns what the
+// failure is attributed to.
 func (f *failureHistory) attribute(machine string) attribution {
 	if f.failedOn == nil {
 		f.failedOn = map[string]bool{}
--- a/internal/scheduler/gang_commit.go
+++ b/internal/scheduler/gang_commit.go
@@ -85,12 +85,12 @@
 	return agentapi.Candidate{}, false
 }
 
-// releaseReserved tells machines to release the capacity reserved for the members.
+// releaseReserved queues messages to release the capacity reserved for the members.
 func (s *Scheduler) releaseReserved(reserved []reservedTask) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range reserved {
-		s.queueForget(agentapi.StopItem{Machine: h.machine.Machine, TaskRef: h.binding.ref})
+	for _, member := range reserved {
+		s.queueForget(agentapi.StopItem{Machine: member.machine.Machine, TaskRef: member.binding.ref})
 	}
 }
 
@@ -100,10 +100,10 @@
 ) {
 	groups := map[string][]*binding{}
 	machines := map[string]agentapi.Candidate{}
-	for _, h := range reserved {
-		name := h.machine.Machine
-		groups[name] = append(groups[name], h.binding)
-		machines[name] = h.machine
+	for _, member := range reserved {
+		name := member.machine.Machine
+		groups[name] = append(groups[name], member.binding)
+		machines[name] = member.machine
 	}
 	var calls sync.WaitGroup
 	for name, group := range groups {
--- a/internal/scheduler/image_delay_test.go
+++ b/internal/scheduler/image_delay_test.go
@@ -10,14 +10,14 @@
 // A gang waits for machines with its image only as long as it can still fetch the image and meet
 // the tightest start target that is within reach.
 func TestStartSlackLeavesTimeToFetch(t *testing.T) {
-	objectives := []time.Duration{25 * time.Second, 50 * time.Second}
+	startTargets := []time.Duration{25 * time.Second, 50 * time.Second}
 	for _, c := range []struct{ age, fetch, want time.Duration }{
 		{0, 10 * time.Second, 8 * time.Second},
 		{0, 17 * time.Second, 0},
 		{20 * time.Second, 10 * time.Second, 13 * time.Second},
 		{45 * time.Second, 10 * time.Second, 0},
 	} {
-		if got := startSlack(objectives, c.age, c.fetch); got != c.want {
+		if got := startSlack(startTargets, c.age, c.fetch); got != c.want {
 			t.Errorf("age %v, fetch %v: got %v, want %v", c.age, c.fetch, got, c.want)
 		}
 	}
@@ -47,8 +47,9 @@
 	}
 }
 
-// Arrays wait for their image only while capacity is scarce, gangs only up to maxDelayedGangTasks.
-func TestDelayForImageByShapeSizeAndScarcity(t *testing.T) {
+// Arrays wait for their image only if the sample exhausted all machines, gangs only up to
+// maxDelayedGangTasks.
+func TestDelayBounds(t *testing.T) {
 	array := &jobState{spec: &job.Spec{Shape: job.Array}}
 	gang := &jobState{spec: &job.Spec{Shape: job.Gang}}
 	fetch, slack := 100*time.Second, 15*time.Second
@@ -57,7 +58,7 @@
 		t.Errorf("array: got %+v, %v; want a usual delay of 12s only", bounds, allowed)
 	}
 	if _, allowed := array.delayBounds(1, false, fetch, slack); allowed {
-		t.Error("array waits although capacity is not scarce")
+		t.Error("array waits although the sample did not exhaust all machines")
 	}
 	bounds, allowed := gang.delayBounds(maxDelayedGangTasks, false, fetch, slack)
 	if !allowed || bounds.usual != slack || bounds.max != slack {
--- a/internal/scheduler/invariant_checker_test.go
+++ b/internal/scheduler/invariant_checker_test.go
@@ -152,5 +152,5 @@
 	return ""
 }
 
-// deleteRecord returns the change that deletes a job's record.
+// deleteRecord returns the operation that deletes a job's record.
 func deleteRecord(id string) []statekv.Op { return []statekv.Op{{Delete: job.RecordKey(id)}} }
--- a/internal/scheduler/job_state.go
+++ b/internal/scheduler/job_state.go
@@ -31,7 +31,7 @@
 	shardID     string
 	class       *schedulingClass
 	submittedAt time.Time
-	readyAt     time.Time // when it became runnable: its submission, or the end of its last dependency
+	readyAt     time.Time // when it became ready: its submission, or the end of its last dependency
 
 	phase      jobPhase  // changed by advance only
 	outcome    string    // final status; "" until finished
@@ -90,13 +90,13 @@
 
 // countPending counts the unfinished tasks that are pending.
 func (j *jobState) countPending() int {
-	waiting := 0
+	pending := 0
 	for i := range j.tasks {
 		if j.tasks[i].status == taskPending && !j.done.Has(i) {
-			waiting++
+			pending++
 		}
 	}
-	return waiting
+	return pending
 }
 
 // countRunning counts the tasks that run according to the latest reports of their workers.
--- a/internal/scheduler/machine_entries.go
+++ b/internal/scheduler/machine_entries.go
@@ -39,7 +39,7 @@
 }
 
 // resolveUnlistedAttempts handles the attempts that are placed on a machine and that its entry does
-// not list: an attempt is lost if this proves it gone. The caller must hold s.mu.
+// not list: an attempt is lost if the entry proves it gone. The caller must hold s.mu.
 func (s *Scheduler) resolveUnlistedAttempts(entry *agentapi.MachineEntry, listed map[agentapi.TaskRef]bool) {
 	placed := s.placedOn[entry.Machine]
 	for ref := range placed {
@@ -86,7 +86,8 @@
 		return
 	}
 	if entry.ReclaimNoticed() && !j.isFinished() && (j.spec.CanCheckpoint() || j.spec.Shape == job.Service) {
-		// The cloud is about to reclaim the machine: checkpoint the task and restart it elsewhere.
+		// The cloud is about to reclaim the machine: the task writes a checkpoint and is restarted
+		// elsewhere.
 		s.stopTaskOrGang(j, listed.Index, j.spec.CheckpointDuration()+checkpointMargin)
 	}
 }
@@ -118,9 +119,9 @@
 	return false
 }
 
-// handleRemovedMachines marks tasks as lost whose machines' keys have been removed, which
-// happens only once all tasks on a machine are proven gone. The entry that shows this may never
-// arrive if the machine's owner crashes before it sends the entry.
+// handleRemovedMachines marks the tasks on removed machines as lost: a machine's key is removed
+// only once all tasks on the machine are proven gone. The entry that shows that they are gone may
+// never arrive if the machine's owner crashes before it sends the entry.
 func (s *Scheduler) handleRemovedMachines() {
 	revision := s.mirror.Rev()
 	s.mu.Lock()
@@ -151,8 +152,9 @@
 	s.placedOn[machine][ref] = true
 }
 
-// queueForget queues a message to the machine's owner: it may forget the attempt, or has to stop it
-// if it has not ended. The caller must hold s.mu.
+// queueForget queues an item for the machine's owner. With item.Forget the owner may forget the
+// attempt; otherwise it stops the attempt or releases the capacity reserved for it. The caller must
+// hold s.mu.
 func (s *Scheduler) queueForget(item agentapi.StopItem) {
 	s.outbox.forgetItems = append(s.outbox.forgetItems, item)
 }
--- a/internal/scheduler/outbox.go
+++ b/internal/scheduler/outbox.go
@@ -29,8 +29,8 @@
 }
 
 // stopTask requests that a task is stopped; the request is repeated until the task is gone. grace
-// is the time that the task has to save. A later request takes effect only if it shortens grace.
-// The caller must hold s.mu.
+// is the time that the task has to write a checkpoint. A later request takes effect only if it
+// shortens grace. The caller must hold s.mu.
 func (s *Scheduler) stopTask(j *jobState, index int, grace time.Duration) {
 	task := &j.tasks[index]
 	if !task.onMachine() || task.status == taskStopping && task.grace <= grace {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -43,8 +43,8 @@
 	s.wake()
 }
 
-// runPhases runs the three phases. It reports whether capacity was missing, in which case the job's
-// scheduling class pauses.
+// runPhases runs the phases of a placement: sampling, decision and commit. It reports whether
+// capacity was missing, in which case the job's scheduling class pauses.
 func (s *Scheduler) runPhases(ctx context.Context, j *jobState) (noCapacity bool) {
 	p := s.beginPlacement(j)
 	if p == nil {
@@ -98,11 +98,11 @@
 	return p
 }
 
-// postponePlacement postpones the job's next placement by the pause.
-func (s *Scheduler) postponePlacement(j *jobState, pause time.Duration) {
+// postponePlacement postpones the job's next placement until the delay has passed.
+func (s *Scheduler) postponePlacement(j *jobState, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	j.nextPlacementAt = time.Now().Add(pause)
+	j.nextPlacementAt = time.Now().Add(delay)
 }
 
 // capacityResult says whether a plan has the capacity that it needs.
@@ -127,7 +127,7 @@
 	gangLacksCapacity := lacksCapacity && p.job.isGang()
 	nonGangLacksCapacity := lacksCapacity && !p.job.isGang()
 	insufficient := len(plan.taskCandidates) == 0 || gangLacksCapacity
-	if lacksCapacity && plan.waitsForImage {
+	if lacksCapacity && plan.delayedForImage {
 		s.retryForImage(ctx, p, plan)
 		if insufficient {
 			return capacityPending
@@ -143,7 +143,7 @@
 		// Capacity exists, but fetches on those machines would compete with the fetch of this job's
 		// image. Jobs with other images may use it, so the class does not pause.
 		s.postponePlacement(p.job, s.policy.ResampleDelay)
-		plan.waitsForImage = true
+		plan.delayedForImage = true
 		if insufficient {
 			return capacityPending
 		}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -13,7 +13,7 @@
 const (
 	// preemptionWait bounds how long a gang waits for machines on which tasks are being preempted;
 	// after that it may preempt tasks on other machines. It has to exceed the time that preempted
-	// tasks may need to save.
+	// tasks may need to write a checkpoint.
 	preemptionWait = 12 * time.Second
 
 	// preemptionRetryInterval is the time between two placements of a gang that waits for preempted
@@ -80,7 +80,7 @@
 }
 
 // cheaperThanFetch keeps the machines on which preemption loses at most as many GPU-seconds as a
-// fetch of the job's image takes. Preempting tasks that do not save checkpoints may lose more.
+// fetch of the job's image takes. Preempting tasks that write no checkpoints may lose more.
 func (s *Scheduler) cheaperThanFetch(j *jobState, options []agentapi.Candidate) []agentapi.Candidate {
 	fetch := s.fetchTime(j.spec).Seconds() * max(1, j.spec.GPUs)
 	return slices.DeleteFunc(options, func(c agentapi.Candidate) bool { return -c.Score > fetch })
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -11,8 +11,8 @@
 	// maxPlacements bounds the concurrent placements.
 	maxPlacements = 8
 
-	// Delay between a wake-up and the dispatch, which coalesces wake-ups: under load they arrive
-	// all the time. A dispatch examines all jobs, so the delay grows with their number.
+	// Delay between a wake-up and the dispatch, to coalesce the wake-ups, which arrive all the time
+	// under load. A dispatch examines all jobs, so the delay grows with their number.
 	minCoalesceDelay    = 10 * time.Millisecond
 	coalesceDelayPerJob = 100 * time.Microsecond
 	maxCoalesceDelay    = 50 * time.Millisecond
@@ -33,6 +33,7 @@
 	}
 }
 
+// coalesceDelay returns the delay between a wake-up and the dispatch.
 func (s *Scheduler) coalesceDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +54,7 @@
 	order float64
 }
 
-// dispatch starts placements for the waiting jobs in queue order, up to maxPlacements at a time.
+// dispatch starts placements of the queued jobs in queue order, up to maxPlacements at a time.
 func (s *Scheduler) dispatch(ctx context.Context) {
 	if !s.session.HoldsLease() {
 		return
@@ -65,11 +66,11 @@
 	if s.activePlacements >= maxPlacements {
 		return // the end of a placement wakes the queue
 	}
-	for _, next := range s.queuedJobs(now) {
+	for _, entry := range s.queuedJobs(now) {
 		if s.activePlacements >= maxPlacements {
 			break
 		}
-		j := next.job
+		j := entry.job
 		if j.waitsForClass(now) && !j.startOverdue(now) {
 			continue
 		}
@@ -80,18 +81,19 @@
 	}
 }
 
-// queuedJobs lists the jobs that may be placed now, in queue order. The caller must hold s.mu.
+// queuedJobs returns entries for the jobs that may be placed now, in queue order. The caller must
+// hold s.mu.
 func (s *Scheduler) queuedJobs(now time.Time) []queueEntry {
-	var queue []queueEntry
+	var entries []queueEntry
 	for _, j := range s.jobs {
 		if s.mayDispatch(j, now) {
-			queue = append(queue, queueEntry{job: j, order: j.queueOrder(s.policy, now)})
+			entries = append(entries, queueEntry{job: j, order: j.queueOrder(s.policy, now)})
 		}
 	}
-	slices.SortFunc(queue, func(a, b queueEntry) int {
+	slices.SortFunc(entries, func(a, b queueEntry) int {
 		return cmp.Or(cmp.Compare(b.order, a.order), cmp.Compare(a.job.spec.ID, b.job.spec.ID))
 	})
-	return queue
+	return entries
 }
 
 // mayDispatch reports whether a placement of the job may start now. The caller must hold s.mu.
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -91,9 +91,9 @@
 	return maxBatchTasks
 }
 
-// hasPlaceableTasks reports whether the job has waiting tasks that a placement can place. A gang is
+// hasPlaceableTasks reports whether the job has pending tasks that a placement can place. A gang is
 // placed only as a whole.
 func (j *jobState) hasPlaceableTasks() bool {
-	waiting := j.countPending()
-	return waiting > 0 && (!j.isGang() || waiting == len(j.tasks))
+	pending := j.countPending()
+	return pending > 0 && (!j.isGang() || pending == len(j.tasks))
 }
--- a/internal/scheduler/queue_order_test.go
+++ b/internal/scheduler/queue_order_test.go
@@ -16,7 +16,7 @@
 func TestOverdueJobsGoFirst(t *testing.T) {
 	pol := policy.Default()
 	now := time.Unix(10_000, 0)
-	newJob := func(rank string, age time.Duration, begun bool) *jobState {
+	newJob := func(rank string, age time.Duration, started bool) *jobState {
 		deadlineS := 60.0
 		spec := &job.Spec{ID: "wk-1", Rank: rank, Tasks: 500, EstimateS: 50, DeadlineS: &deadlineS}
 		return &jobState{
@@ -24,7 +24,7 @@
 			effective:         spec,
 			phase:             jobRunnable,
 			readyAt:           now.Add(-age),
-			started:           begun,
+			started:           started,
 			completionTargets: []time.Duration{time.Minute},
 		}
 	}
--- a/internal/scheduler/random_faults_test.go
+++ b/internal/scheduler/random_faults_test.go
@@ -20,7 +20,7 @@
 	faultSteps       = 60 // steps of two seconds with one fault each
 	submissionSteps  = 45 // first steps, in which jobs are submitted
 	recoverySteps    = 60 // steps of five seconds without faults
-	maxDependencyAge = 4  // a job depends only on this many jobs submitted last before it
+	maxDependencyAge = 4  // a job depends only on jobs among this many submitted before it
 )
 
 // faultInjector injects random faults into a cluster while jobs are submitted to it.
--- a/internal/scheduler/record_schema.go
+++ b/internal/scheduler/record_schema.go
@@ -39,9 +39,9 @@
 	return record
 }
 
-// recordOps returns the changes that write an unfinished job's record and its chunks of completed
-// tasks, as many as one transaction takes. Chunks that do not fit are removed from chunks and
-// marked as dirty again. A record that exceeds the value size limit, because an earlier version
+// recordOps returns the operations that write an unfinished job's record and its chunks of
+// completed tasks, as many as one transaction takes. Chunks that do not fit are removed from chunks
+// and marked as dirty again. A record that exceeds the value size limit, because an earlier version
 // with a higher limit wrote it, gets its spec split into fragments. If it cannot be split, for
 // example because the cluster version does not enable fragments yet, recordOps returns nil.
 func (s *Scheduler) recordOps(
--- a/internal/scheduler/sampling.go
+++ b/internal/scheduler/sampling.go
@@ -11,20 +11,21 @@
 	"robinstack/internal/scheduler/candidate"
 )
 
-// Phase 1 of a placement, sampling: the scheduler asks a random share of the controllers for
+// Phase 1 of a placement, sampling: the scheduler queries a random share of the controllers for
 // machines with capacity, and each controller samples a share of its machines.
 
 // shuffle is the source of randomness for choosing the controllers.
 var shuffle candidate.Shuffle = rand.Shuffle
 
-// sampleResult is the merged answer of the controllers that were asked.
+// sampleResult is the merged answer of the queried controllers.
 type sampleResult struct {
 	candidates     []agentapi.Candidate
 	exhausted      bool // every controller that answered drew all of its machines and found too few
-	fetchContended bool // capacity exists, but only beside fetches of other images
+	fetchContended bool // capacity exists, but only on machines that fetch other images
 }
 
-// sample asks for machines that have capacity for tasks of the job.
+// sample asks for machines that have capacity for tasks of the job. If all machines are exhausted,
+// capacity counts as scarce for the job's scheduling class.
 func (s *Scheduler) sample(ctx context.Context, p *placement) sampleResult {
 	result := s.queryControllers(ctx, methodSample, p.request)
 	if result.exhausted {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -41,7 +41,7 @@
 	completionInterval     = 100 * time.Millisecond // record completed tasks
 	outboxInterval         = 200 * time.Millisecond // send messages to machine owners and the leader
 	demandInterval         = time.Second            // report demand to the leader
-	removedMachineInterval = 2 * time.Second        // give up tasks on removed machines
+	removedMachineInterval = 2 * time.Second        // mark tasks on removed machines as lost
 	shardReleaseInterval   = 5 * time.Second        // release job shards without jobs
 	classCleanupInterval   = 10 * time.Second       // delete scheduling classes without jobs
 )
--- a/internal/scheduler/scheduling_class.go
+++ b/internal/scheduler/scheduling_class.go
@@ -26,7 +26,7 @@
 // with its last task, few jobs would finish in time.
 type schedulingClass struct {
 	pausedUntil      time.Time // a job of the class found no capacity; its jobs pause until then
-	scarceUntil      time.Time // a recent sample exhausted all machines
+	scarceUntil      time.Time // capacity counts as scarce until then
 	activePlacements int       // placements in progress
 }
 
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// WaitingJob describes a job with waiting tasks and the reason why they wait.
+// WaitingJob describes a job with pending tasks and the reason why they wait.
 type WaitingJob struct {
 	Job   string  `json:"job"`
 	Class string  `json:"class"`
@@ -33,7 +33,7 @@
 	AgeS  float64 `json:"age_s"`
 
 	// ReadyS is set for a runnable job with dependencies: the time from its submission until it
-	// became runnable. Rank and LeftS are set where dependencies between jobs affect the urgency of
+	// became ready. Rank and LeftS are set where dependencies between jobs affect the urgency of
 	// the job: its effective rank and the time left until its effective deadline.
 	ReadyS *float64 `json:"ready_s,omitempty"`
 	Rank   string   `json:"treated_as_rank,omitempty"`
@@ -62,29 +62,29 @@
 	return j.doneCount, j.countRunning(), true
 }
 
-// waitingJobs lists the unfinished jobs with waiting tasks, in no particular order.
+// waitingJobs lists the unfinished jobs with pending tasks, in no particular order.
 func (s *Scheduler) waitingJobs() []WaitingJob {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []WaitingJob
 	for _, j := range s.jobs {
-		if waiting := j.countPending(); waiting > 0 && !j.isFinished() {
-			list = append(list, s.describeWaiting(j, waiting))
+		if pending := j.countPending(); pending > 0 && !j.isFinished() {
+			list = append(list, s.describeWaiting(j, pending))
 		}
 	}
 	return list
 }
 
-// describeWaiting describes a job with the given number of waiting tasks. The caller must hold
+// describeWaiting describes a job with the given number of pending tasks. The caller must hold
 // s.mu.
-func (s *Scheduler) describeWaiting(j *jobState, waiting int) WaitingJob {
+func (s *Scheduler) describeWaiting(j *jobState, pending int) WaitingJob {
 	result := WaitingJob{
 		Job:   j.spec.ID,
 		Class: j.spec.Class,
 		Team:  j.spec.Team,
-		Tasks: waiting,
+		Tasks: pending,
 		AgeS:  time.Since(j.submittedAt).Seconds(),
-		Why:   s.waitReason(j, waiting),
+		Why:   s.waitReason(j, pending),
 	}
 	if j.effective != j.spec {
 		result.Rank = j.effective.Rank
@@ -100,8 +100,8 @@
 	return result
 }
 
-// waitReason returns the reason why tasks of a job wait. The caller must hold s.mu.
-func (s *Scheduler) waitReason(j *jobState, waiting int) string {
+// waitReason returns the reason why the pending tasks of a job wait. The caller must hold s.mu.
+func (s *Scheduler) waitReason(j *jobState, pending int) string {
 	switch {
 	case j.phase == jobBlocked:
 		return j.describeDependencies()
@@ -112,7 +112,7 @@
 			len(j.failures.failedOn))
 	case j.failures.consecutive > 0 && time.Now().Before(j.nextPlacementAt):
 		return "its tasks failed; trying elsewhere shortly"
-	case j.isGang() && waiting < len(j.tasks):
+	case j.isGang() && pending < len(j.tasks):
 		return "tasks of its last attempt are still on machines"
 	case j.placing:
 		return "being placed"
--- a/internal/scheduler/shard_acquisition.go
+++ b/internal/scheduler/shard_acquisition.go
@@ -40,7 +40,7 @@
 	slog.Info("job shard acquired", "job_shard", id, "epoch", epoch)
 }
 
-// acquireShards acquires all job shards whose successor this controller is, in batches.
+// acquireShards acquires, in batches, all job shards for which this controller is the successor.
 func (s *Scheduler) acquireShards(ctx context.Context) {
 	roles, alreadyAcquired := s.acquirableShards()
 	writeCtx, cancel := context.WithTimeout(ctx, shardWriteTimeout)
@@ -89,8 +89,8 @@
 }
 
 // successorOf returns the host that takes a job shard over: its previous host if that is one of the
-// given hosts, else one of these, chosen by a hash of the job shard's ID to spread the job shards
-// among them.
+// given hosts, else one of these, chosen by a hash of the job shard's ID, so that the job shards
+// are spread among them.
 func successorOf(shardID, host string, hosts []string) string {
 	if slices.Contains(hosts, host) || len(hosts) == 0 {
 		return host
@@ -173,6 +173,7 @@
 	}
 }
 
+// tryLoadShardJobs loads the unfinished jobs of acquired job shards until one cannot be loaded.
 func (s *Scheduler) tryLoadShardJobs(ctx context.Context, shards map[string]*jobShard) error {
 	for _, kv := range s.mirror.Dir(job.RecordPrefix) {
 		record, err := job.ParseRecord(kv.Value)
--- a/internal/scheduler/shard_reconciliation.go
+++ b/internal/scheduler/shard_reconciliation.go
@@ -41,7 +41,7 @@
 	reconciled := s.applyConfirmations(s.lookUpConfirmations(machines), now)
 	if len(reconciled) == 0 {
 		if len(machines) > 0 {
-			s.wake() // the machines confirmed since may unblock some jobs
+			s.wake() // machines that are confirmed now may unblock jobs
 		}
 		return
 	}
@@ -81,8 +81,8 @@
 			confirmations[machine] = confirmation{epoch: changefeed.AllEpochs}
 			continue
 		}
-		epoch, why := s.feed.ConfirmedEpoch(kv)
-		confirmations[machine] = confirmation{epoch: epoch, reason: why}
+		epoch, reason := s.feed.ConfirmedEpoch(kv)
+		confirmations[machine] = confirmation{epoch: epoch, reason: reason}
 	}
 	return confirmations
 }
--- a/internal/scheduler/shard_release.go
+++ b/internal/scheduler/shard_release.go
@@ -35,7 +35,7 @@
 }
 
 // emptyShards lists reconciled job shards without jobs, as many as one transaction can remove, with
-// the compares and changes of that transaction.
+// the compares and operations of that transaction.
 func (s *Scheduler) emptyShards() (ids []string, compares []statekv.Compare, removals []statekv.Op) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scheduler/task_lifecycle_test.go
+++ b/internal/scheduler/task_lifecycle_test.go
@@ -254,8 +254,8 @@
 	})
 }
 
-// When the cloud is about to reclaim a machine, tasks that can checkpoint are saved and moved.
-// Other tasks run on for as long as the machine exists.
+// When the cloud is about to reclaim a machine, tasks that can write a checkpoint do so and are
+// moved. Other tasks run on for as long as the machine exists.
 func TestSpotNoticeMovesTasksWithCheckpoints(t *testing.T) {
 	for name, canCheckpoint := range map[string]bool{"with checkpoint": true, "without checkpoint": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/scheduler/task_results.go
+++ b/internal/scheduler/task_results.go
@@ -59,7 +59,7 @@
 	s.onTaskLost(j, index)
 }
 
-// onTaskLost returns a task to pending that is proven gone from its machine. The other tasks of a
+// onTaskLost returns a task that is proven gone from its machine to pending. The other tasks of a
 // gang are stopped. The caller must hold s.mu.
 func (s *Scheduler) onTaskLost(j *jobState, index int) {
 	s.counters.Lost++
--- a/internal/scheduler/task_state.go
+++ b/internal/scheduler/task_state.go
@@ -32,7 +32,7 @@
 	// ownership revision and of this version or a later one (see provenGone).
 	ownerRev, entryVersion uint64
 
-	grace      time.Duration // time to save that the stop leaves the task
+	grace      time.Duration // grace period of the stop, in which the task may write a checkpoint
 	stopSentAt time.Time
 }
 
