--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -209,8 +209,8 @@
 func (cluster *testCluster) advance(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
 		for _, machine := range cluster.machines {
-			// A worker keeps its controller while that owns the machine, and tries the other one
-			// otherwise.
+			// A worker keeps its controller while that controller owns the machine, and otherwise
+			// tries the other one.
 			host := cluster.endpoints[machine]
 			for range 3 {
 				controller := cluster.controller(host)
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// readyTime returns when a job became ready whose last dependency ended at lastEnded: now if
-// lastEnded is zero, which means unknown, or in the future, and never before the submission.
+// readyTime returns when a job became ready: lastEnded, the time when its last dependency ended, or
+// now if lastEnded is unknown (zero) or in the future. It is never before the submission.
 func readyTime(submittedAt, lastEnded, now time.Time) time.Time {
 	ready := lastEnded
 	if ready.IsZero() || ready.After(now) {
