--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -11,46 +11,46 @@
 	"robinstack/internal/worker"
 )
 
-// onTaskFailed takes up that a task of the job failed on a machine. The mutex is held.
+// onTaskFailed handles a task of the job that failed on a machine. The caller must hold s.mu.
 func (s *Scheduler) onTaskFailed(j *jobState, machine string) {
 	s.counters.Failed++
 	now := time.Now()
 	j.failures.avoidMachine(machine, now)
 	if j.doneCount > 0 {
-		s.reportAttribution(j, machine, true)
-		j.nextTry = now.Add(s.policy.ResampleDelay)
+		s.queueAttribution(j, machine, true)
+		j.nextPlacementAt = now.Add(s.policy.ResampleDelay)
 		return
 	}
 	s.scheduleFailureRecord(j)
-	attributed := j.failures.attribute(machine)
-	j.nextTry = now.Add(j.failures.backoff())
-	switch attributed {
+	result := j.failures.attribute(machine)
+	j.nextPlacementAt = now.Add(j.failures.backoff())
+	switch result {
 	case jobKnownAtFault:
-		s.reportAttribution(j, machine, false)
+		s.queueAttribution(j, machine, false)
 	case jobFoundAtFault:
 		s.onJobAtFault(j)
 	}
 }
 
-// onJobAtFault clears the machines on which the job failed, and stops those of its tasks
-// that have not begun to run: they would fail as well. The mutex is held.
+// onJobAtFault clears the machines on which the job failed of suspicion, and stops the job's tasks
+// that have not begun to run, because they would fail as well. The caller must hold s.mu.
 func (s *Scheduler) onJobAtFault(j *jobState) {
 	s.counters.Suspects++
 	slog.Info("job failing on all machines",
 		"job", j.spec.ID, "class", j.spec.Class, "machines", len(j.failures.failedOn))
 	for machine := range j.failures.failedOn {
-		s.reportAttribution(j, machine, false)
+		s.queueAttribution(j, machine, false)
 	}
 	for i := range j.tasks {
-		if state := j.tasks[i].state; state == agentapi.Starting || state == worker.TaskFetching {
+		if state := j.tasks[i].reportedState; state == agentapi.Starting || state == worker.TaskFetching {
 			s.stopTask(j, i, 0)
 		}
 	}
 }
 
-// scheduleFailureRecord has what is known of the job's failures written into its record
-// soon: its next scheduler would have to fail it on as many machines again. The mutex is
-// held.
+// scheduleFailureRecord schedules a write of the job's failure history into its record. Without it,
+// the next scheduler of the job would need failures on as many machines again before it attributes
+// them to the job. The caller must hold s.mu.
 func (s *Scheduler) scheduleFailureRecord(j *jobState) {
 	if j.failures.consecutive > maxRecordedFailures || !s.versions.Enabled(rollout.FeatureFailureHistory) {
 		return
@@ -59,49 +59,49 @@
 	j.completion.markDirty(time.Now())
 }
 
-// restoreFailures takes up what an earlier scheduler recorded of the job's failures.
+// restoreFailures restores the failure history that an earlier scheduler recorded.
 func (j *jobState) restoreFailures(recorded *job.FailureHistory, now time.Time) {
 	if recorded == nil || j.doneCount > 0 {
 		return
 	}
 	j.failures.restore(recorded, now)
-	j.nextTry = now.Add(j.failures.backoff())
+	j.nextPlacementAt = now.Add(j.failures.backoff())
 }
 
-// onTaskSucceeded takes up that a task of the job has completed: where others of it
-// failed, the machine was at fault. The mutex is held.
+// onTaskSucceeded handles a completed task of the job: the job's earlier failures are attributed to
+// the machines on which they occurred. The caller must hold s.mu.
 func (s *Scheduler) onTaskSucceeded(j *jobState) {
 	for machine := range j.failures.failedOn {
-		s.reportAttribution(j, machine, true)
+		s.queueAttribution(j, machine, true)
 	}
 	if j.failures.jobAtFault {
 		slog.Info("job failure cleared", "job", j.spec.ID)
-		j.nextTry = time.Time{}
+		j.nextPlacementAt = time.Time{}
 	}
 	j.failures.clear()
 }
 
-// reportAttribution has the machine's owner told whether the machine is at fault for a
-// failure of the job. The mutex is held.
-func (s *Scheduler) reportAttribution(j *jobState, machine string, machineAtFault bool) {
+// queueAttribution queues a message to the machine's owner that says whether a failure of the job
+// is attributed to the machine. The caller must hold s.mu.
+func (s *Scheduler) queueAttribution(j *jobState, machine string, machineAtFault bool) {
 	s.outbox.attributions = append(s.outbox.attributions,
 		agentapi.Attribution{Machine: machine, Job: j.spec.ID, AtFault: machineAtFault})
 }
 
-// sendAttributions tells owners what is known of their machines. One that is lost does no
-// harm: suspicion of a machine passes by itself.
+// sendAttributions sends failure attributions to the owners of the machines. A lost message does no
+// harm: suspicion of a machine expires.
 func (s *Scheduler) sendAttributions(ctx context.Context, attributions []agentapi.Attribution) {
 	byHost := map[string][]agentapi.Attribution{}
-	for _, attributed := range attributions {
-		if host, ok := s.feed.OwnerHost(attributed.Machine); ok {
-			byHost[host] = append(byHost[host], attributed)
+	for _, item := range attributions {
+		if host, ok := s.feed.OwnerHost(item.Machine); ok {
+			byHost[host] = append(byHost[host], item)
 		}
 	}
-	for host, list := range byHost {
+	for host, hostAttributions := range byHost {
 		s.background.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, outboxTimeout)
 			defer cancel()
-			if err := s.peers.Call(callCtx, host, methodAttribute, list, &struct{}{}); err != nil {
+			if err := s.peers.Call(callCtx, host, methodAttribute, hostAttributions, &struct{}{}); err != nil {
 				slog.Debug("machine health report to owner failed", "host", host, "err", err)
 			}
 		})
--- a/internal/scheduler/gang_commit.go
+++ b/internal/scheduler/gang_commit.go
@@ -9,42 +9,43 @@
 	"robinstack/internal/agentapi"
 )
 
-// heldTask is a member of a gang with the machine that holds capacity for it.
-type heldTask struct {
+// reservedTask is a gang member with the machine that has reserved capacity for it.
+type reservedTask struct {
 	binding *binding
 	machine agentapi.Candidate
 }
 
-// commitGang places a gang: capacity is held for all of it, machine by machine in one
-// fixed order, before anything is started. It reports whether all of it was started.
+// commitGang places a gang in two steps: it first reserves capacity for all members, one after
+// another in the order of machine names, which is the same for all gangs, and then starts them. It
+// reports whether all members were started or may have been.
 func (s *Scheduler) commitGang(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding,
 ) bool {
-	held, complete := s.holdGang(ctx, j, commit, bindings)
+	reserved, complete := s.reserveGang(ctx, j, commit, bindings)
 	if !complete {
-		s.releaseHeld(held)
-		s.abandonGranted(j, bindings)
+		s.releaseReserved(reserved)
+		s.requeueAndReleaseGrants(j, bindings)
 		return false
 	}
-	s.startHeld(ctx, j, commit, held)
+	s.startReserved(ctx, j, commit, reserved)
 	refused := slices.DeleteFunc(slices.Clone(bindings), func(b *binding) bool { return !b.wasRefused() })
 	if len(refused) == 0 {
 		return true
 	}
-	s.abandonGranted(j, refused)
+	s.requeueAndReleaseGrants(j, refused)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopAllTasks(j, 0)
 	return false
 }
 
-// holdGang has capacity held for each member, and reports whether it was for all. Members
-// also try the candidates of the first.
-func (s *Scheduler) holdGang(
+// reserveGang reserves capacity for each member and reports whether that succeeded for all. Members
+// also try the candidates of the first binding.
+func (s *Scheduler) reserveGang(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding,
-) (held []heldTask, complete bool) {
+) (reserved []reservedTask, complete bool) {
 	fallbacks := bindings[0].candidates
-	used := map[string]int{}
+	assigned := map[string]int{}
 	ordered := slices.Clone(bindings)
 	slices.SortFunc(ordered, func(a, b *binding) int {
 		return cmp.Or(
@@ -52,27 +53,28 @@
 			cmp.Compare(a.ref.Index, b.ref.Index))
 	})
 	for _, b := range ordered {
-		machine, ok := s.holdMember(ctx, j, commit, b, slices.Concat(b.candidates, fallbacks), used)
+		machine, ok := s.reserveMember(ctx, j, commit, b, slices.Concat(b.candidates, fallbacks), assigned)
 		if !ok {
-			return held, false
+			return reserved, false
 		}
-		used[machine.Machine]++
-		held = append(held, heldTask{binding: b, machine: machine})
+		assigned[machine.Machine]++
+		reserved = append(reserved, reservedTask{binding: b, machine: machine})
 	}
-	return held, true
+	return reserved, true
 }
 
-// holdMember has capacity held for one member on the first of the candidates that takes it
-// and that is not used up by the members before it. It gives up where that is not known.
-func (s *Scheduler) holdMember(
+// reserveMember reserves capacity for one member on the first candidate that accepts it and is not
+// filled by earlier members. It gives up if a commit remains unresolved, because the candidate may
+// hold the reservation.
+func (s *Scheduler) reserveMember(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest,
-	b *binding, candidates []agentapi.Candidate, used map[string]int,
-) (machine agentapi.Candidate, held bool) {
+	b *binding, candidates []agentapi.Candidate, assigned map[string]int,
+) (machine agentapi.Candidate, ok bool) {
 	for _, c := range candidates {
-		if used[c.Machine] >= c.Fits {
+		if assigned[c.Machine] >= c.Fits {
 			continue
 		}
-		s.commit(ctx, j, commit, []*binding{b}, c, holdCapacity)
+		s.commit(ctx, j, commit, []*binding{b}, c, reserveOnly)
 		switch b.result {
 		case agentapi.Held:
 			return c, true
@@ -83,25 +85,25 @@
 	return agentapi.Candidate{}, false
 }
 
-// releaseHeld has machines release the capacity that they hold.
-func (s *Scheduler) releaseHeld(held []heldTask) {
+// releaseReserved queues messages to release the capacity reserved for the members.
+func (s *Scheduler) releaseReserved(reserved []reservedTask) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range held {
-		s.forget(agentapi.StopItem{Machine: h.machine.Machine, TaskRef: h.binding.ref})
+	for _, member := range reserved {
+		s.queueForget(agentapi.StopItem{Machine: member.machine.Machine, TaskRef: member.binding.ref})
 	}
 }
 
-// startHeld starts all members of a gang, with one commit per machine.
-func (s *Scheduler) startHeld(
-	ctx context.Context, j *jobState, commit agentapi.CommitRequest, held []heldTask,
+// startReserved starts all members of a gang with one commit per machine.
+func (s *Scheduler) startReserved(
+	ctx context.Context, j *jobState, commit agentapi.CommitRequest, reserved []reservedTask,
 ) {
 	groups := map[string][]*binding{}
 	machines := map[string]agentapi.Candidate{}
-	for _, h := range held {
-		name := h.machine.Machine
-		groups[name] = append(groups[name], h.binding)
-		machines[name] = h.machine
+	for _, member := range reserved {
+		name := member.machine.Machine
+		groups[name] = append(groups[name], member.binding)
+		machines[name] = member.machine
 	}
 	var calls sync.WaitGroup
 	for name, group := range groups {
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// deletionRetention is how long a deleted record is remembered at least: a slower
-	// read may still show it.
+	// deletionRetention is the minimum time for which the deletion of a record is kept: a slower
+	// read may still return the record.
 	deletionRetention = time.Minute
 
-	// maxDeletions is from how many remembered deletions on old ones are forgotten.
+	// maxDeletions is the number of kept deletions above which old ones are dropped.
 	maxDeletions = 2000
 )
 
-// recordDeletion is the deletion of a job's record.
+// recordDeletion is the deletion of a job's record, as the watch showed it.
 type recordDeletion struct {
 	revision uint64
 	seenAt   time.Time
 }
 
-// load takes up a job from its record. An accepted job is one that this session has just
-// written: nothing of it has finished yet.
-func (s *Scheduler) load(ctx context.Context, record *job.Record, revision uint64, accepted bool) error {
+// loadJob adds a job from its record. accepted says that this session has just written the record,
+// so no task of the job can have completed and no completed chunks are read.
+func (s *Scheduler) loadJob(ctx context.Context, record *job.Record, revision uint64, accepted bool) error {
 	j := &jobState{
 		spec:        &record.Spec,
 		record:      record,
@@ -41,31 +41,32 @@
 		accepted:    accepted,
 		tasks:       make([]taskState, record.Spec.Tasks),
 		done:        job.NewTaskBitmap(record.Spec.Tasks),
-		completion:  completion{dirtyChunks: map[int]bool{}},
+		completion:  pendingCompletion{dirtyChunks: map[int]bool{}},
 	}
 	if err := j.done.LoadChunk(0, record.CompletedTasks); err != nil {
 		slog.Error("job record unusable", "job", record.Spec.ID, "err", err)
 	}
 	if !accepted {
-		if err := s.loadChunks(ctx, j); err != nil {
+		if err := s.loadCompletedChunks(ctx, j); err != nil {
 			return err
 		}
 	}
 	j.doneCount = j.done.Len()
-	j.begun = j.doneCount > 0
+	j.started = j.doneCount > 0
 	j.restoreFailures(record.Failures, time.Now())
 	j.readyAt, j.effective = j.submittedAt, j.spec
 	if len(j.spec.WaitsOn) == 0 {
 		j.advance(jobRunnable, "")
 	}
-	j.limits = s.settings.CompletionTargets(j.spec.Class, j.spec.DeadlineS)
-	j.startWithin = s.settings.StartTargets(j.spec.Class)
-	s.add(j)
+	j.completionTargets = s.settings.CompletionTargets(j.spec.Class, j.spec.DeadlineS)
+	j.startTargets = s.settings.StartTargets(j.spec.Class)
+	s.addJob(j)
 	return nil
 }
 
-// loadChunks reads the chunks of finished tasks that are kept beside the job's record.
-func (s *Scheduler) loadChunks(ctx context.Context, j *jobState) error {
+// loadCompletedChunks reads the chunks of completed tasks that have keys of their own. Chunk 0 is
+// part of the job's record.
+func (s *Scheduler) loadCompletedChunks(ctx context.Context, j *jobState) error {
 	for k := 1; k < job.ChunkCount(j.spec.Tasks); k++ {
 		kv, err := s.store.Get(ctx, job.CompletedChunkKey(j.spec.ID, k))
 		if errors.Is(err, statekv.ErrNotFound) {
@@ -79,38 +80,38 @@
 			err = j.done.LoadChunk(k, chunk)
 		}
 		if err != nil {
-			return fmt.Errorf("loading finished tasks of %s: %w", j.spec.ID, err)
+			return fmt.Errorf("loading completed chunk %d of job %s: %w", k, j.spec.ID, err)
 		}
 	}
 	return nil
 }
 
-// add adds a job that was read, unless a later state of it is known.
-func (s *Scheduler) add(j *jobState) {
+// addJob adds a loaded job, unless a later state of the job is known.
+func (s *Scheduler) addJob(j *jobState) {
 	id := j.spec.ID
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.deletions[id].revision > j.revision {
-		return // cancelled since the record was read
+		return // the job has been cancelled since its record was read
 	}
 	j.class = s.classFor(j.spec)
 	known := s.jobs[id]
-	if known == nil || j.revision > known.revision && !known.completion.writing && known.shardID != j.shardID {
+	if known == nil || j.revision > known.revision && !known.completion.writeInFlight && known.shardID != j.shardID {
 		s.jobs[id] = j
 		s.dependenciesCheckedAt = time.Time{}
 	}
 	s.wake()
 }
 
-// OnJobAccepted takes up a job whose record this controller has just written.
+// OnJobAccepted adds a job whose record this controller has just written.
 func (s *Scheduler) OnJobAccepted(record *job.Record, revision uint64) {
-	if err := s.load(context.Background(), record, revision, true); err != nil {
+	if err := s.loadJob(context.Background(), record, revision, true); err != nil {
 		slog.Error("job load failed", "job", record.Spec.ID, "err", err)
 	}
 }
 
-// OnJobEvent follows the job records: cancellations come from any controller, and a
-// submission of ours may turn out to have been applied after all.
+// OnJobEvent applies a change of a job record from the watch. Any controller may record a
+// cancellation, and a submission of this controller whose response was lost may have been applied.
 func (s *Scheduler) OnJobEvent(event statekv.Event) {
 	id, ok := strings.CutPrefix(event.Key(), job.RecordPrefix)
 	if !ok {
@@ -123,20 +124,22 @@
 	s.onRecordWritten(id, event)
 }
 
-// onRecordDeleted takes up that a job's record was deleted: its final status is durable.
+// onRecordDeleted handles the deletion of a job's record, which means that the job's final status
+// is durable.
 func (s *Scheduler) onRecordDeleted(id string, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.otherJobs, id)
 	s.deletions[id] = recordDeletion{revision: revision, seenAt: time.Now()}
-	s.forgetDeletions()
+	s.dropOldDeletions()
 	if j := s.jobs[id]; j != nil && revision > j.revision {
 		s.onFinalRecord(id, j)
 	}
 }
 
-// forgetDeletions forgets old deletions where there are many. The mutex is held.
-func (s *Scheduler) forgetDeletions() {
+// dropOldDeletions drops old deletions if more than maxDeletions are kept. The caller must hold
+// s.mu.
+func (s *Scheduler) dropOldDeletions() {
 	for id, deletion := range s.deletions {
 		if len(s.deletions) > maxDeletions && time.Since(deletion.seenAt) > deletionRetention {
 			delete(s.deletions, id)
@@ -144,7 +147,7 @@
 	}
 }
 
-// onRecordWritten takes up a job that is not known yet.
+// onRecordWritten handles a written job record: an unknown job of a held job shard is added.
 func (s *Scheduler) onRecordWritten(id string, event statekv.Event) {
 	s.mu.Lock()
 	known := s.jobs[id] != nil || s.otherJobs[id]
@@ -163,8 +166,8 @@
 	s.mu.Lock()
 	shard := s.shards[record.JobShard]
 	if shard == nil {
-		// Its later changes record finished tasks, which need not be read here. A job
-		// shard that is taken over is loaded from a list.
+		// Later records of this job only add completed tasks, so they need not be decoded here. If
+		// its job shard is taken over, its jobs are loaded from the mirror.
 		s.otherJobs[id] = true
 	}
 	s.mu.Unlock()
@@ -174,12 +177,12 @@
 	}
 }
 
-// onFinalRecord stops everything of a job whose record says that it is finished. The mutex
-// is held.
+// onFinalRecord handles a job whose record has been deleted, which means that the job is finished.
+// The caller must hold s.mu.
 func (s *Scheduler) onFinalRecord(id string, j *jobState) {
 	if j.phase == jobFinished && j.outcome == job.Done {
-		// Our own final write is under way, or a cancellation came first: the record
-		// decides, and the completion write will read it.
+		// Either this scheduler's own final write is in flight, or a cancellation was applied
+		// first. The stored tombstone decides, and the completion write reads it after a conflict.
 		return
 	}
 	outcome := j.outcome
@@ -187,19 +190,19 @@
 		slog.Info(logline.JobCancelled, "job", id)
 		outcome = job.Cancelled
 	}
-	s.onRecorded(id, j, outcome)
+	s.onFinalStatusRecorded(id, j, outcome)
 }
 
-// onRecorded takes up that a job's final status is durable: what machines still have of it
-// is stopped or forgotten. The mutex is held.
-func (s *Scheduler) onRecorded(id string, j *jobState, outcome string) {
+// onFinalStatusRecorded handles a job whose final status is durable: its running tasks are stopped,
+// and machines may forget its ended attempts. The caller must hold s.mu.
+func (s *Scheduler) onFinalStatusRecorded(id string, j *jobState, outcome string) {
 	j.advance(jobRecorded, outcome)
 	s.stopAllTasks(j, 0)
-	s.forgetEndedAttempts(j, len(j.completion.ended))
+	s.queueForgetEnded(j, len(j.completion.endedAttempts))
 	s.dropIfGone(id, j)
 }
 
-// Resync looks for jobs whose end was missed in a gap of the watch.
+// Resync finishes the jobs whose record was deleted in a gap of the watch.
 func (s *Scheduler) Resync() {
 	revision := s.mirror.Rev()
 	s.mu.Lock()
@@ -212,8 +215,8 @@
 	}
 }
 
-// dropIfGone drops a job whose final status is durable and that no machine has a task of.
-// The mutex is held.
+// dropIfGone drops a job if its final status is durable and no machine has a task of it. The caller
+// must hold s.mu.
 func (s *Scheduler) dropIfGone(id string, j *jobState) {
 	if j.phase != jobRecorded || j.placing {
 		return
--- a/internal/scheduler/machine_entries.go
+++ b/internal/scheduler/machine_entries.go
@@ -9,11 +9,11 @@
 	"robinstack/internal/worker"
 )
 
-// saveMargin is the time beyond what a task needs to save that it gets when its machine
-// is taken away.
-const saveMargin = time.Second
+// checkpointMargin is added to a task's checkpoint duration to get the grace period of its stop
+// when the machine is about to be reclaimed.
+const checkpointMargin = time.Second
 
-// OnEntries takes up what the change feed shows of machines.
+// OnEntries applies machine entries from the change feed.
 func (s *Scheduler) OnEntries(entries []agentapi.MachineEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,7 +22,7 @@
 	}
 }
 
-// onEntry takes up one machine. The mutex is held.
+// onEntry applies the entry of one machine. The caller must hold s.mu.
 func (s *Scheduler) onEntry(entry *agentapi.MachineEntry) {
 	listed := make(map[agentapi.TaskRef]bool, len(entry.Tasks))
 	for i := range entry.Tasks {
@@ -32,15 +32,15 @@
 			s.onAttempt(entry, attempt, j)
 		}
 	}
-	s.loseUnlisted(entry, listed)
+	s.resolveUnlistedAttempts(entry, listed)
 	if len(s.placedOn[entry.Machine]) == 0 {
 		delete(s.placedOn, entry.Machine)
 	}
 }
 
-// loseUnlisted takes up the attempts on a machine that its entry does not list, where that
-// proves them gone. The mutex is held.
-func (s *Scheduler) loseUnlisted(entry *agentapi.MachineEntry, listed map[agentapi.TaskRef]bool) {
+// resolveUnlistedAttempts handles the attempts that are placed on a machine and that its entry does
+// not list: an attempt is lost if the entry proves it gone. The caller must hold s.mu.
+func (s *Scheduler) resolveUnlistedAttempts(entry *agentapi.MachineEntry, listed map[agentapi.TaskRef]bool) {
 	placed := s.placedOn[entry.Machine]
 	for ref := range placed {
 		j := s.jobs[ref.Job]
@@ -58,7 +58,7 @@
 	}
 }
 
-// onAttempt takes up one attempt that a machine's entry lists. The mutex is held.
+// onAttempt applies one attempt that a machine's entry lists. The caller must hold s.mu.
 func (s *Scheduler) onAttempt(entry *agentapi.MachineEntry, listed *agentapi.TaskEntry, j *jobState) {
 	task := &j.tasks[listed.Index]
 	ended := listed.State == worker.TaskExited
@@ -68,36 +68,38 @@
 	}
 	pending := task.status == taskPending
 	if pending && ended || !pending && task.attempt != listed.Attempt {
-		// An attempt that was given up turned up after all.
-		s.forget(item)
+		// The attempt was given up as lost, but it was started after all.
+		s.queueForget(item)
 		return
 	}
 	if pending {
 		j.attempts = max(j.attempts, listed.Attempt)
 		task.attempt = listed.Attempt
 	}
-	j.begun, j.reserving = true, false
-	task.place(entry.Machine, entry.Zone, entry.Rev, entry.Ver)
-	task.state = listed.State
-	s.notePlaced(entry.Machine, listed.TaskRef)
+	j.started, j.reserving = true, false
+	task.markPlaced(entry.Machine, entry.Zone, entry.Rev, entry.Ver)
+	task.reportedState = listed.State
+	s.addPlacedAttempt(entry.Machine, listed.TaskRef)
 	if ended {
 		s.onAttemptEnded(j, listed.Index, listed.Cause, entry.Machine)
-		s.forget(item)
+		s.queueForget(item)
 		return
 	}
 	if entry.ReclaimNoticed() && !j.isFinished() && (j.spec.CanCheckpoint() || j.spec.Shape == job.Service) {
-		// The machine is being taken away: save and move on.
-		s.stopTaskOrGang(j, listed.Index, j.spec.CheckpointDuration()+saveMargin)
+		// The cloud is about to reclaim the machine: the task writes a checkpoint and is restarted
+		// elsewhere.
+		s.stopTaskOrGang(j, listed.Index, j.spec.CheckpointDuration()+checkpointMargin)
 	}
 }
 
-// onAttemptWithResult takes up an attempt that completed its task, or at a task or job
-// that has its result already; it returns whether nothing is left to do. The mutex is held.
+// onAttemptWithResult handles an attempt that completed its task, and attempts at tasks or jobs
+// that already have a result. It reports whether the attempt needs no further handling. The caller
+// must hold s.mu.
 func (s *Scheduler) onAttemptWithResult(listed *agentapi.TaskEntry, j *jobState, item agentapi.StopItem) bool {
 	ended := listed.State == worker.TaskExited
 	switch {
 	case j.phase == jobRecorded:
-		s.forget(item)
+		s.queueForget(item)
 		if !ended || j.tasks[listed.Index].attempt != listed.Attempt {
 			return false
 		}
@@ -105,22 +107,22 @@
 		s.dropIfGone(listed.Job, j)
 		return true
 	case ended && listed.Cause == worker.CauseDone:
-		// Forgotten once the completion is durable.
-		j.completion.ended = append(j.completion.ended, item)
+		// The worker keeps the attempt until the completion is durable.
+		j.completion.endedAttempts = append(j.completion.endedAttempts, item)
 		s.onTaskCompleted(j, listed.Index)
 		return true
 	case j.done.Has(listed.Index):
-		// Another attempt completed it, or another task of its gang.
-		s.forget(item)
+		// Another attempt, or another task of the gang, has completed it.
+		s.queueForget(item)
 		return true
 	}
 	return false
 }
 
-// loseTasksOfRemovedMachines gives up tasks on machines whose keys have been removed,
-// which is done only once all on them is proven gone. Their owner may have died before its
-// last entry got here.
-func (s *Scheduler) loseTasksOfRemovedMachines() {
+// handleRemovedMachines marks the tasks on removed machines as lost: a machine's key is removed
+// only once all tasks on the machine are proven gone. The entry that shows that they are gone may
+// never arrive if the machine's owner crashes before it sends the entry.
+func (s *Scheduler) handleRemovedMachines() {
 	revision := s.mirror.Rev()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,16 +144,17 @@
 	}
 }
 
-// notePlaced notes that a machine has an attempt, or may have it. The mutex is held.
-func (s *Scheduler) notePlaced(machine string, ref agentapi.TaskRef) {
+// addPlacedAttempt records that an attempt is, or may be, on a machine. The caller must hold s.mu.
+func (s *Scheduler) addPlacedAttempt(machine string, ref agentapi.TaskRef) {
 	if s.placedOn[machine] == nil {
 		s.placedOn[machine] = map[agentapi.TaskRef]bool{}
 	}
 	s.placedOn[machine][ref] = true
 }
 
-// forget has a machine's owner told that an attempt may be forgotten, or stopped if it has
-// not ended. The mutex is held.
-func (s *Scheduler) forget(item agentapi.StopItem) {
-	s.outbox.forgets = append(s.outbox.forgets, item)
+// queueForget queues an item for the machine's owner. With item.Forget the owner may forget the
+// attempt; otherwise it stops the attempt or releases the capacity reserved for it. The caller must
+// hold s.mu.
+func (s *Scheduler) queueForget(item agentapi.StopItem) {
+	s.outbox.forgetItems = append(s.outbox.forgetItems, item)
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// maxPlacements bounds the placements at work at the same time.
+	// maxPlacements bounds the concurrent placements.
 	maxPlacements = 8
 
-	// What wakes the queue gathers for a moment: under load something does all the time,
-	// and every look goes through all jobs, so that with many the looks are further apart.
-	minWakeUpPause    = 10 * time.Millisecond
-	wakeUpPausePerJob = 100 * time.Microsecond
-	maxWakeUpPause    = 50 * time.Millisecond
+	// Delay between a wake-up and the dispatch, to coalesce the wake-ups, which arrive all the time
+	// under load. A dispatch examines all jobs, so the delay grows with their number.
+	minCoalesceDelay    = 10 * time.Millisecond
+	coalesceDelayPerJob = 100 * time.Microsecond
+	maxCoalesceDelay    = 50 * time.Millisecond
 )
 
-// runQueue dispatches until ctx ends, whenever something wakes the queue.
+// runQueue dispatches on every wake-up and at least once per dispatchInterval, until ctx ends.
 func (s *Scheduler) runQueue(ctx context.Context) {
 	tick := time.NewTicker(dispatchInterval)
 	defer tick.Stop()
@@ -28,18 +28,19 @@
 		case <-ctx.Done():
 		case <-tick.C:
 		case <-s.wakeUp:
-			time.Sleep(s.wakeUpPause())
+			time.Sleep(s.coalesceDelay())
 		}
 	}
 }
 
-func (s *Scheduler) wakeUpPause() time.Duration {
+// coalesceDelay returns the delay between a wake-up and the dispatch.
+func (s *Scheduler) coalesceDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(maxWakeUpPause, minWakeUpPause+time.Duration(len(s.jobs))*wakeUpPausePerJob)
+	return min(maxCoalesceDelay, minCoalesceDelay+time.Duration(len(s.jobs))*coalesceDelayPerJob)
 }
 
-// wake has the queue looked at soon.
+// wake makes runQueue dispatch soon.
 func (s *Scheduler) wake() {
 	select {
 	case s.wakeUp <- struct{}{}:
@@ -47,14 +48,13 @@
 	}
 }
 
-// queued is a job that may be placed now.
-type queued struct {
+// queueEntry is a job that may be placed now, with its queue order.
+type queueEntry struct {
 	job   *jobState
 	order float64
 }
 
-// dispatch starts placements for the jobs that wait, those first that the queue's order
-// puts first.
+// dispatch starts placements of the queued jobs in queue order, up to maxPlacements at a time.
 func (s *Scheduler) dispatch(ctx context.Context) {
 	if !s.session.HoldsLease() {
 		return
@@ -63,45 +63,46 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.checkDependencies(now)
-	if s.placements >= maxPlacements {
-		return // the end of one of them wakes the queue
+	if s.activePlacements >= maxPlacements {
+		return // the end of a placement wakes the queue
 	}
-	for _, next := range s.queue(now) {
-		if s.placements >= maxPlacements {
+	for _, entry := range s.queuedJobs(now) {
+		if s.activePlacements >= maxPlacements {
 			break
 		}
-		j := next.job
+		j := entry.job
 		if j.waitsForClass(now) && !j.startOverdue(now) {
 			continue
 		}
 		j.placing = true
-		j.class.placements++
-		s.placements++
+		j.class.activePlacements++
+		s.activePlacements++
 		s.background.Go(func() { s.place(ctx, j) })
 	}
 }
 
-// queue lists the jobs that may be placed now in the queue's order. The mutex is held.
-func (s *Scheduler) queue(now time.Time) []queued {
-	var queue []queued
+// queuedJobs returns entries for the jobs that may be placed now, in queue order. The caller must
+// hold s.mu.
+func (s *Scheduler) queuedJobs(now time.Time) []queueEntry {
+	var entries []queueEntry
 	for _, j := range s.jobs {
 		if s.mayDispatch(j, now) {
-			queue = append(queue, queued{job: j, order: j.queueOrder(s.policy, now)})
+			entries = append(entries, queueEntry{job: j, order: j.queueOrder(s.policy, now)})
 		}
 	}
-	slices.SortFunc(queue, func(a, b queued) int {
+	slices.SortFunc(entries, func(a, b queueEntry) int {
 		return cmp.Or(cmp.Compare(b.order, a.order), cmp.Compare(a.job.spec.ID, b.job.spec.ID))
 	})
-	return queue
+	return entries
 }
 
-// mayDispatch reports whether a placement of the job may be started. The mutex is held.
+// mayDispatch reports whether a placement of the job may start now. The caller must hold s.mu.
 func (s *Scheduler) mayDispatch(j *jobState, now time.Time) bool {
-	if j.phase != jobRunnable || j.placing || now.Before(j.nextTry) {
+	if j.phase != jobRunnable || j.placing || now.Before(j.nextPlacementAt) {
 		return false
 	}
-	if now.Before(j.class.fullUntil) && !j.startOverdue(now) {
+	if now.Before(j.class.pausedUntil) && !j.startOverdue(now) {
 		return false
 	}
-	return s.mayPlace(j) && j.hasPlaceableTasks()
+	return s.canPlace(j) && j.hasPlaceableTasks()
 }
--- a/internal/scheduler/sampling.go
+++ b/internal/scheduler/sampling.go
@@ -11,40 +11,41 @@
 	"robinstack/internal/scheduler/candidate"
 )
 
-// Phase 1, sampling: a random share of the controllers is asked for machines with capacity,
-// each of which samples a share of its machines.
+// Phase 1 of a placement, sampling: the scheduler queries a random share of the controllers for
+// machines with capacity, and each controller samples a share of its machines.
 
-// shuffle is the source of randomness of the sampling.
+// shuffle is the source of randomness for choosing the controllers.
 var shuffle candidate.Shuffle = rand.Shuffle
 
-// sampleResult is what the controllers that were asked have found.
+// sampleResult is the merged answer of the queried controllers.
 type sampleResult struct {
-	candidates []agentapi.Candidate
-	scarce     bool // all of them looked at every machine they own
-	crowded    bool // there is capacity on machines that fetch other images
+	candidates     []agentapi.Candidate
+	exhausted      bool // every controller that answered drew all of its machines and found too few
+	fetchContended bool // capacity exists, but only on machines that fetch other images
 }
 
-// sample asks for machines on which the job's tasks have capacity.
+// sample asks for machines that have capacity for tasks of the job. If all machines are exhausted,
+// capacity counts as scarce for the job's scheduling class.
 func (s *Scheduler) sample(ctx context.Context, p *placement) sampleResult {
-	found := s.askOwners(ctx, methodSample, p.request)
-	if found.scarce {
+	result := s.queryControllers(ctx, methodSample, p.request)
+	if result.exhausted {
 		s.mu.Lock()
 		p.job.class.scarceUntil = time.Now().Add(scarceDuration)
 		s.mu.Unlock()
 	}
-	return found
+	return result
 }
 
-// askOwners sends a request to a random share of the controllers, and joins their answers.
-// One that does not answer in time is left out.
-func (s *Scheduler) askOwners(ctx context.Context, method string, request agentapi.Request) sampleResult {
+// queryControllers sends a request to a random share of the controllers and merges the answers.
+// Controllers that fail or do not answer within SampleTimeout are ignored.
+func (s *Scheduler) queryControllers(ctx context.Context, method string, request agentapi.Request) sampleResult {
 	hosts := candidate.PickHosts(s.session.AliveHosts(), s.policy.SampleControllerShare, shuffle)
 	callCtx, cancel := context.WithTimeout(ctx, s.policy.SampleTimeout)
 	defer cancel()
 	var (
-		mu    sync.Mutex // guards all
-		all   = sampleResult{scarce: true}
-		calls sync.WaitGroup
+		mu     sync.Mutex // mu guards all
+		merged = sampleResult{exhausted: true}
+		calls  sync.WaitGroup
 	)
 	for _, host := range hosts {
 		calls.Go(func() {
@@ -55,14 +56,14 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all.candidates = append(all.candidates, reply.Candidates...)
-			all.scarce = all.scarce && reply.Exhausted
-			all.crowded = all.crowded || reply.Crowded
+			merged.candidates = append(merged.candidates, reply.Candidates...)
+			merged.exhausted = merged.exhausted && reply.Exhausted
+			merged.fetchContended = merged.fetchContended || reply.Crowded
 		})
 	}
 	calls.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counters.Samples += uint64(len(hosts))
-	return all
+	return merged
 }
