--- a/internal/machine/commands.go
+++ b/internal/machine/commands.go
@@ -7,95 +7,103 @@
 )
 
 const (
-	// stopRepeatAfter is how long after a stop it is sent again: a task that saves takes
-	// its time, and must not be told again with every answer until it is done.
-	stopRepeatAfter = 2 * time.Second
-	// stopOverdueAfter is how long beyond its grace a task may go on before it is stopped
-	// without.
-	stopOverdueAfter = 5 * time.Second
+	// stopResendInterval is the least time between two sends of a stop by direct command. A task
+	// that is saving a checkpoint takes time to end; without the interval, each response of the
+	// worker would trigger the same stop again.
+	stopResendInterval = 2 * time.Second
+	// stopOverrunLimit is how long a task may run beyond its grace period. After that, the stop is
+	// sent without a grace period.
+	stopOverrunLimit = 5 * time.Second
 )
 
-// CommandDue reports whether a command is due that must not wait for the next heartbeat.
-// Forgetting can wait: the task has ended.
+// CommandDue reports whether a command must be sent now instead of with the answer to the next
+// heartbeat: a start, a stop, or a raised token that the worker has not shown yet. Forget commands
+// can wait, because their tasks have ended.
 func (m *Machine) CommandDue(now time.Time) bool {
 	if m.Ownership.Unfenced() {
 		return true
 	}
 	for _, t := range m.tasks {
-		if t.StartNotSent() || t.Occupies() && t.stopDue() && t.stopRepeatDue(now) {
+		if t.StartNotSent() || t.Occupies() && t.needsStop() && t.stopResendDue(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// stopDue reports whether the worker has, or may have, a task that is to be stopped.
-func (t *Task) stopDue() bool { return t.stop.requested && t.start.delivery != startUnsent }
+// needsStop reports whether a stop is requested for a task that the worker has or may still
+// receive.
+func (t *Task) needsStop() bool { return t.stop.requested && t.start.delivery != startUnsent }
 
-func (t *Task) stopRepeatDue(now time.Time) bool { return now.Sub(t.stop.lastSent) > stopRepeatAfter }
+func (t *Task) stopResendDue(now time.Time) bool {
+	return now.Sub(t.stop.lastSent) > stopResendInterval
+}
 
-// DirectCommands lists the commands that are due for a command of its own, which a heartbeat
-// answers, so that it is known whether they were carried out: stops, forgets and starts. They
-// count as sent.
+// DirectCommands returns the stop, forget and start commands that are due, for a request to the
+// worker. The worker's response shows whether it executed them. The commands are recorded as sent.
 func (m *Machine) DirectCommands(now time.Time) []worker.Command {
-	stops, forgets := m.stopsAndForgets(now, (*Task).stopRepeatDue)
+	stops, forgets := m.stopsAndForgets(now, (*Task).stopResendDue)
 	return append(append(stops, forgets...), m.starts()...)
 }
 
-// AnswerCommands lists the commands that go into the answer to a heartbeat: all stops and
-// forgets. They count as sent.
+// AnswerCommands returns the commands for the answer to a heartbeat: all stops and forgets,
+// whenever they were last sent. The commands are recorded as sent.
 func (m *Machine) AnswerCommands(now time.Time) []worker.Command {
 	stops, forgets := m.stopsAndForgets(now, func(*Task, time.Time) bool { return true })
 	return append(stops, forgets...)
 }
 
-// stopsAndForgets lists the stops that are due by a rule, and the forgets.
+// stopsAndForgets returns a stop for each task that needs one and satisfies due, and a forget for
+// each task that may be forgotten.
 func (m *Machine) stopsAndForgets(
 	now time.Time, due func(*Task, time.Time) bool,
 ) (stops, forgets []worker.Command) {
 	for _, t := range m.tasks {
 		switch {
 		case t.state == Exited:
-			// A copy of the start that is still under way would start the
-			// task anew after its forget.
-			if t.forget && m.Ownership.seenToken >= t.start.fence {
+			// If an unanswered start command arrives after the forget, the worker starts the task
+			// again. The forget therefore waits until a heartbeat shows a token that invalidates
+			// that start.
+			if t.forgetAllowed && m.Ownership.seenToken >= t.start.fence {
 				forgets = append(forgets, worker.ForgetCommand(t.ID, t.Ref.Attempt))
 			}
-		case t.stopDue() && due(t, now):
-			stops = append(stops, worker.StopCommand(t.ID, t.Ref.Attempt, t.sendStop(now)))
+		case t.needsStop() && due(t, now):
+			stops = append(stops, worker.StopCommand(t.ID, t.Ref.Attempt, t.recordStopSent(now)))
 		}
 	}
 	return stops, forgets
 }
 
-// sendStop counts the stop as sent and returns the grace that it names.
-func (t *Task) sendStop(now time.Time) time.Duration {
+// recordStopSent records that a stop is sent now and returns the grace period to send with it.
+func (t *Task) recordStopSent(now time.Time) time.Duration {
 	if t.stop.firstSent.IsZero() {
 		t.stop.firstSent = now
 	}
 	t.stop.lastSent = now
-	if now.Sub(t.stop.firstSent) > t.stop.grace+stopOverdueAfter {
+	if now.Sub(t.stop.firstSent) > t.stop.grace+stopOverrunLimit {
 		return 0
 	}
 	return t.stop.grace
 }
 
-// starts lists the starts that are due. There are none while an earlier command is unanswered.
+// starts returns the start commands that are due. It returns none while the outcome of an earlier
+// command is unknown.
 func (m *Machine) starts() (starts []worker.Command) {
 	if !m.Ownership.reconciled || m.Ownership.Unfenced() {
 		return nil
 	}
 	for _, t := range m.tasks {
 		if t.StartNotSent() {
-			t.start.send(m.Ownership.Token())
+			t.start.markSent(m.Ownership.Token())
 			starts = append(starts, worker.StartCommand(t.ID, t.Ref.Attempt))
 		}
 	}
 	return starts
 }
 
-// CommandUnanswered notes that a command under a token had no answer: it may still arrive. A
-// raised token makes it harmless as soon as a heartbeat shows it.
+// CommandUnanswered records that a command with the given token got no response, so the worker may
+// still receive it. It raises the token: once a heartbeat shows the new token, the worker can no
+// longer execute the command.
 func (m *Machine) CommandUnanswered(token uint64, sent time.Time) {
 	m.Ownership.RaiseToken()
 	m.Liveness.NoteUnanswered(sent)
@@ -106,8 +114,9 @@
 	}
 }
 
-// FenceOvertakenStart raises the token where a start under that one has not shown although its
-// command was carried out: a later heartbeat overtook the answer, and the next one decides.
+// FenceOvertakenStart raises the token if a task is still not listed although the worker has
+// executed its start under the given token. This happens when a later heartbeat arrives before the
+// response to the command. The next heartbeat with the raised token shows whether the task exists.
 func (m *Machine) FenceOvertakenStart(token uint64) {
 	for _, t := range m.tasks {
 		if t.start.delivery == startSent && t.start.token == token {
--- a/internal/machine/contention.go
+++ b/internal/machine/contention.go
@@ -6,73 +6,79 @@
 	"robinstack/internal/job"
 )
 
-// FetchContention learns how much longer the fetch of an image takes for each other one
-// beside it, in parts of the time that it takes alone: 0 where they do not share the rate, 1
-// where they do evenly. The zero value knows nothing.
+// FetchContention estimates how much concurrent image fetches on one machine slow each other down.
+// The estimate is the additional duration per concurrent fetch, as a fraction of the duration of a
+// fetch that runs alone: 0 if fetches do not share bandwidth, 1 if they share it evenly. The zero
+// value has no observations and estimates 0.
 //
-// Images that a machine fetches at the same time may share its rate, and whether they do no
-// description of a machine says. Where they do, eight arrays with a task each on a machine
-// wait eight times as long as one, and all that time their capacity is taken. So owners learn
-// it from the fetches they see, and where it is so a machine gets a task with one more image
-// only when it is done with the others.
+// Whether fetches share a machine's bandwidth is not in the description of the machine type. If
+// they do, eight job arrays with one task each on a machine wait eight times as long as one array,
+// and occupy capacity meanwhile. Agents therefore estimate contention from the fetches
+// that they observe. If it is high, a machine gets a task with a further image only after other
+// fetches have finished.
 type FetchContention struct {
-	aloneWeight, besideWeight float64 // fetches seen, weighted by age
-	aloneRatioSum             float64 // of those alone: time taken by the expected
-	besideRatioSum            float64 // of those beside others: time taken by the expected
-	besideOthersSum           float64 // of those beside others: others, by time taken
-	observed                  uint64
+	soloWeight, concurrentWeight float64 // number of fetches, weighted by age
+	soloSlowdownSum              float64 // fetches alone: sum of actual / expected duration
+	concurrentSlowdownSum        float64 // concurrent fetches: sum of actual / expected duration
+	concurrencySum               float64 // concurrent fetches: sum of the average number of other fetches
+	observed                     uint64
 }
 
 const (
-	// contentionDecay is what each fetch leaves of the weight of those before it: some
-	// hundred count, for a rate differs by a third between machines.
+	// contentionDecay is the factor by which each new fetch reduces the weight of earlier ones. The
+	// estimate averages over about a hundred fetches, because machines differ in bandwidth by a
+	// third.
 	contentionDecay = 0.99
-	// minFetchWeight is the weight of those beside others below which nothing is concluded,
-	// and the weight of the machine types' rates.
+	// minFetchWeight is the weight of concurrent fetches below which contention is taken as 0. It
+	// is also the weight of the machine type's nominal rate in the average duration of fetches that
+	// run alone.
 	minFetchWeight = 8
-	// maxContention is the others, times how much they share, beside which one more image
-	// is not fetched. Two fetches that share the rate evenly both end when the second
-	// would have ended alone, and keep two places until then.
+	// maxContention is the expected slowdown (concurrent fetches times contention) above which a
+	// machine does not get a task with a further image. If two fetches share bandwidth evenly, both
+	// end only when the second would have ended had it waited for the first, and both tasks occupy
+	// capacity until then.
 	maxContention = 0.7
-	// aloneBelow is the number of others on average below which a fetch counts as alone.
-	aloneBelow = 0.2
-	// logEvery is the number of fetches after which the estimate is logged.
-	logEvery = 200
+	// soloConcurrencyLimit is the average number of concurrent fetches below which a fetch counts
+	// as running alone.
+	soloConcurrencyLimit = 0.2
+	// logInterval is the number of observed fetches between two log lines.
+	logInterval = 200
 )
 
-// observe takes in a fetch that took so many times the expected time, beside so many others
-// on average.
-func (c *FetchContention) observe(ratio, others float64) {
-	if c.observed++; c.observed%logEvery == 0 {
-		slog.Info("image fetch contention estimated", "fetches", c.observed, "contention", c.factor())
+// observe adds a finished fetch to the estimate. slowdown is its actual duration divided by the
+// expected one, concurrent the average number of other fetches during it.
+func (c *FetchContention) observe(slowdown, concurrent float64) {
+	if c.observed++; c.observed%logInterval == 0 {
+		slog.Info("image fetch contention estimated", "fetches", c.observed, "contention", c.estimate())
 	}
-	if others < aloneBelow {
-		c.aloneWeight = c.aloneWeight*contentionDecay + 1
-		c.aloneRatioSum = c.aloneRatioSum*contentionDecay + ratio
+	if concurrent < soloConcurrencyLimit {
+		c.soloWeight = c.soloWeight*contentionDecay + 1
+		c.soloSlowdownSum = c.soloSlowdownSum*contentionDecay + slowdown
 		return
 	}
-	c.besideWeight = c.besideWeight*contentionDecay + 1
-	c.besideRatioSum = c.besideRatioSum*contentionDecay + ratio
-	c.besideOthersSum = c.besideOthersSum*contentionDecay + others
+	c.concurrentWeight = c.concurrentWeight*contentionDecay + 1
+	c.concurrentSlowdownSum = c.concurrentSlowdownSum*contentionDecay + slowdown
+	c.concurrencySum = c.concurrencySum*contentionDecay + concurrent
 }
 
-// factor is what was learned, 0 to 1.
-func (c *FetchContention) factor() float64 {
-	if c.besideWeight < minFetchWeight {
+// estimate returns the estimated contention, from 0 to 1.
+func (c *FetchContention) estimate() float64 {
+	if c.concurrentWeight < minFetchWeight {
 		return 0
 	}
-	// Until fetches were seen alone, the machine types' rates say how long they take.
-	alone := (c.aloneRatioSum + minFetchWeight) / (c.aloneWeight + minFetchWeight)
-	longer := c.besideRatioSum / c.besideWeight / alone
-	return min(1, max(0, (longer-1)/(c.besideOthersSum/c.besideWeight)))
+	// While few fetches have run alone, the rate of the machine type dominates their average.
+	soloSlowdown := (c.soloSlowdownSum + minFetchWeight) / (c.soloWeight + minFetchWeight)
+	concurrentSlowdown := c.concurrentSlowdownSum / c.concurrentWeight / soloSlowdown
+	return min(1, max(0, (concurrentSlowdown-1)/(c.concurrencySum/c.concurrentWeight)))
 }
 
-// Contended reports whether a task of the job would have to fetch its image beside so many
-// others on m that it is better off elsewhere, or later.
+// Contended reports whether m already fetches so many images that a task of the job should not be
+// placed there now. It is always false for gangs and for images that are on m or being fetched
+// there.
 func (c *FetchContention) Contended(m *Machine, spec *job.Spec) bool {
-	factor := c.factor()
-	if spec.Shape == job.Gang || factor == 0 || m.ImageState(spec.Image) > 0 {
+	contention := c.estimate()
+	if spec.Shape == job.Gang || contention == 0 || m.ImageState(spec.Image) > 0 {
 		return false
 	}
-	return float64(m.imagesBeingFetched())*factor > maxContention
+	return float64(m.imagesBeingFetched())*contention > maxContention
 }
--- a/internal/machine/contention_test.go
+++ b/internal/machine/contention_test.go
@@ -16,53 +16,55 @@
 	return t
 }
 
-// On a day on which fetches share their machine's rate, up to eight images were on their
-// way to one machine, and arrays waited four times as long as for one alone. Whether
-// they share is learned from machines whose rates differ by a third.
-func TestFetchContentionIsEstimatedFromObservedFetches(t *testing.T) {
+// Guards against unbounded concurrent fetches on machines whose fetches share bandwidth: with up to
+// eight fetches on a machine, job arrays waited four times as long as for one fetch alone. The
+// estimate must tell shared from separate bandwidth although machines differ in bandwidth by a
+// third.
+func TestFetchContentionEstimate(t *testing.T) {
 	for seed := range uint64(300) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
-		share := seed%2 == 0
-		var learned FetchContention
-		box := cloud.MachineType{FetchGBPerS: 0.3}
+		shared := seed%2 == 0
+		var contention FetchContention
+		machineType := cloud.MachineType{FetchGBPerS: 0.3}
 		for range 60 {
 			m := New(Identity{}, 0, 0, time.Time{})
 			rate := 0.3 * (0.8 + 0.45*rnd.Float64())
-			left := map[string]float64{}
+			remainingGB := map[string]float64{}
 			for k := range 1 + rnd.IntN(4) {
 				image := fmt.Sprint("i", k)
-				left[image] = 3 + 9*rnd.Float64()
-				addFetching(m, image, image, left[image])
+				remainingGB[image] = 3 + 9*rnd.Float64()
+				addFetching(m, image, image, remainingGB[image])
 			}
 			now := time.Time{}.Add(time.Hour)
-			m.TrackFetches(now, box, &learned)
-			for len(left) > 0 {
+			m.TrackFetches(now, machineType, &contention)
+			for len(remainingGB) > 0 {
 				now = now.Add(time.Second)
-				each := rate
-				if share {
-					each /= float64(len(left))
+				fetchRate := rate
+				if shared {
+					fetchRate /= float64(len(remainingGB))
 				}
-				for image := range left {
-					if left[image] -= each; left[image] <= 0 {
-						delete(left, image)
+				for image := range remainingGB {
+					if remainingGB[image] -= fetchRate; remainingGB[image] <= 0 {
+						delete(remainingGB, image)
 						m.Task(AttemptKey{TaskID: image}).state = Running
 						m.Images.present[image] = now
 					}
 				}
-				m.TrackFetches(now, box, &learned)
+				m.TrackFetches(now, machineType, &contention)
 			}
 		}
-		if f := learned.factor(); share && f < 0.6 || !share && f > 0.2 {
-			t.Fatalf("seed %d: share: %v, learned %v", seed, share, f)
+		if f := contention.estimate(); shared && f < 0.6 || !shared && f > 0.2 {
+			t.Fatalf("seed %d: shared bandwidth %t: got contention %v, want at least 0.6 if shared, at most 0.2 if not",
+				seed, shared, f)
 		}
 		m := New(Identity{}, 0, 0, time.Time{})
 		m.Images.present["here"] = time.Time{}
 		for k := range 2 {
 			addFetching(m, fmt.Sprint(k), fmt.Sprint("i", k), 0)
 		}
-		for image, want := range map[string]bool{"here": false, "i1": false, "one more": share} {
-			if got := learned.Contended(m, &job.Spec{Shape: job.Array, Image: image}); got != want {
-				t.Fatalf("share: %v, image %s: contended %v", share, image, got)
+		for image, want := range map[string]bool{"here": false, "i1": false, "one more": shared} {
+			if got := contention.Contended(m, &job.Spec{Shape: job.Array, Image: image}); got != want {
+				t.Fatalf("seed %d: shared bandwidth %t, image %q: got contended %t, want %t", seed, shared, image, got, want)
 			}
 		}
 	}
--- a/internal/machine/entry.go
+++ b/internal/machine/entry.go
@@ -6,11 +6,12 @@
 	"robinstack/internal/agentapi"
 )
 
-// leastIdle is the shortest idle time an entry names: 0 means that the machine is not idle.
-const leastIdle = time.Millisecond
+// minReportedIdle is the shortest idle time in an entry of an idle machine, because 0 means that
+// the machine is not idle.
+const minReportedIdle = time.Millisecond
 
-// Entry is what the machine's owner shows of it to those who follow. Host is the owner,
-// version that of the machine's latest change.
+// Entry returns the machine's entry for watchers. host is the owner's host, version the agent's
+// version of the machine's latest change.
 func (m *Machine) Entry(host string, version uint64, now time.Time) agentapi.MachineEntry {
 	e := agentapi.MachineEntry{
 		Machine: m.Name, Host: host, Rev: m.Ownership.Rev, Ver: version,
@@ -24,7 +25,7 @@
 		Notice:   !m.reclaimAt.IsZero(),
 	}
 	if !m.idleSince.IsZero() {
-		e.Idle = max(leastIdle, now.Sub(m.idleSince))
+		e.Idle = max(minReportedIdle, now.Sub(m.idleSince))
 	}
 	for image := range m.Images.present {
 		e.Images = append(e.Images, image)
--- a/internal/machine/heartbeat.go
+++ b/internal/machine/heartbeat.go
@@ -8,33 +8,34 @@
 	"robinstack/internal/worker"
 )
 
-// Apply brings the machine up to date from a heartbeat or the answer to a command, and
-// returns whether anything changed. executed is the token of the command that it answers, or
-// 0. What is not newer than the latest state is left.
-func (m *Machine) Apply(r *worker.Heartbeat, now time.Time, executed uint64) (changed bool) {
+// Apply updates the machine from a heartbeat or from the response to a command, and reports whether
+// anything changed. executedToken is the token of the command that was executed, or 0 for a
+// heartbeat or a command that was not. Apply ignores a state that is not newer than the latest one.
+func (m *Machine) Apply(r *worker.Heartbeat, now time.Time, executedToken uint64) (changed bool) {
 	if !m.Liveness.latest.Before(SerialOf(r)) {
 		return false
 	}
-	changed = m.applyEpoch(r, now)
-	gang := m.gangPriority()
-	changed = m.applyContact(r, now) || changed
-	listed := make(map[AttemptKey]bool, len(r.Tasks)) // made here, so that a small one needs no memory
-	shown := m.applyListed(r, listed, now)
-	gone := m.removeUnlisted(r, listed, now, executed)
-	idle := m.applyOccupancy(gang, now)
-	return changed || shown || gone || idle
+	changed = m.applyWorkerEpoch(r, now)
+	gangPriority := m.highestGangPriority()
+	changed = m.applyMachineState(r, now) || changed
+	listed := make(map[AttemptKey]bool, len(r.Tasks)) // allocated here so that a small map stays on the stack
+	tasksChanged := m.applyListedTasks(r, listed, now)
+	tasksRemoved := m.removeUnlistedTasks(r, listed, now, executedToken)
+	becameIdle := m.updateOccupancy(gangPriority, now)
+	return changed || tasksChanged || tasksRemoved || becameIdle
 }
 
-// applyEpoch takes in that the worker may have begun a new epoch.
-func (m *Machine) applyEpoch(r *worker.Heartbeat, now time.Time) (changed bool) {
-	known := m.Liveness.latest.epoch
-	if r.WorkerEpoch > known {
-		// An epoch has its lease from its beginning, answered or not.
-		m.Ownership.extendAnswers(now)
+// applyWorkerEpoch handles the start of a new worker epoch. It reports whether the epoch differs
+// from the latest known one.
+func (m *Machine) applyWorkerEpoch(r *worker.Heartbeat, now time.Time) (changed bool) {
+	latest := m.Liveness.latest.epoch
+	if r.WorkerEpoch > latest {
+		// The lease of a worker epoch begins with the epoch, even if no heartbeat is answered.
+		m.Ownership.recordRenewal(now)
 	}
-	if r.WorkerEpoch > known && known != 0 {
-		// The worker's lease ran out: it killed and forgot everything, and
-		// commands for the earlier epoch are refused from now on.
+	if r.WorkerEpoch > latest && latest != 0 {
+		// The worker's lease expired: the worker killed and forgot all tasks, and it rejects
+		// commands for the earlier epoch from now on.
 		for key, t := range m.tasks {
 			if t.start.delivery != startUnsent {
 				t.Resolve(agentapi.Refused)
@@ -42,20 +43,19 @@
 			}
 		}
 	}
-	return r.WorkerEpoch != known
+	return r.WorkerEpoch != latest
 }
 
-// applyContact takes in that there is contact, under which token, and whether the cloud has
-// announced that it takes the machine.
-func (m *Machine) applyContact(r *worker.Heartbeat, now time.Time) (changed bool) {
+// applyMachineState records the contact, the fencing token and a spot reclaim notice.
+func (m *Machine) applyMachineState(r *worker.Heartbeat, now time.Time) (changed bool) {
 	l := &m.Liveness
 	changed = l.unresponsive
 	l.latest, l.LastContact, l.unresponsive = SerialOf(r), now, false
-	if m.Ownership.noteToken(r.FencingToken, now) {
+	if m.Ownership.applyToken(r.FencingToken, now) {
 		changed = true
 	}
 	if !m.Ownership.Unfenced() && l.NoteCommandAnswered() {
-		changed = true // it has seen our latest token: answers reach it
+		changed = true // the worker has seen the latest token, so messages reach it
 	}
 	if r.SpotNoticeS != nil && m.reclaimAt.IsZero() {
 		m.reclaimAt, changed = now.Add(time.Duration(*r.SpotNoticeS*float64(time.Second))), true
@@ -63,8 +63,8 @@
 	return changed
 }
 
-// applyListed brings the tasks that a heartbeat lists up to date, and adds them to listed.
-func (m *Machine) applyListed(r *worker.Heartbeat, listed map[AttemptKey]bool, now time.Time) (changed bool) {
+// applyListedTasks updates the tasks that a heartbeat lists, and adds their keys to listed.
+func (m *Machine) applyListedTasks(r *worker.Heartbeat, listed map[AttemptKey]bool, now time.Time) (changed bool) {
 	for i := range r.Tasks {
 		w := &r.Tasks[i]
 		key := AttemptKey{w.ID, w.Attempt}
@@ -79,31 +79,31 @@
 			t = &Task{Ref: ref, ID: w.ID, Unverified: true}
 			m.AddTask(key, t)
 		}
-		if t.differs(w) {
+		if t.differsFrom(w) {
 			changed = true
-			m.usageChanged()
+			m.invalidateUsage()
 			t.transition(TaskState(w.State), now)
 		}
 		t.cause, t.checkpointed = w.Cause, w.Checkpointed
 		t.start.delivery = startListed
-		m.takeOutcome(t, now)
+		m.handleTaskState(t, now)
 	}
 	return changed
 }
 
-// differs reports whether a heartbeat shows something new about the task.
-func (t *Task) differs(w *worker.Task) bool {
+// differsFrom reports whether the task differs from its state in a heartbeat.
+func (t *Task) differsFrom(w *worker.Task) bool {
 	return !t.listed() || t.state != TaskState(w.State) ||
 		t.cause != w.Cause || t.checkpointed != w.Checkpointed
 }
 
-// removeUnlisted drops the tasks that a heartbeat without them proves gone: those that were
-// there before, and those whose start will never be carried out.
-func (m *Machine) removeUnlisted(
-	r *worker.Heartbeat, listed map[AttemptKey]bool, now time.Time, executed uint64,
+// removeUnlistedTasks removes the tasks that the heartbeat proves gone because it does not list
+// them: tasks that an earlier heartbeat listed, and tasks whose start can no longer be executed.
+func (m *Machine) removeUnlistedTasks(
+	r *worker.Heartbeat, listed map[AttemptKey]bool, now time.Time, executedToken uint64,
 ) (changed bool) {
 	for key, t := range m.tasks {
-		if listed[key] || !t.listed() && !t.provenNeverStarted(r.FencingToken, executed) {
+		if listed[key] || !t.listed() && !t.provenNeverStarted(r.FencingToken, executedToken) {
 			continue
 		}
 		t.Resolve(agentapi.Refused)
@@ -113,15 +113,16 @@
 	return changed
 }
 
-// applyOccupancy notes that the machine has become free or idle. gang is the priority of the
-// gang that was on it, or noGang.
-func (m *Machine) applyOccupancy(gang int, now time.Time) (changed bool) {
+// updateOccupancy records when the machine becomes idle. If a gang was on the machine, which is
+// then free, it holds the machine for other gangs. gangPriority is the priority of that gang, or
+// noGang.
+func (m *Machine) updateOccupancy(gangPriority int, now time.Time) (changed bool) {
 	if m.currentUsage().occupied {
 		m.idleSince = time.Time{}
 		return false
 	}
-	if gang != noGang {
-		m.GangHold = GangHold{until: now.Add(gangHoldTime), priority: gang}
+	if gangPriority != noGang {
+		m.GangHold = GangHold{until: now.Add(gangHoldDuration), priority: gangPriority}
 	}
 	if !m.idleSince.IsZero() {
 		return false
@@ -130,9 +131,9 @@
 	return true
 }
 
-// takeOutcome takes note of what a task's state says about its machine, and resolves the
-// commit that waits for it.
-func (m *Machine) takeOutcome(t *Task, now time.Time) {
+// handleTaskState updates quarantine and images from the task's state, and resolves the commit that
+// waits for the task.
+func (m *Machine) handleTaskState(t *Task, now time.Time) {
 	result := agentapi.Started
 	switch t.state {
 	case Exited:
@@ -141,12 +142,12 @@
 			m.logFinished(t, now, t.cause)
 		}
 		if refusedByWorker(t.cause) {
-			// It never ran, so there is nothing to record.
-			t.forget = true
+			// The task never ran, so its end needs no record and the worker may forget it at once.
+			t.forgetAllowed = true
 			result = agentapi.Refused
 			break
 		}
-		m.countExit(t, now)
+		m.recordExit(t, now)
 	case Fetching:
 	default:
 		if t.runningSince.IsZero() && t.state == Running {
@@ -163,16 +164,16 @@
 	return cause == worker.CauseNoCapacity || cause == worker.CauseOtherAttempt || cause == worker.CauseUnknownTask
 }
 
-// countExit holds a task's end for or against its machine, once.
-func (m *Machine) countExit(t *Task, now time.Time) {
-	if t.counted {
+// recordExit counts the task's exit as a success or failure of its machine, once per task.
+func (m *Machine) recordExit(t *Task, now time.Time) {
+	if t.exitCounted {
 		return
 	}
-	t.counted = true
+	t.exitCounted = true
 	switch t.cause {
 	case worker.CauseFailed:
-		m.Quarantine.noteFailure(t.Ref.Job, now)
+		m.Quarantine.recordFailure(t.Ref.Job, now)
 	case worker.CauseDone:
-		m.Quarantine.noteSuccess(now)
+		m.Quarantine.recordSuccess(now)
 	}
 }
--- a/internal/machine/images.go
+++ b/internal/machine/images.go
@@ -6,18 +6,18 @@
 	"robinstack/internal/cloud"
 )
 
-// Images is which images are on a machine, and which are on their way to it.
+// Images holds the images that are on a machine and the image fetches in progress.
 type Images struct {
-	present map[string]time.Time // when last seen in use
-	fetches map[string]*imageFetch
-	booked  time.Time // up to when the fetches were followed
+	present      map[string]time.Time // when the image was last seen in use
+	fetches      map[string]*imageFetch
+	trackedUntil time.Time // time of the latest TrackFetches
 }
 
-// imageFetch is an image on its way to a machine.
+// imageFetch is an image fetch in progress.
 type imageFetch struct {
-	startedAt     time.Time
-	aloneSeconds  float64 // that it takes alone, by the machine type's rate
-	besideSeconds float64 // that other fetches on the machine went on beside it, each counted
+	startedAt         time.Time
+	expectedSeconds   float64 // expected duration without concurrent fetches, by the machine type's rate
+	concurrentSeconds float64 // time in which other fetches were in progress, summed over these fetches
 }
 
 // Has reports whether an image is known to be on the machine.
@@ -26,24 +26,24 @@
 	return has
 }
 
-// fetchingHalf is the state of an image that another task is having fetched.
-const fetchingHalf = 0.5
+// fetchingAvailability is the availability of an image that another task is fetching.
+const fetchingAvailability = 0.5
 
-// ImageState is 1 if the image is known to be on the machine, and half of that
-// if another task is having it fetched.
+// ImageState returns the availability of an image on the machine: 1 if the image is known to be
+// there, fetchingAvailability if another task is fetching it or about to, 0 otherwise.
 func (m *Machine) ImageState(image string) float64 {
 	if m.Images.Has(image) {
 		return 1
 	}
 	for _, t := range m.tasks {
 		if t.Spec != nil && t.Spec.Image == image && (t.state == Fetching || t.state == Starting) {
-			return fetchingHalf
+			return fetchingAvailability
 		}
 	}
 	return 0
 }
 
-// imagesBeingFetched counts the images that tasks fetch, or are about to.
+// imagesBeingFetched returns the number of images that tasks are fetching or about to fetch.
 func (m *Machine) imagesBeingFetched() int {
 	images := map[string]bool{}
 	for _, t := range m.tasks {
@@ -57,46 +57,46 @@
 	return len(images)
 }
 
-// minObservedSeconds is the expected time below which a fetch tells nothing of its rate.
+// minObservedSeconds is the expected duration below which a fetch is too short to measure its rate.
 const minObservedSeconds = 1
 
-// TrackFetches brings the machine's fetches up to date with its tasks, and has contention
-// observe those that are over.
-func (m *Machine) TrackFetches(now time.Time, t cloud.MachineType, contention *FetchContention) {
+// TrackFetches updates the image fetches from the states of the machine's tasks, and adds finished
+// fetches to the contention estimate.
+func (m *Machine) TrackFetches(now time.Time, machineType cloud.MachineType, contention *FetchContention) {
 	images := &m.Images
 	for _, f := range images.fetches {
-		f.besideSeconds += now.Sub(images.booked).Seconds() * float64(len(images.fetches)-1)
+		f.concurrentSeconds += now.Sub(images.trackedUntil).Seconds() * float64(len(images.fetches)-1)
 	}
-	images.booked = now
-	sizes := map[string]float64{}
-	for _, k := range m.tasks {
-		if k.Spec != nil && k.state == Fetching {
-			sizes[k.Spec.Image] = k.Spec.ImageGB
+	images.trackedUntil = now
+	fetching := map[string]float64{}
+	for _, task := range m.tasks {
+		if task.Spec != nil && task.state == Fetching {
+			fetching[task.Spec.Image] = task.Spec.ImageGB
 		}
 	}
-	images.endFetches(now, sizes, contention)
-	for image, gb := range sizes {
-		if images.fetches[image] != nil || t.FetchGBPerS <= 0 {
+	images.finishFetches(now, fetching, contention)
+	for image, gb := range fetching {
+		if images.fetches[image] != nil || machineType.FetchGBPerS <= 0 {
 			continue
 		}
 		if images.fetches == nil {
 			images.fetches = map[string]*imageFetch{}
 		}
-		images.fetches[image] = &imageFetch{startedAt: now, aloneSeconds: gb / t.FetchGBPerS}
+		images.fetches[image] = &imageFetch{startedAt: now, expectedSeconds: gb / machineType.FetchGBPerS}
 	}
 }
 
-// endFetches drops the fetches of images that no task fetches any more, and has those that
-// succeeded observed.
-func (i *Images) endFetches(now time.Time, fetching map[string]float64, contention *FetchContention) {
+// finishFetches removes the fetches of images that no task is fetching any more, and adds those
+// that succeeded to the contention estimate.
+func (i *Images) finishFetches(now time.Time, fetching map[string]float64, contention *FetchContention) {
 	for image, f := range i.fetches {
-		if _, on := fetching[image]; on {
+		if _, stillFetching := fetching[image]; stillFetching {
 			continue
 		}
 		delete(i.fetches, image)
-		took := now.Sub(f.startedAt).Seconds()
-		if i.Has(image) && f.aloneSeconds > minObservedSeconds && took > 0 {
-			contention.observe(took/f.aloneSeconds, f.besideSeconds/took)
+		elapsedSeconds := now.Sub(f.startedAt).Seconds()
+		if i.Has(image) && f.expectedSeconds > minObservedSeconds && elapsedSeconds > 0 {
+			contention.observe(elapsedSeconds/f.expectedSeconds, f.concurrentSeconds/elapsedSeconds)
 		}
 	}
 }
--- a/internal/machine/lifecycle.go
+++ b/internal/machine/lifecycle.go
@@ -1,34 +1,34 @@
 package machine
 
-// Lifecycle is how far a machine is on its way out of the fleet. It only advances, but for a
-// drain that is called off. Whether the machine is reconciled, responsive or quarantined is
-// independent of it.
+// Lifecycle is the stage of a machine on its way out of the cluster. It only advances, except that
+// a drain can be cancelled. Reconciliation, responsiveness and quarantine are independent of it.
 type Lifecycle int
 
-// Stages of a machine, in their order.
+// Stages of a machine, in order.
 const (
 	// Serving machines may get tasks.
 	Serving Lifecycle = iota
 	// Draining machines get no new tasks.
 	Draining
-	// Removing machines have been deleted by the cloud; their key is left.
+	// Removing machines have been deleted in the cloud, but their keys still exist.
 	Removing
-	// Gone machines have no key any more.
+	// Gone machines are deregistered: their keys have been removed.
 	Gone
 )
 
-// lifecycleEvent is what moves a machine from one stage to another.
+// lifecycleEvent is an event that can change a machine's stage.
 type lifecycleEvent int
 
 const (
-	drainBegan lifecycleEvent = iota
-	drainEnded
+	drainStarted lifecycleEvent = iota
+	drainCancelled
 	deleted
 	deregistered
 )
 
-// after is the stage that follows an event. Events that a stage has passed change nothing.
-func (l Lifecycle) after(event lifecycleEvent) Lifecycle {
+// next returns the stage after an event. An event that does not apply to the present stage leaves
+// it unchanged.
+func (l Lifecycle) next(event lifecycleEvent) Lifecycle {
 	switch {
 	case event == deregistered:
 		return Gone
@@ -36,7 +36,7 @@
 		return l
 	case event == deleted:
 		return Removing
-	case event == drainBegan:
+	case event == drainStarted:
 		return Draining
 	default:
 		return Serving
--- a/internal/machine/lifecycle_test.go
+++ b/internal/machine/lifecycle_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// A drain may be called off, and a machine that has been deleted never comes back: under its
-// name nothing may start again.
-func TestLifecycleOnlyAdvancesButForADrainCalledOff(t *testing.T) {
-	events := []lifecycleEvent{drainBegan, drainEnded, deleted, deregistered}
+// A drain can be cancelled. A deleted machine must never become available again, because nothing
+// may start under its name any more.
+func TestLifecycleTransitions(t *testing.T) {
+	events := []lifecycleEvent{drainStarted, drainCancelled, deleted, deregistered}
 	want := map[Lifecycle][]Lifecycle{ // by event, in the order above
 		Serving:  {Draining, Serving, Removing, Gone},
 		Draining: {Draining, Serving, Removing, Gone},
@@ -14,8 +14,8 @@
 	}
 	for from, next := range want {
 		for k, event := range events {
-			if got := from.after(event); got != next[k] {
-				t.Errorf("stage %d, event %d: %d, wanted %d", from, event, got, next[k])
+			if got := from.next(event); got != next[k] {
+				t.Errorf("stage %d, event %d: got %d, want %d", from, event, got, next[k])
 			}
 		}
 	}
--- a/internal/machine/liveness.go
+++ b/internal/machine/liveness.go
@@ -8,80 +8,81 @@
 	"robinstack/internal/worker"
 )
 
-// Serial tells which of two messages of a worker is the newer one.
+// Serial orders the messages of a worker by worker epoch and sequence number.
 //
-// Each heartbeat has a number of its own, and a worker has one under way at a time. So one
-// that is not beyond the latest that came is a copy: its worker has had its answer, or has
-// given it up, and drops any that is given now.
+// Each heartbeat has its own sequence number, and a worker has one heartbeat in flight at a time. A
+// heartbeat that is not newer than the latest received one is therefore a duplicate: the worker has
+// already received the answer or stopped waiting for it, and drops any later answer.
 type Serial struct{ epoch, sequence uint64 }
 
-// SerialOf is the serial of a heartbeat.
+// SerialOf returns the serial of a heartbeat.
 func SerialOf(r *worker.Heartbeat) Serial { return Serial{r.WorkerEpoch, r.Sequence} }
 
-// Before reports whether o is newer.
+// Before reports whether o is newer than s.
 func (s Serial) Before(o Serial) bool {
 	return o.epoch > s.epoch || o.epoch == s.epoch && o.sequence > s.sequence
 }
 
-// How far a worker's numbers may go on from the last ones known: ten years of two heartbeats
-// a second, and epochs of some seconds each. What is beyond them, or goes where a number
-// cannot, is a mistake and must not make all later heartbeats old.
+// Limits on how far a worker's sequence number and epoch may be ahead of the latest known ones.
+// They allow for ten years of two heartbeats a second, or of epochs of some seconds each. A higher
+// number, for example one at the end of the range of the type, is a fault: if it were accepted, all
+// later heartbeats would count as outdated.
 const (
 	maxSequenceStep = 1 << 30
 	maxEpochStep    = 1 << 24
 )
 
-// A machine that sends heartbeats while commands do not reach it gets nothing new after the
-// first one without an answer (Ownership.Unfenced). After commandsLostAfter in a row, over
-// commandsLostFor at least, it counts as unresponsive for all who ask whether it serves:
-// nothing can be placed there.
+// A machine whose heartbeats arrive but whose commands get no response is sent no new starts
+// after the first unanswered command (Ownership.Unfenced). After commandsLostThreshold unanswered
+// commands in a row, over at least commandsLostMinDuration, its entry shows it as unresponsive,
+// because no task can be placed there.
 const (
-	commandsLostAfter = 3
-	commandsLostFor   = 5 * time.Second
+	commandsLostThreshold   = 3
+	commandsLostMinDuration = 5 * time.Second
 )
 
-// Liveness is what gets through between a machine and its owner, each way.
+// Liveness tracks whether heartbeats and commands get through between a machine and its owner.
 type Liveness struct {
-	// LastContact is when the latest state came, by a heartbeat or the answer to a command.
+	// LastContact is the time of the latest state, which came with a heartbeat or with the response
+	// to a command.
 	LastContact time.Time
 
-	lastHeartbeat time.Time // when the latest came here, or the ownership began
+	lastHeartbeat time.Time // time of the latest heartbeat to this owner, or of the start of the ownership
 
-	// unresponsive: no state has come for too long.
+	// unresponsive: no state has arrived within the contact timeout.
 	unresponsive bool
-	// heartbeatsLost: commands reach the machine, and its heartbeats do not come.
+	// heartbeatsLost: the machine responds to commands, but its heartbeats do not arrive.
 	//
-	// Such a machine answers each command, and loses all its tasks whenever its lease runs
-	// out: no answer to a command renews that. After two thirds of a lease without a
-	// heartbeat it counts as unresponsive too, for all who ask whether it serves: what began
-	// there now would soon be killed. Workers that look for their owner after a change find
-	// it long before.
+	// Responses to commands do not renew the worker lease, so such a machine loses all its tasks
+	// whenever the lease expires. After two thirds of a lease without a heartbeat, its entry shows
+	// it as unresponsive too, because tasks started there would soon be killed. After a change of
+	// ownership, workers find their new owner long before that.
 	heartbeatsLost bool
 
-	latest          Serial // of all that came
-	latestHeartbeat Serial // of the heartbeats that came here, answers to commands left aside
-	unanswered      int    // commands in a row that had no answer
+	latest          Serial // of all heartbeats and responses to commands
+	latestHeartbeat Serial // of the heartbeats sent to this owner, without responses to commands
+	unanswered      int    // consecutive commands without a response
 	unansweredSince time.Time
 }
 
-// Epoch is the worker's present epoch, 0 if none is known.
+// Epoch returns the current worker epoch, or 0 if none is known.
 func (l *Liveness) Epoch() uint64 { return l.latest.epoch }
 
-// Unresponsive reports whether no state has come from the machine for too long.
+// Unresponsive reports whether no state has arrived from the machine within the contact timeout.
 func (l *Liveness) Unresponsive() bool { return l.unresponsive }
 
-// Responsive reports whether the machine may get work: its state comes, and its heartbeats do.
+// Responsive reports whether both states and heartbeats arrive, so that the machine may get tasks.
 func (l *Liveness) Responsive() bool { return !l.unresponsive && !l.heartbeatsLost }
 
-// CommandsLost reports whether commands do not reach the machine although its heartbeats come.
+// CommandsLost reports whether repeated commands to the machine have had no response.
 func (l *Liveness) CommandsLost(now time.Time) bool {
-	return l.unanswered >= commandsLostAfter && now.Sub(l.unansweredSince) >= commandsLostFor
+	return l.unanswered >= commandsLostThreshold && now.Sub(l.unansweredSince) >= commandsLostMinDuration
 }
 
-// Unanswered is the number of commands in a row that had no answer.
+// Unanswered returns the number of consecutive commands without a response.
 func (l *Liveness) Unanswered() int { return l.unanswered }
 
-// NoteUnanswered notes that a command had no answer.
+// NoteUnanswered records that a command had no response.
 func (l *Liveness) NoteUnanswered(now time.Time) {
 	if l.unanswered == 0 {
 		l.unansweredSince = now
@@ -89,27 +90,27 @@
 	l.unanswered++
 }
 
-// NoteCommandAnswered notes that commands get through, and returns whether they did not
-// before.
+// NoteCommandAnswered records that commands reach the machine, and reports whether the previous
+// command had no response.
 func (l *Liveness) NoteCommandAnswered() (changed bool) {
 	changed = l.unanswered > 0
 	l.unanswered = 0
 	return changed
 }
 
-// Duplicate reports whether a heartbeat is a copy of one that came before.
+// Duplicate reports whether a heartbeat is not newer than the latest one sent to this owner.
 func (l *Liveness) Duplicate(r *worker.Heartbeat) bool { return !l.latestHeartbeat.Before(SerialOf(r)) }
 
-// IsLatestHeartbeat reports whether no later heartbeat has come here.
+// IsLatestHeartbeat reports whether no later heartbeat to this owner has arrived.
 func (l *Liveness) IsLatestHeartbeat(r *worker.Heartbeat) bool {
 	return l.latestHeartbeat == SerialOf(r)
 }
 
-// AcceptHeartbeat makes a heartbeat the latest that came here.
+// AcceptHeartbeat records a heartbeat as the latest one sent to this owner.
 func (l *Liveness) AcceptHeartbeat(r *worker.Heartbeat) { l.latestHeartbeat = SerialOf(r) }
 
-// NoteHeartbeat notes that a heartbeat came here that is no copy, and returns whether they
-// were lost before.
+// NoteHeartbeat records the arrival of a heartbeat that is not a duplicate, and reports whether
+// heartbeats were lost before.
 func (l *Liveness) NoteHeartbeat(now time.Time) (changed bool) {
 	l.lastHeartbeat = now
 	changed = l.heartbeatsLost
@@ -117,7 +118,7 @@
 	return changed
 }
 
-// outOfRange says why the numbers of a heartbeat cannot be the worker's, or "".
+// outOfRange returns why the epoch or sequence number of a heartbeat cannot be valid, or "".
 func (l *Liveness) outOfRange(r *worker.Heartbeat) string {
 	latest := max(l.latest.sequence, l.latestHeartbeat.sequence)
 	if r.WorkerEpoch > l.latest.epoch+maxEpochStep || r.Sequence > latest+maxSequenceStep {
@@ -126,39 +127,40 @@
 	return ""
 }
 
-// LivenessLimits are the times after which a machine counts as out of contact.
+// LivenessLimits holds the timeouts after which a machine counts as out of contact.
 type LivenessLimits struct {
-	Heartbeat    time.Duration // without a heartbeat
-	Quiet        time.Duration // without any state
-	Unreconciled time.Duration // without any state of a machine that is being asked all the time
+	Heartbeat    time.Duration // time without a heartbeat after which heartbeats count as lost
+	Quiet        time.Duration // time without any state after which a machine counts as unresponsive
+	Unreconciled time.Duration // the same for an unreconciled machine, which is sent commands continuously
 }
 
-// CheckLiveness notices that heartbeats, or any state, have stopped to come, and returns whether
-// that has changed.
+// CheckLiveness detects that heartbeats are lost or that the machine is unresponsive, and reports
+// whether either has begun.
 func (m *Machine) CheckLiveness(now time.Time, limits LivenessLimits) (changed bool) {
 	l := &m.Liveness
 	sinceContact, sinceHeartbeat := now.Sub(l.LastContact), now.Sub(l.lastHeartbeat)
-	quiet := sinceContact > m.quietLimit(limits)
+	contactLost := sinceContact > m.contactTimeout(limits)
 	if !l.heartbeatsLost && m.Ownership.reconciled && sinceHeartbeat > limits.Heartbeat {
 		l.heartbeatsLost, changed = true, true
-		if !l.unresponsive && !quiet {
+		if !l.unresponsive && !contactLost {
 			slog.Info("machine heartbeats missing", "machine", m.Name, "duration_s", seconds(sinceHeartbeat))
 		}
 	}
-	if !l.unresponsive && quiet {
+	if !l.unresponsive && contactLost {
 		l.unresponsive, changed = true, true
 		slog.Info(logline.MachineUnresponsive, "machine", m.Name, "duration_s", seconds(sinceContact))
 	}
 	return changed
 }
 
-// quietLimit is how long the machine may show nothing before it counts as unresponsive.
-func (m *Machine) quietLimit(limits LivenessLimits) time.Duration {
+// contactTimeout returns the time without any state after which the machine counts as unresponsive.
+func (m *Machine) contactTimeout(limits LivenessLimits) time.Duration {
 	if m.Ownership.reconciled || m.Liveness.latestHeartbeat != (Serial{}) {
 		return limits.Quiet
 	}
-	// It is being asked all the time, and job shards wait for its answer. One that sends
-	// heartbeats here is alive, and is reconciled by the answers to them where commands do
-	// not reach it.
+	// The owner sends commands to an unreconciled machine continuously, and the reconciliation of
+	// job shards waits for its response, so the shorter timeout applies. It does not apply to a
+	// machine whose heartbeats arrive here: that machine is alive, and if commands do not reach it,
+	// the answers to its heartbeats reconcile it.
 	return min(limits.Quiet, limits.Unreconciled)
 }
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -1,12 +1,11 @@
-// Package machine is the state of one machine as its owner sees it: which tasks are on it or
-// may be, what is free, whether heartbeats and commands get through, and whether its failures
-// are its own. It is a state machine without I/O, locks and goroutines of its own: every
-// transition takes what happened and when, and the caller sends the commands that result.
-// Finished tasks and quarantined machines are logged, as the audit adds them up.
+// Package machine models one machine as its owner sees it: the tasks that are or may be on it, free
+// capacity, whether heartbeats and commands get through, and whether task failures are attributed
+// to the machine. It is a state machine without I/O, locks and goroutines: each transition gets an
+// event and its time as arguments, and the caller sends the resulting commands. Finished tasks and
+// quarantined machines are logged, because the audit tool evaluates these lines.
 //
-// A Machine owns its tasks; whoever keeps it guards it (the Agent's mutex, package
-// clusteragent). The package may import the messages of workers and agents, jobs and
-// machine types; nothing that does I/O.
+// A Machine owns its tasks. The mutex of Agent in package clusteragent guards it. The package may
+// import the messages of workers and agents, jobs and machine types, but nothing that does I/O.
 package machine
 
 import (
@@ -16,8 +15,8 @@
 	"robinstack/internal/worker"
 )
 
-// Identity is what the key of a machine says about it. It does not change while the machine
-// is owned.
+// Identity holds the properties that the machine's key defines. They do not change during an
+// ownership.
 type Identity struct {
 	Name    string
 	Address string
@@ -26,7 +25,7 @@
 	Spot    bool
 }
 
-// Machine is one machine as its owner sees it.
+// Machine is the state of one machine as its owner sees it.
 type Machine struct {
 	Identity
 	Ownership   Ownership
@@ -36,21 +35,21 @@
 	GangHold    GangHold
 	Reservation Reservation
 
-	// OnUsageChange is called when what is free may have changed; nil: nobody.
+	// OnUsageChange is called when free capacity may have changed. It may be nil.
 	OnUsageChange func()
 
 	lifecycle Lifecycle
-	reclaimAt time.Time // when the cloud takes the machine back; zero: no notice
-	idleSince time.Time // since when there have been no tasks; zero: there are some
+	reclaimAt time.Time // when the cloud reclaims the spot machine; zero: no notice
+	idleSince time.Time // since when the machine has been idle; zero: not idle, or not known
 	tasks     map[AttemptKey]*Task
 	usage     usage
 }
 
-// New returns a machine without tasks whose ownership begins now.
+// New returns a machine without tasks whose ownership starts now.
 func New(id Identity, keyRev, ownershipRev uint64, now time.Time) *Machine {
 	return &Machine{
 		Identity:   id,
-		Ownership:  Ownership{KeyRev: keyRev, Rev: ownershipRev, answersUntil: now},
+		Ownership:  Ownership{KeyRev: keyRev, Rev: ownershipRev, lastPossibleRenewal: now},
 		Liveness:   Liveness{LastContact: now, lastHeartbeat: now},
 		Quarantine: newQuarantine(),
 		Images:     Images{present: map[string]time.Time{}},
@@ -58,9 +57,9 @@
 	}
 }
 
-// Restore takes over what the former owner's last entry shows: what is known of a machine
-// survives its owner. A leader that was suspended may yet delete what that owner had drained
-// for it, so the machine stays drained.
+// Restore initializes the machine from the previous owner's last entry, so that images, drain and
+// quarantine survive a change of ownership. The machine stays drained, because a leader that was
+// suspended may still delete machines that the previous owner had drained for it.
 func (m *Machine) Restore(entry *agentapi.MachineEntry, now time.Time) {
 	for _, image := range entry.Images {
 		m.Images.present[image] = now
@@ -71,20 +70,20 @@
 	m.Quarantine.restore(entry.Faulty, entry.Blamed)
 }
 
-// Operational reports whether the machine exists as far as known: it is neither deleted nor
-// about to lose its key.
+// Operational reports whether the machine exists as far as the owner knows, that is, it has been
+// neither deleted nor deregistered.
 func (m *Machine) Operational() bool { return m.lifecycle < Removing }
 
-// Drain closes the machine to new tasks.
-func (m *Machine) Drain() { m.lifecycle = m.lifecycle.after(drainBegan) }
+// Drain excludes the machine from new tasks.
+func (m *Machine) Drain() { m.lifecycle = m.lifecycle.next(drainStarted) }
 
-// EndDrain opens the machine to tasks again.
-func (m *Machine) EndDrain() { m.lifecycle = m.lifecycle.after(drainEnded) }
+// EndDrain cancels a drain.
+func (m *Machine) EndDrain() { m.lifecycle = m.lifecycle.next(drainCancelled) }
 
-// Delete notes that the cloud has deleted the machine: its tasks are proven gone, and so is
-// whatever a former owner sent. Only the machine's key is left.
+// Delete records that the cloud has deleted the machine. This proves that its tasks are gone and
+// that no command of an earlier owner can take effect. Only the machine's key remains.
 func (m *Machine) Delete(now time.Time) {
-	m.lifecycle = m.lifecycle.after(deleted)
+	m.lifecycle = m.lifecycle.next(deleted)
 	m.Ownership.reconciled = true
 	for key, t := range m.tasks {
 		t.Resolve(agentapi.Refused)
@@ -92,45 +91,45 @@
 	}
 }
 
-// Deregister notes that the key of the deleted machine is gone.
+// Deregister records that the machine's key has been removed.
 func (m *Machine) Deregister(now time.Time) {
-	m.lifecycle = m.lifecycle.after(deregistered)
+	m.lifecycle = m.lifecycle.next(deregistered)
 	m.Liveness.LastContact = now
 }
 
-// Deregistered reports whether the machine's key is gone.
+// Deregistered reports whether the machine's key has been removed.
 func (m *Machine) Deregistered() bool { return m.lifecycle == Gone }
 
-// Unavailable says why the machine gets no new tasks at all, or "".
+// Unavailable returns why the machine gets no new tasks of any job, or "".
 func (m *Machine) Unavailable(now time.Time) string {
 	switch {
 	case !m.Operational() || !m.Ownership.reconciled:
-		return "machine is not reconciled"
+		return "machine is deleted or not reconciled"
 	case m.lifecycle == Draining || m.Quarantine.Active || !m.reclaimAt.IsZero():
-		return "machine is being drained"
+		return "machine is draining, quarantined or about to be reclaimed"
 	case !m.Liveness.Responsive():
 		return "machine is unresponsive"
 	case !m.Ownership.heartbeatAnswered:
-		// The lease of one that has come up counts from its beginning, and commands do not
-		// renew it: what is started in its last moments is killed with it.
-		return "machine's lease has not been renewed"
+		// The first lease of a new machine counts from the start of its worker epoch, and commands
+		// do not renew it. A task started shortly before that lease expires would be killed.
+		return "worker lease has not been renewed yet"
 	case m.Quarantine.Suspected(now):
-		return "machine is suspected"
+		return "machine is suspected of causing task failures"
 	case m.Ownership.Unfenced():
 		return "a command to the machine is unanswered"
 	}
 	return ""
 }
 
-// Expired reports whether nobody can have answered the machine's worker for so long that
-// whatever it ran has ended.
-func (m *Machine) Expired(now time.Time, goneAfter time.Duration) bool {
-	return now.Sub(m.Ownership.answersUntil) > goneAfter
+// Expired reports whether the worker's last possible lease renewal is longer than leaseExpiry ago,
+// so that the worker has killed all its tasks.
+func (m *Machine) Expired(now time.Time, leaseExpiry time.Duration) bool {
+	return now.Sub(m.Ownership.lastPossibleRenewal) > leaseExpiry
 }
 
-// Expire takes note that the worker's lease is over: whatever the machine ran has ended, and
-// late commands are dead too, for the worker has moved on to its next epoch. It returns
-// whether anything changed.
+// Expire removes all tasks after the expiry of the worker lease, and reports whether anything
+// changed. Commands that are still in flight cannot take effect any more, because the worker is in
+// a later epoch.
 func (m *Machine) Expire(now time.Time) (changed bool) {
 	for key, t := range m.tasks {
 		t.Resolve(agentapi.Refused)
@@ -143,7 +142,8 @@
 	return changed
 }
 
-// Release resolves what waits for the machine's tasks when another owner follows them.
+// Release ends the ownership, because another owner takes over: it resolves the commits that wait
+// for the machine's tasks and logs the tasks that are still running.
 func (m *Machine) Release(now time.Time) {
 	for _, t := range m.tasks {
 		t.Resolve(agentapi.Unresolved)
@@ -153,7 +153,7 @@
 	}
 }
 
-// Malformed says why a heartbeat cannot be this machine's, or "".
+// Malformed returns why a heartbeat cannot come from this machine, or "".
 func (m *Machine) Malformed(r *worker.Heartbeat) string {
 	if r.Address != m.Address {
 		return "its address is another machine's"
@@ -161,5 +161,5 @@
 	return m.Liveness.outOfRange(r)
 }
 
-// KeyLeft reports whether the machine has been deleted and its key has not.
+// KeyLeft reports whether the machine has been deleted but its key still exists.
 func (m *Machine) KeyLeft() bool { return m.lifecycle == Removing }
--- a/internal/machine/ownership.go
+++ b/internal/machine/ownership.go
@@ -2,65 +2,67 @@
 
 import "time"
 
-// tokenBits is the part of a fencing token that an owner may raise by itself; the revision of
-// its ownership is above it.
-const tokenBits = 20
+// raiseBits is the number of low bits of a fencing token that count the raises by one owner. The
+// ownership revision takes the bits above.
+const raiseBits = 20
 
-// Ownership is under which revisions and token this controller commands a machine, and how
-// far the machine's worker is known to have followed.
+// Ownership holds the revisions and the fencing token under which this controller commands a
+// machine, and which of its tokens the worker has seen.
 type Ownership struct {
 	KeyRev uint64 // revision of the machine's key
-	Rev    uint64 // revision of the ownership: the later of the machine's and the shard's key
+	Rev    uint64 // ownership revision: the later of the revisions of the machine's key and its shard's key
 
-	reconciled        bool      // no former owner's command can arrive any more
-	heartbeatAnswered bool      // by this owner or one before
-	raised            uint64    // how often the token was raised under this revision
-	seenToken         uint64    // the highest token that the worker has shown
-	answersUntil      time.Time // last moment at which anyone may have answered the worker
+	reconciled          bool      // no command of an earlier owner can take effect any more
+	heartbeatAnswered   bool      // by this or an earlier owner
+	raises              uint64    // number of raises of the token under this revision
+	seenToken           uint64    // highest token that the worker has shown
+	lastPossibleRenewal time.Time // latest time at which any owner may have renewed the worker lease
 }
 
-// Token is the fencing token of commands and answers: higher than any former owner's.
-func (o *Ownership) Token() uint64 { return o.Rev<<tokenBits + o.raised }
+// Token returns the fencing token for commands and answers. It is higher than that of any earlier
+// owner.
+func (o *Ownership) Token() uint64 { return o.Rev<<raiseBits + o.raises }
 
-// RaiseToken makes commands that may still be under way harmless as soon as a heartbeat shows
-// the new token.
-func (o *Ownership) RaiseToken() { o.raised++ }
+// RaiseToken invalidates commands in flight. A heartbeat that shows the new token proves that they
+// cannot take effect any more.
+func (o *Ownership) RaiseToken() { o.raises++ }
 
-// Unfenced reports whether an unanswered command may still be under way.
+// Unfenced reports whether an unanswered command may still take effect.
 func (o *Ownership) Unfenced() bool { return o.seenToken < o.Token() }
 
-// Reconciled reports whether no former owner's command can arrive any more.
+// Reconciled reports whether no command of an earlier owner can take effect any more.
 func (o *Ownership) Reconciled() bool { return o.reconciled }
 
-// TakeOver notes that the machine had an owner before, which may go on answering its worker
-// until then.
-func (o *Ownership) TakeOver(answersUntil time.Time) {
+// TakeOver records that the machine had an owner before, which may renew the worker lease until
+// lastPossibleRenewal.
+func (o *Ownership) TakeOver(lastPossibleRenewal time.Time) {
 	o.heartbeatAnswered = true
-	o.answersUntil = answersUntil
+	o.lastPossibleRenewal = lastPossibleRenewal
 }
 
-// NoteAnswer notes that a heartbeat was answered.
+// NoteAnswer records that a heartbeat was answered, which renews the worker lease.
 func (o *Ownership) NoteAnswer(now time.Time) {
 	o.heartbeatAnswered = true
-	o.extendAnswers(now)
+	o.recordRenewal(now)
 }
 
-// extendAnswers notes that the worker's lease counts from now on. An answer that was begun
-// earlier and given later must not set the bound back: the lease would be taken for over while
-// it runs.
-func (o *Ownership) extendAnswers(now time.Time) {
-	if now.After(o.answersUntil) {
-		o.answersUntil = now
+// recordRenewal records a renewal of the worker lease at the time now. Calls may come out of order,
+// because an answer that was started earlier can be given later. Such a call must not move
+// lastPossibleRenewal back: the lease would count as expired while it still runs.
+func (o *Ownership) recordRenewal(now time.Time) {
+	if now.After(o.lastPossibleRenewal) {
+		o.lastPossibleRenewal = now
 	}
 }
 
-// noteToken takes in the token that a heartbeat shows, and returns whether it reconciles the
-// machine: its worker has seen a token of this ownership.
-func (o *Ownership) noteToken(token uint64, now time.Time) (reconciled bool) {
+// applyToken records the token of a heartbeat, and reports whether it reconciles the machine: it
+// does so if it is the first to show a token of this ownership. From then on the worker ignores
+// answers of earlier owners, so none of them can renew its lease any more.
+func (o *Ownership) applyToken(token uint64, now time.Time) (reconciled bool) {
 	o.seenToken = max(o.seenToken, token)
-	if o.reconciled || token < o.Rev<<tokenBits {
+	if o.reconciled || token < o.Rev<<raiseBits {
 		return false
 	}
-	o.reconciled, o.answersUntil = true, now
+	o.reconciled, o.lastPossibleRenewal = true, now
 	return true
 }
--- a/internal/machine/ownership_test.go
+++ b/internal/machine/ownership_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// In a controller short of processor time an answer that was begun at 113 s was
-// given after one at 123 s and set the end of the worker's lease back by ten
-// seconds: its tasks were started elsewhere while they ran. Guards against ran_twice.
+// Guards against two attempts at a task running at the same time (history rule ran_twice). In a
+// controller with too little CPU time, an answer started at 113 s was recorded after one started at
+// 123 s, and set the renewal of the worker lease back by ten seconds. The lease counted as expired
+// too early, and tasks that still ran were started on other machines.
 func TestLateAnswerDoesNotShortenWorkerLease(t *testing.T) {
 	var o Ownership
 	later := time.Now()
 	o.NoteAnswer(later)
 	o.NoteAnswer(later.Add(-10 * time.Second))
-	if !o.answersUntil.Equal(later) {
-		t.Fatalf("set back by %v", later.Sub(o.answersUntil))
+	if !o.lastPossibleRenewal.Equal(later) {
+		t.Fatalf("last possible renewal moved back by %v, want it unchanged", later.Sub(o.lastPossibleRenewal))
 	}
 }
--- a/internal/machine/quarantine.go
+++ b/internal/machine/quarantine.go
@@ -8,32 +8,34 @@
 )
 
 const (
-	// suspectedFor is how long a machine on which two jobs failed gets no others while the
-	// failures are not attributed: a faulty machine is always free and would fail one job
-	// after the other.
-	suspectedFor = 20 * time.Second
-	// suspectedFailures are the jobs that must have failed for that.
-	suspectedFailures = 2
-	// avoidFor is how long a job is kept from a machine on which it failed. Where there are
-	// few machines it has to be tried there again.
-	avoidFor = 40 * time.Second
-	// recentSuccess is how lately a task must have completed for one attributed failure not
-	// to be enough for quarantine.
-	recentSuccess = time.Minute
+	// suspicionDuration is how long a failure on a machine counts towards suspicion. A suspected
+	// machine gets no tasks: a faulty machine always has free capacity and would make one job after
+	// another fail before the failures are attributed.
+	suspicionDuration = 20 * time.Second
+	// minFailedJobs is the number of failed jobs that makes a machine suspected or, if the failures
+	// are attributed to the machine, quarantined.
+	minFailedJobs = 2
+	// avoidanceDuration is how long a job avoids a machine on which it failed. In a cluster with
+	// few machines, the job must be tried there again afterwards.
+	avoidanceDuration = 40 * time.Second
+	// recentSuccessWindow is the time after a completed task in which a single failure attributed
+	// to the machine does not quarantine it.
+	recentSuccessWindow = time.Minute
 )
 
-// Quarantine is what the failures of tasks say about their machine.
+// Quarantine tracks task failures and their attribution to the machine or to the jobs.
 type Quarantine struct {
-	// Active: jobs that run well elsewhere failed here, and no task has completed since.
+	// Active reports whether the machine is quarantined: jobs that succeed elsewhere failed here,
+	// and no task has completed here since.
 	Active bool
 
-	unattributed map[string]time.Time // jobs that failed here, until it is known whose fault it was
-	attributed   map[string]bool      // jobs that run well elsewhere
-	lastSuccess  time.Time            // when a task completed here last
+	failures    map[string]time.Time // latest failure here of each job that is not known to be at fault
+	attributed  map[string]bool      // jobs whose failures here are attributed to the machine
+	lastSuccess time.Time            // when a task last completed here
 }
 
 func newQuarantine() Quarantine {
-	return Quarantine{unattributed: map[string]time.Time{}, attributed: map[string]bool{}}
+	return Quarantine{failures: map[string]time.Time{}, attributed: map[string]bool{}}
 }
 
 func (q *Quarantine) restore(active bool, attributed []string) {
@@ -43,34 +45,35 @@
 	}
 }
 
-func (q *Quarantine) noteFailure(jobID string, now time.Time) { q.unattributed[jobID] = now }
+func (q *Quarantine) recordFailure(jobID string, now time.Time) { q.failures[jobID] = now }
 
-// noteSuccess lifts the quarantine: the machine can run tasks.
-func (q *Quarantine) noteSuccess(now time.Time) {
+// recordSuccess clears all failures and ends the quarantine, because the machine can run tasks.
+func (q *Quarantine) recordSuccess(now time.Time) {
 	q.lastSuccess = now
-	clear(q.unattributed)
+	clear(q.failures)
 	clear(q.attributed)
 	q.Active = false
 }
 
-// Suspected reports whether the machine may be faulty.
+// Suspected reports whether enough jobs failed here recently to exclude the machine until the
+// failures are attributed.
 func (q *Quarantine) Suspected(now time.Time) bool {
-	n := 0
-	for _, at := range q.unattributed {
-		if now.Sub(at) < suspectedFor {
-			n++
+	failedJobs := 0
+	for _, at := range q.failures {
+		if now.Sub(at) < suspicionDuration {
+			failedJobs++
 		}
 	}
-	return n >= suspectedFailures
+	return failedJobs >= minFailedJobs
 }
 
-// FailedLately reports whether a job failed here so lately that it is kept away.
+// FailedLately reports whether a job failed here so recently that it avoids the machine.
 func (q *Quarantine) FailedLately(jobID string, now time.Time) bool {
-	at, failed := q.unattributed[jobID]
-	return failed && now.Sub(at) < avoidFor
+	at, failed := q.failures[jobID]
+	return failed && now.Sub(at) < avoidanceDuration
 }
 
-// AttributedJobs lists the jobs whose failures are the machine's fault.
+// AttributedJobs returns the jobs whose failures are attributed to the machine.
 func (q *Quarantine) AttributedJobs() []string {
 	var ids []string
 	for id := range q.attributed {
@@ -79,28 +82,28 @@
 	return ids
 }
 
-// UnattributedJobs lists the jobs of which it is not known yet whose fault it was.
+// UnattributedJobs returns the jobs that failed here, except those found to be at fault themselves.
 func (q *Quarantine) UnattributedJobs() []string {
 	var ids []string
-	for id := range q.unattributed {
+	for id := range q.failures {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-// attribute takes in whose fault a failure was. Where tasks completed lately, one failure of a
-// job that is well is not enough to call the machine faulty.
+// attribute records whether the machine or the job is at fault for a failure. If a task completed
+// here recently, one failure attributed to the machine is not enough to quarantine it.
 func (q *Quarantine) attribute(jobID string, atFault bool, now time.Time) {
 	if !atFault {
-		delete(q.unattributed, jobID)
+		delete(q.failures, jobID)
 		return
 	}
 	q.attributed[jobID] = true
-	q.Active = len(q.attributed) >= suspectedFailures || q.lastSuccess.IsZero() ||
-		now.Sub(q.lastSuccess) > recentSuccess
+	q.Active = len(q.attributed) >= minFailedJobs || q.lastSuccess.IsZero() ||
+		now.Sub(q.lastSuccess) > recentSuccessWindow
 }
 
-// AttributeFailure takes in whether a failure was the machine's or the job's fault.
+// AttributeFailure records whether the machine or the job is at fault for a failure.
 func (m *Machine) AttributeFailure(a *agentapi.Attribution, now time.Time) {
 	m.Quarantine.attribute(a.Job, a.AtFault, now)
 	if a.AtFault && m.Quarantine.Active {
--- a/internal/machine/task.go
+++ b/internal/machine/task.go
@@ -10,26 +10,26 @@
 	"robinstack/internal/worker"
 )
 
-// AttemptKey names one attempt at a task on its machine.
+// AttemptKey identifies one attempt at a task on its machine.
 type AttemptKey struct {
 	TaskID  string
 	Attempt uint64
 }
 
-// KeyOf is the key of the attempt that ref names.
+// KeyOf returns the key of the attempt that ref identifies.
 func KeyOf(ref agentapi.TaskRef) AttemptKey {
 	return AttemptKey{job.TaskID(ref.Job, ref.Index), ref.Attempt}
 }
 
-// TaskState is what a task does on its machine.
+// TaskState is the state of a task on its machine.
 type TaskState string
 
-// States of a task: reserved by a commit, then starting, then whatever the worker's heartbeats
-// show.
+// States of a task. A commit makes it Reserved and then Starting; the later states are those that
+// the worker's heartbeats show.
 const (
-	// Reserved tasks have capacity kept for them, for a gang that is being assembled.
+	// Reserved: capacity is kept for a task of a gang that is being assembled.
 	Reserved TaskState = "held"
-	// Starting tasks are being started, and no heartbeat has shown it yet.
+	// Starting: the task is to be started, and no heartbeat has listed it yet.
 	Starting      TaskState = agentapi.Starting
 	Fetching      TaskState = worker.TaskFetching
 	AwaitingGang  TaskState = worker.TaskAwaitingGang
@@ -38,17 +38,17 @@
 	Exited        TaskState = worker.TaskExited
 )
 
-// Task is one attempt at a task that is on a machine, or may be, or has capacity reserved
-// there.
+// Task is one attempt at a task that is or may be on a machine, or has reserved capacity there.
 type Task struct {
 	Ref      agentapi.TaskRef
 	ID       string
 	JobShard string
 	Spec     *job.Spec // nil until the job's record has been read
-	// Unverified: the job's record has to be read (again), for the job may have finished.
+	// Unverified reports whether the job record must be read (again), because the job may have
+	// finished.
 	Unverified bool
 
-	submitted time.Time // with Spec
+	submitted time.Time // set with Spec
 	deadlines []time.Duration
 	start     startCommand
 	stop      stopCommand
@@ -56,48 +56,48 @@
 	state        TaskState
 	cause        string
 	checkpointed bool
-	counted      bool // its end has been held for or against its machine
+	exitCounted  bool // the exit has been counted as a success or failure of the machine
 
-	forget        bool      // its end is recorded: the worker may drop it
-	exitedAt      time.Time // when a heartbeat first showed it ended, or when that was last looked into
+	forgetAllowed bool      // the exit is recorded, so the worker may forget the task
+	exitedAt      time.Time // when a heartbeat first showed the exit, or when it was last rechecked
 	reservedUntil time.Time
 	runningSince  time.Time
 	phases        phaseTimes
 }
 
-// startCommand is the start of a task: whether it was sent, and what proves a copy of it dead.
+// startCommand tracks the delivery of a task's start command.
 type startCommand struct {
 	delivery startDelivery
-	token    uint64      // under which it was sent
-	fence    uint64      // token that a heartbeat must show before a copy of it is certainly dead
-	result   chan string // result for the waiting commit, buffered; nil: none waits
+	token    uint64      // under which the command was sent
+	fence    uint64      // once a heartbeat shows this token, the worker cannot execute the command any more
+	result   chan string // buffered, for the result of the commit; nil: no commit waits
 }
 
-// startDelivery is how far the start of a task has come. It only advances.
+// startDelivery is the stage of delivery of a start command. It only advances.
 type startDelivery int
 
 const (
-	// startUnsent: nothing of the task has been sent to the worker.
+	// startUnsent: no command for the task has been sent to the worker.
 	startUnsent startDelivery = iota
-	// startSent: the worker may have the task, or may get its start later.
+	// startSent: the worker may have received the start or may still receive it.
 	startSent
-	// startListed: a heartbeat has shown the task.
+	// startListed: a heartbeat has listed the task.
 	startListed
 )
 
-// send notes that the start is sent under a token.
-func (s *startCommand) send(token uint64) { s.delivery, s.token = startSent, token }
+// markSent records that the command is sent with the given token.
+func (s *startCommand) markSent(token uint64) { s.delivery, s.token = startSent, token }
 
-// stopCommand is the request to stop a task, and when it was sent.
+// stopCommand tracks the request to stop a task and the times at which it was sent.
 type stopCommand struct {
 	requested bool
-	grace     time.Duration // time to save
+	grace     time.Duration // to save a checkpoint
 	firstSent time.Time
 	lastSent  time.Time
 }
 
-// NewReserved returns a task that has capacity reserved for it. key is that of ref, which the
-// caller has made to look for the attempt.
+// NewReserved returns a task with reserved capacity. key is KeyOf(ref), which the caller has
+// already computed to look up the attempt.
 func NewReserved(
 	key AttemptKey, ref agentapi.TaskRef, jobShard string, spec *job.Spec, submitted time.Time,
 ) *Task {
@@ -107,29 +107,31 @@
 	}
 }
 
-// listed reports whether a heartbeat has shown the task.
+// listed reports whether a heartbeat has listed the task.
 func (t *Task) listed() bool { return t.start.delivery == startListed }
 
-// State is what the task does.
+// State returns the task's state.
 func (t *Task) State() TaskState { return t.state }
 
-// Occupies reports whether the task takes capacity.
+// Occupies reports whether the task occupies capacity.
 func (t *Task) Occupies() bool { return t.state != Exited }
 
-// Active reports whether the worker is at work on the task, as its heartbeats show.
+// Active reports whether heartbeats show the task on the worker and it has not exited.
 func (t *Task) Active() bool { return t.Occupies() && t.state != Reserved && t.state != Starting }
 
-// StartNotSent reports whether the task can be withdrawn: no start of it is under way.
+// StartNotSent reports whether the task is to be started and its start has not been sent, so that
+// it can still be withdrawn.
 func (t *Task) StartNotSent() bool { return t.state == Starting && t.start.delivery == startUnsent }
 
-// Submitted is when the task's job was submitted; it is known with Spec.
+// Submitted returns when the task's job was submitted or, if the task came with a commit, when the
+// job became ready to start. It is known once Spec is.
 func (t *Task) Submitted() time.Time { return t.submitted }
 
-// RunningSince is when the task was first seen running, or zero.
+// RunningSince returns when the task was first seen running, or the zero time.
 func (t *Task) RunningSince() time.Time { return t.runningSince }
 
-// Deadlines returns the times by which the job should be done, as worked out from its spec,
-// which is done once.
+// Deadlines returns the times by which the job should finish. compute derives them from the job's
+// spec; the result is cached.
 func (t *Task) Deadlines(compute func(*job.Spec) []time.Duration) []time.Duration {
 	if t.deadlines == nil {
 		t.deadlines = compute(t.Spec)
@@ -137,23 +139,25 @@
 	return t.deadlines
 }
 
-// transition is the one place where a task changes its state: it books the time up to now on
-// what the task has been doing. A reserved task becomes starting, and from there the worker's
-// heartbeats decide.
+// transition changes the task's state, and adds the time since the last transition to the phase of
+// the state that ends. All state changes go through it: a reserved task becomes starting, and from
+// there the worker's heartbeats determine the state.
 func (t *Task) transition(next TaskState, now time.Time) {
-	t.phases.book(t.state, now)
+	t.phases.add(t.state, now)
 	t.state = next
 }
 
-// KeepReserved keeps the task's reservation until then.
+// KeepReserved sets the time at which the task's reservation expires.
 func (t *Task) KeepReserved(until time.Time) { t.reservedUntil = until }
 
-// ReservationExpired reports whether the task's reservation has ended without a start.
+// ReservationExpired reports whether the task's reservation has expired before the task was
+// started.
 func (t *Task) ReservationExpired(now time.Time) bool {
 	return t.state == Reserved && now.After(t.reservedUntil)
 }
 
-// Resolve gives the waiting commit its result, once.
+// Resolve sends the result to the commit that waits for the task, if one does. Later calls have no
+// effect.
 func (t *Task) Resolve(result string) {
 	if t.start.result != nil {
 		t.start.result <- result
@@ -161,8 +165,8 @@
 	}
 }
 
-// startUnanswered notes that the command with the start had no answer: it may still arrive,
-// until a heartbeat shows the token fence.
+// startUnanswered records that the command with the task's start had no response. The worker may
+// still execute it until a heartbeat shows the token fence.
 func (t *Task) startUnanswered(fence uint64) {
 	t.start.fence = fence
 	if !t.listed() {
@@ -170,32 +174,34 @@
 	}
 }
 
-// provenNeverStarted reports whether a heartbeat without the task proves that its start never
-// will be carried out: the worker has answered that very command (executed is its token) or
-// has seen a token under which the command is dead.
-func (t *Task) provenNeverStarted(token, executed uint64) bool {
+// provenNeverStarted reports whether a heartbeat that does not list the task proves that its start
+// has not been executed and never will be. That is so if the heartbeat is the response to that
+// command (executedToken is the command's token) or shows a higher token, under which the worker
+// rejects the command.
+func (t *Task) provenNeverStarted(seenToken, executedToken uint64) bool {
 	if t.start.delivery != startSent {
 		return false
 	}
-	return token > t.start.token || executed != 0 && executed == t.start.token
+	return seenToken > t.start.token || executedToken != 0 && executedToken == t.start.token
 }
 
 // StopRequested reports whether the task is to be stopped.
 func (t *Task) StopRequested() bool { return t.stop.requested }
 
-// StoppedAtOnce reports whether the task is to be stopped without time to save.
+// StoppedAtOnce reports whether the task is to be stopped without a grace period.
 func (t *Task) StoppedAtOnce() bool { return t.stop.requested && t.stop.grace == 0 }
 
-// RequestStop has the task stopped with time to save, unless it has been asked for with no
-// more already.
+// RequestStop requests that the task be stopped with the given grace period. It has no effect if a
+// stop with the same or a shorter grace period has been requested already.
 func (t *Task) RequestStop(grace time.Duration) {
 	if !t.stop.requested || grace < t.stop.grace {
 		t.stop = stopCommand{requested: true, grace: grace}
 	}
 }
 
-// Preempt has the task stopped with the time that it needs to save, and returns that time.
-// When a stop was sent before stays known: it is not sent sooner again for this.
+// Preempt requests that the task be stopped with the grace period that it needs to save a
+// checkpoint, and returns that period. The times of earlier sends are kept, so the stop is not
+// resent sooner.
 func (t *Task) Preempt() time.Duration {
 	t.stop.requested, t.stop.grace = true, 0
 	if t.Spec.CanCheckpoint() {
@@ -204,46 +210,48 @@
 	return t.stop.grace
 }
 
-// RequestForget lets the worker drop the task once it has ended.
-func (t *Task) RequestForget() { t.forget = true }
+// RequestForget allows the worker to forget the task once it has exited.
+func (t *Task) RequestForget() { t.forgetAllowed = true }
 
-// Discard has a task stopped at once and dropped, also one that saves: its job has finished,
-// and whatever it does is of no use to anybody.
+// Discard requests that the task be stopped without a grace period and then forgotten, even while
+// it saves a checkpoint. Its job has finished, so its results are not needed.
 func (t *Task) Discard() {
-	t.forget = true
+	t.forgetAllowed = true
 	t.RequestStop(0)
 }
 
-// SetRecord takes in the job's record.
+// SetRecord sets the task's spec, job shard and submission time from the job record.
 func (t *Task) SetRecord(rec *job.Record) {
 	t.Unverified = false
 	t.Spec, t.JobShard, t.submitted, t.deadlines = &rec.Spec, rec.JobShard, rec.SubmittedAt(), nil
 }
 
-// SetJobFinished takes note that there is no record of the job any more.
+// SetJobFinished records that the job record no longer exists, and discards the task.
 func (t *Task) SetJobFinished() {
 	t.Unverified = false
 	t.Discard()
 	t.Spec = &job.Spec{}
 }
 
-// NeedsVerification reports whether the worker runs the task although it is not known whether
-// its job goes on, and no stop without grace is under way.
+// NeedsVerification reports whether the worker has the task although its job may have finished, and
+// no stop without a grace period has been requested.
 func (t *Task) NeedsVerification() bool {
 	return t.Unverified && t.listed() && t.Occupies() && !t.StoppedAtOnce()
 }
 
-// RecheckExit has the job's record read again if the task has been ended for that long without
-// word that its end is recorded, and returns whether it has to be. The time counts anew then.
+// RecheckExit reports whether the job record must be read again: the task has been in state Exited
+// for longer than the duration after, and its exit is still not known to be recorded. If so, the
+// duration starts again.
 func (t *Task) RecheckExit(now time.Time, after time.Duration) bool {
-	if t.state != Exited || t.forget || now.Sub(t.exitedAt) <= after {
+	if t.state != Exited || t.forgetAllowed || now.Sub(t.exitedAt) <= after {
 		return false
 	}
 	t.exitedAt, t.Unverified = now, true
 	return true
 }
 
-// PreemptionLoss is what stopping the task costs, in GPU-seconds.
+// PreemptionLoss returns the work that is lost when the task is stopped, in GPU-seconds. A task
+// without GPUs counts as one GPU.
 func (t *Task) PreemptionLoss(now time.Time) float64 {
 	lost := 0.0
 	switch {
@@ -255,7 +263,7 @@
 	return lost * max(t.Spec.GPUs, 1)
 }
 
-// phase is what the time of a task is booked on.
+// phase is a category of a task's time.
 type phase int
 
 const (
@@ -266,30 +274,30 @@
 	phaseCount
 )
 
-// phaseOf tells the phase of the states in which time is booked.
-var phaseOf = map[TaskState]phase{
+// phaseByState maps the states whose time is counted to their phases.
+var phaseByState = map[TaskState]phase{
 	Starting: fetchPhase, Fetching: fetchPhase, AwaitingGang: gangWaitPhase,
 	Running: runPhase, Checkpointing: checkpointPhase,
 }
 
-// phaseTimes is how long a task has been in each phase, as seen here.
+// phaseTimes holds how long a task has been in each phase, as this owner has seen it.
 type phaseTimes struct {
-	spent       [phaseCount]time.Duration
-	bookedUntil time.Time
+	spent        [phaseCount]time.Duration
+	countedUntil time.Time
 }
 
-// book adds the time up to now to the phase of a state.
-func (p *phaseTimes) book(state TaskState, now time.Time) {
-	if k, on := phaseOf[state]; on && !p.bookedUntil.IsZero() {
-		p.spent[k] += now.Sub(p.bookedUntil)
+// add adds the time since the last call to the phase of state.
+func (p *phaseTimes) add(state TaskState, now time.Time) {
+	if phase, counted := phaseByState[state]; counted && !p.countedUntil.IsZero() {
+		p.spent[phase] += now.Sub(p.countedUntil)
 	}
-	p.bookedUntil = now
+	p.countedUntil = now
 }
 
-// logFinished logs what a task did on the machine, once it is not there any more or is
-// another owner's to follow. The audit adds it up.
+// logFinished logs the task's times once it has exited, is gone, or is handed over to another
+// owner. The audit tool sums up these lines.
 func (m *Machine) logFinished(t *Task, now time.Time, cause string) {
-	t.phases.book(t.state, now)
+	t.phases.add(t.state, now)
 	if t.Spec == nil || t.Spec.ID == "" {
 		return
 	}
@@ -301,5 +309,5 @@
 		"checkpoint_interval_s", s.CheckpointS)
 }
 
-// seconds rounds to milliseconds, for the log.
+// seconds returns d in seconds, rounded down to milliseconds, for log attributes.
 func seconds(d time.Duration) float64 { return float64(d.Milliseconds()) / 1000 }
--- a/internal/machine/task_test.go
+++ b/internal/machine/task_test.go
@@ -9,9 +9,9 @@
 	"robinstack/internal/worker"
 )
 
-// The time of a task is booked on what it has been doing, whatever the order of its states and
-// however often a heartbeat repeats one.
-func TestTransitionsBookTimeOnThePhaseThatEnds(t *testing.T) {
+// Guards against wrong phase times in the log of finished tasks: each interval belongs to the state
+// that ends, whatever the order of states and however often a heartbeat repeats one.
+func TestTransitionsCountPhaseTimes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ref := agentapi.TaskRef{Job: "wk-1"}
 	task := NewReserved(KeyOf(ref), ref, "s", &job.Spec{}, now)
@@ -19,7 +19,7 @@
 		next  TaskState
 		after time.Duration
 	}{
-		{Starting, 5 * time.Second}, // reserved for 5 s: booked on nothing
+		{Starting, 5 * time.Second}, // 5 s reserved: not counted
 		{Fetching, 1 * time.Second},
 		{AwaitingGang, 10 * time.Second},
 		{Running, 3 * time.Second},
@@ -27,7 +27,7 @@
 		{Checkpointing, 20 * time.Second},
 		{Running, 2 * time.Second},
 		{Exited, 7 * time.Second},
-		{Exited, 100 * time.Second}, // booked on nothing
+		{Exited, 100 * time.Second}, // not counted
 	}
 	for _, step := range steps {
 		now = now.Add(step.after)
@@ -38,38 +38,39 @@
 		runPhase: 47 * time.Second, checkpointPhase: 2 * time.Second,
 	}
 	if task.phases.spent != want {
-		t.Errorf("booked %v, wanted %v", task.phases.spent, want)
+		t.Errorf("got phase times %v, want %v", task.phases.spent, want)
 	}
 }
 
-// A start without an answer is given up only when a heartbeat without the task shows the raised
-// token, and is not sent again meanwhile.
-func TestUnansweredStartIsGivenUpOnceFenced(t *testing.T) {
+// Guards against a second start of a task whose start had no response. The task is removed only
+// when a heartbeat that does not list it shows the raised token. Until then the worker may still
+// execute the start, so it must not be sent again.
+func TestUnansweredStartIsRemovedOnceFenced(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := New(Identity{Name: "m1", Address: "m1"}, 1, 1, now)
-	beat := func(sequence uint64, token uint64) {
+	heartbeat := func(sequence uint64, token uint64) {
 		now = now.Add(time.Second)
 		m.Apply(&worker.Heartbeat{Machine: "m1", WorkerEpoch: 1, Sequence: sequence, FencingToken: token}, now, 0)
 	}
-	beat(1, m.Ownership.Token())
+	heartbeat(1, m.Ownership.Token())
 	ref := agentapi.TaskRef{Job: "wk-1", Attempt: 1}
 	task := NewReserved(KeyOf(ref), ref, "s", &job.Spec{}, now)
 	m.AddTask(KeyOf(ref), task)
 	result := m.Start(task, now)
-	sent := m.Ownership.Token()
+	sentToken := m.Ownership.Token()
 	if got := m.DirectCommands(now); len(got) != 1 {
-		t.Fatalf("commands %v", got)
+		t.Fatalf("got commands %v, want one", got)
 	}
-	m.CommandUnanswered(sent, now)
+	m.CommandUnanswered(sentToken, now)
 	if got := <-result; got != agentapi.Unresolved {
-		t.Fatalf("result %q", got)
+		t.Fatalf("got result %q, want %q", got, agentapi.Unresolved)
 	}
-	beat(2, sent)
+	heartbeat(2, sentToken)
 	if m.Task(KeyOf(ref)) == nil || len(m.DirectCommands(now)) != 0 || !m.CommandDue(now) {
-		t.Fatal("given up or sent again while a copy may start it")
+		t.Fatal("before the raised token was shown: task removed, start sent again, or no command due")
 	}
-	beat(3, m.Ownership.Token())
+	heartbeat(3, m.Ownership.Token())
 	if m.Task(KeyOf(ref)) != nil || m.CommandDue(now) {
-		t.Fatal("not given up although every copy is dead")
+		t.Fatal("after the raised token was shown: task not removed, or a command still due")
 	}
 }
--- a/internal/machine/tasks.go
+++ b/internal/machine/tasks.go
@@ -8,28 +8,30 @@
 	"robinstack/internal/agentapi"
 )
 
-// Tasks lists the tasks, in no order. Tasks may be removed meanwhile.
+// Tasks iterates over the tasks, in no particular order. Tasks may be removed during the iteration.
 func (m *Machine) Tasks() iter.Seq2[AttemptKey, *Task] { return maps.All(m.tasks) }
 
-// Task returns the task of a key, or nil.
+// Task returns the task with the given key, or nil.
 func (m *Machine) Task(key AttemptKey) *Task { return m.tasks[key] }
 
-// AddTask puts a task on the machine.
+// AddTask adds a task to the machine.
 func (m *Machine) AddTask(key AttemptKey, t *Task) {
 	m.tasks[key] = t
-	m.usageChanged()
+	m.invalidateUsage()
 }
 
-// RemoveTask takes a task off the machine.
+// RemoveTask removes a task from the machine. A task that has been listed and has not exited is
+// logged as lost.
 func (m *Machine) RemoveTask(key AttemptKey, now time.Time) {
 	if t := m.tasks[key]; t != nil && t.listed() && t.state != Exited {
 		m.logFinished(t, now, "lost")
 	}
 	delete(m.tasks, key)
-	m.usageChanged()
+	m.invalidateUsage()
 }
 
-// RemoveExpiredReservations drops the tasks whose reservation has ended without a start.
+// RemoveExpiredReservations removes the tasks whose reservation has expired before they were
+// started, and reports whether there were any.
 func (m *Machine) RemoveExpiredReservations(now time.Time) (changed bool) {
 	for key, t := range m.tasks {
 		if t.ReservationExpired(now) {
@@ -41,8 +43,8 @@
 	return changed
 }
 
-// Start has a reserved task of the machine started, and ends a reservation of the machine for
-// its job. The result comes by the channel, which is buffered.
+// Start requests the start of a reserved task and ends the machine's reservation. The returned
+// channel is buffered and receives the result.
 func (m *Machine) Start(t *Task, now time.Time) <-chan string {
 	m.Reservation = Reservation{}
 	m.idleSince = time.Time{}
@@ -51,8 +53,8 @@
 	return t.start.result
 }
 
-// Withdraw drops a task of which nothing has been sent to the worker, and returns whether it
-// is one.
+// Withdraw removes a task for which no command has been sent to the worker, and reports whether it
+// did.
 func (m *Machine) Withdraw(key AttemptKey, now time.Time) bool {
 	t := m.tasks[key]
 	if t == nil || t.state != Reserved && !t.StartNotSent() {
@@ -63,13 +65,14 @@
 	return true
 }
 
-// Cancel has a task of a cancelled job stopped, with no time to save, or drops it if nothing
-// of it has been sent.
+// Cancel withdraws a task of a cancelled job if no command for it has been sent, and otherwise
+// stops it without a grace period and has it forgotten.
 func (m *Machine) Cancel(key AttemptKey, now time.Time) {
 	if !m.Withdraw(key, now) {
 		m.tasks[key].Discard()
 	}
 }
 
-// RecordsChanged notes that the needs of tasks have become known.
-func (m *Machine) RecordsChanged() { m.usageChanged() }
+// RecordsChanged records that job records have been read, so that the resource needs of tasks may
+// have changed.
+func (m *Machine) RecordsChanged() { m.invalidateUsage() }
--- a/internal/machine/usage.go
+++ b/internal/machine/usage.go
@@ -2,17 +2,17 @@
 
 import "robinstack/internal/job"
 
-// usage is what the tasks take. It is added up once after each change: sampling looks at many
-// machines, of which few have changed.
+// usage is the resources that the machine's tasks use. It is cached until the next change, because
+// sampling looks at many machines, of which few have changed.
 type usage struct {
-	valid    bool
-	need     job.Resources // in all
-	known    bool          // whether all tasks' needs are
-	occupied bool          // whether there are any tasks
+	valid      bool
+	need       job.Resources // of all tasks whose need is known
+	needsKnown bool          // whether the needs of all tasks are known
+	occupied   bool          // whether any task occupies capacity
 }
 
-// usageChanged has what is free worked out anew.
-func (m *Machine) usageChanged() {
+// invalidateUsage discards the cached usage and calls OnUsageChange.
+func (m *Machine) invalidateUsage() {
 	m.usage.valid = false
 	if m.OnUsageChange != nil {
 		m.OnUsageChange()
@@ -23,14 +23,14 @@
 	if m.usage.valid {
 		return m.usage
 	}
-	u := usage{valid: true, known: true}
+	u := usage{valid: true, needsKnown: true}
 	for _, t := range m.tasks {
 		if !t.Occupies() {
 			continue
 		}
 		u.occupied = true
 		if t.Spec == nil {
-			u.known = false
+			u.needsKnown = false
 			continue
 		}
 		u.need = u.need.AddScaled(t.Spec.Need, 1)
@@ -39,13 +39,14 @@
 	return u
 }
 
-// FreeCapacity is what is free of a capacity; known is false while a task's needs are unknown.
+// FreeCapacity returns the part of capacity that the machine's tasks leave free. known is false
+// while the need of any task is unknown.
 func (m *Machine) FreeCapacity(capacity job.Resources) (free job.Resources, known bool) {
 	u := m.currentUsage()
-	return capacity.AddScaled(u.need, -1), u.known
+	return capacity.AddScaled(u.need, -1), u.needsKnown
 }
 
-// Occupied reports whether there are tasks that have not ended.
+// Occupied reports whether any task occupies capacity.
 func (m *Machine) Occupied() bool {
 	for _, t := range m.tasks {
 		if t.Occupies() {
