--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -10,12 +10,13 @@
 	"robinstack/internal/quota"
 )
 
-// BenchmarkPermit asks for the grants of a hundred tasks, of which ten fit the quota.
+// BenchmarkPermit measures a request for the quota grants of a hundred tasks, of which two fit the
+// quota: the unconfirmed machine takes 8 of its 10 GPUs.
 func BenchmarkPermit(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	l, _ := newLeader(b, ctx)
 	var renewals sync.WaitGroup
-	renewals.Go(func() { _ = l.session.KeepAlive(ctx) }) // its error is that of the context
+	renewals.Go(func() { _ = l.session.KeepAlive(ctx) }) // returns the error of ctx
 	b.Cleanup(func() {
 		cancel()
 		renewals.Wait()
@@ -31,7 +32,7 @@
 	for b.Loop() {
 		var reply quota.Reply
 		if err := service.Permit(request, &reply); err != nil || len(reply.Granted) != tasks {
-			b.Fatalf("%+v %v", reply, err)
+			b.Fatalf("got reply %+v and error %v, want %d results", reply, err, tasks)
 		}
 	}
 }
--- a/internal/leader/cloudreads.go
+++ b/internal/leader/cloudreads.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// listInterval is the pause between two reads of the cloud's list of machines.
-	listInterval = 2500 * time.Millisecond
-	// typesInterval is how old types and their prices may be before they are read again.
-	typesInterval = 20 * time.Second
+	// machineListInterval is the pause between two reads of the cloud's machine list.
+	machineListInterval = 2500 * time.Millisecond
+	// typesMaxAge is the age at which machine types and their prices are read again.
+	typesMaxAge = 20 * time.Second
 )
 
-// runCloudReads reads the cloud's list of machines and its prices from time to time; who is
-// not leader reads only the types, until there are some.
+// runCloudReads reads the cloud's machine list, machine types and prices periodically. A controller
+// that is not the leader reads only the machine types, and only until it has some.
 func (l *Leader) runCloudReads(ctx context.Context) {
 	var typesReadAt time.Time
 	for ctx.Err() == nil {
-		typesAreOld := time.Since(typesReadAt) > typesInterval
-		if len(l.catalogue.Types()) == 0 || l.Epoch() != 0 && typesAreOld {
+		typesStale := time.Since(typesReadAt) > typesMaxAge
+		if len(l.catalogue.Types()) == 0 || l.Epoch() != 0 && typesStale {
 			if types := l.readTypes(ctx); len(types) > 0 {
 				typesReadAt = time.Now()
-				l.onTypes(ctx, types)
+				l.handleTypes(ctx, types)
 			}
 		}
 		if l.Epoch() != 0 {
@@ -35,12 +35,12 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(listInterval):
+		case <-time.After(machineListInterval):
 		}
 	}
 }
 
-// readTypes reads the types and their prices: none without an answer.
+// readTypes reads the machine types and their prices from the cloud. It returns nil on an error.
 func (l *Leader) readTypes(ctx context.Context) []cloud.MachineType {
 	types, err := l.cloud.MachineTypes(ctx)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return types
 }
 
-func (l *Leader) onTypes(ctx context.Context, types []cloud.MachineType) {
+func (l *Leader) handleTypes(ctx context.Context, types []cloud.MachineType) {
 	l.catalogue.Set(types)
 	l.logPrices(types)
 	l.storeTypes(ctx, types)
@@ -68,10 +68,11 @@
 	l.fleet.OnList(machines, now)
 }
 
-// price is what a machine of a type costs per hour.
+// price is the hourly price of a machine type.
 type price struct{ onDemand, spot float64 }
 
-// logPrices logs the prices that have changed, for the audit.
+// logPrices logs the prices that have changed, because the audit tool computes costs from these
+// lines.
 func (l *Leader) logPrices(types []cloud.MachineType) {
 	for _, t := range l.takeChangedPrices(types) {
 		slog.Info(logline.MachineTypePrice, "type", t.Name, "hourly", t.OnDemandPrice, "spot", t.SpotPrice,
@@ -79,8 +80,8 @@
 	}
 }
 
-// takeChangedPrices lists, of a leader, the types whose prices are to be logged, and takes
-// that for done.
+// takeChangedPrices returns the types whose prices differ from the logged ones, and records them as
+// logged. It returns nil if this controller is not the leader.
 func (l *Leader) takeChangedPrices(types []cloud.MachineType) []cloud.MachineType {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,8 +100,8 @@
 	return changed
 }
 
-// storeTypes stores the types once, for controllers that start while the cloud does not
-// answer.
+// storeTypes writes the machine types to the state service if they are not there yet, for
+// controllers that start while the cloud does not answer.
 func (l *Leader) storeTypes(ctx context.Context, types []cloud.MachineType) {
 	if _, ok := l.mirror.Get(statekv.MachineTypesKey); ok || l.Epoch() == 0 {
 		return
@@ -109,7 +110,8 @@
 	if err != nil || len(raw) > l.settings.StateLimits.MaxValueBytes {
 		return
 	}
-	// Once: a copy that is carried out late must not bring back what was then.
+	// The write requires that the key does not exist, so that a delayed duplicate of it cannot
+	// overwrite newer types.
 	absent := []statekv.Compare{{Key: statekv.MachineTypesKey}}
 	store := []statekv.Op{{Set: statekv.MachineTypesKey, Value: types}}
 	if _, err := l.session.Write(ctx, absent, store); err != nil {
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// campaignInterval is how often the leader's key is looked at: by the mirror, so this
-	// costs no request.
+	// campaignInterval is the interval between two checks of the leader key. Checks read the local
+	// mirror and make no request.
 	campaignInterval = 300 * time.Millisecond
-	// acquireTimeout is how long an attempt to take the role may last, until the mirror
-	// shows it.
+	// acquireTimeout bounds an attempt to become leader, including the wait until the mirror shows
+	// the acquisition.
 	acquireTimeout = 3 * time.Second
 )
 
-// runElection takes the role when it is free, until ctx ends.
+// runElection campaigns for the leader role until ctx ends.
 func (l *Leader) runElection(ctx context.Context) {
 	tick := time.NewTicker(campaignInterval)
 	defer tick.Stop()
@@ -33,20 +33,21 @@
 	}
 }
 
-// campaign goes by the leader's key: it takes the role if that is free, follows its epoch if
-// this session holds it, and gives way to another that lives.
+// campaign checks the leader key. It acquires the key if there is no live leader, starts the key's
+// epoch if this session holds it, and resigns if another live session does. It leaves a key with an
+// unsupported schema alone.
 func (l *Leader) campaign(ctx context.Context) {
 	kv, ok := l.mirror.Get(statekv.LeaderKey)
 	holder, err := statekv.HolderOf(kv)
-	var laterSchema *statekv.SchemaError
-	if ok && errors.As(err, &laterSchema) {
+	var schemaError *statekv.SchemaError
+	if ok && errors.As(err, &schemaError) {
 		l.mirror.ReportUndecodable(kv.Key, err)
 		return
 	}
 	switch {
 	case ok && holder == l.session.Holder:
-		// Where our acquisition had no answer and was carried out all the same, the key
-		// says that this session leads, and nobody else will while it goes on.
+		// If an acquisition by this session had no answer but was executed, the key names this
+		// session as the leader. No other controller becomes leader while this session is alive.
 		if l.Epoch() != kv.Rev {
 			l.startEpoch(kv.Rev)
 		}
@@ -58,11 +59,11 @@
 	default:
 		epoch, err := l.acquire(ctx, kv.Rev, holder)
 		if err != nil {
-			return // the next campaign sees what became of it
+			return // the next campaign sees the outcome
 		}
 		l.startEpoch(epoch)
 	}
-	l.reconcile()
+	l.reconcileLedger()
 }
 
 func (l *Leader) resign() {
@@ -71,8 +72,8 @@
 	l.epoch = 0
 }
 
-// acquire writes the leader's key in place of a holder whose session is over, and returns
-// the new epoch once the mirror shows it.
+// acquire replaces a leader key whose holder's session has ended, and returns the new epoch once
+// the mirror shows it.
 func (l *Leader) acquire(ctx context.Context, expectedRev uint64, previous statekv.Holder) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
@@ -85,8 +86,9 @@
 	return epoch, l.mirror.Wait(ctx, epoch)
 }
 
-// startEpoch takes up the role under its key's revision, with nothing of an earlier epoch
-// but what is on the machines.
+// startEpoch takes the leader role with the given epoch, which is the revision of the leader key.
+// Of the state of earlier epochs it keeps the tasks on machines in the ledger, the reservations and
+// the demand reports.
 func (l *Leader) startEpoch(epoch uint64) {
 	l.mu.Lock()
 	l.epoch, l.reconciled, l.confirmed = epoch, false, map[string]bool{}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,16 +1,16 @@
-// Package leader is the elected role of a cluster: one controller at a time holds it. The
-// leader grants quota to schedulers, divides the write budget of the state service and
-// scales the cluster out and in; it never picks a machine for a task. The package runs the
-// election, the net/rpc service "Steward" and the loops that carry out what packages quota,
-// budget and autoscaler decide.
+// Package leader implements the elected leader of a cluster: one controller at a time holds this
+// role. The leader grants quota to schedulers, divides the write budget of the state service, and
+// scales the cluster out and in. It never places tasks. The package runs the election, the net/rpc
+// service "Steward", and the loops that execute the decisions of packages quota, budget and
+// autoscaler.
 //
-// Its state is that of one leader epoch: the quota ledger, the reservations, the write
-// budget's allocator and the autoscaler's view of the machines, all guarded by the mutex of
-// Leader, which is never held over a call. A controller that does not hold the role refuses
-// all that would spend something.
+// The state of the leader is the quota ledger, the reservations, the demand reports, the allocator
+// of the write budget and the autoscaler's view of the machines. The mutex of Leader guards it and
+// is never held during a call. A controller that is not the leader refuses requests for quota
+// grants and write budget.
 //
-// Packages controller and gateway import it; it imports what decides (quota, budget,
-// autoscaler) and what it calls (cloud, peer, statekv, changefeed).
+// Packages controller and gateway import this package. It imports packages that decide (quota,
+// budget, autoscaler) and packages that it calls (cloud, peer, statekv, changefeed).
 package leader
 
 import (
@@ -31,7 +31,7 @@
 	"robinstack/internal/statekv"
 )
 
-// Leader is the role on this controller, whether it holds it or not.
+// Leader is a controller's part in the leader role, whether the controller holds the role or not.
 type Leader struct {
 	settings  *config.Settings
 	policy    *policy.Policy
@@ -43,25 +43,26 @@
 	feed      *changefeed.Feed
 
 	mu           sync.Mutex
-	epoch        uint64          // 0: not leader
-	confirmed    map[string]bool // machines that have shown all that earlier leaders granted
-	reconciled   bool            // all machines have
+	epoch        uint64          // 0: not the leader
+	confirmed    map[string]bool // machines whose entries show everything that earlier leaders granted
+	reconciled   bool            // whether all machines are confirmed
 	ledger       *quota.Ledger
 	reservations *quota.Reservations
-	demand       *autoscaler.DemandReports // of all epochs: schedulers report to whoever leads
+	demand       *autoscaler.DemandReports // kept across epochs: reports can arrive before an epoch starts
 
-	// Of this epoch alone.
+	// The fields below belong to one epoch.
 	fleet         *autoscaler.Fleet
-	recomputedAt  time.Time        // when the ledger was added up anew last
-	loggedPrices  map[string]price // by type
+	recomputedAt  time.Time        // when the ledger was last recomputed
+	loggedPrices  map[string]price // by machine type
 	budget        *budget.Allocator
 	budgetStarted time.Time
 
-	// unacknowledged has deleted machines whose owners may not know of their end.
-	unacknowledged chan []string
+	// deletionReports passes on the names of deleted machines whose owners may not know of the
+	// deletion.
+	deletionReports chan []string
 }
 
-// New returns a leader that does not hold the role yet.
+// New returns a Leader that does not hold the role.
 func New(
 	settings *config.Settings, pol *policy.Policy, mirror *statekv.Mirror, session *statekv.Session,
 	peers peer.Caller, api cloud.API, catalogue *cloud.Catalogue,
@@ -72,26 +73,27 @@
 		ledger: quota.NewLedger(), reservations: quota.NewReservations(),
 		demand: autoscaler.NewDemandReports(),
 		fleet:  autoscaler.NewFleet(settings, pol), loggedPrices: map[string]price{},
-		unacknowledged: make(chan []string),
+		deletionReports: make(chan []string),
 	}
 }
 
-// Epoch is the leader epoch if this controller is leader, or 0.
+// Epoch returns the leader epoch, or 0 if this controller is not the leader.
 func (l *Leader) Epoch() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.epoch
 }
 
-// TeamUsage is what each team holds or is granted, for the status page, and whether this
-// controller is leader, without which that is out of date.
+// TeamUsage returns the resources that each team holds or is granted, for the status page. isLeader
+// reports whether this controller is the leader; otherwise the usage is out of date.
 func (l *Leader) TeamUsage() (usage map[string]job.Resources, isLeader bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.ledger.Usage()), l.epoch != 0
 }
 
-// Run campaigns for the role and does its duties until ctx ends.
+// Run campaigns for the leader role and, while this controller holds it, performs the leader's
+// duties, until ctx ends.
 func (l *Leader) Run(ctx context.Context, feed *changefeed.Feed) {
 	l.mu.Lock()
 	l.feed = feed
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -19,15 +19,15 @@
 	"robinstack/internal/worker"
 )
 
-func settings() *config.Settings {
+func testSettings() *config.Settings {
 	return &config.Settings{Host: "host-0", CloudListLag: 4 * time.Second,
 		Teams:       map[string]config.Team{"t": {Name: "t", GPUQuota: 10}},
 		Workers:     config.WorkerTiming{HeartbeatInterval: 3 * time.Second, LeaseDuration: 30 * time.Second, CancellationDeadline: 60 * time.Second},
 		StateLimits: config.StateLimits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxValueBytes: 8192, MaxTxnOps: 24}}
 }
 
-// newLeader returns the leader of epoch 99 of a cluster with one machine, which is not confirmed,
-// and its state service.
+// newLeader returns the leader of epoch 99 and its state service. The cluster has one machine,
+// which is not confirmed.
 func newLeader(t testing.TB, ctx context.Context) (*Leader, *emulator.StateService) {
 	t.Helper()
 	state := emulator.NewStateService()
@@ -45,14 +45,15 @@
 	}
 	types := &cloud.Catalogue{}
 	types.Set([]cloud.MachineType{{Name: "box", CPUs: 64, GPUs: 8, MemoryGB: 512, OnDemandPrice: 10, SpotPrice: 4, ProvisioningS: 30, Zones: []string{"a"}}})
-	l := New(settings(), policy.Default(), mirror, session, nil, nil, types)
+	l := New(testSettings(), policy.Default(), mirror, session, nil, nil, types)
 	l.feed = changefeed.New(nil, mirror, nil, nil, nil)
 	l.epoch, l.confirmed = 99, map[string]bool{}
 	return l, state
 }
 
-// grant asks for a task of the team with a quota and says whether it is granted.
-func grant(t *testing.T, l *Leader, index, gpus int, release ...agentapi.TaskRef) bool {
+// requestGrant requests a grant for a task of the team with a quota, and reports whether it is
+// granted.
+func requestGrant(t *testing.T, l *Leader, index, gpus int, release ...agentapi.TaskRef) bool {
 	t.Helper()
 	var reply quota.Reply
 	request := quota.GrantRequest{Ref: agentapi.TaskRef{Job: "wk-1", Index: index, Attempt: 1}, Team: "t", Need: job.Resources{GPUs: float64(gpus)}}
@@ -62,42 +63,43 @@
 	return reply.Granted[0]
 }
 
-// What is granted, what runs and what may run on machines that have not been confirmed
-// counts together against the quota, and a new leader goes on granting beside a machine
-// that stays unresponsive.
-func TestQuotaCountsWhatMayRun(t *testing.T) {
+// Guards against exceeding a quota after a change of leader. Grants, tasks and the full capacity of
+// unconfirmed machines count together against the quota. A new leader still grants what is left
+// while a machine stays unresponsive.
+func TestQuotaCountsGrantsAndUnconfirmedMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newLeader(t, t.Context())
-		if grant(t, l, 0, 3) {
-			t.Fatal("an unconfirmed machine may hold 8 of the 10")
+		if requestGrant(t, l, 0, 3) {
+			t.Fatal("got a grant for 3 GPUs while an unconfirmed machine may hold 8 of 10")
 		}
-		if !grant(t, l, 0, 2) || grant(t, l, 1, 1) {
-			t.Fatal("2 fit beside it and no more")
+		if !requestGrant(t, l, 0, 2) || requestGrant(t, l, 1, 1) {
+			t.Fatal("want exactly 2 GPUs granted next to the 8 of the unconfirmed machine")
 		}
 		l.confirmed["m1"] = true
-		if !grant(t, l, 1, 8) || grant(t, l, 2, 1) {
-			t.Fatal("grants count until they show up or are released")
+		if !requestGrant(t, l, 1, 8) || requestGrant(t, l, 2, 1) {
+			t.Fatal("want 8 GPUs granted next to the unused grant of 2, and no more")
 		}
-		if !grant(t, l, 2, 1, agentapi.TaskRef{Job: "wk-1", Index: 0, Attempt: 1}) {
-			t.Fatal("released, not used")
+		if !requestGrant(t, l, 2, 1, agentapi.TaskRef{Job: "wk-1", Index: 0, Attempt: 1}) {
+			t.Fatal("got no grant after an unused grant was released")
 		}
 	})
 }
 
-// A task keeps counting while a new owner has not confirmed its machine.
-func TestUnreconciledMachineKeepsCounting(t *testing.T) {
+// Guards against exceeding a quota after a change of a machine's owner: a task counts until the new
+// owner's reconciled entry proves it gone.
+func TestTaskOfUnreconciledMachineCountsAgainstQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newLeader(t, t.Context())
 		l.reconciled = true
 		task := agentapi.TaskEntry{TaskRef: agentapi.TaskRef{Job: "wk-2", Attempt: 1}, Team: "t", Need: job.Resources{GPUs: 8}, Known: true, State: worker.TaskRunning}
 		l.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: true, Tasks: []agentapi.TaskEntry{task}}})
 		l.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: false}})
-		if grant(t, l, 0, 3) {
-			t.Fatal("the task may still run")
+		if requestGrant(t, l, 0, 3) {
+			t.Fatal("got a grant although the unreconciled machine may still run the task")
 		}
 		l.OnEntries([]agentapi.MachineEntry{{Machine: "m1", Settled: true}})
-		if !grant(t, l, 0, 3) {
-			t.Fatal("the task is proven gone")
+		if !requestGrant(t, l, 0, 3) {
+			t.Fatal("got no grant although the task is proven gone")
 		}
 	})
 }
--- a/internal/leader/ledger.go
+++ b/internal/leader/ledger.go
@@ -12,13 +12,14 @@
 	"robinstack/internal/statekv"
 )
 
-// reconcile checks which machines have shown all that was started under earlier leaders;
-// the ledger alone counts from the moment all have.
-func (l *Leader) reconcile() {
+// reconcileLedger marks the ledger reconciled once all machines have shown everything that was
+// started under earlier leaders. Until then, each unconfirmed machine counts with its full
+// capacity.
+func (l *Leader) reconcileLedger() {
 	l.mu.Lock()
 	epoch, reconciled := l.epoch, l.reconciled
 	l.mu.Unlock()
-	if epoch == 0 || reconciled || l.unconfirmedMachines(epoch) > 0 {
+	if epoch == 0 || reconciled || l.countUnconfirmedMachines(epoch) > 0 {
 		return
 	}
 	l.OnEntries(l.feed.Entries())
@@ -28,9 +29,9 @@
 	slog.Info("quota ledger reconciled")
 }
 
-// unconfirmedMachines counts the machines that may run what an earlier leader granted and
-// nobody has shown yet.
-func (l *Leader) unconfirmedMachines(epoch uint64) int {
+// countUnconfirmedMachines updates confirmed and returns the number of machines that may run tasks
+// that an earlier leader granted and no entry has shown.
+func (l *Leader) countUnconfirmedMachines(epoch uint64) int {
 	unconfirmed := 0
 	for _, kv := range l.mirror.Dir(statekv.MachinePrefix) {
 		name := strings.TrimPrefix(kv.Key, statekv.MachinePrefix)
@@ -47,7 +48,7 @@
 	return unconfirmed
 }
 
-// OnEntries keeps the ledger of what is on the machines.
+// OnEntries updates the ledger from new machine entries.
 func (l *Leader) OnEntries(entries []agentapi.MachineEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,25 +57,26 @@
 	}
 }
 
-// quotaSnapshot is what grants are decided by. The caller holds the mutex for as long as it
-// uses it.
+// quotaSnapshot returns the state that grant decisions are based on. It shares maps with l: the
+// caller must hold l.mu while it uses the snapshot.
 func (l *Leader) quotaSnapshot(now time.Time) *quota.Snapshot {
 	return &quota.Snapshot{
 		Teams:        l.settings.Teams,
 		Usage:        l.ledger.Usage(),
-		Unattributed: l.unattributed(),
+		Unattributed: l.unattributedCapacity(),
 		Reservations: l.reservations,
 		Now:          now,
 	}
 }
 
-// unattributed is what may be on machines without anyone knowing: of a machine that has
-// not shown all that earlier leaders granted, or has a task of an unknown team, that is as
-// much as it can hold, and it may be any team's. The caller holds the mutex.
-func (l *Leader) unattributed() job.Resources {
-	var sum job.Resources
+// unattributedCapacity returns the resources that tasks of unknown teams may use. A machine counts
+// with its full capacity if it has not shown everything that earlier leaders granted, or if it has
+// a task of an unknown team. The result must be counted against each team. The caller must hold
+// l.mu.
+func (l *Leader) unattributedCapacity() job.Resources {
+	var capacity job.Resources
 	if l.reconciled && l.ledger.FullyAttributed() {
-		return sum
+		return capacity
 	}
 	types := l.catalogue.Types()
 	for _, kv := range l.mirror.Dir(statekv.MachinePrefix) {
@@ -83,8 +85,8 @@
 			continue
 		}
 		if record := shard.ParseMachineRecord(kv); record != nil {
-			sum = sum.AddScaled(job.Capacity(types[record.Type]), 1)
+			capacity = capacity.AddScaled(job.Capacity(types[record.Type]), 1)
 		}
 	}
-	return sum
+	return capacity
 }
--- a/internal/leader/reservation_test.go
+++ b/internal/leader/reservation_test.go
@@ -11,11 +11,11 @@
 	"robinstack/internal/quota"
 )
 
-// At a team's quota of 10 GPUs small jobs take each GPU that comes free. What comes free
-// below the quota is kept for a job of 8 that starves, until it has all it needs; of two
-// such for the one that could start earlier; and it is released 4 s after its scheduler
-// asked last.
-func TestCapacityBelowAQuotaIsReserved(t *testing.T) {
+// Guards against starvation of a large job at its team's quota. Without a reservation, small jobs
+// take each of the team's 10 GPUs as it becomes free, and a job of 8 GPUs never starts. Freed quota
+// is kept for that job until all it needs is free. Of two such jobs, the one that became ready
+// first holds the reservation. The reservation ends 4 s after the last request for it.
+func TestQuotaReservationProtectsLargeJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newLeader(t, t.Context())
 		l.reconciled, l.confirmed["m1"] = true, true
@@ -40,43 +40,44 @@
 			}
 			return reply.Reserved
 		}
-		small := func(k int) agentapi.TaskRef {
+		smallTask := func(k int) agentapi.TaskRef {
 			return agentapi.TaskRef{Job: fmt.Sprintf("wk-%d", k), Attempt: 1}
 		}
 		for k := range 10 {
-			if !grant(small(k).Job, 0, 1) {
-				t.Fatal(k)
+			if !grant(smallTask(k).Job, 0, 1) {
+				t.Fatalf("small job %d: got no grant within the quota", k)
 			}
 		}
 		if reserve("wk-90", 2000) {
-			t.Fatal("all of the quota is in use")
+			t.Fatal("large job can start according to the reply while the whole quota is in use")
 		}
-		for k := range 8 { // they end one by one, and others like them wait
-			if grant(fmt.Sprintf("wk-5%d", k), 0, 1, small(k)) {
-				t.Fatalf("a small job took what is kept, with %d free", k+1)
+		for k := range 8 { // the small jobs finish one by one while similar ones wait
+			if grant(fmt.Sprintf("wk-5%d", k), 0, 1, smallTask(k)) {
+				t.Fatalf("small job got reserved quota with %d GPUs free", k+1)
 			}
 		}
 		if !reserve("wk-90", 2000) || !grant("wk-90", 0, 8) {
-			t.Fatal("it has all it needs, and does not get it")
+			t.Fatal("large job cannot start or got no grant although 8 GPUs are free")
 		}
 		l.reservations = quota.NewReservations()
 		l.ledger.Release(agentapi.TaskRef{Job: "wk-90", Attempt: 1})
-		// Two at once: the one that could start earlier, whichever asks first.
+		// If two jobs request a reservation, the one that became ready first gets it, whichever
+		// asks first.
 		reserve("wk-91", 3000)
 		if !reserve("wk-92", 1000) || reserve("wk-91", 3000) {
-			t.Fatal("the later one has it")
+			t.Fatal("the reservation is not held by the job that became ready first")
 		}
-		if grant("wk-91", 0, 8) || !grant("wk-92", 0, 8, small(8)) {
-			t.Fatal("the later one got it")
+		if grant("wk-91", 0, 8) || !grant("wk-92", 0, 8, smallTask(8)) {
+			t.Fatal("the grant did not go to the job that became ready first")
 		}
 		l.ledger.Release(agentapi.TaskRef{Job: "wk-92", Attempt: 1})
 		time.Sleep(quota.ReservationDuration / 2)
 		if grant("wk-60", 0, 5) {
-			t.Fatal("released too early")
+			t.Fatal("got a grant before the reservation expired")
 		}
-		l.reservations.Reserve(reservation("wk-92", 1000), time.Now().Add(-quota.ReservationDuration)) // asked for last
+		l.reservations.Reserve(reservation("wk-92", 1000), time.Now().Add(-quota.ReservationDuration)) // an expired reservation
 		if !grant("wk-60", 0, 5) {
-			t.Fatal("kept for nobody")
+			t.Fatal("got no grant after the reservation expired")
 		}
 	})
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -16,19 +16,18 @@
 
 const (
 	planInterval = time.Second
-	// reconcilingPlanInterval is the pause while machines do not answer their new owners:
-	// jobs wait for each of them.
+	// reconcilingPlanInterval is the interval between plans while some machines have not answered
+	// their new owners, because jobs may wait for each of these machines.
 	reconcilingPlanInterval = 300 * time.Millisecond
-	// recomputeInterval is how often the ledger is added up anew.
+	// recomputeInterval is the interval between recomputations of the ledger's sums.
 	recomputeInterval = 10 * time.Second
-	// drainTimeout is how long the owner of idle machines may take to drain them.
+	// drainTimeout bounds the call that asks an owner to drain idle machines.
 	drainTimeout = 2 * time.Second
-	// deletionReportTimeout is how long an owner may take to acknowledge that its machines
-	// are deleted.
+	// deletionReportTimeout bounds the call that reports deleted machines to their owner.
 	deletionReportTimeout = 3 * time.Second
 )
 
-// runScaling scales out and in while this controller is leader.
+// runScaling scales the cluster out and in while this controller is the leader.
 func (l *Leader) runScaling(ctx context.Context) {
 	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
@@ -49,15 +48,15 @@
 			tick.Reset(reconcilingPlanInterval)
 		}
 		select {
-		case l.unacknowledged <- plan.Notify:
-		default: // the former ones are still being reported
+		case l.deletionReports <- plan.Notify:
+		default: // the previous reports are still being sent
 		}
 		l.drainAndDelete(ctx, plan.ScaleIn)
 		l.deleteMachines(ctx, plan.Delete)
 	}
 }
 
-// plan decides what to do about the cluster's machines.
+// plan decides which machines to request, drain and delete.
 func (l *Leader) plan(now time.Time) *autoscaler.Plan {
 	snapshot := &autoscaler.Snapshot{
 		Now:     now,
@@ -99,17 +98,17 @@
 	}
 }
 
-// scaleOut makes all requests at the same time and waits for their answers.
+// scaleOut makes all requests concurrently and waits for the answers.
 func (l *Leader) scaleOut(ctx context.Context, requests []cloud.ScaleOutRequest) {
-	var calls sync.WaitGroup
+	var requestsInFlight sync.WaitGroup
 	for _, request := range requests {
-		calls.Go(func() { l.requestMachines(ctx, request) })
+		requestsInFlight.Go(func() { l.requestMachines(ctx, request) })
 	}
-	calls.Wait()
+	requestsInFlight.Wait()
 }
 
-// requestMachines asks the cloud for machines; what has no answer is asked for again under
-// its ID.
+// requestMachines requests machines from the cloud. A request without an answer is repeated later
+// with the same request ID.
 func (l *Leader) requestMachines(ctx context.Context, request cloud.ScaleOutRequest) {
 	sent := time.Now()
 	granted, err := autoscaler.ScaleOut(ctx, l.cloud, request)
@@ -127,10 +126,11 @@
 	l.fleet.OnScaleOut(request, granted, sent)
 }
 
-// drainAndDelete has idle machines drained, which their owners refuse if a task has come in
-// between, and deletes those that are drained.
+// drainAndDelete asks the owners to drain idle machines and deletes those that were drained. An
+// owner does not drain a machine that has got a task in the meantime, unless the machine is
+// unresponsive or quarantined.
 func (l *Leader) drainAndDelete(ctx context.Context, machines []string) {
-	for host, owned := range l.byOwner(machines) {
+	for host, owned := range l.groupByOwner(machines) {
 		drained, err := l.drain(ctx, host, owned)
 		if err != nil {
 			slog.Debug("machine drain failed", "host", host, "err", err)
@@ -148,7 +148,7 @@
 	return reply.Names, err
 }
 
-// deleteMachines deletes machines in the cloud and then reports that to their owners.
+// deleteMachines deletes machines in the cloud and then reports the deletion to their owners.
 func (l *Leader) deleteMachines(ctx context.Context, machines []string) {
 	for chunk := range slices.Chunk(machines, autoscaler.MaxMachinesPerDeletion) {
 		if err := autoscaler.ScaleIn(ctx, l.cloud, chunk); err != nil {
@@ -165,7 +165,7 @@
 
 // reportDeletions tells the owners of machines that the cloud has deleted them.
 func (l *Leader) reportDeletions(ctx context.Context, machines []string) {
-	for host, owned := range l.byOwner(machines) {
+	for host, owned := range l.groupByOwner(machines) {
 		if err := l.reportDeletionsTo(ctx, host, owned); err != nil {
 			slog.Debug("machine deletion report to owner failed", "host", host, "err", err)
 		}
@@ -179,21 +179,21 @@
 	return l.peers.Call(ctx, host, "Agent.Removed", request, &agentapi.MachinesReply{})
 }
 
-// runDeletionReports reports deletions to owners once more, beside the planning: an owner
-// that does not answer must not hold that up.
+// runDeletionReports repeats the deletion reports to owners that may have missed them. It runs
+// apart from planning, so that an owner that does not answer cannot delay the planning.
 func (l *Leader) runDeletionReports(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case machines := <-l.unacknowledged:
+		case machines := <-l.deletionReports:
 			l.reportDeletions(ctx, machines)
 		}
 	}
 }
 
-// byOwner groups machines by the host that owns them; those without an owner are left out.
-func (l *Leader) byOwner(machines []string) map[string][]string {
+// groupByOwner groups machines by the host of their owner. Machines without an owner are left out.
+func (l *Leader) groupByOwner(machines []string) map[string][]string {
 	byHost := map[string][]string{}
 	for _, name := range machines {
 		if host, ok := l.feed.OwnerHost(name); ok {
--- a/internal/leader/scaling_test.go
+++ b/internal/leader/scaling_test.go
@@ -9,8 +9,10 @@
 	"robinstack/internal/job"
 )
 
-// Capacity is kept warm for classes of gangs seen lately, and not for ever.
-func TestCapacityIsKeptWarmForGangs(t *testing.T) {
+// Guards against gangs that wait for provisioning because no machine is free: capacity is kept warm
+// for each class of gangs seen recently. It must be given up two minutes after the last gang of the
+// class.
+func TestWarmCapacityForGangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newLeader(t, t.Context())
 		l.reconciled = true
@@ -27,14 +29,14 @@
 			return n
 		}
 		if n := demand(autoscaler.Demand{Spec: spec, Running: 1}); n != 1 {
-			t.Fatalf("one runs, one is expected: requested %d", n)
+			t.Fatalf("one gang running: requested %d machines, want 1 as warm capacity", n)
 		}
 		if n := demand(autoscaler.Demand{Spec: spec, Waiting: 1}); n != 2 {
-			t.Fatalf("one waits, one is expected: requested %d", n)
+			t.Fatalf("one gang waiting: requested %d machines, want 1 for it and 1 as warm capacity", n)
 		}
 		time.Sleep(2*time.Minute + time.Second)
 		if n := demand(); n != 0 {
-			t.Fatalf("none for two minutes: requested %d", n)
+			t.Fatalf("no gang for two minutes: requested %d machines, want 0", n)
 		}
 	})
 }
--- a/internal/leader/service.go
+++ b/internal/leader/service.go
@@ -9,17 +9,17 @@
 	"robinstack/internal/quota"
 )
 
-var errNotLeader = errors.New("not the leader")
+var errNotLeader = errors.New("controller is not the leader or does not hold its lease")
 
-// Service is the net/rpc service "Steward", which the schedulers and controllers of all
-// hosts call. Its methods are on the wire and keep their names.
+// Service is the net/rpc service "Steward", which schedulers and controllers on all hosts call. Its
+// method names are part of the protocol and must not change.
 type Service struct{ leader *Leader }
 
-// NewService returns the net/rpc service of a leader.
+// NewService returns the net/rpc service of l.
 func NewService(l *Leader) *Service { return &Service{leader: l} }
 
-// Permit grants what the teams' quotas have free capacity for. A grant stands until the
-// task has shown up on a machine or the scheduler releases it.
+// Permit grants the requested tasks that fit the quotas of their teams. A grant is valid until a
+// machine shows the task or the scheduler releases the grant.
 func (s *Service) Permit(request quota.Request, reply *quota.Reply) error {
 	l := s.leader
 	l.mu.Lock()
@@ -36,7 +36,7 @@
 	reply.Epoch = l.epoch
 	reply.Granted = make([]bool, len(request.Wants))
 	if len(l.catalogue.Types()) == 0 {
-		return nil // what unknown machines may hold is not known
+		return nil // the capacity of unconfirmed machines is unknown
 	}
 	snapshot := l.quotaSnapshot(time.Now())
 	if request.Reserve != nil {
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// Budget answers a controller's report of how many changes of the state service it needs.
+// Budget answers a controller's report of the writes to the state service that it needs, with its
+// share of the write budget.
 func (s *Service) Budget(report budget.DemandReport, reply *budget.Grant) error {
 	l := s.leader
 	sessions := budget.SessionView{Alive: map[string]bool{}, Age: time.Since(l.mirror.FreshAsOf())}
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// Demand takes note of what a controller's jobs need, also where another controller leads:
-// this one may be next.
+// Demand records what a controller's jobs need. A controller that is not the leader records it too,
+// because it may become the leader next.
 func (s *Service) Demand(request autoscaler.DemandRequest, _ *struct{}) error {
 	l := s.leader
 	l.mu.Lock()
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// Overdue lists, by pool, machines whose provisioning takes longer than is usual there.
+// Overdue returns, by pool, the machines whose provisioning takes longer than usual in that pool.
 func (s *Service) Overdue(_ struct{}, reply *[]autoscaler.OverduePool) error {
 	l := s.leader
 	now := time.Now()
