--- a/internal/quota/decide.go
+++ b/internal/quota/decide.go
@@ -7,43 +7,44 @@
 	"robinstack/internal/job"
 )
 
-// Snapshot is what a decision about grants goes by.
+// Snapshot is the state that grant decisions are based on.
 type Snapshot struct {
 	Teams        map[string]config.Team
-	Usage        map[string]job.Resources // held and granted, by team
-	Unattributed job.Resources            // held by nobody knows which team: it may be any
+	Usage        map[string]job.Resources // resources that each team holds on machines or is granted
+	Unattributed job.Resources            // may be held by any team: the team is not known
 	Reservations *Reservations
 	Now          time.Time
 }
 
-// Decide returns, in the order of the requests, which of them the teams' quotas have free
-// capacity for. It changes nothing; earlier requests go first.
+// Decide returns, in the order of the requests, whether each can be granted. The quota of its team
+// must have room for it, for the granted requests before it, and for the reservation of another job.
+// Decide does not change the snapshot.
 func Decide(requests []GrantRequest, snapshot *Snapshot) []bool {
 	granted := make([]bool, len(requests))
-	added := map[string]job.Resources{}
+	grantedByTeam := map[string]job.Resources{}
 	for i, request := range requests {
-		total := added[request.Team].AddScaled(request.Need, 1)
-		kept := snapshot.Reservations.keptFrom(request, snapshot.Now)
-		if !snapshot.allows(request.Team, total, kept) {
+		total := grantedByTeam[request.Team].AddScaled(request.Need, 1)
+		reserved := snapshot.Reservations.reservedFromOthers(request, snapshot.Now)
+		if !snapshot.fitsQuota(request.Team, total, reserved) {
 			continue
 		}
-		added[request.Team] = total
+		grantedByTeam[request.Team] = total
 		granted[i] = true
 	}
 	return granted
 }
 
-// CanStart reports whether a reservation is held and its team's quota has free capacity for
-// all that its job needs.
+// CanStart reports whether the reservation's job holds the latest reservation of its team and the
+// team's quota has room for all that the job needs.
 func CanStart(reservation *Reservation, snapshot *Snapshot) bool {
-	return snapshot.Reservations.holder(reservation.Team) == reservation.Job &&
-		snapshot.allows(reservation.Team, reservation.Need, job.Resources{})
+	return snapshot.Reservations.latestHolder(reservation.Team) == reservation.Job &&
+		snapshot.fitsQuota(reservation.Team, reservation.Need, job.Resources{})
 }
 
-// allows reports whether a team's quota admits an addition beside what is kept for another
-// of its jobs, also if all that is unattributed is the team's.
-func (s *Snapshot) allows(team string, addition, kept job.Resources) bool {
-	total := s.Usage[team].AddScaled(addition, 1).AddScaled(s.Unattributed, 1).AddScaled(kept, 1)
+// fitsQuota reports whether the team's quota has room for addition, next to what is reserved for
+// another of its jobs. It counts all unattributed resources as the team's.
+func (s *Snapshot) fitsQuota(team string, addition, reserved job.Resources) bool {
+	total := s.Usage[team].AddScaled(addition, 1).AddScaled(s.Unattributed, 1).AddScaled(reserved, 1)
 	limits := s.Teams[team]
 	if limits.CPUQuota > 0 && total.CPUs > limits.CPUQuota {
 		return false
--- a/internal/quota/decide_test.go
+++ b/internal/quota/decide_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// Requests of one team are granted together only as far as its quota goes; one that does not
-// fit leaves its capacity to later ones, and teams without a quota get all.
-func TestDecideCountsWhatItGrants(t *testing.T) {
+// Requests of one team are granted up to its quota. A request that does not fit does not block
+// smaller requests after it. A team without a quota gets everything.
+func TestDecideCountsEarlierGrants(t *testing.T) {
 	snapshot := testSnapshot(time.Time{}.Add(time.Hour))
 	granted := Decide([]GrantRequest{
 		grantRequest("wk-1", "gpus", gpus(3)),
@@ -37,12 +37,12 @@
 		t.Errorf("granted %v, want %v", granted, want)
 	}
 	if snapshot.Usage["gpus"] != gpus(6) {
-		t.Errorf("the decision changed the usage: %v", snapshot.Usage)
+		t.Errorf("Decide changed the usage to %v", snapshot.Usage)
 	}
 }
 
-// What nobody can attribute may be any team's.
-func TestDecideCountsUnattributedForEachTeam(t *testing.T) {
+// Guards against exceeding a quota: resources whose team is not known count against every team.
+func TestDecideCountsUnattributedCapacityForEveryTeam(t *testing.T) {
 	snapshot := testSnapshot(time.Time{}.Add(time.Hour))
 	snapshot.Unattributed = job.Resources{CPUs: 8, GPUs: 4}
 	granted := Decide([]GrantRequest{
@@ -55,9 +55,9 @@
 	}
 }
 
-// A reservation keeps capacity from other jobs of its team, goes to the job that could start
-// first, and ends.
-func TestReservationKeepsCapacity(t *testing.T) {
+// A reservation excludes other jobs of its team from the reserved resources, belongs to the job
+// that became ready first, and expires.
+func TestReservationLifecycle(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
 	snapshot := testSnapshot(now)
 	later := Reservation{Job: "wk-8", Team: "gpus", Need: gpus(4), Since: 20}
@@ -66,7 +66,7 @@
 	snapshot.Reservations.Reserve(earlier, now)
 	snapshot.Reservations.Reserve(later, now)
 	if CanStart(&later, snapshot) || !CanStart(&earlier, snapshot) {
-		t.Error("the reservation is not held by the job that could start first")
+		t.Error("the reservation is not held by the job that became ready first")
 	}
 	requests := []GrantRequest{grantRequest("wk-1", "gpus", gpus(1)), grantRequest("wk-9", "gpus", gpus(4))}
 	if granted, want := Decide(requests, snapshot), []bool{false, true}; !slices.Equal(granted, want) {
@@ -74,14 +74,14 @@
 	}
 	snapshot.Now = now.Add(ReservationDuration)
 	if granted := Decide(requests[:1], snapshot); !granted[0] {
-		t.Error("the reservation has not ended")
+		t.Error("got no grant after the reservation expired")
 	}
 	snapshot.Reservations.Reserve(later, snapshot.Now)
 	if !CanStart(&later, snapshot) {
-		t.Error("a reservation that has ended is in the way of a later one")
+		t.Error("an expired reservation blocks a later one")
 	}
 	tooLarge := Reservation{Job: "wk-8", Team: "gpus", Need: gpus(5), Since: 20}
 	if CanStart(&tooLarge, snapshot) {
-		t.Error("5 beside 6 in use are more than 10")
+		t.Error("a job of 5 GPUs can start next to 6 in use despite the quota of 10")
 	}
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -8,28 +8,27 @@
 	"robinstack/internal/worker"
 )
 
-// allocation is what a task takes of its team's quota. The team is empty where it is not
-// known yet.
+// allocation is the part of its team's quota that a task uses. team is empty while it is unknown.
 type allocation struct {
 	team string
 	need job.Resources
 }
 
-// grant is an allocation of a task that no machine has shown yet.
+// grant is the allocation of a granted task that no machine has shown yet.
 type grant struct {
 	allocation
 	jobShard string
-	epoch    uint64 // of the job shard's owner
+	epoch    uint64 // of the job shard's owner that got the grant
 }
 
-// Ledger counts what the teams hold on machines and are granted to start. Its sums follow
-// each change, so that a grant costs the same in a cluster of any size. It is not safe for
-// concurrent use.
+// Ledger counts the resources that teams hold on machines and those that they are granted. Its sums
+// are updated with each change, so that the cost of a grant does not depend on the size of the
+// cluster. It is not safe for concurrent use.
 type Ledger struct {
 	grants       map[agentapi.TaskRef]grant
 	held         map[string]map[agentapi.TaskRef]allocation // by machine
-	unattributed map[string]bool                            // machines with tasks of unknown teams
-	usage        map[string]job.Resources                   // by team: held and granted
+	unattributed map[string]bool                            // machines with tasks whose team is unknown
+	usage        map[string]job.Resources                   // by team: sum of held and granted resources
 }
 
 // NewLedger returns an empty ledger.
@@ -42,20 +41,21 @@
 	}
 }
 
-// Usage is what each team holds or is granted. The caller must not change it, and it
-// follows the ledger.
+// Usage returns the resources that each team holds or is granted. The map is not a copy: it changes
+// with the ledger, and the caller must not modify it.
 func (l *Ledger) Usage() map[string]job.Resources { return l.usage }
 
-// MachineCount is the number of machines of which the ledger has an entry.
+// MachineCount returns the number of machines with an entry in the ledger.
 func (l *Ledger) MachineCount() int { return len(l.held) }
 
 // FullyAttributed reports whether the team of every task on a machine is known.
 func (l *Ledger) FullyAttributed() bool { return len(l.unattributed) == 0 }
 
-// Attributed reports whether the team of every task on this machine is known.
+// Attributed reports whether the team of every task on the given machine is known.
 func (l *Ledger) Attributed(machine string) bool { return !l.unattributed[machine] }
 
-// Grant counts a task as granted to a job shard's owner, in place of an earlier grant.
+// Grant records a grant to the owner of a job shard. It replaces an earlier grant for the same
+// task.
 func (l *Ledger) Grant(request GrantRequest, jobShard string, epoch uint64) {
 	l.Release(request.Ref)
 	granted := allocation{team: request.Team, need: request.Need}
@@ -63,7 +63,7 @@
 	l.add(granted)
 }
 
-// Release drops a task's grant, if it has one.
+// Release removes a task's grant, if there is one.
 func (l *Ledger) Release(ref agentapi.TaskRef) {
 	granted, ok := l.grants[ref]
 	if !ok {
@@ -73,7 +73,8 @@
 	l.subtract(granted.allocation)
 }
 
-// ReleaseJobShard drops the grants that owners of a job shard before this epoch did not use.
+// ReleaseJobShard removes the unused grants that were given to owners of the job shard before the
+// given epoch.
 func (l *Ledger) ReleaseJobShard(jobShard string, epoch uint64) {
 	for ref, granted := range l.grants {
 		if granted.jobShard == jobShard && granted.epoch < epoch {
@@ -82,13 +83,13 @@
 	}
 }
 
-// ClearGrants drops all grants; what is held on machines stays.
+// ClearGrants removes all grants. Tasks on machines still count.
 func (l *Ledger) ClearGrants() {
 	clear(l.grants)
 	l.Recompute()
 }
 
-// Recompute adds everything up anew: sums of fractions drift with time.
+// Recompute recalculates the sums, which accumulate floating-point errors with each change.
 func (l *Ledger) Recompute() {
 	clear(l.usage)
 	for _, tasks := range l.held {
@@ -101,7 +102,7 @@
 	}
 }
 
-// RetainMachines removes all machines but those present.
+// RetainMachines removes all machines that are not in present.
 func (l *Ledger) RetainMachines(present map[string]bool) {
 	for name := range l.held {
 		if !present[name] {
@@ -110,13 +111,14 @@
 	}
 }
 
-// Apply takes in the latest entry of a machine. Grants of tasks that it shows are used up.
+// Apply updates the ledger from a machine's latest entry. Grants for tasks that the entry lists are
+// used and therefore removed.
 func (l *Ledger) Apply(entry *agentapi.MachineEntry) {
 	if entry.Gone {
 		l.removeMachine(entry.Machine)
 		return
 	}
-	held := l.tasksOf(entry)
+	held := l.heldTasks(entry)
 	for ref := range held {
 		l.Release(ref)
 	}
@@ -130,14 +132,14 @@
 	}
 }
 
-// tasksOf lists what counts as held on a machine by its latest entry, and releases the
-// grants of tasks that have ended there.
-func (l *Ledger) tasksOf(entry *agentapi.MachineEntry) map[agentapi.TaskRef]allocation {
-	former := l.held[entry.Machine]
+// heldTasks returns the tasks that count as held on a machine according to its latest entry, and
+// removes the grants of tasks that have exited there.
+func (l *Ledger) heldTasks(entry *agentapi.MachineEntry) map[agentapi.TaskRef]allocation {
+	previous := l.held[entry.Machine]
 	held := map[agentapi.TaskRef]allocation{}
 	if !entry.Reconciled() {
-		// An earlier owner's starts may not have shown up yet.
-		maps.Copy(held, former)
+		// Tasks that earlier owners started may be missing from the entry.
+		maps.Copy(held, previous)
 	}
 	for i := range entry.Tasks {
 		task := &entry.Tasks[i]
@@ -146,15 +148,16 @@
 			l.Release(task.TaskRef)
 			continue
 		}
-		held[task.TaskRef] = l.allocationOf(task, former)
+		held[task.TaskRef] = l.allocationFor(task, previous)
 	}
 	return held
 }
 
-// allocationOf is what a task takes: by its entry, or, as long as its owner has not read the
-// job's record, by its grant or by what was known of the machine before.
-func (l *Ledger) allocationOf(
-	task *agentapi.TaskEntry, former map[agentapi.TaskRef]allocation,
+// allocationFor returns the allocation of a task according to its entry. While the machine's owner
+// has not read the job record, it returns that of the task's grant or, without a grant, that of the
+// machine's previous entry.
+func (l *Ledger) allocationFor(
+	task *agentapi.TaskEntry, previous map[agentapi.TaskRef]allocation,
 ) allocation {
 	if task.Known {
 		return allocation{team: task.Team, need: task.Need}
@@ -162,7 +165,7 @@
 	if granted, ok := l.grants[task.TaskRef]; ok {
 		return granted.allocation
 	}
-	return former[task.TaskRef]
+	return previous[task.TaskRef]
 }
 
 func (l *Ledger) removeMachine(machine string) {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -23,25 +23,25 @@
 	}
 }
 
-// A task counts once, from its grant until its machine shows that it has ended.
-func TestTaskCountsOnceFromGrantToExit(t *testing.T) {
+// A task counts exactly once, from its grant until its machine's entry shows that it has exited.
+func TestTaskIsCountedOnceFromGrantToExit(t *testing.T) {
 	l := NewLedger()
 	l.Grant(grantRequest("wk-1", "t", gpus(2)), "s", 1)
-	l.Grant(grantRequest("wk-1", "t", gpus(2)), "s", 2) // asked for again
+	l.Grant(grantRequest("wk-1", "t", gpus(2)), "s", 2) // a repeated request
 	checkUsage(t, l, "t", gpus(2))
 	task := agentapi.TaskEntry{TaskRef: taskRef("wk-1"), Team: "t", Need: gpus(2), Known: true, State: worker.TaskRunning}
 	l.Apply(&agentapi.MachineEntry{Machine: "m1", Settled: true, Tasks: []agentapi.TaskEntry{task}})
 	checkUsage(t, l, "t", gpus(2))
-	l.Release(taskRef("wk-1")) // used up: nothing to release
+	l.Release(taskRef("wk-1")) // no effect: the grant has been used
 	checkUsage(t, l, "t", gpus(2))
 	task.State = worker.TaskExited
 	l.Apply(&agentapi.MachineEntry{Machine: "m1", Settled: true, Tasks: []agentapi.TaskEntry{task}})
 	checkUsage(t, l, "t", gpus(0))
 }
 
-// A task whose job's record its owner has not read counts by its grant, and without one for
-// a team that is not known.
-func TestTaskOfAnUnreadRecord(t *testing.T) {
+// While the machine's owner has not read the job record, a task counts with its grant. Without a
+// grant, it counts for an unknown team.
+func TestTaskWithUnreadJobRecord(t *testing.T) {
 	l := NewLedger()
 	l.Grant(grantRequest("wk-1", "t", gpus(2)), "s", 1)
 	unread := func(id string) agentapi.TaskEntry {
@@ -50,20 +50,21 @@
 	l.Apply(&agentapi.MachineEntry{Machine: "m1", Settled: true, Tasks: []agentapi.TaskEntry{unread("wk-1")}})
 	checkUsage(t, l, "t", gpus(2))
 	if !l.FullyAttributed() || !l.Attributed("m1") {
-		t.Error("its team is known by the grant")
+		t.Error("the team of the task on m1 is not known from its grant")
 	}
 	l.Apply(&agentapi.MachineEntry{Machine: "m2", Settled: true, Tasks: []agentapi.TaskEntry{unread("wk-2")}})
 	if l.FullyAttributed() || l.Attributed("m2") || !l.Attributed("m1") {
-		t.Error("the team of one task on m2 is not known")
+		t.Error("want the team of the task on m2 unknown and that on m1 known")
 	}
 	l.RetainMachines(map[string]bool{"m1": true})
 	if !l.FullyAttributed() || l.MachineCount() != 1 {
-		t.Error("m2 is gone")
+		t.Error("m2 still counts after it was removed")
 	}
 	checkUsage(t, l, "t", gpus(2))
 }
 
-// What a machine held counts until its new owner has reconciled it.
+// Guards against exceeding a quota after a change of a machine's owner: the tasks of the machine
+// count until the new owner's entry is reconciled.
 func TestUnreconciledEntryKeepsTasks(t *testing.T) {
 	l := NewLedger()
 	task := agentapi.TaskEntry{TaskRef: taskRef("wk-1"), Team: "t", Need: gpus(4), Known: true, State: worker.TaskRunning}
@@ -74,13 +75,13 @@
 	checkUsage(t, l, "t", gpus(0))
 	l.Apply(&agentapi.MachineEntry{Machine: "m1", Gone: true})
 	if l.MachineCount() != 0 {
-		t.Errorf("%d machines after the only one is gone", l.MachineCount())
+		t.Errorf("got %d machines after the only one was removed, want 0", l.MachineCount())
 	}
 }
 
-// Grants of earlier owners of a job shard lapse, and all of them when a leader begins; what
-// is on machines stays.
-func TestGrantsLapse(t *testing.T) {
+// A reconciled job shard drops the unused grants of its earlier owners, and a new leader drops all
+// grants. Tasks on machines still count.
+func TestObsoleteGrantsAreDropped(t *testing.T) {
 	l := NewLedger()
 	l.Grant(grantRequest("wk-1", "t", gpus(1)), "s", 1)
 	l.Grant(grantRequest("wk-2", "t", gpus(2)), "s", 2)
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -5,37 +5,37 @@
 	"robinstack/internal/job"
 )
 
-// The messages of the method Permit of the net/rpc service "Steward". Field names and
-// kinds are the wire format (gob) and must not change.
+// Messages of the method Permit of the net/rpc service "Steward". Field names and types are the
+// wire format (gob) and must not change.
 
-// Request asks for grants, or releases those that were not used.
+// Request asks for grants, releases unused grants, and requests a reservation.
 type Request struct {
-	Slot    string // job shard of the scheduler that asks
-	Epoch   uint64 // under which it holds the job shard
+	Slot    string // job shard of the requesting scheduler
+	Epoch   uint64 // epoch in which the scheduler owns the job shard
 	Wants   []GrantRequest
 	Release []agentapi.TaskRef
-	Probe   bool         // only say what would be granted
-	Reserve *Reservation // keep what comes free below the team's quota for a job
-	Settled bool         // the job shard is reconciled: unused grants of earlier epochs lapse
+	Probe   bool         // decide only, without recording the grants
+	Reserve *Reservation // reserve quota of the team for this job as it becomes free; nil: none
+	Settled bool         // the job shard is reconciled: unused grants of earlier epochs are released
 }
 
-// GrantRequest is a task for which a scheduler asks a grant.
+// GrantRequest is a task for which a scheduler requests a quota grant.
 type GrantRequest struct {
 	Ref  agentapi.TaskRef
 	Team string
 	Need job.Resources
 }
 
-// Reservation is a job for which free capacity below its team's quota is kept.
+// Reservation is a job for which free quota of its team is reserved.
 type Reservation struct {
 	Job, Team string
-	Need      job.Resources // of all that it needs to start
-	Since     int64         // when it could start, in milliseconds since 1970: the earliest goes first
+	Need      job.Resources // of all tasks that the job needs to start
+	Since     int64         // when the job became ready to start, in Unix milliseconds; the earliest job wins
 }
 
-// Reply says which requests were granted.
+// Reply answers a Request.
 type Reply struct {
 	Granted  []bool // in the order of Request.Wants
-	Epoch    uint64 // leader epoch under which the grants hold
-	Reserved bool   // the quota has free capacity for all that was to be kept
+	Epoch    uint64 // leader epoch in which the grants are valid
+	Reserved bool   // Reserve is held by its job and the quota has room for all that the job needs
 }
--- a/internal/quota/reservations.go
+++ b/internal/quota/reservations.go
@@ -6,13 +6,13 @@
 	"robinstack/internal/job"
 )
 
-// ReservationDuration is how long capacity below a quota is kept for a job after its
-// scheduler asked for it last; it asks about every second.
+// ReservationDuration is how long quota is reserved for a job after the last request of its
+// scheduler, which repeats the request about every second.
 const ReservationDuration = 4 * time.Second
 
-// Reservations keeps, for each team, capacity below its quota for one job, so that small
-// jobs do not take each bit that comes free from one that waits for all it needs. It is
-// not safe for concurrent use.
+// Reservations reserves free quota of each team for one job, so that small jobs do not take each
+// GPU or CPU that becomes free from a job that waits for all it needs. It is not safe for
+// concurrent use.
 type Reservations struct {
 	byTeam map[string]heldReservation
 }
@@ -22,13 +22,14 @@
 	until time.Time
 }
 
-// NewReservations returns an empty set of reservations.
+// NewReservations returns Reservations without any job.
 func NewReservations() *Reservations {
 	return &Reservations{byTeam: map[string]heldReservation{}}
 }
 
-// Reserve keeps a team's capacity for the job that could start earliest of those that asked
-// lately: one at a time, so that none waits for another.
+// Reserve reserves quota of a team for the requested job, unless another job of the team holds a
+// reservation that has not expired and became ready to start no later. A team has one reservation
+// at a time, so that no two jobs each hold a part of what the other needs.
 func (r *Reservations) Reserve(requested Reservation, now time.Time) {
 	held, ok := r.byTeam[requested.Team]
 	otherHolds := ok && held.Job != requested.Job && now.Before(held.until)
@@ -38,11 +39,12 @@
 	r.byTeam[requested.Team] = heldReservation{requested, now.Add(ReservationDuration)}
 }
 
-// holder is the job for which a team's capacity was kept last.
-func (r *Reservations) holder(team string) string { return r.byTeam[team].Job }
+// latestHolder returns the job of the team's latest reservation, which may have expired.
+func (r *Reservations) latestHolder(team string) string { return r.byTeam[team].Job }
 
-// keptFrom is what is kept from a task of another job of the team.
-func (r *Reservations) keptFrom(request GrantRequest, now time.Time) job.Resources {
+// reservedFromOthers returns the resources that a reservation of another job of the same team
+// withholds from the request.
+func (r *Reservations) reservedFromOthers(request GrantRequest, now time.Time) job.Resources {
 	held, ok := r.byTeam[request.Team]
 	if !ok || held.Job == request.Ref.Job || !now.Before(held.until) {
 		return job.Resources{}
