--- a/internal/machine/liveness.go
+++ b/internal/machine/liveness.go
@@ -49,9 +49,10 @@
 
 	lastHeartbeat time.Time // time of the latest heartbeat to this owner, or of the start of the ownership
 
-	// unresponsive: no state has arrived within the contact timeout.
+	// unresponsive reports whether no state has arrived within the contact timeout.
 	unresponsive bool
-	// heartbeatsLost: the machine responds to commands, but its heartbeats do not arrive.
+	// heartbeatsLost reports whether the machine responds to commands while its heartbeats do not
+	// arrive.
 	//
 	// Responses to commands do not renew the worker lease, so such a machine loses all its tasks
 	// whenever the lease expires. After two thirds of a lease without a heartbeat, its entry shows
--- a/internal/machine/ownership.go
+++ b/internal/machine/ownership.go
@@ -12,8 +12,8 @@
 	KeyRev uint64 // revision of the machine's key
 	Rev    uint64 // ownership revision: the later of the revisions of the machine's key and its shard's key
 
-	reconciled          bool      // no command of an earlier owner can take effect any more
-	heartbeatAnswered   bool      // by this or an earlier owner
+	reconciled          bool      // whether no command of an earlier owner can take effect any more
+	heartbeatAnswered   bool      // whether this or an earlier owner has answered one
 	raises              uint64    // number of raises of the token under this revision
 	seenToken           uint64    // highest token that the worker has shown
 	lastPossibleRenewal time.Time // latest time at which any owner may have renewed the worker lease
--- a/internal/machine/task.go
+++ b/internal/machine/task.go
@@ -56,9 +56,9 @@
 	state        TaskState
 	cause        string
 	checkpointed bool
-	exitCounted  bool // the exit has been counted as a success or failure of the machine
+	exitCounted  bool // whether the exit has been counted as a success or failure of the machine
 
-	forgetAllowed bool      // the exit is recorded, so the worker may forget the task
+	forgetAllowed bool      // whether the worker may forget the task, because its exit is recorded or needs no record
 	exitedAt      time.Time // when a heartbeat first showed the exit, or when it was last rechecked
 	reservedUntil time.Time
 	runningSince  time.Time
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -14,9 +14,9 @@
 	Epoch   uint64 // epoch in which the scheduler owns the job shard
 	Wants   []GrantRequest
 	Release []agentapi.TaskRef
-	Probe   bool         // decide only, without recording the grants
+	Probe   bool         // whether to decide only, without recording the grants
 	Reserve *Reservation // reserve quota of the team for this job as it becomes free; nil: none
-	Settled bool         // the job shard is reconciled: unused grants of earlier epochs are released
+	Settled bool         // whether the job shard is reconciled: if so, unused grants of earlier epochs are released
 }
 
 // GrantRequest is a task for which a scheduler requests a quota grant.
@@ -37,5 +37,5 @@
 type Reply struct {
 	Granted  []bool // in the order of Request.Wants
 	Epoch    uint64 // leader epoch in which the grants are valid
-	Reserved bool   // Reserve is held by its job and the quota has room for all that the job needs
+	Reserved bool   // whether the reservation is held and the quota has room for all that its job needs
 }
