--- a/internal/autoscaler/calls.go
+++ b/internal/autoscaler/calls.go
@@ -8,15 +8,15 @@
 	"robinstack/internal/cloud"
 )
 
-// callTimeout is how long a call that changes the cloud's machines may take.
+// callTimeout bounds one call that creates or deletes machines in the cloud.
 const callTimeout = 5 * time.Second
 
-// MaxMachinesPerDeletion is how many machines one call of ScaleIn may name.
+// MaxMachinesPerDeletion is the largest number of machines that one call of ScaleIn may name.
 const MaxMachinesPerDeletion = 100
 
-// ScaleOut asks the cloud for machines and returns the names of those granted: none where it
-// has no capacity. After an error nobody knows what became of the request, and it must be
-// repeated under its ID.
+// ScaleOut requests machines from the cloud and returns the names of the granted machines. It
+// returns none and no error if the cloud has no capacity. After an error the outcome is unknown,
+// and the caller must repeat the request under the same request ID.
 func ScaleOut(ctx context.Context, api cloud.API, request cloud.ScaleOutRequest) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -27,7 +27,8 @@
 	return granted, err
 }
 
-// ScaleIn deletes machines; once it succeeded they and all on them are gone.
+// ScaleIn deletes machines in the cloud. After it has succeeded, the machines and all tasks on them
+// are gone.
 func ScaleIn(ctx context.Context, api cloud.API, machines []string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -8,11 +8,11 @@
 	"robinstack/internal/job"
 )
 
-// demandDuration is how long what a controller reported of its jobs counts.
-const demandDuration = 15 * time.Second
+// demandReportTTL is how long a demand report is used. Older reports are dropped.
+const demandReportTTL = 15 * time.Second
 
-// DemandReports holds what the controllers last reported of their jobs. It is not safe for
-// concurrent use.
+// DemandReports holds the latest demand report of each controller. It is not safe for concurrent
+// use.
 type DemandReports struct {
 	byHost map[string]demandReport
 }
@@ -27,16 +27,16 @@
 	return &DemandReports{byHost: map[string]demandReport{}}
 }
 
-// Record takes in a controller's report, in place of its last one.
+// Record stores a controller's report in place of its previous report.
 func (r *DemandReports) Record(request DemandRequest, now time.Time) {
 	r.byHost[request.Host] = demandReport{jobs: request.Jobs, at: now}
 }
 
-// current drops the reports that do not count any more and returns the jobs of the others.
+// current drops expired reports and returns the jobs of the other reports.
 func (r *DemandReports) current(now time.Time) []Demand {
 	var jobs []Demand
 	for host, report := range r.byHost {
-		if now.Sub(report.at) > demandDuration {
+		if now.Sub(report.at) > demandReportTTL {
 			delete(r.byHost, host)
 			continue
 		}
@@ -45,8 +45,8 @@
 	return jobs
 }
 
-// demand lists what waits, within the teams' quotas and with the capacity that is kept warm,
-// and what running tasks will leave.
+// demand returns the waiting tasks, limited to the teams' quotas, together with the warm capacity
+// for gangs, and the turnover of the running tasks.
 func (f *Fleet) demand(snapshot *Snapshot) ([]Demand, turnover) {
 	now := snapshot.Now
 	var waiting []Demand
@@ -63,13 +63,13 @@
 		}
 	}
 	limitToQuotas(waiting, f.settings, snapshot.TeamUsage)
-	turnover.growing = f.backlog.grows(now) && f.backlog.last() > turnover.beforeProvisioned()
+	turnover.growing = f.backlog.grows(now) && f.backlog.last() > turnover.freedDuringProvisioning()
 	return append(waiting, f.warmDemand(now)...), turnover
 }
 
-// limitToQuotas cuts the demand down to what the teams' quotas let run.
+// limitToQuotas reduces the waiting tasks to the number that the teams' quotas allow to run.
 func limitToQuotas(demands []Demand, settings *config.Settings, usage map[string]job.Resources) {
-	const unlimited = 1e18 // of CPUs, GPUs or GB
+	const unlimited = 1e18 // CPUs, GPUs or GB
 	usage = maps.Clone(usage)
 	for i := range demands {
 		d := &demands[i]
@@ -90,20 +90,20 @@
 	}
 }
 
-// warmDuration is how long after its last job a class of gangs has capacity kept ready.
+// warmDuration is how long warm capacity is kept for a class of gangs after its last gang was seen.
 const warmDuration = 2 * time.Minute
 
 // lowestRank is the rank of a job whose priority is job.LowestPriority.
 const lowestRank = "best_effort"
 
-// gangClass is a class of gangs for which capacity is kept ready.
+// gangClass is a scheduling class with gangs for which warm capacity is kept.
 type gangClass struct {
 	spec     job.Spec // of the latest gang
 	lastSeen time.Time
 }
 
-// warmDemand asks for capacity for the next gangs: of whole machines there is seldom one
-// free by chance, and provisioning takes longer than they are to wait.
+// warmDemand returns the demand for the warm capacity of future gangs. Gangs need whole machines,
+// which are seldom free by chance, and provisioning takes longer than gangs may wait.
 func (f *Fleet) warmDemand(now time.Time) []Demand {
 	var warm []Demand
 	for class, gang := range f.gangClasses {
@@ -111,7 +111,7 @@
 			delete(f.gangClasses, class)
 			continue
 		}
-		gang.spec.Rank = lowestRank // behind all that really waits
+		gang.spec.Rank = lowestRank // after all tasks that are waiting now
 		gang.spec.DeadlineS = nil
 		warm = append(warm, Demand{Spec: gang.spec, Waiting: f.policy.WarmTasksPerGangClass, Warm: true})
 	}
--- a/internal/autoscaler/doc.go
+++ b/internal/autoscaler/doc.go
@@ -1,14 +1,14 @@
-// Package autoscaler decides how many machines the cluster has: which to request, which
-// idle ones to return and which lost ones to delete. It packs the demand into the machines
-// there are and into what the cloud offers, counts on machines that are provisioning as
-// far as their pool deserves it, keeps warm capacity for gangs, and leaves alone what will
-// be wanted again soon.
+// Package autoscaler plans the size of the cluster: which machines to request, which idle machines
+// to return and which lost machines to delete. It packs the demand into the machines that exist and
+// into those that the cloud offers. It counts on provisioning machines, except the overdue ones of
+// pools that are not stalled, keeps warm capacity for gangs, and keeps idle machines that are
+// likely to get tasks soon.
 //
-// Fleet holds what the leader of one epoch knows of the machines, DemandReports what the
-// controllers' jobs need. Both are guarded by the mutex of their owner, package leader:
-// planning reads a Snapshot, and neither locks, blocks, logs nor reads a clock. The calls to
-// the cloud, ScaleOut and ScaleIn, keep no state.
+// Fleet holds the machine state that the leader of one epoch knows, DemandReports the demand of the
+// controllers' jobs. Both are guarded by the mutex of their owner, package leader. Planning reads a
+// Snapshot; neither type locks, blocks, logs or reads a clock. ScaleOut and ScaleIn, the calls to
+// the cloud, keep no state.
 //
-// It may import the types of other packages (agentapi, cloud, config, job, policy, worker),
-// but not those that decide whom the machines are for.
+// The package may import packages for their types (agentapi, cloud, config, job, policy, worker),
+// but not the packages that place jobs on machines.
 package autoscaler
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -11,8 +11,8 @@
 	"robinstack/internal/policy"
 )
 
-// Fleet is what the leader of one epoch knows of the cluster's machines, and goes by to scale
-// out and in. It is not safe for concurrent use.
+// Fleet is the state of the cluster's machines, as known to the leader of one epoch, from which it
+// plans scaling. It is not safe for concurrent use.
 type Fleet struct {
 	settings *config.Settings
 	policy   *policy.Policy
@@ -25,16 +25,16 @@
 
 	limits       poolLimits
 	requestCount int
-	unanswered   []cloud.ScaleOutRequest // to be repeated under their IDs
+	unanswered   []cloud.ScaleOutRequest // requests with unknown outcome, to be repeated under their IDs
 
-	gangClasses map[string]gangClass // seen lately
+	gangClasses map[string]gangClass // classes with a gang within the last warmDuration
 	backlog     backlog
 	idleness    map[Pool]*poolIdleness
 
-	summarizedAt time.Time // when a plan had a summary last
+	summarizedAt time.Time // when Plan last returned a summary
 }
 
-// NewFleet returns a fleet of which nothing is known yet.
+// NewFleet returns a fleet without any machine state.
 func NewFleet(settings *config.Settings, pol *policy.Policy) *Fleet {
 	return &Fleet{
 		settings: settings, policy: pol,
@@ -49,11 +49,11 @@
 	}
 }
 
-// listLagsToMiss is how many times the longest lag of lists must have passed since a list
-// showed a machine first for it to be gone when the latest does not show it.
-const listLagsToMiss = 3
+// listLagFactor defines when a listed machine that is missing from the latest list counts as gone:
+// when a list first showed it more than listLagFactor times the cloud's list lag ago.
+const listLagFactor = 3
 
-// OnList takes in the cloud's list of machines.
+// OnList updates the fleet with a list of the cloud's machines.
 func (f *Fleet) OnList(machines []cloud.Machine, now time.Time) {
 	f.list.update(machines, now)
 	for _, m := range machines {
@@ -66,11 +66,11 @@
 			since: now.Add(-config.Seconds(m.AgeS)),
 		}
 	}
-	// A machine that was listed stays so until it is gone; a list may be older than the one
-	// before, so this counts only some time after the first.
+	// A machine that was listed stays listed until it is gone. A list may be older than the list
+	// before it, so a missing machine counts as gone only some time after it was first listed.
 	for name := range f.provisioning {
 		seen := f.list.firstSeen[name]
-		if seen.IsZero() || now.Sub(seen) <= listLagsToMiss*f.settings.CloudListLag {
+		if seen.IsZero() || now.Sub(seen) <= listLagFactor*f.settings.CloudListLag {
 			continue
 		}
 		if _, listed := f.list.latest[name]; !listed {
@@ -79,26 +79,26 @@
 	}
 }
 
-// OnScaleOut takes in the machines that the cloud has granted a request, which was sent at
-// the given time: none where it has no capacity.
+// OnScaleOut records the machines that the cloud granted for a request sent at the given time. It
+// granted none if it has no capacity.
 func (f *Fleet) OnScaleOut(request cloud.ScaleOutRequest, granted []string, sent time.Time) {
 	p := poolOf(request)
 	if len(granted) < request.Count {
-		f.limits.refused(p, sent)
+		f.limits.pause(p, sent)
 	} else {
-		f.limits.filled(p)
+		f.limits.growProbe(p)
 	}
 	for _, name := range granted {
 		f.provisioning[name] = provisioningMachine{Pool: p, since: sent, requestedByUs: true}
 	}
 }
 
-// OnScaleOutUnanswered has a request of which nobody knows what became repeated under its ID.
+// OnScaleOutUnanswered queues a request with unknown outcome to be repeated under its ID.
 func (f *Fleet) OnScaleOutUnanswered(request cloud.ScaleOutRequest) {
 	f.unanswered = append(f.unanswered, request)
 }
 
-// OnDeleted takes in that the cloud has deleted machines.
+// OnDeleted records machines that the cloud has deleted.
 func (f *Fleet) OnDeleted(machines []string, now time.Time) {
 	for _, name := range machines {
 		delete(f.provisioning, name)
@@ -108,37 +108,38 @@
 	}
 }
 
-// Snapshot is what a plan goes by beside what the fleet remembers.
+// Snapshot is the input of a plan that is not part of the fleet's state.
 type Snapshot struct {
 	Now   time.Time
-	Epoch uint64 // of the leader; it is part of the requests' IDs
+	Epoch uint64 // leader epoch, part of the request IDs
 
 	Types          map[string]cloud.MachineType
 	Entries        []agentapi.MachineEntry   // of all machines that have owners
-	HasOwner       func(machine string) bool // by its key, which is there before an entry
-	LedgerMachines int                       // in the quota ledger
+	HasOwner       func(machine string) bool // by the machine's key, which exists before its entry arrives
+	LedgerMachines int                       // number of machines in the quota ledger
 
 	Demand    *DemandReports
-	TeamUsage map[string]job.Resources // held and granted
+	TeamUsage map[string]job.Resources // resources held by tasks or granted, by team
 }
 
-// Plan is what to do now, and what there is to say about it.
+// Plan holds the scaling actions to take now, and the events to log.
 type Plan struct {
-	ScaleOut []cloud.ScaleOutRequest // to be made at the same time
-	ScaleIn  []string                // idle machines, to be drained and deleted
-	Delete   []string                // machines that are lost or never came up
-	Notify   []string                // deleted machines whose owners may not know
-	// Unreconciled is how many machines have not answered their new owners.
+	ScaleOut []cloud.ScaleOutRequest // requests, to be sent concurrently
+	ScaleIn  []string                // surplus and empty draining or quarantined machines, to be drained and deleted
+	Delete   []string                // machines that are lost or did not come up
+	Notify   []string                // deleted machines whose owners have to be notified again
+	// Unreconciled is the number of unresponsive machines that their new owners have not
+	// reconciled.
 	Unreconciled int
 
 	Lost    []LostMachine
 	Overdue []OverdueMachine
 	Stalled []StalledPool
-	Summary *Summary // nil: not now
+	Summary *Summary // nil if no summary is due
 }
 
-// Plan decides what to request, which idle machines to return, and which machines are lost
-// and have to be deleted.
+// Plan decides which machines to request, which idle machines to return and which lost machines to
+// delete.
 func (f *Fleet) Plan(stock *Stock, snapshot *Snapshot) *Plan {
 	plan := &Plan{Lost: stock.lost, Notify: stock.notify, Unreconciled: stock.unreconciled}
 	for _, lost := range stock.lost {
@@ -152,7 +153,7 @@
 	return plan
 }
 
-// scaleOut lists the requests for machines to make now, those without an answer first.
+// scaleOut returns the scale-out requests to send now, beginning with repeated requests.
 func (f *Fleet) scaleOut(
 	snapshot *Snapshot, demands []Demand, bins []*bin, turnover turnover,
 ) []cloud.ScaleOutRequest {
@@ -163,7 +164,7 @@
 	needed, backlog := pack(demands, bins, turnover, offers, maxMachinesPerPlan)
 	f.backlog.add(now, backlog, backlogSpan)
 	for _, o := range offers {
-		// What a repeated request may bring yet is not requested once more.
+		// Machines that a repeated request may still bring are not requested again.
 		n := needed[o.Pool] - requestedOf(o.Pool, requests)
 		for ; n > 0 && len(requests) < maxConcurrentRequests; n -= maxMachinesPerRequest {
 			f.requestCount++
@@ -179,7 +180,7 @@
 	return requests
 }
 
-// requestedOf is how many machines of a pool are requested.
+// requestedOf returns the number of machines of a pool that the requests ask for.
 func requestedOf(p Pool, requests []cloud.ScaleOutRequest) int {
 	count := 0
 	for _, request := range requests {
@@ -190,20 +191,20 @@
 	return count
 }
 
-// summaryInterval is how often a plan has a summary.
+// summaryInterval is the least time between two summaries.
 const summaryInterval = 10 * time.Second
 
-// Summary has the totals that scaling goes by.
+// Summary holds the totals of a plan, for the log.
 type Summary struct {
-	Machines     int // that have owners
+	Machines     int // machines that have owners
 	Provisioning int
-	Idle         int
-	IdleReserved int // of these, on which the packing put waiting tasks
+	Idle         int // machines without tasks, provisioning machines included
+	IdleReserved int // idle machines on which the packing placed waiting tasks
 	FreeGPUs     float64
-	TasksPending int
+	TasksPending int // waiting tasks, warm capacity included
 }
 
-// summarize returns the totals if it is time for them.
+// summarize returns the totals if a summary is due, and nil otherwise.
 func (f *Fleet) summarize(bins []*bin, demands []Demand, snapshot *Snapshot) *Summary {
 	if snapshot.Now.Sub(f.summarizedAt) <= summaryInterval {
 		return nil
--- a/internal/autoscaler/loss.go
+++ b/internal/autoscaler/loss.go
@@ -7,13 +7,13 @@
 	"robinstack/internal/cloud"
 )
 
-// cloudList is what the cloud's lists show of its machines. A list may lag: it may be older
-// than the one before.
+// cloudList holds what the cloud's lists have shown. The lists lag: a list may be older than the
+// list before it.
 type cloudList struct {
-	firstSeen map[string]time.Time // when a list showed a machine first
-	latest    map[string]cloud.Machine
-	at        time.Time // of the latest
-	newest    string    // the machine created last that the latest shows
+	firstSeen  map[string]time.Time // when a list first showed each machine
+	latest     map[string]cloud.Machine
+	receivedAt time.Time // when the latest list was received
+	newestName string    // highest machine name in the latest list; names ascend in order of creation
 }
 
 func newCloudList() cloudList {
@@ -21,10 +21,10 @@
 }
 
 func (c *cloudList) update(machines []cloud.Machine, now time.Time) {
-	c.latest, c.at, c.newest = map[string]cloud.Machine{}, now, ""
+	c.latest, c.receivedAt, c.newestName = map[string]cloud.Machine{}, now, ""
 	for _, m := range machines {
 		c.latest[m.Name] = m
-		c.newest = max(c.newest, m.Name)
+		c.newestName = max(c.newestName, m.Name)
 		if c.firstSeen[m.Name].IsZero() {
 			c.firstSeen[m.Name] = now
 		}
@@ -33,28 +33,28 @@
 
 func (c *cloudList) forget(machine string) { delete(c.firstSeen, machine) }
 
-// statusFailed is the status of a machine in the cloud's list that will not come back.
+// statusFailed is the status of a machine in the cloud's list that has failed for good.
 const statusFailed = "failed"
 
 const (
-	// fewUnreconciled is how many machines may leave their new owners without an answer,
-	// however few machines there are, and manyMachinesPerUnreconciled of how many machines
-	// it may be one.
-	fewUnreconciled             = 2
-	manyMachinesPerUnreconciled = 50
-	// someMachinesPerUnreconciled is the same for machines that have been given
-	// unreconciledGrace to answer: their owner may be slow to begin.
-	someMachinesPerUnreconciled = 20
-	unreconciledGrace           = 3 * time.Second
+	// Unreconciled machines count as an isolated failure if they are at most maxIsolatedFailures,
+	// or at most one in machinesPerIsolatedFailure of the machines.
+	maxIsolatedFailures        = 2
+	machinesPerIsolatedFailure = 50
+	// Up to one machine in machinesPerIsolatedFailureAfterGrace counts as an isolated failure once
+	// the machine has been unresponsive for longer than unreconciledGrace. Before that, the new
+	// owner may not have begun to reconcile.
+	machinesPerIsolatedFailureAfterGrace = 20
+	unreconciledGrace                    = 3 * time.Second
 
-	// maxListAge is how old the cloud's list may be for what it does not show to be gone.
+	// maxListAge is the age up to which the latest list is used to detect deleted machines.
 	maxListAge = 10 * time.Second
-	// listMargin is what a machine is unresponsive longer than lists may lag, twice over,
-	// before it is missed in a list.
-	listMargin = 2 * time.Second
+	// listLagMargin is added to twice the cloud's maximum list lag. A machine that no list has
+	// shown counts as deleted once it has been unresponsive for longer than the sum.
+	listLagMargin = 2 * time.Second
 )
 
-// countUnreconciled counts the machines that have not answered their new owners.
+// countUnreconciled counts the unresponsive machines that their new owners have not reconciled.
 func countUnreconciled(entries []agentapi.MachineEntry) int {
 	count := 0
 	for i := range entries {
@@ -65,7 +65,7 @@
 	return count
 }
 
-// lossReason says why a machine will not come back, or nothing.
+// lossReason returns why a machine is lost, or "" if it is not lost.
 func (f *Fleet) lossReason(entry *agentapi.MachineEntry, unreconciled int, snapshot *Snapshot) string {
 	if !entry.Unresponsive() {
 		delete(f.unresponsiveSince, entry.Machine)
@@ -79,45 +79,46 @@
 	case f.list.latest[entry.Machine].Status == statusFailed:
 		return "failed"
 	case entry.ReclaimNoticed():
-		return "taken on notice"
+		return "reclaimed by the cloud"
 	case !entry.Reconciled() && isIsolatedFailure(unreconciled, snapshot.LedgerMachines, unresponsive):
-		return "does not answer its new owner"
+		return "not reconciled by its new owner"
 	case f.isDelisted(entry.Machine, unresponsive, snapshot.Now):
-		return "no longer listed"
+		return "missing from the cloud's list"
 	case unresponsive > f.settings.WorkerLeaseExpiry()+replacementTime(snapshot.Types[entry.Type]):
-		return "silent for longer than replacing it takes"
+		return "unresponsive for longer than a replacement takes"
 	}
 	return ""
 }
 
-// isIsolatedFailure reports whether so few machines leave their new owners without an answer
-// that it is they that failed. Jobs of a scheduler that died wait until it is known what
-// runs there; deleting a machine is the fastest proof. If many do not answer, it is rather
-// their owner or a zone that is cut off, and their work goes on.
+// isIsolatedFailure reports whether so few machines are unreconciled that the machines themselves
+// have failed. Jobs of a crashed scheduler wait until it is known which tasks run on each machine,
+// and deleting an unresponsive machine is the fastest proof that none runs there. If many machines
+// do not answer, their owner or a zone is more likely partitioned, and their tasks keep running.
 func isIsolatedFailure(unreconciled, machines int, unresponsive time.Duration) bool {
-	if unreconciled <= max(fewUnreconciled, machines/manyMachinesPerUnreconciled) {
+	if unreconciled <= max(maxIsolatedFailures, machines/machinesPerIsolatedFailure) {
 		return true
 	}
-	return unreconciled <= machines/someMachinesPerUnreconciled && unresponsive > unreconciledGrace
+	return unreconciled <= machines/machinesPerIsolatedFailureAfterGrace && unresponsive > unreconciledGrace
 }
 
-// isDelisted reports whether the cloud's list shows that a machine is no more. The machine
-// has an owner, so it was up before it became unresponsive. A list that shows a machine
-// created later, or has shown this one, or is younger than lists may lag, would show it if
-// it were still there.
+// isDelisted reports whether the cloud's list proves that an unresponsive machine no longer exists.
+// The machine has an owner, so it was up before it became unresponsive. A list would show the
+// machine, if it still existed, in each of three cases: the list shows a machine that was created
+// later; an earlier list has shown the machine; the machine has been unresponsive for longer than
+// lists may lag.
 func (f *Fleet) isDelisted(machine string, unresponsive time.Duration, now time.Time) bool {
-	if _, listed := f.list.latest[machine]; listed || now.Sub(f.list.at) >= maxListAge {
+	if _, listed := f.list.latest[machine]; listed || now.Sub(f.list.receivedAt) >= maxListAge {
 		return false
 	}
-	return machine < f.list.newest ||
+	return machine < f.list.newestName ||
 		!f.list.firstSeen[machine].IsZero() ||
-		unresponsive > 2*f.settings.CloudListLag+listMargin
+		unresponsive > 2*f.settings.CloudListLag+listLagMargin
 }
 
-// replacementTime is how long it takes, at the upper end of what is usual, until a machine
-// requested in place of an unresponsive one serves: provisioning takes up to half as long
-// again as is nominal for its type, and then images are fetched. A machine that is cut off or
-// hangs has lost its tasks when its lease is over, and they run elsewhere; but it comes back
-// with its images. Waiting for it as long as replacing it would take costs at most twice
-// what would have been best. One that died is found out by the cloud's list long before.
+// replacementTime is an upper estimate of the time from a scale-out request until the new machine
+// runs tasks: provisioning takes up to 1.5 times the nominal time of the machine type, and then
+// images are fetched. A machine that is partitioned or hangs loses its tasks when its lease
+// expires, and they run elsewhere, but it comes back with its images. Waiting for it for as long as
+// its replacement would take costs at most twice the optimum. A crashed machine is detected by the
+// cloud's list long before.
 func replacementTime(t cloud.MachineType) time.Duration { return 2 * t.ProvisioningTime() }
--- a/internal/autoscaler/loss_test.go
+++ b/internal/autoscaler/loss_test.go
@@ -21,35 +21,36 @@
 	return NewFleet(settings, policy.Default())
 }
 
-// A new leader has seen no list before; an unresponsive machine that no list shows for
-// longer than lists may lag is lost. Waiting out its lease stalled the job shards of a
-// crashed controller for fifty seconds.
-func TestNewLeaderSeesThatAnUnresponsiveMachineIsGone(t *testing.T) {
+// A new leader has received no list before, so a machine counts as lost when no list shows it and
+// it has been unresponsive for more than twice the list lag, or when a list shows a machine created
+// later. Without this rule the leader waited for the machine's lease to expire, which stalled the
+// job shards of a crashed controller for 50 s.
+func TestNewLeaderDetectsDelistedMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
-		isLost := func(e *agentapi.MachineEntry) string { return f.lossReason(e, 0, &Snapshot{Now: time.Now()}) }
+		lossReason := func(e *agentapi.MachineEntry) string { return f.lossReason(e, 0, &Snapshot{Now: time.Now()}) }
 		e := agentapi.MachineEntry{Machine: "m1", Silent: true, Settled: true}
 		f.OnList(nil, time.Now())
-		if why := isLost(&e); why != "" {
-			t.Fatalf("at once: %s", why)
+		if reason := lossReason(&e); reason != "" {
+			t.Fatalf("machine lost at once: %s; want kept until it is unresponsive for longer than lists may lag", reason)
 		}
 		time.Sleep(11 * time.Second)
 		f.OnList(nil, time.Now())
-		if isLost(&e) == "" {
-			t.Fatal("still waited for")
+		if lossReason(&e) == "" {
+			t.Fatal("machine not lost after 11 s without being listed")
 		}
 		e.Machine = "m2"
 		f.OnList([]cloud.Machine{{Name: "m3", Type: "box", Status: "running"}}, time.Now())
-		if isLost(&e) == "" {
-			t.Fatal("a list that shows a younger machine would show this one")
+		if lossReason(&e) == "" {
+			t.Fatal("machine not lost although the list shows a machine created later")
 		}
 	})
 }
 
-// A dead machine of a crashed owner held up every job of that controller until
-// its lease had run out: it is deleted, unless so many do not answer that it is
-// rather their new owner that is cut off.
-func TestMachinesThatDoNotAnswerTheirNewOwner(t *testing.T) {
+// A dead machine of a crashed owner is deleted before its lease expires, because every job of the
+// crashed controller waits for the machine to be reconciled. If many machines are unreconciled they
+// are kept: their new owner is more likely partitioned.
+func TestUnreconciledMachinesAreLostOnlyIfFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
 		var entries []agentapi.MachineEntry
@@ -61,24 +62,24 @@
 			ledger.Apply(&entries[i])
 		}
 		unreconciled := 0
-		isLost := func(e *agentapi.MachineEntry) string {
+		lossReason := func(e *agentapi.MachineEntry) string {
 			return f.lossReason(e, unreconciled, &Snapshot{Now: time.Now(), LedgerMachines: ledger.MachineCount()})
 		}
 		unreconciled = 2
-		if isLost(&entries[0]) == "" || isLost(&entries[9]) != "" {
-			t.Fatal("two of a hundred that do not answer are given up at once")
+		if lossReason(&entries[0]) == "" || lossReason(&entries[9]) != "" {
+			t.Fatal("2 of 100 machines unreconciled: want the unreconciled machine lost at once and the reconciled one kept")
 		}
 		unreconciled = 3
-		if why := isLost(&entries[0]); why != "" {
-			t.Fatalf("three of a hundred, at once: %s", why)
+		if reason := lossReason(&entries[0]); reason != "" {
+			t.Fatalf("3 of 100 machines unreconciled: machine lost at once: %s", reason)
 		}
 		time.Sleep(4 * time.Second)
-		if isLost(&entries[0]) == "" {
-			t.Fatal("three of a hundred are given up after some seconds")
+		if lossReason(&entries[0]) == "" {
+			t.Fatal("3 of 100 machines unreconciled: machine not lost after 4 s")
 		}
 		unreconciled = 30
-		if why := isLost(&entries[0]); why != "" {
-			t.Fatalf("thirty of a hundred: %s", why)
+		if reason := lossReason(&entries[0]); reason != "" {
+			t.Fatalf("30 of 100 machines unreconciled: machine lost: %s", reason)
 		}
 	})
 }
--- a/internal/autoscaler/messages.go
+++ b/internal/autoscaler/messages.go
@@ -2,26 +2,26 @@
 
 import "robinstack/internal/job"
 
-// The messages of the methods Demand and Overdue of the net/rpc service "Steward". Field
-// names and kinds are the wire format (gob, JSON) and must not change.
+// The messages of the methods Demand and Overdue of the net/rpc service "Steward". Field names and
+// types are the wire format (gob, JSON) and must not change.
 
-// Demand is a job with tasks that wait or run, as its scheduler sees it.
+// Demand is the demand of one job with waiting or running tasks, as reported by its scheduler.
 type Demand struct {
 	Spec    job.Spec
-	Waiting int     // tasks
-	Running int     // tasks
-	AgeS    float64 // since the job was submitted
-	Warm    bool    // capacity kept ready for gangs to come
-	Zone    string  // where its tasks hold a job that must be in one zone; "": nowhere yet
+	Waiting int     // number of tasks without a machine
+	Running int     // number of tasks on machines
+	AgeS    float64 // seconds since the job was submitted or, if later, its dependencies finished
+	Warm    bool    // whether this is warm capacity for future gangs
+	Zone    string  // if the job must be in one zone: zone of its tasks on machines, "" if there are none
 }
 
-// DemandRequest tells the leader what a controller's jobs need.
+// DemandRequest reports the demand of a controller's jobs to the leader.
 type DemandRequest struct {
 	Host string
 	Jobs []Demand
 }
 
-// OverduePool counts the machines of a pool that should be up by now.
+// OverduePool counts the overdue provisioning machines of a pool.
 type OverduePool struct {
 	Type     string  `json:"type"`
 	Zone     string  `json:"zone"`
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -9,16 +9,16 @@
 	"robinstack/internal/job"
 )
 
-// offer is a pool with what the packing needs to know of it.
+// offer is a pool with its machine capacity, price and availability.
 type offer struct {
 	Pool
 	capacity  job.Resources // of one machine
 	price     float64       // per hour
-	available int           // machines that may be requested now
+	available int           // number of machines that may be requested now
 }
 
-// listOffers lists what may be requested, the cheapest machines first. available says how
-// many machines a pool may be asked for.
+// listOffers lists the pools that have a price, cheapest machines first. available returns the
+// number of machines that may be requested from a pool.
 func listOffers(types map[string]cloud.MachineType, available func(Pool) int) []*offer {
 	var offers []*offer
 	for _, t := range types {
@@ -41,41 +41,42 @@
 	return offers
 }
 
-// How many times as much as the cheapest place there is, on any machine that would do, a
-// task's place may cost.
+// Limits on the cost per task on a machine, as a multiple of the lowest cost per task on any
+// machine that suits the job.
 const (
-	// maxCostRatio holds for ordinary work. Machines that only part of the job's needs fits
-	// cost so much that the work is better done some minutes later.
+	// maxCostRatio applies to jobs above the lowest priority. Machines that only some of a job's
+	// needs fit well cost so much per task that running the job some minutes later is better.
 	maxCostRatio = 4.0
-	// maxCostRatioFiller holds for work of the lowest priority, which is to fill what is
-	// surplus anyway.
-	maxCostRatioFiller = 1.2
-	// urgentAgeS is the age in seconds from which on a job gets expensive machines too.
+	// maxCostRatioLowestPriority applies to jobs of the lowest priority, which only use surplus
+	// capacity. Warm capacity is excepted.
+	maxCostRatioLowestPriority = 1.2
+	// urgentAgeS is the age in seconds above which jobs above the lowest priority may use machines
+	// at any cost.
 	urgentAgeS = 180
 )
 
-// costRatioLimit is how expensive, compared with the cheapest, a place for a job's tasks may
-// be.
+// costRatioLimit returns the largest allowed ratio of the cost of a job's tasks to the lowest cost.
 func costRatioLimit(d *Demand, backlogGrows bool) float64 {
 	switch {
 	case d.Spec.Priority() == job.LowestPriority && !d.Warm:
-		return maxCostRatioFiller
+		return maxCostRatioLowestPriority
 	case backlogGrows || d.AgeS > urgentAgeS:
 		return math.Inf(1)
 	}
 	return maxCostRatio
 }
 
-// taskGroup is tasks of one job for which the packing looks for places.
+// taskGroup is a group of tasks of one job to be packed.
 type taskGroup struct {
 	spec         *job.Spec
-	zone         string // "": any
+	zone         string // "" if any zone will do
 	tasks        int
 	maxCostRatio float64
 }
 
-// cheapestOffer picks, in the group's zone, the offer with the lowest price per task that a
-// machine of it would hold, and says how many tasks that is: 0 without an offer.
+// cheapestOffer returns the offer in the group's zone with the lowest price per task, and the
+// number of the group's tasks that fit on one of its machines: 0 if there is no offer within the
+// group's cost ratio limit.
 func cheapestOffer(offers []*offer, group *taskGroup) (best *offer, fits int) {
 	bestCost, lowestCost := 0.0, 0.0
 	for _, o := range offers {
--- a/internal/autoscaler/packing.go
+++ b/internal/autoscaler/packing.go
@@ -7,16 +7,17 @@
 	"robinstack/internal/job"
 )
 
-// bin is a machine as the packing sees it: there already, or provisioning.
+// bin is an existing or provisioning machine as seen by the packing.
 type bin struct {
 	Pool
 	name  string
 	free  job.Resources
 	empty bool
-	used  bool // the packing put waiting tasks on it
+	used  bool // whether the packing placed waiting tasks on the machine
 }
 
-// accepts reports whether a task of the group may and can go there.
+// accepts reports whether the job allows the machine and a task of the group fits into its free
+// capacity.
 func (b *bin) accepts(group *taskGroup) bool {
 	if group.zone != "" && b.Zone != group.zone {
 		return false
@@ -24,17 +25,17 @@
 	return group.spec.FitsIn(b.free) && group.spec.AllowsMachine(b.Type, b.Zone, b.Spot)
 }
 
-// packer puts waiting tasks into bins. It keeps the bins by their free GPUs, so that a task
-// of a few looks at the fullest bins first, as the scheduler does it, and full ones are not
-// looked at again for each job.
+// packer places waiting tasks into bins. It groups the bins by free GPUs. Tasks that need few GPUs
+// try the fullest bins first, as in the scheduler, and full bins are not scanned again for each
+// job.
 type packer struct {
-	byGPUs    [][]*bin
-	offers    []*offer
-	requested map[Pool]int // machines to request
-	available int          // machines that may still be requested, of all pools
+	binsByGPUs        [][]*bin
+	offers            []*offer
+	requested         map[Pool]int // number of machines to request, by pool
+	remainingMachines int          // number of machines that may still be requested, over all pools
 }
 
-// maxGPUBucket is the bucket of all bins with at least so many free GPUs.
+// maxGPUBucket is the index of the bucket of all bins with at least that many free GPUs.
 const maxGPUBucket = 64
 
 func gpuBucket(free job.Resources) int {
@@ -44,10 +45,10 @@
 
 func newPacker(bins []*bin, offers []*offer, maxMachines int) *packer {
 	p := &packer{
-		byGPUs:    make([][]*bin, maxGPUBucket+1),
-		offers:    offers,
-		requested: map[Pool]int{},
-		available: maxMachines,
+		binsByGPUs:        make([][]*bin, maxGPUBucket+1),
+		offers:            offers,
+		requested:         map[Pool]int{},
+		remainingMachines: maxMachines,
 	}
 	for _, b := range bins {
 		p.add(b)
@@ -57,45 +58,46 @@
 
 func (p *packer) add(b *bin) {
 	bucket := gpuBucket(b.free)
-	p.byGPUs[bucket] = append(p.byGPUs[bucket], b)
+	p.binsByGPUs[bucket] = append(p.binsByGPUs[bucket], b)
 }
 
-// countUnplaced returns how many of a group's tasks the bins have no capacity for.
+// countUnplaced returns the number of a group's tasks that do not fit into the bins.
 func (p *packer) countUnplaced(group *taskGroup) int {
-	left := group.tasks
-	for bucket := gpuBucket(group.spec.Need); bucket < len(p.byGPUs); bucket++ {
-		for _, b := range p.byGPUs[bucket] {
-			if left == 0 {
+	unplaced := group.tasks
+	for bucket := gpuBucket(group.spec.Need); bucket < len(p.binsByGPUs); bucket++ {
+		for _, b := range p.binsByGPUs[bucket] {
+			if unplaced == 0 {
 				return 0
 			}
 			if b.accepts(group) {
-				left -= min(left, group.spec.CountIn(b.free))
+				unplaced -= min(unplaced, group.spec.CountIn(b.free))
 			}
 		}
 	}
-	return left
+	return unplaced
 }
 
-// place puts the group's tasks into bins as far as they go and returns how many are left.
+// place puts as many of the group's tasks as possible into bins and returns the number of tasks
+// left.
 func (p *packer) place(group *taskGroup) int {
-	left := group.tasks
-	for bucket := gpuBucket(group.spec.Need); bucket < len(p.byGPUs) && left > 0; bucket++ {
-		left = p.placeInBucket(bucket, group, left)
+	unplaced := group.tasks
+	for bucket := gpuBucket(group.spec.Need); bucket < len(p.binsByGPUs) && unplaced > 0; bucket++ {
+		unplaced = p.placeInBucket(bucket, group, unplaced)
 	}
-	return left
+	return unplaced
 }
 
-func (p *packer) placeInBucket(bucket int, group *taskGroup, left int) int {
+func (p *packer) placeInBucket(bucket int, group *taskGroup, unplaced int) int {
 	moved := false
-	for _, b := range p.byGPUs[bucket] {
-		if left == 0 {
+	for _, b := range p.binsByGPUs[bucket] {
+		if unplaced == 0 {
 			break
 		}
 		if !b.accepts(group) {
 			continue
 		}
-		n := min(left, group.spec.CountIn(b.free))
-		left -= n
+		n := min(unplaced, group.spec.CountIn(b.free))
+		unplaced -= n
 		b.free = b.free.AddScaled(group.spec.Need, -float64(n))
 		b.used = true
 		moved = moved || gpuBucket(b.free) != bucket
@@ -103,63 +105,64 @@
 	if moved {
 		p.rebucket(bucket)
 	}
-	return left
+	return unplaced
 }
 
-// rebucket moves the bins of a bucket that have fewer free GPUs by now to their own.
+// rebucket moves the bins of a bucket whose number of free GPUs has fallen to the matching buckets.
 func (p *packer) rebucket(bucket int) {
-	kept := p.byGPUs[bucket][:0]
-	for _, b := range p.byGPUs[bucket] {
+	kept := p.binsByGPUs[bucket][:0]
+	for _, b := range p.binsByGPUs[bucket] {
 		if gpuBucket(b.free) == bucket {
 			kept = append(kept, b)
 		} else {
 			p.add(b)
 		}
 	}
-	p.byGPUs[bucket] = kept
+	p.binsByGPUs[bucket] = kept
 }
 
-// request asks for the machines that so many of the group's tasks need beyond the bins.
-func (p *packer) request(group *taskGroup, left int) {
-	for left > 0 && p.available > 0 {
+// requestMachines adds the cheapest machines for the tasks of a group that the bins have no room
+// for, as far as the offers and the limit of the plan allow.
+func (p *packer) requestMachines(group *taskGroup, unplaced int) {
+	for unplaced > 0 && p.remainingMachines > 0 {
 		o, fits := cheapestOffer(p.offers, group)
 		if fits == 0 {
 			return
 		}
-		placed := min(fits, left)
+		placed := min(fits, unplaced)
 		free := o.capacity.AddScaled(group.spec.Need, -float64(placed))
 		p.add(&bin{Pool: o.Pool, free: free, used: true})
 		p.requested[o.Pool]++
-		p.available--
+		p.remainingMachines--
 		o.available--
-		left -= placed
+		unplaced -= placed
 	}
 }
 
-// noOfferPenalty puts zones without machines to request behind all others.
+// noOfferPenalty ranks zones in which no machine can be requested behind all other zones.
 const noOfferPenalty = job.MaxTasks
 
-// bestZone picks the zone for a gang that must be in one: that in which most of it has
-// capacity, among those in which machines can be had for the rest.
+// bestZone selects the zone for a gang that must be in one zone: the zone with the fewest unplaced
+// tasks, preferring zones in which machines can be requested for those tasks.
 func (p *packer) bestZone(group taskGroup, zones map[string]bool) string {
-	best, leastLeft := "", 0
+	best, fewestUnplaced := "", 0
 	for zone := range zones {
 		group.zone = zone
-		left := p.countUnplaced(&group)
-		if left > 0 {
+		unplaced := p.countUnplaced(&group)
+		if unplaced > 0 {
 			if _, fits := cheapestOffer(p.offers, &group); fits == 0 {
-				left += noOfferPenalty
+				unplaced += noOfferPenalty
 			}
 		}
-		if best == "" || left < leastLeft || left == leastLeft && zone < best {
-			best, leastLeft = zone, left
+		if best == "" || unplaced < fewestUnplaced || unplaced == fewestUnplaced && zone < best {
+			best, fewestUnplaced = zone, unplaced
 		}
 	}
 	return best
 }
 
-// gpuOrderWeight has the jobs of a priority packed by the GPUs of a task first and by their
-// age in seconds second.
+// gpuOrderWeight makes jobs of equal priority sort by the GPUs of a task first and by age in
+// seconds second.
 const gpuOrderWeight = 1e6
 
 func comparePackingOrder(a, b Demand) int {
@@ -170,9 +173,10 @@
 	)
 }
 
-// pack puts waiting tasks into bins and says how many machines of each pool to request for
-// the rest. Bins are marked used where something was put. backlog is the size of what found
-// no capacity in them, of the jobs that can wait for turnover.
+// pack places waiting tasks into bins and returns the number of machines to request for the
+// remaining tasks, by pool. It marks the bins that received tasks as used. backlog is the size, in
+// GPU equivalents, of the unplaced tasks of jobs that can wait for capacity that running tasks
+// free.
 func pack(
 	demands []Demand, bins []*bin, turnover turnover, offers []*offer, maxMachines int,
 ) (requested map[Pool]int, backlog float64) {
@@ -194,14 +198,14 @@
 		if group.zone == "" && d.Spec.OneZone && d.Spec.Shape == job.Gang {
 			group.zone = p.bestZone(group, zones)
 		}
-		left := p.place(&group)
-		if left == 0 {
+		unplaced := p.place(&group)
+		if unplaced == 0 {
 			continue
 		}
-		if turnover.canServe(d) {
-			backlog += float64(left) * placeSize(d.Spec.Need)
+		if turnover.appliesTo(d) {
+			backlog += float64(unplaced) * gpuEquivalents(d.Spec.Need)
 		}
-		p.request(&group, left-turnover.promise(d, left))
+		p.requestMachines(&group, unplaced-turnover.reserve(d, unplaced))
 	}
 	return p.requested, backlog
 }
--- a/internal/autoscaler/pool.go
+++ b/internal/autoscaler/pool.go
@@ -6,7 +6,7 @@
 	"robinstack/internal/cloud"
 )
 
-// Pool is a kind of machine that can be requested.
+// Pool identifies machines that are requested together: machine type, zone, and spot or on demand.
 type Pool struct {
 	Type string
 	Zone string
@@ -18,57 +18,58 @@
 }
 
 const (
-	// maxMachinesPerRequest is how many machines one request may ask for.
+	// maxMachinesPerRequest is the largest number of machines in one scale-out request.
 	maxMachinesPerRequest = 50
-	// maxConcurrentRequests is how many requests are made at a time, which leaves
-	// capacity for lists and scale-in within the cloud's rate limit.
+	// maxConcurrentRequests is the largest number of concurrent scale-out requests. It leaves room
+	// for list and scale-in calls within the cloud's rate limit.
 	maxConcurrentRequests = 6
-	// maxMachinesPerPlan is what one plan may request.
+	// maxMachinesPerPlan is the largest number of machines that one plan requests.
 	maxMachinesPerPlan = maxConcurrentRequests * maxMachinesPerRequest
 
-	// refusalPause is how long a pool that refused is not asked again.
-	refusalPause = 10 * time.Second
-	// probeMachines is how many machines a pool that refused is asked for the next time:
-	// calls for many more would find it as empty and keep others from being asked.
-	probeMachines = 2
-	// probeGrowth is how many times as many a pool is asked for after it has filled a
-	// probe.
+	// poolPause is how long no machines are requested from a pool that refused a request or is
+	// stalled.
+	poolPause = 10 * time.Second
+	// initialProbeSize is the size of the next request to a pool after poolPause. A larger request
+	// would find the pool just as empty and keep other pools from being asked.
+	initialProbeSize = 2
+	// probeGrowth is the factor by which the probe size grows after a pool has granted a request in
+	// full.
 	probeGrowth = 4
 )
 
-// poolLimits remembers which pools had nothing left, so that the demand passes on to
-// others, and how many machines to ask those for afterwards.
+// poolLimits tracks which pools had no capacity, so that demand moves to other pools, and how many
+// machines to request from those pools afterwards.
 type poolLimits struct {
-	closedUntil map[Pool]time.Time
-	probes      map[Pool]int // machines to ask for, of pools that refused
+	pausedUntil map[Pool]time.Time
+	probeSizes  map[Pool]int // machines to request, of pools that refused or stalled
 }
 
 func newPoolLimits() poolLimits {
-	return poolLimits{closedUntil: map[Pool]time.Time{}, probes: map[Pool]int{}}
+	return poolLimits{pausedUntil: map[Pool]time.Time{}, probeSizes: map[Pool]int{}}
 }
 
-// refused closes a pool for a while.
-func (l *poolLimits) refused(p Pool, now time.Time) {
-	l.closedUntil[p] = now.Add(refusalPause)
-	l.probes[p] = probeMachines
+// pause pauses requests to a pool for poolPause and limits the next request to a probe.
+func (l *poolLimits) pause(p Pool, now time.Time) {
+	l.pausedUntil[p] = now.Add(poolPause)
+	l.probeSizes[p] = initialProbeSize
 }
 
-// filled lets a pool that has filled a request be asked for more.
-func (l *poolLimits) filled(p Pool) {
-	if probe := l.probes[p]; probe > 0 {
-		l.probes[p] = min(probeGrowth*probe, maxMachinesPerPlan)
+// growProbe raises the probe size of a pool that has granted a request in full.
+func (l *poolLimits) growProbe(p Pool) {
+	if probe := l.probeSizes[p]; probe > 0 {
+		l.probeSizes[p] = min(probeGrowth*probe, maxMachinesPerPlan)
 	}
 }
 
-// reopened reports whether a pool's pause, if it had one, is over.
-func (l *poolLimits) reopened(p Pool, now time.Time) bool { return now.After(l.closedUntil[p]) }
+// isOpen reports whether the pool is not paused.
+func (l *poolLimits) isOpen(p Pool, now time.Time) bool { return now.After(l.pausedUntil[p]) }
 
-// available is how many machines a pool may be asked for now.
+// available returns the number of machines that may be requested from a pool now.
 func (l *poolLimits) available(p Pool, now time.Time) int {
-	if now.Before(l.closedUntil[p]) {
+	if now.Before(l.pausedUntil[p]) {
 		return 0
 	}
-	if probe := l.probes[p]; probe > 0 {
+	if probe := l.probeSizes[p]; probe > 0 {
 		return probe
 	}
 	return maxMachinesPerPlan
--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -9,12 +9,12 @@
 	"robinstack/internal/job"
 )
 
-// provisioningHistory knows how long machines of each pool took to come up lately, so that
-// those that take much longer are made up for elsewhere, and a pool from which few come is
-// tried but not counted on.
+// provisioningHistory records how long machines of each pool recently took to come up. Machines
+// that take much longer are replaced from other pools, and a pool that delivers few machines gets
+// only probes.
 type provisioningHistory struct {
 	durations map[Pool][]time.Duration
-	arrivals  map[Pool][]time.Time // for as long as they count
+	arrivals  map[Pool][]time.Time // when machines came up, within arrivalSpan
 }
 
 func newProvisioningHistory() provisioningHistory {
@@ -22,45 +22,46 @@
 }
 
 const (
-	// historyLength is how many machines of a pool are remembered.
+	// historyLength is the number of provisioning times kept per pool.
 	historyLength = 20
-	// historyMinimum is how many it takes to go by what they show.
-	historyMinimum = 5
-	// arrivalSpan is for how long machines that came up speak for their pool.
+	// minHistoryLength is the number of provisioning times from which on they are used.
+	minHistoryLength = 5
+	// arrivalSpan is how long a machine that came up counts as a recent arrival of its pool.
 	arrivalSpan = time.Minute
 )
 
-// record takes in a machine that has come up.
+// record adds the provisioning time of a machine that has come up.
 func (h *provisioningHistory) record(p Pool, took time.Duration, now time.Time) {
 	h.arrivals[p] = append(h.arrivals[p], now)
 	durations := append(h.durations[p], took)
 	h.durations[p] = durations[max(0, len(durations)-historyLength):]
 }
 
-// recentArrivals counts the machines of a pool that came up lately: where many did, the last
-// few that have not are stragglers and not a sign that few come from there.
+// recentArrivals counts the machines of a pool that came up within arrivalSpan. If many came up,
+// the few that have not are stragglers and not a sign that the pool delivers little.
 func (h *provisioningHistory) recentArrivals(p Pool, now time.Time) int {
 	isOld := func(at time.Time) bool { return now.Sub(at) > arrivalSpan }
 	h.arrivals[p] = slices.DeleteFunc(h.arrivals[p], isOld)
 	return len(h.arrivals[p])
 }
 
-// overdueAge is the age from which on a machine of the pool that has not come up is overdue:
-// half as long again as is nominal, or, where most are slow, a quarter longer than four of
-// five took, but no more than twice the nominal time.
+// overdueAge returns the age above which a provisioning machine of the pool is overdue: 1.5 times
+// the nominal provisioning time or, in a slow pool, 1.25 times the 80th percentile of the recorded
+// times if that is longer, but at most twice the nominal time. A margin is added.
 func (h *provisioningHistory) overdueAge(p Pool, nominal time.Duration) time.Duration {
-	const margin = 5 * time.Second // until the first heartbeat has come
+	const heartbeatMargin = 5 * time.Second // for the first heartbeat to arrive
 	age := nominal * 3 / 2
-	if durations := h.durations[p]; len(durations) >= historyMinimum {
+	if durations := h.durations[p]; len(durations) >= minHistoryLength {
 		sorted := slices.Sorted(slices.Values(durations))
 		age = max(age, sorted[len(sorted)*4/5]*5/4)
 	}
-	return min(age, 2*nominal) + margin
+	return min(age, 2*nominal) + heartbeatMargin
 }
 
-// abandonAge is the age at which a machine that has not come up is given up. Where most of
-// a pool is late, machines are slow rather than dead: given up and requested anew they would
-// be as late again, and for ever. Then those that came say how long the others may take.
+// abandonAge returns the age at which a provisioning machine is deleted. If most machines of a pool
+// are overdue, they are slow rather than dead: if they were deleted and requested again, the new
+// machines would be as late, for ever. In a stalled pool the limit therefore follows the longest
+// recorded provisioning time, within fixed bounds.
 func (h *provisioningHistory) abandonAge(p Pool, nominal time.Duration, stalled bool) time.Duration {
 	const margin = 15 * time.Second
 	usual, longest := 3*nominal+margin, 8*nominal+margin
@@ -68,49 +69,51 @@
 		return usual
 	}
 	durations := h.durations[p]
-	if len(durations) < historyMinimum || slices.Max(durations) <= 2*nominal {
+	if len(durations) < minHistoryLength || slices.Max(durations) <= 2*nominal {
 		return longest
 	}
 	return min(longest, max(usual, slices.Max(durations)*7/5))
 }
 
-// provisioningMachine is a machine that was requested and has not come up.
+// provisioningMachine is a machine that is not up yet.
 type provisioningMachine struct {
 	Pool
 	since         time.Time
-	requestedByUs bool // under this epoch, so that since is exact
+	requestedByUs bool // requested in this leader epoch, so since is exact
 }
 
-// poolProvisioning counts the machines of a pool that have not come up.
+// poolProvisioning counts the provisioning machines of a pool.
 type poolProvisioning struct {
 	machines   int
 	overdue    int
-	arrived    int // that came up lately instead
+	arrived    int // machines that recently came up; counted only if some are overdue
 	overdueAge time.Duration
 }
 
-// stalled reports whether so much of what is provisioning in the pool, or came up lately, is
-// overdue that no more than a probe should be requested there.
+// stalled reports whether at least minOverdue machines are overdue, and these are at least half of
+// the machines that are provisioning in the pool or recently came up. A stalled pool gets only
+// probes.
 func (p *poolProvisioning) stalled() bool {
-	const few = 3 // so many may be late by chance, short of one
-	return p.overdue >= few && 2*p.overdue >= p.machines+p.arrived
+	const minOverdue = 3 // fewer machines may be late by chance
+	return p.overdue >= minOverdue && 2*p.overdue >= p.machines+p.arrived
 }
 
-// StalledPool is a pool from which machines come late, and which is only probed.
+// StalledPool is a pool with so many overdue machines that it gets only probes.
 type StalledPool struct {
 	Pool
 	Provisioning int
 	Overdue      int
 }
 
-// OverdueMachine is a machine that has not come up and is given up.
+// OverdueMachine is a machine that did not come up in time and is to be deleted.
 type OverdueMachine struct {
 	Machine string
 	Age     time.Duration
 }
 
-// noteArrival notes that a machine is up, and how long that took.
-func (f *Fleet) noteArrival(machine string, now time.Time) {
+// recordArrival records that a machine has come up, with its provisioning time if that is known
+// exactly.
+func (f *Fleet) recordArrival(machine string, now time.Time) {
 	m, ok := f.provisioning[machine]
 	if !ok {
 		return
@@ -121,8 +124,8 @@
 	delete(f.provisioning, machine)
 }
 
-// planProvisioning returns the machines that are provisioning, as far as they can be counted
-// on, gives up the others, and closes pools that are stalled.
+// planProvisioning returns the provisioning machines that the plan may count on, adds machines that
+// did not come up in time to the plan's deletions, and pauses requests to stalled pools.
 func (f *Fleet) planProvisioning(snapshot *Snapshot, plan *Plan) []*bin {
 	now := snapshot.Now
 	pools := f.provisioningByPool(snapshot)
@@ -135,28 +138,28 @@
 			plan.Overdue = append(plan.Overdue, OverdueMachine{name, age})
 			plan.Delete = append(plan.Delete, name)
 		case age > pool.overdueAge && !stalled:
-			// Used if it comes, but made up for.
+			// The machine is used if it comes up, but is replaced in the plan.
 		default:
 			bins = append(bins, &bin{Pool: m.Pool, name: name, free: job.Capacity(t), empty: true})
 		}
 	}
 	for p, pool := range pools {
-		if pool.stalled() && f.limits.reopened(p, now) {
-			f.limits.refused(p, now)
+		if pool.stalled() && f.limits.isOpen(p, now) {
+			f.limits.pause(p, now)
 			plan.Stalled = append(plan.Stalled, StalledPool{p, pool.machines, pool.overdue})
 		}
 	}
 	return bins
 }
 
-// provisioningByPool counts what is provisioning, without machines that are up.
+// provisioningByPool counts the provisioning machines by pool and records those that have come up.
 func (f *Fleet) provisioningByPool(snapshot *Snapshot) map[Pool]*poolProvisioning {
 	pools := map[Pool]*poolProvisioning{}
 	for name, m := range f.provisioning {
 		if snapshot.HasOwner(name) {
-			// It is up; its owner's entry just has not come yet. To a new leader that is
-			// every machine at first.
-			f.noteArrival(name, snapshot.Now)
+			// The machine is up, but its owner's entry has not arrived yet. For a new leader, this
+			// holds for every machine at first.
+			f.recordArrival(name, snapshot.Now)
 			continue
 		}
 		pool := pools[m.Pool]
@@ -178,7 +181,8 @@
 	return pools
 }
 
-// OverduePools lists, by pool, machines whose provisioning takes longer than is usual there.
+// OverduePools counts, by pool, the machines whose provisioning takes longer than is usual in the
+// pool.
 func (f *Fleet) OverduePools(types map[string]cloud.MachineType, now time.Time) []OverduePool {
 	byPool := map[Pool]OverduePool{}
 	for _, m := range f.provisioning {
--- a/internal/autoscaler/stock.go
+++ b/internal/autoscaler/stock.go
@@ -8,15 +8,15 @@
 	"robinstack/internal/worker"
 )
 
-// Stock is what a plan sees of the machines that have owners.
+// Stock is the state of the machines that have owners, as input of a plan.
 type Stock struct {
-	Present map[string]bool // all of them
+	Present map[string]bool // all machines that have owners
 
-	bins         []*bin                   // those that serve
-	idleFor      map[string]time.Duration // those of them without tasks
-	emptied      []string                 // those to be returned that have no tasks any more
+	bins         []*bin                   // machines that can take tasks
+	idleFor      map[string]time.Duration // idle time of the machines in bins that have no tasks
+	emptied      []string                 // draining or quarantined machines without tasks, to be returned
 	lost         []LostMachine
-	notify       []string // deleted ones whose owners may not know
+	notify       []string // deleted machines whose owners have to be notified again
 	unreconciled int
 }
 
@@ -26,7 +26,7 @@
 	Reason  string
 }
 
-// TakeStock goes through all machines that have owners.
+// TakeStock classifies all machines that have owners.
 func (f *Fleet) TakeStock(snapshot *Snapshot) *Stock {
 	now := snapshot.Now
 	stock := &Stock{Present: map[string]bool{}, idleFor: map[string]time.Duration{}}
@@ -34,7 +34,7 @@
 	for i := range snapshot.Entries {
 		entry := &snapshot.Entries[i]
 		stock.Present[entry.Machine] = true
-		f.noteArrival(entry.Machine, now)
+		f.recordArrival(entry.Machine, now)
 		if f.isDeleted(entry.Machine) {
 			if f.notificationDue(entry.Machine, now) {
 				stock.notify = append(stock.notify, entry.Machine)
@@ -47,11 +47,11 @@
 		}
 		stock.add(entry, snapshot)
 	}
-	f.forgetDeletions(now)
+	f.expireDeletions(now)
 	return stock
 }
 
-// add takes in a machine that is neither deleted nor lost.
+// add adds a machine that is neither deleted nor lost.
 func (s *Stock) add(entry *agentapi.MachineEntry, snapshot *Snapshot) {
 	t, ok := snapshot.Types[entry.Type]
 	if !ok || entry.Unresponsive() || entry.ReclaimNoticed() {
@@ -81,14 +81,14 @@
 }
 
 const (
-	// deletionMemory is how long it is remembered that a machine was deleted.
-	deletionMemory = 10 * time.Minute
-	// notificationInterval is how long the owner of a deleted machine has to remove its
-	// key before it is notified once more.
+	// deletionRetention is how long the record of a deleted machine is kept.
+	deletionRetention = 10 * time.Minute
+	// notificationInterval is how long the owner of a deleted machine has to remove the machine's
+	// key before it is notified again.
 	notificationInterval = 2 * time.Second
 )
 
-// deletion is when a machine was deleted, and when its owner was notified once more.
+// deletion records when a machine was deleted and when its owner was last notified again.
 type deletion struct {
 	at         time.Time
 	notifiedAt time.Time
@@ -99,10 +99,11 @@
 	return deleted
 }
 
-// notificationDue reports whether the owner of a deleted machine, whose key is still there,
-// is to be notified now, and takes that for done. The owner may have taken the machine over,
-// or claimed it anew by a late write, after its former owner was notified; what it shows,
-// draining included, may be what it took over.
+// notificationDue reports whether the owner of a deleted machine whose key still exists has to be
+// notified now, and records the notification. After the former owner was notified, another
+// controller may have taken the machine over, or claimed it again by a delayed write. The new
+// owner's entry, including the draining state, may be copied from the former owner, so it does not
+// show that the new owner knows of the deletion.
 func (f *Fleet) notificationDue(machine string, now time.Time) bool {
 	d := f.deletions[machine]
 	last := d.notifiedAt
@@ -117,10 +118,11 @@
 	return true
 }
 
-// forgetDeletions forgets machines that were deleted long ago.
-func (f *Fleet) forgetDeletions(now time.Time) {
+// expireDeletions drops the records of machines that were deleted longer than deletionRetention
+// ago.
+func (f *Fleet) expireDeletions(now time.Time) {
 	for machine, d := range f.deletions {
-		if now.Sub(d.at) > deletionMemory {
+		if now.Sub(d.at) > deletionRetention {
 			delete(f.deletions, machine)
 			delete(f.unresponsiveSince, machine)
 			f.list.forget(machine)
--- a/internal/autoscaler/stock_test.go
+++ b/internal/autoscaler/stock_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// A machine that was deleted has its key again, by a late claim, and its owner shows it as
-// draining, which is what it took over: that owner is notified, and again until the key
-// is gone. It was not for ten minutes.
-func TestOwnerOfADeletedMachineIsNotifiedAgain(t *testing.T) {
+// A late claim recreates the key of a deleted machine, and the new owner shows the machine as
+// draining, a state copied from the former owner. The new owner must be notified repeatedly until
+// it removes the key. Before, it was not notified for 10 minutes.
+func TestOwnerOfDeletedMachineIsNotifiedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
 		now := time.Now()
@@ -19,7 +19,7 @@
 			notified bool
 		}{{time.Second, false}, {2500 * time.Millisecond, true}, {3500 * time.Millisecond, false}, {5 * time.Second, true}} {
 			if notified := f.notificationDue("m1", now.Add(step.after)); notified != step.notified {
-				t.Errorf("after %v: notified %v", step.after, notified)
+				t.Errorf("after %v: got notified %v, want %v", step.after, notified, step.notified)
 			}
 		}
 	})
--- a/internal/autoscaler/surplus.go
+++ b/internal/autoscaler/surplus.go
@@ -7,31 +7,30 @@
 )
 
 const (
-	// reuseSpan is the time over which machines that got work are counted.
-	reuseSpan = 20 * time.Second
-	// reuseMargin is how many times as many idle machines are kept as got work in that
-	// time, and reuseMinimum how many in any case.
-	reuseMargin  = 2
-	reuseMinimum = 2
-	// earlyShare is the share of the usual idle time after which what is idle beyond those
-	// is returned.
-	earlyShare = 0.25
+	// reuseWindow is the time window in which idle machines that got work are counted.
+	reuseWindow = 20 * time.Second
+	// The number of idle machines to keep is minIdleKept plus keptPerReused times the number of
+	// idle machines that got work within reuseWindow.
+	keptPerReused = 2
+	minIdleKept   = 2
+	// earlyReturnShare is the fraction of the policy's scale-in idle time after which idle machines
+	// beyond the number to keep are returned.
+	earlyReturnShare = 0.25
 )
 
-// reuse remembers which machines of a pool were idle, and how many of those got work lately:
-// as many may be wanted again before a machine requested now would serve. What is idle
-// beyond that is returned sooner than the rest. When a day's load ended, each of the
-// cluster's last thousand machines stood idle for the whole time after which idle ones are
-// returned, which was a twelfth of all that machines cost.
-type reuse struct {
-	window[int] // how many got work
+// reuseTracker tracks how many idle machines of a pool recently got work. As many may be needed
+// again before a machine that is requested now would be ready. Idle machines beyond that number are
+// returned early. Without this rule, when the daily load ended, each of the cluster's last 1000
+// machines was idle for the full scale-in idle time, which made up a twelfth of the machine cost.
+type reuseTracker struct {
+	window[int] // numbers of idle machines that got work
 	idle        map[string]bool
 }
 
-// observe takes in the machines that are idle now, all of those that there are being in
-// present, and returns how many idle ones to keep, or all of them as long as too little was
-// seen.
-func (r *reuse) observe(now time.Time, idle []string, present map[string]bool) (keep int) {
+// observe records the machines that are idle now and returns how many idle machines to keep.
+// present holds all machines that exist. Until a whole reuseWindow has been observed, observe keeps
+// all idle machines.
+func (r *reuseTracker) observe(now time.Time, idle []string, present map[string]bool) (keep int) {
 	isIdle := make(map[string]bool, len(idle))
 	for _, name := range idle {
 		isIdle[name] = true
@@ -43,26 +42,27 @@
 		}
 	}
 	r.idle = isIdle
-	if !r.add(now, gotWork, reuseSpan) {
+	if !r.add(now, gotWork, reuseWindow) {
 		return len(idle)
 	}
 	sum := 0
 	for _, n := range r.values {
 		sum += n
 	}
-	return reuseMinimum + reuseMargin*sum
+	return minIdleKept + keptPerReused*sum
 }
 
-// poolIdleness is what is known of a pool's idle machines.
+// poolIdleness tracks the idle machines of a pool.
 type poolIdleness struct {
 	minimum idleMinimum
-	reuse   reuse
+	reuse   reuseTracker
 }
 
-// surplus names the idle machines to return. In a large cluster each machine gets a task now
-// and then, so that none is idle for long although many are at any moment: of a pool, as
-// many are surplus as were idle all the time, whichever they were. Those that have been idle
-// longest go.
+// surplus returns the names of the idle machines to return. In a large cluster each machine gets a
+// task now and then, so none is idle for long although many are idle at any moment. The surplus of
+// a pool is therefore the least number of machines that were idle at the same time within the
+// scale-in idle time, whichever machines they were. The machines that have been idle longest are
+// returned.
 func (f *Fleet) surplus(bins []*bin, idleFor map[string]time.Duration, now time.Time) []string {
 	idle, present := idleByPool(bins, idleFor)
 	var returned []string
@@ -73,7 +73,7 @@
 		slices.SortFunc(names, func(a, b string) int {
 			return cmp.Or(cmp.Compare(idleFor[b], idleFor[a]), cmp.Compare(a, b))
 		})
-		n := f.surplusOf(f.idleness[p], names, idleFor, present, now)
+		n := f.countSurplus(f.idleness[p], names, idleFor, present, now)
 		returned = append(returned, names[:n]...)
 	}
 	for p := range f.idleness {
@@ -84,13 +84,15 @@
 	return returned
 }
 
-// surplusOf is how many of a pool's idle machines, longest idle first, are surplus.
-func (f *Fleet) surplusOf(
+// countSurplus returns how many of a pool's idle machines, ordered by descending idle time, are
+// surplus: as many as were idle throughout the scale-in idle time, and those beyond the number to
+// keep that have been idle for at least earlyReturnShare of it.
+func (f *Fleet) countSurplus(
 	pool *poolIdleness, names []string, idleFor map[string]time.Duration, present map[string]bool, now time.Time,
 ) int {
 	n := pool.minimum.add(now, len(names), f.policy.ScaleInIdleTime)
 	keep := pool.reuse.observe(now, names, present)
-	early := time.Duration(earlyShare * float64(f.policy.ScaleInIdleTime))
+	early := time.Duration(earlyReturnShare * float64(f.policy.ScaleInIdleTime))
 	for n < len(names)-keep && idleFor[names[n]] >= early {
 		n++
 	}
@@ -98,8 +100,8 @@
 	return n
 }
 
-// idleByPool lists the idle machines on which the packing put nothing, of every pool that
-// there is, and all machines.
+// idleByPool returns the idle machines without tasks from the packing, by pool, with an entry for
+// every pool that has machines, and the names of all machines.
 func idleByPool(bins []*bin, idleFor map[string]time.Duration) (idle map[Pool][]string, present map[string]bool) {
 	idle, present = map[Pool][]string{}, map[string]bool{}
 	for _, b := range bins {
--- a/internal/autoscaler/surplus_test.go
+++ b/internal/autoscaler/surplus_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// While machines that are idle get work now and then, that many are kept; when a day's
-// load has ended, all but a few go after a part of the usual time.
-func TestIdleMachinesAreKeptWhileTheyGetWork(t *testing.T) {
-	var r reuse
+// While idle machines regularly get work, as many are kept. When the load has ended, all but
+// minIdleKept may be returned early.
+func TestIdleMachinesAreKeptWhileReused(t *testing.T) {
+	var r reuseTracker
 	now := time.Time{}.Add(time.Hour)
 	present, idleNames := map[string]bool{}, []string{}
 	for k := range 40 {
@@ -18,30 +18,30 @@
 		idleNames = append(idleNames, fmt.Sprint("m", k))
 	}
 	keep := 0
-	for k := range 30 { // one a second gets work and is idle again two seconds later
+	for k := range 30 { // each second one machine gets work, and it is idle again a second later
 		keep = r.observe(now.Add(time.Duration(k)*time.Second), append(idleNames[:k%40:k%40], idleNames[k%40+1:]...), present)
 		if k < 19 && keep < 39 {
-			t.Fatalf("%d are kept after %d s: too little was seen", keep, k)
+			t.Fatalf("after %d s of observation: keep %d idle machines, want all 39", k, keep)
 		}
 	}
-	if keep < 20 || keep > 2*21+reuseMinimum {
-		t.Errorf("%d are kept where one a second gets work", keep)
+	if keep < 20 || keep > 2*21+minIdleKept {
+		t.Errorf("one machine per second gets work: keep %d idle machines, want 20 to %d", keep, 2*21+minIdleKept)
 	}
 	for k := 30; k < 60; k++ {
 		keep = r.observe(now.Add(time.Duration(k)*time.Second), idleNames, present)
 	}
-	if keep != reuseMinimum {
-		t.Errorf("%d are kept where none gets work", keep)
+	if keep != minIdleKept {
+		t.Errorf("no machine gets work: keep %d idle machines, want %d", keep, minIdleKept)
 	}
-	delete(present, "m1") // returned, not used
-	if keep = r.observe(now.Add(time.Minute), append([]string{"m0"}, idleNames[2:]...), present); keep != reuseMinimum {
-		t.Errorf("%d are kept after one was returned", keep)
+	delete(present, "m1") // returned without having got work
+	if keep = r.observe(now.Add(time.Minute), append([]string{"m0"}, idleNames[2:]...), present); keep != minIdleKept {
+		t.Errorf("after one machine was returned: keep %d idle machines, want %d", keep, minIdleKept)
 	}
 }
 
-// In a large cluster no machine is idle for long, but many are at any moment: as
-// many as were idle all the time are returned, and not one more.
-func TestWhatIsIdleAllTheTimeIsReturned(t *testing.T) {
+// In a large cluster no machine is idle for long, but many are idle at any moment. As many machines
+// are returned as were idle all the time, and no more.
+func TestContinuouslyIdleMachinesAreReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
 		f.policy.ScaleInIdleTime = 10 * time.Second
@@ -53,7 +53,8 @@
 			for i := range 10 - returned {
 				b := &bin{Pool: p, name: fmt.Sprint("m", i)}
 				bins = append(bins, b)
-				// Every second another six of ten are idle; later four.
+				// Each second a different set of 6 of the 10 machines, less those returned, is
+				// idle. After 20 s the first two machines are idle all the time as well.
 				if (i+second)%10 < 6-returned || second > 20 && i < 2 {
 					idle[b.name] = time.Second
 				}
@@ -62,7 +63,7 @@
 			time.Sleep(time.Second)
 		}
 		if returned < 4 || returned > 6 {
-			t.Fatalf("returned %d of the six that are always idle", returned)
+			t.Fatalf("returned %d machines, want 4 to 6 of the 6 that are always idle", returned)
 		}
 	})
 }
--- a/internal/autoscaler/turnover.go
+++ b/internal/autoscaler/turnover.go
@@ -7,38 +7,39 @@
 	"robinstack/internal/job"
 )
 
-// turnover is what running tasks of job arrays leave free in time: a job whose deadline is
-// far enough off waits for that instead of for new machines.
+// turnover is the capacity, in GPU equivalents, that running tasks of job arrays free over time. A
+// job whose deadline is far enough away waits for that capacity instead of new machines.
 type turnover struct {
-	perSecond     float64 // size of the places that come free
-	promised      float64 // size of the places that jobs wait for already
-	growing       bool    // more and more waits: later jobs will need what comes free later
-	provisioningS float64 // seconds that a machine takes to come up
-	fetchGBPerS   float64 // at which a machine fetches images, 0 if unknown
+	freedPerSecond float64 // capacity that is freed per second
+	reserved       float64 // capacity that is already set aside for waiting jobs
+	growing        bool    // whether the backlog grows: later jobs will need the capacity that is freed later
+	provisioningS  float64 // seconds that a machine takes to come up
+	fetchGBPerS    float64 // rate at which a machine fetches images, 0 if unknown
 }
 
 const (
-	// turnoverShare is the share of what should come free that is counted on: some goes to
-	// gangs, and estimates are guesses.
+	// turnoverShare is the fraction of the expected capacity that the plan counts on. Some of the
+	// capacity goes to gangs, and estimates are inexact.
 	turnoverShare = 0.8
-	// imageMissShare is the share of the time to fetch an image that tasks wait on average,
-	// for some machines have it.
+	// imageMissShare is the fraction of the image fetch time that tasks wait on average. Some
+	// machines already have the image.
 	imageMissShare = 0.5
-	// estimateMargin is how many times its owner's estimate a task may take.
+	// estimateMargin is the assumed ratio of a task's duration to its user's estimate.
 	estimateMargin = 1.2
-	// lateShare is the share of the time to its deadline by which a job that is late in any
-	// case may be later.
-	lateShare = 0.5
-	// lateSlackS is how many seconds a job that is hopelessly late may wait for places to
-	// come free.
+	// lateDeadlineShare is the fraction of DeadlineS by which a job may be late if it will miss its
+	// deadline in any case.
+	lateDeadlineShare = 0.5
+	// lateSlackS is how many seconds a job may wait for freed capacity if it will be later than
+	// lateDeadlineShare allows.
 	lateSlackS = 60
-	// cpusPerGPU is how many CPUs count as much as a GPU, for tasks that need none.
+	// cpusPerGPU converts the CPUs of tasks without GPUs to GPU equivalents.
 	cpusPerGPU = 8
-	// minPlaceSize keeps the size of a place that needs neither from being zero.
-	minPlaceSize = 1e-3
+	// minGPUEquivalents avoids a division by zero for tasks that need neither CPUs nor GPUs.
+	minGPUEquivalents = 1e-3
 )
 
-// newTurnover starts with the slowest of the types in every respect.
+// newTurnover returns an empty turnover with the longest provisioning time and the lowest fetch
+// rate of all machine types.
 func newTurnover(types map[string]cloud.MachineType) turnover {
 	var t turnover
 	for _, m := range types {
@@ -50,7 +51,7 @@
 	return t
 }
 
-// fetchS is the time in seconds that the job's tasks may wait for their image.
+// fetchS returns the average time in seconds that the job's tasks wait for their image.
 func (t *turnover) fetchS(spec *job.Spec) float64 {
 	if t.fetchGBPerS == 0 {
 		return 0
@@ -58,80 +59,85 @@
 	return imageMissShare * spec.ImageGB / t.fetchGBPerS
 }
 
-// placeSize compares places of different needs.
-func placeSize(need job.Resources) float64 {
+// gpuEquivalents returns the size of a task in GPU equivalents: its GPUs or, if it needs none, its
+// CPUs divided by cpusPerGPU.
+func gpuEquivalents(need job.Resources) float64 {
 	if need.GPUs > 0 {
 		return need.GPUs
 	}
 	return need.CPUs / cpusPerGPU
 }
 
-// add counts a job's running tasks.
+// add adds the capacity that a job's running tasks free per second.
 func (t *turnover) add(d *Demand) {
 	if d.Spec.Shape != job.Array || d.Spec.EstimateS <= 0 {
 		return
 	}
-	t.perSecond += float64(d.Running) * placeSize(d.Spec.Need) / (d.Spec.EstimateS + t.fetchS(&d.Spec))
+	t.freedPerSecond += float64(d.Running) * gpuEquivalents(d.Spec.Need) / (d.Spec.EstimateS + t.fetchS(&d.Spec))
 }
 
-// canServe reports whether a job's tasks can wait for places that come free.
-func (t *turnover) canServe(d *Demand) bool {
+// appliesTo reports whether a job's tasks can wait for capacity that running tasks free: the job is
+// an array with a deadline and an estimate.
+func (t *turnover) appliesTo(d *Demand) bool {
 	return d.Spec.Shape == job.Array && d.Spec.DeadlineS != nil && d.Spec.EstimateS > 0
 }
 
-// beforeProvisioned is the size of what comes free before a machine requested now serves.
-func (t *turnover) beforeProvisioned() float64 {
-	return turnoverShare * t.perSecond * t.provisioningS
+// freedDuringProvisioning returns the capacity that is freed before a machine that is requested now
+// is ready.
+func (t *turnover) freedDuringProvisioning() float64 {
+	return turnoverShare * t.freedPerSecond * t.provisioningS
 }
 
-// promise sets places that come free aside for a job, and returns how many of so many tasks
-// can wait for them.
-func (t *turnover) promise(d *Demand, tasks int) int {
-	if !t.canServe(d) {
+// reserve sets freed capacity aside for a job and returns how many of the given number of tasks can
+// wait for it.
+func (t *turnover) reserve(d *Demand, tasks int) int {
+	if !t.appliesTo(d) {
 		return 0
 	}
-	size := placeSize(d.Spec.Need)
-	free := turnoverShare*t.perSecond*t.slackS(d) - t.promised
-	promised := min(tasks, int(free/max(size, minPlaceSize)))
-	if promised <= 0 {
+	size := gpuEquivalents(d.Spec.Need)
+	free := turnoverShare*t.freedPerSecond*t.slackS(d) - t.reserved
+	reserved := min(tasks, int(free/max(size, minGPUEquivalents)))
+	if reserved <= 0 {
 		return 0
 	}
-	t.promised += float64(promised) * size
-	return promised
+	t.reserved += float64(reserved) * size
+	return reserved
 }
 
-// slackS is how many seconds a job's tasks may wait for places that come free.
+// slackS returns how many seconds a job's tasks may wait for freed capacity.
 func (t *turnover) slackS(d *Demand) float64 {
 	fetch := t.fetchS(&d.Spec)
 	slack := *d.Spec.DeadlineS - d.AgeS - estimateMargin*d.Spec.EstimateS - fetch
 	if slack < t.provisioningS {
-		// A machine requested now would come too late. Half the time over is better than
-		// never; beyond that nothing is to be won by scaling out.
-		slack += lateShare * *d.Spec.DeadlineS
+		// A machine requested now would be ready too late. Finishing up to lateDeadlineShare after
+		// the deadline is better than never; for a job that would be later than that, scaling out
+		// gains nothing.
+		slack += lateDeadlineShare * *d.Spec.DeadlineS
 	}
 	if slack < t.provisioningS {
 		slack = lateSlackS
 	}
 	if t.growing {
-		slack = min(slack, t.provisioningS+fetch) // a machine requested now serves from then on
+		slack = min(slack, t.provisioningS+fetch) // a machine requested now is ready by then
 	}
 	return slack
 }
 
 const (
-	// provisioningAllowance is the time left for a machine to come up where tasks are to
-	// run one after the other.
+	// provisioningAllowance is the part of the time to the deadline that is kept for a machine to
+	// come up.
 	provisioningAllowance = time.Minute
-	// roundMargin is how many times its owner's estimate a task takes there; the estimate
-	// may be too low by half.
+	// roundMargin is the assumed ratio of a task's duration to its user's estimate where tasks run
+	// one after the other. The estimate may be too low by half.
 	roundMargin = 1.3
-	// roundOverheadS is the time in seconds between two tasks in one place.
+	// roundOverheadS is the time in seconds between two consecutive tasks on the same capacity.
 	roundOverheadS = 10
 )
 
-// rounds is how many times over a place can serve a job's tasks before its deadline. Jobs
-// without a deadline do not wait.
-func rounds(d *Demand) int {
+// roundsBeforeDeadline returns how many of a job's tasks can run one after the other on the same
+// capacity before the deadline. It returns 1 for jobs without a deadline or estimate, whose tasks
+// all run at the same time.
+func roundsBeforeDeadline(d *Demand) int {
 	if d.Spec.DeadlineS == nil || d.Spec.EstimateS <= 0 {
 		return 1
 	}
@@ -139,8 +145,8 @@
 	return max(1, int(left/(roundMargin*d.Spec.EstimateS+roundOverheadS)))
 }
 
-// concurrentTasks is how many of a job's waiting tasks need a place at the same time.
+// concurrentTasks returns how many of a job's waiting tasks have to run at the same time.
 func concurrentTasks(d *Demand) int {
-	r := rounds(d)
+	r := roundsBeforeDeadline(d)
 	return (d.Waiting + r - 1) / r
 }
--- a/internal/autoscaler/window.go
+++ b/internal/autoscaler/window.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// window keeps the values of a span of time, and the last one before it.
+// window keeps the values observed within a time span, and the last value before it.
 type window[T any] struct {
 	values []T
 	times  []time.Time
 }
 
-// add takes in a value and returns whether the whole span has been observed.
+// add appends a value, drops values that are too old, and reports whether a whole span has been
+// observed.
 func (w *window[T]) add(now time.Time, value T, span time.Duration) (full bool) {
 	w.values, w.times = append(w.values, value), append(w.times, now)
 	full = now.Sub(w.times[0]) >= span
@@ -21,11 +22,11 @@
 	return full
 }
 
-// idleMinimum is how many machines were idle at least during a span of time.
+// idleMinimum tracks the least number of idle machines within a time span.
 type idleMinimum struct{ window[int] }
 
-// add takes in a count and returns the least over the span, or 0 as long as that has not
-// been observed whole.
+// add records a count and returns the least count within the span, or 0 until a whole span has been
+// observed.
 func (m *idleMinimum) add(now time.Time, count int, span time.Duration) int {
 	if !m.window.add(now, count, span) {
 		return 0
@@ -33,7 +34,7 @@
 	return slices.Min(m.values)
 }
 
-// subtract takes machines that are returned out of what was counted.
+// subtract subtracts returned machines from the recorded counts.
 func (m *idleMinimum) subtract(returned int) {
 	for i := range m.values {
 		m.values[i] = max(0, m.values[i]-returned)
@@ -41,14 +42,15 @@
 }
 
 const (
-	// backlogSpan is the time over which a backlog is compared with itself.
+	// backlogSpan is the time over which the growth of the backlog is measured.
 	backlogSpan = 20 * time.Second
-	// backlogGrowth is how many times as much as a span ago a backlog has to be to count
-	// as growing.
+	// backlogGrowth is the ratio of the backlog to its value one backlogSpan ago above which it
+	// counts as growing.
 	backlogGrowth = 1.2
 )
 
-// backlog remembers the size of what found no capacity lately.
+// backlog records the size, in GPU equivalents, of the tasks that recent plans found no capacity
+// for.
 type backlog struct{ window[float64] }
 
 func (b *backlog) last() float64 {
@@ -58,7 +60,8 @@
 	return b.values[len(b.values)-1]
 }
 
-// grows reports whether the backlog is clearly more than a span ago.
+// grows reports whether the backlog has grown by more than the factor backlogGrowth over
+// backlogSpan.
 func (b *backlog) grows(now time.Time) bool {
 	if len(b.times) == 0 || now.Sub(b.times[0]) < backlogSpan {
 		return false
