--- a/internal/budget/allocator.go
+++ b/internal/budget/allocator.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// SessionView is what the allocator knows of the controllers' sessions.
+// SessionView is the allocator's view of the controllers' sessions.
 type SessionView struct {
 	Alive map[string]bool
-	Age   time.Duration // of this view
+	Age   time.Duration // time since the view was known to be complete
 }
 
-// Allocator lends what controllers do not use. It lasts as long as an epoch of its holder's
-// role; the clock is the time since it began. Its owner guards it.
+// Allocator lends the parts of the shares that controllers do not use to other controllers. It
+// lives for one epoch of the leader, and its clock is the time since that epoch began. It is not
+// safe for concurrent use.
 type Allocator struct {
 	epoch     uint64
-	share     float64 // of each controller
+	share     float64 // guaranteed share of each controller, changes per second
 	hosts     []string
 	borrowers map[string]*borrower
 }
 
-// borrower is a controller as the allocator knows it.
+// borrower is the allocator's record of one controller.
 type borrower struct {
 	lastReport    time.Duration
 	need          float64
 	promisedUntil time.Duration
-	lentUntil     time.Duration // up to when a part of its share is lent because its session had ended
-	loans         []loan        // that it may be using: it may not have the answer to its latest report
+	lentUntil     time.Duration // end of the loans of its share that are made because its session has ended
+	loans         []loan        // all loans that it may still use; the answer to its latest report may be lost
 }
 
 type loan struct {
@@ -35,11 +36,12 @@
 	until time.Duration
 }
 
-// neverReported is the time of the latest report of a controller that has sent none.
+// neverReported is the lastReport of a controller that has not sent a report.
 const neverReported = -time.Hour
 
-// NewAllocator returns an allocator of a limit for these controllers. Its epoch must not be used
-// twice, and an earlier one's holder must have ceased to answer.
+// NewAllocator returns an allocator that divides a limit among the given controllers. Each
+// allocator needs an epoch of its own, and the holder of an earlier epoch must have stopped
+// answering.
 func NewAllocator(epoch uint64, limit float64, hosts []string) *Allocator {
 	return &Allocator{
 		epoch:     epoch,
@@ -49,7 +51,7 @@
 	}
 }
 
-// Allocate takes a controller's report and answers it.
+// Allocate records a controller's report and returns the answer.
 func (a *Allocator) Allocate(report DemandReport, sessions SessionView, now time.Duration) Grant {
 	grant := Grant{Epoch: a.epoch, Now: now}
 	if !slices.Contains(a.hosts, report.Host) {
@@ -66,7 +68,7 @@
 	if report.Promises && report.Epoch == a.epoch {
 		b.promisedUntil = max(b.promisedUntil, report.Echo+PromiseDuration)
 	}
-	// Loans of an earlier allocator may still be in use.
+	// Loans from the allocator of an earlier epoch may still be in use.
 	if !formerLoansEnded {
 		return grant
 	}
@@ -77,8 +79,8 @@
 	return grant
 }
 
-// lend is how much a controller may borrow now: its fair share of what can be lent, and never
-// more than is left of that.
+// lend returns the rate that a controller may borrow now: its fair share of the lendable rate, but
+// never more than is left of that rate.
 func (a *Allocator) lend(host string, sessions SessionView, now time.Duration) float64 {
 	until := now + LoanDuration + driftMargin
 	pool, lent := 0.0, 0.0
@@ -86,7 +88,7 @@
 	ended := a.endedSessions(sessions, now)
 	for _, h := range a.hosts {
 		if ended[h] {
-			pool += (1 - joiningPart) * a.share
+			pool += (1 - joiningFraction) * a.share
 			a.markLent(h, until)
 		}
 		b := a.borrowers[h]
@@ -94,19 +96,19 @@
 			continue
 		}
 		if !ended[h] && b.promisedUntil >= until {
-			pool += (1 - promisedPart) * a.share
+			pool += (1 - promisedFraction) * a.share
 		}
 		if h != host {
 			lent += b.borrowed(now)
 		}
-		if a.reportedLately(h, now) {
+		if a.reportedRecently(h, now) {
 			wants[h] = max(0, b.need-a.withoutLoan(b, now))
 		}
 	}
 	return max(0, min(fairShare(pool, wants, host), pool-lent))
 }
 
-// markLent notes that a part of the share of a controller without a session is lent.
+// markLent records that a part of the share of a controller without a session is lent.
 func (a *Allocator) markLent(host string, until time.Duration) {
 	b := a.borrowers[host]
 	if b == nil {
@@ -116,9 +118,10 @@
 	b.lentUntil = until
 }
 
-// endedSessions lists the controllers whose shares may be lent because their sessions have
-// ended: by a recent view, and none while one that is alive does not report. A version that
-// does not know of loans would use them by itself.
+// endedSessions returns the controllers whose shares may be lent because their sessions have ended.
+// It returns none if the view is older than MaxViewAge, or if any controller with a live session
+// does not report: such a controller may run a version without loans, which would use the shares of
+// ended sessions itself.
 func (a *Allocator) endedSessions(sessions SessionView, now time.Duration) map[string]bool {
 	ended := map[string]bool{}
 	if sessions.Age > MaxViewAge {
@@ -126,7 +129,7 @@
 	}
 	for _, h := range a.hosts {
 		switch {
-		case a.reportedLately(h, now):
+		case a.reportedRecently(h, now):
 		case sessions.Alive[h]:
 			return map[string]bool{}
 		default:
@@ -136,20 +139,20 @@
 	return ended
 }
 
-// withoutLoan is what a controller may use without a loan.
+// withoutLoan returns the rate that a controller may use without a loan.
 func (a *Allocator) withoutLoan(b *borrower, now time.Duration) float64 {
 	if b.promisedUntil > now {
-		return promisedPart * a.share
+		return promisedFraction * a.share
 	}
 	return a.share
 }
 
-func (a *Allocator) reportedLately(host string, now time.Duration) bool {
+func (a *Allocator) reportedRecently(host string, now time.Duration) bool {
 	b := a.borrowers[host]
 	return b != nil && now-b.lastReport <= PromiseDuration
 }
 
-// borrowed is the most that a controller may be using beyond its own share.
+// borrowed returns the highest rate that a controller may be using beyond its own share.
 func (b *borrower) borrowed(now time.Duration) float64 {
 	b.loans = slices.DeleteFunc(b.loans, func(l loan) bool { return l.until+driftMargin <= now })
 	most := 0.0
@@ -159,8 +162,8 @@
 	return most
 }
 
-// fairShare is what a host gets of a pool that is divided so that the smallest wants are met
-// first and the others get equally much (max-min fairness).
+// fairShare returns a host's share of a pool that is divided with max-min fairness: the smallest
+// wants are met first, and the remaining hosts get equal shares.
 func fairShare(pool float64, wants map[string]float64, host string) float64 {
 	hosts := make([]string, 0, len(wants))
 	for h := range wants {
@@ -170,11 +173,11 @@
 		return cmp.Or(cmp.Compare(wants[x], wants[y]), cmp.Compare(x, y))
 	})
 	for k, h := range hosts {
-		got := min(wants[h], pool/float64(len(hosts)-k))
+		share := min(wants[h], pool/float64(len(hosts)-k))
 		if h == host {
-			return got
+			return share
 		}
-		pool -= got
+		pool -= share
 	}
 	return 0
 }
--- a/internal/budget/bucket.go
+++ b/internal/budget/bucket.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// TokenBucket paces what may be done so often in a second. What is asked for beyond what has
-// accumulated waits, and is refused where it would wait too long. Its owner guards it.
+// TokenBucket is a token bucket rate limiter. A reservation that exceeds the available tokens is
+// delayed until they accumulate, or rejected if the delay would be too long. It is not safe for
+// concurrent use.
 type TokenBucket struct {
-	rate     float64   // tokens a second up to until
-	until    time.Time // when a loan that rate includes ends
-	baseRate float64   // from then on
-	size     float64
-	tokens   float64 // below 0: what waits
-	at       time.Time
+	rate      float64   // tokens per second before until
+	until     time.Time // when the loan that is included in rate ends
+	baseRate  float64   // tokens per second after until
+	size      float64
+	tokens    float64 // negative while reservations wait for tokens
+	updatedAt time.Time
 }
 
-// maxDelay is longer than anything may wait: the delay of what never comes in.
+// maxDelay is the delay of tokens that never accumulate. It is longer than any reservation may
+// wait.
 const maxDelay = time.Hour
 
 // NewTokenBucket returns a full bucket.
 func NewTokenBucket(rate, size float64, now time.Time) *TokenBucket {
-	return &TokenBucket{rate: rate, baseRate: rate, size: size, tokens: size, at: now}
+	return &TokenBucket{rate: rate, baseRate: rate, size: size, tokens: size, updatedAt: now}
 }
 
-// SetRate has it fill at one rate until a time, and at another one from then on.
+// SetRate sets the fill rate until a time and the base rate after it.
 func (b *TokenBucket) SetRate(rate float64, until time.Time, baseRate float64, now time.Time) {
 	b.advance(now)
 	b.rate, b.until, b.baseRate = rate, until, baseRate
 }
 
-// Reserve takes n tokens and returns how long to wait before they are used. It takes nothing and
-// is not ok if that would be longer than longest.
+// Reserve takes n tokens and returns how long the caller has to wait before using them. If the
+// delay would exceed longest, it takes nothing and returns false.
 func (b *TokenBucket) Reserve(n int, longest time.Duration, now time.Time) (delay time.Duration, ok bool) {
 	b.advance(now)
 	if missing := float64(n) - b.tokens; missing > 0 {
@@ -41,35 +43,35 @@
 	return delay, true
 }
 
-// Refund gives back n tokens that were reserved and not used.
+// Refund returns n tokens that were reserved and not used.
 func (b *TokenBucket) Refund(n int) { b.tokens = min(b.size, b.tokens+float64(n)) }
 
-// Backlog is how much of what was reserved has still to come in.
+// Backlog returns the number of reserved tokens that have not accumulated yet.
 func (b *TokenBucket) Backlog(now time.Time) float64 {
 	b.advance(now)
 	return max(0, -b.tokens)
 }
 
 func (b *TokenBucket) advance(now time.Time) {
-	if !now.After(b.at) {
+	if !now.After(b.updatedAt) {
 		return
 	}
-	b.tokens = min(b.size, b.tokens+b.comesIn(now))
-	b.at = now
+	b.tokens = min(b.size, b.tokens+b.accumulated(now))
+	b.updatedAt = now
 }
 
-// comesIn is how much comes in between the last look and a later time.
-func (b *TokenBucket) comesIn(to time.Time) float64 {
-	total, atRate := to.Sub(b.at), time.Duration(0)
-	if b.until.After(b.at) {
-		atRate = min(total, b.until.Sub(b.at))
+// accumulated returns the number of tokens that accumulate from the last update to the given time.
+func (b *TokenBucket) accumulated(to time.Time) float64 {
+	total, atRate := to.Sub(b.updatedAt), time.Duration(0)
+	if b.until.After(b.updatedAt) {
+		atRate = min(total, b.until.Sub(b.updatedAt))
 	}
 	return b.rate*atRate.Seconds() + b.baseRate*(total-atRate).Seconds()
 }
 
-// delay is how long so many missing tokens take to come in.
+// delay returns how long the given number of missing tokens takes to accumulate.
 func (b *TokenBucket) delay(missing float64) time.Duration {
-	atRate := max(0, b.until.Sub(b.at).Seconds())
+	atRate := max(0, b.until.Sub(b.updatedAt).Seconds())
 	if missing <= atRate*b.rate {
 		return time.Duration(missing / b.rate * float64(time.Second))
 	}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,62 +1,62 @@
-// Package budget divides a rate limit that all controllers share: how many changes a second the
-// state service takes. Each controller is guaranteed an equal share, of as many shares as there
-// are controllers in the settings, whoever is alive. One that needs little promises to use at most
-// half of its share for a while, and the allocator, which is the leader's, lends what was
-// promised, and half of the shares of controllers whose sessions have ended, to those that need
-// more. Promises and loans are leases: without an answer each controller falls back to its own
-// share, so that the sum is never above the limit, whoever is partitioned, stalls or restarts,
+// Package budget divides a rate limit among all controllers: the number of changes per second that
+// the state service accepts. Each controller is guaranteed an equal share of the limit; the number
+// of shares is the number of controllers in the settings, whether or not they are alive. A
+// controller that needs little promises to use at most half of its share for a while. The
+// allocator, which runs on the leader, lends the other halves, and half of the share of each
+// controller whose session has ended, to controllers that need more. Promises and loans are leases:
+// without an answer from the allocator, each controller returns to its own share. The sum of all
+// rates therefore never exceeds the limit, whichever controllers are partitioned, stall or restart,
 // and however many allocators there seem to be.
 //
-// Both sides, Allocator and Share, are pure: they hold state that their owner guards, and the
-// caller gives the time. The package imports the standard library only.
+// Both sides, Allocator and Share, do no I/O and read no clock: their owners guard them, and
+// callers pass the time. The package imports only the standard library.
 package budget
 
 import "time"
 
-// Times of the leases. A promise outlasts every loan that is made of it.
+// Durations of the leases. A promise outlasts every loan that is based on it.
 const (
-	// PromiseDuration is for how long, from the sending of its report, a controller keeps to
-	// half of its share.
+	// PromiseDuration is how long a controller uses at most half of its share after it has sent a
+	// report with a promise.
 	PromiseDuration = 2 * time.Second
-	// LoanDuration is for how long, from the sending of the report that it answers, a loan may
-	// be used.
+	// LoanDuration is how long a loan may be used, from when the report that it answers was sent.
 	LoanDuration = 600 * time.Millisecond
-	// JoinDelay is how long a new session uses a part of its own share only, unless the
-	// allocator says earlier that it need not: until the loans that were made while the host had
-	// no session have ended, and the promises of the session before. It is longer than
-	// MaxViewAge, LoanDuration and driftMargin together, and than PromiseDuration.
+	// JoinDelay is how long a new session uses only a part of its own share, unless the allocator
+	// says earlier that the whole share is free. After JoinDelay, the loans made while the host had
+	// no session and the promises of its former session have ended. JoinDelay is longer than the
+	// sum of MaxViewAge, LoanDuration and driftMargin, and longer than PromiseDuration.
 	JoinDelay = 2200 * time.Millisecond
-	// MaxViewAge is how old the allocator's view of the sessions may be for it to lend the
-	// shares of those that have ended.
+	// MaxViewAge is the largest age of the allocator's view of the sessions at which it lends the
+	// shares of ended sessions.
 	MaxViewAge = time.Second
 
-	// driftMargin is for the drift of clocks within these times, many times over.
+	// driftMargin bounds the drift between two clocks within these durations, with ample reserve.
 	driftMargin = 20 * time.Millisecond
 )
 
-// Parts of a controller's share.
+// Fractions of a controller's share.
 const (
-	promisedPart = 0.5 // what one that needs little keeps to
-	joiningPart  = 0.5 // what a new session uses; the allocator lends the rest while there is none
-	idlePart     = 0.4 // who needs no more promises to use little
+	promisedFraction = 0.5 // used at most by a controller that has made a promise
+	joiningFraction  = 0.5 // used by a new session; the rest is lent while the host has no session
+	idleFraction     = 0.4 // largest need with which a controller makes a promise
 )
 
-// DemandReport is what a controller says to the allocator. Its fields are on the wire.
+// DemandReport is a controller's report to the allocator. Its fields are part of the wire format.
 type DemandReport struct {
 	Host     string
-	Need     float64       // changes a second that it would make
-	Promises bool          // it keeps to half of its share for PromiseDuration from the sending
-	Epoch    uint64        // of the allocator whose clock Echo is of
-	Echo     time.Duration // the allocator's time in the latest answer: this was sent later
+	Need     float64       // changes per second that the controller would make
+	Promises bool          // whether it uses at most half of its share for PromiseDuration from the sending
+	Epoch    uint64        // epoch of the allocator whose clock Echo refers to
+	Echo     time.Duration // Grant.Now of the latest answer; the report was sent later
 }
 
-// Grant is the allocator's answer. Its fields are on the wire.
+// Grant is the allocator's answer to a report. Its fields are part of the wire format.
 type Grant struct {
 	Epoch uint64
-	Now   time.Duration // by the allocator's clock
-	Loan  float64       // changes a second beyond its own share or promise, for LoanDuration from the report's sending
+	Now   time.Duration // time on the allocator's clock
+	Loan  float64       // changes per second beyond its share or promise, for LoanDuration from the report's sending
 
-	// Whole says that nothing of its own share is lent but what it has promised itself: its
-	// session need not wait for JoinDelay.
+	// Whole reports whether nothing of the controller's own share is lent except what it has
+	// promised itself. Its session then need not wait for JoinDelay.
 	Whole bool
 }
--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	sharedLimit  = 72.0                  // what the controllers share
-	serviceLimit = 80.0                  // what the service takes, with bursts of a second's worth
-	step         = 10 * time.Millisecond // of the scenario's clock
-	rounding     = 1e-9                  // of sums
+	sharedLimit  = 72.0                  // limit that the controllers share, changes per second
+	serviceLimit = 80.0                  // limit of the service per second, with a burst of one second's worth
+	step         = 10 * time.Millisecond // of the simulated clock
+	rounding     = 1e-9                  // error of floating-point sums
 )
 
-// controller is one of a scenario's controllers.
+// controller is a simulated controller.
 type controller struct {
 	host         string
 	share        *Share
 	bucket       *TokenBucket
-	want         float64 // changes a second
+	want         float64 // changes per second
 	backlog      float64
-	hasSession   bool      // by its key in the state service
-	stalledUntil time.Time // it does nothing, while its clock runs on
-	partitioned  bool      // from the allocator
+	hasSession   bool      // whether its session key exists in the state service
+	stalledUntil time.Time // end of the stall; the controller's clock keeps running
+	partitioned  bool      // whether it is partitioned from the allocator
 	nextReport   time.Time
 	changes      int
-	sessionEnd   time.Time // when its latest session ended
-	sessionStart time.Time // when the latest began
+	sessionEnd   time.Time // end of its latest ended session
+	sessionStart time.Time // start of its latest session
 }
 
-// hadSession reports whether a session of it went on at a time not long ago.
+// hadSession reports whether the controller had a session at a recent time.
 func (ctrl *controller) hadSession(at time.Time) bool {
 	if ctrl.hasSession && !at.Before(ctrl.sessionStart) {
 		return true
@@ -41,17 +41,17 @@
 // scenarioStart is an arbitrary time.
 var scenarioStart = time.Unix(1000, 0)
 
-// message is a report on its way, or an answer.
+// message is a report or a grant in transit.
 type message struct {
 	arrival, sent time.Time
 	report        *DemandReport
 	grant         *Grant
 	to            *controller
-	share         *Share // of the process that sent the report
+	share         *Share // share of the process that sent the report
 }
 
-// cluster is a scenario of controllers, of which one at a time has the allocator, and a service
-// that rejects what is too much. Its clock moves in steps.
+// cluster simulates controllers, of which one at a time runs the allocator, and a state service
+// that rejects changes beyond its limit. Its clock advances in steps.
 type cluster struct {
 	t               *testing.T
 	rng             *rand.Rand
@@ -60,16 +60,16 @@
 	allocator       *Allocator
 	epoch           uint64
 	leaderStart     time.Time
-	leader          int // -1: nobody
+	leader          int // index of the leader, -1 if there is none
 	messages        []message
 	service         *TokenBucket
 	rejected        int
 	viewAge         time.Duration
-	configuredLimit float64 // that those who start now are configured with
-	maxAllowed      float64 // that the sum may come to
+	configuredLimit float64 // limit that controllers read when they start
+	maxAllowed      float64 // largest allowed sum of all rates
 }
 
-// newCluster returns a cluster of n controllers, of which the first leads.
+// newCluster returns a cluster of n controllers, led by the first one.
 func newCluster(t *testing.T, n int, seed uint64) *cluster {
 	t.Helper()
 	c := &cluster{
@@ -100,12 +100,12 @@
 	ctrl.bucket = NewTokenBucket(0, ctrl.share.Guaranteed(), c.now)
 }
 
-// endSession ends a controller's session, which does nothing from then on.
+// endSession ends a controller's session. The controller does nothing until its next session.
 func (c *cluster) endSession(ctrl *controller) {
 	ctrl.hasSession, ctrl.sessionEnd = false, c.now
 }
 
-// elect makes a controller the leader, when the one before has ceased to be.
+// elect makes a controller the leader. The former leader must have stopped answering.
 func (c *cluster) elect(k int) {
 	c.epoch++
 	c.leader, c.leaderStart = k, c.now
@@ -116,12 +116,12 @@
 	c.allocator = NewAllocator(c.epoch, c.configuredLimit, hosts)
 }
 
-// isStalled reports whether a controller does nothing, or is not there.
+// isStalled reports whether a controller is stalled or has no session.
 func (c *cluster) isStalled(ctrl *controller) bool {
 	return !ctrl.hasSession || c.now.Before(ctrl.stalledUntil)
 }
 
-// run lets time pass, and fails the test if the shares exceed the limit.
+// run advances the clock by d and fails the test if the sum of all rates exceeds the limit.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); c.now = c.now.Add(step) {
 		c.deliver()
@@ -139,12 +139,12 @@
 			}
 		}
 		if sum > c.maxAllowed+rounding {
-			c.t.Fatalf("at %v the shares come to %.2f of %.0f", c.now.Sub(scenarioStart), sum, c.maxAllowed)
+			c.t.Fatalf("at %v the sum of all rates is %.2f, want at most %.0f", c.now.Sub(scenarioStart), sum, c.maxAllowed)
 		}
 	}
 }
 
-// makeChanges makes changes of what a controller wants, one at a time.
+// makeChanges makes the changes that a controller wants, as far as its bucket allows.
 func (c *cluster) makeChanges(ctrl *controller) {
 	ctrl.backlog = min(500, ctrl.backlog+ctrl.want*step.Seconds())
 	for ctrl.backlog >= 1 {
@@ -159,7 +159,7 @@
 	}
 }
 
-// sendReport sends the leader a report, unless either is partitioned.
+// sendReport sends a report to the leader. It is lost if either side is partitioned.
 func (c *cluster) sendReport(k int, ctrl *controller) {
 	r := ctrl.share.Report(ctrl.host, ctrl.want+ctrl.backlog, c.now)
 	ctrl.nextReport = c.now.Add(500 * time.Millisecond)
@@ -174,7 +174,8 @@
 	})
 }
 
-// messageDelay is how long a message is on its way: some take seconds.
+// messageDelay returns the random transit time of a message: up to 30 ms, or up to 4 s for one
+// message in 20.
 func (c *cluster) messageDelay() time.Duration {
 	if c.rng.IntN(20) == 0 {
 		return time.Duration(c.rng.IntN(4000)) * time.Millisecond
@@ -182,7 +183,7 @@
 	return time.Duration(c.rng.IntN(30)) * time.Millisecond
 }
 
-// deliver delivers the messages that have arrived.
+// deliver delivers the messages whose arrival time has come.
 func (c *cluster) deliver() {
 	pending := c.messages
 	c.messages = nil
@@ -191,7 +192,7 @@
 		case m.arrival.After(c.now):
 			c.messages = append(c.messages, m)
 		case m.grant != nil:
-			// An answer that comes after its caller has given up reaches nobody.
+			// The caller has given up on answers that arrive after LoanDuration.
 			if c.now.Sub(m.sent) <= LoanDuration && !c.isStalled(m.to) && m.to.share == m.share {
 				m.to.share.ApplyGrant(*m.grant, m.sent)
 			}
@@ -201,7 +202,7 @@
 	}
 }
 
-// answer is the allocator's answer to a report, on its way.
+// answer returns the message with the allocator's answer to a report.
 func (c *cluster) answer(m message) message {
 	alive := map[string]bool{}
 	for _, ctrl := range c.controllers {
@@ -216,11 +217,11 @@
 func (c *cluster) checkNothingRejected() {
 	c.t.Helper()
 	if c.rejected > 0 {
-		c.t.Errorf("the service rejected %d changes", c.rejected)
+		c.t.Errorf("the service rejected %d changes, want 0", c.rejected)
 	}
 }
 
-// measureRate is what a controller makes in a second over some time.
+// measureRate runs the cluster for d and returns a controller's changes per second.
 func (c *cluster) measureRate(ctrl *controller, d time.Duration) float64 {
 	before := ctrl.changes
 	c.run(d)
