--- a/internal/statekv/client.go
+++ b/internal/statekv/client.go
@@ -14,20 +14,21 @@
 
 // Limits of the connections to the state service.
 const (
-	// requestTimeout is how long a request may take that does not wait at the service.
+	// requestTimeout bounds a request that does not wait at the service.
 	requestTimeout = 1500 * time.Millisecond
-	// listTimeout is how much longer a page of a listing may take.
+	// listTimeout is added to requestTimeout for each page of a listing.
 	listTimeout = time.Second
-	// maxConnections bounds the connections in use at a time.
+	// maxConnections is the largest number of connections in use at the same time.
 	maxConnections = 64
-	// idleConnection is how long an unused connection stays open.
-	idleConnection = 20 * time.Second
+	// idleConnectionTimeout is how long an unused connection stays open.
+	idleConnectionTimeout = 20 * time.Second
 )
 
-// pageSize is how many keys one page of a listing has at most.
+// pageSize is the largest number of keys on one page of a listing.
 const pageSize = "500"
 
-// Client is the Store over HTTP. It keeps this controller's share of the service's limits.
+// Client implements Store over HTTP. It stays within this controller's share of the service's rate
+// limits.
 type Client struct {
 	base     string
 	http     *httpjson.Client
@@ -38,13 +39,13 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a client that, with its like on the other controllers, uses at most the
-// given requests and changes per second. Lease renewals and watches are not counted: those
-// always go out.
+// NewClient returns a client that uses this controller's share of the given limits on requests and
+// changes per second, which apply to all controllers together. Lease operations and watches are not
+// limited: they must never wait.
 func NewClient(address string, requests, changes float64, controllers int) *Client {
 	c := &Client{
 		base:   "http://" + address,
-		http:   httpjson.New(requestTimeout, maxConnections, idleConnection),
+		http:   httpjson.New(requestTimeout, maxConnections, idleConnectionTimeout),
 		writes: newWriteBudget(changes, controllers),
 		limits: requestLimits{perSecond: requests, requests: rate.NewLimiter(1, 1)},
 	}
@@ -65,7 +66,7 @@
 	return kv, err
 }
 
-// List reads the keys under prefix that follow after.
+// List reads one page of the keys under prefix that follow the key after, in order.
 func (c *Client) List(ctx context.Context, prefix, after string) (Page, error) {
 	var page Page
 	if err := c.paceRequest(ctx); err != nil {
@@ -89,17 +90,17 @@
 	return out.Grant, err
 }
 
-// Renew prolongs a lease.
+// Renew renews a lease.
 func (c *Client) Renew(ctx context.Context, lease uint64) error {
 	return c.call(ctx, request{method: http.MethodPost, path: fmt.Sprintf("/grants/%d/extend", lease)}, nil)
 }
 
-// Revoke ends a lease at once.
+// Revoke ends a lease immediately.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
 	return c.call(ctx, request{method: http.MethodDelete, path: fmt.Sprintf("/grants/%d", lease)}, nil)
 }
 
-// Watch waits, for at most block, until something under prefix changes after since.
+// Watch waits until a key under prefix changes after the revision since, but for at most block.
 func (c *Client) Watch(
 	ctx context.Context, prefix string, since uint64, block time.Duration,
 ) (WatchResponse, error) {
--- a/internal/statekv/helpers_test.go
+++ b/internal/statekv/helpers_test.go
@@ -9,11 +9,11 @@
 	"robinstack/internal/statekv"
 )
 
-// openJobs is the prefix of the keys of jobs, which are not among the cluster's.
-const openJobs = statekv.RootPrefix + "job/"
+// jobPrefix is the prefix of the job keys, which are not under ClusterPrefix.
+const jobPrefix = statekv.RootPrefix + "job/"
 
-// inBubble runs a test whose clock moves when nothing else does. What still runs at its end, and
-// ends with ctx, is waited for.
+// inBubble runs a test in a synctest bubble. At the end it cancels ctx and waits for the goroutines
+// of the test.
 func inBubble(t *testing.T, test func(ctx context.Context, t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -23,13 +23,13 @@
 	})
 }
 
-// newMirror returns a mirror of the keys under prefixes that is not loaded, with watches of all
-// changes.
+// newMirror returns a mirror of the keys under prefixes that is not loaded yet and that watches all
+// keys.
 func newMirror(store statekv.Store, prefixes ...string) *statekv.Mirror {
 	return statekv.NewMirror(store, prefixes, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
 }
 
-// load reads a mirror's keys.
+// load loads a mirror and fails the test on an error.
 func load(t *testing.T, mirror *statekv.Mirror) {
 	t.Helper()
 	if err := mirror.Load(t.Context()); err != nil {
@@ -37,24 +37,24 @@
 	}
 }
 
-// openSession opens a session of host that registers nothing.
+// openSession opens a session of host with an empty registration.
 func openSession(
 	t *testing.T, store statekv.Store, mirror *statekv.Mirror, host string, ttl time.Duration,
 ) *statekv.Session {
 	t.Helper()
 	session, err := statekv.OpenSession(t.Context(), store, mirror, host, ttl, statekv.Registration{})
 	if err != nil {
-		t.Fatalf("session of %s: %v", host, err)
+		t.Fatalf("opening a session of %s: %v", host, err)
 	}
 	return session
 }
 
-// commit makes changes without compares, and returns their revision.
+// commit applies changes without compares and returns their revision.
 func commit(t *testing.T, store statekv.Store, ops ...statekv.Op) uint64 {
 	t.Helper()
 	rev, err := store.Txn(t.Context(), nil, ops)
 	if err != nil {
-		t.Fatalf("%v: %v", ops, err)
+		t.Fatalf("transaction %v: %v", ops, err)
 	}
 	return rev
 }
--- a/internal/statekv/keys.go
+++ b/internal/statekv/keys.go
@@ -1,6 +1,6 @@
 package statekv
 
-// RootPrefix is the prefix of all keys of this program.
+// RootPrefix is the prefix of all keys that robinstack stores.
 const RootPrefix = "robin/"
 
 // ClusterPrefix is the prefix of the keys that every controller mirrors.
@@ -8,26 +8,27 @@
 
 // Prefixes of the keys that every controller mirrors.
 const (
-	// SessionPrefix is the prefix of the controllers' sessions, by host.
+	// SessionPrefix is the prefix of the session keys, by host.
 	SessionPrefix = ClusterPrefix + "node/"
-	// JobShardPrefix is the prefix of the roles of job shards, by shard.
+	// JobShardPrefix is the prefix of the role keys of job shards, by shard.
 	JobShardPrefix = ClusterPrefix + "slot/"
-	// MachineShardPrefix is the prefix of the roles of machine shards, by shard.
+	// MachineShardPrefix is the prefix of the role keys of machine shards, by shard.
 	MachineShardPrefix = ClusterPrefix + "shard/"
-	// MachinePrefix is the prefix of the machines' records, by machine.
+	// MachinePrefix is the prefix of the machine records, by machine.
 	MachinePrefix = ClusterPrefix + "machine/"
 )
 
 // Keys that every controller mirrors.
 const (
-	// LeaderKey is the key of the leader's role; its revision is the leader epoch.
+	// LeaderKey is the role key of the leader. Its revision is the leader epoch.
 	LeaderKey = ClusterPrefix + "steward"
 	// MachineTypesKey holds the cloud's machine types.
 	MachineTypesKey = ClusterPrefix + "types"
-	// ClusterVersionKey says which features the controllers use together (package rollout).
+	// ClusterVersionKey holds the cluster version, which gates the features in use (package
+	// rollout).
 	ClusterVersionKey = ClusterPrefix + "level"
-	// MembershipKey changes with every session that opens.
+	// MembershipKey changes whenever a session opens.
 	MembershipKey = ClusterPrefix + "joins"
-	// MigrationKey says how far stored values have been migrated to another schema.
+	// MigrationKey holds the progress of the migration of stored values to another schema.
 	MigrationKey = ClusterPrefix + "move"
 )
--- a/internal/statekv/membership.go
+++ b/internal/statekv/membership.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// Alive reports whether the holder's session goes on, as far as the mirror shows.
+// Alive reports whether, according to the mirror, the holder's session is open.
 func (s *Session) Alive(holder Holder) bool {
 	kv, ok := s.mirror.Get(SessionPrefix + holder.Host)
 	return ok && kv.Rev == holder.Incarnation
 }
 
-// AliveHosts lists the controllers that have a session, in order, as far as the mirror shows.
+// AliveHosts returns the hosts of the controllers that, according to the mirror, have a session, in
+// sorted order.
 func (s *Session) AliveHosts() []string {
 	var hosts []string
 	for _, kv := range s.mirror.Dir(SessionPrefix) {
@@ -25,14 +26,14 @@
 	return hosts
 }
 
-// restartWindow is how long a new session leaves what is not its own share to controllers that
-// may just be restarting too.
+// restartWindow is how long after its start a session counts all configured hosts as successors,
+// since other controllers may be restarting at the same time.
 const restartWindow = 2 * time.Second
 
-// Successors lists the controllers among which roles are divided whose holder's session has
-// ended: those that are alive. A session that has just opened counts all there are, given as hosts,
-// for when all have crashed they come back within a second of each other, and the first would
-// take everything.
+// Successors returns the controllers among which the roles of holders without a session are
+// divided, in sorted order: the controllers that are alive. Within restartWindow of its start, a
+// session counts all configured hosts instead. After a crash of all controllers they return within
+// a second of each other, and the first one would otherwise take all roles.
 func (s *Session) Successors(hosts []string) []string {
 	if time.Since(s.opened) > restartWindow {
 		return s.AliveHosts()
@@ -40,14 +41,14 @@
 	return slices.Sorted(slices.Values(hosts))
 }
 
-// Rejection is what another controller writes in place of a session that must not go on.
+// Rejection is the value that another controller writes to a session's key to end that session.
 type Rejection struct {
 	Reason string `json:"refused"`
 }
 
-// RejectionReason says why the session whose key kv was is rejected, or "".
+// RejectionReason returns why the session with key kv is rejected, or "" if it is not rejected.
 func RejectionReason(kv KV) string {
-	const emptyObject = "{}" // what most registrations say
+	const emptyObject = "{}" // value of most registrations
 	var rejection Rejection
 	if len(kv.Value) > len(emptyObject) && json.Unmarshal(kv.Value, &rejection) == nil {
 		return rejection.Reason
--- a/internal/statekv/mirror.go
+++ b/internal/statekv/mirror.go
@@ -8,47 +8,49 @@
 	"time"
 )
 
-// Mirror is a read replica of the keys under some prefixes, and passes on the changes under a
-// wider one. What it holds is old by the time it is read; the revision says how old. It may be
-// used from many goroutines.
+// Mirror is a local replica of the keys under some prefixes. It also passes on all changes under a
+// wider prefix. Its data may be out of date when it is read; Rev returns its revision. A Mirror is
+// safe for concurrent use.
 type Mirror struct {
 	store    Store
-	prefixes []string // of the keys that are kept
-	watched  string   // prefix of the changes that are passed on
-	block    time.Duration
-	pause    time.Duration // least time between two watches: each counts as a request
+	prefixes []string      // prefixes of the keys that are kept
+	watched  string        // prefix of the changes that are passed on
+	block    time.Duration // longest time that a watch waits at the service
+	pause    time.Duration // shortest time between two watches, each of which counts as a request
 	onEvents func([]Event)
 
-	// Parse reads the value of a kept key or of a change once, so that those who look through
-	// many keys, and all consumers of changes, need not; nil reads nothing. An error in its
-	// place says why the value cannot be decoded. Set it before Load.
+	// Parse decodes the value of a kept key or a change once, for all readers of the key and all
+	// consumers of the change. If it returns an error, the value cannot be decoded for that reason.
+	// If Parse is nil, nothing is decoded. Set it before Load.
 	Parse func(key string, value json.RawMessage) any
 
-	// OnApply gets every change, and nil when all was read anew, before the revision counts as
-	// seen: who waits for that finds the change taken note of. It must do no I/O. Set it before
-	// Load.
+	// OnApply is called with each batch of changes, and with nil after a full load, before the
+	// mirror publishes the revision. Whoever waits for the revision therefore finds the changes
+	// processed. OnApply must not do I/O. Set it before Load.
 	OnApply func([]Event)
 
-	// Track picks the changes whose latest revision TrackedRev returns; nil picks none. Set it
+	// Track reports whether TrackedRev counts a change. If Track is nil, none is counted. Set it
 	// before Load.
 	Track func(Event) bool
 
 	undecodable undecodableKeys
 
-	mu          sync.Mutex
-	dirs        directories
-	rev         uint64
-	trackedRev  uint64        // of the latest change that Track picks
-	freshAsOf   time.Time     // when the request that last showed the present was sent
-	loaded      bool          // whether rev and dirs are those of the store
-	advanced    chan struct{} // closed and replaced whenever rev grows
-	nextBarrier *barrier      // that those who come now wait for; nil: nobody waits
-	asking      bool          // whether askRevision runs
+	// mu guards the fields below.
+	mu                  sync.Mutex
+	dirs                directories
+	rev                 uint64
+	trackedRev          uint64        // revision of the latest change for which Track returns true
+	freshAsOf           time.Time     // when the latest successful load or watch was sent
+	loaded              bool          // whether rev and dirs have been loaded from the store
+	advanced            chan struct{} // closed and replaced whenever rev advances
+	pendingBarrier      *barrier      // barrier that new callers of ReadIndex join, nil if there is none
+	requestingRevisions bool          // whether requestRevisions is running
 }
 
-// NewMirror returns a mirror of the keys under prefixes, whose watches of the changes under
-// watched wait for at most block and are at least pause apart. onEvents, called from one
-// goroutine, gets every change after the first load and, after a gap in the watch, nil.
+// NewMirror returns a mirror of the keys under prefixes. Its watches cover all changes under
+// watched, wait at the service for at most block, and start at least pause apart. onEvents is
+// called from one goroutine, with each batch of changes after the first load, and with nil after a
+// reload because of a gap in the watch.
 func NewMirror(
 	store Store, prefixes []string, watched string, block, pause time.Duration, onEvents func([]Event),
 ) *Mirror {
@@ -65,14 +67,14 @@
 	}
 }
 
-// Get returns a key as last seen.
+// Get returns the mirrored value of a key.
 func (m *Mirror) Get(key string) (KV, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.dirs.get(key)
 }
 
-// Dir returns the keys directly under a prefix that ends with a slash, as last seen, in no
+// Dir returns the mirrored keys directly under a prefix that ends with a slash, in no particular
 // order.
 func (m *Mirror) Dir(prefix string) []KV {
 	m.mu.Lock()
@@ -84,22 +86,22 @@
 	return out
 }
 
-// Rev is the revision up to which the mirror is complete.
+// Rev returns the revision up to which the mirror is complete.
 func (m *Mirror) Rev() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.rev
 }
 
-// TrackedRev is the revision of the latest change, among those that can be seen here, that Track
-// picks; it is counted at the very moment at which the change can be seen.
+// TrackedRev returns the revision of the latest change for which Track returns true, among the
+// changes that the mirror shows. It advances atomically with the mirrored keys.
 func (m *Mirror) TrackedRev() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.trackedRev
 }
 
-// FreshAsOf is a moment at which the mirror was known to be complete.
+// FreshAsOf returns a time at which the mirror was known to be complete.
 func (m *Mirror) FreshAsOf() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -123,14 +125,15 @@
 	}
 }
 
-// advance publishes a revision. The caller holds the mutex.
+// advance publishes a revision and wakes waiting goroutines. The caller must hold m.mu.
 func (m *Mirror) advance(rev uint64) {
 	m.rev = rev
 	close(m.advanced)
 	m.advanced = make(chan struct{})
 }
 
-// directories holds keys by directory, the key's part up to the last slash, and by key.
+// directories holds keys by directory, which is the part of the key up to its last slash, and by
+// key.
 type directories map[string]map[string]KV
 
 func directoryOf(key string) string { return key[:strings.LastIndexByte(key, '/')+1] }
--- a/internal/statekv/mirrorwatch.go
+++ b/internal/statekv/mirrorwatch.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// watchRetryDelay is how long to wait after a watch that failed.
+// watchRetryDelay is the pause after a failed watch.
 const watchRetryDelay = 300 * time.Millisecond
 
-// Load reads the kept keys anew.
+// Load reads all kept keys from the store.
 func (m *Mirror) Load(ctx context.Context) error {
 	sent := time.Now()
 	dirs, rev, err := m.readAll(ctx)
@@ -22,7 +22,7 @@
 	}
 	m.mu.Lock()
 	m.dirs = dirs
-	m.trackedRev = max(m.trackedRev, rev) // any of the changes up to now may have been one
+	m.trackedRev = max(m.trackedRev, rev) // Track may hold for any change up to rev
 	m.mu.Unlock()
 	if m.OnApply != nil {
 		m.OnApply(nil)
@@ -34,10 +34,10 @@
 	return nil
 }
 
-// readAll lists the kept keys, and returns the revision from which to watch. Later pages may be
-// newer; watching from the first page's revision applies their changes again, which is harmless.
-// An empty store's revision is 0: that counts too, or the changes until the next page would
-// never be seen.
+// readAll lists the kept keys and returns the revision from which to watch. That is the revision of
+// the first page. Later pages may be newer, and the watch then applies their changes again, which
+// is harmless. Revision 0 of an empty store counts too; otherwise changes made between the first
+// page and the next one would never be seen.
 func (m *Mirror) readAll(ctx context.Context) (dirs directories, rev uint64, err error) {
 	dirs = directories{}
 	first := true
@@ -61,7 +61,7 @@
 	return dirs, rev, nil
 }
 
-// Run watches the changes until ctx ends. Load must have succeeded before.
+// Run watches for changes until ctx ends. Load must have succeeded before.
 func (m *Mirror) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		since := m.Rev()
@@ -86,7 +86,7 @@
 	}
 }
 
-// pauseFor waits, or until ctx ends.
+// pauseFor waits for d or until ctx ends.
 func pauseFor(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -94,8 +94,8 @@
 	}
 }
 
-// apply takes over what a watch returned that was sent at some time, and only then counts the
-// revision as seen.
+// apply applies the response of a watch that was sent at the given time, and publishes the revision
+// only after that.
 func (m *Mirror) apply(response WatchResponse, sent time.Time) {
 	for k := range response.Events {
 		if e := &response.Events[k]; e.Set != "" {
@@ -122,7 +122,7 @@
 			m.trackedRev = max(m.trackedRev, e.Rev)
 		}
 		key := e.Key()
-		if !m.keeps(key) {
+		if !m.isKept(key) {
 			continue
 		}
 		if known, _ := m.dirs.get(key); known.Rev >= e.Rev {
@@ -137,12 +137,12 @@
 	}
 }
 
-// keeps reports whether a key is under one of the mirror's prefixes.
-func (m *Mirror) keeps(key string) bool {
+// isKept reports whether a key is under one of the mirror's prefixes.
+func (m *Mirror) isKept(key string) bool {
 	return slices.ContainsFunc(m.prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// put stores a key whose value was parsed in dirs.
+// put adds a key to dirs, and reports the key if its value could not be decoded.
 func (m *Mirror) put(dirs directories, kv KV) {
 	if err, ok := kv.Parsed.(error); ok {
 		m.ReportUndecodable(kv.Key, err)
--- a/internal/statekv/pacing.go
+++ b/internal/statekv/pacing.go
@@ -8,22 +8,22 @@
 	"golang.org/x/time/rate"
 )
 
-// maxQueueTime is how long a request may wait for this client's own limits. What would wait
-// longer is rejected at once: its sender can say when to come back.
+// maxQueueTime bounds how long a request waits for this client's own limits. A request that would
+// wait longer is rejected at once, so that its sender can tell its caller when to retry.
 const maxQueueTime = time.Second
 
-// minRequestBurst is how many requests a controller may make at once at least.
+// minRequestBurst is the smallest burst of requests that a controller may send.
 const minRequestBurst = 8
 
-// requestLimits are this controller's share of the requests that the service takes. The
-// limiters guard themselves.
+// requestLimits holds this controller's share of the service's request limit. The limiters are safe
+// for concurrent use.
 type requestLimits struct {
-	perSecond float64 // for all controllers together
+	perSecond float64 // limit of all controllers together
 	requests  *rate.Limiter
 	classes   [len(classShares)]*rate.Limiter
 }
 
-// SetControllerCount has the client use its share of the requests among so many controllers.
+// SetControllerCount sets the number of controllers among which the request limit is divided.
 func (c *Client) SetControllerCount(controllers int) {
 	limits := &c.limits
 	perSecond := limits.perSecond / float64(max(1, controllers))
@@ -35,10 +35,10 @@
 	limits.classes[ClassLookup].SetLimit(rate.Limit(LookupShare * perSecond))
 }
 
-// WriteBudget is this controller's share of the changes that the service takes.
+// WriteBudget returns this controller's share of the service's change limit.
 func (c *Client) WriteBudget() *WriteBudget { return c.writes }
 
-// Allow reports whether n requests of a class may be made now, and counts them if so.
+// Allow reports whether n requests of a class may be sent now, and counts them if so.
 func (c *Client) Allow(class RequestClass, n int) bool {
 	now := time.Now()
 	limiter := c.limits.classes[class]
@@ -50,30 +50,30 @@
 	if limiter.AllowN(now, atOnce) {
 		return true
 	}
-	c.writes.noteDemand(class, n, now)
+	c.writes.recordDeferredDemand(class, n, now)
 	return false
 }
 
-// paceRequest waits until a request may be made.
+// paceRequest waits until one request may be sent.
 func (c *Client) paceRequest(ctx context.Context) error {
 	reservation := c.limits.requests.ReserveN(time.Now(), 1)
 	if !reservation.OK() {
-		return fmt.Errorf("%w: 1 at once are more than its own limit", ErrRejected)
+		return fmt.Errorf("%w: client request limit allows no burst", ErrRejected)
 	}
 	delay := reservation.Delay()
 	deadline, ok := ctx.Deadline()
 	if delay > maxQueueTime || ok && time.Until(deadline) < delay {
 		reservation.Cancel()
-		return fmt.Errorf("%w: own limit", ErrRejected)
+		return fmt.Errorf("%w: client request limit: request would wait %v", ErrRejected, delay)
 	}
-	if err := wait(ctx, delay); err != nil {
+	if err := waitForLimit(ctx, delay); err != nil {
 		reservation.Cancel()
 		return err
 	}
 	return nil
 }
 
-// paceChanges waits until n changes may be made.
+// paceChanges waits until n changes may be sent.
 func (c *Client) paceChanges(ctx context.Context, n int) error {
 	now := time.Now()
 	longest := c.writes.maxWait(n)
@@ -82,20 +82,21 @@
 	}
 	delay, ok := c.writes.reserve(n, longest, now)
 	if !ok {
-		return fmt.Errorf("%w: own limit", ErrRejected)
+		return fmt.Errorf("%w: client write budget: %d changes would wait longer than %v", ErrRejected, n, longest)
 	}
-	if err := wait(ctx, delay); err != nil {
+	if err := waitForLimit(ctx, delay); err != nil {
 		c.writes.refund(n)
 		return err
 	}
 	return nil
 }
 
-// wait waits for this client's own limits; an error says that ctx ended first.
-func wait(ctx context.Context, delay time.Duration) error {
+// waitForLimit waits for the delay that this client's own limits require. It returns an error if
+// ctx ends first.
+func waitForLimit(ctx context.Context, delay time.Duration) error {
 	select {
 	case <-ctx.Done():
-		return fmt.Errorf("%w: own limit: %w", ErrRejected, ctx.Err())
+		return fmt.Errorf("%w: waiting %v for the client rate limit: %w", ErrRejected, delay, ctx.Err())
 	case <-time.After(delay):
 		return nil
 	}
--- a/internal/statekv/readindex.go
+++ b/internal/statekv/readindex.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// readIndexTimeout bounds the request for the service's revision.
+// readIndexTimeout bounds the request for the service's current revision.
 const readIndexTimeout = 1500 * time.Millisecond
 
-// barrier is a question for the state service's revision that all who came before it was asked
-// share. rev and err are set before done is closed.
+// barrier is a pending request for the state service's revision, shared by all callers of ReadIndex
+// that joined before the request was sent. rev and err are set before done is closed.
 type barrier struct {
 	done chan struct{}
 	rev  uint64
 	err  error
 }
 
-// ReadIndex returns once the mirror shows all that was so when it was called: what the mirror
-// shows then is a linearizable read. However many ask, one request at a time goes to the state
-// service.
+// ReadIndex waits until the mirror shows every change that was committed before the call, so that
+// reads from the mirror after it returns are linearizable. At most one request at a time is sent to
+// the state service, however many callers there are.
 func (m *Mirror) ReadIndex(ctx context.Context) error {
 	b := m.joinBarrier() //nolint:contextcheck // the request is made for all who wait
 	select {
@@ -32,23 +32,24 @@
 	return m.Wait(ctx, b.rev)
 }
 
-// joinBarrier returns the barrier that the next request answers, and has that made. Whoever
-// joins first starts it for all, so it has nothing of that caller's context.
+// joinBarrier returns the barrier that the next request resolves, and starts that request if none
+// is running. The request serves all callers, so it does not use the context of the caller that
+// starts it.
 func (m *Mirror) joinBarrier() *barrier {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.nextBarrier == nil {
-		m.nextBarrier = &barrier{done: make(chan struct{})}
+	if m.pendingBarrier == nil {
+		m.pendingBarrier = &barrier{done: make(chan struct{})}
 	}
-	if !m.asking {
-		m.asking = true
-		go m.askRevision(context.Background())
+	if !m.requestingRevisions {
+		m.requestingRevisions = true
+		go m.requestRevisions(context.Background())
 	}
-	return m.nextBarrier
+	return m.pendingBarrier
 }
 
-// askRevision asks for the revision for as long as somebody waits.
-func (m *Mirror) askRevision(ctx context.Context) {
+// requestRevisions requests the revision for one barrier after the other until no caller waits.
+func (m *Mirror) requestRevisions(ctx context.Context) {
 	for {
 		b := m.takeBarrier()
 		if b == nil {
@@ -59,15 +60,16 @@
 		cancel()
 		b.rev, b.err = page.Rev, err
 		close(b.done)
-		time.Sleep(m.pause / 2) // those who come meanwhile share the next one
+		time.Sleep(m.pause / 2) // callers that arrive meanwhile share the next request
 	}
 }
 
-// takeBarrier returns the barrier to answer now; nil: nobody waits, and nobody asks any more.
+// takeBarrier returns the barrier to resolve now. If no caller waits it returns nil, and
+// requestRevisions must end.
 func (m *Mirror) takeBarrier() *barrier {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	b := m.nextBarrier
-	m.nextBarrier, m.asking = nil, b != nil
+	b := m.pendingBarrier
+	m.pendingBarrier, m.requestingRevisions = nil, b != nil
 	return b
 }
--- a/internal/statekv/role.go
+++ b/internal/statekv/role.go
@@ -8,17 +8,18 @@
 	"slices"
 )
 
-// Holder says which session of which controller holds a role.
+// Holder identifies the session of a controller that holds a role.
 type Holder struct {
 	Host        string `json:"host"`
-	Incarnation uint64 `json:"instance"` // the revision of the session's key
+	Incarnation uint64 `json:"instance"` // revision of the session's key
 }
 
-// RoleSchema is the schema version of the keys of roles that this build writes and reads.
+// RoleSchema is the schema version of role keys that this build writes, and the latest that it
+// reads.
 const RoleSchema = 0
 
-// HolderOf reads who holds a role from its key. A *SchemaError says that a later version wrote
-// it: then it must be left alone.
+// HolderOf returns the holder of a role from the role's key. A *SchemaError means that a later
+// version wrote the key, which must then be left unchanged.
 func HolderOf(kv KV) (Holder, error) {
 	var holder Holder
 	if err := CheckSchema("a role's key", kv.Value, RoleSchema); err != nil {
@@ -30,18 +31,18 @@
 	return holder, nil
 }
 
-// Role is a key that names its holder, as it was seen when its holder's session was found to
-// have ended. The revision of the key is the holder's epoch, or fencing token.
+// Role is a role to acquire or remove, as seen when its holder's session was found to have ended.
+// The revision of the role's key is the holder's epoch and fencing token.
 type Role struct {
 	Key            string
 	ExpectedRev    uint64
-	PreviousHolder Holder // whose session has ended; zero: acquired whether it is alive or not
-	Value          any    // names the new holder
+	PreviousHolder Holder // its session must have ended; if zero, no session is compared
+	Value          any    // value that names the new holder
 }
 
-// Acquire writes a role's key if it still has the expected revision, and returns the new
-// revision, which fences off earlier holders. If an answer is lost, the next try meets its own
-// write and recognises it.
+// Acquire writes a role's key if it still has the expected revision, and returns the new revision,
+// which fences earlier holders. If the response to a successful write was lost, the next call
+// conflicts with that write, recognises this session as the holder and succeeds.
 func (s *Session) Acquire(ctx context.Context, role Role) (uint64, error) {
 	rev, err := s.Write(ctx, s.RoleCompares(role), []Op{s.roleOp(role)})
 	if !IsConflict(err) {
@@ -57,12 +58,12 @@
 	return 0, err
 }
 
-// AcquireAll acquires roles like Acquire, up to maxOps with one transaction, and returns the
-// revisions of those acquired by their keys. After all controllers have crashed there are dozens
-// to acquire, and several controllers try: one by one, with a conflict for each that another was
-// faster with, that took longer than everything else until the service worked again. Roles lost
-// to others are left out; so are those whose transaction had no answer, which the mirror will
-// show if they were acquired.
+// AcquireAll acquires roles like Acquire, up to maxOps in one transaction, and returns the
+// revisions of the acquired roles by key. After all controllers have crashed, dozens of roles have
+// to be acquired while several controllers compete for them. Acquiring them one by one, with a
+// conflict for each role lost to a faster controller, took longer than all other steps of the
+// recovery together. The result omits roles lost to other controllers and roles whose transaction
+// had no answer; if such a role was acquired, the mirror will show it.
 func (s *Session) AcquireAll(ctx context.Context, roles []Role, maxOps int) (map[string]uint64, error) {
 	acquired := map[string]uint64{}
 	for len(roles) > 0 {
@@ -77,8 +78,9 @@
 	return acquired, nil
 }
 
-// acquireGroup acquires with one transaction all roles of a group that are not lost to others,
-// and notes them in acquired. It returns those that are too many for one transaction.
+// acquireGroup acquires all roles of a group that are not lost to other controllers with one
+// transaction, and records them in acquired. If the transaction is too large, it returns the roles
+// that are left.
 func (s *Session) acquireGroup(
 	ctx context.Context, group []Role, acquired map[string]uint64,
 ) (tooLarge []Role, err error) {
@@ -93,7 +95,7 @@
 		if errors.Is(err, ErrTooLarge) && len(group) > 1 {
 			return group, nil
 		}
-		remaining := s.withoutLost(group, err)
+		remaining := s.rolesNotLost(group, err)
 		if len(remaining) == len(group) {
 			// No role is lost: there was no answer, or this session has ended.
 			return nil, fmt.Errorf("acquiring %d roles: %w", len(group), err)
@@ -118,9 +120,10 @@
 	return s.Write(ctx, when, then)
 }
 
-// withoutLost returns the roles of a group that its transaction's error does not name as lost:
-// another was faster, or the previous holder is alive.
-func (s *Session) withoutLost(group []Role, err error) []Role {
+// rolesNotLost returns the roles of a group that are not lost according to the transaction's error.
+// A role is lost if another controller wrote its key first, or if the previous holder's session is
+// alive.
+func (s *Session) rolesNotLost(group []Role, err error) []Role {
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) {
 		return group
@@ -129,15 +132,17 @@
 		if slices.Contains(conflict.Failed, role.Key) {
 			return true
 		}
-		return s.comparesPrevious(role) && slices.Contains(conflict.Failed, SessionPrefix+role.PreviousHolder.Host)
+		return s.comparesPreviousHolder(role) &&
+			slices.Contains(conflict.Failed, SessionPrefix+role.PreviousHolder.Host)
 	})
 }
 
-// RoleCompares is what has to hold for a role to be acquired or removed: nobody was faster, and
-// the state service too has the previous holder's session ended, whatever the mirror shows.
+// RoleCompares returns the compares under which a role may be acquired or removed: its key has the
+// expected revision, and the previous holder's session has ended in the state service as well,
+// whatever the mirror shows.
 func (s *Session) RoleCompares(role Role) []Compare {
 	when := []Compare{{Key: role.Key, Rev: role.ExpectedRev}}
-	if s.comparesPrevious(role) {
+	if s.comparesPreviousHolder(role) {
 		previous := SessionPrefix + role.PreviousHolder.Host
 		later, _ := s.mirror.Get(previous)
 		when = append(when, Compare{Key: previous, Rev: later.Rev})
@@ -145,14 +150,14 @@
 	return when
 }
 
-// comparesPrevious reports whether a role had another host's holder whose session must have
-// ended.
-func (s *Session) comparesPrevious(role Role) bool {
+// comparesPreviousHolder reports whether the role has a previous holder on another host, whose
+// session must have ended.
+func (s *Session) comparesPreviousHolder(role Role) bool {
 	return role.PreviousHolder.Host != "" && role.PreviousHolder.Host != s.Host
 }
 
-// roleOp sets a role's key to its new value, with the fields that this build does not know of
-// the value that it replaces.
+// roleOp returns the change that sets a role's key to its new value. The new value keeps the fields
+// of the replaced value that this build does not know.
 func (s *Session) roleOp(role Role) Op {
 	value := role.Value
 	if kv, ok := s.mirror.Get(role.Key); ok && kv.Rev == role.ExpectedRev {
--- a/internal/statekv/role_test.go
+++ b/internal/statekv/role_test.go
@@ -13,9 +13,9 @@
 	"robinstack/internal/statekv"
 )
 
-// A role is not acquired from a holder that the state service knows to be alive, whatever the
-// mirror of who tries shows; and who lost one ends its session.
-func TestRoleOfALiveHolderIsNotAcquired(t *testing.T) {
+// A role cannot be acquired from a holder whose session is alive in the state service, whatever the
+// mirror shows. A session that lost a role to another controller can be aborted.
+func TestRoleOfLiveHolderIsNotAcquired(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		state := emulator.NewStateService()
 		empty := newMirror(state)
@@ -29,7 +29,7 @@
 			Key: statekv.LeaderKey, ExpectedRev: rev, PreviousHolder: holder.Holder, Value: successor.Holder,
 		}
 		if _, err := successor.Acquire(ctx, role); !statekv.IsConflict(err) {
-			t.Fatalf("acquiring the role of a live holder: %v", err)
+			t.Fatalf("acquiring the role of a live holder: got error %v, want a conflict", err)
 		}
 		ended := make(chan error, 1)
 		go func() { ended <- holder.KeepAlive(ctx) }()
@@ -38,15 +38,15 @@
 		select {
 		case <-ended:
 		default:
-			t.Fatal("a session whose role was acquired by another goes on")
+			t.Fatal("KeepAlive goes on after Abort")
 		}
 	})
 }
 
-// After all controllers have crashed several of them try to acquire the same roles. One that is
-// lost to another, or whose holder is alive after all, must not keep the rest of its transaction
-// from being acquired, nor cost a request of its own.
-func TestRolesAreAcquiredTogether(t *testing.T) {
+// After a crash of all controllers, several controllers compete for the same roles. A role that is
+// lost to another controller, or whose previous holder is alive, must not keep the other roles of
+// the transaction from being acquired, and must not take a transaction of its own.
+func TestAcquireAllSkipsLostRoles(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		state := emulator.NewStateService()
 		mirror := newMirror(state, statekv.ClusterPrefix)
@@ -60,7 +60,7 @@
 				Value:          successor.Holder,
 			})
 		}
-		roles[7].PreviousHolder = other.Holder // is alive, which the mirror does not show
+		roles[7].PreviousHolder = other.Holder // its session is alive, which the mirror does not show
 		if _, err := other.Acquire(ctx, statekv.Role{Key: roles[30].Key, Value: other.Holder}); err != nil {
 			t.Fatal(err)
 		}
@@ -71,12 +71,12 @@
 		}
 		changes := state.Changes() - before
 		if len(acquired) != 58 || acquired[roles[7].Key] != 0 || acquired[roles[30].Key] != 0 || changes != 58 {
-			t.Fatalf("acquired %d of 60 with %d changes", len(acquired), changes)
+			t.Fatalf("acquired %d of 60 roles with %d changes, want 58 with 58", len(acquired), changes)
 		}
 	})
 }
 
-// Roles are acquired with the unknown fields of their keys.
+// Acquiring a role preserves the unknown fields of its key.
 func TestAcquiredRolesPreserveUnknownFields(t *testing.T) {
 	state, ctx := emulator.NewStateService(), context.Background()
 	for k := range 3 {
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	if acquired, err := session.AcquireAll(ctx, roles[1:], 24); err != nil || len(acquired) != 2 {
-		t.Fatal(acquired, err)
+		t.Fatalf("acquired %v, error %v; want 2 roles", acquired, err)
 	}
 	for _, kv := range state.ListAll(statekv.JobShardPrefix) {
 		var v struct {
@@ -103,20 +103,21 @@
 			Colour string `json:"colour"`
 		}
 		if json.Unmarshal(kv.Value, &v) != nil || v.Colour != "blue" || v.Holder != session.Holder {
-			t.Errorf("%s: %s", kv.Key, kv.Value)
+			t.Errorf("%s: got %s, want holder %v and colour blue", kv.Key, kv.Value, session.Holder)
 		}
 	}
 }
 
-// A role's key of a schema version that this build does not know is not taken for a damaged one.
-func TestRoleOfALaterSchemaIsNotDamaged(t *testing.T) {
+// A role key with a later schema version is reported as a *SchemaError, a malformed role key is
+// not.
+func TestRoleOfLaterSchemaIsSchemaError(t *testing.T) {
 	var later *statekv.SchemaError
 	_, err := statekv.HolderOf(statekv.KV{Value: json.RawMessage(`{"form":1,"host":"x"}`)})
 	if !errors.As(err, &later) || later.Schema != 1 || later.MaxSchema != statekv.RoleSchema {
-		t.Error(err)
+		t.Errorf("role key of a later schema: got error %v, want a *SchemaError", err)
 	}
 	_, err = statekv.HolderOf(statekv.KV{Value: json.RawMessage(`"x"`)})
 	if err == nil || errors.As(err, &later) {
-		t.Error(err)
+		t.Errorf("malformed role key: got error %v, want an error other than *SchemaError", err)
 	}
 }
--- a/internal/statekv/schema.go
+++ b/internal/statekv/schema.go
@@ -5,8 +5,7 @@
 	"fmt"
 )
 
-// SchemaOf returns the schema version that a stored object names; absent means 0, the version
-// of the time before there were any.
+// SchemaOf returns the schema version of a stored object. Objects without a version have version 0.
 func SchemaOf(raw json.RawMessage) int {
 	var object struct {
 		Schema int `json:"form"`
@@ -17,20 +16,20 @@
 	return object.Schema
 }
 
-// SchemaError says that a stored object has a schema version that this build does not read.
+// SchemaError reports that a stored object has a schema version that this build cannot read.
 type SchemaError struct {
-	Kind              string // what the object is
-	Schema, MaxSchema int    // its version, and the latest that this build reads
+	Kind              string // kind of object
+	Schema, MaxSchema int    // version of the object, and latest version that this build reads
 }
 
-// Error calls the version what the stored objects call it: form. The text is part of the status
-// and of what the compatibility check prints.
+// Error uses the name of the version in the stored objects: form. The text is part of the status
+// and of the output of the compatibility check.
 func (e *SchemaError) Error() string {
 	return fmt.Sprintf("%s has form %d; this build reads forms up to %d", e.Kind, e.Schema, e.MaxSchema)
 }
 
-// CheckSchema returns a *SchemaError if raw, an object of a kind, has a schema version above
-// maxSchema.
+// CheckSchema returns a *SchemaError if the object raw, of the given kind, has a schema version
+// above maxSchema.
 func CheckSchema(kind string, raw json.RawMessage, maxSchema int) error {
 	if schema := SchemaOf(raw); schema > maxSchema {
 		return &SchemaError{Kind: kind, Schema: schema, MaxSchema: maxSchema}
--- a/internal/statekv/session.go
+++ b/internal/statekv/session.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Fractions of a lease's time to live.
+// Divisors of a lease's TTL.
 const (
-	// renewalsPerTTL is how many renewals are sent within it: several may fail.
+	// renewalsPerTTL is the number of renewals sent within one TTL, so that several may fail.
 	renewalsPerTTL = 4
-	// marginPerTTL is the fraction of it that a session gives up for clock drift and for the
-	// time that a write takes.
-	marginPerTTL = 8
+	// leaseMarginDivisor is the divisor of the TTL that gives the part at its end during which the
+	// session does not rely on the lease, because of clock drift and the duration of writes.
+	leaseMarginDivisor = 8
 )
 
-// Session is one session of this controller: a key attached to a lease. Every write carries the
-// compare that the key still has its revision, the incarnation, so nothing that this session
-// sent can be applied after its end.
+// Session is a session of this controller: a key attached to a lease. Every write carries a compare
+// that the key still has the session's revision, the incarnation, so no write of this session can
+// be applied after its end.
 type Session struct {
 	Holder
 	store  Store
@@ -30,23 +30,26 @@
 	lease  uint64
 	opened time.Time
 
-	aborted chan error // why the session has to end although the lease is held
+	aborted chan error // receives the reason if the session must end while it holds the lease
 
+	// mu guards lastRenewal.
 	mu          sync.Mutex
 	lastRenewal time.Time // when the last successful renewal was sent
 }
 
-// Registration is what the key of a session says, and what has to hold for it to open.
+// Registration is the value of a session's key, with the conditions and changes of the transaction
+// that opens the session.
 type Registration struct {
-	Value    any       // nil: nothing
-	Compares []Compare // a *ConflictError from OpenSession says that one did not hold
-	Ops      []Op      // written with it
+	Value    any       // nil for an empty object
+	Compares []Compare // OpenSession returns a *ConflictError if one does not hold
+	Ops      []Op      // changes written in the same transaction
 }
 
-// OpenSession opens a session of host, ending any earlier one that the mirror shows. A copy of
-// an earlier registration that is carried out late, with its lease alive because the request to
-// revoke that was lost as well, must not replace this one: the key has to be as it was seen, or
-// the next try sees what it is.
+// OpenSession opens a session of host and ends any earlier session that the mirror shows. A delayed
+// copy of an earlier registration may be applied late, while its lease is still alive because the
+// request to revoke it was lost too. Such a copy must not replace this session, so the key is
+// compared with its revision in the mirror. If the compare fails, the next attempt sees the current
+// revision.
 func OpenSession(
 	ctx context.Context, store Store, mirror *Mirror, host string, ttl time.Duration, reg Registration,
 ) (*Session, error) {
@@ -59,14 +62,14 @@
 		reg.Value = struct{}{}
 	}
 	key := SessionPrefix + host
-	former, _ := mirror.Get(key)
-	when := append(slices.Clone(reg.Compares), Compare{Key: key, Rev: former.Rev})
+	previous, _ := mirror.Get(key)
+	when := append(slices.Clone(reg.Compares), Compare{Key: key, Rev: previous.Rev})
 	then := append([]Op{{Set: key, Value: reg.Value, Lease: lease}}, reg.Ops...)
 	rev, err := store.Txn(ctx, when, then)
 	if err != nil {
-		// A copy applied late must not replace a later registration.
+		// A delayed copy of the transaction must not replace a later registration.
 		_ = store.Revoke(ctx, lease)
-		return nil, fmt.Errorf("registering: %w", err)
+		return nil, fmt.Errorf("registering the session of %s: %w", host, err)
 	}
 	return &Session{
 		Holder:      Holder{Host: host, Incarnation: rev},
@@ -80,8 +83,8 @@
 	}, nil
 }
 
-// KeepAlive renews the lease until ctx ends, the lease is lost or the session is aborted; the
-// error says which.
+// KeepAlive renews the lease until ctx ends, the lease is lost, a later session replaces this one,
+// or the session is aborted. The error tells which.
 func (s *Session) KeepAlive(ctx context.Context) error {
 	tick := time.NewTicker(s.ttl / renewalsPerTTL)
 	defer tick.Stop()
@@ -111,8 +114,9 @@
 	}
 }
 
-// Abort ends this session, for the given reason: another controller holds a role that only this
-// one should hold, so that others do not take it for alive.
+// Abort ends this session for the given reason. It is used when another controller holds a role
+// that only this controller should hold, so that the other controllers no longer treat this session
+// as alive.
 func (s *Session) Abort(reason error) {
 	select {
 	case s.aborted <- reason:
@@ -120,20 +124,22 @@
 	}
 }
 
-// HoldsLease reports whether the lease is certainly held right now.
-func (s *Session) HoldsLease() bool { return time.Since(s.LastRenewal()) < s.ttl-s.ttl/marginPerTTL }
+// HoldsLease reports whether this session certainly holds its lease now.
+func (s *Session) HoldsLease() bool {
+	return time.Since(s.LastRenewal()) < s.ttl-s.ttl/leaseMarginDivisor
+}
 
-// LastRenewal is when the last successful renewal was sent.
+// LastRenewal returns when the last successful renewal was sent.
 func (s *Session) LastRenewal() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastRenewal
 }
 
-// Fence is the compare that every write of this session carries.
+// Fence returns the compare that every write of this session carries.
 func (s *Session) Fence() Compare { return Compare{Key: SessionPrefix + s.Host, Rev: s.Incarnation} }
 
-// Write applies then under the session's fence and the given compares.
+// Write applies then if the session's fence and all given compares hold.
 func (s *Session) Write(ctx context.Context, when []Compare, then []Op) (uint64, error) {
 	return s.store.Txn(ctx, append([]Compare{s.Fence()}, when...), then)
 }
--- a/internal/statekv/session_test.go
+++ b/internal/statekv/session_test.go
@@ -11,36 +11,36 @@
 	"robinstack/internal/statekv"
 )
 
-// A session whose lease is not renewed no longer counts on it before it can have expired, and
-// nothing that it writes is applied after a later session has opened.
-func TestSessionIsFencedByALaterOne(t *testing.T) {
+// A session whose lease is not renewed stops relying on it before it can have expired, and none of
+// its writes is applied after a later session has opened.
+func TestSessionIsFencedByLaterSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const ttl = 4 * time.Second
 		state := emulator.NewStateService()
 		mirror := newMirror(state, statekv.ClusterPrefix)
 		former := openSession(t, state, mirror, "host-0", ttl)
 		if !former.HoldsLease() {
-			t.Error("it does not hold the lease that it has just obtained")
+			t.Error("a new session does not hold its lease")
 		}
 		time.Sleep(ttl - ttl/8)
 		if former.HoldsLease() {
-			t.Error("it counts on a lease that may expire before a write is carried out")
+			t.Error("the session relies on a lease that may expire before a write is applied")
 		}
 		load(t, mirror)
 		later := openSession(t, state, mirror, "host-0", ttl)
 		change := []statekv.Op{{Set: "x", Value: 1}}
 		if _, err := former.Write(t.Context(), nil, change); !statekv.IsConflict(err) {
-			t.Errorf("the former session writes: %v", err)
+			t.Errorf("write of the former session: got error %v, want a conflict", err)
 		}
 		if _, err := later.Write(t.Context(), nil, change); err != nil {
-			t.Errorf("the later session writes: %v", err)
+			t.Errorf("write of the later session: %v", err)
 		}
 	})
 }
 
-// While all may be restarting, successors are all hosts there are; from then on, those that have
-// a session, and no rejected one.
-func TestSuccessorsAreTheLiveAfterARestart(t *testing.T) {
+// Within the restart window, successors are all configured hosts. After it, they are the hosts with
+// a session that is not rejected.
+func TestSuccessorsDuringAndAfterRestartWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := emulator.NewStateService()
 		mirror := newMirror(state, statekv.ClusterPrefix)
@@ -50,11 +50,11 @@
 		load(t, mirror)
 		configured := []string{"host-2", "host-0", "host-1"}
 		if got := session.Successors(configured); !slices.Equal(got, []string{"host-0", "host-1", "host-2"}) {
-			t.Errorf("just after its start: %v", got)
+			t.Errorf("successors within the restart window: got %v, want all configured hosts", got)
 		}
 		time.Sleep(2*time.Second + time.Millisecond)
 		if got := session.Successors(configured); !slices.Equal(got, []string{"host-1"}) {
-			t.Errorf("later: %v", got)
+			t.Errorf("successors after the restart window: got %v, want host-1", got)
 		}
 	})
 }
@@ -68,7 +68,7 @@
 		`[1,2]`:             "",
 	} {
 		if got := statekv.RejectionReason(statekv.KV{Value: json.RawMessage(value)}); got != reason {
-			t.Errorf("%s is rejected because of %q", value, got)
+			t.Errorf("rejection reason of %s: got %q, want %q", value, got, reason)
 		}
 	}
 }
--- a/internal/statekv/transport.go
+++ b/internal/statekv/transport.go
@@ -14,15 +14,15 @@
 // txnPath is the path of transactions, the only requests that may be too large.
 const txnPath = "/txn"
 
-// request is one request to the state service.
+// request is a request to the state service.
 type request struct {
 	method string
 	path   string
-	body   any           // nil: none
-	extra  time.Duration // that it may take beyond requestTimeout, for it waits at the service
+	body   any           // nil if there is none
+	extra  time.Duration // time added to requestTimeout for requests that wait at the service
 }
 
-// call sends a request and decodes its answer into out, unless that is nil.
+// call sends a request and decodes the response into out, unless out is nil.
 func (c *Client) call(ctx context.Context, req request, out any) error {
 	response, err := c.send(ctx, req)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// send sends a request and returns the answer of one that was carried out, or that was refused
-// because a compare did not hold (409). What every other answer means is said by the error.
+// send sends a request. It returns the response if the request was carried out, or if it was
+// rejected because a compare did not hold (status 409). All other responses are returned as errors.
 func (c *Client) send(ctx context.Context, req request) (httpjson.Response, error) {
 	response, err := c.http.Do(ctx, req.method, c.base+req.path, req.body, req.extra)
 	if err != nil {
@@ -55,7 +55,7 @@
 		return response, badRequest(req, response)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		if response.Status == http.StatusTooManyRequests && req.path == txnPath {
-			c.writes.noteRejection(time.Now())
+			c.writes.recordRejection(time.Now())
 		}
 		slog.Debug("state request rejected", "method", req.method, "path", req.path, "status", response.Status)
 		return response, fmt.Errorf("%w: %s %s: status %d", ErrRejected, req.method, req.path, response.Status)
@@ -63,8 +63,9 @@
 	return response, fmt.Errorf("%w: %s %s: status %d", ErrOutcomeUnknown, req.method, req.path, response.Status)
 }
 
-// badRequest is the error of a request that was answered as malformed. A transaction is taken
-// for too large, unless the answer names a lease: that is one which has ended.
+// badRequest returns the error for a request that the service rejected as malformed. A rejected
+// transaction counts as too large, unless the response names a lease: then the transaction's lease
+// has ended.
 func badRequest(req request, response httpjson.Response) error {
 	if req.path != txnPath {
 		return fmt.Errorf("%w: %s %s: status %d", ErrRejected, req.method, req.path, response.Status)
--- a/internal/statekv/txn.go
+++ b/internal/statekv/txn.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// txnBody is the body of a transaction.
+// txnBody is the request body of a transaction.
 type txnBody struct {
 	When []Compare `json:"when"`
 	Then []Op      `json:"then,omitempty"`
 }
 
-// Txn applies then if every compare holds, and returns the new revision. A *ConflictError says
-// that one did not hold.
+// Txn applies then if every compare holds, and returns the new revision. It returns a
+// *ConflictError if a compare does not hold.
 func (c *Client) Txn(ctx context.Context, when []Compare, then []Op) (uint64, error) {
 	if err := c.paceRequest(ctx); err != nil {
 		return 0, err
 	}
-	// What only compares changes nothing, and need not wait for changes.
+	// A transaction with compares only makes no changes and is not limited by the write budget.
 	if len(then) > 0 {
 		if err := c.paceChanges(ctx, len(then)); err != nil {
 			return 0, err
@@ -51,22 +51,24 @@
 	return out.Rev, nil
 }
 
-// MaxTxnOps is how many changes a transaction may have, of as many as the settings allow.
+// MaxTxnOps returns the largest number of changes in a transaction, given the limit in the
+// settings.
 func (c *Client) MaxTxnOps(ops int) int { return c.txnLimit.limit(ops) }
 
-// TxnBatchSize is how many of many changes are best made with one transaction: what can be made
-// soon, for a larger one would wait, or be rejected, while what it needs comes in.
+// TxnBatchSize returns how many of up to ops changes to put into one transaction: no more than the
+// write budget allows soon. A larger transaction would wait, or be rejected, until its changes fit
+// into the budget.
 func (c *Client) TxnBatchSize(ops int) int {
 	return min(c.MaxTxnOps(ops), c.writes.opsSoon(time.Now()))
 }
 
-// txnSizeLimit learns how many changes the service takes in a transaction: its limits can be
-// lowered without notice. The zero value has seen no limit.
+// txnSizeLimit tracks how many changes the service accepts in one transaction, because the service
+// may lower its limits without notice. The zero value has no limit.
 type txnSizeLimit struct {
-	ops atomic.Int64 // that the service was seen to take; 0: any
+	ops atomic.Int64 // number of changes that the service accepts, 0 if no limit is known
 }
 
-// limit returns ops, or fewer if the service takes fewer.
+// limit returns ops, or fewer if the service accepts fewer changes.
 func (l *txnSizeLimit) limit(ops int) int {
 	if limit := l.ops.Load(); limit > 0 {
 		return min(ops, int(limit))
@@ -74,31 +76,32 @@
 	return ops
 }
 
-// lower halves the limit, for a transaction of n changes was too large. Who writes many at once
-// splits them and goes on.
+// lower sets the limit to half of n after a transaction with n changes was too large. Callers with
+// many changes split them into smaller transactions.
 func (l *txnSizeLimit) lower(n int) {
 	slog.Warn("state transaction size limit lowered", "operations", n)
 	l.ops.Store(int64(max(1, n/2)))
 }
 
-// raise lets transactions grow again after one of n changes was taken, by one at a time: what
-// was too large may have been a value.
+// raise raises the limit to n+1 after a transaction with n changes, at least the current limit, was
+// accepted. The limit grows again because the rejected transaction may have been too large because
+// of a single value.
 func (l *txnSizeLimit) raise(n int) {
 	if limit := l.ops.Load(); limit > 0 && int64(n) >= limit {
 		l.ops.CompareAndSwap(limit, int64(n)+1)
 	}
 }
 
-// onSendKey is the key of a context's value that WithOnSend sets.
+// onSendKey is the context key of the function set by WithOnSend.
 type onSendKey struct{}
 
-// WithOnSend has f called when a transaction made with the context goes out, which is later than
-// its call where this client's own limits make it wait.
+// WithOnSend returns a context with which Txn calls f when the transaction is sent. That is later
+// than the call of Txn if this client's own limits delay it.
 func WithOnSend(ctx context.Context, f func()) context.Context {
 	return context.WithValue(ctx, onSendKey{}, f)
 }
 
-// NotifySent calls what WithOnSend gave, if anything. Every Store does so in Txn.
+// NotifySent calls the function set by WithOnSend, if any. Every Store calls NotifySent in Txn.
 func NotifySent(ctx context.Context) {
 	if f, ok := ctx.Value(onSendKey{}).(func()); ok {
 		f()
--- a/internal/statekv/undecodable.go
+++ b/internal/statekv/undecodable.go
@@ -6,27 +6,28 @@
 	"sync"
 )
 
-// maxUndecodable bounds the undecodable keys that are kept in mind.
+// maxUndecodable bounds the number of undecodable keys that a mirror records.
 const maxUndecodable = 100
 
-// undecodableKeys holds why keys' values cannot be decoded.
+// undecodableKeys records the keys whose values cannot be decoded, with the reasons.
 type undecodableKeys struct {
 	mu      sync.Mutex
 	reasons map[string]string // by key
 }
 
-// ReportUndecodable notes that the value of a key cannot be decoded, and logs it once. The key
-// is left as it is, for whoever wrote it can read it, or a person has to see it.
+// ReportUndecodable records that the value of a key cannot be decoded, and logs it once. The key is
+// kept unchanged, since the version that wrote it may be able to decode it, or an operator has to
+// inspect it.
 func (m *Mirror) ReportUndecodable(key string, err error) {
 	if m.undecodable.add(key, err) {
 		slog.Error("stored value undecodable, kept unchanged", "key", key, "err", err)
 	}
 }
 
-// Undecodable lists the keys whose values cannot be decoded, with the reason.
+// Undecodable returns the keys whose values cannot be decoded, with the reasons.
 func (m *Mirror) Undecodable() map[string]string { return m.undecodable.list() }
 
-// add notes a key, and reports whether it is new.
+// add records a key and reports whether it was added.
 func (u *undecodableKeys) add(key string, err error) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -37,7 +38,7 @@
 	return true
 }
 
-// remove forgets a key, whose value has changed.
+// remove drops a key whose value has changed.
 func (u *undecodableKeys) remove(key string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/statekv/unknownfields.go
+++ b/internal/statekv/unknownfields.go
@@ -7,14 +7,15 @@
 	"strings"
 )
 
-// UnknownFields holds the fields of a stored object that its reader does not know, by name: a
-// later version wrote them. Whoever rewrites the object has to preserve them, or a controller
-// of the former version would undo what the later one did, only by doing its work in the midst
-// of a rolling upgrade.
+// UnknownFields holds, by name, the fields of a stored object that its reader does not know because
+// a later version wrote them. Whoever rewrites the object has to preserve them. Otherwise, during a
+// rolling upgrade, a controller with the former version would undo changes of the later version in
+// its normal operation.
 type UnknownFields map[string]json.RawMessage
 
-// UnknownFieldsOf returns the fields of raw that the struct (or pointer to one) known has no
-// place for, or nil. What is no JSON object has none.
+// UnknownFieldsOf returns the fields of the JSON object raw that have no counterpart in the type of
+// known, a struct or a pointer to a struct. It returns nil if there are none or if raw is not a
+// JSON object.
 func UnknownFieldsOf(raw json.RawMessage, known any) UnknownFields {
 	var fields UnknownFields
 	if json.Unmarshal(raw, &fields) != nil {
@@ -27,7 +28,8 @@
 	return fields
 }
 
-// dropKnown removes the fields that a struct type, or a pointer to one, has a place for.
+// dropKnown removes the fields that have a counterpart in a struct type or pointer to a struct
+// type.
 func (u UnknownFields) dropKnown(known reflect.Type) {
 	if known == nil {
 		return
@@ -50,14 +52,15 @@
 	}
 }
 
-// WithUnknown is a value that is written with the unknown fields of the object that it replaces.
+// WithUnknown is a value that is written together with the unknown fields of the object that it
+// replaces.
 type WithUnknown struct {
 	Value   any
 	Unknown UnknownFields
 }
 
-// MarshalJSON writes the value, a JSON object, and the unknown fields. The value's own fields
-// go before.
+// MarshalJSON writes the value, which must be a JSON object, with the unknown fields. The value's
+// own fields take precedence.
 func (w WithUnknown) MarshalJSON() ([]byte, error) {
 	raw, err := json.Marshal(w.Value)
 	if err != nil || len(w.Unknown) == 0 {
@@ -75,8 +78,7 @@
 	return json.Marshal(fields)
 }
 
-// PreserveUnknown returns value with the fields that it does not know of the object that it
-// replaces.
+// PreserveUnknown returns value together with the unknown fields of the object that it replaces.
 func PreserveUnknown(replaced json.RawMessage, value any) any {
 	if unknown := UnknownFieldsOf(replaced, value); unknown != nil {
 		return WithUnknown{Value: value, Unknown: unknown}
--- a/internal/statekv/unknownfields_test.go
+++ b/internal/statekv/unknownfields_test.go
@@ -14,15 +14,15 @@
 	Host string `json:"host"`
 }
 
-// knownFields are those of a build, some of them in an embedded struct.
+// knownFields is the type of a build, with some fields in an embedded struct.
 type knownFields struct {
 	embedded
 	Index int    `json:"index"`
 	Note  string `json:"note,omitempty"`
 }
 
-// Whatever a later version wrote beside what this one knows is there after a rewrite, and what
-// this one knows is as it wrote it, also where that is nothing.
+// A rewrite preserves all fields written by a later version, and writes the known fields as this
+// version has them, also where a field is empty and omitted.
 func TestRewritesPreserveUnknownFields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		later := rapid.MapOf(rapid.StringMatching(`[a-z]{1,6}`), rapid.Int()).Draw(t, "later")
@@ -42,20 +42,20 @@
 		want, _ := json.Marshal(stored)
 		var a, b map[string]any
 		if json.Unmarshal(out, &a) != nil || json.Unmarshal(want, &b) != nil || !reflect.DeepEqual(a, b) {
-			t.Fatalf("%s became %s", raw, out)
+			t.Fatalf("rewrite of %s: got %s, want %s", raw, out, want)
 		}
 	})
 	for _, none := range []string{`[1]`, `"x"`, `null`, ``} {
 		if unknown := statekv.UnknownFieldsOf(json.RawMessage(none), knownFields{}); unknown != nil {
-			t.Errorf("%q has %v", none, unknown)
+			t.Errorf("unknown fields of %q: got %v, want none", none, unknown)
 		}
 	}
 }
 
-// Unknown fields can only be written beside those of an object.
-func TestUnknownFieldsNeedAnObject(t *testing.T) {
+// Unknown fields can be written only together with a JSON object.
+func TestUnknownFieldsRequireObject(t *testing.T) {
 	unknown := statekv.UnknownFields{"colour": json.RawMessage(`"blue"`)}
 	if out, err := json.Marshal(statekv.WithUnknown{Value: []int{1}, Unknown: unknown}); err == nil {
-		t.Errorf("a list became %s", out)
+		t.Errorf("marshalling a list with unknown fields: got %s, want an error", out)
 	}
 }
--- a/internal/statekv/wire_test.go
+++ b/internal/statekv/wire_test.go
@@ -29,16 +29,16 @@
 
 func TestWireStoredForms(t *testing.T) {
 	if got := SchemaOf(json.RawMessage(`{"form":7}`)); got != 7 {
-		t.Errorf("the form of an object reads as %d, want 7", got)
+		t.Errorf("schema version: got %d, want 7", got)
 	}
 	raw, err := json.Marshal(PreserveUnknown(json.RawMessage(`{"host":"h","later":[1]}`), Holder{Host: "g", Incarnation: 2}))
 	if want := `{"host":"g","instance":2,"later":[1]}`; err != nil || string(raw) != want {
-		t.Errorf("a kept object is %s, %v; want %s", raw, err, want)
+		t.Errorf("object with unknown fields: got %s, error %v; want %s", raw, err, want)
 	}
 }
 
-// kindOf names an error by what callers tell apart.
-func kindOf(err error) string {
+// errorKind names the kind of an error, as callers distinguish it.
+func errorKind(err error) string {
 	var conflict *ConflictError
 	switch {
 	case err == nil:
@@ -68,7 +68,7 @@
 		`404 {}`, `410 {}`, `429 {}`, `503 {}`)
 	c := NewClient(p.Address(), 1000, 1000, 1)
 	ctx := context.Background()
-	note := func(v any, err error) { p.Notef("  %s %s", wireformat.Indent(t, v), kindOf(err)) }
+	note := func(v any, err error) { p.Notef("  %s %s", wireformat.Indent(t, v), errorKind(err)) }
 
 	note(c.Get(ctx, "a/b"))
 	note(c.List(ctx, "c/", "c/7"))
--- a/internal/statekv/writebudget.go
+++ b/internal/statekv/writebudget.go
@@ -7,50 +7,51 @@
 	"robinstack/internal/budget"
 )
 
-// WriteBudget paces a controller's changes by its share of what the state service takes, and
-// knows how many it would make. It may be used from many goroutines.
+// WriteBudget limits the rate of a controller's changes to its share of what the state service
+// accepts, and measures how many changes the controller would make. It is safe for concurrent use.
 type WriteBudget struct {
-	mu            sync.Mutex
-	share         *budget.Share
-	bucket        *budget.TokenBucket
-	demand        demandWindow
-	waiting       [len(classShares)]deferredDemand
-	holdsLease    func() bool // nil: there is no session
-	sessionStart  time.Time
-	rejectedUntil time.Time // the service rejected changes as too many lately
-}
-
-// deferredDemand is what a class of changes that can wait has no capacity for.
+	// mu guards the fields below.
+	mu           sync.Mutex
+	share        *budget.Share
+	bucket       *budget.TokenBucket
+	demand       demandWindow
+	deferred     [len(classShares)]deferredDemand
+	holdsLease   func() bool // nil if there is no session
+	sessionStart time.Time
+	reducedUntil time.Time // end of the reduced rate after the service rejected changes
+}
+
+// deferredDemand is the number of changes of a class for which Allow found no capacity.
 type deferredDemand struct {
-	changes int
-	at      time.Time
+	changes    int
+	recordedAt time.Time
 }
 
-// deferredDemandExpiry is how long deferred demand counts that is not noted again.
+// deferredDemandExpiry is how long deferred demand counts unless it is recorded again.
 const deferredDemandExpiry = 500 * time.Millisecond
 
-// minBurst is how many changes a controller may make at once at least: a session begins with up
-// to four.
+// minBurst is the smallest burst of changes of a controller: opening a session takes up to 4
+// changes.
 const minBurst = 4
 
-// minBatchOps is the least that a transaction may have, however little can be made soon: the
-// completion of a job and a change of the cluster version need as much.
+// minBatchOps is the smallest limit on the changes of a transaction, however few can be sent soon.
+// The completion of a job and a change of the cluster version need that many.
 const minBatchOps = 6
 
-// burstSeconds is how many seconds' worth of its share a controller may make at once: together
-// they are within the one second's worth of the whole limit that the service takes at once, of
-// which the shares are nine tenths.
+// burstSeconds sets the burst of a controller, in seconds of its share. The shares add up to nine
+// tenths of the service's limit, so all bursts together stay within the burst of one second of the
+// whole limit that the service accepts.
 const burstSeconds = 1.1
 
-// maxQueueTimeLarge is how long a transaction may wait that has more changes than the bucket
-// holds.
+// maxQueueTimeLarge bounds how long a transaction with more changes than the bucket holds may wait.
 const maxQueueTimeLarge = 6 * time.Second
 
-// After the service has rejected changes as too many, only a share of the rate is used for a
-// while: others may use more than they should, a former version for one.
+// After the service has rejected changes because of its rate limit, only rejectedRateFraction of the
+// rate is used for reducedRateDuration. Other controllers may use more than their share, for example
+// those that run a former version.
 const (
-	rejectedRateShare = 0.5
-	rejectedDuration  = 2 * time.Second
+	rejectedRateFraction = 0.5
+	reducedRateDuration  = 2 * time.Second
 )
 
 func newWriteBudget(changes float64, controllers int) *WriteBudget {
@@ -63,21 +64,22 @@
 	}
 }
 
-// bucketSize is how many changes may accumulate.
+// bucketSize returns how many changes may accumulate.
 func bucketSize(share *budget.Share) float64 {
 	return max(minBurst, burstSeconds*share.Guaranteed())
 }
 
-// SetSession has the budget count a session as begun while it certainly holds its lease; nil
-// says that there is none. Without one, or in one that has just begun, it uses only a part of
-// its share.
+// SetSession sets the start of the session and the function that reports whether it certainly holds
+// its lease; nil means that there is no session. Without a session or its lease, or soon after the
+// session's start, only a part of the share is used.
 func (w *WriteBudget) SetSession(start time.Time, holdsLease func() bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.sessionStart, w.holdsLease = start, holdsLease
 }
 
-// refresh has the bucket fill at the rate of now, and returns that. The caller holds the mutex.
+// refresh sets the bucket's fill rate to the current rate and returns that rate. The caller must
+// hold w.mu.
 func (w *WriteBudget) refresh(now time.Time) float64 {
 	start := time.Time{}
 	if w.holdsLease != nil && w.holdsLease() {
@@ -85,36 +87,36 @@
 	}
 	w.share.SetSessionStart(start)
 	rate, until, base := w.share.Rate(now)
-	if now.Before(w.rejectedUntil) {
-		rate, base = rate*rejectedRateShare, base*rejectedRateShare
+	if now.Before(w.reducedUntil) {
+		rate, base = rate*rejectedRateFraction, base*rejectedRateFraction
 	}
 	w.bucket.SetRate(rate, until, base, now)
 	return rate
 }
 
-// noteRejection notes that the service rejected changes as too many.
-func (w *WriteBudget) noteRejection(now time.Time) {
+// recordRejection records that the service rejected changes because of its rate limit.
+func (w *WriteBudget) recordRejection(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rejectedUntil = now.Add(rejectedDuration)
+	w.reducedUntil = now.Add(reducedRateDuration)
 }
 
-// rate is how many changes a second may be made now.
+// rate returns the number of changes per second that may be made now.
 func (w *WriteBudget) rate(now time.Time) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.refresh(now)
 }
 
-// opsSoon is how many changes at once need wait for about half a second at most.
+// opsSoon returns how many changes in one transaction would wait for at most about half a second.
 func (w *WriteBudget) opsSoon(now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return int(max(minBatchOps, w.share.Guaranteed(), w.refresh(now)/2))
 }
 
-// reserve reserves n changes and returns how long to wait before they are made. It reserves
-// nothing and is not ok if that would be longer than longest.
+// reserve reserves n changes and returns how long to wait before sending them. If the delay would
+// exceed longest, it reserves nothing and returns false.
 func (w *WriteBudget) reserve(n int, longest time.Duration, now time.Time) (delay time.Duration, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -123,15 +125,15 @@
 	return w.bucket.Reserve(n, longest, now)
 }
 
-// refund gives back n changes that were reserved and not made.
+// refund returns n changes that were reserved and not made.
 func (w *WriteBudget) refund(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.bucket.Refund(n)
 }
 
-// maxWait is how long n changes may wait. Those that are more than accumulate have to wait for
-// longer than others, or they would never be made.
+// maxWait returns how long n changes may wait. Transactions with more changes than the bucket holds
+// may wait longer than others, because they would otherwise never be sent.
 func (w *WriteBudget) maxWait(n int) time.Duration {
 	if float64(n) > bucketSize(w.share) {
 		return maxQueueTimeLarge
@@ -139,26 +141,26 @@
 	return maxQueueTime
 }
 
-// noteDemand notes that n changes of a class wait for capacity.
-func (w *WriteBudget) noteDemand(class RequestClass, n int, now time.Time) {
+// recordDeferredDemand records that n changes of a class wait for capacity.
+func (w *WriteBudget) recordDeferredDemand(class RequestClass, n int, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.waiting[class] = deferredDemand{changes: n, at: now}
+	w.deferred[class] = deferredDemand{changes: n, recordedAt: now}
 }
 
-// changesWanted is how many changes a second would be made: what was asked for within the last
-// second, and what waits. The caller holds the mutex.
+// changesWanted returns how many changes per second the controller would make: those requested
+// within the last second, and those that wait. The caller must hold w.mu.
 func (w *WriteBudget) changesWanted(now time.Time) float64 {
 	wanted := w.demand.total(now)
-	for _, deferred := range w.waiting {
-		if now.Sub(deferred.at) < deferredDemandExpiry {
+	for _, deferred := range w.deferred {
+		if now.Sub(deferred.recordedAt) < deferredDemandExpiry {
 			wanted += float64(deferred.changes)
 		}
 	}
 	return wanted + w.bucket.Backlog(now)
 }
 
-// Report is the report to the allocator that is sent now.
+// Report returns the report to the allocator to be sent now.
 func (w *WriteBudget) Report(host string, now time.Time) budget.DemandReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -166,33 +168,33 @@
 	return w.share.Report(host, w.changesWanted(now), now)
 }
 
-// ApplyGrant takes the allocator's answer to a report that was sent at some time.
+// ApplyGrant applies the allocator's answer to the report that was sent at the given time.
 func (w *WriteBudget) ApplyGrant(grant budget.Grant, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.share.ApplyGrant(grant, sent)
 }
 
-// The spans of a demandWindow: together the last second.
+// Intervals of a demandWindow. Together they cover the last second.
 const (
-	demandSpans    = 4
-	demandSpanTime = 250 * time.Millisecond
+	demandIntervals      = 4
+	demandIntervalLength = 250 * time.Millisecond
 )
 
-// demandWindow counts the changes that were asked for within the last second. Its owner guards
-// it.
+// demandWindow counts the changes requested within the last second. It is not safe for concurrent
+// use.
 type demandWindow struct {
-	changes [demandSpans]float64 // by span
-	latest  int64                // the number of the latest span
+	changes [demandIntervals]float64 // by interval number modulo demandIntervals
+	latest  int64                    // number of the latest interval
 }
 
-// add counts n changes that are asked for.
+// add counts n requested changes.
 func (d *demandWindow) add(n float64, now time.Time) {
 	d.advance(now)
-	d.changes[d.latest%demandSpans] += n
+	d.changes[d.latest%demandIntervals] += n
 }
 
-// total is how many were asked for.
+// total returns the number of changes requested within the window.
 func (d *demandWindow) total(now time.Time) (sum float64) {
 	d.advance(now)
 	for _, n := range d.changes {
@@ -201,13 +203,13 @@
 	return sum
 }
 
-// advance clears the spans that have begun since the latest.
+// advance clears the intervals that have begun since the latest one.
 func (d *demandWindow) advance(now time.Time) {
-	current := now.UnixNano() / int64(demandSpanTime)
+	current := now.UnixNano() / int64(demandIntervalLength)
 	for ; d.latest < current; d.latest++ {
-		if current-d.latest > demandSpans {
-			d.latest = current - demandSpans
+		if current-d.latest > demandIntervals {
+			d.latest = current - demandIntervals
 		}
-		d.changes[(d.latest+1)%demandSpans] = 0
+		d.changes[(d.latest+1)%demandIntervals] = 0
 	}
 }
