--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -89,7 +89,7 @@
 		f.limits.growProbe(p)
 	}
 	for _, name := range granted {
-		f.provisioning[name] = provisioningMachine{Pool: p, since: sent, requestedByUs: true}
+		f.provisioning[name] = provisioningMachine{Pool: p, since: sent, requestedThisEpoch: true}
 	}
 }
 
--- a/internal/autoscaler/pool.go
+++ b/internal/autoscaler/pool.go
@@ -29,8 +29,8 @@
 	// poolPause is how long no machines are requested from a pool that refused a request or is
 	// stalled.
 	poolPause = 10 * time.Second
-	// initialProbeSize is the size of the next request to a pool after poolPause. A larger request
-	// would find the pool just as empty and keep other pools from being asked.
+	// initialProbeSize is the largest number of machines to request from a pool after poolPause. A
+	// larger request would find the pool just as empty and keep other pools from being asked.
 	initialProbeSize = 2
 	// probeGrowth is the factor by which the probe size grows after a pool has granted a request in
 	// full.
@@ -41,7 +41,7 @@
 // machines to request from those pools afterwards.
 type poolLimits struct {
 	pausedUntil map[Pool]time.Time
-	probeSizes  map[Pool]int // machines to request, of pools that refused or stalled
+	probeSizes  map[Pool]int // largest request to make, of pools that refused a request or stalled
 }
 
 func newPoolLimits() poolLimits {
--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -78,8 +78,8 @@
 // provisioningMachine is a machine that is not up yet.
 type provisioningMachine struct {
 	Pool
-	since         time.Time
-	requestedByUs bool // requested in this leader epoch, so since is exact
+	since              time.Time
+	requestedThisEpoch bool // requested in this leader epoch, so since is exact
 }
 
 // poolProvisioning counts the provisioning machines of a pool.
@@ -118,7 +118,7 @@
 	if !ok {
 		return
 	}
-	if m.requestedByUs {
+	if m.requestedThisEpoch {
 		f.history.record(m.Pool, now.Sub(m.since), now)
 	}
 	delete(f.provisioning, machine)
--- a/internal/autoscaler/turnover.go
+++ b/internal/autoscaler/turnover.go
@@ -32,7 +32,7 @@
 	// lateSlackS is how many seconds a job may wait for freed capacity if it will be later than
 	// lateDeadlineShare allows.
 	lateSlackS = 60
-	// cpusPerGPU converts the CPUs of tasks without GPUs to GPU equivalents.
+	// cpusPerGPU is the number of CPUs that count as one GPU equivalent, for tasks without GPUs.
 	cpusPerGPU = 8
 	// minGPUEquivalents avoids a division by zero for tasks that need neither CPUs nor GPUs.
 	minGPUEquivalents = 1e-3
