--- a/internal/dag/tracker_test.go
+++ b/internal/dag/tracker_test.go
@@ -49,6 +49,12 @@
 	}
 	go w.keys.Run(w.ctx)
 	go w.tracker.Run(w.ctx, func(ctx context.Context, id string) (tombstone.Tombstone, error) {
+		// The read takes synthetic time, so that it cannot happen before the test sleeps.
+		select {
+		case <-ctx.Done():
+			return tombstone.Tombstone{}, ctx.Err()
+		case <-time.After(time.Millisecond):
+		}
 		w.reads++
 		return tombstone.Read(ctx, w.state, nil, id)
 	})
@@ -108,6 +114,7 @@
 		if result := w.requireState("wk-3", dag.Cancelled); result.CancelledBy != "wk-2" {
 			t.Error(result)
 		}
+		time.Sleep(time.Second) // any read that was requested is made by then
 		if w.reads > 0 {
 			t.Errorf("%d tombstones were read that the mirror's changes have shown", w.reads)
 		}
