--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,11 +1,11 @@
-// Package job describes jobs as users submit them and as the state service keeps them:
-// specs, the records of unfinished jobs with their completed tasks, and the keys of all
-// these.
+// Package job defines jobs as users submit them and as the state service stores them: the spec of a
+// job, the record of an unfinished job with its completed tasks, and the keys under which these are
+// stored.
 //
-// It holds no state and needs no guard: its types are values, except that TaskBitmap
-// shares its words among copies and, like Record, is guarded by whoever owns it.
+// The package holds no state. Its types are plain values. Two of them have to be guarded by their
+// owner: a TaskBitmap shares its words with its copies, and a Record is changed in place.
 //
-// It may import cloud, config and statekv. Tombstones, the records of finished jobs, are
+// The package may import cloud, config and statekv. Tombstones, the records of finished jobs, are
 // in package tombstone.
 package job
 
@@ -15,15 +15,15 @@
 	"strings"
 )
 
-// Shapes of jobs: independent tasks, tasks that start together, and tasks that run until
-// the job is cancelled.
+// Shapes of jobs. The tasks of an array are independent, the tasks of a gang start together, and
+// the tasks of a service run until the job is cancelled.
 const (
 	Array   = "sweep"
 	Gang    = "gang"
 	Service = "standing"
 )
 
-// Statuses of jobs, as users see them.
+// Statuses of jobs, as reported to users.
 const (
 	Queued    = "queued"
 	Running   = "running"
@@ -34,15 +34,15 @@
 // MaxTasks is the largest number of tasks a job may have.
 const MaxTasks = 100_000
 
-// LowestPriority is the priority that preempts nobody.
+// LowestPriority is the priority of jobs that never preempt other jobs.
 const LowestPriority = 0
 
-// priorities orders the ranks; higher goes first.
-var priorities = map[string]int{"production": 3, "high": 2, "normal": 1, "best_effort": LowestPriority}
+// priorityByRank maps ranks to priorities. Jobs with a higher priority are scheduled first.
+var priorityByRank = map[string]int{"production": 3, "high": 2, "normal": 1, "best_effort": LowestPriority}
 
-// PriorityOfRank returns the priority of a rank; what is no rank comes last, with -1.
+// PriorityOfRank returns the priority of a rank. An unknown rank has priority -1, below all others.
 func PriorityOfRank(rank string) int {
-	if priority, ok := priorities[rank]; ok {
+	if priority, ok := priorityByRank[rank]; ok {
 		return priority
 	}
 	return -1
@@ -53,12 +53,13 @@
 // ValidID reports whether id has the form of a job id.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// TaskID names a task for the workers.
+// TaskID returns the id under which workers know a task.
 func TaskID(jobID string, index int) string { return jobID + "/" + strconv.Itoa(index) }
 
-// SplitTaskID is the reverse of TaskID; ok is false where task is no task id.
-func SplitTaskID(task string) (jobID string, index int, ok bool) {
-	jobID, tail, found := strings.Cut(task, "/")
-	index, err := strconv.Atoi(tail)
+// SplitTaskID splits a task id into the job id and the task index. ok reports whether taskID is a
+// valid task id.
+func SplitTaskID(taskID string) (jobID string, index int, ok bool) {
+	jobID, suffix, found := strings.Cut(taskID, "/")
+	index, err := strconv.Atoi(suffix)
 	return jobID, index, found && err == nil && index >= 0 && ValidID(jobID)
 }
--- a/internal/job/parse.go
+++ b/internal/job/parse.go
@@ -8,32 +8,33 @@
 	"slices"
 )
 
-// MaxDependencies bounds the jobs that one may depend on: with the longest ids they take
-// half of the largest submission.
+// MaxDependencies is the largest number of jobs that one job may depend on. With ids of maximum
+// length they take 24 kB, less than half of the largest submission.
 const MaxDependencies = 1000
 
-// Bounds of what a submission may say.
+// Limits on the values of a submission.
 const (
-	maxAmount    = 1e9 // any larger amount of anything is a mistake
-	maxNameBytes = 200 // of a class, a team or an image
-	maxTypes     = 50
-	maxTypeBytes = 100 // of a machine type's name
-	maxZoneBytes = 100
+	maxAmount           = 1e9 // of resources, gigabytes or seconds; larger values are mistakes
+	maxNameBytes        = 200 // name of a class, team or image
+	maxMachineTypes     = 50
+	maxMachineTypeBytes = 100 // name of a machine type
+	maxZoneBytes        = 100
 )
 
-// required are the fields that every submission has.
-var required = []string{
+// requiredFields are the JSON fields that every submission must have.
+var requiredFields = []string{
 	"id", "job_class", "owner", "shape", "rank", "pieces", "cpus", "gpus", "mem_gb", "bundle", "pull_gb",
 	"one_zone", "spread", "loaners", "guess_s", "snapshot_every_s", "snapshot_s",
 }
 
-// ParseSpec decodes a submission; an error names the field that is malformed.
+// ParseSpec decodes and validates a submission. The error names the invalid field; its text is
+// returned to the user.
 func ParseSpec(body []byte) (*Spec, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
 		return nil, errors.New("the body is not a JSON object")
 	}
-	for _, name := range required {
+	for _, name := range requiredFields {
 		if raw, ok := fields[name]; !ok || bytes.Equal(raw, []byte("null")) {
 			return nil, fmt.Errorf("%s: is missing", name)
 		}
@@ -46,12 +47,12 @@
 		}
 		return nil, fmt.Errorf("malformed: %w", err)
 	}
-	s.WaitsOn = withoutRepeats(s.WaitsOn)
+	s.WaitsOn = removeDuplicates(s.WaitsOn)
 	return &s, s.validate()
 }
 
-// withoutRepeats returns the names without those that are given again, in the order given.
-func withoutRepeats(names []string) []string {
+// removeDuplicates removes repeated names in place and keeps the order of the others.
+func removeDuplicates(names []string) []string {
 	seen := make(map[string]bool, len(names))
 	return slices.DeleteFunc(names, func(name string) bool {
 		repeated := seen[name]
@@ -60,7 +61,7 @@
 	})
 }
 
-// validate says which field has a value that it may not have.
+// validate checks that every field has an allowed value. The error names a field that has not.
 func (s *Spec) validate() error {
 	for _, check := range []func() error{s.validateAmounts, s.validateNames, s.validateChoices, s.validateLists} {
 		if err := check(); err != nil {
@@ -96,7 +97,7 @@
 }
 
 func (s *Spec) validateChoices() error {
-	_, knownRank := priorities[s.Rank]
+	_, knownRank := priorityByRank[s.Rank]
 	switch {
 	case !ValidID(s.ID):
 		return fmt.Errorf("id: %.40q is no job id", s.ID)
@@ -106,8 +107,8 @@
 		return fmt.Errorf("rank: %.40q is unknown", s.Rank)
 	case s.Tasks < 1 || s.Tasks > MaxTasks:
 		return fmt.Errorf("pieces: must be 1 to %d", MaxTasks)
-	case len(s.Types) > maxTypes:
-		return fmt.Errorf("host_kinds: has more than %d entries", maxTypes)
+	case len(s.Types) > maxMachineTypes:
+		return fmt.Errorf("host_kinds: has more than %d entries", maxMachineTypes)
 	case len(s.WaitsOn) > MaxDependencies:
 		return fmt.Errorf("waits_on: has more than %d entries", MaxDependencies)
 	case s.Zone != nil && (*s.Zone == "" || len(*s.Zone) > maxZoneBytes):
@@ -118,7 +119,7 @@
 
 func (s *Spec) validateLists() error {
 	for _, name := range s.Types {
-		if name == "" || len(name) > maxTypeBytes {
+		if name == "" || len(name) > maxMachineTypeBytes {
 			return errors.New("host_kinds: has an entry without a name or with an overlong one")
 		}
 	}
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -9,66 +9,71 @@
 	"robinstack/internal/statekv"
 )
 
-// Prefixes of keys of the state service. The records of unfinished jobs are kept apart
-// from the tombstones of finished ones (package tombstone), so that whoever takes over a
-// job shard never reads the whole past.
+// Key prefixes in the state service. The records of unfinished jobs and the tombstones of finished
+// jobs (package tombstone) have different prefixes, so that a controller that takes over a job
+// shard does not read the records of all past jobs.
 const (
 	RecordPrefix         = "robin/job/"
 	CompletedChunkPrefix = "robin/part/"
 	SpecFragmentPrefix   = "robin/spec/"
 )
 
-// RecordKey names a job's record.
+// RecordKey returns the key of a job's record.
 func RecordKey(id string) string { return RecordPrefix + id }
 
-// CompletedChunkKey names the key with a later chunk of a job's completed tasks.
+// CompletedChunkKey returns the key of a chunk of a job's completed tasks. Chunk 0 has no key: it
+// is part of the record.
 func CompletedChunkKey(id string, chunk int) string {
 	return fmt.Sprintf("%s%s/%d", CompletedChunkPrefix, id, chunk)
 }
 
-// SpecFragmentKey names the key with a fragment of a job's spec.
+// SpecFragmentKey returns the key of a fragment of a job's spec.
 func SpecFragmentKey(id string, fragment int) string {
 	return fmt.Sprintf("%s%s/%d", SpecFragmentPrefix, id, fragment)
 }
 
-// RecordSchema is the schema of job records that this build writes and reads.
+// RecordSchema is the schema version of the job records that this build writes, and the latest
+// version that it reads.
 const RecordSchema = 0
 
-// Record is an unfinished job in the state service. CompletedTasks holds the completed
-// tasks of the first chunk; the other chunks have keys of their own.
+// Record is the state of an unfinished job in the state service. CompletedTasks holds the first
+// chunk of the completed tasks; the other chunks have keys of their own.
 type Record struct {
 	Schema         int    `json:"form,omitempty"`
 	Spec           Spec   `json:"spec"`
 	JobShard       string `json:"slot"`
-	SubmittedMS    int64  `json:"submitted_ms"` // milliseconds since 1970
+	SubmittedMS    int64  `json:"submitted_ms"` // Unix time in milliseconds
 	CompletedTasks string `json:"done,omitempty"`
 
-	// Failures is what is known of a job of which nothing has succeeded yet.
+	// Failures is the failure history of a job none of whose tasks has succeeded yet.
 	Failures *FailureHistory `json:"failed,omitempty"`
 
-	// SpecFragments is in how many keys the spec is kept; see SplitSpec. Until JoinSpec,
-	// Spec has only the id and the number of tasks.
+	// SpecFragments is the number of fragments that the spec is split into, or 0 if it is not
+	// split; see SplitSpec. The Spec of a record with fragments has only the id and the number of
+	// tasks until JoinSpec is called.
 	SpecFragments int `json:"spec_pieces,omitempty"`
 
-	// What a later build wrote beside these fields and in the spec: see KeepUnknownFields.
+	// Fields of the record and of its spec that a later build wrote; see KeepUnknownFields.
 	UnknownFields     statekv.UnknownFields `json:"-"`
 	UnknownSpecFields statekv.UnknownFields `json:"-"`
 }
 
-// FailureHistory is what a job's scheduler found out about its failures, so that its next
-// scheduler need not fail it on as many machines again.
+// FailureHistory is what a job's scheduler has learned from the failures of the job. It is stored
+// so that the scheduler that takes over the job does not need to let it fail on as many machines
+// again.
 type FailureHistory struct {
-	Machines    []string `json:"on"`      // on which it failed, at most MaxFailedMachines
-	Consecutive int      `json:"row"`     // failures in a row
-	Suspected   bool     `json:"suspect"` // the failures are attributed to the job and not to the machines
+	Machines    []string `json:"on"`      // machines on which the job failed, at most MaxFailedMachines
+	Consecutive int      `json:"row"`     // number of consecutive failures
+	Suspected   bool     `json:"suspect"` // the failures are attributed to the job, not to the machines
 }
 
-// MaxFailedMachines bounds the machines that a record names.
+// MaxFailedMachines is the largest number of machines in a failure history.
 const MaxFailedMachines = 8
 
-// MarshalJSON writes the record with what a later build wrote.
+// MarshalJSON encodes the record with the unknown fields of a later build. A spec that is split
+// into fragments is encoded with its id and number of tasks only.
 func (r Record) MarshalJSON() ([]byte, error) {
-	type plain Record
+	type plain Record // has no MarshalJSON that would call itself
 	if r.SpecFragments > 0 {
 		r.Spec, r.UnknownSpecFields = r.Spec.stub(), nil
 	}
@@ -82,13 +87,13 @@
 	}{(*plain)(&r), spec}})
 }
 
-// SubmittedAt is when the job was accepted, by the clock of the controller that accepted
-// it.
+// SubmittedAt returns when the job was accepted, by the clock of the controller that accepted it.
 func (r *Record) SubmittedAt() time.Time { return time.UnixMilli(r.SubmittedMS) }
 
-// KeepUnknownFields has the record keep what a later build wrote in raw, from which it was
-// decoded: for those who will rewrite it. Status queries, which only read it, come
-// hundreds of times a second and need not.
+// KeepUnknownFields stores in the record the fields that a later build wrote to raw, the JSON from
+// which the record was decoded. Callers that rewrite the record need this so that they preserve
+// these fields. ParseRecord does not do it, because status queries arrive hundreds of times a
+// second and only read the record.
 func (r *Record) KeepUnknownFields(raw json.RawMessage) {
 	var fields struct {
 		Spec json.RawMessage `json:"spec"`
@@ -97,13 +102,13 @@
 		return
 	}
 	r.UnknownFields = statekv.UnknownFieldsOf(raw, r)
-	if r.SpecFragments == 0 { // else JoinSpec has kept them
+	if r.SpecFragments == 0 { // otherwise JoinSpec has stored them
 		r.UnknownSpecFields = statekv.UnknownFieldsOf(fields.Spec, &r.Spec)
 	}
 }
 
-// ParseRecord decodes a record as the state service returned it. A *statekv.SchemaError
-// says that this build does not read its schema.
+// ParseRecord decodes a record as returned by the state service. The error is a
+// *statekv.SchemaError if this build does not read the record's schema version.
 func ParseRecord(raw json.RawMessage) (*Record, error) {
 	var r Record
 	err := json.Unmarshal(raw, &r)
@@ -119,8 +124,8 @@
 	return &r, nil
 }
 
-// AuxiliaryKeys are the keys that a job of so many tasks and spec fragments has beside its
-// record.
+// AuxiliaryKeys returns the keys that a job with so many tasks and spec fragments may have beside
+// its record.
 func AuxiliaryKeys(id string, tasks, fragments int) []string {
 	var keys []string
 	for chunk := 1; chunk < ChunkCount(tasks); chunk++ {
@@ -132,12 +137,12 @@
 	return keys
 }
 
-// DeleteAuxiliaryOps are changes that remove a job's auxiliary keys, n at most: what is
-// left of a finished job is garbage collected later (package tombstone).
-func DeleteAuxiliaryOps(id string, tasks, fragments, n int) []statekv.Op {
+// DeleteAuxiliaryOps returns operations that delete at most maxOps of a job's auxiliary keys. Keys
+// that are left after the job has finished are garbage collected (package tombstone).
+func DeleteAuxiliaryOps(id string, tasks, fragments, maxOps int) []statekv.Op {
 	keys := AuxiliaryKeys(id, tasks, fragments)
 	var ops []statekv.Op
-	for _, key := range keys[:min(len(keys), max(0, n))] {
+	for _, key := range keys[:min(len(keys), max(0, maxOps))] {
 		ops = append(ops, statekv.Op{Delete: key})
 	}
 	return ops
@@ -148,9 +153,9 @@
 	dependenciesField = []byte(`"waits_on":`)
 )
 
-// MayHaveDependencies reports whether a stored record names jobs that it depends on, or may
-// do so in its spec fragments. It only looks at the bytes: a quotation mark in any name is
-// written as \", so nothing else looks like a field.
+// MayHaveDependencies reports whether a stored record has dependencies, or may have them in its
+// spec fragments. It only searches the encoded record for the names of the fields. A string value
+// cannot contain such a match, because quotation marks in strings are escaped.
 func MayHaveDependencies(raw json.RawMessage) bool {
 	return bytes.Contains(raw, dependenciesField) || bytes.Contains(raw, fragmentsField)
 }
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -9,7 +9,7 @@
 	"robinstack/internal/config"
 )
 
-// Spec is a job as submitted. Amounts that end in S are seconds.
+// Spec is a job as submitted. Fields whose names end in S are durations in seconds.
 type Spec struct {
 	ID          string   `json:"id"`
 	Class       string   `json:"job_class"`
@@ -17,31 +17,31 @@
 	Shape       string   `json:"shape"`
 	Rank        string   `json:"rank"`
 	Tasks       int      `json:"pieces"`
-	Need                 // of each task
+	Need                 // resources that each task requires
 	Image       string   `json:"bundle"`
 	ImageGB     float64  `json:"pull_gb"`
-	Types       []string `json:"host_kinds"` // machine types that it may use; nil: all
-	Zone        *string  `json:"site"`       // nil: any
-	OneZone     bool     `json:"one_zone"`
-	Spread      bool     `json:"spread"`
-	Spot        bool     `json:"loaners"` // it may use spot machines
-	EstimateS   float64  `json:"guess_s"` // how long a task takes
-	CheckpointS float64  `json:"snapshot_every_s"`
-	SaveS       float64  `json:"snapshot_s"`
-	DeadlineS   *float64 `json:"due_s"` // after the submission; nil: none
+	Types       []string `json:"host_kinds"`       // allowed machine types; nil: all
+	Zone        *string  `json:"site"`             // the only allowed zone; nil: all
+	OneZone     bool     `json:"one_zone"`         // all tasks run in the same zone
+	Spread      bool     `json:"spread"`           // at most half of the tasks, rounded up, run in one zone
+	Spot        bool     `json:"loaners"`          // spot machines are allowed
+	EstimateS   float64  `json:"guess_s"`          // estimated duration of a task
+	CheckpointS float64  `json:"snapshot_every_s"` // between two checkpoints; 0: tasks cannot checkpoint
+	SaveS       float64  `json:"snapshot_s"`       // duration of a checkpoint
+	DeadlineS   *float64 `json:"due_s"`            // counted from the submission; nil: no deadline
 
-	// WaitsOn names the dependencies: the jobs that have to be done before any task of this
-	// one starts.
+	// WaitsOn lists the dependencies: the jobs that must be done before any task of this job
+	// starts.
 	WaitsOn []string `json:"waits_on,omitempty"`
 }
 
-// CheckpointDuration is the time a task needs to save its progress when it is stopped.
+// CheckpointDuration returns the time that a task needs to save its progress when it is stopped.
 func (s *Spec) CheckpointDuration() time.Duration { return config.Seconds(s.SaveS) }
 
 // CanCheckpoint reports whether the job's tasks can save their progress.
 func (s *Spec) CanCheckpoint() bool { return s.CheckpointS > 0 }
 
-// RelativeDeadline is the time from the submission to the job's deadline, or 0 without one.
+// RelativeDeadline returns the time from the submission to the job's deadline, or 0 if it has none.
 func (s *Spec) RelativeDeadline() time.Duration {
 	if s.DeadlineS == nil {
 		return 0
@@ -49,21 +49,22 @@
 	return config.Seconds(*s.DeadlineS)
 }
 
-// Priority is the priority of the job's rank; higher goes first.
-func (s *Spec) Priority() int { return priorities[s.Rank] }
+// Priority returns the priority of the job's rank. Jobs with a higher priority are scheduled first.
+func (s *Spec) Priority() int { return priorityByRank[s.Rank] }
 
 // AllowsType reports whether the job may run on machines of the named type.
 func (s *Spec) AllowsType(name string) bool {
 	return s.Types == nil || slices.Contains(s.Types, name)
 }
 
-// AllowsMachine reports whether the job may run on such a machine at all.
+// AllowsMachine reports whether the job may run on a machine of the given type and zone that is or
+// is not a spot machine.
 func (s *Spec) AllowsMachine(typeName, zone string, spot bool) bool {
 	return s.AllowsType(typeName) && (s.Zone == nil || *s.Zone == zone) && (s.Spot || !spot)
 }
 
-// FetchTime is how long the job's image usually takes, by the slowest machine type that it
-// may use.
+// FetchTime estimates how long a machine takes to fetch the job's image. It assumes the machine
+// type with the slowest download among those that the job may use.
 func (s *Spec) FetchTime(types map[string]cloud.MachineType) time.Duration {
 	slowest := 0.0
 	for _, t := range types {
@@ -74,7 +75,7 @@
 	return config.Seconds(slowest)
 }
 
-// UnschedulableReason says why the job can never run, or "".
+// UnschedulableReason returns why the job can never run, in a text for the user, or "" if it can.
 func (s *Spec) UnschedulableReason(types map[string]cloud.MachineType, teams map[string]config.Team) string {
 	if slices.Contains(s.WaitsOn, s.ID) {
 		return "waits_on: the job waits for itself"
@@ -86,20 +87,19 @@
 	if !s.fitsAnyType(types) {
 		return "a task fits no allowed machine type"
 	}
-	atOnce := float64(s.Tasks) // tasks that have to run at the same time
+	concurrentTasks := float64(s.Tasks) // tasks that have to run at the same time
 	if s.Shape == Array {
-		atOnce = 1
+		concurrentTasks = 1
 	}
-	exceedsCPUs := team.CPUQuota > 0 && atOnce*s.CPUs > team.CPUQuota
-	exceedsGPUs := team.GPUQuota > 0 && atOnce*s.GPUs > team.GPUQuota
+	exceedsCPUs := team.CPUQuota > 0 && concurrentTasks*s.CPUs > team.CPUQuota
+	exceedsGPUs := team.GPUQuota > 0 && concurrentTasks*s.GPUs > team.GPUQuota
 	if exceedsCPUs || exceedsGPUs {
 		return "needs more than the limit of team " + s.Team
 	}
 	return ""
 }
 
-// fitsAnyType reports whether a task fits an empty machine of a type and zone that the job
-// allows.
+// fitsAnyType reports whether a task fits an empty machine of an allowed type in an allowed zone.
 func (s *Spec) fitsAnyType(types map[string]cloud.MachineType) bool {
 	for _, t := range types {
 		inZone := s.Zone == nil || slices.Contains(t.Zones, *s.Zone)
--- a/internal/job/spec_fragments.go
+++ b/internal/job/spec_fragments.go
@@ -12,52 +12,55 @@
 	"robinstack/internal/statekv"
 )
 
-// A record whose spec is too large for one value, because it names many jobs or machine
-// types, is kept in fragments: the record itself says how many there are and has of the
-// spec only the id and the number of tasks. Fragments are written with the record that
-// names them and never change; those of a finished job are garbage collected (package
-// tombstone).
+// The spec of a job with many dependencies or machine types can exceed the size limit of a value.
+// Such a spec is split into fragments that are stored under keys of their own. The job's record
+// then contains the number of fragments and, of the spec, only the id and the number of tasks.
+// Fragments are written in the same transaction as the first record that counts them, and never
+// change. The fragments of a finished job are garbage collected (package tombstone). Stored records
+// and error texts call them pieces.
 
-// ErrSpecTooLarge says that a job's spec does not fit what the state service takes.
+// ErrSpecTooLarge means that a spec needs more fragments than one transaction may write. Its text
+// is returned to the user.
 var ErrSpecTooLarge = errors.New("the job's description is too large to be stored")
 
 const (
-	// maxChunkBytes is the most that one chunk of completed tasks takes, with its name.
-	maxChunkBytes = (TasksPerChunk/byteBits*4+2)/3 + len(`,"done":""`)
+	// maxChunkFieldBytes is the largest size of the JSON field with a chunk of completed tasks.
+	maxChunkFieldBytes = (TasksPerChunk/byteBits*4+2)/3 + len(`,"done":""`)
 
-	// fragmentSlack is what is left free of a value for the quotes of a fragment.
-	fragmentSlack = 16
+	// fragmentOverheadBytes is the part of a value that is reserved for the quotation marks around
+	// a fragment.
+	fragmentOverheadBytes = 16
 
-	// maxSpecBytes bounds a spec that is decompressed: no submission is larger.
+	// maxSpecBytes limits the size of a decompressed spec. It is larger than any submission.
 	maxSpecBytes = 256 << 10
 )
 
-// ExceedsLimit reports whether the record is larger than the limit of a value once it says
-// that all its tasks are completed. The failure history does not count: it is left out
-// where it does not fit.
+// ExceedsLimit reports whether the record exceeds the size limit of a value once all of its tasks
+// are completed. The failure history is not counted, because it is omitted where it does not fit.
 func (r Record) ExceedsLimit(limit int) bool {
-	completedBytes := min(maxChunkBytes, (r.Spec.Tasks/byteBits+1)*4/3+len(`,"done":"=="`))
+	completedBytes := min(maxChunkFieldBytes, (r.Spec.Tasks/byteBits+1)*4/3+len(`,"done":"=="`))
 	r.CompletedTasks, r.Failures = "", nil
 	raw, err := json.Marshal(r)
 	return err == nil && len(raw)+completedBytes > limit
 }
 
-// SplitSpec has the record keep its spec in fragments of up to limit bytes and returns the
-// changes that write those, maxOps of them at most; else the error is ErrSpecTooLarge.
+// SplitSpec splits the record's spec into fragments that fit values of at most limit bytes, and
+// returns the operations that write them. It returns ErrSpecTooLarge if that takes more than maxOps
+// operations. From then on the record is encoded with a stub of its spec.
 func (r *Record) SplitSpec(limit, maxOps int) ([]statekv.Op, error) {
 	raw, err := json.Marshal(statekv.WithUnknown{Value: r.Spec, Unknown: r.UnknownSpecFields})
 	if err != nil {
 		return nil, fmt.Errorf("encoding a spec: %w", err)
 	}
-	text, err := compress(raw)
+	encoded, err := compress(raw)
 	if err != nil {
 		return nil, fmt.Errorf("packing a spec: %w", err)
 	}
 	var ops []statekv.Op
-	for text != "" {
-		n := min(limit-fragmentSlack, len(text))
-		ops = append(ops, statekv.Op{Set: SpecFragmentKey(r.Spec.ID, len(ops)), Value: text[:n]})
-		text = text[n:]
+	for encoded != "" {
+		fragmentBytes := min(limit-fragmentOverheadBytes, len(encoded))
+		ops = append(ops, statekv.Op{Set: SpecFragmentKey(r.Spec.ID, len(ops)), Value: encoded[:fragmentBytes]})
+		encoded = encoded[fragmentBytes:]
 	}
 	if len(ops) > maxOps {
 		return nil, fmt.Errorf("%w: %d pieces, %d at most", ErrSpecTooLarge, len(ops), maxOps)
@@ -66,24 +69,25 @@
 	return ops, nil
 }
 
-// stub is what the record itself has of a spec in fragments.
+// stub returns the part of a split spec that is stored in the record itself.
 func (s *Spec) stub() Spec { return Spec{ID: s.ID, Tasks: s.Tasks} }
 
-// JoinSpec decodes the spec of a record in fragments; get returns a key's value.
+// JoinSpec decodes the spec of a record from its fragments, if it is split. get returns the value
+// of a key.
 func (r *Record) JoinSpec(get func(key string) (statekv.KV, bool)) error {
 	if r.SpecFragments == 0 {
 		return nil
 	}
-	text := ""
-	for k := range r.SpecFragments {
-		kv, ok := get(SpecFragmentKey(r.Spec.ID, k))
+	encoded := ""
+	for i := range r.SpecFragments {
+		kv, ok := get(SpecFragmentKey(r.Spec.ID, i))
 		var fragment string
 		if !ok || json.Unmarshal(kv.Value, &fragment) != nil {
-			return fmt.Errorf("record of %s: piece %d of %d is missing or damaged", r.Spec.ID, k+1, r.SpecFragments)
+			return fmt.Errorf("record of %s: piece %d of %d is missing or damaged", r.Spec.ID, i+1, r.SpecFragments)
 		}
-		text += fragment
+		encoded += fragment
 	}
-	raw, err := decompress(text)
+	raw, err := decompress(encoded)
 	if err != nil {
 		return fmt.Errorf("record of %s: its pieces: %w", r.Spec.ID, err)
 	}
@@ -98,10 +102,10 @@
 	return nil
 }
 
-// compress returns raw compressed, in base64.
+// compress compresses raw with DEFLATE and encodes the result in base64.
 func compress(raw []byte) (string, error) {
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.BestCompression)
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.BestCompression)
 	if err != nil {
 		return "", err
 	}
@@ -111,14 +115,14 @@
 	if err := w.Close(); err != nil {
 		return "", err
 	}
-	return base64.RawStdEncoding.EncodeToString(packed.Bytes()), nil
+	return base64.RawStdEncoding.EncodeToString(compressed.Bytes()), nil
 }
 
-// decompress is the reverse of compress. What is beyond maxSpecBytes is cut off.
-func decompress(text string) ([]byte, error) {
-	packed, err := base64.RawStdEncoding.DecodeString(text)
+// decompress reverses compress. Output beyond maxSpecBytes is cut off.
+func decompress(encoded string) ([]byte, error) {
+	compressed, err := base64.RawStdEncoding.DecodeString(encoded)
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxSpecBytes))
+	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxSpecBytes))
 }
--- a/internal/job/task_bitmap.go
+++ b/internal/job/task_bitmap.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	wordBits = 64 // bits in a word of a bitmap
+	wordBits = 64 // bits per word of a bitmap
 	byteBits = 8
 
-	// TasksPerChunk is how many tasks one chunk of completed tasks covers: in base64 it
-	// stays well under half of any value limit, beside the spec.
+	// TasksPerChunk is the number of tasks that one chunk of completed tasks covers. A chunk takes
+	// 1366 bytes in base64, so that the first one fits into a record beside the spec at the
+	// smallest size limit of a value, 2 KiB.
 	TasksPerChunk = 8192
 
 	wordsPerChunk = TasksPerChunk / wordBits
 )
 
-// ChunkCount is the number of chunks for a job of so many tasks.
+// ChunkCount returns the number of chunks of a job with so many tasks.
 func ChunkCount(tasks int) int { return (tasks + TasksPerChunk - 1) / TasksPerChunk }
 
-// TaskBitmap is a set of task indices. Copies share the indices.
+// TaskBitmap is a set of task indices. Copies share their contents.
 type TaskBitmap struct{ words []uint64 }
 
 // NewTaskBitmap returns an empty set for indices below n.
@@ -31,10 +32,10 @@
 // Has reports whether an index is in the set.
 func (b TaskBitmap) Has(index int) bool { return b.words[index/wordBits]&(1<<(index%wordBits)) != 0 }
 
-// Add puts an index into the set.
+// Add adds an index to the set.
 func (b TaskBitmap) Add(index int) { b.words[index/wordBits] |= 1 << (index % wordBits) }
 
-// Len is the number of indices in the set.
+// Len returns the number of indices in the set.
 func (b TaskBitmap) Len() int {
 	n := 0
 	for _, word := range b.words {
@@ -43,30 +44,31 @@
 	return n
 }
 
-// EncodeChunk encodes one chunk of the set: its bytes, lowest first and without zeros at
-// the end, in base64.
+// EncodeChunk returns the bytes of one chunk of the set in base64, in little-endian order and
+// without trailing zero bytes.
 func (b TaskBitmap) EncodeChunk(chunk int) string {
-	first := min(chunk*wordsPerChunk, len(b.words))
-	last := min(first+wordsPerChunk, len(b.words))
+	start := min(chunk*wordsPerChunk, len(b.words))
+	end := min(start+wordsPerChunk, len(b.words))
 	var raw []byte
-	used := 0 // bytes up to the last that is not zero
-	for _, word := range b.words[first:last] {
+	length := 0 // without trailing zero bytes
+	for _, word := range b.words[start:end] {
 		for shift := 0; shift < wordBits; shift += byteBits {
 			octet := byte(word >> shift)
 			raw = append(raw, octet)
 			if octet != 0 {
-				used = len(raw)
+				length = len(raw)
 			}
 		}
 	}
-	return base64.RawStdEncoding.EncodeToString(raw[:used])
+	return base64.RawStdEncoding.EncodeToString(raw[:length])
 }
 
-// LoadChunk adds an encoded chunk to the set. Indices beyond the set are left out.
+// LoadChunk adds the indices of an encoded chunk to the set. Indices beyond the size of the set are
+// ignored.
 func (b TaskBitmap) LoadChunk(chunk int, encoded string) error {
 	raw, err := base64.RawStdEncoding.DecodeString(encoded)
 	if err != nil {
-		return fmt.Errorf("decoding finished tasks: %w", err)
+		return fmt.Errorf("decoding chunk %d of completed tasks: %w", chunk, err)
 	}
 	const bytesPerWord = wordBits / byteBits
 	for i, octet := range raw {
--- a/internal/job/wire_test.go
+++ b/internal/job/wire_test.go
@@ -16,23 +16,23 @@
 	wireformat.Golden(t, "keys", RecordKey("wk-1")+"\n"+CompletedChunkKey("wk-1", 2)+"\n"+SpecFragmentKey("wk-1", 3)+"\n")
 	wireformat.Golden(t, "words", strings.Join([]string{Array, Gang, Service, Queued, Running, Done, Cancelled,
 		"production", "high", "normal", "best_effort"}, "\n")+"\n")
-	wireformat.Golden(t, "required", strings.Join(required, "\n")+"\n")
-	for name, rank := range map[string]int{"production": 3, "high": 2, "normal": 1, "best_effort": 0} {
-		if PriorityOfRank(name) != rank {
-			t.Errorf("rank %s is %d, want %d", name, PriorityOfRank(name), rank)
+	wireformat.Golden(t, "required", strings.Join(requiredFields, "\n")+"\n")
+	for name, priority := range map[string]int{"production": 3, "high": 2, "normal": 1, "best_effort": 0} {
+		if PriorityOfRank(name) != priority {
+			t.Errorf("priority of rank %s: got %d, want %d", name, PriorityOfRank(name), priority)
 		}
 	}
 }
 
-// A record is written with what a later version wrote beside its fields and in its spec.
-func TestWireRecordOfALaterVersion(t *testing.T) {
+// A record is written with the unknown fields of a later version, in the record and in its spec.
+func TestWireRecordOfLaterVersion(t *testing.T) {
 	var r Record
 	wireformat.Fill(&r)
 	r.Schema, r.SpecFragments, r.Spec.ID, r.Spec.Tasks = RecordSchema, 0, "wk-1", 9000
-	finished := NewTaskBitmap(r.Spec.Tasks)
-	finished.Add(0)
-	finished.Add(70)
-	r.CompletedTasks = finished.EncodeChunk(0)
+	completed := NewTaskBitmap(r.Spec.Tasks)
+	completed.Add(0)
+	completed.Add(70)
+	r.CompletedTasks = completed.EncodeChunk(0)
 	r.UnknownFields = statekv.UnknownFields{"later": json.RawMessage(`[1]`)}
 	r.UnknownSpecFields = statekv.UnknownFields{"later_too": json.RawMessage(`{"a":2}`)}
 	wireformat.Golden(t, "record-later", wireformat.Indent(t, r))
@@ -44,22 +44,22 @@
 	}
 	got.KeepUnknownFields(raw)
 	if wireformat.Indent(t, got) != wireformat.Indent(t, r) {
-		t.Errorf("the recorded record reads as %+v, want %+v", got, r)
+		t.Errorf("recorded record: got %+v, want %+v", got, r)
 	}
-	read := NewTaskBitmap(r.Spec.Tasks)
-	if err := read.LoadChunk(0, got.CompletedTasks); err != nil || !reflect.DeepEqual(read, finished) {
-		t.Errorf("the finished tasks read as %v, %v; want %v", read, err, finished)
+	decoded := NewTaskBitmap(r.Spec.Tasks)
+	if err := decoded.LoadChunk(0, got.CompletedTasks); err != nil || !reflect.DeepEqual(decoded, completed) {
+		t.Errorf("completed tasks: got %v, %v; want %v", decoded, err, completed)
 	}
 }
 
-// Fragments are recorded to be read; what packs them may pack them otherwise.
+// Recorded fragments must stay readable. The compressed bytes that are written may change.
 func TestWireSpecFragments(t *testing.T) {
 	var r Record
 	wireformat.Fill(&r)
 	r.Schema, r.Spec.ID, r.Spec.Tasks = RecordSchema, "wk-1", 9000
 	want := r.Spec
-	const limit, most = 200, 8
-	ops, err := r.SplitSpec(limit, most)
+	const limit, maxOps = 200, 8
+	ops, err := r.SplitSpec(limit, maxOps)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,6 +88,6 @@
 		return statekv.KV{}, false
 	})
 	if err != nil || !reflect.DeepEqual(got.Spec, want) {
-		t.Errorf("the recorded pieces read as %+v, %v; want %+v", got.Spec, err, want)
+		t.Errorf("recorded fragments: got %+v, %v; want %+v", got.Spec, err, want)
 	}
 }
