--- a/internal/tombstone/batched_lookup.go
+++ b/internal/tombstone/batched_lookup.go
@@ -11,37 +11,36 @@
 )
 
 const (
-	// maxQueued bounds the lookups that wait: at the smallest share of the deployments, 6.7
-	// requests a second of 15 jobs each, the last is answered after 30 s.
-	maxQueued = 3000
+	// maxQueuedLookups limits the queue. At the lowest lookup rate of all deployments, 6.7 requests
+	// a second for 15 jobs each, the last lookup of a full queue is answered after 30 s.
+	maxQueuedLookups = 3000
 
-	// maxWait is for how long a caller waits. What would take longer is rejected, and is
-	// looked up all the same, so that the next lookup of a finished job finds the answer.
+	// maxWait limits how long a caller waits. A lookup that takes longer is rejected but stays in
+	// the queue, so that its result is cached for the next lookup of a finished job.
 	maxWait = 500 * time.Millisecond
 
-	// allowPause is how long the worker waits before it asks again whether it may send a
-	// request, and maxAllowAttempts after how many times it goes on without.
-	allowPause       = 20 * time.Millisecond
+	// allowRetryDelay is the pause before the worker asks again whether it may send a request.
+	// After maxAllowAttempts it sends the request without permission.
+	allowRetryDelay  = 20 * time.Millisecond
 	maxAllowAttempts = 50
 
-	// batchTimeout bounds all requests of one batch.
+	// batchTimeout limits the total time of all requests of one batch.
 	batchTimeout = 2 * time.Second
 )
 
-// BatchedLookup looks up jobs that have no record: they are finished, or nobody ever
-// submitted them. However many lookups come, each is answered in the order of coming, and
-// the requests stay within their share: one transaction without changes sorts out those
-// that were never submitted, many at a time, and only the others are read. It is safe for
-// concurrent use.
+// BatchedLookup looks up jobs that have no record: they have finished or were never submitted. It
+// answers lookups in the order of arrival and stays within its share of the request rate, however
+// many lookups there are: one transaction without operations finds the jobs of a batch that were
+// never submitted, and only the tombstones of the others are read. It is safe for concurrent use.
 type BatchedLookup struct {
 	store           lookupStore
-	maxCompares     int // of one transaction
+	maxCompares     int // per transaction
 	requestInterval time.Duration
 
-	mu      sync.Mutex
-	queue   []*pendingLookup
-	byID    map[string]*pendingLookup // those in the queue
-	working bool                      // a worker goroutine runs
+	mu            sync.Mutex // guards the fields below
+	queue         []*pendingLookup
+	byID          map[string]*pendingLookup // the lookups in the queue, by job
+	workerRunning bool                      // a worker goroutine is running
 }
 
 type lookupStore interface {
@@ -49,7 +48,8 @@
 	Allow(class statekv.RequestClass, n int) bool
 }
 
-// pendingLookup is a lookup for all who want it; done is closed once the others are set.
+// pendingLookup is a lookup that is shared by all callers that want the same job. done is closed
+// when tombstone and err are set.
 type pendingLookup struct {
 	id        string
 	done      chan struct{}
@@ -57,8 +57,9 @@
 	err       error
 }
 
-// NewBatchedLookup returns a lookup whose transactions have up to maxCompares compares and
-// whose share allows so many requests a second.
+// NewBatchedLookup returns a lookup whose transactions have at most maxCompares compares.
+// requestsPerSecond is the rate at which the store allows lookup requests; waiting times are
+// estimated from it.
 func NewBatchedLookup(store lookupStore, maxCompares int, requestsPerSecond float64) *BatchedLookup {
 	return &BatchedLookup{
 		store:           store,
@@ -68,19 +69,20 @@
 	}
 }
 
-// ErrBusy says that too many lookups wait.
-var ErrBusy = fmt.Errorf("%w: too many questions about jobs that are over or unknown", statekv.ErrRejected)
+// ErrBusy means that a lookup was not answered in time, because too many lookups are queued or
+// because the context of the caller ended.
+var ErrBusy = fmt.Errorf("%w: too many lookups of finished or unknown jobs", statekv.ErrRejected)
 
-// Lookup returns the tombstone of a job; statekv.ErrNotFound says that it had none at some
-// moment since the call: see Read. fence returns the compare of the caller's session, and
-// whether there is a session. Whatever is found goes to found, also when nobody waits for it
-// any more.
+// Lookup returns the tombstone of a job. statekv.ErrNotFound means that the job had none at some
+// moment since the call; see Read. fence returns the compare of the caller's session, and whether
+// there is a session. Every tombstone that is found is passed to onFound, even if no caller waits
+// for it any more.
 func (l *BatchedLookup) Lookup(
-	ctx context.Context, fence func() (statekv.Compare, bool), id string, found func(string, Tombstone),
+	ctx context.Context, fence func() (statekv.Compare, bool), id string, onFound func(string, Tombstone),
 ) (Tombstone, error) {
 	//nolint:contextcheck // the worker answers many callers and has to outlive each
-	lookup, queued := l.enqueue(id, fence, found)
-	if lookup == nil || l.waitFor(queued) > maxWait {
+	lookup, queued := l.enqueue(id, fence, onFound)
+	if lookup == nil || l.estimateWait(queued) > maxWait {
 		return Tombstone{}, ErrBusy
 	}
 	timer := time.NewTimer(maxWait)
@@ -95,58 +97,61 @@
 	}
 }
 
-// enqueue returns the lookup of a job, new or one that waits already, and the length of the
-// queue; nil if that is full. It starts a worker unless one runs, which ends by itself once
-// the queue is empty.
+// enqueue returns the pending lookup of a job, which it adds to the queue if there is none, and the
+// length of the queue. The lookup is nil if the queue is full. enqueue starts a worker if none is
+// running; the worker ends when the queue is empty.
 func (l *BatchedLookup) enqueue(
-	id string, fence func() (statekv.Compare, bool), found func(string, Tombstone),
+	id string, fence func() (statekv.Compare, bool), onFound func(string, Tombstone),
 ) (lookup *pendingLookup, queued int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	lookup = l.byID[id]
 	if lookup == nil {
-		if len(l.queue) >= maxQueued {
+		if len(l.queue) >= maxQueuedLookups {
 			return nil, len(l.queue)
 		}
 		lookup = &pendingLookup{id: id, done: make(chan struct{})}
 		l.byID[id], l.queue = lookup, append(l.queue, lookup)
 	}
-	if !l.working {
-		l.working = true
-		go l.work(fence, found)
+	if !l.workerRunning {
+		l.workerRunning = true
+		go l.runWorker(fence, onFound)
 	}
 	return lookup, len(l.queue)
 }
 
-// waitFor estimates how long the last of so many lookups waits.
-func (l *BatchedLookup) waitFor(queued int) time.Duration {
+// estimateWait estimates the waiting time of the last lookup in a queue of the given length.
+func (l *BatchedLookup) estimateWait(queued int) time.Duration {
 	return time.Duration(queued/l.batchSize()) * l.requestInterval
 }
 
-// batchSize is how many jobs one transaction looks for, beside the fence.
+// batchSize returns the number of jobs that one transaction can check. One of its compares is the
+// fence.
 func (l *BatchedLookup) batchSize() int { return max(1, (l.maxCompares-1)/len(AbsentCompares(""))) }
 
-// work answers the lookups in their order until there are none.
-func (l *BatchedLookup) work(fence func() (statekv.Compare, bool), found func(string, Tombstone)) {
+// runWorker answers the queued lookups in order until the queue is empty.
+func (l *BatchedLookup) runWorker(fence func() (statekv.Compare, bool), onFound func(string, Tombstone)) {
 	for {
-		// First the permission, then the batch: more may have come meanwhile.
-		l.awaitAllowed()
+		// Take the batch only after the wait, so that lookups that arrive meanwhile join it.
+		l.waitUntilAllowed()
 		batch := l.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
-		l.answer(batch, fence, found)
+		l.processBatch(batch, fence, onFound)
 	}
 }
 
-// awaitAllowed waits until the share allows a request.
-func (l *BatchedLookup) awaitAllowed() {
+// waitUntilAllowed waits until the store allows a lookup request, for at most maxAllowAttempts
+// pauses.
+func (l *BatchedLookup) waitUntilAllowed() {
 	for attempts := 0; !l.store.Allow(statekv.ClassLookup, 1) && attempts < maxAllowAttempts; attempts++ {
-		time.Sleep(allowPause)
+		time.Sleep(allowRetryDelay)
 	}
 }
 
-// nextBatch takes the first lookups from the queue; with none, the worker has to end.
+// nextBatch removes the first lookups from the queue and returns them. If there are none, the
+// worker must end.
 func (l *BatchedLookup) nextBatch() []*pendingLookup {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,44 +159,44 @@
 	batch := slices.Clone(l.queue[:n])
 	l.queue = slices.Delete(l.queue, 0, n)
 	for _, lookup := range batch {
-		delete(l.byID, lookup.id) // who asks from now on needs a later answer
+		delete(l.byID, lookup.id) // later callers need a newer result
 	}
-	l.working = n > 0
+	l.workerRunning = n > 0
 	return batch
 }
 
-// finish answers one lookup.
-func (p *pendingLookup) finish(t Tombstone, err error, found func(string, Tombstone)) {
+// complete sets the result of a lookup and wakes its callers.
+func (p *pendingLookup) complete(t Tombstone, err error, onFound func(string, Tombstone)) {
 	p.tombstone, p.err = t, err
 	if err == nil {
-		found(p.id, t)
+		onFound(p.id, t)
 	}
 	close(p.done)
 }
 
-// answer answers the lookups of a batch.
-func (l *BatchedLookup) answer(
-	batch []*pendingLookup, fence func() (statekv.Compare, bool), found func(string, Tombstone),
+// processBatch performs the lookups of a batch.
+func (l *BatchedLookup) processBatch(
+	batch []*pendingLookup, fence func() (statekv.Compare, bool), onFound func(string, Tombstone),
 ) {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
-	session, alive := fence()
-	if !alive {
+	sessionFence, ok := fence()
+	if !ok {
 		for _, lookup := range batch {
-			lookup.finish(Tombstone{}, fmt.Errorf("%w: starting", statekv.ErrRejected), found)
+			lookup.complete(Tombstone{}, fmt.Errorf("%w: this controller has no session", statekv.ErrRejected), onFound)
 		}
 		return
 	}
-	present, missing, err := PartitionByPresence(ctx, l.store, session, idsOf(batch), AbsentCompares)
+	present, missing, err := PartitionByPresence(ctx, l.store, sessionFence, idsOf(batch), AbsentCompares)
 	for _, lookup := range batch {
 		switch {
 		case err != nil:
-			lookup.finish(Tombstone{}, err, found)
+			lookup.complete(Tombstone{}, err, onFound)
 		case slices.Contains(missing, lookup.id):
-			lookup.finish(Tombstone{}, statekv.ErrNotFound, found)
+			lookup.complete(Tombstone{}, statekv.ErrNotFound, onFound)
 		case slices.Contains(present, lookup.id):
-			t, err := Read(ctx, l.store, []statekv.Compare{session}, lookup.id)
-			lookup.finish(t, err, found)
+			t, err := Read(ctx, l.store, []statekv.Compare{sessionFence}, lookup.id)
+			lookup.complete(t, err, onFound)
 		}
 	}
 }
--- a/internal/tombstone/batched_lookup_test.go
+++ b/internal/tombstone/batched_lookup_test.go
@@ -16,7 +16,8 @@
 	"robinstack/internal/tombstone"
 )
 
-// limitedStore is a state service that allows so many lookups a second, and counts requests.
+// limitedStore is a state service that allows one lookup request per interval and counts
+// transactions.
 type limitedStore struct {
 	*emulator.StateService
 	interval    time.Duration
@@ -42,21 +43,21 @@
 	return s.StateService.Txn(ctx, when, then)
 }
 
-// Hundreds of lookups of jobs that nobody submitted come every second; one of a finished
-// job is answered all the same, in the order of coming, and its answer is kept for the next
-// who asks. Guards against a share that whoever comes first uses up.
-func TestLookupAmongThousands(t *testing.T) {
+// While hundreds of unknown jobs are looked up every second, the lookup of a finished job is still
+// answered in order of arrival, and its result is cached for the next caller. Guards against a
+// request share that is used up by the first callers, so that others are never answered.
+func TestBatchedLookupUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		s := &limitedStore{StateService: emulator.NewStateService(), interval: 150 * time.Millisecond}
-		if _, err := s.StateService.Txn(ctx, nil, tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.CompactOnly)); err != nil {
+		store := &limitedStore{StateService: emulator.NewStateService(), interval: 150 * time.Millisecond}
+		if _, err := store.StateService.Txn(ctx, nil, tombstone.WriteOps("wk-1", tombstone.Tombstone{Status: job.Done, Tasks: 1}, tombstone.CompactOnly)); err != nil {
 			t.Fatal(err)
 		}
-		f := tombstone.NewBatchedLookup(s, 32, 6.7)
+		lookup := tombstone.NewBatchedLookup(store, 32, 6.7)
 		fence := func() (statekv.Compare, bool) { return statekv.Compare{Key: "session"}, true }
 		var cached atomic.Bool
-		found := func(id string, _ tombstone.Tombstone) { cached.Store(cached.Load() || id == "wk-1") }
+		onFound := func(id string, _ tombstone.Tombstone) { cached.Store(cached.Load() || id == "wk-1") }
 		stop := make(chan struct{})
 		go func() {
 			for k := 0; ; k++ {
@@ -65,32 +66,32 @@
 					return
 				case <-time.After(4 * time.Millisecond): // 250 a second
 				}
-				go func() { _, _ = f.Lookup(ctx, fence, fmt.Sprintf("wk-9%d", k), found) }()
+				go func() { _, _ = lookup.Lookup(ctx, fence, fmt.Sprintf("wk-9%d", k), onFound) }()
 			}
 		}()
 		time.Sleep(10 * time.Second)
 		defer func() { close(stop); time.Sleep(2 * time.Minute) }()
-		began := time.Now()
+		start := time.Now()
 		for !cached.Load() {
-			if _, err := f.Lookup(ctx, fence, "wk-1", found); err != nil && !errors.Is(err, statekv.ErrRejected) {
+			if _, err := lookup.Lookup(ctx, fence, "wk-1", onFound); err != nil && !errors.Is(err, statekv.ErrRejected) {
 				t.Fatal(err)
 			}
 			time.Sleep(5 * time.Second)
 		}
-		if took := time.Since(began); took > 45*time.Second {
-			t.Errorf("it took %v", took)
+		if elapsed := time.Since(start); elapsed > 45*time.Second {
+			t.Errorf("lookup of a finished job took %v, want at most 45s", elapsed)
 		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if most := int(time.Since(time.Unix(946684800, 0))/s.interval) + 10; s.requests > most {
-			t.Errorf("%d requests, %d at most", s.requests, most)
+		store.mu.Lock()
+		defer store.mu.Unlock()
+		if maxRequests := int(time.Since(time.Unix(946684800, 0))/store.interval) + 10; store.requests > maxRequests {
+			t.Errorf("got %d requests, want at most %d", store.requests, maxRequests)
 		}
 	})
 }
 
-// Those that exist among many that do not are told apart, whatever their format; without a
-// session, or after its end, no job is answered to be unknown.
-func TestLookupTellsFinishedFromUnknown(t *testing.T) {
+// Finished jobs are distinguished from unknown ones in every tombstone format. Without a session,
+// or after its end, no job is reported as unknown.
+func TestBatchedLookupDistinguishesFinishedFromUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		state := emulator.NewStateService()
@@ -99,47 +100,47 @@
 				t.Fatal(err)
 			}
 		}
-		f := tombstone.NewBatchedLookup(state, 96, 1000)
-		alive, own := true, statekv.Compare{Key: "session"}
-		fence := func() (statekv.Compare, bool) { return own, alive }
-		ask := func() map[string]error {
+		lookup := tombstone.NewBatchedLookup(state, 96, 1000)
+		hasSession, session := true, statekv.Compare{Key: "session"}
+		fence := func() (statekv.Compare, bool) { return session, hasSession }
+		lookupAll := func() map[string]error {
 			type answer struct {
-				id  string
-				r   tombstone.Tombstone
-				err error
+				id    string
+				found tombstone.Tombstone
+				err   error
 			}
 			answers := make(chan answer)
 			for k := range 40 {
 				go func() {
 					id := fmt.Sprintf("wk-%d", k)
-					r, err := f.Lookup(ctx, fence, id, func(string, tombstone.Tombstone) {})
-					answers <- answer{id, r, err}
+					found, err := lookup.Lookup(ctx, fence, id, func(string, tombstone.Tombstone) {})
+					answers <- answer{id, found, err}
 				}()
 			}
-			out := map[string]error{}
+			errs := map[string]error{}
 			for range 40 {
 				a := <-answers
-				if out[a.id] = a.err; a.err == nil && fmt.Sprintf("wk-%d", a.r.Tasks-1) != a.id {
-					t.Errorf("%+v", a)
+				if errs[a.id] = a.err; a.err == nil && fmt.Sprintf("wk-%d", a.found.Tasks-1) != a.id {
+					t.Errorf("got the tombstone of another job: %+v", a)
 				}
 			}
-			return out
+			return errs
 		}
-		for id, err := range ask() {
-			if known := id == "wk-0" || id == "wk-1" || id == "wk-2"; known != (err == nil) || err != nil && !errors.Is(err, statekv.ErrNotFound) {
-				t.Errorf("%s: %v", id, err)
+		for id, err := range lookupAll() {
+			if finished := id == "wk-0" || id == "wk-1" || id == "wk-2"; finished != (err == nil) || err != nil && !errors.Is(err, statekv.ErrNotFound) {
+				t.Errorf("%s: got error %v, want finished %t", id, err, finished)
 			}
 		}
-		own.Rev = 77 // which it has not: this session is over
-		for id, err := range ask() {
+		session.Rev = 77 // a revision that the key does not have, as after the end of the session
+		for id, err := range lookupAll() {
 			if err != nil && !errors.Is(err, statekv.ErrRejected) {
-				t.Errorf("after its session, %s: %v", id, err)
+				t.Errorf("%s after the end of the session: got error %v, want ErrRejected or none", id, err)
 			}
 		}
-		alive = false
-		for id, err := range ask() {
+		hasSession = false
+		for id, err := range lookupAll() {
 			if !errors.Is(err, statekv.ErrRejected) {
-				t.Errorf("without a session, %s: %v", id, err)
+				t.Errorf("%s without a session: got error %v, want ErrRejected", id, err)
 			}
 		}
 	})
--- a/internal/tombstone/garbage_collector.go
+++ b/internal/tombstone/garbage_collector.go
@@ -11,9 +11,10 @@
 	"robinstack/internal/statekv"
 )
 
-// GarbageCollector removes what is left beside the tombstone of a finished job: one
-// transaction may not take all its keys, and who wrote it may have failed before the rest.
-// It works while its controller is leader.
+// GarbageCollector deletes the auxiliary keys that are left after a job has finished. There are
+// such keys because the transaction that writes the tombstone may have no room to delete them all,
+// and because its controller may fail before it has deleted the others. The collector is active
+// only while its controller is leader.
 type GarbageCollector struct {
 	Store interface {
 		Store
@@ -23,12 +24,12 @@
 	}
 	Mirror      *statekv.Mirror
 	Session     *statekv.Session
-	LeaderEpoch func() uint64 // revision of the leader's role while this controller has it, else 0
-	TxnOps      int           // ops of one transaction by the settings
+	LeaderEpoch func() uint64 // revision of the leader role while this controller holds it, else 0
+	TxnOps      int           // configured limit of operations per transaction
 	Interval    time.Duration // between two collections
 }
 
-// Run collects until ctx ends.
+// Run collects garbage at every interval until ctx ends.
 func (g *GarbageCollector) Run(ctx context.Context) {
 	tick := time.NewTicker(g.Interval)
 	defer tick.Stop()
@@ -49,14 +50,14 @@
 	}
 }
 
-// collect removes the keys under prefix whose jobs have no record. They are written with
-// the record or after it, so that where there is none, none will come.
+// collect deletes the keys under prefix whose jobs have no record. Auxiliary keys are written in
+// the same transaction as the record or later, so no more keys appear for a job without a record.
 func (g *GarbageCollector) collect(ctx context.Context, prefix string) error {
 	after := ""
 	for {
 		page, err := g.Store.List(ctx, prefix, after)
 		if err != nil {
-			return fmt.Errorf("listing: %w", err)
+			return fmt.Errorf("listing keys: %w", err)
 		}
 		if err := g.Mirror.Wait(ctx, page.Rev); err != nil {
 			return err
@@ -69,15 +70,15 @@
 	}
 }
 
-// collectKeys removes the orphans among some keys; allowed is false if the share of
-// maintenance is used up: the next collection goes on.
+// collectKeys deletes those of the given keys whose jobs have no record. allowed is false if the
+// write share of maintenance is used up. The remaining keys are then left to the next collection.
 func (g *GarbageCollector) collectKeys(
 	ctx context.Context, prefix string, items []statekv.KV,
 ) (allowed bool, err error) {
-	var batch orphans
+	var batch orphanBatch
 	for i, kv := range items {
 		id, _, _ := strings.Cut(kv.Key[len(prefix):], "/")
-		if _, open := g.Mirror.Get(job.RecordKey(id)); !open {
+		if _, hasRecord := g.Mirror.Get(job.RecordKey(id)); !hasRecord {
 			batch.add(id, kv.Key)
 		}
 		isFull := len(batch.ops) >= g.Store.MaxTxnOps(g.TxnOps)
@@ -89,23 +90,24 @@
 			return false, nil
 		}
 		if _, err := g.Session.Write(ctx, batch.compares, batch.ops); err != nil {
-			return false, fmt.Errorf("removing %d keys: %w", len(batch.ops), err)
+			return false, fmt.Errorf("deleting %d keys: %w", len(batch.ops), err)
 		}
-		batch = orphans{}
+		batch = orphanBatch{}
 	}
 	return true, nil
 }
 
-// orphans are keys to be removed by one transaction, if their jobs have no record.
-type orphans struct {
+// orphanBatch holds keys that are deleted by one transaction, on condition that their jobs have no
+// record.
+type orphanBatch struct {
 	compares []statekv.Compare
 	ops      []statekv.Op
 }
 
-func (o *orphans) add(id, key string) {
+func (o *orphanBatch) add(id, key string) {
 	noRecord := statekv.Compare{Key: job.RecordKey(id)}
-	// The keys of a job follow each other.
-	if last := len(o.compares) - 1; last < 0 || o.compares[last] != noRecord {
+	// The keys are sorted, so that all keys of a job are adjacent.
+	if lastIndex := len(o.compares) - 1; lastIndex < 0 || o.compares[lastIndex] != noRecord {
 		o.compares = append(o.compares, noRecord)
 	}
 	o.ops = append(o.ops, statekv.Op{Delete: key})
--- a/internal/tombstone/read.go
+++ b/internal/tombstone/read.go
@@ -9,35 +9,36 @@
 	"robinstack/internal/statekv"
 )
 
-// Store is what reading needs of the state service.
+// Store is the part of the state service that is needed to read tombstones.
 type Store interface {
 	Get(ctx context.Context, key string) (statekv.KV, error)
 	Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error)
 }
 
-// maxReadAttempts bounds how often a tombstone is read whose format changes meanwhile.
+// maxReadAttempts limits how often Read starts again because the tombstone has changed its format
+// between its two requests.
 const maxReadAttempts = 3
 
-// errSessionEnded says that the reader's own fence failed.
-var errSessionEnded = fmt.Errorf("%w: this life is over", statekv.ErrRejected)
+// errSessionEnded means that the compare of the reader's own session failed.
+var errSessionEnded = fmt.Errorf("%w: the session of this controller has ended", statekv.ErrRejected)
 
-// Read returns the tombstone of a job. statekv.ErrNotFound says that the job had none at
-// some moment since the call, and that fence held at it.
+// Read returns the tombstone of a job. statekv.ErrNotFound means that at some moment since the call
+// the job had no tombstone and fence held.
 //
-// The fence is the compare of the reader's own session. A tombstone may change its format
-// at any time, between two reads as well, so that its absence under both keys is found out
-// by one transaction without changes; and a controller that stood still while the cluster
-// went on to formats that it does not know is no part of it any more, so the fence keeps it
-// from answering a user that an accepted job is unknown.
+// fence is the compare of the reader's session. A tombstone may change its format at any time, also
+// between two reads, so a single transaction without operations finds out whether it is absent
+// under both keys. The fence is part of this transaction because a controller may be paused while
+// the cluster moves to a format that it does not know. The session of that controller has ended, so
+// the fence fails and the controller does not tell a user that an accepted job is unknown.
 func Read(ctx context.Context, store Store, fence []statekv.Compare, id string) (Tombstone, error) {
 	for range maxReadAttempts {
-		key, err := presentKey(ctx, store, fence, id)
+		key, err := findKey(ctx, store, fence, id)
 		if err != nil {
 			return Tombstone{}, err
 		}
 		kv, err := store.Get(ctx, key)
 		if errors.Is(err, statekv.ErrNotFound) {
-			continue // it changed its format meanwhile
+			continue // the format has changed since findKey
 		}
 		if err != nil {
 			return Tombstone{}, err
@@ -45,12 +46,13 @@
 		_, t, _, err := Parse(kv.Key, kv.Value)
 		return t, err
 	}
-	return Tombstone{}, fmt.Errorf("%w: the record of %s keeps changing its form", statekv.ErrRejected, id)
+	return Tombstone{}, fmt.Errorf("%w: the tombstone of %s changed its format during each of %d reads",
+		statekv.ErrRejected, id, maxReadAttempts)
 }
 
-// presentKey returns the key under which a job has a tombstone, the compact one before the
-// legacy one, or statekv.ErrNotFound.
-func presentKey(ctx context.Context, store Store, fence []statekv.Compare, id string) (string, error) {
+// findKey returns the key under which a job has a tombstone. If there are two, it returns the
+// compact one. It returns statekv.ErrNotFound if there is none.
+func findKey(ctx context.Context, store Store, fence []statekv.Compare, id string) (string, error) {
 	_, err := store.Txn(ctx, append(slices.Clone(fence), AbsentCompares(id)...), nil)
 	if err == nil {
 		return "", statekv.ErrNotFound
@@ -67,17 +69,18 @@
 	return "", errSessionEnded
 }
 
-// PartitionByPresence tells the jobs for which a compare of absent does not hold from those
-// for which all do, each at some moment since the call at which the fence held, with few
-// transactions without changes.
+// PartitionByPresence divides jobs into those for which a compare of absentCompares fails and those
+// for which all of them hold. A job is reported missing only if fence held at the same moment since
+// the call. The jobs are checked by few transactions without operations, since a failed transaction
+// reports every compare that failed.
 func PartitionByPresence(
 	ctx context.Context, store Store, fence statekv.Compare, ids []string,
-	absent func(id string) []statekv.Compare,
+	absentCompares func(id string) []statekv.Compare,
 ) (present, missing []string, err error) {
 	for len(ids) > 0 {
 		compares := []statekv.Compare{fence}
 		for _, id := range ids {
-			compares = append(compares, absent(id)...)
+			compares = append(compares, absentCompares(id)...)
 		}
 		_, err := store.Txn(ctx, compares, nil)
 		if err == nil {
@@ -88,18 +91,18 @@
 			return present, nil, err
 		}
 		failed := func(c statekv.Compare) bool { return slices.Contains(conflict.Failed, c.Key) }
-		var rest []string
+		var remaining []string
 		for _, id := range ids {
-			if slices.ContainsFunc(absent(id), failed) {
+			if slices.ContainsFunc(absentCompares(id), failed) {
 				present = append(present, id)
 			} else {
-				rest = append(rest, id)
+				remaining = append(remaining, id)
 			}
 		}
-		if len(rest) == len(ids) {
+		if len(remaining) == len(ids) {
 			return present, nil, errSessionEnded
 		}
-		ids = rest
+		ids = remaining
 	}
 	return present, nil, nil
 }
--- a/internal/tombstone/tombstone.go
+++ b/internal/tombstone/tombstone.go
@@ -1,15 +1,15 @@
-// Package tombstone owns the tombstones: the final records of finished jobs. They are kept
-// for ever, so they are small and no controller mirrors them; a tombstone never changes
-// what it says, so what was read once may be answered from a cache at any time.
+// Package tombstone manages tombstones, the final records of finished jobs. Tombstones are kept
+// forever, so they are small and are not mirrored by controllers. The content of a tombstone never
+// changes, so a cached copy never becomes stale.
 //
-// They have two formats. The legacy one is an object under robin/final/; the compact one,
-// two fifths of its size, a list under robin/ended/ that begins with its schema. Which of
-// them are written depends on the cluster version (package rollout); both are always read.
-// A job has at most one tombstone, whatever its formats: whoever writes one has the compare
-// that the job's record is as it was seen, and deletes the record with it.
+// There are two formats. A legacy tombstone is a JSON object under robin/final/. A compact
+// tombstone is a JSON list under robin/ended/ that begins with its schema version; it takes two
+// fifths of the size. The cluster version (package rollout) determines which formats are written.
+// Both are always read. A job has at most one tombstone, in one or both formats: the transaction
+// that writes it compares the revision of the job's record and deletes that record.
 //
-// State: a BatchedLookup holds the queue of the lookups that wait, guarded by its mutex,
-// which is not held over I/O. A GarbageCollector holds none.
+// A BatchedLookup keeps a queue of pending lookups. Its mutex guards the queue and is not held
+// during I/O. A GarbageCollector keeps no state.
 //
 // The package may import job and statekv.
 package tombstone
@@ -25,36 +25,37 @@
 	"robinstack/internal/statekv"
 )
 
-// Prefixes of the keys of the legacy and of the compact format.
+// Key prefixes of the legacy and of the compact format.
 const (
 	LegacyPrefix = "robin/final/"
 	Prefix       = "robin/ended/"
 )
 
-// Schema is the schema of the compact format.
+// Schema is the schema version of the compact format.
 const Schema = 1
 
-// schemaSubject names tombstones in errors about their schema.
+// schemaSubject names a tombstone in the texts of schema errors.
 const schemaSubject = "an ended job's record"
 
-// LegacyKey names the legacy tombstone of a job.
+// LegacyKey returns the key of a job's tombstone in the legacy format.
 func LegacyKey(id string) string { return LegacyPrefix + id }
 
-// Key names the compact tombstone of a job.
+// Key returns the key of a job's tombstone in the compact format.
 func Key(id string) string { return Prefix + id }
 
-// Tombstone is what remains of a finished job.
+// Tombstone is the final record of a finished job.
 type Tombstone struct {
 	Status string // job.Done or job.Cancelled
 	Tasks  int
 
-	// CompletedAtMS is when the job was found to be done, in milliseconds since 1970 by the
-	// clock of the controller that recorded it: jobs that depend on it count their times
-	// from then. 0: not known; an earlier build recorded it, or it was cancelled.
+	// CompletedAtMS is when the job was found to be done, as a Unix time in milliseconds by the
+	// clock of the controller that recorded it. The age and the deadline of dependent jobs count
+	// from then. It is 0 if the time is unknown, because an earlier build wrote the tombstone, and
+	// for cancelled jobs.
 	CompletedAtMS int64
 }
 
-// CompletedAt is when the job was found to be done, or the zero time.
+// CompletedAt returns when the job was found to be done, or the zero time if that is unknown.
 func (t Tombstone) CompletedAt() time.Time {
 	if t.CompletedAtMS == 0 {
 		return time.Time{}
@@ -62,29 +63,30 @@
 	return time.UnixMilli(t.CompletedAtMS)
 }
 
-// legacyTombstone is the legacy format.
+// legacyTombstone is a tombstone in the legacy format.
 type legacyTombstone struct {
 	Status        string `json:"status"`
 	Tasks         int    `json:"tasks"`
 	CompletedAtMS int64  `json:"ended_ms,omitempty"`
 }
 
-// compactStatuses are the statuses in the compact format.
-var compactStatuses = map[string]string{job.Done: "d", job.Cancelled: "w"}
+// compactStatusCodes maps final statuses to their codes in the compact format.
+var compactStatusCodes = map[string]string{job.Done: "d", job.Cancelled: "w"}
 
-// Formats says in which formats tombstones are written.
+// Formats selects the formats in which tombstones are written.
 type Formats int
 
 const (
-	// LegacyOnly writes the legacy format, for clusters with builds that know no other.
+	// LegacyOnly writes the legacy format, for clusters with builds that do not read the compact
+	// one.
 	LegacyOnly Formats = iota
-	// LegacyAndCompact writes both, so that either may be given up.
+	// LegacyAndCompact writes both formats, so that either one can be dropped later.
 	LegacyAndCompact
 	// CompactOnly writes the compact format.
 	CompactOnly
 )
 
-// WriteOps are the changes that write a tombstone.
+// WriteOps returns the operations that write a job's tombstone in the given formats.
 func WriteOps(id string, t Tombstone, formats Formats) []statekv.Op {
 	var ops []statekv.Op
 	if formats != CompactOnly {
@@ -96,23 +98,24 @@
 	return ops
 }
 
-// compact returns the value of the compact format.
+// compact returns the tombstone in the compact format.
 func (t Tombstone) compact() []any {
-	list := []any{Schema, compactStatuses[t.Status], t.Tasks}
+	list := []any{Schema, compactStatusCodes[t.Status], t.Tasks}
 	if t.CompletedAtMS != 0 {
-		list = append(list, t.CompletedAtMS) // readers of this schema never minded more entries
+		list = append(list, t.CompletedAtMS) // every build that reads this schema ignores additional entries
 	}
 	return list
 }
 
-// AbsentCompares are the compares that a job has no tombstone.
+// AbsentCompares returns the compares that hold if a job has no tombstone in either format.
 func AbsentCompares(id string) []statekv.Compare {
 	return []statekv.Compare{{Key: LegacyKey(id)}, {Key: Key(id)}}
 }
 
-// Parse decodes a tombstone by its key. ok is false where the key is no tombstone's. An
-// error says that the value is damaged or has a schema that this build does not read; a
-// *statekv.SchemaError is the latter.
+// Parse decodes a tombstone from its key and value. ok reports whether key is the key of a
+// tombstone. The error wraps a *statekv.SchemaError if this build does not read the schema version
+// of the value. Any other error means that the value is damaged. The texts of these errors are
+// shown to operators and stored with the progress of a migration.
 func Parse(key string, raw json.RawMessage) (id string, t Tombstone, ok bool, err error) {
 	if id, ok = strings.CutPrefix(key, LegacyPrefix); ok {
 		t, err = parseLegacy(raw)
@@ -131,7 +134,7 @@
 }
 
 func (t Tombstone) valid() bool {
-	return compactStatuses[t.Status] != "" && t.Tasks >= 1 && t.Tasks <= job.MaxTasks
+	return compactStatusCodes[t.Status] != "" && t.Tasks >= 1 && t.Tasks <= job.MaxTasks
 }
 
 func parseLegacy(raw json.RawMessage) (Tombstone, error) {
@@ -155,29 +158,30 @@
 	if schema != Schema {
 		return t, &statekv.SchemaError{Kind: schemaSubject, Schema: schema, MaxSchema: Schema}
 	}
-	var letter string
-	if len(list) < 3 || json.Unmarshal(list[1], &letter) != nil || json.Unmarshal(list[2], &t.Tasks) != nil {
+	var code string
+	if len(list) < 3 || json.Unmarshal(list[1], &code) != nil || json.Unmarshal(list[2], &t.Tasks) != nil {
 		return t, errors.New("is not form, status and tasks")
 	}
 	if len(list) > 3 && json.Unmarshal(list[3], &t.CompletedAtMS) != nil {
 		return t, errors.New("its time is no number")
 	}
-	for status, l := range compactStatuses {
-		if l == letter {
+	for status, c := range compactStatusCodes {
+		if c == code {
 			t.Status = status
 		}
 	}
 	return t, nil
 }
 
-// Change is the writing of a tombstone, or why it cannot be decoded.
+// Change is a write of a tombstone. Err is set if the tombstone cannot be decoded.
 type Change struct {
 	ID string
 	Tombstone
 	Err error
 }
 
-// ParseChange is Parse for a mirror: a Change, or nil where the key is no tombstone's.
+// ParseChange decodes a tombstone for the Parse function of a statekv.Mirror. It returns a Change,
+// or nil if key is not the key of a tombstone.
 func ParseChange(key string, raw json.RawMessage) any {
 	id, t, ok, err := Parse(key, raw)
 	if !ok {
@@ -186,8 +190,8 @@
 	return Change{id, t, err}
 }
 
-// ChangeOf returns the writing of a tombstone; ok is false where an event is none. A mirror
-// that parses with ParseChange has decoded it already.
+// ChangeOf returns the tombstone that an event writes. ok is false if the event does not write one.
+// It does not decode the value again if the mirror has done so with ParseChange.
 func ChangeOf(e statekv.Event) (c Change, ok bool) {
 	if e.Parsed == nil {
 		e.Parsed = ParseChange(e.Set, e.Value)
--- a/internal/tombstone/wire_test.go
+++ b/internal/tombstone/wire_test.go
@@ -14,8 +14,8 @@
 	var all []statekv.Op
 	tombstones := []Tombstone{{job.Done, 16, 1700000000123}, {job.Cancelled, 3, 0}}
 	for _, tombstone := range tombstones {
-		for _, forms := range []Formats{LegacyOnly, LegacyAndCompact, CompactOnly} {
-			all = append(all, WriteOps("wk-1", tombstone, forms)...)
+		for _, formats := range []Formats{LegacyOnly, LegacyAndCompact, CompactOnly} {
+			all = append(all, WriteOps("wk-1", tombstone, formats)...)
 		}
 	}
 	wireformat.Golden(t, "tombstones", wireformat.Indent(t, all))
@@ -28,7 +28,7 @@
 	for i, e := range recorded {
 		want := tombstones[i*len(tombstones)/len(recorded)]
 		if id, got, ok, err := Parse(e.Set, e.Value); id != "wk-1" || !ok || err != nil || got != want {
-			t.Errorf("%s %s reads as %s %+v %t %v, want %+v", e.Set, e.Value, id, got, ok, err, want)
+			t.Errorf("%s %s: got %s, %+v, %t, %v; want wk-1, %+v", e.Set, e.Value, id, got, ok, err, want)
 		}
 	}
 	wireformat.Golden(t, "keys", strings.Join([]string{LegacyKey("wk-1"), Key("wk-1")}, "\n")+"\n")
