--- a/internal/dag/doc.go
+++ b/internal/dag/doc.go
@@ -1,20 +1,21 @@
-// Package dag evaluates the dependencies of jobs.
+// Package dag evaluates the dependencies between jobs.
 //
-// Nothing is sent from job to job. What a waiting job has come to follows from tombstones
-// alone: it is ready when every dependency has a durable tombstone that says done, and
-// cancelled when one says cancelled, or itself depends on such a job. So no message,
-// memory or live controller is needed for a cancellation to reach the end of a chain, and
-// whoever owns a job's shard, now or after any crash, comes to the same answer. A job's
-// scheduler may know that the job is done: without the tombstone that starts nothing.
+// Jobs do not send messages to each other. The state of a dependent job follows from tombstones
+// alone. The job is ready when each of its dependencies has a durable tombstone with the status
+// done. It is cancelled when one of its dependencies has a tombstone with the status cancelled, or
+// depends on such a job itself. A cancellation therefore reaches the end of a chain of jobs without
+// any message, in-memory state or running controller, and every owner of a job's shard comes to the
+// same result, also after a crash. A scheduler may know that a job is done before the tombstone is
+// written, but dependent jobs start only after that write.
 //
-// A job after a cancelled one has never started: it starts only when all its dependencies
-// are done, and what has a tombstone never gets another. For the same reason a result of
-// ready or cancelled never changes, and may be answered to users before anything is
-// written of it.
+// A job that depends on a cancelled job has never started, because a job starts only when all of
+// its dependencies are done and a job with a tombstone never gets another one. For the same reason
+// the results ready and cancelled are final, and may be reported to users before anything is
+// written for the dependent job.
 //
-// State: a Tracker keeps, for one session of a controller, the dependent jobs and the
-// tombstones of their dependencies; its mutex guards all of it and is not held over
-// requests. Evaluate and PropagateUrgency are pure functions of a Snapshot.
+// A Tracker holds the dependent jobs and the tombstones of their dependencies, for one session of a
+// controller. Its mutex guards all of its state and is not held during requests. Evaluate and
+// PropagateUrgency are pure functions of a Snapshot.
 //
 // The package may import job, tombstone and statekv.
 package dag
--- a/internal/dag/evaluate.go
+++ b/internal/dag/evaluate.go
@@ -8,54 +8,55 @@
 	"robinstack/internal/tombstone"
 )
 
-// Node is an open job, one that has no tombstone yet, as far as dependencies go.
+// Node is an open job, which is a job without a tombstone, in the dependency graph.
 type Node struct {
 	ID                string
-	Dependencies      []string // jobs that have to be done before it starts
+	Dependencies      []string // jobs that must be done before this one starts
 	Rank              string
-	Deadline          time.Time     // when it should be complete; zero: no deadline
-	EstimatedDuration time.Duration // about how long it takes once it is ready
+	Deadline          time.Time     // zero: no deadline
+	EstimatedDuration time.Duration // from when the job is ready until it is done
 }
 
-// Snapshot is what the records and tombstones say at one moment.
+// Snapshot gives access to the job records and tombstones of one moment.
 type Snapshot interface {
-	// OpenJob returns the open job with this id. One without dependencies may have no more
-	// than its id.
+	// OpenJob returns the open job with this id. If the job has no dependencies, only its ID needs
+	// to be set.
 	OpenJob(id string) (*Node, bool)
-	// Tombstone returns the tombstone of a job, if it was read.
+	// Tombstone returns the tombstone of a job, if it has been read.
 	Tombstone(id string) (tombstone.Tombstone, bool)
 }
 
-// State is what a dependent job has come to.
+// State is the state of a dependent job.
 type State int
 
 const (
-	// Waiting says that dependencies are open.
+	// Waiting means that at least one dependency is open.
 	Waiting State = iota
-	// Ready says that the job may start.
+	// Ready means that all dependencies are done, so that the job may start.
 	Ready
-	// Cancelled says that a job before it was cancelled.
+	// Cancelled means that a direct or transitive dependency was cancelled.
 	Cancelled
-	// Unresolved says that a dependency is neither open nor was its tombstone read.
+	// Unresolved means that no dependency is open, but the tombstone of at least one has not been
+	// read.
 	Unresolved
 )
 
-// Result is what a dependent job has come to, and why.
+// Result is the state of a dependent job and the reason for it.
 type Result struct {
 	State             State
-	WaitingOn         []string  // open jobs among its dependencies
-	MissingTombstones []string  // jobs, not only its dependencies, whose tombstones have to be read
-	DamagedTombstones []string  // those among them that are damaged: they are retried seldom
-	CancelledBy       string    // the cancelled job because of which it is cancelled
-	ReadySince        time.Time // when its last dependency was done; zero if that is not known
+	WaitingOn         []string  // open direct dependencies
+	MissingTombstones []string  // direct and transitive dependencies whose tombstones must be read
+	DamagedTombstones []string  // those with damaged tombstones instead; set by Tracker.Evaluate
+	CancelledBy       string    // the cancelled dependency; set if State is Cancelled
+	ReadySince        time.Time // when the last dependency was done; zero if unknown
 }
 
-// Evaluate returns what a dependent job has come to. It visits each job before it once at
-// most.
+// Evaluate returns the state of a dependent job. It visits each open job that n depends on at most
+// once.
 func Evaluate(s Snapshot, n *Node) Result {
 	search := cancellationSearch{snapshot: s, visited: map[string]bool{}}
 	result := Result{State: Ready}
-	timesKnown := true
+	completionTimesKnown := true
 	for _, id := range n.Dependencies {
 		if t, ok := s.Tombstone(id); ok {
 			if t.Status == job.Cancelled {
@@ -64,40 +65,40 @@
 			if t.CompletedAt().After(result.ReadySince) {
 				result.ReadySince = t.CompletedAt()
 			}
-			timesKnown = timesKnown && t.CompletedAtMS != 0
+			completionTimesKnown = completionTimesKnown && t.CompletedAtMS != 0
 			continue
 		}
 		dependency, open := s.OpenJob(id)
 		if !open {
 			result.State = Unresolved
-			search.missing = append(search.missing, id)
+			search.missingTombstones = append(search.missingTombstones, id)
 			continue
 		}
 		result.WaitingOn = append(result.WaitingOn, id)
-		if cancelled := search.cancelledBefore(dependency); cancelled != "" {
+		if cancelled := search.findCancelled(dependency); cancelled != "" {
 			return Result{State: Cancelled, CancelledBy: cancelled}
 		}
 	}
-	result.MissingTombstones = search.missing
+	result.MissingTombstones = search.missingTombstones
 	if len(result.WaitingOn) > 0 {
 		result.State = Waiting
 	}
-	if result.State != Ready || !timesKnown {
+	if result.State != Ready || !completionTimesKnown {
 		result.ReadySince = time.Time{}
 	}
 	return result
 }
 
-// cancellationSearch looks for cancelled jobs among those before others.
+// cancellationSearch searches the dependencies of open jobs for cancelled jobs.
 type cancellationSearch struct {
-	snapshot Snapshot
-	visited  map[string]bool
-	missing  []string // jobs whose tombstones have to be read
+	snapshot          Snapshot
+	visited           map[string]bool
+	missingTombstones []string // jobs whose tombstones must be read
 }
 
-// cancelledBefore names a cancelled job before n, directly or through others, or "". It
-// goes without recursion: chains are as long as users make them.
-func (c *cancellationSearch) cancelledBefore(n *Node) string {
+// findCancelled returns a cancelled job that n depends on, directly or transitively, or "" if there
+// is none. It is not recursive, because users may create chains of any length.
+func (c *cancellationSearch) findCancelled(n *Node) string {
 	stack := []*Node{n}
 	for len(stack) > 0 {
 		n := stack[len(stack)-1]
@@ -117,8 +118,8 @@
 			switch {
 			case open:
 				stack = append(stack, dependency)
-			case !slices.Contains(c.missing, id):
-				c.missing = append(c.missing, id)
+			case !slices.Contains(c.missingTombstones, id):
+				c.missingTombstones = append(c.missingTombstones, id)
 			}
 		}
 	}
--- a/internal/dag/evaluate_test.go
+++ b/internal/dag/evaluate_test.go
@@ -9,133 +9,134 @@
 	"robinstack/internal/tombstone"
 )
 
-// testSnapshot is a snapshot by hand.
+// testSnapshot is a Snapshot that tests fill in directly.
 type testSnapshot struct {
 	open       map[string]*Node
 	tombstones map[string]tombstone.Tombstone
 }
 
-func (r *testSnapshot) OpenJob(id string) (*Node, bool) {
-	n, ok := r.open[id]
+func (s *testSnapshot) OpenJob(id string) (*Node, bool) {
+	n, ok := s.open[id]
 	return n, ok
 }
 
-func (r *testSnapshot) Tombstone(id string) (tombstone.Tombstone, bool) {
-	f, ok := r.tombstones[id]
-	return f, ok
+func (s *testSnapshot) Tombstone(id string) (tombstone.Tombstone, bool) {
+	t, ok := s.tombstones[id]
+	return t, ok
 }
 
-func (r *testSnapshot) add(id string, dependencies ...string) *Node {
-	r.open[id] = &Node{ID: id, Dependencies: dependencies}
-	return r.open[id]
+func (s *testSnapshot) add(id string, dependencies ...string) *Node {
+	s.open[id] = &Node{ID: id, Dependencies: dependencies}
+	return s.open[id]
 }
 
-func (r *testSnapshot) finish(id, status string, at int64) {
-	delete(r.open, id)
-	r.tombstones[id] = tombstone.Tombstone{Status: status, Tasks: 1, CompletedAtMS: at}
+func (s *testSnapshot) finish(id, status string, completedAtMS int64) {
+	delete(s.open, id)
+	s.tombstones[id] = tombstone.Tombstone{Status: status, Tasks: 1, CompletedAtMS: completedAtMS}
 }
 
-func emptySnapshot() *testSnapshot {
+func newTestSnapshot() *testSnapshot {
 	return &testSnapshot{map[string]*Node{}, map[string]tombstone.Tombstone{}}
 }
 
-// What a dependent job has come to follows from records and tombstones alone.
+// The state of a dependent job follows from records and tombstones alone.
 func TestEvaluate(t *testing.T) {
-	s := emptySnapshot()
+	s := newTestSnapshot()
 	s.add("a")
 	s.add("b", "a")
 	c := s.add("c", "b", "x")
 	s.finish("x", job.Done, 7000)
-	requireState := func(when string, state State) Result {
+	requireState := func(description string, state State) Result {
 		t.Helper()
 		result := Evaluate(s, c)
 		if result.State != state {
-			t.Fatalf("%s: %+v", when, result)
+			t.Fatalf("%s: got %+v, want state %d", description, result, state)
 		}
 		return result
 	}
-	if result := requireState("one is open", Waiting); len(result.WaitingOn) != 1 || result.WaitingOn[0] != "b" {
-		t.Error(result)
+	if result := requireState("a dependency is open", Waiting); len(result.WaitingOn) != 1 || result.WaitingOn[0] != "b" {
+		t.Errorf("got %+v, want a job that waits on b", result)
 	}
 	s.finish("a", job.Done, 8000)
-	requireState("only the first is done", Waiting)
+	requireState("only a transitive dependency is done", Waiting)
 	s.finish("b", job.Done, 9000)
-	if result := requireState("all are done", Ready); result.ReadySince.UnixMilli() != 9000 {
-		t.Error(result.ReadySince)
+	if result := requireState("all dependencies are done", Ready); result.ReadySince.UnixMilli() != 9000 {
+		t.Errorf("got ready since %v, want the time at which the last dependency was done", result.ReadySince)
 	}
 	s.finish("x", job.Done, 0)
-	if result := requireState("when one was done is not known", Ready); !result.ReadySince.IsZero() {
-		t.Error(result.ReadySince)
+	if result := requireState("a completion time is unknown", Ready); !result.ReadySince.IsZero() {
+		t.Errorf("got ready since %v, want the zero time", result.ReadySince)
 	}
 	delete(s.tombstones, "x")
-	if result := requireState("a tombstone was not read", Unresolved); len(result.MissingTombstones) != 1 || result.MissingTombstones[0] != "x" {
-		t.Error(result)
+	if result := requireState("a tombstone has not been read", Unresolved); len(result.MissingTombstones) != 1 || result.MissingTombstones[0] != "x" {
+		t.Errorf("got %+v, want the missing tombstone of x", result)
 	}
 	s.finish("x", job.Cancelled, 0)
-	if result := requireState("one was cancelled", Cancelled); result.CancelledBy != "x" {
-		t.Error(result)
+	if result := requireState("a dependency was cancelled", Cancelled); result.CancelledBy != "x" {
+		t.Errorf("got %+v, want cancelled by x", result)
 	}
-	// Through others: what is between is open still, and nothing need be written.
-	s = emptySnapshot()
+	// A cancellation passes through jobs that are still open, before anything is written for them.
+	s = newTestSnapshot()
 	s.add("b", "a")
-	s.add("m", "b", "y") // y's tombstone is not read: that does not matter any more
+	s.add("m", "b", "y") // y's tombstone has not been read, which does not matter here
 	c = s.add("c", "m")
 	s.finish("a", job.Cancelled, 0)
-	if result := requireState("one far before it was cancelled", Cancelled); result.CancelledBy != "a" {
-		t.Error(result)
+	if result := requireState("a transitive dependency was cancelled", Cancelled); result.CancelledBy != "a" {
+		t.Errorf("got %+v, want cancelled by a", result)
 	}
-	// And where it is not known whether, that has to be read before any user is answered.
+	// Whether a job is cancelled is unknown until the missing tombstone has been read.
 	s.finish("a", job.Done, 1)
-	if result := requireState("one far before it was not read", Waiting); len(result.MissingTombstones) != 1 || result.MissingTombstones[0] != "y" {
-		t.Error(result)
+	if result := requireState("a transitive dependency has not been read", Waiting); len(result.MissingTombstones) != 1 || result.MissingTombstones[0] != "y" {
+		t.Errorf("got %+v, want the missing tombstone of y", result)
 	}
 }
 
-// Chains as long as users make them, one job with a thousand dependencies, and a cycle that
-// only damage can make.
+// Covers a chain of a thousand jobs, a job with a thousand dependencies, and a cycle, which only
+// damaged records can form.
 func TestEvaluateLongChainsAndManyDependencies(t *testing.T) {
-	const many = 1000
-	s := emptySnapshot()
+	const jobs = 1000
+	s := newTestSnapshot()
 	id := func(k int) string { return fmt.Sprintf("wk-%d", k) }
 	s.add(id(0))
-	for k := 1; k < many; k++ {
+	for k := 1; k < jobs; k++ {
 		s.add(id(k), id(k-1))
 	}
-	last := s.open[id(many-1)]
+	last := s.open[id(jobs-1)]
 	if result := Evaluate(s, last); result.State != Waiting {
-		t.Fatal(result)
+		t.Fatalf("last job of the chain: got %+v, want state Waiting", result)
 	}
 	s.finish(id(0), job.Cancelled, 0)
-	for k := 1; k < many; k++ {
+	for k := 1; k < jobs; k++ {
 		if result := Evaluate(s, s.open[id(k)]); result.State != Cancelled {
-			t.Fatal(k, result)
+			t.Fatalf("job %d of a cancelled chain: got %+v, want state Cancelled", k, result)
 		}
 	}
-	s = emptySnapshot()
-	var needs []string
-	for k := range many {
+	s = newTestSnapshot()
+	var dependencies []string
+	for k := range jobs {
 		s.finish(id(k), job.Done, int64(k+1))
-		needs = append(needs, id(k))
+		dependencies = append(dependencies, id(k))
 	}
-	wide := s.add("wide", needs...)
-	if result := Evaluate(s, wide); result.State != Ready || result.ReadySince.UnixMilli() != many {
-		t.Fatal(result.State, result.ReadySince)
+	wide := s.add("wide", dependencies...)
+	if result := Evaluate(s, wide); result.State != Ready || result.ReadySince.UnixMilli() != jobs {
+		t.Fatalf("job with %d dependencies: got state %d since %v, want Ready since the last was done",
+			jobs, result.State, result.ReadySince)
 	}
-	s = emptySnapshot()
+	s = newTestSnapshot()
 	s.add("p", "q")
 	q := s.add("q", "p")
 	if result := Evaluate(s, q); result.State != Waiting {
-		t.Fatal(result)
+		t.Fatalf("cycle: got %+v, want state Waiting", result)
 	}
-	if u := PropagateUrgency(s, s.open); len(u) != 0 {
-		t.Fatal(u)
+	if urgencies := PropagateUrgency(s, s.open); len(urgencies) != 0 {
+		t.Fatalf("cycle: got urgencies %+v, want none", urgencies)
 	}
 }
 
-// Only the last job has a rank and a deadline; those before it are treated as due by what
-// is still to come on the longest path, until it is cancelled.
+// Jobs inherit the rank and the deadline of the last job. The deadline is earlier by the estimated
+// durations on the longest path to the last job. Cancelled jobs pass nothing on.
 func TestPropagateUrgency(t *testing.T) {
-	s := emptySnapshot()
+	s := newTestSnapshot()
 	now := time.Unix(1000, 0)
 	a := s.add("a")
 	b := s.add("b", "a")
@@ -144,29 +145,29 @@
 	a.Rank, b.Rank, c.Rank, last.Rank = "best_effort", "normal", "normal", "high"
 	b.EstimatedDuration, c.EstimatedDuration, last.EstimatedDuration = 10*time.Second, 30*time.Second, 5*time.Second
 	last.Deadline = now.Add(time.Minute)
-	u := PropagateUrgency(s, s.open)
-	for id, due := range map[string]time.Duration{"a": 25 * time.Second, "b": 55 * time.Second, "c": 55 * time.Second} {
-		if got := u[id]; got.Rank != "high" || !got.Deadline.Equal(now.Add(due)) {
-			t.Errorf("%s: %+v, not %v", id, got, due)
+	urgencies := PropagateUrgency(s, s.open)
+	for id, offset := range map[string]time.Duration{"a": 25 * time.Second, "b": 55 * time.Second, "c": 55 * time.Second} {
+		if got := urgencies[id]; got.Rank != "high" || !got.Deadline.Equal(now.Add(offset)) {
+			t.Errorf("%s: got %+v, want rank high and a deadline %v from now", id, got, offset)
 		}
 	}
-	if _, ok := u["last"]; ok {
-		t.Error("nothing depends on the last one")
+	if _, ok := urgencies["last"]; ok {
+		t.Error("got an urgency for a job without dependents, want none")
 	}
-	// One that is due earlier, and has a lower rank.
+	// Another dependent has an earlier deadline and a lower rank.
 	d := s.add("d", "c")
 	d.Rank, d.Deadline = "best_effort", now.Add(20*time.Second)
-	u = PropagateUrgency(s, s.open)
-	if got := u["c"]; got.Rank != "high" || !got.Deadline.Equal(d.Deadline) {
-		t.Errorf("%+v", got)
+	urgencies = PropagateUrgency(s, s.open)
+	if got := urgencies["c"]; got.Rank != "high" || !got.Deadline.Equal(d.Deadline) {
+		t.Errorf("c: got %+v, want rank high and deadline %v", got, d.Deadline)
 	}
-	if got := u["a"]; !got.Deadline.Equal(now.Add(-10 * time.Second)) {
-		t.Errorf("%+v", got)
+	if got := urgencies["a"]; !got.Deadline.Equal(now.Add(-10 * time.Second)) {
+		t.Errorf("a: got %+v, want a deadline 10s ago", got)
 	}
-	// What is cancelled passes nothing on, directly or through others.
+	// A cancelled job and the jobs that depend on it pass nothing on.
 	s.finish("b", job.Cancelled, 0)
-	u = PropagateUrgency(s, s.open)
-	if got := u["a"]; got.Rank != "normal" || !got.Deadline.Equal(now.Add(-10*time.Second)) {
-		t.Errorf("%+v", got)
+	urgencies = PropagateUrgency(s, s.open)
+	if got := urgencies["a"]; got.Rank != "normal" || !got.Deadline.Equal(now.Add(-10*time.Second)) {
+		t.Errorf("a: got %+v, want rank normal and a deadline 10s ago", got)
 	}
 }
--- a/internal/dag/tracker.go
+++ b/internal/dag/tracker.go
@@ -15,69 +15,71 @@
 )
 
 const (
-	// readTimeout bounds the read of one tombstone, and readRetryDelay is the pause after
-	// one that failed.
+	// readTimeout limits the read of one tombstone. readRetryDelay is the pause after a read that
+	// failed.
 	readTimeout    = 2 * time.Second
 	readRetryDelay = 300 * time.Millisecond
 
-	// damagedRetryDelay is after how long a damaged tombstone is read again: an operator may
-	// have restored it.
+	// damagedRetryDelay is the time after which a damaged tombstone is read again, since an
+	// operator may have restored it.
 	damagedRetryDelay = 20 * time.Second
 )
 
-// Keys are the mirrored keys; *statekv.Mirror implements it.
+// Keys is the part of a mirror that a Tracker needs. *statekv.Mirror implements it.
 type Keys interface {
 	Get(key string) (statekv.KV, bool)
 	Dir(prefix string) []statekv.KV
 	ReportUndecodable(key string, err error)
 }
 
-// Tracker keeps, for one session of a controller, the snapshot by which dependent jobs are
-// evaluated: the open jobs with dependencies, of all job shards, and the tombstones of
-// those dependencies. The mirror passes each change to it before it says that it has seen
-// it. It is safe for concurrent use.
+// Tracker maintains, for one session of a controller, the snapshot from which dependent jobs are
+// evaluated: the open jobs with dependencies, of all job shards, and the tombstones of these
+// dependencies. The mirror passes each change to the tracker before the revision of that change
+// counts as seen. It is safe for concurrent use.
 type Tracker struct {
-	keys     Keys
-	estimate func(*job.Spec) time.Duration
-	cached   func(id string) (tombstone.Tombstone, bool)
+	mirror          Keys
+	estimate        func(*job.Spec) time.Duration
+	cachedTombstone func(id string) (tombstone.Tombstone, bool)
 
-	mu            sync.Mutex
-	nodes         map[string]*Node
-	dependents    map[string]int // how many nodes depend on a job
-	tombstones    map[string]tombstone.Tombstone
-	wanted        map[string]bool      // dependencies whose tombstones are to be read
-	damaged       map[string]time.Time // since when their tombstones are known to be damaged
-	generation    uint64
-	urgencies     map[string]Urgency // as of urgenciesAt; nil: never worked out
-	urgenciesAt   uint64
-	wantedChanged chan struct{}
+	mu                  sync.Mutex // guards the fields below
+	nodes               map[string]*Node
+	dependents          map[string]int // number of nodes that depend on a job
+	tombstones          map[string]tombstone.Tombstone
+	pendingReads        map[string]bool      // dependencies whose tombstones are to be read
+	damagedReadAt       map[string]time.Time // when a damaged tombstone was last read
+	generation          uint64
+	urgencies           map[string]Urgency // at generation urgenciesGeneration; nil: not computed yet
+	urgenciesGeneration uint64
+	readRequested       chan struct{}
 }
 
-// NewTracker returns a tracker. estimate returns about how long a job takes once it is
-// ready; cached returns tombstones that another component has read.
+// NewTracker returns a tracker without jobs. estimate returns how long a job takes, approximately,
+// once it is ready. cachedTombstone returns tombstones that other components have read.
 func NewTracker(
-	keys Keys, estimate func(*job.Spec) time.Duration, cached func(string) (tombstone.Tombstone, bool),
+	mirror Keys, estimate func(*job.Spec) time.Duration, cachedTombstone func(string) (tombstone.Tombstone, bool),
 ) *Tracker {
 	t := &Tracker{
-		keys:          keys,
-		estimate:      estimate,
-		cached:        cached,
-		tombstones:    map[string]tombstone.Tombstone{},
-		wantedChanged: make(chan struct{}, 1),
+		mirror:          mirror,
+		estimate:        estimate,
+		cachedTombstone: cachedTombstone,
+		tombstones:      map[string]tombstone.Tombstone{},
+		readRequested:   make(chan struct{}, 1),
 	}
 	t.reset()
 	return t
 }
 
-// reset forgets all but the tombstones, which never change.
+// reset discards all state except the tombstones, which never change. The caller must hold t.mu,
+// unless no other goroutine has t yet.
 func (t *Tracker) reset() {
 	t.nodes = map[string]*Node{}
 	t.dependents = map[string]int{}
-	t.wanted = map[string]bool{}
-	t.damaged = map[string]time.Time{}
+	t.pendingReads = map[string]bool{}
+	t.damagedReadAt = map[string]time.Time{}
 }
 
-// OnEvents takes in changes; nil says that some were missed. It does no I/O.
+// OnEvents applies changes. A nil slice means that changes were missed and that all records must be
+// loaded again. OnEvents performs no I/O.
 func (t *Tracker) OnEvents(events []statekv.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,13 +92,13 @@
 		switch {
 		case !ok:
 		case e.Delete != "":
-			t.closeJob(id)
+			t.removeJob(id)
 		default:
-			t.openJob(id, e.Value)
+			t.addJob(id, e.Value)
 		}
 	}
-	// The deletion of a job's record and its tombstone have the same revision, in either
-	// order.
+	// The deletion of a job's record and the write of its tombstone have the same revision and may
+	// come in either order. Tombstones are therefore applied after all records.
 	for _, e := range events {
 		if c, ok := tombstone.ChangeOf(e); ok && c.Err == nil && t.dependents[c.ID] > 0 {
 			t.addTombstone(c.ID, c.Tombstone)
@@ -104,12 +106,12 @@
 	}
 }
 
-// reload reads all records anew. t.mu is held.
+// reload loads all records again. The caller must hold t.mu.
 func (t *Tracker) reload() {
 	t.generation++
 	t.reset()
-	for _, kv := range t.keys.Dir(job.RecordPrefix) {
-		t.openJob(kv.Key[len(job.RecordPrefix):], kv.Value)
+	for _, kv := range t.mirror.Dir(job.RecordPrefix) {
+		t.addJob(kv.Key[len(job.RecordPrefix):], kv.Value)
 	}
 	for id := range t.tombstones {
 		if t.dependents[id] == 0 {
@@ -118,22 +120,22 @@
 	}
 }
 
-// addTombstone takes in a tombstone. t.mu is held.
-func (t *Tracker) addTombstone(id string, stone tombstone.Tombstone) {
-	t.tombstones[id] = stone
-	delete(t.wanted, id)
-	delete(t.damaged, id)
+// addTombstone stores the tombstone of a job. The caller must hold t.mu.
+func (t *Tracker) addTombstone(id string, ts tombstone.Tombstone) {
+	t.tombstones[id] = ts
+	delete(t.pendingReads, id)
+	delete(t.damagedReadAt, id)
 	t.generation++
 }
 
-// openJob takes in a record. t.mu is held.
-func (t *Tracker) openJob(id string, raw json.RawMessage) {
+// addJob adds the job of a record, if it has dependencies. The caller must hold t.mu.
+func (t *Tracker) addJob(id string, raw json.RawMessage) {
 	if t.nodes[id] != nil || !job.MayHaveDependencies(raw) {
-		return // most have none; and a job's dependencies never change
+		return // most jobs have none, and a job's dependencies never change
 	}
 	n, err := t.parseNode(id, raw)
 	if err != nil {
-		t.keys.ReportUndecodable(job.RecordKey(id), err)
+		t.mirror.ReportUndecodable(job.RecordKey(id), err)
 		return
 	}
 	if len(n.Dependencies) == 0 {
@@ -146,19 +148,19 @@
 		if _, ok := t.tombstones[dependency]; ok {
 			continue
 		}
-		if stone, ok := t.cached(dependency); ok {
-			t.addTombstone(dependency, stone)
+		if ts, ok := t.cachedTombstone(dependency); ok {
+			t.addTombstone(dependency, ts)
 		}
 	}
 }
 
-// parseNode decodes a record, with its spec fragments.
+// parseNode decodes a record and the fragments of its spec.
 func (t *Tracker) parseNode(id string, raw json.RawMessage) (*Node, error) {
 	record, err := job.ParseRecord(raw)
 	if err != nil {
 		return nil, err
 	}
-	if err := record.JoinSpec(t.keys.Get); err != nil {
+	if err := record.JoinSpec(t.mirror.Get); err != nil {
 		return nil, err
 	}
 	spec := &record.Spec
@@ -173,8 +175,8 @@
 	return n, nil
 }
 
-// closeJob takes in that a record was deleted. t.mu is held.
-func (t *Tracker) closeJob(id string) {
+// removeJob removes a job whose record was deleted. The caller must hold t.mu.
+func (t *Tracker) removeJob(id string) {
 	if t.dependents[id] > 0 {
 		t.generation++
 	}
@@ -189,36 +191,36 @@
 		if t.dependents[dependency] == 0 {
 			delete(t.dependents, dependency)
 			delete(t.tombstones, dependency)
-			delete(t.wanted, dependency)
-			delete(t.damaged, dependency)
+			delete(t.pendingReads, dependency)
+			delete(t.damagedReadAt, dependency)
 		}
 	}
 }
 
-// lockedSnapshot is the tracker as a Snapshot, while its mutex is held.
+// lockedSnapshot is the Snapshot of a tracker whose mutex is held.
 type lockedSnapshot struct{ *Tracker }
 
 func (s lockedSnapshot) OpenJob(id string) (*Node, bool) {
 	if n := s.nodes[id]; n != nil {
 		return n, true
 	}
-	_, ok := s.keys.Get(job.RecordKey(id))
+	_, ok := s.mirror.Get(job.RecordKey(id))
 	return &Node{ID: id}, ok
 }
 
 func (s lockedSnapshot) Tombstone(id string) (tombstone.Tombstone, bool) {
-	if stone, ok := s.tombstones[id]; ok {
-		return stone, true
+	if ts, ok := s.tombstones[id]; ok {
+		return ts, true
 	}
-	if stone, ok := s.cached(id); ok && s.dependents[id] > 0 {
-		s.addTombstone(id, stone)
-		return stone, true
+	if ts, ok := s.cachedTombstone(id); ok && s.dependents[id] > 0 {
+		s.addTombstone(id, ts)
+		return ts, true
 	}
 	return tombstone.Tombstone{}, false
 }
 
-// Evaluate returns what an open job has come to; ok is false for one without dependencies.
-// Tombstones that it lacks are read soon.
+// Evaluate returns the state of an open job. ok is false if the job is not open or has no
+// dependencies. Missing tombstones are read in the background.
 func (t *Tracker) Evaluate(id string) (result Result, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -230,63 +232,65 @@
 	missing := result.MissingTombstones
 	result.MissingTombstones = nil
 	for _, dependency := range missing {
-		since, damaged := t.damaged[dependency]
+		readAt, damaged := t.damagedReadAt[dependency]
 		if !damaged {
 			result.MissingTombstones = append(result.MissingTombstones, dependency)
 		} else {
 			result.DamagedTombstones = append(result.DamagedTombstones, dependency)
 		}
-		if !damaged || time.Since(since) >= damagedRetryDelay {
-			t.want(dependency)
+		if !damaged || time.Since(readAt) >= damagedRetryDelay {
+			t.requestRead(dependency)
 		}
 	}
 	return result, true
 }
 
-// want has a tombstone read, if an open job depends on it. t.mu is held.
-func (t *Tracker) want(id string) {
-	if t.dependents[id] == 0 || t.wanted[id] {
+// requestRead requests a background read of a tombstone, if an open job depends on it. The caller
+// must hold t.mu.
+func (t *Tracker) requestRead(id string) {
+	if t.dependents[id] == 0 || t.pendingReads[id] {
 		return
 	}
-	t.wanted[id] = true
+	t.pendingReads[id] = true
 	select {
-	case t.wantedChanged <- struct{}{}:
-	default: // the signal is pending already
+	case t.readRequested <- struct{}{}:
+	default: // a signal is already pending
 	}
 }
 
-// Generation counts the changes; while it stays the same so does every result.
+// Generation returns the number of changes so far. While it stays the same, so does the result of
+// every evaluation.
 func (t *Tracker) Generation() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.generation
 }
 
-// Urgency is what a job is treated as having, by those that depend on it; ok is false if
-// none does.
+// Urgency returns the rank and the deadline that a job inherits from the jobs that depend on it. ok
+// is false if it inherits none.
 func (t *Tracker) Urgency(id string) (u Urgency, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.dependents[id] == 0 {
 		return Urgency{}, false
 	}
-	if t.urgencies == nil || t.urgenciesAt != t.generation {
-		t.urgenciesAt = t.generation
+	if t.urgencies == nil || t.urgenciesGeneration != t.generation {
+		t.urgenciesGeneration = t.generation
 		t.urgencies = PropagateUrgency(lockedSnapshot{t}, t.nodes)
 	}
 	u, ok = t.urgencies[id]
 	return u, ok
 }
 
-// Run reads the tombstones that are wanted until ctx ends, one after the other. What is
-// read is kept for as long as any open job depends on it.
+// Run reads the requested tombstones one after the other until ctx ends. A tombstone is kept for as
+// long as an open job depends on it.
 func (t *Tracker) Run(ctx context.Context, read func(context.Context, string) (tombstone.Tombstone, error)) {
 	for ctx.Err() == nil {
-		id, ok := t.nextWanted()
+		id, ok := t.nextPendingRead()
 		if !ok {
 			select {
 			case <-ctx.Done():
-			case <-t.wantedChanged:
+			case <-t.readRequested:
 			}
 			continue
 		}
@@ -300,56 +304,57 @@
 	}
 }
 
-// nextWanted returns any of the wanted tombstones.
-func (t *Tracker) nextWanted() (id string, ok bool) {
+// nextPendingRead returns any one of the jobs whose tombstones are to be read.
+func (t *Tracker) nextPendingRead() (id string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id := range t.wanted {
+	for id := range t.pendingReads {
 		return id, true
 	}
 	return "", false
 }
 
-// readTombstone reads one tombstone and reports whether it was read.
+// readTombstone reads one tombstone and reports whether it succeeded.
 func (t *Tracker) readTombstone(
 	ctx context.Context, id string, read func(context.Context, string) (tombstone.Tombstone, error),
 ) bool {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	stone, err := read(ctx, id)
-	t.noteRead(id, stone, err)
+	ts, err := read(ctx, id)
+	t.recordRead(id, ts, err)
 	switch {
 	case err == nil:
 		return true
 	case errors.Is(err, statekv.ErrNotFound):
-		// The job was open until a moment ago, or its tombstone is being written: the mirror
-		// will show it.
+		// The job was open until a moment ago, or its tombstone is being written. The mirror will
+		// deliver the tombstone.
 		slog.Debug("dependency record missing", "job", id)
 	case errors.Is(err, statekv.ErrRejected), errors.Is(err, statekv.ErrOutcomeUnknown), ctx.Err() != nil:
 		slog.Debug("dependency record read failed", "job", id, "err", err)
 	default:
-		// What depends on it goes on waiting, until an operator has restored it.
-		t.keys.ReportUndecodable(tombstone.Key(id), err)
-		t.noteDamaged(id)
+		// Jobs that depend on this one wait until an operator has restored the tombstone.
+		t.mirror.ReportUndecodable(tombstone.Key(id), err)
+		t.recordDamaged(id)
 	}
 	return false
 }
 
-// noteRead takes in the end of a read: if the tombstone is still wanted, the next
-// evaluation says so.
-func (t *Tracker) noteRead(id string, stone tombstone.Tombstone, err error) {
+// recordRead stores the result of a read. If the read failed and the tombstone is still needed, the
+// next evaluation requests it again.
+func (t *Tracker) recordRead(id string, ts tombstone.Tombstone, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.wanted, id)
+	delete(t.pendingReads, id)
 	if err == nil && t.dependents[id] > 0 {
-		t.addTombstone(id, stone)
+		t.addTombstone(id, ts)
 	}
 }
 
-func (t *Tracker) noteDamaged(id string) {
+// recordDamaged stores that the tombstone of a job was found to be damaged.
+func (t *Tracker) recordDamaged(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.dependents[id] > 0 {
-		t.damaged[id] = time.Now()
+		t.damagedReadAt[id] = time.Now()
 	}
 }
--- a/internal/dag/tracker_test.go
+++ b/internal/dag/tracker_test.go
@@ -14,236 +14,236 @@
 	"robinstack/internal/tombstone"
 )
 
-// trackerBed is a tracker beside a mirror of a state service.
-type trackerBed struct {
+// trackerTestbed is a tracker with a mirror of an emulated state service.
+type trackerTestbed struct {
 	t       *testing.T
 	ctx     context.Context
 	state   *emulator.StateService
-	keys    *statekv.Mirror
+	mirror  *statekv.Mirror
 	tracker *dag.Tracker
 	cached  map[string]tombstone.Tombstone
 	reads   int
 }
 
-// runScenario runs a test of a tracker of its own in synthetic time.
-func runScenario(t *testing.T, scenario func(w *trackerBed)) {
+// runTrackerTest runs a test with a testbed of its own in synthetic time.
+func runTrackerTest(t *testing.T, test func(b *trackerTestbed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
-		scenario(&trackerBed{t: t, ctx: ctx, state: emulator.NewStateService(), cached: map[string]tombstone.Tombstone{}})
+		test(&trackerTestbed{t: t, ctx: ctx, state: emulator.NewStateService(), cached: map[string]tombstone.Tombstone{}})
 	})
 }
 
-// start starts the tracker, as a session does.
-func (w *trackerBed) start() {
-	w.t.Helper()
-	w.keys = statekv.NewMirror(w.state, []string{job.RecordPrefix, job.SpecFragmentPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
-	w.tracker = dag.NewTracker(w.keys, func(*job.Spec) time.Duration { return 10 * time.Second }, func(id string) (tombstone.Tombstone, bool) {
-		r, ok := w.cached[id]
-		return r, ok
+// start starts the mirror and the tracker, as a new session does.
+func (b *trackerTestbed) start() {
+	b.t.Helper()
+	b.mirror = statekv.NewMirror(b.state, []string{job.RecordPrefix, job.SpecFragmentPrefix}, statekv.RootPrefix, time.Second, 0, func([]statekv.Event) {})
+	b.tracker = dag.NewTracker(b.mirror, func(*job.Spec) time.Duration { return 10 * time.Second }, func(id string) (tombstone.Tombstone, bool) {
+		ts, ok := b.cached[id]
+		return ts, ok
 	})
-	w.keys.OnApply = w.tracker.OnEvents
-	if err := w.keys.Load(w.ctx); err != nil {
-		w.t.Fatal(err)
+	b.mirror.OnApply = b.tracker.OnEvents
+	if err := b.mirror.Load(b.ctx); err != nil {
+		b.t.Fatal(err)
 	}
-	go w.keys.Run(w.ctx)
-	go w.tracker.Run(w.ctx, func(ctx context.Context, id string) (tombstone.Tombstone, error) {
-		// The read takes synthetic time, so that it cannot happen before the test sleeps.
+	go b.mirror.Run(b.ctx)
+	go b.tracker.Run(b.ctx, func(ctx context.Context, id string) (tombstone.Tombstone, error) {
+		// The read takes synthetic time, so that it cannot be made before the test sleeps.
 		select {
 		case <-ctx.Done():
 			return tombstone.Tombstone{}, ctx.Err()
 		case <-time.After(time.Millisecond):
 		}
-		w.reads++
-		return tombstone.Read(ctx, w.state, nil, id)
+		b.reads++
+		return tombstone.Read(ctx, b.state, nil, id)
 	})
 }
 
-func (w *trackerBed) write(ops ...statekv.Op) {
-	w.t.Helper()
-	rev, err := w.state.Txn(w.ctx, nil, ops)
+func (b *trackerTestbed) write(ops ...statekv.Op) {
+	b.t.Helper()
+	rev, err := b.state.Txn(b.ctx, nil, ops)
 	if err != nil {
-		w.t.Fatal(err)
+		b.t.Fatal(err)
 	}
-	if w.keys != nil {
-		if err := w.keys.Wait(w.ctx, rev); err != nil {
-			w.t.Fatal(err)
+	if b.mirror != nil {
+		if err := b.mirror.Wait(b.ctx, rev); err != nil {
+			b.t.Fatal(err)
 		}
 	}
 }
 
-func recordOf(id string, dependencies ...string) job.Record {
+func newRecord(id string, dependencies ...string) job.Record {
 	return job.Record{Spec: job.Spec{ID: id, Tasks: 1, Rank: "normal", WaitsOn: dependencies}, SubmittedMS: time.Now().UnixMilli()}
 }
 
-func (w *trackerBed) openJob(id string, dependencies ...string) {
-	w.t.Helper()
-	w.write(statekv.Op{Set: job.RecordKey(id), Value: recordOf(id, dependencies...)})
+func (b *trackerTestbed) addJob(id string, dependencies ...string) {
+	b.t.Helper()
+	b.write(statekv.Op{Set: job.RecordKey(id), Value: newRecord(id, dependencies...)})
 }
 
-func (w *trackerBed) finishJob(id, status string, formats tombstone.Formats) {
-	w.t.Helper()
-	w.write(append(tombstone.WriteOps(id, tombstone.Tombstone{Status: status, Tasks: 1, CompletedAtMS: time.Now().UnixMilli()}, formats), statekv.Op{Delete: job.RecordKey(id)})...)
+func (b *trackerTestbed) finishJob(id, status string, formats tombstone.Formats) {
+	b.t.Helper()
+	b.write(append(tombstone.WriteOps(id, tombstone.Tombstone{Status: status, Tasks: 1, CompletedAtMS: time.Now().UnixMilli()}, formats), statekv.Op{Delete: job.RecordKey(id)})...)
 }
 
-func (w *trackerBed) requireState(id string, state dag.State) dag.Result {
-	w.t.Helper()
-	result, ok := w.tracker.Evaluate(id)
+func (b *trackerTestbed) requireState(id string, state dag.State) dag.Result {
+	b.t.Helper()
+	result, ok := b.tracker.Evaluate(id)
 	if !ok || result.State != state {
-		w.t.Fatalf("%s: %v %+v", id, ok, result)
+		b.t.Fatalf("%s: got %+v, %t; want state %d", id, result, ok, state)
 	}
 	return result
 }
 
-// Whoever waits until the mirror shows a revision finds the result that goes with it: a
-// controller that acknowledged a cancellation, and one that is asked afterwards, cannot
-// disagree. Guards against a tracker that receives changes after the mirror has said that it
-// shows them.
-func TestResultIsAsRecentAsTheMirror(t *testing.T) {
-	runScenario(t, func(w *trackerBed) {
-		w.start()
-		w.openJob("wk-1")
-		w.openJob("wk-2", "wk-1")
-		w.openJob("wk-3", "wk-2")
-		w.requireState("wk-3", dag.Waiting)
-		w.finishJob("wk-1", job.Cancelled, tombstone.CompactOnly)
-		w.requireState("wk-2", dag.Cancelled)
-		w.requireState("wk-3", dag.Cancelled)
-		w.finishJob("wk-2", job.Cancelled, tombstone.LegacyAndCompact)
-		if result := w.requireState("wk-3", dag.Cancelled); result.CancelledBy != "wk-2" {
-			t.Error(result)
-		}
-		time.Sleep(time.Second) // any read that was requested is made by then
-		if w.reads > 0 {
-			t.Errorf("%d tombstones were read that the mirror's changes have shown", w.reads)
+// A caller that has waited until the mirror has seen a revision gets the result of that revision.
+// Otherwise a controller that acknowledged a cancellation and one that is queried afterwards could
+// disagree. Guards against a tracker that receives changes after the mirror has reported them as
+// seen.
+func TestEvaluateReflectsMirrorRevision(t *testing.T) {
+	runTrackerTest(t, func(b *trackerTestbed) {
+		b.start()
+		b.addJob("wk-1")
+		b.addJob("wk-2", "wk-1")
+		b.addJob("wk-3", "wk-2")
+		b.requireState("wk-3", dag.Waiting)
+		b.finishJob("wk-1", job.Cancelled, tombstone.CompactOnly)
+		b.requireState("wk-2", dag.Cancelled)
+		b.requireState("wk-3", dag.Cancelled)
+		b.finishJob("wk-2", job.Cancelled, tombstone.LegacyAndCompact)
+		if result := b.requireState("wk-3", dag.Cancelled); result.CancelledBy != "wk-2" {
+			t.Errorf("got %+v, want cancelled by wk-2", result)
+		}
+		time.Sleep(time.Second) // every requested read has been made by then
+		if b.reads > 0 {
+			t.Errorf("got %d reads of tombstones that the mirror has delivered, want none", b.reads)
 		}
 	})
 }
 
-// A later session finds jobs that finished long ago, with tombstones of any build: they are
-// read once each. Until then no user is answered that a job waits, for one before it may
-// have been cancelled.
+// A new session reads the tombstones of jobs that finished long ago once each, whichever build
+// wrote them. Until then no job is reported as waiting, because one of its dependencies may have
+// been cancelled.
 func TestTombstonesOfEarlierSessionsAreRead(t *testing.T) {
-	runScenario(t, func(w *trackerBed) {
-		w.finishJob("wk-1", job.Done, tombstone.LegacyOnly)
-		w.finishJob("wk-2", job.Done, tombstone.CompactOnly)
-		w.write(statekv.Op{Set: "robin/final/wk-3", Value: map[string]any{"status": "done", "tasks": 1}}) // the build in production writes it so
-		w.finishJob("wk-4", job.Cancelled, tombstone.CompactOnly)
-		w.finishJob("wk-9", job.Done, tombstone.LegacyAndCompact)
-		w.openJob("wk-5", "wk-1", "wk-2")
-		w.openJob("wk-6", "wk-2", "wk-3")
-		w.openJob("wk-7", "wk-4")
-		w.openJob("wk-8", "wk-7")
-		w.cached["wk-9"] = tombstone.Tombstone{Status: job.Done, Tasks: 1, CompletedAtMS: 5}
-		w.openJob("wk-10", "wk-9")
+	runTrackerTest(t, func(b *trackerTestbed) {
+		b.finishJob("wk-1", job.Done, tombstone.LegacyOnly)
+		b.finishJob("wk-2", job.Done, tombstone.CompactOnly)
+		b.write(statekv.Op{Set: "robin/final/wk-3", Value: map[string]any{"status": "done", "tasks": 1}}) // as the build in production writes it
+		b.finishJob("wk-4", job.Cancelled, tombstone.CompactOnly)
+		b.finishJob("wk-9", job.Done, tombstone.LegacyAndCompact)
+		b.addJob("wk-5", "wk-1", "wk-2")
+		b.addJob("wk-6", "wk-2", "wk-3")
+		b.addJob("wk-7", "wk-4")
+		b.addJob("wk-8", "wk-7")
+		b.cached["wk-9"] = tombstone.Tombstone{Status: job.Done, Tasks: 1, CompletedAtMS: 5}
+		b.addJob("wk-10", "wk-9")
 		time.Sleep(time.Hour)
-		w.start()
-		if result := w.requireState("wk-5", dag.Unresolved); len(result.MissingTombstones) != 2 {
-			t.Error(result)
+		b.start()
+		if result := b.requireState("wk-5", dag.Unresolved); len(result.MissingTombstones) != 2 {
+			t.Errorf("got %+v, want 2 missing tombstones", result)
 		}
-		w.requireState("wk-6", dag.Unresolved)
-		w.requireState("wk-7", dag.Unresolved)
-		w.requireState("wk-10", dag.Ready)
-		if result := w.requireState("wk-8", dag.Waiting); len(result.MissingTombstones) != 1 || result.MissingTombstones[0] != "wk-4" {
-			t.Error(result)
+		b.requireState("wk-6", dag.Unresolved)
+		b.requireState("wk-7", dag.Unresolved)
+		b.requireState("wk-10", dag.Ready)
+		if result := b.requireState("wk-8", dag.Waiting); len(result.MissingTombstones) != 1 || result.MissingTombstones[0] != "wk-4" {
+			t.Errorf("got %+v, want the missing tombstone of wk-4", result)
 		}
 		time.Sleep(time.Second)
-		if result := w.requireState("wk-5", dag.Ready); result.ReadySince.IsZero() {
-			t.Error("the time at which it became ready is lost")
+		if result := b.requireState("wk-5", dag.Ready); result.ReadySince.IsZero() {
+			t.Error("wk-5: got no time since which it is ready")
 		}
-		if result := w.requireState("wk-6", dag.Ready); !result.ReadySince.IsZero() {
-			t.Errorf("the build in production does not record when: %v", result.ReadySince)
+		if result := b.requireState("wk-6", dag.Ready); !result.ReadySince.IsZero() {
+			t.Errorf("wk-6, without the completion time of wk-3: got ready since %v, want zero", result.ReadySince)
 		}
-		w.requireState("wk-7", dag.Cancelled)
-		w.requireState("wk-8", dag.Cancelled)
-		if w.reads != 4 {
-			t.Errorf("%d reads of 4 tombstones", w.reads)
+		b.requireState("wk-7", dag.Cancelled)
+		b.requireState("wk-8", dag.Cancelled)
+		if b.reads != 4 {
+			t.Errorf("got %d reads of 4 tombstones, want 4", b.reads)
 		}
 	})
 }
 
-// The state service is down while tombstones are wanted: nothing becomes ready, and all is
-// resolved once it is back. A damaged tombstone keeps what depends on it waiting, and is
-// reported.
+// During an outage of the state service no job becomes ready, and after it all jobs are resolved. A
+// damaged tombstone is reported and keeps the jobs that depend on it waiting.
 func TestOutageAndDamagedTombstone(t *testing.T) {
-	runScenario(t, func(w *trackerBed) {
-		w.finishJob("wk-1", job.Done, tombstone.CompactOnly)
-		w.write(statekv.Op{Set: tombstone.Key("wk-2"), Value: "mangled"})
-		w.openJob("wk-5", "wk-1")
-		w.openJob("wk-6", "wk-2")
-		w.openJob("wk-7", "wk-6")
-		w.write(statekv.Op{Set: job.RecordKey("wk-8"), Value: "mangled"})
-		w.openJob("wk-9", "wk-8")
-		w.start()
-		w.state.SetOutage(true, false)
+	runTrackerTest(t, func(b *trackerTestbed) {
+		b.finishJob("wk-1", job.Done, tombstone.CompactOnly)
+		b.write(statekv.Op{Set: tombstone.Key("wk-2"), Value: "mangled"})
+		b.addJob("wk-5", "wk-1")
+		b.addJob("wk-6", "wk-2")
+		b.addJob("wk-7", "wk-6")
+		b.write(statekv.Op{Set: job.RecordKey("wk-8"), Value: "mangled"})
+		b.addJob("wk-9", "wk-8")
+		b.start()
+		b.state.SetOutage(true, false)
 		for range 60 {
-			w.requireState("wk-5", dag.Unresolved)
-			w.requireState("wk-6", dag.Unresolved)
+			b.requireState("wk-5", dag.Unresolved)
+			b.requireState("wk-6", dag.Unresolved)
 			time.Sleep(time.Second)
 		}
-		w.state.SetOutage(false, false)
+		b.state.SetOutage(false, false)
 		for range 5 {
-			w.tracker.Evaluate("wk-5")
-			w.tracker.Evaluate("wk-6")
+			b.tracker.Evaluate("wk-5")
+			b.tracker.Evaluate("wk-6")
 			time.Sleep(time.Second)
 		}
-		w.requireState("wk-5", dag.Ready)
-		w.requireState("wk-6", dag.Unresolved)
-		w.requireState("wk-9", dag.Waiting)
-		undecodable := w.keys.Undecodable()
+		b.requireState("wk-5", dag.Ready)
+		b.requireState("wk-6", dag.Unresolved)
+		b.requireState("wk-9", dag.Waiting)
+		undecodable := b.mirror.Undecodable()
 		if undecodable[tombstone.Key("wk-2")] == "" {
-			t.Error(undecodable)
+			t.Errorf("got undecodable keys %v, want the tombstone of wk-2 among them", undecodable)
 		}
-		// Their users are answered that they wait, or the jobs would count as lost; and the
-		// tombstone is read again seldom, until an operator has restored it.
-		if result := w.requireState("wk-7", dag.Waiting); len(result.MissingTombstones) > 0 || len(result.DamagedTombstones) != 1 {
-			t.Errorf("%+v", result)
+		// Users are told that these jobs wait, as otherwise the jobs would count as lost. The
+		// tombstone is read again only after damagedRetryDelay, until an operator has restored it.
+		if result := b.requireState("wk-7", dag.Waiting); len(result.MissingTombstones) > 0 || len(result.DamagedTombstones) != 1 {
+			t.Errorf("got %+v, want one damaged and no missing tombstone", result)
 		}
-		before := w.reads
+		readsBefore := b.reads
 		for range 60 {
-			w.tracker.Evaluate("wk-6")
+			b.tracker.Evaluate("wk-6")
 			time.Sleep(time.Second)
 		}
-		if n := w.reads - before; n < 2 || n > 4 {
-			t.Errorf("read %d times in a minute", n)
+		if reads := b.reads - readsBefore; reads < 2 || reads > 4 {
+			t.Errorf("got %d reads of a damaged tombstone in a minute, want 2 to 4", reads)
 		}
-		w.write(statekv.Op{Set: tombstone.Key("wk-2"), Value: []any{1, "d", 1}})
-		w.requireState("wk-6", dag.Ready)
+		b.write(statekv.Op{Set: tombstone.Key("wk-2"), Value: []any{1, "d", 1}})
+		b.requireState("wk-6", dag.Ready)
 	})
 }
 
-// Hundreds of dependencies are kept in spec fragments; a job with them waits like any
-// other, also after a reload because of a gap in the watch.
+// A job with hundreds of dependencies, which are stored in spec fragments, waits like any other
+// job, also after the mirror has been reloaded because of a gap in its watch.
 func TestDependenciesInSpecFragments(t *testing.T) {
-	runScenario(t, func(w *trackerBed) {
-		w.start()
-		var names []string
+	runTrackerTest(t, func(b *trackerTestbed) {
+		b.start()
+		var dependencies []string
 		for k := range 800 {
-			names = append(names, fmt.Sprintf("wk-%06d", 7919*k%1000000))
+			dependencies = append(dependencies, fmt.Sprintf("wk-%06d", 7919*k%1000000))
 		}
-		rec := recordOf("wk-1", names...)
-		if !rec.ExceedsLimit(2048) {
-			t.Fatal("it fits one value")
+		record := newRecord("wk-1", dependencies...)
+		if !record.ExceedsLimit(2048) {
+			t.Fatal("record with 800 dependencies fits one value")
 		}
-		ops, err := rec.SplitSpec(2048, 7)
+		ops, err := record.SplitSpec(2048, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.openJob(names[799])
-		w.write(append(ops, statekv.Op{Set: job.RecordKey("wk-1"), Value: rec})...)
-		for again := range 2 {
-			result, _ := w.tracker.Evaluate("wk-1")
-			if result.State != dag.Waiting || len(result.WaitingOn) != 1 || result.WaitingOn[0] != names[799] || len(result.MissingTombstones) != 799 {
-				t.Fatal(again, result.State, result.WaitingOn, len(result.MissingTombstones))
+		b.addJob(dependencies[799])
+		b.write(append(ops, statekv.Op{Set: job.RecordKey("wk-1"), Value: record})...)
+		for reloads := range 2 {
+			result, _ := b.tracker.Evaluate("wk-1")
+			if result.State != dag.Waiting || len(result.WaitingOn) != 1 || result.WaitingOn[0] != dependencies[799] || len(result.MissingTombstones) != 799 {
+				t.Fatalf("%d reloads: got state %d, waiting on %v, %d missing tombstones; want Waiting on %s, 799 missing",
+					reloads, result.State, result.WaitingOn, len(result.MissingTombstones), dependencies[799])
 			}
-			if err := w.keys.Load(w.ctx); err != nil {
+			if err := b.mirror.Load(b.ctx); err != nil {
 				t.Fatal(err)
 			}
 		}
-		w.write(statekv.Op{Delete: job.RecordKey("wk-1")})
-		if result, ok := w.tracker.Evaluate("wk-1"); ok {
-			t.Error(result)
+		b.write(statekv.Op{Delete: job.RecordKey("wk-1")})
+		if result, ok := b.tracker.Evaluate("wk-1"); ok {
+			t.Errorf("got %+v for a job whose record was deleted, want none", result)
 		}
 	})
 }
--- a/internal/dag/urgency.go
+++ b/internal/dag/urgency.go
@@ -7,14 +7,15 @@
 	"robinstack/internal/job"
 )
 
-// Urgency is the rank and the deadline that a job is treated as having.
+// Urgency is the rank and the deadline by which a job is scheduled. They are its own or inherited
+// from jobs that depend on it.
 type Urgency struct {
 	Rank     string
-	Deadline time.Time // zero: none
+	Deadline time.Time // zero: no deadline
 }
 
-// max returns the more urgent of both in each respect.
-func (u Urgency) max(other Urgency) Urgency {
+// mostUrgent returns the higher rank and the earlier deadline of u and other.
+func (u Urgency) mostUrgent(other Urgency) Urgency {
 	if job.PriorityOfRank(other.Rank) > job.PriorityOfRank(u.Rank) {
 		u.Rank = other.Rank
 	}
@@ -24,17 +25,17 @@
 	return u
 }
 
-// before returns the urgency of the dependencies of a job that takes so long: they have to
-// be done before it can take its time.
-func (u Urgency) before(duration time.Duration) Urgency {
+// forDependencies returns the urgency that a job of the given estimated duration passes on to its
+// dependencies. They must be done early enough for the job to finish by its own deadline.
+func (u Urgency) forDependencies(duration time.Duration) Urgency {
 	if !u.Deadline.IsZero() {
 		u.Deadline = u.Deadline.Add(-duration)
 	}
 	return u
 }
 
-// PropagateUrgency returns the urgency that jobs have from those that depend on them. A
-// cancelled one passes nothing on. Each job is visited once for each that depends on it.
+// PropagateUrgency returns the urgency that each job inherits from the jobs that depend on it. Jobs
+// with a cancelled dependency pass nothing on. Every dependency is visited once.
 func PropagateUrgency(s Snapshot, nodes map[string]*Node) map[string]Urgency {
 	sorted := dependentsFirst(nodes)
 	cancelled := cancelledNodes(s, sorted)
@@ -43,15 +44,16 @@
 		if cancelled[n.ID] {
 			continue
 		}
-		own := Urgency{n.Rank, n.Deadline}.max(urgencies[n.ID])
+		effective := Urgency{n.Rank, n.Deadline}.mostUrgent(urgencies[n.ID])
 		for _, id := range n.Dependencies {
-			urgencies[id] = urgencies[id].max(own.before(n.EstimatedDuration))
+			urgencies[id] = urgencies[id].mostUrgent(effective.forDependencies(n.EstimatedDuration))
 		}
 	}
 	return urgencies
 }
 
-// cancelledNodes returns which jobs are after a cancelled one, directly or through others.
+// cancelledNodes returns the nodes that depend on a cancelled job, directly or transitively. sorted
+// has dependents before their dependencies.
 func cancelledNodes(s Snapshot, sorted []*Node) map[string]bool {
 	cancelled := map[string]bool{}
 	for _, n := range slices.Backward(sorted) {
@@ -63,11 +65,11 @@
 	return cancelled
 }
 
-// dependentsFirst sorts jobs so that each comes before its dependencies. Users can name
-// only jobs that were accepted, so there are no cycles; if damage made one, its jobs are
-// left out.
+// dependentsFirst sorts jobs topologically, each before its dependencies. There are normally no
+// cycles, because users can only name jobs that were accepted before. If damaged records form a
+// cycle, its jobs and those that they depend on are left out.
 func dependentsFirst(nodes map[string]*Node) []*Node {
-	dependents := map[string]int{} // of each job, that are not sorted yet
+	dependents := map[string]int{} // number of dependents of each job that are not sorted yet
 	for _, n := range nodes {
 		for _, id := range n.Dependencies {
 			dependents[id]++
@@ -79,7 +81,7 @@
 			sorted = append(sorted, n)
 		}
 	}
-	for k := 0; k < len(sorted); k++ { // sorted grows
+	for k := 0; k < len(sorted); k++ { // sorted grows within the loop
 		for _, id := range sorted[k].Dependencies {
 			dependents[id]--
 			if dependents[id] == 0 && nodes[id] != nil {
