--- a/cmd/robinstack/audit.go
+++ b/cmd/robinstack/audit.go
@@ -14,20 +14,20 @@
 	"robinstack/tools/console"
 )
 
-// auditFlags are what the command is told beside the logs.
+// auditFlags are the flags of the audit command.
 type auditFlags struct {
 	charged   float64
 	json      bool
 	deadlines bool
-	settings  string // of which the objectives are; "": tell of the bill instead
+	settings  string // settings file with the objectives; "" prints the costs instead
 }
 
 func auditCommand() *cobra.Command {
 	var flags auditFlags
 	cmd := &cobra.Command{
-		Use: "audit LOG...", Short: "Split what the machines cost by what they did", Args: cobra.MinimumNArgs(1),
-		Long: "audit reads the logs of all controllers (- for standard input) and splits the money spent on machines " +
-			"by what they did with their time. Lines that are cut are named, and the rest is used.",
+		Use: "audit LOG...", Short: "Break down the cost of the machines by use", Args: cobra.MinimumNArgs(1),
+		Long: "audit reads the logs of all controllers (- for standard input) and breaks down the cost of the " +
+			"machines by how their time was used. Malformed lines are reported and skipped.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			log, err := readLogs(args, cmd.InOrStdin())
 			if err != nil {
@@ -40,16 +40,17 @@
 			return printBill(cmd.OutOrStdout(), log, &flags)
 		},
 	}
-	cmd.Flags().Float64Var(&flags.charged, "charged", 0, "what the cloud charged, to set against the sum of the parts")
+	cmd.Flags().Float64Var(&flags.charged, "charged", 0,
+		"amount that the cloud charged, to compare with the sum of the breakdown")
 	cmd.Flags().BoolVar(&flags.json, "json", false, "print as JSON")
-	cmd.Flags().StringVar(&flags.settings, "served", "", "the platform's settings file: tell for each class and team "+
-		"how many jobs were started and done by its aims instead")
+	cmd.Flags().StringVar(&flags.settings, "served", "", "the platform's settings file: instead of costs, print for "+
+		"each class and team how many jobs were started, and done within their objectives")
 	cmd.Flags().BoolVar(&flags.deadlines, "orders", false,
-		"also work out how many deadlines another order could have kept")
+		"also compute how many deadlines another queue order could have met")
 	return cmd
 }
 
-// maxShownProblems is how many unusable lines of a log are shown.
+// maxShownProblems bounds how many malformed log lines are printed.
 const maxShownProblems = 10
 
 func printProblems(out io.Writer, problems []audit.Problem) {
@@ -62,17 +63,17 @@
 	}
 }
 
-// nothingIn says that a log has nothing of what was asked for.
-func nothingIn(log *audit.Log, what string) error {
-	return fmt.Errorf("%w: no %s in %d lines of controllers (%d others, %d cut): is LOG_LEVEL info or debug?",
+// noDataError reports that a log has no data of the kind that the command needs.
+func noDataError(log *audit.Log, what string) error {
+	return fmt.Errorf("%w: no %s in %d controller log lines (%d others, %d malformed): is LOG_LEVEL info or debug?",
 		errUsage, what, log.Lines, log.Unrecognized, len(log.Problems))
 }
 
-// printBill tells where the money went.
+// printBill prints the cost breakdown and, with --orders, the outcomes of the deadlines.
 func printBill(out io.Writer, log *audit.Log, flags *auditFlags) error {
 	bill := log.Bill()
 	if bill.Machines == 0 {
-		return nothingIn(log, "machine with a price")
+		return noDataError(log, "machine with a price")
 	}
 	if flags.json {
 		return json.NewEncoder(out).Encode(bill)
@@ -83,7 +84,7 @@
 	return audit.PrintDeadlineOutcomes(out, log.DeadlineOutcomes())
 }
 
-// printServiceLevels tells who was served, by the users' objectives in a settings file.
+// printServiceLevels prints how many jobs met the users' objectives in the settings file.
 func printServiceLevels(out io.Writer, log *audit.Log, flags *auditFlags) error {
 	settings, err := config.Load(flags.settings)
 	if err != nil {
@@ -100,7 +101,7 @@
 		return 0
 	})
 	if len(classes) == 0 {
-		return nothingIn(log, "accepted job")
+		return noDataError(log, "accepted job")
 	}
 	if flags.json {
 		return json.NewEncoder(out).Encode(map[string][]audit.ServiceLevel{"classes": classes, "teams": teams})
@@ -118,9 +119,9 @@
 		}
 		f, err := os.Open(p)
 		if err != nil {
-			return nil, fmt.Errorf("%w: opening a log: %w", errUsage, err)
+			return nil, fmt.Errorf("%w: opening a controller log: %w", errUsage, err)
 		}
-		defer func() { _ = f.Close() }() // it was read only
+		defer func() { _ = f.Close() }() // opened for reading only
 		readers = append(readers, f)
 	}
 	return audit.Read(io.MultiReader(readers...))
--- a/cmd/robinstack/check.go
+++ b/cmd/robinstack/check.go
@@ -19,7 +19,7 @@
 	var policyPath, against string
 	check := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a settings file and a policy file, or whether this build reads what is stored",
+		Short: "Check a settings file and a policy file, or whether this build can read the stored data",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if against != "" {
@@ -34,7 +34,7 @@
 		},
 	}
 	check.Flags().StringVar(&against, "against", "",
-		"a dump of the state service (its answers to GET /keys), or its address: would this build read it?")
+		"check that this build can read a state service's data: its address, or a file of its responses to GET /keys")
 	check.Flags().StringVar(&policyPath, "policy", "", "the operators' policy file")
 	return check
 }
@@ -52,15 +52,15 @@
 	return nil
 }
 
-// A check reads the state service at this rate, as one that is no controller, and writes
-// nothing.
+// Limits of the requests that a check sends to the state service. A check runs beside the
+// controllers and writes nothing.
 const (
 	checkRequestsPerSecond = 20
-	checkChangesPerSecond  = 1
+	checkWritesPerSecond   = 1
 	checkControllers       = 1
 )
 
-// checkCompatibility tells whether this build reads what is stored: in a file of answers to
+// checkCompatibility reports whether this build can read the stored data: in a file of responses to
 // GET /keys, or in the state service at an address.
 func checkCompatibility(cmd *cobra.Command, source string) error {
 	report, err := readStored(cmd, source)
@@ -71,7 +71,7 @@
 		return err
 	}
 	if !report.Compatible() {
-		return errors.New("this build does not read all that is stored")
+		return errors.New("this build is not compatible with the stored data")
 	}
 	return nil
 }
@@ -79,12 +79,12 @@
 func readStored(cmd *cobra.Command, source string) (*rollout.CompatibilityReport, error) {
 	dump, err := os.Open(source)
 	if err == nil {
-		defer func() { _ = dump.Close() }() // it was read only
+		defer func() { _ = dump.Close() }() // opened for reading only
 		return rollout.CheckDump(dump)
 	}
 	if _, _, notAnAddress := net.SplitHostPort(source); notAnAddress != nil {
 		return nil, err
 	}
-	client := statekv.NewClient(source, checkRequestsPerSecond, checkChangesPerSecond, checkControllers)
+	client := statekv.NewClient(source, checkRequestsPerSecond, checkWritesPerSecond, checkControllers)
 	return rollout.CheckStore(cmd.Context(), client)
 }
--- a/cmd/robinstack/dev.go
+++ b/cmd/robinstack/dev.go
@@ -13,7 +13,7 @@
 	"robinstack/tools/devcluster"
 )
 
-// devFlags are what the command is told.
+// devFlags are the flags of the dev command.
 type devFlags struct {
 	options   devcluster.Options
 	sampleJob bool
@@ -24,43 +24,44 @@
 	var flags devFlags
 	cmd := &cobra.Command{
 		Use:   "dev",
-		Short: "Run a whole service on this machine, with stand-ins for everything around it",
+		Short: "Run a local cluster with emulators of the services that controllers need",
 		Args:  cobra.NoArgs,
-		Long: "dev starts a state service, a cloud and workers that run small commands, all stand-ins on loopback, " +
-			"and controllers as processes of their own. Interrupt it to end all of it.",
+		Long: "dev starts emulators of the state service, the cloud and workers that run small commands, all on " +
+			"loopback, and controllers as separate processes. Interrupt it to stop the whole cluster.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runDevCluster(cmd.Context(), cmd.OutOrStdout(), &flags)
 		},
 	}
 	f, o, r := cmd.Flags(), &flags.options, &flags.rollouts
-	f.IntVar(&o.Port, "port", 7400, "first of the ports")
-	f.IntVar(&o.Controllers, "controllers", 3, "how many controllers")
+	f.IntVar(&o.Port, "port", 7400, "first of the consecutive ports to use")
+	f.IntVar(&o.Controllers, "controllers", 3, "number of controllers")
 	f.StringArrayVar(&o.Programs, "controller", nil,
-		"program of one controller, in their order; repeat it for more. The others run this program")
+		"program of a controller; repeat the flag for the next ones in order. The others run this program")
 	f.StringVar(&o.Policy, "policy", "", "policy file for the controllers that run this program")
-	f.StringVar(&o.LogDirectory, "logs", "", "directory for the controllers' logs; without it they go when all ends")
-	f.IntVar(&o.MaxMachines, "machines", 24, "how many machines the cloud has")
+	f.StringVar(&o.LogDirectory, "logs", "", "directory for the controllers' logs; by default they are deleted at exit")
+	f.IntVar(&o.MaxMachines, "machines", 24, "number of machines that the cloud has")
 	f.Float64Var(&o.GPUs, "gpus", 8, "GPUs of each machine")
-	f.IntVar(&r.RunningTasks, "running", 20, "tasks that are to run at a time, for --rolls")
-	f.Float64Var(&r.MeanSeconds, "seconds", 1.3, "how long a task runs on average, for --rolls")
-	f.Float64Var(&r.MeanTasks, "tasks", 3, "tasks a job has on average, for --rolls")
-	f.DurationVar(&r.Warmup, "warmup", 0, "time before the first roll, for --rolls")
+	f.IntVar(&r.RunningTasks, "running", 20, "target number of tasks running at a time, for --rolls")
+	f.Float64Var(&r.MeanSeconds, "seconds", 1.3, "mean run time of a task in seconds, for --rolls")
+	f.Float64Var(&r.MeanTasks, "tasks", 3, "mean number of tasks of a job, for --rolls")
+	f.DurationVar(&r.Warmup, "warmup", 0, "time before the first replacement of the controllers, for --rolls")
 	f.DurationVar(&r.MaxPause, "pause", 1500*time.Millisecond,
-		"longest time between the end of a controller's start and the next one's end, for --rolls")
-	f.BoolVar(&flags.sampleJob, "try", false, "submit a job, see it done, and end")
-	f.IntVar(&r.Rollouts, "rolls", 0, "roll the controllers so many times from --former to this program and back "+
-		"under load, killing them at any moment, and tell what was lost")
-	f.StringVar(&r.FormerProgram, "former", "", "program of the former version, for --rolls")
+		"maximum pause after a controller has started, before the next one is killed, for --rolls")
+	f.BoolVar(&flags.sampleJob, "try", false, "submit a sample job, wait until it is done, and exit")
+	f.IntVar(&r.Rollouts, "rolls", 0, "how many times to upgrade the controllers from --former to this program "+
+		"and back, under load, killing them at any moment; reports what was lost")
+	f.StringVar(&r.FormerProgram, "former", "", "program of the previous version, for --rolls")
 	return cmd
 }
 
-// startTimeout is how long the service may take to be ready, and the sample job to be done.
+// startTimeout bounds the time until the cluster is ready and, with --try, until the sample job is
+// done.
 const startTimeout = 30 * time.Second
 
 func runDevCluster(ctx context.Context, out io.Writer, flags *devFlags) error {
 	program, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("finding this program: %w", err)
+		return fmt.Errorf("locating the executable of this program: %w", err)
 	}
 	flags.options.Program = program
 	cluster, err := devcluster.Start(ctx, flags.options)
@@ -80,10 +81,10 @@
 		return cluster.RunSampleJob(startCtx, out)
 	}
 	printUsage(out, cluster)
-	return waitForEnd(ctx, cluster)
+	return waitForExit(ctx, cluster)
 }
 
-// printUsage tells what to do with the service.
+// printUsage prints example commands for the running cluster.
 func printUsage(out io.Writer, c *devcluster.Cluster) {
 	address := c.ControllerAddress(0)
 	console.Printf(out, "controllers answer users at %v; their logs are in %s\n",
@@ -91,22 +92,23 @@
 	console.Printf(out, "submit a job of four commands:\n\n"+
 		"    curl -d '%s' http://%s/submissions\n    curl http://%[2]s/submissions/wk-1\n\n",
 		devcluster.ExampleSubmission, address)
-	console.Printf(out, "see who holds what, and how a roll-out stands:\n\n"+
+	console.Printf(out, "show the status of the cluster and of a roll-out:\n\n"+
 		"    %s status %s\n    %[1]s rollout status %[2]s\n\n", os.Args[0], address)
 }
 
-// exitPoll is how often it is looked whether a controller has ended by itself.
-const exitPoll = 200 * time.Millisecond
+// exitPollInterval is the interval at which the controllers are checked for unexpected exits.
+const exitPollInterval = 200 * time.Millisecond
 
-// waitForEnd returns once ctx ends, or with the name of a controller that ended by itself.
-func waitForEnd(ctx context.Context, c *devcluster.Cluster) error {
+// waitForExit returns nil once ctx is cancelled, or an error once a controller has exited
+// unexpectedly.
+func waitForExit(ctx context.Context, c *devcluster.Cluster) error {
 	for ctx.Err() == nil {
 		if err := c.UnexpectedExit(); err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(exitPoll):
+		case <-time.After(exitPollInterval):
 		}
 	}
 	return nil
--- a/cmd/robinstack/main.go
+++ b/cmd/robinstack/main.go
@@ -1,6 +1,6 @@
-// Command robinstack is a cluster scheduler's controller, with the tools to run, watch and
-// measure it. It parses what it is told and hands it on: the only state is in the packages
-// that it calls. It may import any of them, but for package emulator.
+// Command robinstack is the controller of a cluster scheduler, together with the tools to run,
+// observe and measure it. It parses flags and arguments and calls other packages, which hold all
+// state. It may import any package except emulator.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	"robinstack/tools/console"
 )
 
-// errUsage marks errors in what the operator gave.
+// errUsage marks errors in arguments, flags and the files that the operator names.
 var errUsage = errors.New("invalid settings")
 
 // Exit codes.
@@ -48,9 +48,9 @@
 	var settingsPath, policyPath string
 	root := &cobra.Command{
 		Use:   "robinstack --config FILE",
-		Short: "Schedules jobs on rented machines",
-		Long: "robinstack runs one controller of the service, until it is ended. Settings come from the platform's " +
-			"file, and what operators set beyond it from a policy file.",
+		Short: "Schedule jobs on cloud machines",
+		Long: "robinstack runs one controller until it is interrupted. The settings come from the platform's " +
+			"settings file, and further settings of the operators from a policy file.",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -76,15 +76,16 @@
 	}
 }
 
-// Processor time is scarcer than memory: garbage is collected seldom while there is
-// memory, and as often as needed near the limit, which is so much of the controller's
-// share.
+// CPU time is scarcer than memory. The garbage collector therefore runs rarely while memory is
+// available, and as often as needed near the memory limit. The limit is six tenths of the memory
+// that the settings allot to the controller.
 const (
 	memoryLimitTenths = 6
 	gcPercent         = 400
 )
 
-// newController returns a controller that does not run yet, and sets this process up for it.
+// newController returns a controller that does not run yet, and configures logging and memory use
+// of this process.
 func newController(settingsPath, policyPath string) (*controller.Controller, error) {
 	if settingsPath == "" {
 		return nil, fmt.Errorf("%w: --config is missing", errUsage)
@@ -97,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	startLog()
+	configureLogging()
 	if settings.MemoryBytes > 0 {
 		debug.SetMemoryLimit(settings.MemoryBytes * memoryLimitTenths / 10)
 		debug.SetGCPercent(gcPercent)
@@ -105,7 +106,7 @@
 	return controller.New(settings, operatorPolicy), nil
 }
 
-// loadPolicy reads the operators' policy file; "" is the default policy.
+// loadPolicy reads the operators' policy file; an empty path selects the default policy.
 func loadPolicy(path string) (*policy.Policy, error) {
 	if path == "" {
 		return policy.Default(), nil
@@ -117,8 +118,9 @@
 	return p, nil
 }
 
-// startLog has the log go to standard error, at the level that the environment states.
-func startLog() {
+// configureLogging sends the log to standard error, at the level in LOG_LEVEL: error, debug, or
+// info for any other value.
+func configureLogging() {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
 	case "error":
--- a/cmd/robinstack/rollout.go
+++ b/cmd/robinstack/rollout.go
@@ -19,14 +19,14 @@
 func rolloutCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "rollout",
-		Short: "See and steer the replacement of the controllers by those of another version",
+		Short: "Show and control a rolling upgrade of the controllers",
 	}
 	root.AddCommand(rolloutStatusCommand())
 	for verb, short := range map[string]string{
-		rollout.CommandHold:  "Keep the level as it is until raise is given",
-		rollout.CommandRaise: "Let the level rise again, also to one that closes the way back",
-		rollout.CommandLower: "Take the feature off that came on last, or the one named, " +
-			"and stay there until raise is given",
+		rollout.CommandHold:  "Hold the cluster version until the raise command",
+		rollout.CommandRaise: "Allow the cluster version to be raised again, also to an irreversible one",
+		rollout.CommandLower: "Disable the feature that was enabled last, or the given one, " +
+			"and hold the cluster version until the raise command",
 	} {
 		root.AddCommand(rolloutVerbCommand(verb, short))
 	}
@@ -37,7 +37,7 @@
 	var asJSON bool
 	status := &cobra.Command{
 		Use:   "status ADDRESS",
-		Short: "Show the fleet's level, what it waits for, and what each controller knows",
+		Short: "Show the cluster version (level), what blocks raising it, and the build of each controller",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := callRollout(cmd, http.MethodGet, "http://"+args[0]+"/rollout.json")
@@ -55,7 +55,7 @@
 	return status
 }
 
-// rolloutVerbCommand gives a person's command to a controller.
+// rolloutVerbCommand returns the command that sends a roll-out command to a controller.
 func rolloutVerbCommand(verb, short string) *cobra.Command {
 	var reason, feature string
 	c := &cobra.Command{
@@ -69,22 +69,22 @@
 			return printRollout(cmd.OutOrStdout(), body)
 		},
 	}
-	c.Flags().StringVar(&reason, "why", "", "the reason, for those who look at the status later")
+	c.Flags().StringVar(&reason, "why", "", "reason to show in the roll-out status")
 	if verb == rollout.CommandLower {
-		c.Flags().StringVar(&feature, "feature", "", "the feature to take off")
+		c.Flags().StringVar(&feature, "feature", "", "feature to disable")
 	}
 	return c
 }
 
 const (
-	// rolloutTimeout is how long a controller may take to answer.
+	// rolloutTimeout bounds a request to a controller.
 	rolloutTimeout = 6 * time.Second
-	// maxRolloutBytes bounds its answer.
+	// maxRolloutBytes bounds the controller's response.
 	maxRolloutBytes = 1 << 20
 )
 
-// callRollout sends a request to a controller and returns the status that it answers. The
-// error is what the controller says, if it refuses.
+// callRollout sends a request to a controller and returns the roll-out status in its response. If
+// the controller rejects the request, the error gives its reason.
 func callRollout(cmd *cobra.Command, method, address string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(cmd.Context(), method, address, nil)
 	if err != nil {
@@ -93,33 +93,33 @@
 	client := http.Client{Timeout: rolloutTimeout}
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("asking the controller: %w", err)
+		return nil, fmt.Errorf("calling the controller: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxRolloutBytes))
 	if err != nil {
-		return nil, fmt.Errorf("reading the answer: %w", err)
+		return nil, fmt.Errorf("reading the controller's response: %w", err)
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
 		return body, nil
 	case http.StatusNotFound:
-		return nil, errors.New("this controller's version does not know roll-outs: ask one that has been replaced")
+		return nil, errors.New("this controller's build has no roll-out commands: call an upgraded controller")
 	}
-	var refusal struct {
+	var rejection struct {
 		Error string `json:"error"`
 	}
-	if json.Unmarshal(body, &refusal) != nil || refusal.Error == "" {
-		refusal.Error = response.Status
+	if json.Unmarshal(body, &rejection) != nil || rejection.Error == "" {
+		rejection.Error = response.Status
 	}
-	return nil, errors.New(refusal.Error)
+	return nil, errors.New(rejection.Error)
 }
 
-// printRollout tells how a rollout stands, for people, given a controller's answer.
+// printRollout prints the roll-out status in a controller's response as a table.
 func printRollout(out io.Writer, body []byte) error {
 	var s rollout.Status
 	if err := json.Unmarshal(body, &s); err != nil {
-		return fmt.Errorf("reading the answer: %w", err)
+		return fmt.Errorf("decoding the controller's response: %w", err)
 	}
 	var rows strings.Builder
 	fmt.Fprintf(&rows, "level\t%d\t%v\n", s.ClusterVersion, s.Features)
--- a/cmd/robinstack/scale.go
+++ b/cmd/robinstack/scale.go
@@ -13,7 +13,7 @@
 	"robinstack/tools/scaletest"
 )
 
-// scaleFlags are what the command is told.
+// scaleFlags are the flags of the scale command.
 type scaleFlags struct {
 	logs, json, loadPlan string
 	sweep, tables        bool
@@ -23,11 +23,11 @@
 	var flags scaleFlags
 	cmd := &cobra.Command{
 		Use:   "scale PROFILE.toml | --tables SWEEP.json",
-		Short: "Run controllers as processes at a size against stand-ins, and measure",
+		Short: "Run controllers against emulators at a given scale and measure them",
 		Args:  cobra.MaximumNArgs(1),
-		Long: "scale runs what a profile states on this machine: controllers as processes of their own, " +
-			"stand-ins for the state service and the cloud that keep their limits, one process of workers " +
-			"that do no work, and users. It prints what each role costs and how work fared, and ends all " +
+		Long: "scale runs a profile on this machine: controllers as separate processes, emulators of the state " +
+			"service and the cloud that enforce their limits, and one process with users and with workers that " +
+			"run no real tasks. It prints the cost of each role and how jobs were served, and stops everything " +
 			"that it started. It uses at most half of the machine's memory.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if flags.loadPlan != "" {
@@ -40,18 +40,19 @@
 		},
 	}
 	cmd.Flags().StringVar(&flags.logs, "logs", "",
-		"directory for the processes' logs; without it they go when all ends")
-	cmd.Flags().StringVar(&flags.json, "json", "", "file to write what was measured to, as JSON")
-	cmd.Flags().BoolVar(&flags.sweep, "sweep", false, "run all sizes that the profile's sweep lists")
+		"directory for the processes' logs; by default they are deleted at exit")
+	cmd.Flags().StringVar(&flags.json, "json", "", "file to write the measurements to, as JSON")
+	cmd.Flags().BoolVar(&flags.sweep, "sweep", false, "run all sizes listed in the profile's sweep")
 	cmd.Flags().BoolVar(&flags.tables, "tables", false,
-		"print the tables of docs/CAPACITY.md from what a sweep wrote with --json")
+		"print the tables of docs/CAPACITY.md from the --json file of a sweep")
 	cmd.Flags().StringVar(&flags.loadPlan, scaletest.LoadProcessFlag, "",
-		"plan of the workers and users to run; scale itself uses it")
+		"load plan of the workers and users to run; for internal use by scale")
 	_ = cmd.Flags().MarkHidden(scaletest.LoadProcessFlag) // it has just been added
 	return cmd
 }
 
-// markUsage marks what the operator has to change.
+// markUsage marks errors that the operator can fix: in the profile, or a run that does not fit this
+// machine.
 func markUsage(err error) error {
 	if errors.Is(err, scaletest.ErrProfile) || errors.Is(err, scaletest.ErrDoesNotFit) {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -69,7 +70,7 @@
 	}
 	program, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("finding this program: %w", err)
+		return fmt.Errorf("locating the executable of this program: %w", err)
 	}
 	options := scaletest.Options{Program: program, Logs: flags.logs, Out: out}
 	if flags.sweep {
@@ -81,17 +82,18 @@
 	if err != nil {
 		return err
 	}
-	// Both are tried: the figures of a long run are kept where one of them can be written.
+	// Both outputs are tried, so that the results of a long run are kept if only one can be
+	// written.
 	if err := errors.Join(result.Print(out), writeJSON(flags.json, result)); err != nil {
 		return err
 	}
 	if n := len(result.Load.Violations); n > 0 {
-		return fmt.Errorf("%d rules were broken", n)
+		return fmt.Errorf("%d rule violations during the run", n)
 	}
 	return nil
 }
 
-// printTables prints the tables of a sweep that was written as JSON.
+// printTables prints the tables of a sweep from its JSON result.
 func printTables(path string, out io.Writer) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -99,12 +101,12 @@
 	}
 	var s scaletest.SweepResult
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return fmt.Errorf("%w: %s is not what a sweep wrote: %w", errUsage, path, err)
+		return fmt.Errorf("%w: %s is not the JSON result of a sweep: %w", errUsage, path, err)
 	}
 	return s.WriteTables(out)
 }
 
-// writeJSON writes a value to a file; "" for none.
+// writeJSON writes a value to a file as JSON; an empty path writes nothing.
 func writeJSON(path string, v any) error {
 	if path == "" {
 		return nil
@@ -119,15 +121,15 @@
 	return nil
 }
 
-// runLoad is the process of the workers and users of a plan.
+// runLoad runs the workers and users of a load plan in this process.
 func runLoad(ctx context.Context, path string, in io.Reader, out io.Writer) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("reading the plan: %w", err)
+		return fmt.Errorf("reading the load plan: %w", err)
 	}
 	var plan scaletest.LoadPlan
 	if err := json.Unmarshal(raw, &plan); err != nil {
-		return fmt.Errorf("reading the plan: %w", err)
+		return fmt.Errorf("decoding the load plan %s: %w", path, err)
 	}
 	return scaletest.RunLoad(ctx, &plan, in, out)
 }
--- a/cmd/robinstack/wire_test.go
+++ b/cmd/robinstack/wire_test.go
@@ -13,14 +13,16 @@
 
 var defaultValue = regexp.MustCompile(`\(default .*\)$`)
 
-// Scripts and the platform call these commands with these flags.
+// Scripts and the platform depend on the names of these commands and on the names, types and
+// defaults of their flags.
 func TestWireCommands(t *testing.T) {
 	var b strings.Builder
 	var list func(c *cobra.Command)
 	list = func(c *cobra.Command) {
 		fmt.Fprintln(&b, c.CommandPath(), strings.TrimPrefix(c.Use, c.Name()))
 		for usage := range strings.Lines(c.LocalFlags().FlagUsages()) {
-			// Its name and kind, and the default; what is between is for people.
+			// Only the name, type and default are compared; the explanation between them is for
+			// people.
 			flag, explanation, _ := strings.Cut(strings.TrimSpace(usage), "   ")
 			fmt.Fprintf(&b, "  %s %s\n", flag, defaultValue.FindString(explanation))
 		}
