--- a/cmd/robinstack/audit.go
+++ b/cmd/robinstack/audit.go
@@ -64,9 +64,9 @@
 }
 
 // noDataError reports that a log has no data of the kind that the command needs.
-func noDataError(log *audit.Log, what string) error {
+func noDataError(log *audit.Log, subject string) error {
 	return fmt.Errorf("%w: no %s in %d controller log lines (%d others, %d malformed): is LOG_LEVEL info or debug?",
-		errUsage, what, log.Lines, log.Unrecognized, len(log.Problems))
+		errUsage, subject, log.Lines, log.Unrecognized, len(log.Problems))
 }
 
 // printBill prints the cost breakdown and, with --orders, the outcomes of the deadlines.
@@ -95,8 +95,8 @@
 		if s := deadline.Seconds(); deadline > 0 {
 			deadlineS = &s
 		}
-		if limits := settings.CompletionTargets(class, deadlineS); len(limits) > 0 {
-			return limits[0]
+		if targets := settings.CompletionTargets(class, deadlineS); len(targets) > 0 {
+			return targets[0]
 		}
 		return 0
 	})
--- a/cmd/robinstack/status.go
+++ b/cmd/robinstack/status.go
@@ -29,8 +29,8 @@
 }
 
 func printStatus(ctx context.Context, out io.Writer, address, machines string) error {
-	page := "http://" + address + "/status.json?" + url.Values{"machines": {machines}}.Encode()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, page, nil)
+	pageURL := "http://" + address + "/status.json?" + url.Values{"machines": {machines}}.Encode()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, pageURL, nil)
 	if err != nil {
 		return fmt.Errorf("reading the status page: %w", err)
 	}
--- a/internal/gateway/cancellations.go
+++ b/internal/gateway/cancellations.go
@@ -109,15 +109,15 @@
 	}
 	tasks := decoded.Spec.Tasks
 	final := tombstone.Tombstone{Status: job.Cancelled, Tasks: tasks}
-	version, unchanged := components.ClusterVersion.Current()
+	version, versionUnchanged := components.ClusterVersion.Current()
 	ops := append(
 		[]statekv.Op{{Delete: job.RecordKey(id)}},
 		tombstone.WriteOps(id, final, version.TombstoneFormats())...,
 	)
 	// Auxiliary keys that do not fit into the transaction are left to the garbage collector.
-	free := g.store.MaxTxnOps(g.settings.StateLimits.MaxTxnOps) - len(ops)
-	ops = append(ops, job.DeleteAuxiliaryOps(id, tasks, decoded.SpecFragments, free)...)
-	compares := []statekv.Compare{{Key: job.RecordKey(id), Rev: record.Rev}, unchanged}
+	remainingOps := g.store.MaxTxnOps(g.settings.StateLimits.MaxTxnOps) - len(ops)
+	ops = append(ops, job.DeleteAuxiliaryOps(id, tasks, decoded.SpecFragments, remainingOps)...)
+	compares := []statekv.Compare{{Key: job.RecordKey(id), Rev: record.Rev}, versionUnchanged}
 	rev, err := writeIdempotent(ctx, components.Session, compares, ops)
 	switch {
 	case err == nil:
--- a/internal/gateway/components_test.go
+++ b/internal/gateway/components_test.go
@@ -35,8 +35,8 @@
 			t.Errorf("ready during the outage: got %d, want 503", code)
 		}
 		fixture.expectStatus("wk-2", job.Done)
-		if took := time.Since(began); took > 0 {
-			t.Errorf("requests during the outage took %v, want immediate answers", took)
+		if elapsed := time.Since(began); elapsed > 0 {
+			t.Errorf("requests during the outage took %v, want immediate answers", elapsed)
 		}
 		fixture.state.SetOutage(false, false)
 		time.Sleep(2 * time.Second)
--- a/internal/gateway/dependencies_test.go
+++ b/internal/gateway/dependencies_test.go
@@ -97,16 +97,16 @@
 		// 400 dependencies, stored in spec fragments; then the same with one job that was never
 		// submitted.
 		formats := []tombstone.Formats{tombstone.LegacyOnly, tombstone.CompactOnly}
-		var many []string
+		var dependencies []string
 		for k := range 400 {
-			many = append(many, fmt.Sprintf("wk-9%05d", k*211%100000))
-			fixture.writeTombstone(many[k], job.Done, formats[k%2])
+			dependencies = append(dependencies, fmt.Sprintf("wk-9%05d", k*211%100000))
+			fixture.writeTombstone(dependencies[k], job.Done, formats[k%2])
 		}
-		fixture.submit(201, "wk-6", many...)
-		fixture.submit(200, "wk-6", many...)
-		fixture.submit(422, "wk-7", append(many, "wk-404")...)
-		if over := fixture.state.SizeViolations(); len(over) > 0 {
-			t.Errorf("got transactions over the size limits: %v", over)
+		fixture.submit(201, "wk-6", dependencies...)
+		fixture.submit(200, "wk-6", dependencies...)
+		fixture.submit(422, "wk-7", append(dependencies, "wk-404")...)
+		if violations := fixture.state.SizeViolations(); len(violations) > 0 {
+			t.Errorf("got transactions over the size limits: %v", violations)
 		}
 	})
 }
--- a/internal/gateway/idempotent_write.go
+++ b/internal/gateway/idempotent_write.go
@@ -52,14 +52,14 @@
 		answers <- writeOutcome{rev, err}
 	}
 	go send()
-	resend := time.NewTimer(resendAfter)
-	resend.Stop() // it starts when the first copy is sent
-	defer resend.Stop()
+	resendTimer := time.NewTimer(resendAfter)
+	resendTimer.Stop() // it starts when the first copy is sent
+	defer resendTimer.Stop()
 	copies, pending := 1, 1
 	for {
 		select {
 		case <-copySent:
-			resend.Reset(resendAfter)
+			resendTimer.Reset(resendAfter)
 			continue
 		case answer := <-answers:
 			pending--
@@ -67,7 +67,7 @@
 			if exhausted || !errors.Is(answer.err, statekv.ErrOutcomeUnknown) {
 				return answer.rev, answer.err
 			}
-		case <-resend.C:
+		case <-resendTimer.C:
 		}
 		if copies < maxCopies && ctx.Err() == nil {
 			copies++
--- a/internal/gateway/idempotent_write_test.go
+++ b/internal/gateway/idempotent_write_test.go
@@ -49,11 +49,11 @@
 			began := time.Now()
 			s := &singleAnswerWriter{answeredCopy: answeredCopy}
 			rev, err := writeIdempotent(ctx, s, nil, nil)
-			took := time.Since(began)
+			elapsed := time.Since(began)
 			outcomeOK := err == nil || errors.Is(err, statekv.ErrOutcomeUnknown)
-			if took != want || (err == nil) != (answeredCopy <= maxCopies) || err == nil && rev != answeredRev || !outcomeOK {
+			if elapsed != want || (err == nil) != (answeredCopy <= maxCopies) || err == nil && rev != answeredRev || !outcomeOK {
 				t.Errorf("copy %d is answered: got revision %d, error %v after %v and %d copies; want an answer after %v",
-					answeredCopy, rev, err, took, s.copiesSent.Load(), want)
+					answeredCopy, rev, err, elapsed, s.copiesSent.Load(), want)
 			}
 		})
 	}
--- a/internal/gateway/job_status_test.go
+++ b/internal/gateway/job_status_test.go
@@ -13,7 +13,7 @@
 
 // A new session has to read the tombstones that were written before it. Until then, it returns no
 // status that may be older than one returned before; afterwards, it returns the current one.
-func TestNewSessionNeverGivesOlderStatus(t *testing.T) {
+func TestNewSessionNeverReturnsOlderStatus(t *testing.T) {
 	runWithGateway(t, func(fixture *gatewayFixture) {
 		fixture.enableDependencies()
 		fixture.writeTombstone("wk-1", job.Cancelled, tombstone.LegacyOnly)
@@ -23,17 +23,17 @@
 		time.Sleep(time.Second)
 		fixture.clearTombstones()
 		noEstimate := func(*job.Spec) time.Duration { return 0 }
-		fresh := dag.NewTracker(fixture.components.Mirror, noEstimate, fixture.gateway.CachedTombstone)
-		fresh.OnEvents(nil)
+		tracker := dag.NewTracker(fixture.components.Mirror, noEstimate, fixture.gateway.CachedTombstone)
+		tracker.OnEvents(nil)
 		components := *fixture.components
-		components.DependencyTracker = fresh
+		components.DependencyTracker = tracker
 		fixture.gateway.SetComponents(&components)
 		code, answer, retryAfter := fixture.request("GET", "/submissions/wk-3", "")
 		if code == 200 && answer["status"] == job.Queued || code != 200 && retryAfter == "" {
 			t.Fatalf("wk-3 before its dependencies are known: got %d %v, Retry-After %q; want Retry-After, or not status %s",
 				code, answer, retryAfter, job.Queued)
 		}
-		go fresh.Run(fixture.ctx, fixture.gateway.ReadTombstone)
+		go tracker.Run(fixture.ctx, fixture.gateway.ReadTombstone)
 		time.Sleep(time.Second)
 		fixture.expectStatus("wk-3", job.Cancelled)
 		fixture.expectStatus("wk-2", job.Cancelled)
@@ -50,7 +50,7 @@
 		fixture.submit(201, "wk-1")
 		fixture.submit(201, "wk-2", "wk-1")
 		time.Sleep(time.Second)
-		seen, ok := fixture.components.Mirror.Get(job.RecordKey("wk-2"))
+		formerRecord, ok := fixture.components.Mirror.Get(job.RecordKey("wk-2"))
 		if !ok {
 			fixture.t.Fatal("the mirror has no record of wk-2")
 		}
@@ -60,7 +60,7 @@
 			fixture.write(append(ops, statekv.Op{Delete: job.RecordKey(id)})...)
 		}
 		time.Sleep(time.Second)
-		final, waiting, err := fixture.gateway.dependencyState("wk-2", seen)
+		final, waiting, err := fixture.gateway.dependencyState("wk-2", formerRecord)
 		if !errors.Is(err, errFinishedDuringLookup) {
 			fixture.t.Errorf("with the former record: got %+v, waiting %v, %v; want %v", final, waiting, err, errFinishedDuringLookup)
 		}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -134,17 +134,17 @@
 	}
 	var statuses []TeamStatus
 	for name, team := range settings.Teams {
-		use := held[name]
+		resources := held[name]
 		statuses = append(statuses, TeamStatus{
 			Team:           name,
-			HeldCPUs:       use.CPUs,
-			HeldGPUs:       use.GPUs,
+			HeldCPUs:       resources.CPUs,
+			HeldGPUs:       resources.GPUs,
 			GuaranteedCPUs: team.GuaranteedCPUs,
 			GuaranteedGPUs: team.GuaranteedGPUs,
 			CPUQuota:       team.CPUQuota,
 			GPUQuota:       team.GPUQuota,
-			BorrowedCPUs:   max(0, use.CPUs-team.GuaranteedCPUs),
-			BorrowedGPUs:   max(0, use.GPUs-team.GuaranteedGPUs),
+			BorrowedCPUs:   max(0, resources.CPUs-team.GuaranteedCPUs),
+			BorrowedGPUs:   max(0, resources.GPUs-team.GuaranteedGPUs),
 			WaitingTasks:   waitingTasks[name],
 			Unguaranteed:   settings.Unguaranteed(name),
 		})
--- a/internal/gateway/status_test.go
+++ b/internal/gateway/status_test.go
@@ -50,8 +50,8 @@
 	if n := len(machineStatuses(entries, "")); n != 0 {
 		t.Fatalf("got %d machines without a request for them, want none", n)
 	}
-	one := machineStatuses(entries, "vm-000007")
-	if len(one) != 1 || len(one[0].Tasks) != 2 || len(machineStatuses(entries, "all")) != 1500 {
-		t.Fatalf("got %+v for one machine, want it with 2 tasks, and 1,500 machines on request for all", one)
+	single := machineStatuses(entries, "vm-000007")
+	if len(single) != 1 || len(single[0].Tasks) != 2 || len(machineStatuses(entries, "all")) != 1500 {
+		t.Fatalf("got %+v for one machine, want it with 2 tasks, and 1,500 machines on request for all", single)
 	}
 }
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -125,16 +125,16 @@
 // keeps such controllers out.
 func (g *Gateway) addFeatureGatedParts(components *Components, a *acceptance) error {
 	limits := g.settings.StateLimits
-	large := a.record.ExceedsLimit(limits.MaxValueBytes)
-	if !large && len(a.record.Spec.WaitsOn) == 0 {
+	exceedsLimit := a.record.ExceedsLimit(limits.MaxValueBytes)
+	if !exceedsLimit && len(a.record.Spec.WaitsOn) == 0 {
 		return nil
 	}
-	version, unchanged := components.ClusterVersion.Current()
+	version, versionUnchanged := components.ClusterVersion.Current()
 	if !version.Accepts(rollout.FeatureDependencies) {
 		return &requestError{unavailable, "not all controllers know jobs that wait for others yet"}
 	}
-	a.compares = append(a.compares, unchanged)
-	if !large {
+	a.compares = append(a.compares, versionUnchanged)
+	if !exceedsLimit {
 		return nil
 	}
 	fragments, err := a.record.SplitSpec(limits.MaxValueBytes, limits.MaxTxnOps-1)
