--- a/internal/gateway/job_status_test.go
+++ b/internal/gateway/job_status_test.go
@@ -11,9 +11,9 @@
 	"robinstack/internal/tombstone"
 )
 
-// A new session has to read what came before it: until then it answers nothing that may be too old,
-// and then the truth.
-func TestNewSessionNeverGivesOlderStatus(t *testing.T) {
+// A new session has to read the tombstones that were written before it. Until then, it returns no
+// status that may be older than one returned before; afterwards, it returns the current one.
+func TestNewSessionNeverReturnsOlderStatus(t *testing.T) {
 	runWithGateway(t, func(fixture *gatewayFixture) {
 		fixture.enableDependencies()
 		fixture.writeTombstone("wk-1", job.Cancelled, tombstone.LegacyOnly)
@@ -22,35 +22,37 @@
 		}
 		time.Sleep(time.Second)
 		fixture.clearTombstones()
-		atOnce := func(*job.Spec) time.Duration { return 0 }
-		fresh := dag.NewTracker(fixture.components.Mirror, atOnce, fixture.gateway.CachedTombstone)
-		fresh.OnEvents(nil)
+		noEstimate := func(*job.Spec) time.Duration { return 0 }
+		tracker := dag.NewTracker(fixture.components.Mirror, noEstimate, fixture.gateway.CachedTombstone)
+		tracker.OnEvents(nil)
 		components := *fixture.components
-		components.DependencyTracker = fresh
+		components.DependencyTracker = tracker
 		fixture.gateway.SetComponents(&components)
 		code, answer, retryAfter := fixture.request("GET", "/submissions/wk-3", "")
 		if code == 200 && answer["status"] == job.Queued || code != 200 && retryAfter == "" {
-			t.Fatal(code, answer)
+			t.Fatalf("wk-3 before its dependencies are known: got %d %v, Retry-After %q; want Retry-After, or not status %s",
+				code, answer, retryAfter, job.Queued)
 		}
-		go fresh.Run(fixture.ctx, fixture.gateway.ReadTombstone)
+		go tracker.Run(fixture.ctx, fixture.gateway.ReadTombstone)
 		time.Sleep(time.Second)
 		fixture.expectStatus("wk-3", job.Cancelled)
 		fixture.expectStatus("wk-2", job.Cancelled)
 	})
 }
 
-// A query has read a job's open record, and before it asks what the job depends on, that is
-// cancelled and recorded: users may have seen that long before, from the dependencies in its
-// record alone. The query looks once more, and must not report the job as queued.
+// A job is cancelled and its tombstone written after a query has read its open record and before
+// the query evaluates its dependencies. Users may have seen the job as cancelled long before, from
+// the dependencies in its record alone. The query must look up the job again and must not report it
+// as queued.
 func TestTombstoneWrittenDuringLookup(t *testing.T) {
 	runWithGateway(t, func(fixture *gatewayFixture) {
 		fixture.enableDependencies()
 		fixture.submit(201, "wk-1")
 		fixture.submit(201, "wk-2", "wk-1")
 		time.Sleep(time.Second)
-		seen, ok := fixture.components.Mirror.Get(job.RecordKey("wk-2"))
+		formerRecord, ok := fixture.components.Mirror.Get(job.RecordKey("wk-2"))
 		if !ok {
-			fixture.t.Fatal("its record is not there")
+			fixture.t.Fatal("the mirror has no record of wk-2")
 		}
 		cancelled := tombstone.Tombstone{Status: job.Cancelled, Tasks: 1}
 		for _, id := range []string{"wk-1", "wk-2"} {
@@ -58,9 +60,9 @@
 			fixture.write(append(ops, statekv.Op{Delete: job.RecordKey(id)})...)
 		}
 		time.Sleep(time.Second)
-		final, waiting, err := fixture.gateway.dependencyState("wk-2", seen)
-		if !errors.Is(err, errFinishedMeanwhile) {
-			fixture.t.Errorf("by the record read before: %+v, waiting %v, %v", final, waiting, err)
+		final, waiting, err := fixture.gateway.dependencyState("wk-2", formerRecord)
+		if !errors.Is(err, errFinishedDuringLookup) {
+			fixture.t.Errorf("with the former record: got %+v, waiting %v, %v; want %v", final, waiting, err, errFinishedDuringLookup)
 		}
 		fixture.expectStatus("wk-2", job.Cancelled)
 	})
