--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,12 +1,13 @@
 // Package controller assembles one controller process and runs its sessions.
 //
-// It owns the process-wide parts (settings, clients of the external systems, the catalogue of
-// machine types, the HTTP gateway) and, one after the other, the sessions: all components that
-// exist only while the process holds its session lease in the state service. Every component
-// guards its own state; this package only connects them and waits for their goroutines.
+// It owns the process-wide components (settings, clients of the external systems, the catalogue of
+// machine types, the HTTP gateway) and runs sessions one after another. A session consists of all
+// components that exist only while the process holds its session lease in the state service. Every
+// component guards its own state; this package only connects the components and waits for their
+// goroutines.
 //
-// It is the only package that may import all the others; nothing but the program and tests of
-// whole controllers imports it.
+// It is the only package that may import all other packages. Only the program itself and tests of
+// whole controllers import it.
 package controller
 
 import (
@@ -30,24 +31,28 @@
 	"robinstack/internal/worker"
 )
 
-// Shares of the rates that the external systems allow.
+// Fractions of the rate limits of the external systems that the controllers use.
 const (
-	// stateRequestShare is what all controllers together use of the state service's requests.
+	// stateRequestShare is the fraction of the state service's request rate that all controllers
+	// together use.
 	stateRequestShare = 0.75
-	// migrationRequestShare is what the migrator uses beside that, so that nothing waits for it.
+	// migrationRequestShare is the fraction that the migrator uses in addition to
+	// stateRequestShare. It is separate so that no other request waits for a migration.
 	migrationRequestShare = 0.05
-	// migrationWriteHeadroom is how far the migrator's client may exceed the write rate to which
-	// the migrator paces itself: the client's own limit must not be the one that decides.
+	// migrationWriteHeadroom is the factor by which the write limit of the migrator's client
+	// exceeds the rate at which the migrator sends writes. The client's limit must not be the one
+	// that slows the migrator down.
 	migrationWriteHeadroom = 2
-	// cloudRequestShare keeps the leader below the limit of the cloud.
+	// cloudRequestShare is the fraction of the cloud's request rate that the leader uses, to stay
+	// below the limit.
 	cloudRequestShare = 0.8
 )
 
-// Pauses between two sessions.
+// Delays between the end of a session and the start of the next one.
 const (
 	sessionRetryDelay = 300 * time.Millisecond
-	// rejectedRetryDelay applies while the cluster version keeps this build out: that changes
-	// only when an operator or a roll-out changes it.
+	// rejectedRetryDelay applies while the cluster version does not admit this build. Only an
+	// operator or a roll-out changes the cluster version, so retrying sooner has no effect.
 	rejectedRetryDelay = 2 * time.Second
 )
 
@@ -56,40 +61,41 @@
 	settings       *config.Settings
 	policy         *policy.Policy
 	store          Store
-	migrationStore statekv.Store // has its own share of the limits
+	migrationStore statekv.Store // with request and write limits of its own
 	cloud          cloud.API
 	workers        worker.Commander
 	catalogue      *cloud.Catalogue
 	gateway        *gateway.Gateway
 	pauses         pauseDetector
-	connect        func(server *rpc.Server, handshake *peer.Service) Network
+	newNetwork     func(server *rpc.Server, handshake *peer.Service) Network
 
-	unanswered sync.WaitGroup // what ended sessions have sent and still wait for
+	requestsInFlight sync.WaitGroup // of ended sessions
 }
 
-// Store is the state service, whose request limit is divided among the live controllers.
+// Store is the state service, whose request rate is divided among the live controllers.
 type Store interface {
 	statekv.Store
 	SetControllerCount(controllers int)
 }
 
-// Network carries calls between the controllers for one session.
+// Network carries the calls between controllers during one session.
 type Network interface {
 	peer.Caller
-	// Listen begins to listen to the other controllers; serve answers them until ctx ends.
+	// Listen opens the listener for the other controllers; serve answers their calls until ctx
+	// ends.
 	Listen() (serve func(ctx context.Context), err error)
 	Close()
 }
 
-// ExternalSystems is what a controller reaches beyond its process. Tests of whole controllers
-// put emulators in its place and have them meet failures with all their components as they are.
+// ExternalSystems holds the clients of everything that a controller uses outside its process. Tests
+// of whole controllers pass emulators to inject failures into otherwise unchanged components.
 type ExternalSystems struct {
 	StateStore     Store
 	MigrationStore statekv.Store
 	Cloud          cloud.API
 	Workers        worker.Commander
-	// Connect makes the network of a session: server answers the calls of the others, and
-	// handshake says which build and which methods this controller has.
+	// Connect creates the network of a session. server answers the calls of other controllers, and
+	// handshake announces the build and the methods of this controller.
 	Connect func(server *rpc.Server, handshake *peer.Service) Network
 }
 
@@ -118,7 +124,7 @@
 	})
 }
 
-// Assemble returns a controller that reaches the given external systems.
+// Assemble returns a controller that uses the given clients of the external systems.
 func Assemble(settings *config.Settings, operatorPolicy *policy.Policy, external ExternalSystems) *Controller {
 	c := &Controller{
 		settings:       settings,
@@ -128,48 +134,51 @@
 		cloud:          external.Cloud,
 		workers:        external.Workers,
 		catalogue:      &cloud.Catalogue{},
-		connect:        external.Connect,
+		newNetwork:     external.Connect,
 	}
 	c.gateway = gateway.New(settings, c.store, c.catalogue, c.pauses.totals)
 	return c
 }
 
-// HandleRequest answers an HTTP request without a network, for tests of whole controllers.
+// HandleRequest answers an HTTP request without a network connection, for tests of whole
+// controllers.
 func (c *Controller) HandleRequest(r *http.Request) (*http.Response, error) {
 	return c.gateway.HandleRequest(r)
 }
 
-// Run serves until ctx ends. When the session lease is lost, all roles are: the controller then
-// opens a new session without ending the process.
+// Run serves until ctx ends. When the session lease is lost, the controller loses all its roles and
+// opens a new session; the process continues.
 func (c *Controller) Run(ctx context.Context) error {
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", c.settings.ListenAddress)
 	if err != nil {
 		return fmt.Errorf("listening for users and workers: %w", err)
 	}
-	// Nothing waits for these two: the process ends with the gateway, and what a session leaves
-	// behind then is what it would leave behind in a crash.
+	// Run does not wait for these two goroutines: the process exits when the gateway stops. A
+	// session that is cut off this way leaves the same state behind as one that ends in a crash.
 	go c.pauses.run(ctx)
 	go c.RunSessions(ctx)
 	return c.gateway.Serve(ctx, listener)
 }
 
-// RunSessions runs one session after the other until ctx ends.
+// RunSessions runs one session after another until ctx ends.
 func (c *Controller) RunSessions(ctx context.Context) {
-	defer c.unanswered.Wait()
+	defer c.requestsInFlight.Wait()
 	lastLogged := ""
 	for ctx.Err() == nil {
 		err := c.runSession(ctx, recovery.NewTimeline(time.Now()))
 		c.gateway.SetComponents(nil)
 		delay, rejected := sessionRetryDelay, rollout.IsJoinRejected(err)
 		if err != nil && ctx.Err() == nil {
-			// The same rejection is logged once, not every two seconds.
+			// A repeated rejection with the same error is logged once, not on every retry (every
+			// two seconds).
 			if lastLogged != err.Error() || !rejected {
 				slog.Info("controller session ended", "err", err)
 			}
 			lastLogged = err.Error()
 		}
 		if rejected {
-			// Not ready, with the reason, until the cluster version is another one.
+			// The controller reports itself as not ready, with the reason, until the cluster
+			// version admits it.
 			c.gateway.SetNotReadyReason(err.Error())
 			delay = rejectedRetryDelay
 		}
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -10,21 +10,25 @@
 	"robinstack/internal/statekv"
 )
 
-// requestDivisionInterval is how often the request limit is divided anew among live controllers.
+// requestDivisionInterval is the interval at which the request rate of the state service is divided
+// again among the live controllers.
 const requestDivisionInterval = time.Second
 
-// How often a controller reports its write demand to the leader: often while it needs more than
-// its share, so that it is lent more soon, and else so that its promise to use less goes on.
+// Intervals at which a controller reports its write demand to the leader.
 const (
+	// busyReportInterval applies while the controller cannot promise to use only a part of its
+	// share. It is short so that a controller that needs more than its share soon gets a loan.
 	busyReportInterval = 200 * time.Millisecond
+	// idleReportInterval applies while the controller promises to use only a part of its share.
+	// Each report renews the promise.
 	idleReportInterval = 500 * time.Millisecond
 )
 
-// budgetedStore is a store whose changes follow a budget that all controllers share.
+// budgetedStore is a store whose writes are limited by a write budget that all controllers share.
 type budgetedStore interface{ WriteBudget() *statekv.WriteBudget }
 
-// shareWriteBudget reports to the leader how many changes this session needs of those that the
-// state service takes, and applies what is granted, until ctx ends.
+// shareWriteBudget reports the write demand of this session to the leader and applies the grants in
+// the leader's answers, until ctx ends.
 func (c *Controller) shareWriteBudget(
 	ctx context.Context, session *statekv.Session, peers peer.Caller, leaderHost func() string,
 ) {
@@ -47,7 +51,7 @@
 	}
 }
 
-// reportWriteDemand sends one report to the leader and returns when the next one is due.
+// reportWriteDemand sends one report to the leader and returns the delay until the next one.
 func reportWriteDemand(
 	ctx context.Context, writes *statekv.WriteBudget, host string, peers peer.Caller, leader string,
 ) time.Duration {
@@ -67,8 +71,9 @@
 	return busyReportInterval
 }
 
-// divideRequestLimit divides the requests that the state service allows among the live
-// controllers, until ctx ends: those that take over a dead one's machines need its share for it.
+// divideRequestLimit divides the request rate of the state service among the live controllers until
+// ctx ends. The controllers that take over the machines of a dead controller need its share to do
+// so.
 func (c *Controller) divideRequestLimit(ctx context.Context, session *statekv.Session) {
 	ticker := time.NewTicker(requestDivisionInterval)
 	defer ticker.Stop()
@@ -78,7 +83,8 @@
 			return
 		case <-ticker.C:
 		}
-		// Half of the controllers are counted in any case: those that come back do so together.
+		// At least half of the configured controllers are counted, because failed controllers tend
+		// to return at the same time and then need their shares again.
 		c.store.SetControllerCount(max(len(session.AliveHosts()), (c.settings.Controllers+1)/2))
 	}
 }
--- a/internal/controller/pause_detector.go
+++ b/internal/controller/pause_detector.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// pauseDetector notices when this process stood still while its clocks ran on. Whatever the
-// process was about to do is fenced by those that it does it to; operators have to know all the
-// same.
+// pauseDetector detects that this process was stopped while its clocks advanced. Pauses are safe,
+// because the recipients of delayed writes and commands fence them off, but operators need to know
+// about them.
 type pauseDetector struct {
 	mu      sync.Mutex // guards the fields below
 	count   int
@@ -18,12 +18,12 @@
 
 const (
 	pauseCheckInterval = 250 * time.Millisecond
-	// minPause is how late a check must be to count as a pause; the late checks of a busy process
-	// stay below it.
+	// minPause is the delay from which a late check counts as a pause. Checks of a process that is
+	// merely busy are late by less.
 	minPause = 1500 * time.Millisecond
 )
 
-// run checks until ctx ends; a check that comes far too late was a pause.
+// run checks every pauseCheckInterval, until ctx ends, how late the check itself is.
 func (d *pauseDetector) run(ctx context.Context) {
 	last := time.Now()
 	for {
@@ -38,7 +38,7 @@
 	}
 }
 
-// record counts a check that came so much too late, if that is a pause.
+// record logs and counts a check that was late by delay, if delay is at least minPause.
 func (d *pauseDetector) record(delay time.Duration) {
 	if delay < minPause {
 		return
@@ -50,7 +50,7 @@
 	d.longest = max(d.longest, delay)
 }
 
-// totals returns how many pauses there were, and the longest.
+// totals returns the number of pauses and the longest one.
 func (d *pauseDetector) totals() (count int, longest time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controller/pause_detector_test.go
+++ b/internal/controller/pause_detector_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// A process that stood still while its clocks ran on says so; the late checks of a busy one do
-// not count.
+// Guards against pauses that are not counted, and against counting the late checks of a busy process
+// (300 ms here) as pauses.
 func TestPauseDetectorCountsLongPauses(t *testing.T) {
 	var detector pauseDetector
 	detector.record(300 * time.Millisecond)
 	detector.record(17 * time.Second)
 	detector.record(2 * time.Second)
 	if count, longest := detector.totals(); count != 2 || longest != 17*time.Second {
-		t.Fatalf("%d pauses, the longest of %v", count, longest)
+		t.Fatalf("got %d pauses, the longest %v; want 2 and 17s", count, longest)
 	}
 }
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -29,19 +29,21 @@
 )
 
 const (
-	// sessionTTL is how long the state service keeps a controller that does not renew its lease.
+	// sessionTTL is the time to live of the session lease: the state service ends the session of a
+	// controller that has not renewed its lease for this long.
 	sessionTTL = 4 * time.Second
-	// garbageCollectionInterval is how often the leader looks for keys that jobs left behind.
+	// garbageCollectionInterval is how often the leader looks for keys left behind by finished
+	// jobs.
 	garbageCollectionInterval = time.Minute
-	// dependencyStageOverhead is about what passes between the end of a job and the start of its
-	// dependents, the image and the run itself left aside: its record is written, the other
-	// controllers see that, and look for machines.
+	// dependencyStageOverhead is the approximate time between the completion of a job and the start
+	// of its dependents, without image fetch and run time: the job record is written, the other
+	// controllers see it, and their schedulers find machines.
 	dependencyStageOverhead = 3 * time.Second
 )
 
-// session holds the components of one session, from its registration in the state service until
-// its lease is lost. The fields are set once, in the order of runSession, before the goroutines
-// that read them start.
+// session holds the components of one session, which lasts from the registration in the state
+// service until the session lease is lost. The fields are set once, in the order of runSession,
+// before the goroutines that read them start.
 type session struct {
 	controller *Controller
 	timeline   *recovery.Timeline
@@ -59,10 +61,11 @@
 	migrator     *rollout.Migrator
 	collector    *tombstone.GarbageCollector
 
-	duties sync.WaitGroup
+	goroutines sync.WaitGroup
 }
 
-// runSession runs one session: from registration until the session lease is lost.
+// runSession runs one session, from the registration until the session lease is lost, and returns
+// the reason why it ended.
 func (c *Controller) runSession(parent context.Context, timeline *recovery.Timeline) error {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
@@ -70,7 +73,7 @@
 	if err := s.open(ctx); err != nil {
 		return err
 	}
-	handshake := s.connect()
+	handshake := s.createNetwork()
 	defer s.network.Close()
 	s.buildRoles()
 	if err := s.registerServices(handshake); err != nil {
@@ -81,9 +84,9 @@
 	if err != nil {
 		return err
 	}
-	defer s.end(cancel)
-	leaseLost := s.startKeepingUp(ctx, servePeers)
-	// No role acts on a view that is older than this session's own registration.
+	defer s.shutdown(cancel)
+	leaseLost := s.startInfrastructure(ctx, servePeers)
+	// No role may act on a mirror that does not yet include this session's own registration.
 	if err := s.mirror.Wait(ctx, s.state.Incarnation); err != nil {
 		return err
 	}
@@ -94,17 +97,17 @@
 	return err
 }
 
-// end ends the components and waits for their duties. What these have sent and what has no
-// answer yet is left to end by itself: the next session does not wait for machines and peers
-// that do not answer.
-func (s *session) end(cancel context.CancelFunc) {
+// shutdown stops the components and waits for their main loops. Requests that are still in flight
+// finish in the background, so that the next session does not wait for unresponsive machines and
+// peers.
+func (s *session) shutdown(cancel context.CancelFunc) {
 	cancel()
-	s.duties.Wait()
-	s.controller.unanswered.Go(s.agent.Wait)
-	s.controller.unanswered.Go(s.scheduler.Wait)
+	s.goroutines.Wait()
+	s.controller.requestsInFlight.Go(s.agent.Wait)
+	s.controller.requestsInFlight.Go(s.scheduler.Wait)
 }
 
-// open reads the cluster's keys and registers this session in the state service.
+// open reads the keys of the cluster and registers this session in the state service.
 func (s *session) open(ctx context.Context) error {
 	c := s.controller
 	s.mirror = statekv.NewMirror(
@@ -136,8 +139,8 @@
 	return nil
 }
 
-// onWatchEvents hands each change to the component that it concerns; nil means that changes
-// were missed and the keys were read again.
+// onWatchEvents passes each change to the component that handles it. events is nil if changes were
+// missed and the mirror has read all keys again.
 func (s *session) onWatchEvents(events []statekv.Event) {
 	if events == nil {
 		s.scheduler.Resync()
@@ -156,17 +159,17 @@
 	}
 }
 
-// onApply shows each change to the components that have to know it before anybody can read it
-// from the mirror.
+// onApply passes changes to the components that must know them before readers of the mirror can see
+// them.
 func (s *session) onApply(events []statekv.Event) {
 	s.dependencies.OnEvents(events)
-	if s.agent != nil { // what is read before the agent exists it finds in the mirror
+	if s.agent != nil { // earlier changes are in the mirror when the agent is created
 		s.agent.OnWatchEvents(events)
 	}
 }
 
-// seedCatalogue takes the machine types that a leader has stored, if the cloud has not named
-// any to this process yet: submissions can be decided before the cloud answers.
+// seedCatalogue loads the machine types that a leader has stored, unless the catalogue already has
+// types from the cloud. Submissions can then be checked before the cloud answers.
 func (s *session) seedCatalogue() {
 	catalogue := s.controller.catalogue
 	stored, ok := s.mirror.Get(statekv.MachineTypesKey)
@@ -179,8 +182,9 @@
 	}
 }
 
-// connect makes the network of this session. The returned handshake is still to be registered.
-func (s *session) connect() *peer.Service {
+// createNetwork creates the network of this session. The caller must register the returned
+// handshake service.
+func (s *session) createNetwork() *peer.Service {
 	c := s.controller
 	s.server = rpc.NewServer()
 	handshake := peer.NewService(c.settings.Host, rollout.BuildVersion, map[string]any{
@@ -188,11 +192,11 @@
 		"Placer":  (*scheduler.Service)(nil),
 		"Steward": (*leader.Service)(nil),
 	})
-	s.network = c.connect(s.server, handshake)
+	s.network = c.newNetwork(s.server, handshake)
 	return handshake
 }
 
-// buildRoles makes the components that own machines, job shards and the leader's role.
+// buildRoles creates the cluster agent, the scheduler and the leader component.
 func (s *session) buildRoles() {
 	c, types := s.controller, s.controller.catalogue.Types
 	s.agent = clusteragent.New(c.settings, c.store, s.mirror, s.state, c.workers, types)
@@ -201,8 +205,8 @@
 	s.leader = leader.New(c.settings, c.policy, s.mirror, s.state, s.network, c.cloud, c.catalogue)
 }
 
-// registerServices makes the components reachable for other controllers. The names are the
-// wire format of the calls between controllers.
+// registerServices makes the components callable by other controllers. The service names are part
+// of the wire format between controllers.
 func (s *session) registerServices(handshake *peer.Service) error {
 	for name, service := range map[string]any{
 		"Agent":   clusteragent.NewService(s.agent),
@@ -217,8 +221,8 @@
 	return nil
 }
 
-// buildMaintenance makes the components that follow the roles: the change feed of machines, the
-// version gate, the migrator and the garbage collector.
+// buildMaintenance creates the components that depend on the roles: the change feed of machines,
+// the version gate, the migrator and the garbage collector.
 func (s *session) buildMaintenance() {
 	c, limits := s.controller, s.controller.settings.StateLimits
 	hosts := c.settings.Hosts()
@@ -243,41 +247,43 @@
 	}
 }
 
-// highestEpoch is the highest epoch of the roles that read the change feed.
+// highestEpoch returns the highest epoch among the roles that read the change feed.
 func (s *session) highestEpoch() uint64 { return max(s.scheduler.HighestEpoch(), s.leader.Epoch()) }
 
-// onMachineEntries hands changes of machines to the roles that read the change feed.
+// onMachineEntries passes changes of machines to the roles that read the change feed.
 func (s *session) onMachineEntries(entries []agentapi.MachineEntry) {
 	s.scheduler.OnEntries(entries)
 	s.leader.OnEntries(entries)
 }
 
-// startKeepingUp starts what keeps the view of the state service, the session lease and the
-// shares of the state service's limits current. The channel gets the reason why the lease ended.
-func (s *session) startKeepingUp(ctx context.Context, servePeers func(context.Context)) <-chan error {
+// startInfrastructure starts the goroutines that answer peers and that keep the mirror, the session
+// lease and the shares of the state service's limits up to date. The returned channel receives the
+// reason why the session has to end.
+func (s *session) startInfrastructure(ctx context.Context, servePeers func(context.Context)) <-chan error {
 	c := s.controller
-	s.duties.Go(func() { s.mirror.Run(ctx) })
-	s.duties.Go(func() { c.divideRequestLimit(ctx, s.state) })
-	s.duties.Go(func() { c.shareWriteBudget(ctx, s.state, s.network, s.scheduler.LeaderHost) })
-	s.duties.Go(func() { servePeers(ctx) })
+	s.goroutines.Go(func() { s.mirror.Run(ctx) })
+	s.goroutines.Go(func() { c.divideRequestLimit(ctx, s.state) })
+	s.goroutines.Go(func() { c.shareWriteBudget(ctx, s.state, s.network, s.scheduler.LeaderHost) })
+	s.goroutines.Go(func() { servePeers(ctx) })
 	leaseLost := make(chan error, 1)
-	s.duties.Go(func() { leaseLost <- s.state.KeepAlive(ctx) })
+	s.goroutines.Go(func() { leaseLost <- s.state.KeepAlive(ctx) })
 	return leaseLost
 }
 
 // startRoles starts the components that act on the cluster.
 func (s *session) startRoles(ctx context.Context) {
-	s.duties.Go(func() { s.agent.Run(ctx) })
-	s.duties.Go(func() { s.feed.Run(ctx) })
-	s.duties.Go(func() { s.scheduler.Run(ctx, s.feed) })
-	s.duties.Go(func() { s.leader.Run(ctx, s.feed) })
-	s.duties.Go(func() { s.versionGate.Run(ctx) })
-	s.duties.Go(func() { s.migrator.Run(ctx) })
-	s.duties.Go(func() { s.collector.Run(ctx) })
-	s.duties.Go(func() { s.dependencies.Run(ctx, s.controller.gateway.ReadTombstone) })
+	s.goroutines.Go(func() { s.agent.Run(ctx) })
+	s.goroutines.Go(func() { s.feed.Run(ctx) })
+	s.goroutines.Go(func() { s.scheduler.Run(ctx, s.feed) })
+	s.goroutines.Go(func() { s.leader.Run(ctx, s.feed) })
+	s.goroutines.Go(func() { s.versionGate.Run(ctx) })
+	s.goroutines.Go(func() { s.migrator.Run(ctx) })
+	s.goroutines.Go(func() { s.collector.Run(ctx) })
+	s.goroutines.Go(func() { s.dependencies.Run(ctx, s.controller.gateway.ReadTombstone) })
 }
 
-// gatewayComponents is what the gateway serves requests with during this session.
+// gatewayComponents returns the components that the gateway uses to serve requests during this
+// session.
 func (s *session) gatewayComponents() *gateway.Components {
 	components := &gateway.Components{
 		Session:           s.state,
@@ -297,7 +303,8 @@
 	return components
 }
 
-// parseValue decodes what the mirror keeps and watches, once for all who read it.
+// parseValue decodes the value of a mirrored key or of a watched change, so that it is decoded once
+// for all readers.
 func parseValue(key string, value json.RawMessage) any {
 	if change := tombstone.ParseChange(key, value); change != nil {
 		return change
@@ -305,7 +312,8 @@
 	return shard.ParseValue(key, value)
 }
 
-// estimatedDuration is about how long a job takes once it is ready.
+// estimatedDuration returns the approximate time that a job takes once its dependencies are
+// satisfied.
 func (c *Controller) estimatedDuration(spec *job.Spec) time.Duration {
 	return config.Seconds(spec.EstimateS) + spec.FetchTime(c.catalogue.Types()) + dependencyStageOverhead
 }
--- a/internal/controller/tcp_network.go
+++ b/internal/controller/tcp_network.go
@@ -10,10 +10,10 @@
 	"robinstack/internal/peer"
 )
 
-// tcpNetwork is the Network over TCP.
+// tcpNetwork implements Network over TCP.
 type tcpNetwork struct {
 	*peer.Network
-	address string // on which the other controllers reach this one
+	address string // on which this controller listens for the other controllers
 	server  *rpc.Server
 }
 
@@ -31,7 +31,8 @@
 
 // Listen implements Network.
 func (n tcpNetwork) Listen() (func(ctx context.Context), error) {
-	// Opening the socket cannot block: the address is numeric, so no context is needed.
+	// The address is numeric, so opening the socket does not block and needs no cancellable
+	// context.
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", n.address)
 	if err != nil {
 		return nil, fmt.Errorf("listening for peers: %w", err)
