--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"net"
 	"net/rpc"
 	"sync"
@@ -10,81 +10,82 @@
 )
 
 const (
-	// dialTimeout bounds the dialling of a peer.
+	// dialTimeout bounds one attempt to connect to a peer.
 	dialTimeout = 700 * time.Millisecond
-	// redialDelay is how long a peer that just refused or hung is not dialled again.
+	// redialDelay is how long a peer is not dialled again after a failed attempt to connect.
 	redialDelay = 500 * time.Millisecond
 )
 
-// link is the connection to one peer; calls that find it broken dial anew.
-type link struct {
+// peerConn is the connection to one peer. A call that finds no working connection dials a new one.
+type peerConn struct {
 	address string
 
-	mu         sync.Mutex
-	client     *rpc.Client // nil: not connected
-	theirs     Handshake   // of the connected peer
-	lastFailed time.Time   // when connecting failed
+	mu          sync.Mutex  // guards the fields below
+	client      *rpc.Client // nil: not connected
+	handshake   Handshake   // of the connected peer
+	lastFailure time.Time   // of an attempt to dial
 }
 
-// connect returns the connection, making it if there is none, and what the peer said of itself.
-// The mutex is held while it dials: it is one link's own, and callers of an unresponsive peer
-// would only dial the same address beside each other. What the dialling takes is not bounded by
-// ctx, for others wait for the same connection.
-func (l *link) connect(ctx context.Context, mine Handshake, counts *traffic) (*rpc.Client, Handshake, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.client != nil {
-		return l.client, l.theirs, nil
+// connect returns the client of the connection and the peer's handshake; it dials if there is no
+// connection. It holds c.mu while it dials: c.mu guards only this connection, and without it the
+// callers of an unresponsive peer would dial the same address in parallel. Dialling continues when
+// ctx ends, because other callers wait for the same connection.
+func (c *peerConn) connect(ctx context.Context, local Handshake, counters *traffic) (*rpc.Client, Handshake, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.client != nil {
+		return c.client, c.handshake, nil
 	}
-	if time.Since(l.lastFailed) < redialDelay {
-		return nil, Handshake{}, errors.New("peer was not reachable just now")
+	if time.Since(c.lastFailure) < redialDelay {
+		return nil, Handshake{}, fmt.Errorf("last attempt to dial %s failed less than %v ago", c.address, redialDelay)
 	}
-	client, theirs, err := dial(context.WithoutCancel(ctx), l.address, mine, counts)
+	client, remote, err := dial(context.WithoutCancel(ctx), c.address, local, counters)
 	if err != nil {
-		l.lastFailed = time.Now()
+		c.lastFailure = time.Now()
 		return nil, Handshake{}, err
 	}
-	l.client, l.theirs = client, theirs
-	return client, theirs, nil
+	c.client, c.handshake = client, remote
+	return client, remote, nil
 }
 
-// dial connects to a peer and shakes hands.
-func dial(ctx context.Context, address string, mine Handshake, counts *traffic) (*rpc.Client, Handshake, error) {
+// dial connects to a peer and exchanges handshakes with it.
+func dial(ctx context.Context, address string, local Handshake, counters *traffic) (*rpc.Client, Handshake, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, Handshake{}, err
 	}
-	client := rpc.NewClient(counts.bytes.Conn(conn))
-	theirs, err := shakeHands(ctx, client, mine)
+	client := rpc.NewClient(counters.bytes.Conn(conn))
+	remote, err := exchangeHandshakes(ctx, client, local)
 	if err != nil {
-		_ = client.Close() // the peer is given up; err says why
+		_ = client.Close() // err already tells why the connection is given up
 		return nil, Handshake{}, err
 	}
-	return client, theirs, nil
+	return client, remote, nil
 }
 
-// drop closes the connection if it is still the one that failed.
-func (l *link) drop(failed *rpc.Client) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.client == failed {
-		l.closeLocked()
+// drop closes the connection if failed is still its client. Another caller may already have dialled
+// a new one.
+func (c *peerConn) drop(failed *rpc.Client) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.client == failed {
+		c.closeLocked()
 	}
 }
 
-// close closes the connection, if there is one.
-func (l *link) close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.closeLocked()
+// close closes the connection, if there is one. c.mu must not be held.
+func (c *peerConn) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closeLocked()
 }
 
-// closeLocked closes the connection, if there is one. The caller holds the mutex.
-func (l *link) closeLocked() {
-	if l.client == nil {
+// closeLocked closes the connection, if there is one. The caller must hold c.mu.
+func (c *peerConn) closeLocked() {
+	if c.client == nil {
 		return
 	}
-	_ = l.client.Close() // broken or closed already is as good
-	l.client = nil
+	_ = c.client.Close() // an error means that the connection is already broken or closed
+	c.client = nil
 }
--- a/internal/peer/network.go
+++ b/internal/peer/network.go
@@ -1,8 +1,9 @@
 // Package peer carries calls between controllers over net/rpc.
 //
-// It owns one connection to each other controller (link), dialled anew once it is found broken,
-// and counts of what passed (traffic). Each link, and the counts, have a mutex of their own. The
-// package imports netcount only, and knows nothing of the services that it carries.
+// It owns one connection to each other controller (peerConn), which is dialled again after it was
+// found broken, and counters of calls and bytes (traffic). Each connection and the counters have
+// mutexes of their own. The package imports netcount only and does not depend on the services whose
+// calls it carries.
 package peer
 
 import (
@@ -13,79 +14,82 @@
 	"net/rpc"
 )
 
-// ErrNoAnswer says that the call may or may not have been carried out.
+// ErrNoAnswer means that the outcome of the call is unknown: it may or may not have been carried
+// out, or may yet be.
 var ErrNoAnswer = errors.New("no answer from peer")
 
-// Caller reaches the services of all controllers.
+// Caller calls the services of all controllers.
 type Caller interface {
-	// Call runs method at host and waits for reply until ctx ends. An error that wraps
-	// ErrNoAnswer leaves open whether the call was carried out; one that wraps ErrUnknownMethod
-	// says that this peer's version does not know it.
+	// Call calls method at host and waits for reply until ctx ends. After an error that wraps
+	// ErrNoAnswer it is unknown whether the call was carried out. An error that wraps
+	// ErrUnknownMethod means that the peer's build does not implement the method.
 	Call(ctx context.Context, host, method string, args, reply any) error
 }
 
 // Network calls the services of all controllers, this one included.
 type Network struct {
 	self      string
-	local     *rpc.Client
-	links     map[string]*link // by host; the map does not change
-	handshake Handshake        // what this controller says of itself
+	local     *rpc.Client          // for calls of this controller to itself
+	conns     map[string]*peerConn // by host; the map is never changed
+	handshake Handshake            // of this controller
 	traffic   traffic
 }
 
 var _ Caller = (*Network)(nil)
 
-// New returns a network of the controllers at these addresses, by host. server answers the calls
-// of this controller to itself, and service says what it tells others of itself.
+// New returns a network of the controller self and its peers, whose addresses are given by host.
+// server answers the calls of this controller to itself, and service has the handshake that peers
+// get.
 func New(self string, addresses map[string]string, server *rpc.Server, service *Service) *Network {
-	ours, theirs := net.Pipe()
-	go server.ServeConn(theirs) // until Close closes the other end
+	clientConn, serverConn := net.Pipe()
+	go server.ServeConn(serverConn) // until Close closes clientConn
 	n := &Network{
 		self:      self,
-		local:     rpc.NewClient(ours),
-		links:     map[string]*link{},
+		local:     rpc.NewClient(clientConn),
+		conns:     map[string]*peerConn{},
 		handshake: service.handshake,
 	}
 	for host, address := range addresses {
-		n.links[host] = &link{address: address}
+		n.conns[host] = &peerConn{address: address}
 	}
 	return n
 }
 
 // Close ends all connections.
 func (n *Network) Close() {
-	_ = n.local.Close() // closed already is as good
-	for _, l := range n.links {
-		l.close()
+	_ = n.local.Close() // an error means that it is already closed
+	for _, conn := range n.conns {
+		conn.close()
 	}
 }
 
-// Call runs method at host and waits until ctx ends (see Caller).
+// Call implements Caller.
 func (n *Network) Call(ctx context.Context, host, method string, args, reply any) error {
 	n.traffic.countCall(method)
 	if host == n.self {
 		_, err := roundTrip(ctx, n.local, host, method, args, reply)
 		return err
 	}
-	l := n.links[host]
-	if l == nil {
-		return fmt.Errorf("no peer %q", host)
+	conn := n.conns[host]
+	if conn == nil {
+		return fmt.Errorf("unknown peer %q", host)
 	}
-	client, theirs, err := l.connect(ctx, n.handshake, &n.traffic)
+	client, remote, err := conn.connect(ctx, n.handshake, &n.traffic)
 	if err != nil {
-		return fmt.Errorf("reaching %s: %w", host, err)
+		return fmt.Errorf("connecting to %s: %w", host, err)
 	}
-	if !theirs.knows(method) {
-		return fmt.Errorf("%s at %s (build %s): %w", method, host, theirs.Build, ErrUnknownMethod)
+	if !remote.supports(method) {
+		return fmt.Errorf("%s at %s (build %s): %w", method, host, remote.Build, ErrUnknownMethod)
 	}
 	broken, err := roundTrip(ctx, client, host, method, args, reply)
 	if broken {
-		l.drop(client)
+		conn.drop(client)
 	}
 	return err
 }
 
-// roundTrip makes a call over a connection, and reports whether that may be broken.
+// roundTrip makes one call over a connection. broken reports whether the connection must not be
+// used for further calls.
 func roundTrip(
 	ctx context.Context, client *rpc.Client, host, method string, args, reply any,
 ) (broken bool, err error) {
@@ -93,17 +97,17 @@
 	select {
 	case <-call.Done:
 	case <-ctx.Done():
-		// A connection on which one answer is overdue may be cut: start anew.
+		// A connection on which an answer is overdue may be dead, so the next call needs a new one.
 		overdue := errors.Is(ctx.Err(), context.DeadlineExceeded)
 		return overdue, fmt.Errorf("%s at %s: %w: %w", method, host, ErrNoAnswer, ctx.Err())
 	}
-	var answered rpc.ServerError
+	var serverError rpc.ServerError
 	switch {
 	case call.Error == nil:
 		return false, nil
 	case isUnknownMethod(call.Error):
 		return false, fmt.Errorf("%s at %s: %w: %w", method, host, ErrUnknownMethod, call.Error)
-	case errors.As(call.Error, &answered):
+	case errors.As(call.Error, &serverError):
 		return false, call.Error
 	}
 	return true, fmt.Errorf("%s at %s: %w: %w", method, host, ErrNoAnswer, call.Error)
--- a/internal/peer/network_test.go
+++ b/internal/peer/network_test.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// Echo is a service that answers, fails, or never answers.
+// Echo is a net/rpc service that answers, fails, or never answers.
 type Echo struct {
-	calls atomic.Int64
-	cut   func()
+	calls      atomic.Int64
+	disconnect func()
 }
 
-// Say answers with its argument, unless that is a word for a fault.
+// Say answers with its argument. The arguments refuse, disconnect and hang inject a fault instead.
 func (e *Echo) Say(s string, reply *string) error {
 	e.calls.Add(1)
 	switch s {
 	case "refuse":
 		return errors.New("refused")
-	case "cut":
-		e.cut()
+	case "disconnect":
+		e.disconnect()
 		select {}
 	case "hang":
 		select {}
@@ -43,7 +43,7 @@
 	return ln
 }
 
-// serve has a controller answer on a free port until the test ends.
+// serve runs a net/rpc server with the given services on a free port until the test ends.
 func serve(t *testing.T, services map[string]any) (address string) {
 	t.Helper()
 	ln := listen(t)
@@ -59,7 +59,7 @@
 	return ln.Addr().String()
 }
 
-// newNetwork returns the network of host-0, whose only peer, host-1, is at an address.
+// newNetwork returns the network of host-0 with one peer, host-1, at the given address.
 func newNetwork(t *testing.T, address string) *Network {
 	t.Helper()
 	service := NewService("host-0", "b", nil)
@@ -68,30 +68,32 @@
 	return n
 }
 
-// A commit that was refused may go to the next candidate, one without an answer may not: the two
-// must never be mixed up. After a call that hung, the next one gets a connection of its own.
-func TestServiceErrorIsNotAMissingAnswer(t *testing.T) {
+// A commit that a peer refused may be sent to the next candidate; a commit without an answer may
+// not, because it may have been carried out. Guards against reporting one as the other, and against
+// reuse of a connection on which a call hung.
+func TestServiceErrorIsNotErrNoAnswer(t *testing.T) {
 	n := newNetwork(t, serve(t, map[string]any{"Echo": &Echo{}}))
 	var reply string
 	if err := n.Call(t.Context(), "host-1", "Echo.Say", "refuse", &reply); err == nil || errors.Is(err, ErrNoAnswer) {
-		t.Errorf("refused: %v", err)
+		t.Errorf("refused call: got %v, want an error that is not ErrNoAnswer", err)
 	}
 	if err := n.Call(t.Context(), "host-9", "Echo.Say", "x", &reply); err == nil || errors.Is(err, ErrNoAnswer) {
-		t.Errorf("unknown peer: %v", err)
+		t.Errorf("unknown peer: got %v, want an error that is not ErrNoAnswer", err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	var never string
-	if err := n.Call(ctx, "host-1", "Echo.Say", "hang", &never); !errors.Is(err, ErrNoAnswer) {
-		t.Errorf("hung: %v", err)
+	var lateReply string
+	if err := n.Call(ctx, "host-1", "Echo.Say", "hang", &lateReply); !errors.Is(err, ErrNoAnswer) {
+		t.Errorf("call that hangs: got %v, want ErrNoAnswer", err)
 	}
 	if err := n.Call(t.Context(), "host-1", "Echo.Say", "again", &reply); err != nil || reply != "again" {
-		t.Errorf("after that: %q %v", reply, err)
+		t.Errorf("next call: got reply %q, error %v; want \"again\" without an error", reply, err)
 	}
 }
 
-// A peer that closes in the midst of a call leaves it open whether it was carried out.
-func TestCutConnectionLeavesTheOutcomeOpen(t *testing.T) {
+// Guards against reporting a call as failed although its outcome is unknown, because the peer
+// closed the connection before it answered.
+func TestClosedConnectionReturnsErrNoAnswer(t *testing.T) {
 	ln := listen(t)
 	go func() {
 		conn, err := ln.Accept()
@@ -99,18 +101,19 @@
 			return
 		}
 		server := rpc.NewServer()
-		_ = server.RegisterName("Echo", &Echo{cut: func() { conn.Close() }})
+		_ = server.RegisterName("Echo", &Echo{disconnect: func() { conn.Close() }})
 		server.ServeConn(conn)
 	}()
 	n := newNetwork(t, ln.Addr().String())
 	var reply string
-	if err := n.Call(t.Context(), "host-1", "Echo.Say", "cut", &reply); !errors.Is(err, ErrNoAnswer) {
-		t.Errorf("cut: %v", err)
+	if err := n.Call(t.Context(), "host-1", "Echo.Say", "disconnect", &reply); !errors.Is(err, ErrNoAnswer) {
+		t.Errorf("got %v, want ErrNoAnswer", err)
 	}
 }
 
-// With one that is no controller, no call is ever begun.
-func TestForeignServerIsNotCalled(t *testing.T) {
+// Guards against sending a call to a server that is not a controller: the handshake fails, so the
+// call was certainly not carried out.
+func TestFailedHandshakeSendsNoCall(t *testing.T) {
 	ln := listen(t)
 	go func() {
 		conn, err := ln.Accept()
@@ -124,35 +127,36 @@
 	n := newNetwork(t, ln.Addr().String())
 	var reply string
 	if err := n.Call(t.Context(), "host-1", "Echo.Say", "x", &reply); err == nil || errors.Is(err, ErrNoAnswer) {
-		t.Errorf("malformed: %v", err)
+		t.Errorf("got %v, want an error that is not ErrNoAnswer", err)
 	}
 }
 
-// Of two versions each calls what both know. A peer with handshakes is not even asked for what
-// it does not know; one of the time before there were any says so itself. In neither case is the
-// call taken for one that may have been carried out.
-func TestVersionsCallWhatBothKnow(t *testing.T) {
-	for name, handshakes := range map[string]bool{"a version with handshakes": true, "one without": false} {
+// Controllers of different builds use the methods that both implement. A method that the peer's
+// handshake does not announce is not sent; a peer without handshakes rejects it by itself. In
+// neither case may the error say that the call may have been carried out.
+func TestUnknownMethodOfOtherBuild(t *testing.T) {
+	for name, hasHandshake := range map[string]bool{"peer with handshake": true, "peer without handshake": false} {
 		echo := &Echo{}
 		services := map[string]any{"Echo": echo}
-		if handshakes {
+		if hasHandshake {
 			services["Peer"] = NewService("host-1", "other", services)
 		}
 		n := newNetwork(t, serve(t, services))
 		var reply string
 		err := n.Call(t.Context(), "host-1", "Echo.Shout", "x", &reply)
 		if !errors.Is(err, ErrUnknownMethod) || errors.Is(err, ErrNoAnswer) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got %v, want ErrUnknownMethod and not ErrNoAnswer", name, err)
 		}
 		err = n.Call(t.Context(), "host-1", "Echo.Say", "x", &reply)
 		if err != nil || reply != "x" || echo.calls.Load() != 1 {
-			t.Errorf("%s: a call that both know: %q %v", name, reply, err)
+			t.Errorf("%s: call of a common method: got reply %q, error %v, or a second call arrived", name, reply, err)
 		}
 	}
 }
 
-// Calls of a controller to itself are answered without a connection, and count as calls alone.
-func TestOwnServicesAreCalledWithoutAConnection(t *testing.T) {
+// Guards against connections of a controller to itself: its own calls are counted, but send no
+// bytes over the network.
+func TestLocalCallsUseNoConnection(t *testing.T) {
 	server := rpc.NewServer()
 	if err := server.RegisterName("Echo", &Echo{}); err != nil {
 		t.Fatal(err)
@@ -161,10 +165,10 @@
 	defer n.Close()
 	var reply string
 	if err := n.Call(t.Context(), "host-0", "Echo.Say", "x", &reply); err != nil || reply != "x" {
-		t.Errorf("%q %v", reply, err)
+		t.Errorf("got reply %q, error %v; want \"x\" without an error", reply, err)
 	}
 	traffic := n.Traffic()
 	if traffic.Sent != 0 || traffic.Received != 0 || traffic.Calls["Echo.Say"] != 1 {
-		t.Errorf("%+v", traffic)
+		t.Errorf("got %+v, want one call of Echo.Say and no bytes", traffic)
 	}
 }
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// acceptRetryDelay is how long to wait after a connection could not be accepted.
+// acceptRetryDelay is the delay after a failed accept.
 const acceptRetryDelay = 100 * time.Millisecond
 
-// Serve answers peers on ln until ctx ends, and returns once all connections have ended.
+// Serve answers the calls of peers on ln until ctx ends. It returns when all connections are
+// closed.
 func Serve(ctx context.Context, ln net.Listener, server *rpc.Server) {
 	var conns sync.WaitGroup
 	defer conns.Wait()
-	stop := context.AfterFunc(ctx, func() { _ = ln.Close() }) // it has served its time
+	stop := context.AfterFunc(ctx, func() { _ = ln.Close() }) // makes Accept return
 	defer stop()
 	for {
 		conn, err := ln.Accept()
@@ -29,7 +30,7 @@
 			continue
 		}
 		conns.Go(func() {
-			stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // has ServeConn return
+			stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // makes ServeConn return
 			defer stop()
 			server.ServeConn(conn)
 		})
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -7,18 +7,19 @@
 	"robinstack/internal/netcount"
 )
 
-// Traffic is what a controller has asked others since its process or its last session began.
+// Traffic counts the calls that a controller made over one Network, that is, in one session, and
+// the bytes on the connections that it dialled for them.
 type Traffic struct {
-	Sent     uint64            `json:"bytes_sent"`     // on connections that it made, without TCP and IP headers
-	Received uint64            `json:"bytes_received"` // answers
-	Calls    map[string]uint64 `json:"calls"`          // by method, those to itself included
+	Sent     uint64            `json:"bytes_sent"`     // without TCP and IP headers
+	Received uint64            `json:"bytes_received"` // without TCP and IP headers
+	Calls    map[string]uint64 `json:"calls"`          // by method; includes calls to itself
 }
 
-// traffic counts what passes. The zero value counts from nothing.
+// traffic holds the counters behind Traffic. Its zero value is ready to use.
 type traffic struct {
 	bytes netcount.Counter
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards calls
 	calls map[string]uint64
 }
 
@@ -31,7 +32,7 @@
 	t.calls[method]++
 }
 
-// Traffic is what this controller has asked others.
+// Traffic returns the current counts of calls and bytes.
 func (n *Network) Traffic() Traffic {
 	t := &n.traffic
 	t.mu.Lock()
--- a/internal/recovery/timeline.go
+++ b/internal/recovery/timeline.go
@@ -1,7 +1,8 @@
-// Package recovery measures how long a controller takes to serve again after its start, or after
-// it lost its state lease: what users notice of a failure is that time, and where it goes.
+// Package recovery measures how long a controller takes until it serves again after its start or
+// after the loss of its state lease. Users notice a failure for that long; the steps show where the
+// time is spent.
 //
-// It owns the times of one session's steps (Timeline), guarded by a mutex. It imports the
+// A Timeline holds the times of one session's steps, guarded by a mutex. The package imports the
 // standard library only.
 package recovery
 
@@ -11,36 +12,37 @@
 	"time"
 )
 
-// Steps of the recovery, in their usual order. The values are logged and part of the status.
+// Steps of the recovery, in their usual order. Their values appear in the log and in the status.
 const (
-	// StepRegistered is reached when the session is open at the state service.
+	// StepRegistered is reached when the session is registered in the state service.
 	StepRegistered = "life"
-	// StepReady is reached when the load balancer is first told to send requests.
+	// StepReady is reached when the readiness check first succeeds, so that the load balancer sends
+	// requests.
 	StepReady = "ready"
 	// StepSubmissionAccepted is reached when the first submission is accepted.
 	StepSubmissionAccepted = "accepted"
 	// StepTaskStarted is reached when the first task is started.
 	StepTaskStarted = "placed"
-	// StepReconciled is reached when every job shard taken over is reconciled; the latest time
-	// counts.
+	// StepReconciled is reached each time that a job shard taken over is reconciled. A later time
+	// replaces the earlier one, so in the end the time is that of the last job shard.
 	StepReconciled = "settled"
 )
 
 // Timeline holds the times of one session's steps. A nil Timeline records nothing.
 type Timeline struct {
-	began time.Time
+	start time.Time
 
-	mu    sync.Mutex
-	steps map[string]time.Duration // since began
+	mu    sync.Mutex               // guards steps
+	steps map[string]time.Duration // by step, since start
 }
 
-// NewTimeline returns a timeline for a session on the way since began.
-func NewTimeline(began time.Time) *Timeline {
-	return &Timeline{began: began, steps: map[string]time.Duration{}}
+// NewTimeline returns a timeline that measures from start.
+func NewTimeline(start time.Time) *Timeline {
+	return &Timeline{start: start, steps: map[string]time.Duration{}}
 }
 
-// Record notes that a step was reached, and logs it. Of all but StepReconciled the first time
-// counts.
+// Record records and logs that a step was reached. It ignores a step that is already recorded,
+// except StepReconciled, whose time it replaces.
 func (t *Timeline) Record(step string) {
 	if t == nil {
 		return
@@ -51,19 +53,19 @@
 	}
 }
 
-// record notes a step now, unless an earlier time of it counts.
+// record stores the time of a step; recorded is false if an earlier time was kept.
 func (t *Timeline) record(step string) (elapsed time.Duration, recorded bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, again := t.steps[step]; again && step != StepReconciled {
+	if _, known := t.steps[step]; known && step != StepReconciled {
 		return 0, false
 	}
-	elapsed = time.Since(t.began)
+	elapsed = time.Since(t.start)
 	t.steps[step] = elapsed
 	return elapsed, true
 }
 
-// Seconds returns the steps reached, each with the seconds since the start.
+// Seconds returns the seconds from the start to each step reached so far.
 func (t *Timeline) Seconds() map[string]float64 {
 	out := map[string]float64{}
 	if t == nil {
--- a/internal/recovery/timeline_test.go
+++ b/internal/recovery/timeline_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Of most steps the first time counts, of the reconciliation the last: job shards are taken over
-// one after the other.
-func TestTimelineKeepsFirstTimesAndTheLastReconciliation(t *testing.T) {
+// Job shards are reconciled one after another, so the last reconciliation counts; of all other
+// steps the first time counts. Also guards against a nil Timeline that fails instead of recording
+// nothing.
+func TestTimelineKeepsFirstTimesAndLastReconciliation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timeline := NewTimeline(time.Now())
 		time.Sleep(time.Second)
@@ -18,12 +19,12 @@
 		timeline.Record(StepReady)
 		timeline.Record(StepReconciled)
 		if got := timeline.Seconds(); got[StepReady] != 1 || got[StepReconciled] != 3 || len(got) != 2 {
-			t.Fatal(got)
+			t.Fatalf("got %v, want %s at 1 s, %s at 3 s and no other step", got, StepReady, StepReconciled)
 		}
-		var none *Timeline
-		none.Record(StepRegistered)
-		if len(none.Seconds()) != 0 {
-			t.Fatal("a timeline that is not there recorded a step")
+		var missing *Timeline
+		missing.Record(StepRegistered)
+		if len(missing.Seconds()) != 0 {
+			t.Fatal("a nil Timeline recorded a step")
 		}
 	})
 }
--- a/internal/recovery/wire_test.go
+++ b/internal/recovery/wire_test.go
@@ -7,7 +7,7 @@
 	"robinstack/test/wireformat"
 )
 
-// The steps are keys of the status page.
+// The steps are keys of the status page, which operators' tools read.
 func TestWireForms(t *testing.T) {
 	wireformat.Golden(t, "steps", strings.Join([]string{StepRegistered, StepReady, StepSubmissionAccepted, StepTaskStarted, StepReconciled}, "\n")+"\n")
 }
