--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Kinds of objectives that the service acts on.
+// Kinds of objectives that the controller uses. Objectives of other kinds have no effect.
 const (
-	objectiveFinished = "finished" // done within a time
-	objectiveDeadline = "deadline" // done within a multiple of the job's deadline
-	objectiveWait     = "wait"     // started within a time
+	objectiveFinished = "finished" // jobs complete within a time
+	objectiveDeadline = "deadline" // jobs complete within a multiple of their deadline
+	objectiveWait     = "wait"     // tasks start within a time
 )
 
-// Objective is one of the users' service-level objectives.
+// Objective is a service-level objective for the jobs of one class.
 type Objective struct {
 	Kind           string
-	Class          string // of jobs
+	Class          string // class of the jobs
 	Within         time.Duration
-	Share          float64 // of jobs that should meet it
+	Share          float64 // fraction of the jobs that should meet it
 	DeadlineFactor float64
 }
 
-// CompletionTargets are the times, from its submission, by which a job should be done: those that
-// the objectives of its class name, in rising order, or else its deadline, in seconds; nil: none.
+// CompletionTargets returns the times since its submission within which a job should complete, the
+// shortest first. These are the times of the completion objectives of its class, or, if there are
+// none, the job's deadline (deadlineS seconds). The result is nil if the job has neither.
 func (s *Settings) CompletionTargets(class string, deadlineS *float64) []time.Duration {
 	var targets []time.Duration
 	for _, objective := range s.Objectives {
@@ -41,8 +42,8 @@
 	return targets
 }
 
-// StartTargets lists the times within which tasks of a class should have started by its
-// objectives, the tightest first.
+// StartTargets returns the times within which the objectives of a class want its tasks to start,
+// the shortest first.
 func (s *Settings) StartTargets(class string) []time.Duration {
 	var targets []time.Duration
 	for _, objective := range s.Objectives {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// Load reads and checks the settings file. Its error names the file and all fields that are wrong.
+// Load reads and checks the settings file. Its error names the file and every invalid field.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -20,8 +20,8 @@
 	return settings, nil
 }
 
-// Parse checks settings given as JSON. What follows the first value is ignored. Its error names
-// all fields that are wrong.
+// Parse decodes and checks settings in JSON. Data after the first JSON value is ignored. Its error
+// names every invalid field.
 func Parse(raw []byte) (*Settings, error) {
 	var wire wireSettings
 	if err := json.NewDecoder(bytes.NewReader(raw)).Decode(&wire); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,14 +1,14 @@
-// Package config holds the settings that the platform gives a controller: it reads the settings
-// file, checks it and derives the durations that follow from it.
+// Package config holds the settings that the platform gives to a controller: it reads and checks
+// the settings file and derives durations from the settings.
 //
-// The file's JSON keys are wireSettings, in wire.go, and nothing else; each concern has a type of
-// its own. Settings do not change once they are loaded, so nothing guards them. The package
-// imports nothing of the project.
+// wireSettings, in wire.go, and Team define the JSON keys of the file; each group of settings has a
+// Go type of its own. Settings do not change after they are loaded, so they need no lock. The
+// package imports no other package of the module.
 package config
 
 import "time"
 
-// Settings is everything the platform tells a controller.
+// Settings holds all settings of a controller.
 type Settings struct {
 	Host                   string
 	Zone                   string
@@ -17,27 +17,27 @@
 	Peers                  []Peer // the other controllers
 	CloudAddress           string
 	StateAddress           string
-	Controllers            int // how many there should be, this one included
+	Controllers            int // configured number of controllers, including this one
 	Zones                  []string
 	Teams                  map[string]Team // by name
 	Objectives             []Objective
 	Workers                WorkerTiming
 	StateLimits            StateLimits
 	CloudRequestsPerSecond float64
-	CloudListLag           time.Duration // of the cloud's list of machines
+	CloudListLag           time.Duration // how far the cloud's list of machines may be out of date
 	MemoryBytes            int64
-	MaxConnections         int           // sockets that the process may have
-	MaxClockOffset         time.Duration // of the time of day, between two hosts
+	MaxConnections         int           // sockets that the process may have open
+	MaxClockOffset         time.Duration // between the wall clocks of two hosts
 }
 
-// Peer is another controller of the same service.
+// Peer is another controller of the same cluster.
 type Peer struct {
 	Host    string
 	Zone    string
 	Address string
 }
 
-// Hosts lists all controllers there are, this one first.
+// Hosts returns the hosts of all configured controllers, this one first.
 func (s *Settings) Hosts() []string {
 	hosts := []string{s.Host}
 	for _, peer := range s.Peers {
@@ -46,7 +46,7 @@
 	return hosts
 }
 
-// ZoneOf returns the zone of a controller, or "" if it is not known.
+// ZoneOf returns the zone of a controller, or "" for an unknown host.
 func (s *Settings) ZoneOf(host string) string {
 	if host == s.Host {
 		return s.Zone
@@ -59,5 +59,5 @@
 	return ""
 }
 
-// Seconds turns an amount of seconds from the wire into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/config/state_limits.go
+++ b/internal/config/state_limits.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// StateLimits holds the limits of the state service that hold at any time: of those that are in
-// force and those that the platform has announced (facts.state.next), which come without notice,
-// the lower of each.
+// StateLimits holds the limits of the state service that apply at any time. Each limit is the lower
+// of the current value and the one that the platform has announced (facts.state.next), because an
+// announced limit takes effect without further notice.
 type StateLimits struct {
 	RequestsPerSecond float64
 	WritesPerSecond   float64 // puts and deletes
@@ -12,58 +12,61 @@
 	MaxTxnOps         int // puts and deletes of one transaction
 }
 
-// comparesPerOp is how many compares the state service takes in a transaction for each change
-// that it takes.
+// comparesPerOp is how many compares the state service accepts in a transaction for each op that it
+// accepts.
 const comparesPerOp = 4
 
-// What the service needs of the state service at least. A chunk of a job's finished tasks takes
-// 1.4 KiB, and the end of a job three changes.
+// Minimum limits that the controller needs. A completed chunk of a job takes 1.4 KiB, and finishing
+// a job takes three ops in one transaction.
 const (
 	minValueBytes = 2048
 	minTxnOps     = 6
-	// versionChangeCompares are needed to change the cluster version, beside one for each
-	// controller.
+	// versionChangeCompares is the number of compares in the transaction that changes the cluster
+	// version, in addition to one for each controller.
 	versionChangeCompares = 6
 )
 
-// requiredTxnOps is how many changes a transaction has to take with so many controllers.
+// requiredTxnOps returns the least MaxTxnOps with which this number of controllers can work.
 func requiredTxnOps(controllers int) int {
-	compares := controllers + versionChangeCompares
-	return max(minTxnOps, (compares+comparesPerOp-1)/comparesPerOp)
+	versionCompares := controllers + versionChangeCompares
+	return max(minTxnOps, (versionCompares+comparesPerOp-1)/comparesPerOp)
 }
 
-// MaxCompares is how many compares a transaction may have.
+// MaxCompares returns the maximum number of compares in a transaction.
 func (l StateLimits) MaxCompares() int { return comparesPerOp * l.MaxTxnOps }
 
-// sharedWriteShare leaves a tenth of what the service takes for bursts of sessions that begin.
-const sharedWriteShare = 0.9
+// sharedWriteFraction is the fraction of the write rate that the controllers divide among
+// themselves. The remaining tenth is for bursts of writes at the start of sessions.
+const sharedWriteFraction = 0.9
 
-// SharedWriteBudget is how many changes a second all controllers make together at most.
-func (l StateLimits) SharedWriteBudget() float64 { return sharedWriteShare * l.WritesPerSecond }
+// SharedWriteBudget returns the maximum number of ops a second of all controllers together.
+func (l StateLimits) SharedWriteBudget() float64 { return sharedWriteFraction * l.WritesPerSecond }
 
 const (
-	// maxWatchTimeout bounds how long a watch may wait where the lease grace period allows more.
+	// maxWatchTimeout bounds the watch timeout where the lease grace period allows a longer one.
 	maxWatchTimeout = time.Second
-	// maxWatchInterval bounds how late a controller sees what others write: taking a role,
-	// registering a machine and accepting a job wait for that, some of them several times.
+	// maxWatchInterval bounds how late a controller sees the writes of others. Acquiring a role,
+	// registering a machine and accepting a job wait for such writes, some of them several times.
 	maxWatchInterval = 450 * time.Millisecond
-	// watchRequestFraction is the part of the requests that all controllers' watches take together:
-	// an eighth.
-	watchRequestFraction = 8
+	// watchRequestDivisor limits the watches of all controllers together to an eighth of the
+	// request rate.
+	watchRequestDivisor = 8
 )
 
-// WatchTimeout is how long a watch of the state service may wait: an owner takes its view for
-// current only for the lease grace period, so it must be renewed within it.
+// WatchTimeout returns how long a watch of the state service may wait for a change. An owner may
+// rely on its mirror only for the lease grace period, so a watch must return, and prove that the
+// mirror is complete, well within that period.
 func (s *Settings) WatchTimeout() time.Duration {
 	return min(maxWatchTimeout, s.LeaseGracePeriod()/4)
 }
 
-// MinWatchInterval is the least time between two watches of one controller. In a large cluster
-// something changes all the time, and every watch counts as a request: all controllers' watches
-// together take an eighth of what there is, and more where there are so many that each would see
-// what others write only after maxWatchInterval.
+// MinWatchInterval returns the minimum time between two watches of one controller. In a large
+// cluster keys change all the time, and every watch counts as a request. The interval keeps the
+// watches of all controllers together at an eighth of the request rate. It is shorter, and the
+// watches take more, if a controller would otherwise see the writes of others only after
+// maxWatchInterval, or if the lease grace period requires it.
 func (s *Settings) MinWatchInterval() time.Duration {
 	controllers := float64(max(1, s.Controllers))
-	fairInterval := Seconds(watchRequestFraction * controllers / s.StateLimits.RequestsPerSecond)
-	return min(s.LeaseGracePeriod()/8, maxWatchInterval, fairInterval)
+	rateLimitedInterval := Seconds(watchRequestDivisor * controllers / s.StateLimits.RequestsPerSecond)
+	return min(s.LeaseGracePeriod()/8, maxWatchInterval, rateLimitedInterval)
 }
--- a/internal/config/teams.go
+++ b/internal/config/teams.go
@@ -1,6 +1,6 @@
 package config
 
-// Team holds the amounts guaranteed to a team and its quota; 0 means none.
+// Team holds the guaranteed resources and the quota of a team. 0 means no guarantee or no quota.
 type Team struct {
 	Name           string  `json:"name"`
 	GuaranteedCPUs float64 `json:"cpus"`
@@ -11,7 +11,7 @@
 
 func (t Team) guaranteed() bool { return t.GuaranteedCPUs > 0 || t.GuaranteedGPUs > 0 }
 
-// Unguaranteed reports whether a team has no guarantee while others have one.
+// Unguaranteed reports whether a team has no guaranteed resources while another team has some.
 func (s *Settings) Unguaranteed(team string) bool {
 	for _, other := range s.Teams {
 		if other.guaranteed() {
@@ -21,7 +21,7 @@
 	return false
 }
 
-// HasQuota reports whether a team has a quota that its tasks must not exceed.
+// HasQuota reports whether a team has a quota that limits its tasks.
 func (s *Settings) HasQuota(team string) bool {
 	t := s.Teams[team]
 	return t.CPUQuota > 0 || t.GPUQuota > 0
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,12 +6,12 @@
 	"net"
 )
 
-// validation gathers what is wrong, by the fields of the file.
+// validation collects an error for each invalid field of the settings file.
 type validation struct{ errs []error }
 
-const aboveZero = "must be above 0"
+const mustBePositive = "must be above 0"
 
-// require notes what is wrong with a field unless ok.
+// require adds an error about field unless ok.
 func (v *validation) require(ok bool, field, problem string) {
 	if !ok {
 		v.errs = append(v.errs, fmt.Errorf("%s: %s", field, problem))
@@ -23,7 +23,7 @@
 	v.require(err == nil, field, fmt.Sprintf("%q is not host:port", address))
 }
 
-// validate checks the file and the settings that were made of it.
+// validate checks the file and the settings that were converted from it.
 func validate(wire *wireSettings, settings *Settings) error {
 	v := &validation{}
 	v.require(settings.Host != "", "host_name", "is missing")
@@ -35,7 +35,7 @@
 	v.teams(wire.Facts.Teams)
 	v.workerTiming(settings.Workers)
 	v.stateLimits(settings.StateLimits, len(settings.Peers)+1)
-	v.require(settings.CloudRequestsPerSecond > 0, "facts.cloud.rps", aboveZero)
+	v.require(settings.CloudRequestsPerSecond > 0, "facts.cloud.rps", mustBePositive)
 	return errors.Join(v.errs...)
 }
 
@@ -61,21 +61,26 @@
 }
 
 func (v *validation) workerTiming(timing WorkerTiming) {
-	v.require(timing.HeartbeatInterval > 0, "facts.workers.report_s", aboveZero)
-	v.require(timing.LeaseDuration > timing.HeartbeatInterval, "facts.workers.lease_s", "must be above report_s")
-	// Added, not subtracted: what is too large for a duration is negative, and must be refused.
+	v.require(timing.HeartbeatInterval > 0, "facts.workers.report_s", mustBePositive)
+	v.require(timing.LeaseDuration > timing.HeartbeatInterval, "facts.workers.lease_s",
+		fmt.Sprintf("must be above report_s (%v), got %v", timing.HeartbeatInterval, timing.LeaseDuration))
+	// The slack is added to the lease and not subtracted from the deadline: a cancel_s that is too
+	// large for a time.Duration becomes negative, and a subtraction could wrap around to a positive
+	// value that passes the check.
 	earliest := timing.LeaseDuration + minCancellationSlack
 	v.require(timing.CancellationDeadline >= earliest, "facts.workers.cancel_s",
-		fmt.Sprintf("must be at least %v above lease_s", minCancellationSlack))
-	v.require(timing.GangWaitTimeout > 0, "facts.workers.gang_wait_s", aboveZero)
+		fmt.Sprintf("must be at least %v above lease_s (%v), got %v",
+			minCancellationSlack, timing.LeaseDuration, timing.CancellationDeadline))
+	v.require(timing.GangWaitTimeout > 0, "facts.workers.gang_wait_s", mustBePositive)
 }
 
 func (v *validation) stateLimits(limits StateLimits, controllers int) {
-	v.require(limits.RequestsPerSecond > 0, "facts.state.rps", aboveZero+", and next.rps not below")
-	v.require(limits.WritesPerSecond > 0, "facts.state.write_rps", aboveZero+", and next.write_rps not below")
+	v.require(limits.RequestsPerSecond > 0, "facts.state.rps", mustBePositive+"; next.rps must not be negative")
+	v.require(limits.WritesPerSecond > 0, "facts.state.write_rps",
+		mustBePositive+"; next.write_rps must not be negative")
 	v.require(limits.MaxValueBytes >= minValueBytes, "facts.state.value_kb",
 		"must be at least 2, and next.value_kb as well")
-	ops := requiredTxnOps(controllers)
-	v.require(limits.MaxTxnOps >= ops, "facts.state.txn_ops",
-		fmt.Sprintf("must be at least %d with so many controllers, and next.txn_ops as well", ops))
+	minOps := requiredTxnOps(controllers)
+	v.require(limits.MaxTxnOps >= minOps, "facts.state.txn_ops",
+		fmt.Sprintf("must be at least %d with %d controllers, and next.txn_ops as well", minOps, controllers))
 }
--- a/internal/config/wire.go
+++ b/internal/config/wire.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// wireSettings is the settings file as the platform writes it. Fields that it does not name are
+// wireSettings is the settings file as the platform writes it. Unknown fields of the file are
 // ignored.
 type wireSettings struct {
 	Host       string `json:"host_name"`
@@ -21,7 +21,7 @@
 	Facts wireFacts `json:"facts"`
 }
 
-// wireFacts is what the platform says of the deployment.
+// wireFacts describes the deployment.
 type wireFacts struct {
 	Size       int      `json:"size"`
 	Zones      []string `json:"zones"`
@@ -56,8 +56,8 @@
 	ClockOffMS float64 `json:"clock_off_ms"`
 }
 
-// wireLimits are limits of the state service; of those to come, one that is absent or 0 stays as
-// it is.
+// wireLimits are limits of the state service, current or announced. An announced limit that is
+// absent or 0 means that the current one does not change.
 type wireLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -70,7 +70,7 @@
 	bytesPerMiB = 1 << 20
 )
 
-// settings converts the file, unchecked.
+// settings converts the file without checking it.
 func (w *wireSettings) settings() *Settings {
 	facts := &w.Facts
 	s := &Settings{
@@ -84,7 +84,7 @@
 		Zones:                  facts.Zones,
 		Teams:                  map[string]Team{},
 		Workers:                facts.workerTiming(),
-		StateLimits:            facts.State.lower(facts.State.Next),
+		StateLimits:            facts.State.effective(facts.State.Next),
 		CloudRequestsPerSecond: facts.Cloud.RPS,
 		CloudListLag:           Seconds(facts.Cloud.ListLagS),
 		MemoryBytes:            int64(facts.Quota.MemoryMB * bytesPerMiB),
@@ -122,20 +122,21 @@
 	}
 }
 
-// lower returns the lower of each limit.
-func (l wireLimits) lower(next wireLimits) StateLimits {
+// effective returns the limits that apply at any time; next holds the announced ones.
+func (l wireLimits) effective(next wireLimits) StateLimits {
 	return StateLimits{
-		RequestsPerSecond: lowerOf(l.RPS, next.RPS),
-		WritesPerSecond:   lowerOf(l.WriteRPS, next.WriteRPS),
-		MaxValueBytes:     int(lowerOf(l.ValueKB, next.ValueKB) * bytesPerKiB),
-		MaxTxnOps:         lowerOf(l.TxnOps, next.TxnOps),
+		RequestsPerSecond: effectiveLimit(l.RPS, next.RPS),
+		WritesPerSecond:   effectiveLimit(l.WriteRPS, next.WriteRPS),
+		MaxValueBytes:     int(effectiveLimit(l.ValueKB, next.ValueKB) * bytesPerKiB),
+		MaxTxnOps:         effectiveLimit(l.TxnOps, next.TxnOps),
 	}
 }
 
-// lowerOf returns the lower of a limit and the one to come, where one is to come.
-func lowerOf[T int | float64](now, next T) T {
+// effectiveLimit returns the lower of the current and the announced limit; next is 0 if no change
+// is announced.
+func effectiveLimit[T int | float64](current, next T) T {
 	if next == 0 {
-		return now
+		return current
 	}
-	return min(now, next)
+	return min(current, next)
 }
--- a/internal/config/wire_test.go
+++ b/internal/config/wire_test.go
@@ -41,7 +41,8 @@
 	wireformat.Golden(t, "read", wireformat.Indent(t, got))
 }
 
-// The platform builds and runs the program by this file.
+// Guards the keys and values of deploy/service.toml, from which the platform builds and runs the
+// program.
 func TestWireDeployment(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/service.toml")
 	if err != nil {
@@ -52,8 +53,8 @@
 		t.Fatal(err)
 	}
 	if deployment["production"] == "" {
-		t.Error("no production version")
+		t.Error("deploy/service.toml has no production version")
 	}
-	deployment["production"] = "a version" // it moves with each release
+	deployment["production"] = "a version" // changes with each release
 	wireformat.Golden(t, "deployment", wireformat.Indent(t, deployment))
 }
