--- a/internal/cloud/catalogue.go
+++ b/internal/cloud/catalogue.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// Catalogue holds the machine types that the cloud named last. The zero value is empty.
+// Catalogue holds the machine types that the cloud returned last. The zero value is empty.
 type Catalogue struct {
-	mu    sync.Mutex // guards types; the map itself is replaced, never changed
+	mu    sync.Mutex // guards types; the map is replaced, never changed
 	types map[string]MachineType
 }
 
-// Set replaces the types.
+// Set replaces all machine types.
 func (c *Catalogue) Set(types []MachineType) {
 	byName := make(map[string]MachineType, len(types))
 	for _, machineType := range types {
@@ -19,7 +19,7 @@
 	c.types = byName
 }
 
-// Types returns the types by name; the map must not be changed.
+// Types returns the machine types by name. The caller must not change the map.
 func (c *Catalogue) Types() map[string]MachineType {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,8 +1,8 @@
-// Package cloud is the client of the cloud that provides machines, and the catalogue of machine
-// types that the process knows.
+// Package cloud holds the client of the cloud that provides machines, and the catalogue of machine
+// types.
 //
-// It owns the client's rate limit and connections, and the catalogue, which a mutex guards. JSON
-// keys are those of the cloud's API. It imports only httpjson.
+// The client owns its rate limiter and connections; a mutex guards the catalogue. JSON keys are
+// those of the cloud's API. The package imports httpjson only.
 package cloud
 
 import (
@@ -23,38 +23,38 @@
 	requestTimeout        = 4 * time.Second
 	maxConnections        = 8
 	idleConnectionTimeout = 20 * time.Second
-	// machinesPerPage is the most that the API allows.
+	// machinesPerPage is the largest page that the API allows.
 	machinesPerPage = 500
-	// noCapacityReason is the error by which the cloud says that it has no such machine; any other
-	// may mean an outage.
+	// noCapacityReason is the error text by which the cloud states that it has no capacity for a
+	// request. Any other error may be an outage.
 	noCapacityReason = "no capacity"
 )
 
-// ErrNoCapacity says that the cloud has no such machine at the moment.
+// ErrNoCapacity means that the cloud has no capacity for the request at the moment.
 var ErrNoCapacity = errors.New(noCapacityReason)
 
-// API is the cloud as the rest of the program uses it.
+// API is the part of the cloud's API that the program uses.
 type API interface {
-	// MachineTypes returns the types on offer with their current prices.
+	// MachineTypes returns the available types with their current prices.
 	MachineTypes(ctx context.Context) ([]MachineType, error)
-	// ScaleOut asks for machines and returns the names of those provided, which may be fewer. Its
-	// error is ErrNoCapacity where there are none; after any other the request may have been, or
-	// may yet be, carried out.
+	// ScaleOut requests machines and returns the names of those provided, which may be fewer than
+	// requested. The error is ErrNoCapacity if there is none. After any other error the outcome is
+	// unknown: the cloud may have carried out the request, or may yet do so.
 	ScaleOut(ctx context.Context, request ScaleOutRequest) ([]string, error)
-	// ScaleIn deletes machines; once it succeeded they and all on them are gone.
+	// ScaleIn deletes machines. After success the machines and all tasks on them are gone.
 	ScaleIn(ctx context.Context, names []string) error
-	// Machines lists all machines, as of some seconds ago.
+	// Machines returns all machines. The list may be some seconds out of date.
 	Machines(ctx context.Context) ([]Machine, error)
 }
 
-// Client is the API over HTTP.
+// Client implements API over HTTP.
 type Client struct {
 	base    string
 	http    *httpjson.Client
 	limiter *rate.Limiter
 }
 
-// NewClient returns a client that sends at most requestsPerSecond.
+// NewClient returns a client that sends at most requestsPerSecond requests a second.
 func NewClient(address string, requestsPerSecond float64) *Client {
 	burst := int(max(1, requestsPerSecond))
 	return &Client{
@@ -87,17 +87,17 @@
 	return c.call(ctx, http.MethodPost, "/hosts/delete", map[string][]string{"hosts": names}, nil)
 }
 
-// Machines implements API. A list that breaks off is an error: machines that it does not show
-// would be taken for gone.
+// Machines implements API. It returns an error if any page cannot be read, because machines that
+// are missing from an incomplete list would be taken for deleted.
 func (c *Client) Machines(ctx context.Context) ([]Machine, error) {
 	var machines []Machine
-	since := ""
+	lastName := ""
 	for {
 		var page struct {
 			Machines  []Machine `json:"hosts"`
 			Truncated bool      `json:"truncated"`
 		}
-		query := url.Values{"since": {since}, "page": {strconv.Itoa(machinesPerPage)}}
+		query := url.Values{"since": {lastName}, "page": {strconv.Itoa(machinesPerPage)}}
 		if err := c.call(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
@@ -105,14 +105,14 @@
 		if !page.Truncated || len(page.Machines) == 0 {
 			return machines, nil
 		}
-		since = page.Machines[len(page.Machines)-1].Name
+		lastName = page.Machines[len(page.Machines)-1].Name
 	}
 }
 
-// call sends one request within the rate limit and decodes its answer into out, if out is not nil.
+// call sends one request within the rate limit and decodes the response into out unless out is nil.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("cloud: own limit: %w", err)
+		return fmt.Errorf("cloud: waiting for the rate limit of this client: %w", err)
 	}
 	response, err := c.http.Do(ctx, method, c.base+path, in, 0)
 	if err != nil {
@@ -130,7 +130,7 @@
 	return response.Decode(out)
 }
 
-// hasNoCapacity reports whether the cloud says in so many words that it has no such machine.
+// hasNoCapacity reports whether the response states that the cloud has no capacity for the request.
 func hasNoCapacity(response httpjson.Response) bool {
 	if response.Status != http.StatusServiceUnavailable {
 		return false
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -16,20 +16,21 @@
 	return NewClient(strings.TrimPrefix(server.URL, "http://"), 1000)
 }
 
-// Only the cloud's own word means that there are no machines: taken for that, an outage would close
-// a pool, and a request that may have been carried out would not be repeated under its ID.
-func TestWhatCountsAsNoCapacity(t *testing.T) {
+// Guards against taking any other error for a lack of capacity. If an outage were taken for it, the
+// autoscaler would stop using the pool for a while, and would not repeat, under its ID, a request
+// that the cloud may have carried out.
+func TestOnlyExplicitAnswerIsErrNoCapacity(t *testing.T) {
 	for name, c := range map[string]struct {
 		status     int
 		body       string
 		noCapacity bool
 	}{
-		"no capacity":     {503, `{"error":"no capacity"}`, true},
-		"an outage":       {503, `{"error":"trouble"}`, false},
-		"malformed":       {503, `{"error":`, false},
-		"too many":        {429, ``, false},
-		"no JSON at all":  {200, `<html>`, false},
-		"a list of names": {200, `{"hosts":[1,2]}`, false},
+		"no capacity":                 {503, `{"error":"no capacity"}`, true},
+		"other error with status 503": {503, `{"error":"trouble"}`, false},
+		"truncated body":              {503, `{"error":`, false},
+		"too many requests":           {429, ``, false},
+		"not JSON":                    {200, `<html>`, false},
+		"names of the wrong type":     {200, `{"hosts":[1,2]}`, false},
 	} {
 		client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(c.status)
@@ -37,14 +38,15 @@
 		})
 		_, err := client.ScaleOut(t.Context(), ScaleOutRequest{RequestID: "r-1", Count: 3})
 		if err == nil || errors.Is(err, ErrNoCapacity) != c.noCapacity {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want ErrNoCapacity: %t", name, err, c.noCapacity)
 		}
 	}
 }
 
-// A list comes in pages. One that breaks off is no list: machines that it does not show would be
-// taken for gone. One that never ends by its own word ends where nothing more comes.
-func TestMachineListIsPaged(t *testing.T) {
+// The list of machines arrives in pages. An incomplete list must be an error, because the missing
+// machines would be taken for deleted. An empty page ends the list even if it says that more
+// follow.
+func TestMachinesReadsAllPages(t *testing.T) {
 	pages := map[string]string{
 		"":   `{"hosts":[{"id":"m1"},{"id":"m2"}],"truncated":true}`,
 		"m2": `{"hosts":[{"id":"m3"}],"truncated":true}`,
@@ -55,10 +57,10 @@
 	})
 	machines, err := client.Machines(t.Context())
 	if err != nil || len(machines) != 3 || machines[2].Name != "m3" {
-		t.Fatal(machines, err)
+		t.Fatalf("got machines %v, error %v; want m1, m2 and m3", machines, err)
 	}
 	pages["m2"] = `{"hosts":[{"id":`
 	if machines, err := client.Machines(t.Context()); err == nil {
-		t.Fatalf("half a list counts as one: %v", machines)
+		t.Fatalf("got the incomplete list %v without an error", machines)
 	}
 }
--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// MachineType describes a kind of machine.
+// MachineType describes the capacity, prices and zones of a machine type.
 type MachineType struct {
 	Name          string   `json:"label"`
 	CPUs          float64  `json:"cpus"`
 	GPUs          float64  `json:"gpus"`
 	MemoryGB      float64  `json:"mem_gb"`
-	CacheGB       float64  `json:"local_gb"` // for images
+	CacheGB       float64  `json:"local_gb"` // disk space for cached images
 	FetchGBPerS   float64  `json:"pull_gb_per_s"`
-	OnDemandPrice float64  `json:"hourly"`    // for an hour
-	SpotPrice     float64  `json:"low_price"` // for an hour, as of now
+	OnDemandPrice float64  `json:"hourly"`    // per hour
+	SpotPrice     float64  `json:"low_price"` // per hour; changes over time
 	ProvisioningS float64  `json:"startup_s"`
 	Zones         []string `json:"sites"`
 }
 
-// ProvisioningTime is the usual time from the request until the machine's worker reports.
+// ProvisioningTime returns the usual time from the request for a machine to its first heartbeat.
 func (t MachineType) ProvisioningTime() time.Duration {
 	return time.Duration(t.ProvisioningS * float64(time.Second))
 }
 
-// HourlyPrice is the current price of an on-demand or a spot machine.
+// HourlyPrice returns the current price per hour of a spot or an on-demand machine.
 func (t MachineType) HourlyPrice(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -29,7 +29,7 @@
 	return t.OnDemandPrice
 }
 
-// Machine is a machine as the cloud lists it.
+// Machine is an entry of the cloud's list of machines.
 type Machine struct {
 	Name    string  `json:"id"`
 	Address string  `json:"addr"`
@@ -37,11 +37,11 @@
 	Zone    string  `json:"site"`
 	Spot    bool    `json:"loaners"`
 	Status  string  `json:"status"`
-	AgeS    float64 `json:"age_s"` // since the request for it, as of the time of the list
+	AgeS    float64 `json:"age_s"` // seconds from the request for the machine to the time of the list
 }
 
-// ScaleOutRequest asks for machines. Repeated under its ID it gives the same machines, so that an
-// ID must never be used for another request.
+// ScaleOutRequest requests machines. A repeated request with the same ID returns the same machines,
+// so an ID must not be reused for a different request.
 type ScaleOutRequest struct {
 	RequestID string `json:"hire"`
 	Type      string `json:"host_kind"`
--- a/internal/cloud/wire_test.go
+++ b/internal/cloud/wire_test.go
@@ -15,23 +15,23 @@
 }
 
 func TestWireRequests(t *testing.T) {
-	p := wireformat.NewPeer(t,
+	server := wireformat.NewPeer(t,
 		`200 {"host_kinds":[{"label":"g8","cpus":96,"gpus":8,"mem_gb":768,"local_gb":200,"pull_gb_per_s":1.0,`+
 			`"hourly":12.0,"low_price":4.5,"startup_s":45,"sites":["a","b"]}]}`,
 		`200 {"hosts":["vm-1","vm-2"]}`, `503 {"error":"no capacity"}`, `503 {"error":"trouble"}`, `200 {}`,
 		`200 {"hosts":[{"id":"vm-1","addr":"10.1.0.2:9000","host_kind":"g8","site":"a","loaners":true,`+
 			`"status":"running","age_s":61.5}],"truncated":true}`,
 		`200 {"hosts":[{"id":"vm-2"}],"truncated":false}`)
-	c := NewClient(p.Address(), 1000)
+	client := NewClient(server.Address(), 1000)
 	ctx := context.Background()
-	note := func(v any, err error) {
-		p.Notef("  %s failed %t, no capacity %t", wireformat.Indent(t, v), err != nil, errors.Is(err, ErrNoCapacity))
+	recordResult := func(v any, err error) {
+		server.Notef("  %s failed %t, no capacity %t", wireformat.Indent(t, v), err != nil, errors.Is(err, ErrNoCapacity))
 	}
-	note(c.MachineTypes(ctx))
+	recordResult(client.MachineTypes(ctx))
 	for range 3 {
-		note(c.ScaleOut(ctx, ScaleOutRequest{RequestID: "r-17", Type: "g8", Zone: "a", Spot: true, Count: 12}))
+		recordResult(client.ScaleOut(ctx, ScaleOutRequest{RequestID: "r-17", Type: "g8", Zone: "a", Spot: true, Count: 12}))
 	}
-	note(nil, c.ScaleIn(ctx, []string{"vm-1", "vm-2"}))
-	note(c.Machines(ctx))
-	wireformat.Golden(t, "requests", p.Notes())
+	recordResult(nil, client.ScaleIn(ctx, []string{"vm-1", "vm-2"}))
+	recordResult(client.Machines(ctx))
+	wireformat.Golden(t, "requests", server.Notes())
 }
--- a/internal/controller/pause_detector_test.go
+++ b/internal/controller/pause_detector_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against pauses that are not counted, and against counting the late checks of a busy process
-// (300 ms here) as pauses.
+// Guards against pauses that are not counted, and against counting the late checks of a busy
+// process (300 ms here) as pauses.
 func TestPauseDetectorCountsLongPauses(t *testing.T) {
 	var detector pauseDetector
 	detector.record(300 * time.Millisecond)
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,7 +1,7 @@
-// Package httpjson makes JSON requests over HTTP with a deadline on each.
+// Package httpjson sends JSON requests over HTTP, each with a deadline.
 //
-// It owns a pool of connections (Client), which guards itself. It imports no other package of
-// this program, and knows nothing of the services that it asks.
+// A Client owns a connection pool and is safe for concurrent use. The package imports no other
+// package of the module and does not depend on the services that receive the requests.
 package httpjson
 
 import (
@@ -15,26 +15,26 @@
 )
 
 const (
-	// maxDialTimeout bounds the dialling of a host, within the time of its request.
+	// maxDialTimeout bounds the time to connect to a host. A shorter request timeout takes precedence.
 	maxDialTimeout = time.Second
-	// maxResponseBytes bounds the body of an answer that is read into memory.
+	// maxResponseBytes bounds the response body that is read into memory.
 	maxResponseBytes = 64 << 20
 )
 
-// Client sends JSON requests over pooled connections. It never repeats a request by itself: only
-// the caller knows what an unanswered one means.
+// Client sends JSON requests over pooled connections. It never retries a request: only the caller
+// knows whether a request that got no response may be sent again.
 type Client struct {
 	http    *fasthttp.Client
 	timeout time.Duration
 }
 
-// New returns a client whose requests take at most timeout each, over at most perHost
-// connections to each host, which are closed once idle for so long.
-func New(timeout time.Duration, perHost int, idle time.Duration) *Client {
+// New returns a client that allows timeout for each request, opens at most maxConnsPerHost
+// connections to a host, and closes a connection that has been idle for idleTimeout.
+func New(timeout time.Duration, maxConnsPerHost int, idleTimeout time.Duration) *Client {
 	dialer := net.Dialer{Timeout: min(timeout, maxDialTimeout)}
 	return &Client{timeout: timeout, http: &fasthttp.Client{
-		MaxConnsPerHost:               perHost,
-		MaxIdleConnDuration:           idle,
+		MaxConnsPerHost:               maxConnsPerHost,
+		MaxIdleConnDuration:           idleTimeout,
 		MaxIdemponentCallAttempts:     1,
 		RetryIfErr:                    func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		NoDefaultUserAgentHeader:      true,
@@ -42,29 +42,31 @@
 		DisableHeaderNamesNormalizing: false,
 		MaxResponseBodySize:           maxResponseBytes,
 		Dial: func(address string) (net.Conn, error) {
-			// The connection goes to the pool, so the dialling is no single request's.
+			// The connection goes to the pool, so the context of a single request must not end the
+			// dial.
 			return dialer.DialContext(context.Background(), "tcp4", address)
 		},
 	}}
 }
 
-// Response is the status and body of an answer.
+// Response is the status code and the body of an HTTP response.
 type Response struct {
 	Status int
 	Body   []byte
 }
 
-// Decode reads the body into out.
+// Decode decodes the JSON body into out.
 func (r Response) Decode(out any) error {
 	if err := json.Unmarshal(r.Body, out); err != nil {
-		return fmt.Errorf("decoding answer with status %d: %w", r.Status, err)
+		return fmt.Errorf("decoding response with status %d: %w", r.Status, err)
 	}
 	return nil
 }
 
-// Do sends one request, with in as its JSON body unless that is nil. An error means that no
-// answer came, so the request may or may not have been carried out, now or later. extra prolongs
-// the time allowed, for requests that wait at the server.
+// Do sends one request, with in as its JSON body unless in is nil. An error means that no complete
+// response arrived. Unless ctx had already ended or in could not be encoded, the server may have
+// carried out the request, or may yet do so. extra is added to the client's timeout, for requests
+// that the server holds open.
 func (c *Client) Do(ctx context.Context, method, url string, in any, extra time.Duration) (Response, error) {
 	deadline := time.Now().Add(c.timeout + extra)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,15 +1,15 @@
-// Package logline holds the one table of log messages: their names in the former
-// version, their names now, and the attribute keys that were renamed with them. It
-// keeps no state and imports nothing of the module, so that any package may import it.
+// Package logline holds the table of all log messages. For each message it has the name in the
+// former version of the program, the current name, and the attribute keys that were renamed. The
+// package keeps no state and imports nothing of the module, so any package may import it.
 //
-// Messages that a program reads are constants, used by the writer and the reader
-// alike, so that the two cannot drift. All other messages are literals where they
-// are written; the tests of this package compare them with the table.
+// Messages that a program reads are constants, which the writer and the reader share, so that the
+// two cannot diverge. All other messages are literals in the calls that log them; the tests of this
+// package compare them with the table.
 package logline
 
 import "maps"
 
-// Messages that package audit reads.
+// Messages that package audit reads from the log.
 const (
 	// JobAccepted: a submission was stored and acknowledged.
 	JobAccepted = "job accepted"
@@ -17,17 +17,18 @@
 	JobCancelled = "job cancelled"
 	// JobReady: all dependencies of a job completed.
 	JobReady = "job dependencies satisfied"
-	// JobWithdrawn: a dependency of the job was cancelled, and the job with it.
+	// JobWithdrawn: the job was cancelled because one of its dependencies was.
 	JobWithdrawn = "job cancelled by dependency"
 	// JobCompleted: all tasks of a job completed.
 	JobCompleted = "job completed"
-	// TaskCommitted: a task was bound to a machine, with the result of the commit.
+	// TaskCommitted: a task was committed to a machine; the line has the result of the commit.
 	TaskCommitted = "task committed"
 	// MachineRegistered: a machine sent its first heartbeat.
 	MachineRegistered = "machine registered"
-	// MachineUnresponsive: heartbeats of a machine stopped.
+	// MachineUnresponsive: a machine stopped sending heartbeats.
 	MachineUnresponsive = "machine unresponsive"
-	// TaskFinished: a task is not on its machine any more, with the time of each phase.
+	// TaskFinished: a task left its machine or its owner lost the machine; the line has the time of
+	// each phase.
 	TaskFinished = "task finished on machine"
 	// MachineTypePrice: the price and capacity of a machine type.
 	MachineTypePrice = "machine type price"
@@ -37,9 +38,9 @@
 	ScaledIn = "scaled in"
 )
 
-var byOldMessage = indexByOldMessage()
+var byFormerMessage = indexByFormerMessage()
 
-func indexByOldMessage() map[string]Rename {
+func indexByFormerMessage() map[string]Rename {
 	index := make(map[string]Rename, len(Renames))
 	for _, rename := range Renames {
 		index[rename.Old] = rename
@@ -47,12 +48,12 @@
 	return index
 }
 
-// Current returns the message and the attributes of a decoded line under their
-// current names, whether the former version wrote the line or this one. It is
-// idempotent, keeps values as they are, and does not change the given map.
+// Current returns the message and the attributes of a decoded log line under their current names,
+// whether the former or the current version wrote the line. It is idempotent, keeps all values, and
+// does not change the given map.
 func Current(message string, attributes map[string]string) (string, map[string]string) {
-	rename, known := byOldMessage[message]
-	if !known {
+	rename, found := byFormerMessage[message]
+	if !found {
 		return message, attributes
 	}
 	renamed := maps.Clone(attributes)
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -15,18 +15,18 @@
 	"testing"
 )
 
-// moduleRoot is the module's directory, seen from this package's.
+// moduleRoot is the root directory of the module, relative to this package.
 const moduleRoot = "../.."
 
-// logCall is one call of slog in the module's sources.
+// logCall is one call of a log function of slog in the sources of the module.
 type logCall struct {
 	position string
-	message  string   // empty where it is neither a literal nor a constant of this package
+	message  string   // empty if it is neither a literal nor a constant of this package
 	keys     []string // attribute keys that are literals
 }
 
-// constants returns the string constants that this package declares, by name.
-func constants(t *testing.T) map[string]string {
+// stringConstants returns the string constants of logline.go by name.
+func stringConstants(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "logline.go", nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -39,7 +39,7 @@
 			return true
 		}
 		for i, name := range spec.Names {
-			if value, ok := literal(spec.Values[i]); ok {
+			if value, ok := stringLiteral(spec.Values[i]); ok {
 				found[name.Name] = value
 			}
 		}
@@ -48,23 +48,23 @@
 	return found
 }
 
-func literal(expression ast.Expr) (string, bool) {
-	basic, ok := expression.(*ast.BasicLit)
-	if !ok || basic.Kind != token.STRING {
+func stringLiteral(expression ast.Expr) (string, bool) {
+	basicLit, ok := expression.(*ast.BasicLit)
+	if !ok || basicLit.Kind != token.STRING {
 		return "", false
 	}
-	value, err := strconv.Unquote(basic.Value)
+	value, err := strconv.Unquote(basicLit.Value)
 	return value, err == nil
 }
 
-// messageAt is the index of a call's message among its arguments; ok is false for
-// what is no call that writes a line.
-func messageAt(call *ast.CallExpr) (index int, ok bool) {
+// messageIndex returns the index of the message among the arguments of a call. ok reports whether
+// the call is one of a log function of slog.
+func messageIndex(call *ast.CallExpr) (index int, ok bool) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return 0, false
 	}
-	if of, ok := selector.X.(*ast.Ident); !ok || of.Name != "slog" {
+	if pkg, ok := selector.X.(*ast.Ident); !ok || pkg.Name != "slog" {
 		return 0, false
 	}
 	switch selector.Sel.Name {
@@ -78,27 +78,27 @@
 	return 0, false
 }
 
-func parseCall(call *ast.CallExpr, index int, position string, constants map[string]string) logCall {
+func parseLogCall(call *ast.CallExpr, index int, position string, constants map[string]string) logCall {
 	parsed := logCall{position: position}
-	if value, ok := literal(call.Args[index]); ok {
+	if value, ok := stringLiteral(call.Args[index]); ok {
 		parsed.message = value
 	} else if selector, ok := call.Args[index].(*ast.SelectorExpr); ok {
-		if of, ok := selector.X.(*ast.Ident); ok && of.Name == "logline" {
+		if pkg, ok := selector.X.(*ast.Ident); ok && pkg.Name == "logline" {
 			parsed.message = constants[selector.Sel.Name]
 		}
 	}
 	for i := index + 1; i < len(call.Args); i += 2 {
-		if key, ok := literal(call.Args[i]); ok {
+		if key, ok := stringLiteral(call.Args[i]); ok {
 			parsed.keys = append(parsed.keys, key)
 		}
 	}
 	return parsed
 }
 
-// logCalls returns all calls of slog in the module's sources without its tests.
+// logCalls returns all calls of log functions in the sources of the module, without the tests.
 func logCalls(t *testing.T) []logCall {
 	t.Helper()
-	known := constants(t)
+	constants := stringConstants(t)
 	var calls []logCall
 	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -121,8 +121,8 @@
 			if !ok {
 				return true
 			}
-			if index, ok := messageAt(call); ok {
-				calls = append(calls, parseCall(call, index, files.Position(call.Pos()).String(), known))
+			if index, ok := messageIndex(call); ok {
+				calls = append(calls, parseLogCall(call, index, files.Position(call.Pos()).String(), constants))
 			}
 			return true
 		})
@@ -132,13 +132,14 @@
 		t.Fatal(err)
 	}
 	if len(calls) == 0 {
-		t.Fatalf("no call of slog below %s", moduleRoot)
+		t.Fatalf("found no call of slog below %s", moduleRoot)
 	}
 	return calls
 }
 
-// Every message and every renamed key of the table is written somewhere.
-func TestEveryNewNameIsWritten(t *testing.T) {
+// Guards against entries of the table that no code logs any more: each current message and each
+// renamed key has to occur in a log call.
+func TestCurrentNamesAreLogged(t *testing.T) {
 	keysOf := map[string]map[string]bool{}
 	for _, call := range logCalls(t) {
 		if keysOf[call.message] == nil {
@@ -151,104 +152,104 @@
 	for _, rename := range Renames {
 		keys, written := keysOf[rename.New]
 		if !written {
-			t.Errorf("%q is written nowhere", rename.New)
+			t.Errorf("no call logs the message %q", rename.New)
 			continue
 		}
 		for _, key := range rename.Keys {
 			if !keys[key] {
-				t.Errorf("%q is written without the key %q", rename.New, key)
+				t.Errorf("no call logs the message %q with the key %q", rename.New, key)
 			}
 		}
 	}
 }
 
-// No call uses a former message or a former key of its message, and each message
-// is a literal or a constant of this package, and listed in the table.
-func TestNoOldNameIsWritten(t *testing.T) {
+// Guards against log calls that use a former message or a former key, and against messages that are
+// missing from the table or are neither a literal nor a constant of this package.
+func TestFormerNamesAreNotLogged(t *testing.T) {
 	byNew := map[string]Rename{}
 	for _, rename := range Renames {
 		byNew[rename.New] = rename
 	}
 	for _, call := range logCalls(t) {
-		if former, ok := byOldMessage[call.message]; ok && former.New != former.Old {
-			t.Errorf("%s: %q is now %q", call.position, former.Old, former.New)
+		if former, ok := byFormerMessage[call.message]; ok && former.New != former.Old {
+			t.Errorf("%s: logs the former message %q, want %q", call.position, former.Old, former.New)
 			continue
 		}
 		rename, listed := byNew[call.message]
 		if !listed {
-			t.Errorf("%s: the message %q is not in the table", call.position, call.message)
+			t.Errorf("%s: message %q is not in the table", call.position, call.message)
 			continue
 		}
 		for _, key := range call.keys {
 			if newKey, ok := rename.Keys[key]; ok {
-				t.Errorf("%s: %q: the key %q is now %q", call.position, call.message, key, newKey)
+				t.Errorf("%s: message %q has the former key %q, want %q", call.position, call.message, key, newKey)
 			}
 		}
 	}
 }
 
-// No line names a key twice, or one that slog itself writes: readers keep one value
-// for each key.
-func TestKeysOfALineAreUnique(t *testing.T) {
+// Guards against log calls that use a key twice, or a key that slog itself writes: readers of the
+// log keep only one value for each key.
+func TestKeysOfLogCallAreUnique(t *testing.T) {
 	for _, call := range logCalls(t) {
 		seen := map[string]bool{"time": true, "level": true, "msg": true}
 		for _, key := range call.keys {
 			if seen[key] {
-				t.Errorf("%s: %q: the key %q stands twice in the line", call.position, call.message, key)
+				t.Errorf("%s: message %q: key %q is used twice or is written by slog", call.position, call.message, key)
 			}
 			seen[key] = true
 		}
 	}
 }
 
-var namedInPage = regexp.MustCompile(`msg=("[^"]*"|\w+)`)
+var messageInPage = regexp.MustCompile(`msg=("[^"]*"|\w+)`)
 
-// The pages name messages as they are written now; incidents are history and keep
-// the names of their day.
-func TestPagesNameCurrentMessages(t *testing.T) {
+// Guards against documentation pages that name a message which is not logged any more. Incident
+// reports are not checked, because they name the messages of their time.
+func TestDocsNameCurrentMessages(t *testing.T) {
 	current := map[string]bool{}
 	for _, rename := range Renames {
 		current[rename.New] = true
 	}
 	pages, err := filepath.Glob(filepath.Join(moduleRoot, "docs", "*.md"))
 	if err != nil || len(pages) == 0 {
-		t.Fatal("no pages", err)
+		t.Fatal("found no documentation pages", err)
 	}
 	for _, page := range pages {
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, found := range namedInPage.FindAllSubmatch(text, -1) {
+		for _, found := range messageInPage.FindAllSubmatch(text, -1) {
 			message := strings.Trim(string(found[1]), `"`)
 			if !current[message] {
-				t.Errorf("%s names the message %q, which is not written", page, message)
+				t.Errorf("%s names the message %q, which is not logged", page, message)
 			}
 		}
 	}
 }
 
-// A line of either version has one reading: no name is both old and new, and no
-// two names became one.
-func TestTableIsUnambiguous(t *testing.T) {
-	old, current := map[string]bool{}, map[string]bool{}
+// Guards against log lines with two readings: except for unchanged messages, no name may be both a
+// former and a current one, and no two former names may have the same current one.
+func TestRenamesAreUnambiguous(t *testing.T) {
+	former, current := map[string]bool{}, map[string]bool{}
 	for _, rename := range Renames {
-		if old[rename.Old] || current[rename.New] {
-			t.Errorf("%q -> %q: one of them is listed twice", rename.Old, rename.New)
+		if former[rename.Old] || current[rename.New] {
+			t.Errorf("%q -> %q: former or current message is listed twice", rename.Old, rename.New)
 		}
-		old[rename.Old], current[rename.New] = true, true
+		former[rename.Old], current[rename.New] = true, true
 	}
 	for _, rename := range Renames {
-		if rename.New != rename.Old && old[rename.New] {
-			t.Errorf("%q is a former message too", rename.New)
+		if rename.New != rename.Old && former[rename.New] {
+			t.Errorf("current message %q is also a former message", rename.New)
 		}
 		newKeys := slices.Sorted(maps.Values(rename.Keys))
 		if len(slices.Compact(newKeys)) != len(rename.Keys) {
-			t.Errorf("%q: two keys became one: %v", rename.New, rename.Keys)
+			t.Errorf("message %q: two former keys have the same current key: %v", rename.New, rename.Keys)
 		}
 		for _, key := range newKeys {
 			if _, former := rename.Keys[key]; former {
-				t.Errorf("%q: the key %q is a former one too", rename.New, key)
+				t.Errorf("message %q: current key %q is also a former key", rename.New, key)
 			}
 		}
 	}
@@ -265,15 +266,15 @@
 			"machine is silent", map[string]string{"machine": "m1", "for_s": "14"},
 			MachineUnresponsive, map[string]string{"machine": "m1", "duration_s": "14"},
 		},
-		"a message that kept its name": {
+		"message with an unchanged name": {
 			"task committed", map[string]string{"task": "wk-1/0", "verdict": "started"},
 			TaskCommitted, map[string]string{"task": "wk-1/0", "result": "started"},
 		},
-		"a line of this version": {
+		"line of the current version": {
 			MachineUnresponsive, map[string]string{"machine": "m1", "duration_s": "14"},
 			MachineUnresponsive, map[string]string{"machine": "m1", "duration_s": "14"},
 		},
-		"a message nobody knows": {
+		"unknown message": {
 			"something else", map[string]string{"why": "x"},
 			"something else", map[string]string{"why": "x"},
 		},
@@ -282,20 +283,20 @@
 			before := maps.Clone(c.attributes)
 			message, attributes := Current(c.message, c.attributes)
 			if message != c.want || !maps.Equal(attributes, c.wantKeys) {
-				t.Errorf("%q %v, want %q %v", message, attributes, c.want, c.wantKeys)
+				t.Errorf("got %q %v, want %q %v", message, attributes, c.want, c.wantKeys)
 			}
 			if !maps.Equal(c.attributes, before) {
-				t.Errorf("the given map became %v", c.attributes)
+				t.Errorf("Current changed the given map to %v", c.attributes)
 			}
 			again, attributesAgain := Current(message, attributes)
 			if again != message || !maps.Equal(attributesAgain, attributes) {
-				t.Errorf("a second time: %q %v", again, attributesAgain)
+				t.Errorf("second call: got %q %v, want no change", again, attributesAgain)
 			}
 		})
 	}
 }
 
-// All renames are idempotent, with every key they know.
+// Applies Current twice to every message of the table, with all its renamed keys.
 func TestCurrentIsIdempotent(t *testing.T) {
 	for _, rename := range Renames {
 		attributes := map[string]string{}
@@ -304,16 +305,16 @@
 		}
 		message, current := Current(rename.Old, attributes)
 		if message != rename.New || len(current) != len(attributes) {
-			t.Errorf("%q became %q %v", rename.Old, message, current)
+			t.Errorf("%q: got %q %v, want the current message and as many attributes", rename.Old, message, current)
 		}
 		for oldKey, newKey := range rename.Keys {
 			if current[newKey] != attributes[oldKey] {
-				t.Errorf("%q: %q is %q, want %q", rename.New, newKey, current[newKey], attributes[oldKey])
+				t.Errorf("message %q: key %q has value %q, want %q", rename.New, newKey, current[newKey], attributes[oldKey])
 			}
 		}
 		again, currentAgain := Current(message, current)
 		if again != message || !maps.Equal(currentAgain, current) {
-			t.Errorf("%q: a second time %q %v", rename.Old, again, currentAgain)
+			t.Errorf("%q: second call: got %q %v, want no change", rename.Old, again, currentAgain)
 		}
 	}
 }
--- a/internal/logline/renames.go
+++ b/internal/logline/renames.go
@@ -1,14 +1,14 @@
 package logline
 
-// Rename says how a log line was written by the former version.
+// Rename maps a log message of the former version to the current one.
 type Rename struct {
-	Old  string            // message of the former version
-	New  string            // message now; equal to Old where only keys changed
-	Keys map[string]string // former attribute key -> key now; keys not listed kept their names
+	Old  string            // message in the former version
+	New  string            // current message; equal to Old if only keys changed
+	Keys map[string]string // former attribute key -> current key; keys that are not listed are unchanged
 }
 
-// Renames lists every message of the module, grouped by the package that wrote it
-// in the former version.
+// Renames lists every message of the module, grouped by the package that logged it in the former
+// version.
 var Renames = []Rename{
 	// gateway
 	{Old: "submission undecided", New: "submission outcome unknown"},
--- a/internal/netcount/netcount.go
+++ b/internal/netcount/netcount.go
@@ -1,5 +1,5 @@
-// Package netcount counts the bytes that pass through network connections. It owns counters
-// alone, which are atomic, and imports the standard library only.
+// Package netcount counts the bytes sent and received over network connections. Its counters are
+// atomic. The package imports the standard library only.
 package netcount
 
 import (
@@ -7,25 +7,25 @@
 	"sync/atomic"
 )
 
-// Counter counts bytes of any number of connections, without TCP and IP headers. The zero
-// value counts from nothing.
+// Counter counts the bytes of any number of connections, without TCP and IP headers. Its zero value
+// is ready to use.
 type Counter struct{ Sent, Received atomic.Uint64 }
 
-// Conn returns a connection whose bytes are counted.
-func (c *Counter) Conn(conn net.Conn) net.Conn { return countedConn{conn, c} }
+// Conn wraps a connection so that its bytes are counted.
+func (c *Counter) Conn(conn net.Conn) net.Conn { return countingConn{conn, c} }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	counter *Counter
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.counter.Received.Add(uint64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.counter.Sent.Add(uint64(n))
 	return n, err
--- a/internal/netcount/netcount_test.go
+++ b/internal/netcount/netcount_test.go
@@ -6,28 +6,28 @@
 	"testing"
 )
 
-// Bytes count on the side that counts, whatever the connection does with them: those of an
-// incomplete read too, and none of one that fails.
+// Only the bytes that a call transferred count: all bytes of a read that fills its buffer only
+// partly, and none of a write that fails.
 func TestConnCountsBothDirections(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
+	local, remote := net.Pipe()
+	defer remote.Close()
 	var counter Counter
-	conn := counter.Conn(near)
+	conn := counter.Conn(local)
 	go func() {
-		io.CopyN(io.Discard, far, 5)
-		far.Write([]byte("abc"))
+		io.CopyN(io.Discard, remote, 5)
+		remote.Write([]byte("abc"))
 	}()
 	if _, err := conn.Write([]byte("12345")); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := conn.Read(make([]byte, 100)); err != nil || n != 3 {
-		t.Fatal(n, err)
+		t.Fatalf("got %d bytes, error %v; want 3 bytes", n, err)
 	}
 	conn.Close()
 	if _, err := conn.Write([]byte("12345")); err == nil {
-		t.Error("it writes to a closed connection")
+		t.Error("Write to a closed connection succeeded")
 	}
 	if sent, received := counter.Sent.Load(), counter.Received.Load(); sent != 5 || received != 3 {
-		t.Errorf("%d bytes sent, %d received", sent, received)
+		t.Errorf("got %d bytes sent and %d received, want 5 and 3", sent, received)
 	}
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -11,26 +11,27 @@
 
 const (
 	commandTimeout = 2 * time.Second
-	// maxConnectionsPerWorker is how many commands may be on their way to one worker at a time.
+	// maxConnectionsPerWorker bounds the number of commands in flight to one worker.
 	maxConnectionsPerWorker = 4
-	// idleConnectionTimeout is how long a connection to a worker is kept without commands. There
-	// is one to each machine, and most commands go in answers to heartbeats: a thousand kept for
-	// nothing are a third of the sockets that a controller may have.
+	// idleConnectionTimeout is how long a connection to a worker is kept open without commands.
+	// Each machine needs a connection of its own, and most commands are sent in answers to
+	// heartbeats. A thousand idle connections would be a third of the sockets that a controller may
+	// have.
 	idleConnectionTimeout = 3 * time.Second
 )
 
 // Commander sends commands to workers.
 type Commander interface {
-	// Send sends commands to the worker at address, which carries them out only if it has seen no
-	// higher fencing token and is in this worker epoch. It returns the worker's heartbeat and
-	// whether the commands were carried out. An error means that this is unknown: they may be
-	// carried out later.
+	// Send sends commands to the worker at address. The worker carries them out only if it has seen
+	// no higher fencing token and is in the given worker epoch. Send returns the worker's heartbeat
+	// and whether the commands were carried out. An error means that the outcome is unknown: the
+	// worker may have carried them out, or may yet do so.
 	Send(
 		ctx context.Context, address string, fencingToken, workerEpoch uint64, commands []Command,
 	) (heartbeat *Heartbeat, executed bool, err error)
 }
 
-// Client is the Commander over HTTP.
+// Client implements Commander over HTTP.
 type Client struct{ http *httpjson.Client }
 
 // NewClient returns a client for commands to workers.
@@ -49,7 +50,7 @@
 	ctx context.Context, address string, fencingToken, workerEpoch uint64, commands []Command,
 ) (*Heartbeat, bool, error) {
 	if commands == nil {
-		commands = []Command{} // the protocol wants a list
+		commands = []Command{} // the protocol requires a list, not null
 	}
 	request := commandRequest{FencingToken: fencingToken, WorkerEpoch: workerEpoch, Commands: commands}
 	response, err := c.http.Do(ctx, http.MethodPost, "http://"+address+"/do", request, 0)
--- a/internal/worker/client_test.go
+++ b/internal/worker/client_test.go
@@ -8,9 +8,10 @@
 	"testing"
 )
 
-// Only a whole heartbeat that answers the command proves anything: what came of one that was
-// answered otherwise stays unknown, and the caller fences it off.
-func TestResponsesToCommands(t *testing.T) {
+// Guards against taking a response for the outcome of commands although it does not prove one. Only
+// status 200 or 409 with a complete heartbeat tells whether the worker carried out the commands;
+// after any other response the outcome is unknown, and the caller has to fence the commands.
+func TestSendReportsOutcomeOnlyFromCompleteResponse(t *testing.T) {
 	const heartbeat = `{"host":"m1","tenure":1,"serial":7,"baton":9,"pieces":[]}`
 	for name, c := range map[string]struct {
 		status   int
@@ -18,22 +19,23 @@
 		executed bool
 		fails    bool
 	}{
-		"carried out":            {200, heartbeat, true, false},
-		"a higher fencing token": {409, heartbeat, false, false},
-		"no token":               {400, heartbeat, false, true},
-		"a fault":                {500, heartbeat, false, true},
-		"cut":                    {200, heartbeat[:30], false, true},
-		"numbers as strings":     {200, `{"host":"m1","serial":"7"}`, false, true},
-		"counts out of range":    {200, `{"host":"m1","serial":-1}`, false, true},
+		"commands carried out":      {200, heartbeat, true, false},
+		"higher fencing token seen": {409, heartbeat, false, false},
+		"bad request":               {400, heartbeat, false, true},
+		"server error":              {500, heartbeat, false, true},
+		"truncated body":            {200, heartbeat[:30], false, true},
+		"numbers as strings":        {200, `{"host":"m1","serial":"7"}`, false, true},
+		"number out of range":       {200, `{"host":"m1","serial":-1}`, false, true},
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(c.status)
 			fmt.Fprint(w, c.body)
 		}))
-		answer, executed, err := NewClient().Send(t.Context(), strings.TrimPrefix(server.URL, "http://"), 9, 1, nil)
+		got, executed, err := NewClient().Send(t.Context(), strings.TrimPrefix(server.URL, "http://"), 9, 1, nil)
 		server.Close()
-		if executed != c.executed || (err != nil) != c.fails || (answer == nil) != c.fails {
-			t.Errorf("%s: %v %v %v", name, answer, executed, err)
+		if executed != c.executed || (err != nil) != c.fails || (got == nil) != c.fails {
+			t.Errorf("%s: got heartbeat %v, executed %t, error %v; want executed %t, error %t",
+				name, got, executed, err, c.executed, c.fails)
 		}
 	}
 }
--- a/internal/worker/wire_test.go
+++ b/internal/worker/wire_test.go
@@ -17,15 +17,15 @@
 }
 
 func TestWireRequests(t *testing.T) {
-	const report = `{"host":"vm-1","addr":"10.1.0.2:9000","host_kind":"g8","site":"a","loaners":true,` +
+	const heartbeatJSON = `{"host":"vm-1","addr":"10.1.0.2:9000","host_kind":"g8","site":"a","loaners":true,` +
 		`"tenure":1,"serial":88,"baton":41,"recall_s":null,` +
 		`"pieces":[{"piece":"wk-3/0","try":1,"status":"ended","cause":"stopped","stored":true}]}`
-	p := wireformat.NewPeer(t, "200 "+report, "409 "+report, "400 {}")
-	orders := []Command{StartCommand("wk-1/4", 2), StopCommand("wk-2/1", 1, 10*time.Second), StopCommand("wk-2/2", 1, 0), ForgetCommand("wk-3/0", 1)}
+	server := wireformat.NewPeer(t, "200 "+heartbeatJSON, "409 "+heartbeatJSON, "400 {}")
+	commands := []Command{StartCommand("wk-1/4", 2), StopCommand("wk-2/1", 1, 10*time.Second), StopCommand("wk-2/2", 1, 0), ForgetCommand("wk-3/0", 1)}
 	for range 3 {
-		answer, executed, err := NewClient().Send(context.Background(), p.Address(), 41, 1, orders)
-		p.Notef("  %s executed %t, failed %t", wireformat.Indent(t, answer), executed, err != nil)
-		orders = nil
+		heartbeat, executed, err := NewClient().Send(context.Background(), server.Address(), 41, 1, commands)
+		server.Notef("  %s executed %t, failed %t", wireformat.Indent(t, heartbeat), executed, err != nil)
+		commands = nil
 	}
-	wireformat.Golden(t, "requests", p.Notes())
+	wireformat.Golden(t, "requests", server.Notes())
 }
