--- a/internal/config/worker_timing.go
+++ b/internal/config/worker_timing.go
@@ -23,8 +23,8 @@
 	minCancellationSlack = minLeaseGracePeriod + leaseGraceMargin
 )
 
-// LeaseGracePeriod returns how long an owner that cannot renew its state lease goes on answering
-// its workers. All tasks that it keeps alive in that time must still end by the cancellation
+// LeaseGracePeriod returns how long an owner that cannot renew its state lease may continue to
+// answer its workers. All tasks that it keeps alive in that time must still end by the cancellation
 // deadline, after the worker's own lease has expired as well.
 //
 // The period counts from the sending of the last request whose answer proved the owner's mirror to
