--- a/tools/scaletest/hostcapacity.go
+++ b/tools/scaletest/hostcapacity.go
@@ -48,8 +48,9 @@
 // estimate of the run's use exceeds the capacity of the host.
 func (p *Profile) CheckCapacity(host HostCapacity) error {
 	workers, controllers := float64(p.Machines()), float64(p.Controllers.Count)
-	memory := controllers*math.Min(p.Controllers.MemoryMB, idleControllerMemoryMB+controllerMemoryMBPerMachine*workers) +
-		simulatedWorkerMemoryMB*workers
+	memory := controllers*math.Min(
+		p.Controllers.MemoryMB, idleControllerMemoryMB+controllerMemoryMBPerMachine*workers,
+	) + simulatedWorkerMemoryMB*workers
 	openFiles := openFilesPerWorker*p.Machines() + otherOpenFiles
 	processes := p.Controllers.Count + otherProcesses
 	switch {
--- a/tools/scaletest/latency.go
+++ b/tools/scaletest/latency.go
@@ -34,7 +34,9 @@
 const urgentStartTarget = 3 * time.Second
 
 func newHistogram() *histogram {
-	return &histogram{counts: hdrhistogram.New(1, int64(maxHistogramTime/histogramResolution), histogramSignificantDigits)}
+	return &histogram{
+		counts: hdrhistogram.New(1, int64(maxHistogramTime/histogramResolution), histogramSignificantDigits),
+	}
 }
 
 // add records a duration. Negative durations are recorded as 0, those above the range as its upper
@@ -58,23 +60,23 @@
 func (h *histogram) latency() Latency {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	at := func(percent float64) float64 {
+	quantile := func(percent float64) float64 {
 		return (time.Duration(h.counts.ValueAtPercentile(percent)) * histogramResolution).Seconds()
 	}
 	l := Latency{
 		Count: h.counts.TotalCount(),
-		P50:   at(50),
-		P90:   at(90),
-		P99:   at(99),
-		Max:   at(100),
+		P50:   quantile(50),
+		P90:   quantile(90),
+		P99:   quantile(99),
+		Max:   quantile(100),
 	}
 	if l.Count == 0 {
 		return l
 	}
 	within := int64(0)
-	for _, bar := range h.counts.Distribution() {
-		if bar.To <= int64(urgentStartTarget/histogramResolution) {
-			within += bar.Count
+	for _, bucket := range h.counts.Distribution() {
+		if bucket.To <= int64(urgentStartTarget/histogramResolution) {
+			within += bucket.Count
 		}
 	}
 	l.ShareWithin3S = float64(within) / float64(l.Count)
--- a/tools/scaletest/profilechecks.go
+++ b/tools/scaletest/profilechecks.go
@@ -129,7 +129,7 @@
 		{f.At < 0 || f.At >= float64(p.Duration), prefix + "at_s", "must be within duration_s"},
 		{!slices.Contains(kinds, f.Kind), prefix + "kind", "must be one of " + strings.Join(kinds, ", ")},
 		{f.Kind != ZoneFails && f.Count < 1, prefix + "count", "must be at least 1"},
-		{f.Kind == ZoneFails && !slices.Contains(p.Zones(), f.Zone), prefix + "zone", "must be a zone of one of the regions"},
+		{f.Kind == ZoneFails && !slices.Contains(p.Zones(), f.Zone), prefix + "zone", "must be a zone of a region"},
 		{f.For < 0, prefix + "for_s", "must not be negative"},
 	}
 }
--- a/tools/scaletest/resultprint.go
+++ b/tools/scaletest/resultprint.go
@@ -60,7 +60,8 @@
 // writeControllerRow writes the row with the mean values of the controllers that include selects.
 func (r *Result) writeControllerRow(rows *strings.Builder, role string, include func(*ControllerResult) bool) {
 	fmt.Fprintf(rows, "%s\t%.3f\t%.3f\t%.0f\t%.0f\t", role,
-		r.mean(include, meanCores), r.mean(include, maxCores), r.mean(include, maxMemoryMB), r.mean(include, maxOpenFiles))
+		r.mean(include, meanCores), r.mean(include, maxCores), r.mean(include, maxMemoryMB),
+		r.mean(include, maxOpenFiles))
 	answers := func(kind string) float64 {
 		return r.perSecond(r.mean(include, func(c *ControllerResult) float64 { return float64(c.Answers[kind]) }))
 	}
--- a/tools/scaletest/run.go
+++ b/tools/scaletest/run.go
@@ -121,11 +121,11 @@
 	if r.tempDirectory, err = os.MkdirTemp("", "robinstack-scale-"); err != nil {
 		return fmt.Errorf("creating the temporary directory of the run: %w", err)
 	}
-	logs := r.options.Logs
-	if logs == "" {
-		logs = r.tempDirectory
+	logDirectory := r.options.Logs
+	if logDirectory == "" {
+		logDirectory = r.tempDirectory
 	}
-	if err := r.configureControllers(addresses, logs); err != nil {
+	if err := r.configureControllers(addresses, logDirectory); err != nil {
 		return err
 	}
 	if err := r.serveStateService(ctx, addresses[stateServiceAddress]); err != nil {
@@ -136,7 +136,7 @@
 			return err
 		}
 	}
-	if err := r.startLoad(ctx, addresses[cloudAddress], logs); err != nil {
+	if err := r.startLoad(ctx, addresses[cloudAddress], logDirectory); err != nil {
 		return err
 	}
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
@@ -153,7 +153,7 @@
 
 // configureControllers writes the settings files of the controllers, which are spread evenly over
 // the zones, and the policy file.
-func (r *Run) configureControllers(addresses []string, logs string) (err error) {
+func (r *Run) configureControllers(addresses []string, logDirectory string) (err error) {
 	p, zones := r.profile, r.profile.Zones()
 	for k := range p.Controllers.Count {
 		own := addresses[firstControllerAddress+2*k:]
@@ -173,7 +173,7 @@
 		Deployment:   p.deployment(),
 		Policy:       policyFile,
 		Program:      r.options.Program,
-		LogDirectory: logs,
+		LogDirectory: logDirectory,
 		LogLevel:     "error",
 	})
 	return err
@@ -195,7 +195,7 @@
 }
 
 // startLoad starts the load process. The load itself starts with the first line sent to it.
-func (r *Run) startLoad(ctx context.Context, cloudAddress, logs string) error {
+func (r *Run) startLoad(ctx context.Context, cloudAddress, logDirectory string) error {
 	addresses := map[string]string{}
 	for _, n := range r.nodes {
 		addresses[n.Host] = n.Listen
@@ -204,7 +204,7 @@
 		Profile: *r.profile, Settings: r.controllers.SettingsFile(0), Controllers: addresses, Cloud: cloudAddress,
 	}
 	load, err := startLoadProcess(ctx, loadProcessConfig{
-		program: r.options.Program, plan: plan, planDirectory: r.tempDirectory, logDirectory: logs,
+		program: r.options.Program, plan: plan, planDirectory: r.tempDirectory, logDirectory: logDirectory,
 	})
 	if err != nil {
 		return err
--- a/tools/scaletest/sampling.go
+++ b/tools/scaletest/sampling.go
@@ -158,8 +158,8 @@
 // leaderHost returns the host that holds the leader key, or "" if there is none.
 func (r *Run) leaderHost() string {
 	for _, kv := range r.state.ListAll(statekv.LeaderKey) {
-		if h, err := statekv.HolderOf(kv); err == nil {
-			return h.Host
+		if holder, err := statekv.HolderOf(kv); err == nil {
+			return holder.Host
 		}
 	}
 	return ""
@@ -170,8 +170,8 @@
 func (r *Run) countOwnedMachines() map[string]int {
 	owners, out := map[string]string{}, map[string]int{}
 	for _, kv := range r.state.ListAll(statekv.MachineShardPrefix) {
-		if h, err := statekv.HolderOf(kv); err == nil {
-			owners[kv.Key[len(statekv.MachineShardPrefix):]] = h.Host
+		if holder, err := statekv.HolderOf(kv); err == nil {
+			owners[kv.Key[len(statekv.MachineShardPrefix):]] = holder.Host
 		}
 	}
 	for _, kv := range r.state.ListAll(statekv.MachinePrefix) {
--- a/tools/scaletest/usage.go
+++ b/tools/scaletest/usage.go
@@ -10,7 +10,7 @@
 type Usage struct {
 	CPUSeconds   float64 `json:"cpu_s"`
 	MeanCores    float64 `json:"cores_mean"` // since the end of the warm-up
-	MaxCores     float64 `json:"cores_most"` // highest mean over one sample interval
+	MaxCores     float64 `json:"cores_most"` // highest mean over one sample interval of about 1 s
 	MaxMemoryMB  float64 `json:"memory_mb_most"`
 	MaxOpenFiles int32   `json:"files_most"` // sockets included
 	MaxThreads   int32   `json:"threads_most"`
--- a/tools/scaletest/users.go
+++ b/tools/scaletest/users.go
@@ -17,10 +17,10 @@
 	"robinstack/internal/job"
 )
 
-// users simulates the users of a run. The users submit jobs at the rates of the profile, regardless of
-// the response times of the service, poll the status of their jobs as the protocol states, and
-// cancel some of them. mu guards lastJobNumber and the counts of jobs, and must not be held
-// during requests to controllers.
+// users simulates the users of a run. The users submit jobs at the rates of the profile, regardless
+// of the response times of the service, poll the status of their jobs as the protocol states, and
+// cancel some of them. mu guards lastJobNumber and the counts of jobs, and must not be held during
+// requests to controllers.
 type users struct {
 	profile   *Profile
 	addresses []string // of the controllers
@@ -119,8 +119,8 @@
 	}
 }
 
-// drawJob draws a job of a class and registers it with the history and the simulated cloud. It returns
-// false if maxOpenJobs are open.
+// drawJob draws a job of a class and registers it with the history and the simulated cloud. It
+// returns false if maxOpenJobs are open.
 func (u *users) drawJob(c *JobClass) (spec job.Spec, ok bool) {
 	id, ok := u.registerJob(c)
 	if !ok {
@@ -176,7 +176,8 @@
 }
 
 // followJob submits a job and polls its status until it is done or cancelled. If cancels is true,
-// it waits a random part of the run time and then sends cancellations in place of status queries.
+// it waits a random part of the mean run time and then sends cancellations in place of status
+// queries.
 func (u *users) followJob(ctx context.Context, spec job.Spec, cancels bool) {
 	defer u.addToCounter(&u.open, -1)
 	if !u.submit(ctx, &spec) {
