--- a/emulator/clock.go
+++ b/emulator/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sleep waits, and reports whether ctx did not end before.
+// sleep waits for d and reports whether the full duration passed before ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/emulator/cloudserver.go
+++ b/emulator/cloudserver.go
@@ -15,30 +15,30 @@
 	"robinstack/internal/cloud"
 )
 
-// CloudServer answers as the cloud does, by its published protocol, from a cloud in memory.
-// Its mutex guards the lists that it keeps.
+// CloudServer serves the published HTTP protocol of the cloud and forwards the requests to api. It
+// adds a rate limit and a lag of the machine list. mu guards snapshots.
 type CloudServer struct {
 	api     cloud.API
-	limit   *rate.Limiter // nil: none
-	listLag time.Duration // by which lists are old
+	limit   *rate.Limiter // nil: unlimited
+	listLag time.Duration // minimum age of the machine lists that are served
 
-	requests, refused atomic.Uint64
+	requests, rateLimited atomic.Uint64
 
-	mu    sync.Mutex
-	lists []datedList // in the order of their times, the latest last
+	mu        sync.Mutex
+	snapshots []machineListSnapshot // in ascending order of time; used only if listLag is not 0
 }
 
-// datedList is a list of machines as of some time.
-type datedList struct {
+// machineListSnapshot is the list of machines at one point in time.
+type machineListSnapshot struct {
 	at       time.Time
 	machines []cloud.Machine
 }
 
-// burstSeconds is how many seconds' worth of requests may come at once.
+// burstSeconds is the size of the rate limiter's bucket, in seconds of the permitted rate.
 const burstSeconds = 2
 
-// NewCloudServer returns a server of at most rps requests a second, 0: any number, with
-// bursts of two seconds' worth, whose lists are old by listLag.
+// NewCloudServer returns a server that admits rps requests per second (0: unlimited), with bursts
+// of two seconds' worth of requests, and whose machine lists lag by listLag.
 func NewCloudServer(api cloud.API, rps float64, listLag time.Duration) *CloudServer {
 	s := &CloudServer{api: api, listLag: listLag}
 	if rps > 0 {
@@ -47,24 +47,24 @@
 	return s
 }
 
-// Requests counts the requests that came, and Refused those of them beyond the limit.
+// Requests returns the number of requests received, including those over the rate limit.
 func (s *CloudServer) Requests() uint64 { return s.requests.Load() }
 
-// Refused counts the requests that were beyond the limit.
-func (s *CloudServer) Refused() uint64 { return s.refused.Load() }
+// Refused returns the number of requests rejected because of the rate limit.
+func (s *CloudServer) Refused() uint64 { return s.rateLimited.Load() }
 
-// ServeHTTP answers a request.
+// ServeHTTP implements http.Handler.
 func (s *CloudServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.requests.Add(1)
 	if s.limit != nil && !s.limit.Allow() {
-		s.refused.Add(1)
-		respond(w, http.StatusTooManyRequests, nil)
+		s.rateLimited.Add(1)
+		writeJSON(w, http.StatusTooManyRequests, nil)
 		return
 	}
 	switch r.Method + " " + r.URL.Path {
 	case "GET /machine_types":
 		types, err := s.api.MachineTypes(r.Context())
-		respondOr503(w, err, map[string]any{"host_kinds": types})
+		writeJSONOr503(w, err, map[string]any{"host_kinds": types})
 	case "GET /hosts":
 		s.serveList(w, r)
 	case "POST /hosts":
@@ -72,79 +72,80 @@
 	case "POST /hosts/delete":
 		s.serveScaleIn(w, r)
 	default:
-		respond(w, http.StatusBadRequest, nil)
+		writeJSON(w, http.StatusBadRequest, nil)
 	}
 }
 
-// respondOr503 writes an answer, or that the cloud has failed.
-func respondOr503(w http.ResponseWriter, err error, body any) {
+// writeJSONOr503 writes body with status 200, or status 503 if err is not nil.
+func writeJSONOr503(w http.ResponseWriter, err error, body any) {
 	if err != nil {
-		respond(w, http.StatusServiceUnavailable, map[string]string{"error": "trouble"})
+		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": "trouble"})
 		return
 	}
-	respond(w, http.StatusOK, body)
+	writeJSON(w, http.StatusOK, body)
 }
 
 func (s *CloudServer) serveScaleOut(w http.ResponseWriter, r *http.Request) {
-	var in cloud.ScaleOutRequest
-	if json.NewDecoder(r.Body).Decode(&in) != nil {
-		respond(w, http.StatusBadRequest, nil)
+	var request cloud.ScaleOutRequest
+	if json.NewDecoder(r.Body).Decode(&request) != nil {
+		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	names, err := s.api.ScaleOut(r.Context(), in)
+	names, err := s.api.ScaleOut(r.Context(), request)
 	if err != nil {
-		respond(w, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
+		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 		return
 	}
-	respond(w, http.StatusOK, map[string]any{"hosts": names})
+	writeJSON(w, http.StatusOK, map[string]any{"hosts": names})
 }
 
 func (s *CloudServer) serveScaleIn(w http.ResponseWriter, r *http.Request) {
-	var in struct {
+	var request struct {
 		Names []string `json:"hosts"`
 	}
-	if json.NewDecoder(r.Body).Decode(&in) != nil {
-		respond(w, http.StatusBadRequest, nil)
+	if json.NewDecoder(r.Body).Decode(&request) != nil {
+		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	respondOr503(w, s.api.ScaleIn(r.Context(), in.Names), struct{}{})
+	writeJSONOr503(w, s.api.ScaleIn(r.Context(), request.Names), struct{}{})
 }
 
-// maxPageMachines is the most machines that one answer lists.
+// maxPageMachines is the maximum number of machines in one page of the list.
 const maxPageMachines = 500
 
 func (s *CloudServer) serveList(w http.ResponseWriter, r *http.Request) {
-	machines, err := s.list(r.Context(), time.Now())
+	machines, err := s.machinesWithLag(r.Context(), time.Now())
 	if err != nil {
-		respondOr503(w, err, nil)
+		writeJSONOr503(w, err, nil)
 		return
 	}
-	q := r.URL.Query()
+	query := r.URL.Query()
 	byName := func(m cloud.Machine, name string) int { return strings.Compare(m.Name, name) }
-	from, found := slices.BinarySearchFunc(machines, q.Get("since"), byName)
+	start, found := slices.BinarySearchFunc(machines, query.Get("since"), byName)
 	if found {
-		from++
+		start++
 	}
-	to := min(len(machines), from+min(maxPageMachines, intOr(q.Get("page"), maxPageMachines)))
-	respond(w, http.StatusOK, map[string]any{"hosts": machines[from:to], "truncated": to < len(machines)})
+	end := min(len(machines), start+min(maxPageMachines, parseIntOr(query.Get("page"), maxPageMachines)))
+	writeJSON(w, http.StatusOK, map[string]any{"hosts": machines[start:end], "truncated": end < len(machines)})
 }
 
-// list returns the latest list that is old enough.
-func (s *CloudServer) list(ctx context.Context, now time.Time) ([]cloud.Machine, error) {
+// machinesWithLag takes a snapshot of the machine list and returns the newest snapshot that is at
+// least listLag old.
+func (s *CloudServer) machinesWithLag(ctx context.Context, now time.Time) ([]cloud.Machine, error) {
 	machines, err := s.api.Machines(ctx)
 	if err != nil || s.listLag == 0 {
 		return machines, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lists = append(s.lists, datedList{now, machines})
-	latest := 0
-	for latest+1 < len(s.lists) && now.Sub(s.lists[latest+1].at) >= s.listLag {
-		latest++
+	s.snapshots = append(s.snapshots, machineListSnapshot{now, machines})
+	current := 0
+	for current+1 < len(s.snapshots) && now.Sub(s.snapshots[current+1].at) >= s.listLag {
+		current++
 	}
-	s.lists = s.lists[latest:]
-	if now.Sub(s.lists[0].at) < s.listLag {
-		return nil, nil // nothing is known to be there yet
+	s.snapshots = s.snapshots[current:]
+	if now.Sub(s.snapshots[0].at) < s.listLag {
+		return nil, nil // no snapshot is old enough yet
 	}
-	return s.lists[0].machines, nil
+	return s.snapshots[0].machines, nil
 }
--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -1,15 +1,17 @@
-// Package emulator holds stand-ins for the systems around controllers, for tests and tools.
+// Package emulator contains stand-ins for the systems that controllers work with. Tests and tools
+// use them in place of the real ones.
 //
-// StateService and FaultyStateClient stand for the state service, CloudServer for the
-// cloud's front, Workers for single workers that a test moves by hand, SimulatedCloud for a
-// cloud whose machines keep leases and run tasks in fake time, and LocalCloud for one whose
-// machines run small commands. History holds what happens on simulated machines, and what
-// users are answered, against the rules of the protocol.
+// StateService and FaultyStateClient replace the state service. CloudServer serves the HTTP
+// protocol of the cloud. Workers is a set of workers that act only when a test tells them to.
+// SimulatedCloud is a cloud whose machines hold leases and run simulated tasks, usually in fake
+// time. LocalCloud is a cloud whose machines run small commands in real time. History records what
+// happens on simulated machines and which responses users receive, and checks both against the
+// rules of the protocol.
 //
-// Each stand-in owns its state under a mutex of its own. Locks are taken in this order: a
-// machine's or a cloud's, then the history's or the record's, which are leaves. No lock is
-// held while a controller or another process is asked.
+// Each stand-in guards its state with its own mutex. Lock order: first the mutex of a machine or a
+// cloud, then that of the History or the localHistory. No other lock is taken while one of the
+// latter is held, and no lock is held during a call to a controller or to another process.
 //
-// It may import the packages that state the protocols (cloud, config, job, netcount,
-// statekv, worker), and none that decides anything.
+// The package may import the packages that define the protocols (cloud, config, job, netcount,
+// statekv, worker), but none that makes scheduling decisions.
 package emulator
--- a/emulator/faultystateclient.go
+++ b/emulator/faultystateclient.go
@@ -6,151 +6,155 @@
 	"time"
 )
 
-// FaultyStateClient is the state service as one controller reaches it: it may be refused
-// alone, answered slowly, or have transactions carried out late. Its leases end by
-// themselves (StateService.ExpireLeases). It is a statekv.Store; its mutex guards the
-// faults and the counters, and is never held while the service is asked.
+// FaultyStateClient is one controller's access to a StateService, with injected faults: requests of
+// this controller alone can be rejected or slowed down, and transactions can be delayed. Unlike the
+// leases of a StateService that is called directly, its leases expire unless they are renewed (see
+// StateService.ExpireLeases). It implements statekv.Store. mu guards the fields below it and is not
+// held during calls to the service.
 type FaultyStateClient struct {
 	service *StateService
 
 	mu  sync.Mutex
 	rng *rand.Rand
 
-	refuseAll      bool
-	refuseRenewals bool
-	dropRevokes    bool          // revocations are answered and not carried out
-	latency        time.Duration // of every request
-	watchLag       time.Duration // by which watches show changes later
+	rejectAll      bool
+	rejectRenewals bool
+	dropRevokes    bool          // revocations are acknowledged but not carried out
+	latency        time.Duration // of each request
+	watchLag       time.Duration // additional delay of the events that watches return
 
-	// A delayed transaction gets no answer and is carried out later.
-	delayedShare    float64       // of the transactions with changes
-	delayNext       int           // transactions that are delayed, from the next on
-	txnDelay        time.Duration // 0: drawn
-	loseAnswersOnly bool          // delayed ones are carried out at once: only the answer is lost
+	// A delayed transaction gets no response and is applied later.
+	delayProbability  float64       // for each transaction with changes, from 0 to 1
+	txnsToDelay       int           // number of upcoming transactions with changes to delay
+	fixedTxnDelay     time.Duration // 0: a random delay for each transaction
+	loseResponsesOnly bool          // transactions selected for a delay are applied at once; only the response is lost
 
-	changesPerSecond float64 // that are let through, 0: any number
-	changeTokens     float64 // how many were left at tokensAt
-	tokensAt         time.Time
+	changesPerSecond float64 // token bucket rate for changes; 0: unlimited
+	changeTokens     float64 // tokens in the bucket at tokensUpdatedAt
+	tokensUpdatedAt  time.Time
 
-	requestedChanges  int // changes that were asked for
-	unanswered        int // transactions that got no answer, carried out or not
-	appliedUnanswered int // transactions that were carried out and got no answer
+	requestedChanges      int // changes in all transactions sent, whatever their outcome
+	unansweredTxns        int // transactions without a response, applied or not
+	appliedUnansweredTxns int // transactions that were applied without a response
 }
 
-// NewFaultyStateClient returns a client without faults; seed decides which transactions are
-// delayed.
+// NewFaultyStateClient returns a client without faults. seed determines which transactions are
+// delayed and for how long.
 func NewFaultyStateClient(s *StateService, seed uint64) *FaultyStateClient {
 	return &FaultyStateClient{service: s, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// clientTimeout is how long a controller's client waits for an answer: that of the state
-// service, and that of a worker.
+// clientTimeout is the time after which a controller's request to the state service or to a worker
+// times out.
 const clientTimeout = 2 * time.Second
 
-// A delayed transaction is carried out this much later, unless SetTxnDelay says how much.
+// A delayed transaction is applied after a random time between minTxnDelay and minTxnDelay +
+// txnDelaySpread, unless SetTxnDelay sets a fixed one.
 const (
 	minTxnDelay    = 2 * time.Second
 	txnDelaySpread = 10 * time.Second
 )
 
-// SetRefuseAll has every request of this controller refused, or served again.
+// SetRefuseAll sets whether every request of this controller is rejected.
 func (c *FaultyStateClient) SetRefuseAll(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refuseAll = on
+	c.rejectAll = on
 }
 
-// SetFaults sets how long each request takes, and the share of transactions with changes
-// that get no answer and are carried out 2 to 12 s later, after newer ones.
-func (c *FaultyStateClient) SetFaults(latency time.Duration, delayedShare float64) {
+// SetFaults sets the latency of each request and the probability with which a transaction with
+// changes is delayed: it gets no response and is applied 2 to 12 s later, possibly after newer
+// transactions.
+func (c *FaultyStateClient) SetFaults(latency time.Duration, delayProbability float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.latency, c.delayedShare = latency, delayedShare
+	c.latency, c.delayProbability = latency, delayProbability
 }
 
-// SetTxnDelay sets how late those transactions are from now on.
+// SetTxnDelay sets the delay of delayed transactions; 0: 2 to 12 s, at random.
 func (c *FaultyStateClient) SetTxnDelay(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.txnDelay = d
+	c.fixedTxnDelay = d
 }
 
-// SetDropRevokes has the requests to end a lease answered and not carried out.
+// SetDropRevokes sets whether revocations of leases are acknowledged without being carried out.
 func (c *FaultyStateClient) SetDropRevokes(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dropRevokes = on
 }
 
-// SetLoseAnswersOnly has transactions that would be delayed carried out at once, so that
-// only their answers are lost, or delayed again.
+// SetLoseAnswersOnly sets whether a transaction selected for a delay is applied at once, so that
+// only its response is lost.
 func (c *FaultyStateClient) SetLoseAnswersOnly(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.loseAnswersOnly = on
+	c.loseResponsesOnly = on
 }
 
-// SetRefuseRenewals has the renewals of leases refused, and nothing else.
+// SetRefuseRenewals sets whether lease renewals are rejected. Other requests are not affected.
 func (c *FaultyStateClient) SetRefuseRenewals(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refuseRenewals = on
+	c.rejectRenewals = on
 }
 
-// SetWatchLag has watches show changes so much later.
+// SetWatchLag sets the additional delay of the events that watches return.
 func (c *FaultyStateClient) SetWatchLag(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.watchLag = d
 }
 
-// DelayNextTxns has the next n transactions with changes delayed.
+// DelayNextTxns delays the next n transactions with changes, whatever the probability of a delay.
 func (c *FaultyStateClient) DelayNextTxns(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.delayNext = n
+	c.txnsToDelay = n
 }
 
-// SetChangeRate lets so many changes through in a second, with bursts of one second's
-// worth, and refuses the others; 0: any number.
+// SetChangeRate limits this controller to perSecond changes per second (0: unlimited), with bursts
+// of one second's worth. Transactions over the limit are rejected.
 func (c *FaultyStateClient) SetChangeRate(perSecond float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.changesPerSecond, c.changeTokens, c.tokensAt = perSecond, perSecond, time.Now()
+	c.changesPerSecond, c.changeTokens, c.tokensUpdatedAt = perSecond, perSecond, time.Now()
 }
 
-// UnansweredTxns counts the transactions that got no answer, whatever became of them.
+// UnansweredTxns returns the number of transactions that got no response, applied or not.
 func (c *FaultyStateClient) UnansweredTxns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.unanswered
+	return c.unansweredTxns
 }
 
-// AppliedUnansweredTxns counts the transactions that were carried out and got no answer.
+// AppliedUnansweredTxns returns the number of transactions that were applied but got no response.
 func (c *FaultyStateClient) AppliedUnansweredTxns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.appliedUnanswered
+	return c.appliedUnansweredTxns
 }
 
-// RequestedChanges counts the changes that this controller asked for, whatever became of
-// them.
+// RequestedChanges returns the number of changes in all transactions that this controller sent,
+// whatever their outcome.
 func (c *FaultyStateClient) RequestedChanges() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requestedChanges
 }
 
-// takeChanges takes n changes of what the rate lets through, if there are so many.
-func (c *FaultyStateClient) takeChanges(n int) bool {
+// takeChangeTokens takes n tokens from the token bucket for changes. It reports whether there were
+// enough; if not, it takes none.
+func (c *FaultyStateClient) takeChangeTokens(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.changesPerSecond == 0 {
 		return true
 	}
 	now := time.Now()
-	c.changeTokens = min(c.changesPerSecond, c.changeTokens+c.changesPerSecond*now.Sub(c.tokensAt).Seconds())
-	c.tokensAt = now
+	c.changeTokens = min(c.changesPerSecond, c.changeTokens+c.changesPerSecond*now.Sub(c.tokensUpdatedAt).Seconds())
+	c.tokensUpdatedAt = now
 	if c.changeTokens < float64(n) {
 		return false
 	}
@@ -158,30 +162,32 @@
 	return true
 }
 
-// takeDelayNext reports whether a transaction is one of those that DelayNextTxns names, and
-// counts it if so.
-func (c *FaultyStateClient) takeDelayNext() bool {
+// takePendingDelay reports whether DelayNextTxns selected the current transaction for a delay, and
+// counts it off if so.
+func (c *FaultyStateClient) takePendingDelay() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.delayNext == 0 {
+	if c.txnsToDelay == 0 {
 		return false
 	}
-	c.delayNext--
+	c.txnsToDelay--
 	return true
 }
 
-// drawTxnDelay draws how late a transaction without an answer is carried out, and counts it.
+// drawTxnDelay returns the delay after which an unanswered transaction is applied, and counts the
+// transaction as unanswered.
 func (c *FaultyStateClient) drawTxnDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unanswered++
-	// Always drawn: which transactions are delayed must not depend on the other settings.
+	c.unansweredTxns++
+	// Drawn even if unused, so that the other settings do not change which transactions a seed
+	// delays.
 	drawn := minTxnDelay + time.Duration(c.rng.Int64N(int64(txnDelaySpread)))
 	switch {
-	case c.loseAnswersOnly:
+	case c.loseResponsesOnly:
 		return 0
-	case c.txnDelay > 0:
-		return c.txnDelay
+	case c.fixedTxnDelay > 0:
+		return c.fixedTxnDelay
 	}
 	return drawn
 }
--- a/emulator/faultystateclient_store.go
+++ b/emulator/faultystateclient_store.go
@@ -9,100 +9,105 @@
 
 var _ statekv.Store = (*FaultyStateClient)(nil)
 
-// request is what became of a request before it reached the service.
-type request struct {
-	refused bool
-	delayed bool // it is a transaction: it gets no answer and is carried out later
+// requestFaults are the faults injected into one request.
+type requestFaults struct {
+	rejected bool
+	delayed  bool // if the request is a transaction with changes, it gets no response and is applied later
 }
 
-// admit waits as long as a request takes, and says whether it is refused or delayed. The
-// error is statekv.ErrOutcomeUnknown if no answer comes in time.
-func (c *FaultyStateClient) admit(ctx context.Context) (request, error) {
+// admit waits for the request latency and returns the faults to inject into the request. It returns
+// statekv.ErrOutcomeUnknown if the request times out.
+func (c *FaultyStateClient) admit(ctx context.Context) (requestFaults, error) {
 	c.mu.Lock()
 	latency := c.latency
-	r := request{refused: c.refuseAll, delayed: c.delayedShare > 0 && c.rng.Float64() < c.delayedShare}
+	faults := requestFaults{
+		rejected: c.rejectAll,
+		delayed:  c.delayProbability > 0 && c.rng.Float64() < c.delayProbability,
+	}
 	c.mu.Unlock()
 	if latency == 0 {
-		return r, nil
+		return faults, nil
 	}
 	if !sleep(ctx, min(latency, clientTimeout)) || latency >= clientTimeout {
-		return request{}, statekv.ErrOutcomeUnknown
+		return requestFaults{}, statekv.ErrOutcomeUnknown
 	}
-	return r, nil
+	return faults, nil
 }
 
-// serve is admit for requests that are not delayed.
-func (c *FaultyStateClient) serve(ctx context.Context) error {
-	r, err := c.admit(ctx)
-	if err == nil && r.refused {
+// admitOrReject is admit for requests that cannot be delayed: all but transactions. It returns
+// statekv.ErrRejected if the request is rejected.
+func (c *FaultyStateClient) admitOrReject(ctx context.Context) error {
+	faults, err := c.admit(ctx)
+	if err == nil && faults.rejected {
 		err = statekv.ErrRejected
 	}
 	return err
 }
 
-// Get reads a key.
+// Get implements statekv.Store.
 func (c *FaultyStateClient) Get(ctx context.Context, key string) (statekv.KV, error) {
-	if err := c.serve(ctx); err != nil {
+	if err := c.admitOrReject(ctx); err != nil {
 		return statekv.KV{}, err
 	}
 	return c.service.Get(ctx, key)
 }
 
-// List reads a page of the keys under a prefix that come after one.
+// List implements statekv.Store. It returns a page of the keys under prefix that follow after.
 func (c *FaultyStateClient) List(ctx context.Context, prefix, after string) (statekv.Page, error) {
-	if err := c.serve(ctx); err != nil {
+	if err := c.admitOrReject(ctx); err != nil {
 		return statekv.Page{}, err
 	}
 	return c.service.List(ctx, prefix, after)
 }
 
-// Grant makes a lease that ends by itself.
+// Grant creates a lease that expires unless it is renewed.
 func (c *FaultyStateClient) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	if err := c.serve(ctx); err != nil {
+	if err := c.admitOrReject(ctx); err != nil {
 		return 0, err
 	}
-	return c.service.grantExpiring(ctx, ttl)
+	return c.service.grantWithExpiry(ctx, ttl)
 }
 
-// Renew gives a lease its full time again.
+// Renew extends a lease by its full TTL.
 func (c *FaultyStateClient) Renew(ctx context.Context, lease uint64) error {
-	if err := c.serve(ctx); err != nil {
+	if err := c.admitOrReject(ctx); err != nil {
 		return err
 	}
 	c.mu.Lock()
-	refused := c.refuseRenewals
+	rejected := c.rejectRenewals
 	c.mu.Unlock()
-	if refused {
+	if rejected {
 		return statekv.ErrRejected
 	}
-	return c.service.renewExpiring(ctx, lease)
+	return c.service.renewWithExpiry(ctx, lease)
 }
 
-// Revoke ends a lease and removes its keys.
+// Revoke ends a lease and deletes its keys. If revocations are dropped, it only returns success.
 func (c *FaultyStateClient) Revoke(ctx context.Context, lease uint64) error {
 	c.mu.Lock()
 	dropped := c.dropRevokes
 	c.mu.Unlock()
-	if err := c.serve(ctx); err != nil || dropped {
+	if err := c.admitOrReject(ctx); err != nil || dropped {
 		return err
 	}
 	return c.service.Revoke(ctx, lease)
 }
 
-// Txn applies a transaction, or gives no answer and applies it later.
+// Txn applies a transaction. A delayed one times out with statekv.ErrOutcomeUnknown and is applied
+// later.
 func (c *FaultyStateClient) Txn(ctx context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	statekv.NotifySent(ctx)
 	c.mu.Lock()
 	c.requestedChanges += len(then)
 	c.mu.Unlock()
-	r, err := c.admit(ctx)
+	faults, err := c.admit(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if r.refused || c.service.IsDown() || !c.takeChanges(len(then)) {
+	if faults.rejected || c.service.IsDown() || !c.takeChangeTokens(len(then)) {
 		return 0, statekv.ErrRejected
 	}
-	if len(then) == 0 || !c.takeDelayNext() && !r.delayed {
+	if len(then) == 0 || !c.takePendingDelay() && !faults.delayed {
 		return c.service.Txn(ctx, when, then)
 	}
 	go c.applyLater(context.WithoutCancel(ctx), c.drawTxnDelay(), when, then)
@@ -110,8 +115,8 @@
 	return 0, statekv.ErrOutcomeUnknown
 }
 
-// applyLater carries out a transaction that got no answer, unless a lease of it has ended:
-// then the service refuses it.
+// applyLater applies an unanswered transaction after delay. If a lease that the transaction attaches
+// to a key has ended by then, it does nothing, because the state service rejects such a transaction.
 func (c *FaultyStateClient) applyLater(
 	ctx context.Context, delay time.Duration, when []statekv.Compare, then []statekv.Op,
 ) {
@@ -122,22 +127,23 @@
 		}
 	}
 	if _, err := c.service.Txn(ctx, when, then); err != nil {
-		return // whoever sent it does not learn of it
+		return // the sender has timed out and does not learn the outcome
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.appliedUnanswered++
+	c.appliedUnansweredTxns++
 }
 
-// outagePoll is how often a watch looks whether the service serves again.
-const outagePoll = 50 * time.Millisecond
+// outagePollInterval is the interval at which an open watch checks whether requests are still
+// rejected.
+const outagePollInterval = 50 * time.Millisecond
 
-// Watch waits for changes. A watch that is open when the service begins to refuse waits as
-// in an outage: nothing comes until it is over.
+// Watch implements statekv.Store. A watch that is open when requests begin to be rejected stays
+// open and returns no events until the outage ends; it times out with statekv.ErrOutcomeUnknown.
 func (c *FaultyStateClient) Watch(
 	ctx context.Context, prefix string, since uint64, block time.Duration,
 ) (statekv.WatchResponse, error) {
-	if err := c.serve(ctx); err != nil {
+	if err := c.admitOrReject(ctx); err != nil {
 		return statekv.WatchResponse{}, err
 	}
 	c.mu.Lock()
@@ -148,44 +154,47 @@
 	if lag > 0 && len(response.Events) > 0 && !sleep(ctx, lag) {
 		return statekv.WatchResponse{}, statekv.ErrOutcomeUnknown
 	}
-	for c.isRefused() {
+	for c.isRejecting() {
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			return statekv.WatchResponse{}, statekv.ErrOutcomeUnknown
 		}
-		sleep(ctx, outagePoll)
+		sleep(ctx, outagePollInterval)
 		response, err = c.service.Watch(ctx, prefix, since, 0)
 	}
 	return response, err
 }
 
-// isRefused reports whether the service refuses this controller, alone or with all others.
-func (c *FaultyStateClient) isRefused() bool {
+// isRejecting reports whether the service rejects requests of this controller alone or of all
+// controllers.
+func (c *FaultyStateClient) isRejecting() bool {
 	c.mu.Lock()
-	refused := c.refuseAll
+	rejecting := c.rejectAll
 	c.mu.Unlock()
-	return refused || c.service.IsDown()
+	return rejecting || c.service.IsDown()
 }
 
-// maintenanceReserve is how much more has to be left than maintenance asks for.
-const maintenanceReserve = 2
+// maintenanceReserveFactor is the number of tokens that must be in the bucket per change that
+// maintenance wants to make.
+const maintenanceReserveFactor = 2
 
-// Allow reports whether half of what is left lets n changes through: maintenance leaves the
-// rest to others. It takes nothing.
+// Allow reports whether the token bucket holds at least twice the n tokens needed: maintenance may
+// use half of the available tokens and leaves the rest to other requests. Unlike statekv.Client, it
+// takes no tokens.
 func (c *FaultyStateClient) Allow(_ statekv.RequestClass, n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.changesPerSecond == 0 {
 		return true
 	}
-	left := c.changeTokens + c.changesPerSecond*time.Since(c.tokensAt).Seconds()
-	return left >= maintenanceReserve*float64(n)
+	available := c.changeTokens + c.changesPerSecond*time.Since(c.tokensUpdatedAt).Seconds()
+	return available >= maintenanceReserveFactor*float64(n)
 }
 
-// MaxTxnOps says that a transaction may have as many changes as the settings say.
+// MaxTxnOps returns the configured maximum ops; the emulated service never asks for less.
 func (c *FaultyStateClient) MaxTxnOps(ops int) int { return c.service.MaxTxnOps(ops) }
 
-// TxnBatchSize says that a transaction need not have fewer changes than it may.
+// TxnBatchSize returns ops: batches are as large as transactions may be.
 func (c *FaultyStateClient) TxnBatchSize(ops int) int { return c.service.TxnBatchSize(ops) }
 
-// SetControllerCount divides nothing: the client has no share of a limit.
+// SetControllerCount does nothing: the client does not share a rate limit with other controllers.
 func (c *FaultyStateClient) SetControllerCount(int) {}
--- a/emulator/heartbeatcopies.go
+++ b/emulator/heartbeatcopies.go
@@ -8,38 +8,38 @@
 	"robinstack/internal/worker"
 )
 
-// exchange sends a heartbeat to a controller and returns what it answers, 0 for no answer
-// in time.
+// exchange sends a heartbeat to a controller and returns the status code and body of the response.
+// The code is 0 if there is no response within heartbeatTimeout.
 func (m *SimulatedMachine) exchange(host string, h *worker.Heartbeat) (code int, body []byte) {
 	raw, err := json.Marshal(h)
 	if err != nil {
 		return 0, nil
 	}
-	type answer struct {
+	type result struct {
 		code int
 		body []byte
 	}
-	done := make(chan answer, 1)
+	done := make(chan result, 1)
 	go func() {
 		code, b, err := m.transport.send(m.ctx, host, raw)
 		if err != nil {
 			code, b = 0, nil
 		}
-		done <- answer{code, b}
+		done <- result{code, b}
 	}()
 	timer := time.NewTimer(heartbeatTimeout)
 	defer timer.Stop()
 	select {
-	case a := <-done:
-		return a.code, a.body
+	case r := <-done:
+		return r.code, r.body
 	case <-timer.C:
 	case <-m.ctx.Done():
 	}
 	return 0, nil
 }
 
-// SendDuplicateHeartbeat sends a copy of an earlier heartbeat, the oldest that is kept, to
-// a controller. Its answer reaches nobody.
+// SendDuplicateHeartbeat sends a copy of the oldest recent heartbeat to a controller and ignores
+// the response.
 func (m *SimulatedMachine) SendDuplicateHeartbeat(host string) {
 	if len(m.recentHeartbeats) > 0 {
 		h := m.recentHeartbeats[0]
@@ -47,31 +47,31 @@
 	}
 }
 
-// CaptureHeartbeat keeps the latest heartbeat for later, if there was one.
+// CaptureHeartbeat stores a copy of the latest heartbeat for SendCapturedHeartbeat, if one was
+// sent.
 func (m *SimulatedMachine) CaptureHeartbeat() {
 	if len(m.recentHeartbeats) > 0 {
 		h := m.recentHeartbeats[len(m.recentHeartbeats)-1]
-		m.captured = &h
+		m.capturedHeartbeat = &h
 	}
 }
 
-// HasCapturedHeartbeat reports whether one of its heartbeats is kept.
-func (m *SimulatedMachine) HasCapturedHeartbeat() bool { return m.captured != nil }
+// HasCapturedHeartbeat reports whether a heartbeat has been captured.
+func (m *SimulatedMachine) HasCapturedHeartbeat() bool { return m.capturedHeartbeat != nil }
 
-// CapturedHeartbeatLists reports whether the kept heartbeat lists a task that has not
-// ended.
+// CapturedHeartbeatLists reports whether the captured heartbeat lists a task that has not exited.
 func (m *SimulatedMachine) CapturedHeartbeatLists(task string) bool {
-	return m.captured != nil && slices.ContainsFunc(m.captured.Tasks, func(t worker.Task) bool {
+	return m.capturedHeartbeat != nil && slices.ContainsFunc(m.capturedHeartbeat.Tasks, func(t worker.Task) bool {
 		return t.ID == task && t.State != worker.TaskExited
 	})
 }
 
-// SendCapturedHeartbeat sends the heartbeat that was kept to a controller, and returns the
-// status that it was answered with; the answer reaches nobody. 0: no answer, or none was
-// kept. It takes the cloud's mutex itself: it is not to be called from ForEachMachine.
+// SendCapturedHeartbeat sends the captured heartbeat to a controller and returns the status code of
+// the response. The worker does not see the response. The code is 0 if there is no response or no
+// captured heartbeat. It locks the cloud's mutex, so it must not be called from ForEachMachine.
 func (m *SimulatedMachine) SendCapturedHeartbeat(host string) (code int) {
 	m.cloud.mu.Lock()
-	h := m.captured
+	h := m.capturedHeartbeat
 	m.cloud.mu.Unlock()
 	if h == nil {
 		return 0
--- a/emulator/history.go
+++ b/emulator/history.go
@@ -9,119 +9,120 @@
 	"robinstack/internal/job"
 )
 
-// History is what happened on machines and what users were answered, held against the rules
-// of the protocol as it happens. It knows nothing of what controllers believe. Its mutex
-// guards all of it; it may be told under a cloud's mutex, so it must never ask a cloud
-// under its own.
+// History records what happens on machines and which responses users receive, and checks each event
+// against the rules of the protocol as it is recorded. It has no access to the state of
+// controllers. mu guards all fields below it. The methods that record events on machines are called
+// with a cloud's mutex held, so History must not call a cloud while it holds mu.
 type History struct {
 	settings  *config.Settings
 	startTime time.Time
 
 	mu            sync.Mutex
-	faultsEndedAt time.Time // since when there are no faults; zero: there may be some
+	faultsEndedAt time.Time // zero: faults may still be injected
 	jobs          map[string]*jobHistory
-	usage         map[string]job.Resources // by team
-	clock         LogicalTime
+	teamUsage     map[string]job.Resources // resources used by tasks on machines, by team
+	logicalClock  LogicalTime
 	violations    []string
 	trace         []traceEntry
 
-	starts            int
-	restarts          int // starts of tasks that had been started before
-	startsAfterCancel int // starts of tasks after their jobs were acknowledged as cancelled
-	cancelToStop      []time.Duration
-	maxOvershoot      float64 // most GPUs by which a team was beyond its quota
-	onFirstStart      func(spec job.Spec, index int, waited time.Duration)
+	starts                 int
+	restarts               int // starts of tasks that had started before
+	startsAfterCancel      int // starts of tasks whose jobs had been acknowledged as cancelled
+	timesToStopAfterCancel []time.Duration
+	maxQuotaOvershoot      float64 // maximum number of GPUs by which a team exceeded its quota
+	onFirstStart           func(spec job.Spec, index int, waited time.Duration)
 }
 
-// LogicalTime orders requests and responses, also within one instant of fake time: a
-// response received at one is older than a request sent at a later one.
+// LogicalTime orders requests and responses, also those at the same instant of fake time: a request
+// with a larger LogicalTime than a response was sent after that response was received.
 type LogicalTime uint64
 
-// jobHistory is what is known of a job.
+// jobHistory is what the history knows about one job.
 type jobHistory struct {
 	spec            job.Spec
-	submittedAt     time.Time // when its user submitted it first
-	invalid         bool      // it can never run, or lacks a field
-	cancelRequested bool      // its user asked for its cancellation
+	submittedAt     time.Time // time of the first submission
+	invalid         bool      // it can never run or lacks a required field
+	cancelRequested bool      // its user requested its cancellation
 
-	// What its user was answered.
+	// Responses that the user has received.
 	accepted             bool
 	acceptedAt           time.Time
-	acceptedTime         LogicalTime
-	answeredAt           time.Time // when a request about it was last answered
+	acceptedLogicalTime  LogicalTime
+	lastAnsweredAt       time.Time // last successful response about the job
 	doneAcknowledged     bool
-	cancelAcknowledgedAt time.Time   // zero: it is not cancelled as far as its user knows
-	finalTime            LogicalTime // when it was acknowledged as done or cancelled; 0: it was not
+	cancelAcknowledgedAt time.Time   // zero: not acknowledged as cancelled
+	finalLogicalTime     LogicalTime // when the job was acknowledged as done or cancelled; 0: not yet
 
-	// What happened on machines, by the index of the task.
-	placements map[int]placement // tasks that are on machines
-	started    map[int]bool      // tasks that were on one
+	// Events on machines, by task index.
+	placements map[int]placement // tasks currently on a machine
+	started    map[int]bool      // tasks that have been on a machine
 	completed  map[int]bool
 
-	// What CheckWaitingJobs has seen.
-	eligibleSince time.Time // since when it could start
-	capacitySince time.Time // since when, without a break, it waits while there is capacity
-	overdue       bool      // that it waits for too long was noted
+	// State of CheckWaitingJobs.
+	eligibleSince          time.Time // when the job was first seen able to start
+	capacityAvailableSince time.Time // since when it has been waiting with capacity and quota available
+	waitViolationRecorded  bool      // a violation of a waiting time limit has been recorded
 }
 
-// placement is a task on a machine.
+// placement is the machine that a task is on.
 type placement struct {
 	machine, zone string
 	since         time.Time
 }
 
-// NewHistory returns a history in which nothing has happened.
+// NewHistory returns an empty history.
 func NewHistory(settings *config.Settings) *History {
 	return &History{
 		settings:  settings,
 		startTime: time.Now(),
 		jobs:      map[string]*jobHistory{},
-		usage:     map[string]job.Resources{},
+		teamUsage: map[string]job.Resources{},
 	}
 }
 
-// StartTime is when the history began.
+// StartTime returns the time at which the history was created.
 func (h *History) StartTime() time.Time { return h.startTime }
 
-// isFinal reports whether a job's user was told that it is done or cancelled.
+// isFinal reports whether the job's user has been told that the job is done or cancelled.
 func (j *jobHistory) isFinal() bool { return j.doneAcknowledged || j.isCancelled() }
 
-// isCancelled reports whether a job's user was told that it is cancelled.
+// isCancelled reports whether the job's user has been told that the job is cancelled.
 func (j *jobHistory) isCancelled() bool { return !j.cancelAcknowledgedAt.IsZero() }
 
 // isComplete reports whether all tasks of a job have completed.
 func (j *jobHistory) isComplete() bool { return len(j.completed) >= j.spec.Tasks }
 
-// violate notes that a rule was broken. The mutex is held.
-func (h *History) violate(rule, format string, args ...any) {
+// recordViolation records that a rule was violated. The caller must hold h.mu.
+func (h *History) recordViolation(rule, format string, args ...any) {
 	h.violations = append(h.violations, fmt.Sprintf(
 		"%s at %.1f s: %s", rule, time.Since(h.startTime).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// StampRequest is the time of a request that a user is about to send.
+// StampRequest returns the logical time of a request. It must be called just before the request is
+// sent.
 func (h *History) StampRequest() LogicalTime {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.clock++
-	return h.clock
+	h.logicalClock++
+	return h.logicalClock
 }
 
-// RecordSubmission notes that a user is about to submit a job.
+// RecordSubmission records that a user is about to submit a job.
 func (h *History) RecordSubmission(spec job.Spec) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.recordSubmission(spec)
+	h.recordSubmissionLocked(spec)
 }
 
-// RecordInvalidSubmission notes that a user is about to submit what can never run, or lacks
-// a field.
+// RecordInvalidSubmission records that a user is about to submit a job that can never run or lacks
+// a required field.
 func (h *History) RecordInvalidSubmission(spec job.Spec) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.recordSubmission(spec).invalid = true
+	h.recordSubmissionLocked(spec).invalid = true
 }
 
-func (h *History) recordSubmission(spec job.Spec) *jobHistory {
+func (h *History) recordSubmissionLocked(spec job.Spec) *jobHistory {
 	if j := h.jobs[spec.ID]; j != nil {
 		return j
 	}
@@ -136,7 +137,7 @@
 	return j
 }
 
-// RecordCancelRequest notes that a user is about to ask for a cancellation.
+// RecordCancelRequest records that a user is about to request the cancellation of a job.
 func (h *History) RecordCancelRequest(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -145,24 +146,24 @@
 	}
 }
 
-// RecordTaskCompletion notes that a task has completed.
+// RecordTaskCompletion records that a task has completed.
 func (h *History) RecordTaskCompletion(task string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id, index, _ := job.SplitTaskID(task)
 	if j := h.jobs[id]; j != nil {
 		j.completed[index] = true
-		h.note(id, "%d has completed", index)
+		h.traceEvent(id, "task %d completed", index)
 	}
 }
 
-// RecordFaultsEnded notes that all faults are over: from now on jobs must be answered about
-// and served in time.
+// RecordFaultsEnded records that no more faults are injected. From now on the time limits on
+// responses and on waiting jobs apply.
 func (h *History) RecordFaultsEnded() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.faultsEndedAt = time.Now()
 	for _, j := range h.jobs {
-		j.answeredAt = time.Now()
+		j.lastAnsweredAt = time.Now()
 	}
 }
--- a/emulator/history_report.go
+++ b/emulator/history_report.go
@@ -10,46 +10,48 @@
 	"robinstack/internal/job"
 )
 
-// traceEntry is something that happened, and to which job; "": to all.
+// traceEntry is one event in the trace. An entry without a job concerns all jobs.
 type traceEntry struct {
-	at    time.Duration
-	job   string
-	event string
+	elapsed time.Duration
+	job     string
+	event   string
 }
 
-// maxTraceEntries bounds the trace: a day of some hundred jobs has a tenth of it.
+// maxTraceEntries bounds the memory of the trace. A simulated day with a few hundred jobs produces
+// about a tenth of it.
 const maxTraceEntries = 200_000
 
-// note adds to the trace. The mutex is held.
-func (h *History) note(id, format string, args ...any) {
+// traceEvent appends an event to the trace. The caller must hold h.mu.
+func (h *History) traceEvent(id, format string, args ...any) {
 	if len(h.trace) < maxTraceEntries {
 		h.trace = append(h.trace, traceEntry{time.Since(h.startTime), id, fmt.Sprintf(format, args...)})
 	}
 }
 
-// RecordFault notes a fault, for the trace.
+// RecordFault adds an injected fault to the trace.
 func (h *History) RecordFault(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.note("", format, args...)
+	h.traceEvent("", format, args...)
 }
 
-// Trace lists, in their order, the faults and what happened to the jobs that a rule was
-// broken for: enough to write a test from.
+// Trace lists in order the injected faults and the events of each job named in a violation: enough
+// to reproduce a failure in a test.
 func (h *History) Trace() (out []string) {
 	violations := strings.Join(h.Violations(), " ") + " "
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, t := range h.trace {
-		if t.job == "" || strings.Contains(violations, t.job+" ") || strings.Contains(violations, t.job+"/") {
-			out = append(out, fmt.Sprintf("%9.3f s %s %s", t.at.Seconds(), t.job, t.event))
+	for _, entry := range h.trace {
+		if entry.job == "" || strings.Contains(violations, entry.job+" ") ||
+			strings.Contains(violations, entry.job+"/") {
+			out = append(out, fmt.Sprintf("%9.3f s %s %s", entry.elapsed.Seconds(), entry.job, entry.event))
 		}
 	}
 	return out
 }
 
-// Violations lists the rules that were broken, and the tasks that are on machines although
-// their jobs were acknowledged as cancelled too long ago.
+// Violations lists the violations recorded so far, and the tasks that are still on machines after
+// the cancellation deadline of their jobs.
 func (h *History) Violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,15 +61,15 @@
 			continue
 		}
 		for index, p := range j.placements {
-			out = append(out, fmt.Sprintf("ran_cancelled: %s is on %s %v after its user was told",
+			out = append(out, fmt.Sprintf("ran_cancelled: %s is still on %s %v after its cancellation was acknowledged",
 				job.TaskID(id, index), p.machine, time.Since(j.cancelAcknowledgedAt)))
 		}
 	}
 	return out
 }
 
-// CheckFinalState holds the end of a test against the rules: once all faults have been over
-// for long, every accepted job has come to its end, and requests about it are answered.
+// CheckFinalState checks the state at the end of a test. It must be called long enough after the
+// end of all faults: every accepted job must have been reported as done or cancelled.
 func (h *History) CheckFinalState() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,64 +78,64 @@
 		if !j.accepted || j.isFinal() {
 			continue
 		}
-		if since := time.Since(j.answeredAt); since > maxUnanswered {
-			h.violate("forgotten", "no question about %s was answered for %v", id, since)
+		if since := time.Since(j.lastAnsweredAt); since > maxUnansweredTime {
+			h.recordViolation("forgotten", "no request about %s has been answered for %v", id, since)
 			continue
 		}
-		h.violate("forgotten", "%s has not come to its end: %d of %d tasks complete",
+		h.recordViolation("forgotten", "%s has not finished: %d of %d tasks have completed",
 			id, len(j.completed), j.spec.Tasks)
 	}
 	if h.starts == 0 {
-		h.violate("nothing_ran", "no task was started")
+		h.recordViolation("nothing_ran", "no task has started")
 	}
 }
 
-// OnFirstStart has f called at the first start of each task, with the time since its user
-// submitted its job first. It must not ask the history.
+// OnFirstStart sets the function that is called at the first start of each task with the time since
+// the job was first submitted. f must not call the history, whose mutex is held.
 func (h *History) OnFirstStart(f func(spec job.Spec, index int, waited time.Duration)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.onFirstStart = f
 }
 
-// TaskStarts counts the starts of tasks.
+// TaskStarts returns the number of task starts.
 func (h *History) TaskStarts() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.starts
 }
 
-// TaskRestarts counts the starts of tasks that had been started before.
+// TaskRestarts returns the number of starts of tasks that had started before.
 func (h *History) TaskRestarts() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.restarts
 }
 
-// StartsAfterCancel counts the starts of tasks after their jobs were acknowledged as
-// cancelled. Within the cancellation deadline they break no rule; the fewer the better.
+// StartsAfterCancel returns the number of starts of tasks whose jobs had been acknowledged as
+// cancelled. Such starts violate no rule before the cancellation deadline, but should be rare.
 func (h *History) StartsAfterCancel() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.startsAfterCancel
 }
 
-// TimesToStopAfterCancel lists how long tasks were on machines after their jobs were
-// acknowledged as cancelled, the shortest first.
+// TimesToStopAfterCancel lists, in ascending order, how long tasks stayed on machines after their
+// jobs were acknowledged as cancelled.
 func (h *History) TimesToStopAfterCancel() []time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Sorted(slices.Values(h.cancelToStop))
+	return slices.Sorted(slices.Values(h.timesToStopAfterCancel))
 }
 
-// MaxQuotaOvershoot is the most GPUs by which a team was beyond its quota.
+// MaxQuotaOvershoot returns the maximum number of GPUs by which a team exceeded its quota.
 func (h *History) MaxQuotaOvershoot() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.maxOvershoot
+	return h.maxQuotaOvershoot
 }
 
-// RunningTasks counts the tasks of all jobs that are on machines.
+// RunningTasks returns the number of tasks on machines, of all jobs.
 func (h *History) RunningTasks() (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -143,7 +145,7 @@
 	return n
 }
 
-// TasksOnMachines counts the tasks of a job that are on machines.
+// TasksOnMachines returns the number of a job's tasks that are on machines.
 func (h *History) TasksOnMachines(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -153,7 +155,8 @@
 	return 0
 }
 
-// MachineOfFirstTask is the machine of the first of a job's tasks that is on one, or "".
+// MachineOfFirstTask returns the machine of the job's task with the lowest index among those that
+// are on machines, or "" if there is none.
 func (h *History) MachineOfFirstTask(id string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -164,7 +167,7 @@
 	return j.placements[slices.Min(slices.Collect(maps.Keys(j.placements)))].machine
 }
 
-// MachineOfTask is the machine that a task is on, or "".
+// MachineOfTask returns the machine that a task is on, or "".
 func (h *History) MachineOfTask(task string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -184,7 +187,7 @@
 	return j != nil && j.completed[index]
 }
 
-// AcceptedJobs lists the jobs that were accepted, by their ids.
+// AcceptedJobs returns the ids of all accepted jobs, sorted.
 func (h *History) AcceptedJobs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -198,7 +201,7 @@
 	return out
 }
 
-// Spec is a job as its user uploaded it; false: nobody did.
+// Spec returns a job's spec as it was submitted, and false if nobody has submitted the job.
 func (h *History) Spec(id string) (job.Spec, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -209,21 +212,21 @@
 	return j.spec, true
 }
 
-// CancelAcknowledgedAt is when a job, which must have been submitted, was acknowledged as
-// cancelled; zero: it was not.
+// CancelAcknowledgedAt returns the time at which a job was acknowledged as cancelled, or the zero
+// time. The job must have been submitted.
 func (h *History) CancelAcknowledgedAt(id string) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.jobs[id].cancelAcknowledgedAt
 }
 
-// UnansweredJob is an accepted job, not acknowledged as done or cancelled, about which no
-// request was answered for at least d; "": there is none.
+// UnansweredJob returns an accepted, not yet finished job about which no request has been answered
+// for at least d, or "" if there is none.
 func (h *History) UnansweredJob(d time.Duration) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for id, j := range h.jobs {
-		if j.accepted && !j.isFinal() && time.Since(j.answeredAt) >= d {
+		if j.accepted && !j.isFinal() && time.Since(j.lastAnsweredAt) >= d {
 			return id
 		}
 	}
--- a/emulator/history_responses.go
+++ b/emulator/history_responses.go
@@ -8,39 +8,39 @@
 	"robinstack/internal/job"
 )
 
-// Kinds of requests that RecordResponse tells apart.
+// Kinds of requests that RecordResponse treats specially.
 const (
 	submitRequest = "submit"
 	cancelRequest = "cancel"
 )
 
-// maxUnanswered is how long requests about a job may go without an answer.
-const maxUnanswered = 75 * time.Second
+// maxUnansweredTime is how long requests about a job may go without a successful response.
+const maxUnansweredTime = 75 * time.Second
 
-// RecordResponse takes a response about a job as it is received: kind is "submit", "query"
-// or "cancel", and asked the time of the request (StampRequest). What was asked before the
-// user had an answer may be answered as of then; of two that overlap, neither is the older
-// one.
-func (h *History) RecordResponse(kind, id string, asked LogicalTime, code int, status string) {
+// RecordResponse records and checks the response to a request about a job. It must be called when
+// the response is received. kind is "submit", "query" or "cancel"; sentAt is the value of
+// StampRequest for the request. A request that was sent before an earlier response was received may
+// be answered with the state of the job before that response: overlapping requests have no order.
+func (h *History) RecordResponse(kind, id string, sentAt LogicalTime, code int, status string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.clock++
-	h.note(id, "%s, asked at %d and answered at %d: %d %s", kind, asked, h.clock, code, status)
+	h.logicalClock++
+	h.traceEvent(id, "%s sent at logical time %d, response at %d: %d %s", kind, sentAt, h.logicalClock, code, status)
 	j := h.jobs[id]
 	if j == nil {
 		if code == http.StatusOK {
-			h.violate("invented", "%s is told as %s", id, status)
+			h.recordViolation("invented", "%s is reported as %s, but nobody submitted it", id, status)
 		}
 		return
 	}
-	h.checkRemembered(j, kind, asked, code)
+	h.checkRejection(j, kind, sentAt, code)
 	if code != http.StatusOK && code != http.StatusCreated {
 		return
 	}
-	h.checkAnswered(j, kind)
-	j.answeredAt = time.Now()
+	h.checkSuccessfulResponse(j, kind)
+	j.lastAnsweredAt = time.Now()
 	if !j.accepted {
-		j.accepted, j.acceptedAt, j.acceptedTime = true, j.answeredAt, h.clock
+		j.accepted, j.acceptedAt, j.acceptedLogicalTime = true, j.lastAnsweredAt, h.logicalClock
 	}
 	switch status {
 	case job.Done:
@@ -48,47 +48,51 @@
 	case job.Cancelled:
 		h.recordCancelled(j)
 	default:
-		h.checkActive(j, asked, status)
+		h.checkNonFinalStatus(j, sentAt, status)
 	}
 }
 
-// checkRemembered holds the refusal of a request against what was accepted.
-func (h *History) checkRemembered(j *jobHistory, kind string, asked LogicalTime, code int) {
+// checkRejection records a violation if a request about an accepted job was answered with "not
+// found", or if a repeated submission of an accepted job was rejected.
+func (h *History) checkRejection(j *jobHistory, kind string, sentAt LogicalTime, code int) {
 	if !j.accepted {
 		return
 	}
 	switch code {
 	case http.StatusNotFound:
-		if asked > j.acceptedTime {
-			h.violate("forgotten", "%s is unknown", j.spec.ID)
+		if sentAt > j.acceptedLogicalTime {
+			h.recordViolation("forgotten", "%s was accepted but is now not found", j.spec.ID)
 		}
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if kind == submitRequest {
-			h.violate("forgotten", "%s is refused with %d when submitted again", j.spec.ID, code)
+			h.recordViolation(
+				"forgotten", "%s was accepted but is rejected with status %d when submitted again", j.spec.ID, code)
 		}
 	}
 }
 
-// checkAnswered holds an answer against those before it, and against what may be accepted.
-func (h *History) checkAnswered(j *jobHistory, kind string) {
-	if since := time.Since(j.answeredAt); !h.faultsEndedAt.IsZero() && j.accepted && since > maxUnanswered {
-		h.violate("forgotten", "no question about %s was answered for %v", j.spec.ID, since)
+// checkSuccessfulResponse checks that a successful response does not come too long after the last
+// one, once faults have ended, and that the job is valid.
+func (h *History) checkSuccessfulResponse(j *jobHistory, kind string) {
+	if since := time.Since(j.lastAnsweredAt); !h.faultsEndedAt.IsZero() && j.accepted && since > maxUnansweredTime {
+		h.recordViolation("forgotten", "no request about %s was answered for %v", j.spec.ID, since)
 	}
 	if j.invalid && kind != cancelRequest {
-		h.violate("unfit", "%s is accepted and can't run, or lacks a field", j.spec.ID)
+		h.recordViolation("unfit", "%s is accepted although it can never run or lacks a required field", j.spec.ID)
 	}
 }
 
 func (h *History) recordDone(j *jobHistory) {
 	id := j.spec.ID
 	if !j.isComplete() {
-		h.violate("not_done", "%s is told as done with %d of %d tasks complete", id, len(j.completed), j.spec.Tasks)
+		h.recordViolation(
+			"not_done", "%s is reported as done with %d of %d tasks completed", id, len(j.completed), j.spec.Tasks)
 	}
 	if j.isCancelled() {
-		h.violate("went_back", "%s is told as done after withdrawn", id)
+		h.recordViolation("went_back", "%s is reported as done after it was reported as cancelled", id)
 	}
 	if !j.doneAcknowledged {
-		j.doneAcknowledged, j.finalTime = true, h.clock
+		j.doneAcknowledged, j.finalLogicalTime = true, h.logicalClock
 	}
 }
 
@@ -96,38 +100,42 @@
 	id := j.spec.ID
 	switch {
 	case j.doneAcknowledged:
-		h.violate("went_back", "%s is told as withdrawn after done", id)
+		h.recordViolation("went_back", "%s is reported as cancelled after it was reported as done", id)
 	case j.isCancelled():
-		// Told once more.
-	case !h.mayBeCancelled(j):
-		h.violate("went_back", "%s is told as withdrawn and nobody asked for it", id)
+		// The user has been told before.
+	case !h.cancellationExpected(j):
+		h.recordViolation("went_back", "%s is reported as cancelled, but nobody requested its cancellation", id)
 	default:
-		j.cancelAcknowledgedAt, j.finalTime = time.Now(), h.clock
+		j.cancelAcknowledgedAt, j.finalLogicalTime = time.Now(), h.logicalClock
 	}
 }
 
-// mayBeCancelled reports whether a job's user asked for its cancellation, or for that of
-// one that it depends on.
-func (h *History) mayBeCancelled(j *jobHistory) bool {
+// cancellationExpected reports whether a user requested the cancellation of the job or of one of
+// its direct or indirect dependencies.
+func (h *History) cancellationExpected(j *jobHistory) bool {
 	return j.cancelRequested || slices.ContainsFunc(j.spec.WaitsOn, func(id string) bool {
-		return h.jobs[id] != nil && h.mayBeCancelled(h.jobs[id])
+		return h.jobs[id] != nil && h.cancellationExpected(h.jobs[id])
 	})
 }
 
-// checkActive holds a status that is not final against what its user was told before.
-func (h *History) checkActive(j *jobHistory, asked LogicalTime, status string) {
-	if j.finalTime > 0 && asked > j.finalTime {
-		h.violate("went_back", "%s is told as %s after its end", j.spec.ID, status)
+// checkNonFinalStatus checks a status other than done and cancelled against earlier responses about
+// the job and its dependencies.
+func (h *History) checkNonFinalStatus(j *jobHistory, sentAt LogicalTime, status string) {
+	if j.finalLogicalTime > 0 && sentAt > j.finalLogicalTime {
+		h.recordViolation(
+			"went_back", "%s is reported as %s after it was reported as done or cancelled", j.spec.ID, status)
 	}
 	for _, dependency := range j.spec.WaitsOn {
 		d := h.jobs[dependency]
 		if d == nil || !d.isCancelled() {
 			continue
 		}
-		// One that is submitted later is accepted all the same.
+		// A job may also be submitted and accepted after its dependency was cancelled; the deadline
+		// then counts from its acceptance.
 		since := time.Since(d.cancelAcknowledgedAt)
 		if min(since, time.Since(j.acceptedAt)) > h.settings.Workers.CancellationDeadline {
-			h.violate("orphaned", "%s is told as %s %v after %s was cancelled", j.spec.ID, status, since, dependency)
+			h.recordViolation("orphaned", "%s is reported as %s %v after its dependency %s was cancelled",
+				j.spec.ID, status, since, dependency)
 		}
 	}
 }
--- a/emulator/history_rules_test.go
+++ b/emulator/history_rules_test.go
@@ -11,12 +11,12 @@
 	"robinstack/internal/job"
 )
 
-// plantedFault is what a controller could do wrong, and the rule that it breaks.
-type plantedFault struct {
+// ruleTest is a sequence of events and the rule that it violates.
+type ruleTest struct {
 	name              string
-	violation         string // that it contains; "": there must be none
+	violation         string // text that the violations must contain; "": there must be no violations
 	startsAfterCancel bool
-	plant             func(h *History)
+	run               func(h *History)
 }
 
 var (
@@ -26,214 +26,215 @@
 	}
 )
 
-// respondTo records a response that comes right after its request.
-func respondTo(h *History, kind, id string, code int, status string) {
+// recordResponse records a response that is received right after its request was sent.
+func recordResponse(h *History, kind, id string, code int, status string) {
 	h.RecordResponse(kind, id, h.StampRequest(), code, status)
 }
 
-func accept(h *History, specs ...job.Spec) {
+func submitAccepted(h *History, specs ...job.Spec) {
 	for _, s := range specs {
 		h.RecordSubmission(s)
-		respondTo(h, "submit", s.ID, 201, job.Queued)
+		recordResponse(h, "submit", s.ID, 201, job.Queued)
 	}
 }
 
 func acknowledgeCancellation(h *History, id string) {
 	h.RecordCancelRequest(id)
-	respondTo(h, "cancel", id, 200, job.Cancelled)
+	recordResponse(h, "cancel", id, 200, job.Cancelled)
 }
 
-func start(h *History, task, machine string) {
+func startTask(h *History, task, machine string) {
 	h.RecordTaskStart(TaskStart{Task: task, Machine: machine, MachineType: "box", Zone: "a"})
 }
 
 func runToCompletion(h *History, task, machine string) {
-	start(h, task, machine)
+	startTask(h, task, machine)
 	h.RecordTaskCompletion(task)
 	h.RecordTaskRemoval(task, machine)
 }
 
-func checkWaitingFor(h *History, seconds int, capacity bool) {
+func checkWaitingJobsFor(h *History, seconds int, hasCapacity bool) {
 	for range seconds {
-		h.CheckWaitingJobs(func(job.Spec, int) bool { return capacity })
+		h.CheckWaitingJobs(func(job.Spec, int) bool { return hasCapacity })
 		time.Sleep(time.Second)
 	}
 }
 
-var plantedTaskFaults = []plantedFault{
-	{name: "a task on two machines", violation: "ran_twice", plant: func(h *History) {
-		accept(h, oneTaskJob)
-		start(h, "wk-1/0", "m1")
-		start(h, "wk-1/0", "m2")
-	}},
-	{name: "a start after completion", violation: "ran_twice at", plant: func(h *History) {
-		accept(h, oneTaskJob)
+var taskRuleTests = []ruleTest{
+	{name: "a task on two machines", violation: "ran_twice", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
+		startTask(h, "wk-1/0", "m1")
+		startTask(h, "wk-1/0", "m2")
+	}},
+	{name: "a start after completion", violation: "ran_twice at", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
 		runToCompletion(h, "wk-1/0", "m1")
-		start(h, "wk-1/0", "m2")
+		startTask(h, "wk-1/0", "m2")
 	}},
-	{name: "a team beyond its quota", violation: "quota", plant: func(h *History) {
+	{name: "a team that exceeds its quota", violation: "quota at", run: func(h *History) {
 		s := dependentJob
 		s.WaitsOn = nil
-		accept(h, s)
+		submitAccepted(h, s)
 		for _, task := range []string{"wk-2/0", "wk-2/1", "wk-2/2"} {
-			start(h, task, "m1")
+			startTask(h, task, "m1")
 		}
 	}},
-	{name: "a spot machine that is not allowed", violation: "wrong_place", plant: func(h *History) {
-		accept(h, oneTaskJob)
+	{name: "a spot machine that is not allowed", violation: "wrong_place", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
 		h.RecordTaskStart(TaskStart{Task: "wk-1/0", Machine: "m1", MachineType: "box", Zone: "a", Spot: true})
 	}},
-	{name: "two zones for a job of one", violation: "wrong_place at", plant: func(h *History) {
+	{name: "two zones for a job with the one-zone constraint", violation: "wrong_place at", run: func(h *History) {
 		s := dependentJob
 		s.WaitsOn, s.OneZone = nil, true
-		accept(h, s)
-		start(h, "wk-2/0", "m1")
+		submitAccepted(h, s)
+		startTask(h, "wk-2/0", "m1")
 		h.RecordTaskStart(TaskStart{Task: "wk-2/1", Machine: "m2", MachineType: "box", Zone: "b"})
 	}},
-	{name: "a cancelled task that stays on its machine", violation: "ran_cancelled", plant: func(h *History) {
-		accept(h, oneTaskJob)
-		start(h, "wk-1/0", "m1")
+	{name: "a cancelled task that stays on its machine", violation: "ran_cancelled", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
+		startTask(h, "wk-1/0", "m1")
 		acknowledgeCancellation(h, "wk-1")
 		time.Sleep(61 * time.Second)
 	}},
 	{name: "a start long after a cancellation", violation: "ran_cancelled at", startsAfterCancel: true,
-		plant: func(h *History) {
-			accept(h, oneTaskJob)
+		run: func(h *History) {
+			submitAccepted(h, oneTaskJob)
 			acknowledgeCancellation(h, "wk-1")
 			time.Sleep(61 * time.Second)
-			start(h, "wk-1/0", "m1")
+			startTask(h, "wk-1/0", "m1")
 			h.RecordTaskRemoval("wk-1/0", "m1")
 		}},
-	{name: "a cancelled task that completes on a machine that hung", violation: "ran_cancelled at", plant: func(h *History) {
-		accept(h, oneTaskJob)
-		start(h, "wk-1/0", "m1")
+	{name: "a cancelled task that completes too late", violation: "ran_cancelled at", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
+		startTask(h, "wk-1/0", "m1")
 		acknowledgeCancellation(h, "wk-1")
 		time.Sleep(61 * time.Second)
 		h.RecordTaskCompletion("wk-1/0")
 		h.RecordTaskRemoval("wk-1/0", "m1")
 	}},
-	{name: "a start before a dependency is done", violation: "too_early", plant: func(h *History) {
-		accept(h, oneTaskJob, dependentJob)
-		start(h, "wk-2/0", "m1")
+	{name: "a start before a dependency has completed", violation: "too_early", run: func(h *History) {
+		submitAccepted(h, oneTaskJob, dependentJob)
+		startTask(h, "wk-2/0", "m1")
 	}},
-	{name: "nothing runs", violation: "nothing_ran", plant: func(h *History) { h.CheckFinalState() }},
-	{name: "no fault: a start soon after a cancellation is counted", startsAfterCancel: true, plant: func(h *History) {
-		accept(h, oneTaskJob)
+	{name: "nothing runs", violation: "nothing_ran", run: func(h *History) { h.CheckFinalState() }},
+	{name: "permitted: a start soon after a cancellation", startsAfterCancel: true, run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
 		acknowledgeCancellation(h, "wk-1")
-		start(h, "wk-1/0", "m1")
+		startTask(h, "wk-1/0", "m1")
 		h.RecordTaskRemoval("wk-1/0", "m1")
 	}},
 }
 
-var plantedResponseFaults = []plantedFault{
-	{name: "no fault: a job is done", plant: func(h *History) {
-		accept(h, oneTaskJob)
+var responseRuleTests = []ruleTest{
+	{name: "permitted: a job is done", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
 		runToCompletion(h, "wk-1/0", "m1")
-		respondTo(h, "query", "wk-1", 200, job.Done)
-		respondTo(h, "query", "wk-9", 404, "")
+		recordResponse(h, "query", "wk-1", 200, job.Done)
+		recordResponse(h, "query", "wk-9", 404, "")
 		h.CheckFinalState()
 	}},
-	{name: "an accepted job is unknown", violation: "forgotten", plant: func(h *History) {
-		accept(h, oneTaskJob)
-		respondTo(h, "query", "wk-1", 404, "")
+	{name: "an accepted job is unknown", violation: "forgotten", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
+		recordResponse(h, "query", "wk-1", 404, "")
 	}},
-	{name: "an accepted job is refused", violation: "forgotten at", plant: func(h *History) {
-		accept(h, oneTaskJob)
-		respondTo(h, "submit", "wk-1", 422, "")
+	{name: "an accepted job is rejected when submitted again", violation: "forgotten at", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
+		recordResponse(h, "submit", "wk-1", 422, "")
 	}},
-	{name: "no answer for long after the faults", violation: "forgotten at", plant: func(h *History) {
-		accept(h, oneTaskJob)
+	{name: "no response for too long after the end of faults", violation: "forgotten at", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
 		h.RecordFaultsEnded()
 		time.Sleep(76 * time.Second)
-		respondTo(h, "query", "wk-1", 200, job.Queued)
+		recordResponse(h, "query", "wk-1", 200, job.Queued)
 	}},
-	{name: "a job that nobody submitted", violation: "invented", plant: func(h *History) {
-		respondTo(h, "query", "wk-9", 200, job.Queued)
+	{name: "a job that nobody submitted", violation: "invented", run: func(h *History) {
+		recordResponse(h, "query", "wk-9", 200, job.Queued)
 	}},
-	{name: "done before its tasks are", violation: "not_done", plant: func(h *History) {
-		accept(h, oneTaskJob)
-		respondTo(h, "query", "wk-1", 200, job.Done)
+	{name: "done before its tasks have completed", violation: "not_done", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
+		recordResponse(h, "query", "wk-1", 200, job.Done)
 	}},
-	{name: "running after done", violation: "went_back", plant: func(h *History) {
-		accept(h, oneTaskJob)
+	{name: "running after done", violation: "went_back", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
 		runToCompletion(h, "wk-1/0", "m1")
-		respondTo(h, "query", "wk-1", 200, job.Done)
+		recordResponse(h, "query", "wk-1", 200, job.Done)
 		time.Sleep(time.Second)
-		respondTo(h, "query", "wk-1", 200, job.Running)
+		recordResponse(h, "query", "wk-1", 200, job.Running)
 	}},
-	{name: "queued after cancelled, in no time", violation: "went_back at", plant: func(h *History) {
-		accept(h, oneTaskJob)
+	{name: "queued after cancelled, at the same instant", violation: "went_back at", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
 		acknowledgeCancellation(h, "wk-1")
-		respondTo(h, "query", "wk-1", 200, job.Queued)
+		recordResponse(h, "query", "wk-1", 200, job.Queued)
 	}},
-	{name: "cancelled by nobody", violation: "went_back at", plant: func(h *History) {
-		accept(h, oneTaskJob)
-		respondTo(h, "query", "wk-1", 200, job.Cancelled)
+	{name: "cancelled without a request", violation: "went_back at", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
+		recordResponse(h, "query", "wk-1", 200, job.Cancelled)
 	}},
-	{name: "no fault: a request that overlaps another", plant: func(h *History) {
-		// Asked before the answer came: neither is the older one.
+	{name: "permitted: a request that overlaps another", run: func(h *History) {
+		// The query is sent before the other response is received, so neither is older.
 		h.RecordSubmission(oneTaskJob)
 		early := h.StampRequest()
-		respondTo(h, "submit", "wk-1", 201, job.Queued)
+		recordResponse(h, "submit", "wk-1", 201, job.Queued)
 		h.RecordResponse("query", "wk-1", early, 404, "")
 		h.RecordCancelRequest("wk-1")
 		early = h.StampRequest()
-		respondTo(h, "cancel", "wk-1", 200, job.Cancelled)
+		recordResponse(h, "cancel", "wk-1", 200, job.Cancelled)
 		h.RecordResponse("query", "wk-1", early, 200, job.Running)
 	}},
-	{name: "an invalid job is accepted", violation: "unfit", plant: func(h *History) {
+	{name: "an invalid job is accepted", violation: "unfit", run: func(h *History) {
 		h.RecordInvalidSubmission(oneTaskJob)
-		respondTo(h, "submit", "wk-1", 201, job.Queued)
+		recordResponse(h, "submit", "wk-1", 201, job.Queued)
 	}},
-	{name: "queued although a dependency is cancelled", violation: "orphaned", plant: func(h *History) {
-		accept(h, oneTaskJob, dependentJob)
+	{name: "queued although a dependency is cancelled", violation: "orphaned", run: func(h *History) {
+		submitAccepted(h, oneTaskJob, dependentJob)
 		acknowledgeCancellation(h, "wk-1")
 		time.Sleep(61 * time.Second)
-		respondTo(h, "query", "wk-2", 200, job.Queued)
+		recordResponse(h, "query", "wk-2", 200, job.Queued)
 	}},
 }
 
-var plantedWaitingFaults = []plantedFault{
-	{name: "a job waits while there is capacity", violation: "waits", plant: func(h *History) {
-		accept(h, oneTaskJob)
+var waitingRuleTests = []ruleTest{
+	{name: "a job waits while there is capacity", violation: "waits", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
 		h.RecordFaultsEnded()
-		checkWaitingFor(h, 92, true)
+		checkWaitingJobsFor(h, 92, true)
 	}},
-	{name: "no fault: capacity with a break, and a team at its quota", plant: func(h *History) {
+	{name: "permitted: waiting with interrupted capacity, or with the team at its quota", run: func(h *History) {
 		s := oneTaskJob
 		s.ID, s.Tasks, s.GPUs = "wk-3", 1, 2
-		accept(h, oneTaskJob, s)
+		submitAccepted(h, oneTaskJob, s)
 		h.RecordFaultsEnded()
-		checkWaitingFor(h, 80, true)
-		start(h, "wk-1/0", "m1")
-		checkWaitingFor(h, 1, false)
-		checkWaitingFor(h, 100, true)
+		checkWaitingJobsFor(h, 80, true)
+		startTask(h, "wk-1/0", "m1")
+		checkWaitingJobsFor(h, 1, false)
+		checkWaitingJobsFor(h, 100, true)
 	}},
-	{name: "the largest job has not begun", violation: "largest", plant: func(h *History) {
-		accept(h, oneTaskJob)
+	{name: "the largest job has not started", violation: "largest at", run: func(h *History) {
+		submitAccepted(h, oneTaskJob)
 		h.RecordFaultsEnded()
-		checkWaitingFor(h, 242, false)
+		checkWaitingJobsFor(h, 242, false)
 	}},
 }
 
-// Every rule of the protocol has a fault planted that the history must find, and what is no
-// fault finds nothing.
-func TestHistoryFindsPlantedFaults(t *testing.T) {
+// The history must detect a violation of every rule of the protocol, and must report none for
+// permitted behaviour.
+func TestHistoryDetectsRuleViolations(t *testing.T) {
 	settings := &config.Settings{
 		Workers: config.WorkerTiming{CancellationDeadline: 60 * time.Second},
 		Teams:   map[string]config.Team{"t": {Name: "t", GPUQuota: 2}},
 	}
-	for _, fault := range slices.Concat(plantedTaskFaults, plantedResponseFaults, plantedWaitingFaults) {
-		t.Run(fault.name, func(t *testing.T) {
+	for _, test := range slices.Concat(taskRuleTests, responseRuleTests, waitingRuleTests) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := NewHistory(settings)
-				fault.plant(h)
-				found := strings.Join(h.Violations(), "; ")
-				if fault.violation == "" && found != "" || !strings.Contains(found, fault.violation) {
-					t.Errorf("found %q", found)
+				test.run(h)
+				violations := strings.Join(h.Violations(), "; ")
+				if test.violation == "" && violations != "" || !strings.Contains(violations, test.violation) {
+					t.Errorf("violations: got %q, want %q", violations, test.violation)
 				}
-				if n := h.StartsAfterCancel(); (n > 0) != fault.startsAfterCancel {
-					t.Errorf("%d starts after a confirmed cancellation", n)
+				if n := h.StartsAfterCancel(); (n > 0) != test.startsAfterCancel {
+					t.Errorf("starts after an acknowledged cancellation: got %d, want any: %v",
+						n, test.startsAfterCancel)
 				}
 			})
 		})
--- a/emulator/history_tasks.go
+++ b/emulator/history_tasks.go
@@ -8,7 +8,7 @@
 	"robinstack/internal/job"
 )
 
-// TaskStart is a task that has its image and is on a machine from now on.
+// TaskStart describes a task that has fetched its image and now starts on a machine.
 type TaskStart struct {
 	Task        string
 	Machine     string
@@ -17,27 +17,28 @@
 	Spot        bool
 }
 
-// RecordTaskStart notes the start of a task, and checks that it may be there: once, while
-// its job goes on, where its job may run, after its dependencies, within its team's quota.
+// RecordTaskStart records the start of a task and checks it against the rules: the task must not be
+// on another machine or have completed, its job must not have been cancelled for too long, the
+// placement constraints, dependencies and the team's quota must be respected.
 func (h *History) RecordTaskStart(s TaskStart) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.starts++
 	id, index, _ := job.SplitTaskID(s.Task)
-	h.note(id, "%d starts on %s", index, s.Machine)
+	h.traceEvent(id, "task %d starts on %s", index, s.Machine)
 	j := h.jobs[id]
 	if j == nil {
-		h.violate("invented", "%s starts and nobody submitted it", s.Task)
+		h.recordViolation("invented", "%s starts, but nobody submitted its job", s.Task)
 		return
 	}
-	if there, twice := j.placements[index]; twice {
-		h.violate("ran_twice", "%s starts on %s while it is on %s", s.Task, s.Machine, there.machine)
+	if current, placed := j.placements[index]; placed {
+		h.recordViolation("ran_twice", "%s starts on %s while it is on %s", s.Task, s.Machine, current.machine)
 	}
 	h.checkStartAfterCancel(j, &s)
-	h.checkPlace(j, index, &s)
+	h.checkPlacement(j, index, &s)
 	h.checkDependencies(j, s.Task)
 	if j.completed[index] {
-		h.violate("ran_twice", "%s starts anew although it has completed", s.Task)
+		h.recordViolation("ran_twice", "%s starts again after it has completed", s.Task)
 	}
 	if j.started[index] {
 		h.restarts++
@@ -46,7 +47,7 @@
 	}
 	j.started[index] = true
 	j.placements[index] = placement{s.Machine, s.Zone, time.Now()}
-	h.checkQuota(&j.spec)
+	h.addUsageAndCheckQuota(&j.spec)
 }
 
 func (h *History) checkStartAfterCancel(j *jobHistory, s *TaskStart) {
@@ -55,38 +56,42 @@
 	}
 	h.startsAfterCancel++
 	if after := time.Since(j.cancelAcknowledgedAt); after > h.settings.Workers.CancellationDeadline {
-		h.violate("ran_cancelled", "%s starts on %s %v after its user was told", s.Task, s.Machine, after)
+		h.recordViolation(
+			"ran_cancelled", "%s starts on %s %v after its cancellation was acknowledged", s.Task, s.Machine, after)
 	}
 }
 
-// maxTasksInZone is how many tasks of a job that is to be spread may be in one zone.
+// maxTasksInZone returns the maximum number of tasks in one zone for a job with the spread
+// constraint: half of the tasks, rounded up.
 func maxTasksInZone(spec job.Spec) int { return (spec.Tasks + 1) / 2 }
 
-// checkPlace holds a start against the machine types and zones of its job.
-func (h *History) checkPlace(j *jobHistory, index int, s *TaskStart) {
+// checkPlacement checks the machine of a task against the placement constraints of its job.
+func (h *History) checkPlacement(j *jobHistory, index int, s *TaskStart) {
 	if !j.spec.AllowsMachine(s.MachineType, s.Zone, s.Spot) {
-		h.violate("wrong_place", "%s starts on %s", s.Task, s.Machine)
+		h.recordViolation(
+			"wrong_place", "%s starts on %s, whose type, zone or spot kind its job does not allow", s.Task, s.Machine)
 	}
 	byZone := map[string]int{s.Zone: 1}
-	for other, p := range j.placements {
-		if other != index {
+	for otherIndex, p := range j.placements {
+		if otherIndex != index {
 			byZone[p.zone]++
 		}
 	}
 	if j.spec.OneZone && len(byZone) > 1 || j.spec.Spread && byZone[s.Zone] > maxTasksInZone(j.spec) {
-		h.violate("wrong_place", "%s starts in %s, its job's tasks are in %v", s.Task, s.Zone, byZone)
+		h.recordViolation("wrong_place", "%s starts in zone %s against its job's zone constraint; tasks by zone: %v",
+			s.Task, s.Zone, byZone)
 	}
 }
 
 func (h *History) checkDependencies(j *jobHistory, task string) {
 	for _, dependency := range j.spec.WaitsOn {
 		if d := h.jobs[dependency]; d == nil || !d.isComplete() {
-			h.violate("too_early", "%s starts before %s is done", task, dependency)
+			h.recordViolation("too_early", "%s starts before its dependency %s has completed", task, dependency)
 		}
 	}
 }
 
-// awaitsDependencies reports whether a job waits for others.
+// awaitsDependencies reports whether a dependency of the job has not completed.
 func (h *History) awaitsDependencies(j *jobHistory) bool {
 	return slices.ContainsFunc(j.spec.WaitsOn, func(id string) bool {
 		d := h.jobs[id]
@@ -94,27 +99,29 @@
 	})
 }
 
-// quotaSlack is how much of a resource is a matter of rounding.
-const quotaSlack = 1e-6
+// quotaRoundingTolerance is the amount of a resource by which usage may exceed a quota because of
+// floating-point rounding.
+const quotaRoundingTolerance = 1e-6
 
-// exceedsQuota reports whether a team's use is beyond its quota; a quota of 0 is none.
+// exceedsQuota reports whether usage exceeds the team's quota. A quota of 0 means no quota.
 func exceedsQuota(team *config.Team, use job.Resources) bool {
-	return team.GPUQuota > 0 && use.GPUs > team.GPUQuota+quotaSlack ||
-		team.CPUQuota > 0 && use.CPUs > team.CPUQuota+quotaSlack
+	return team.GPUQuota > 0 && use.GPUs > team.GPUQuota+quotaRoundingTolerance ||
+		team.CPUQuota > 0 && use.CPUs > team.CPUQuota+quotaRoundingTolerance
 }
 
-// checkQuota adds a task to its team's use.
-func (h *History) checkQuota(spec *job.Spec) {
-	use := h.usage[spec.Team].AddScaled(spec.Need, 1)
-	h.usage[spec.Team] = use
+// addUsageAndCheckQuota adds the resources of one task to the usage of its team and records a
+// violation if the team exceeds its quota.
+func (h *History) addUsageAndCheckQuota(spec *job.Spec) {
+	use := h.teamUsage[spec.Team].AddScaled(spec.Need, 1)
+	h.teamUsage[spec.Team] = use
 	team := h.settings.Teams[spec.Team]
 	if exceedsQuota(&team, use) {
-		h.violate("quota", "team %s uses %v", spec.Team, use)
-		h.maxOvershoot = max(h.maxOvershoot, use.GPUs-team.GPUQuota)
+		h.recordViolation("quota", "team %s uses %v, which exceeds its quota", spec.Team, use)
+		h.maxQuotaOvershoot = max(h.maxQuotaOvershoot, use.GPUs-team.GPUQuota)
 	}
 }
 
-// RecordTaskRemoval notes that a task is not on its machine any more.
+// RecordTaskRemoval records that a task is no longer on a machine.
 func (h *History) RecordTaskRemoval(task, machine string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -123,18 +130,19 @@
 	if j == nil {
 		return
 	}
-	if p, there := j.placements[index]; !there || p.machine != machine {
+	if p, placed := j.placements[index]; !placed || p.machine != machine {
 		return
 	}
 	delete(j.placements, index)
-	h.note(id, "%d is gone from %s", index, machine)
-	h.usage[j.spec.Team] = h.usage[j.spec.Team].AddScaled(j.spec.Need, -1)
+	h.traceEvent(id, "task %d removed from %s", index, machine)
+	h.teamUsage[j.spec.Team] = h.teamUsage[j.spec.Team].AddScaled(j.spec.Need, -1)
 	if !j.isCancelled() {
 		return
 	}
 	after := time.Since(j.cancelAcknowledgedAt)
-	h.cancelToStop = append(h.cancelToStop, after)
+	h.timesToStopAfterCancel = append(h.timesToStopAfterCancel, after)
 	if after > h.settings.Workers.CancellationDeadline {
-		h.violate("ran_cancelled", "%s was on %s until %v after its user was told", task, machine, after)
+		h.recordViolation(
+			"ran_cancelled", "%s stayed on %s until %v after its cancellation was acknowledged", task, machine, after)
 	}
 }
--- a/emulator/history_waiting.go
+++ b/emulator/history_waiting.go
@@ -6,42 +6,42 @@
 	"robinstack/internal/job"
 )
 
-// Once the faults are over, a job waits no longer than maxWait while there is capacity, and
-// the largest of a class begin within largestStartLimit.
+// Time limits that apply once faults have ended.
 const (
-	maxWait           = 90 * time.Second
-	largestStartLimit = 4 * time.Minute
+	maxWaitWithCapacity = 90 * time.Second // for a job with capacity and quota available throughout
+	maxLargestJobWait   = 4 * time.Minute  // for the first start of the largest jobs of each class
 )
 
-// waitingJob is a job that could start.
-type waitingJob struct {
+// eligibleJob is a job whose dependencies have completed and that has not finished.
+type eligibleJob struct {
 	spec      job.Spec
-	tasks     int  // that have to find capacity together; 0: it waits for nothing
-	overQuota bool // its team has no quota left for them
+	tasks     int  // number of tasks that must be placed together; 0: no task is waiting
+	overQuota bool // these tasks would exceed the team's quota
 }
 
-// CheckWaitingJobs is to be called every second or so: it holds jobs that wait against what
-// machines have capacity for. hasCapacity tells whether a job's tasks that are on no
-// machine, or one of an array's, find capacity now on machines that nothing keeps from
-// serving.
+// CheckWaitingJobs checks that no job waits too long although there is capacity for it. It must be
+// called about once per second. hasCapacity reports whether the given number of tasks of a job fits
+// on machines without injected faults; for an array it is asked about one task, for other jobs
+// about all tasks that are not on machines.
 func (h *History) CheckWaitingJobs(hasCapacity func(spec job.Spec, tasks int) bool) {
-	// The cloud tells the history with its own mutex held, so not the other way.
-	for id, w := range h.waitingJobs() {
-		available := w.tasks > 0 && !w.overQuota && hasCapacity(w.spec, w.tasks)
+	// hasCapacity must be called without h.mu: the cloud calls the history with its own mutex held.
+	for id, w := range h.eligibleJobs() {
+		canPlace := w.tasks > 0 && !w.overQuota && hasCapacity(w.spec, w.tasks)
 		h.mu.Lock()
-		h.checkWaiting(id, available)
+		h.checkJobWait(id, canPlace)
 		h.mu.Unlock()
 	}
 }
 
-// waitingJobs lists the jobs that have not ended and could start.
-func (h *History) waitingJobs() map[string]waitingJob {
+// eligibleJobs returns, by id, the accepted jobs that have not finished, are not to be cancelled
+// and do not wait for dependencies.
+func (h *History) eligibleJobs() map[string]eligibleJob {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := map[string]waitingJob{}
+	out := map[string]eligibleJob{}
 	for id, j := range h.jobs {
-		if !j.accepted || j.finalTime > 0 || h.mayBeCancelled(j) || h.awaitsDependencies(j) {
-			j.capacitySince = time.Time{}
+		if !j.accepted || j.finalLogicalTime > 0 || h.cancellationExpected(j) || h.awaitsDependencies(j) {
+			j.capacityAvailableSince = time.Time{}
 			continue
 		}
 		if j.eligibleSince.IsZero() {
@@ -52,13 +52,13 @@
 			tasks = min(tasks, 1)
 		}
 		team := h.settings.Teams[j.spec.Team]
-		use := h.usage[j.spec.Team].AddScaled(j.spec.Need, float64(tasks))
-		out[id] = waitingJob{j.spec, tasks, exceedsQuota(&team, use)}
+		use := h.teamUsage[j.spec.Team].AddScaled(j.spec.Need, float64(tasks))
+		out[id] = eligibleJob{j.spec, tasks, exceedsQuota(&team, use)}
 	}
 	return out
 }
 
-// unplacedTasks counts the tasks that are on no machine and have not completed.
+// unplacedTasks returns the number of tasks that are not on a machine and have not completed.
 func (j *jobHistory) unplacedTasks() int {
 	n := j.spec.Tasks - len(j.completed)
 	for index := range j.placements {
@@ -69,38 +69,41 @@
 	return n
 }
 
-// checkWaiting takes note of whether a job waits although there is capacity. The mutex is
-// held.
-func (h *History) checkWaiting(id string, capacity bool) {
+// checkJobWait updates how long the job has been waiting although it can be placed, and records a
+// violation if it waits too long. canPlace reports whether there is capacity and quota for it now.
+// The caller must hold h.mu.
+func (h *History) checkJobWait(id string, canPlace bool) {
 	j, now := h.jobs[id], time.Now()
-	if !capacity {
-		j.capacitySince = time.Time{}
-	} else if j.capacitySince.IsZero() {
-		j.capacitySince = now
+	if !canPlace {
+		j.capacityAvailableSince = time.Time{}
+	} else if j.capacityAvailableSince.IsZero() {
+		j.capacityAvailableSince = now
 	}
-	if h.faultsEndedAt.IsZero() || j.overdue {
+	if h.faultsEndedAt.IsZero() || j.waitViolationRecorded {
 		return
 	}
-	if waited := now.Sub(latest(j.capacitySince, h.faultsEndedAt)); capacity && waited > maxWait {
-		j.overdue = true
-		h.violate("waits", "%s has waited for %v while a machine has room and its team is under its limit", id, waited)
+	if waited := now.Sub(laterOf(j.capacityAvailableSince, h.faultsEndedAt)); canPlace &&
+		waited > maxWaitWithCapacity {
+		j.waitViolationRecorded = true
+		h.recordViolation(
+			"waits", "%s has waited for %v although machines have capacity and its team has quota", id, waited)
 	}
-	waited := now.Sub(latest(j.eligibleSince, h.faultsEndedAt))
-	if len(j.started) == 0 && h.isLargest(&j.spec) && waited > largestStartLimit {
-		j.overdue = true
-		h.violate("largest", "%s, of the largest of its class, has not begun after %v", id, waited)
+	waited := now.Sub(laterOf(j.eligibleSince, h.faultsEndedAt))
+	if len(j.started) == 0 && h.isLargestOfClass(&j.spec) && waited > maxLargestJobWait {
+		j.waitViolationRecorded = true
+		h.recordViolation("largest", "%s, one of the largest jobs of its class, has not started after %v", id, waited)
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// isLargest reports whether no accepted job of its class has more tasks.
-func (h *History) isLargest(s *job.Spec) bool {
+// isLargestOfClass reports whether no accepted job of the same class has more tasks.
+func (h *History) isLargestOfClass(s *job.Spec) bool {
 	for _, j := range h.jobs {
 		if j.accepted && j.spec.Class == s.Class && j.spec.Tasks > s.Tasks {
 			return false
--- a/emulator/localcloud.go
+++ b/emulator/localcloud.go
@@ -12,47 +12,47 @@
 	"robinstack/internal/job"
 )
 
-// LocalCloud is a cloud on loopback whose machines have workers that run small commands, by
-// the published protocols, in real time. It checks the rules that its workers see
-// themselves (localRecord).
+// LocalCloud is a cloud whose machines are workers on the loopback interface. They speak the
+// published protocols and run small commands in real time. It checks the rules that can be observed
+// on the machines (see localHistory).
 type LocalCloud struct {
-	ctx    context.Context // ends all workers
-	config LocalCloudConfig
-	record *localRecord
+	ctx     context.Context // all workers stop when it ends
+	config  LocalCloudConfig
+	history *localHistory
 
 	mu              sync.Mutex // guards the fields below
 	machines        map[string]*LocalMachine
 	machinesCreated int
-	scaleOuts       map[string][]string // names of the machines, by request
+	scaleOuts       map[string][]string // names of the created machines, by request id
 }
 
-// LocalCloudConfig says what a local cloud is like.
+// LocalCloudConfig is the configuration of a LocalCloud.
 type LocalCloudConfig struct {
 	MachineTypes      []cloud.MachineType
-	MaxPerPool        int               // machines of each type, zone and kind (ordinary or spot)
-	Controllers       map[string]string // addresses for workers, by host
+	MaxPerPool        int               // machines of one type, zone and kind (on-demand or spot)
+	Controllers       map[string]string // addresses that workers connect to, by host
 	HeartbeatInterval time.Duration
 	LeaseDuration     time.Duration
-	LookUpSpec        func(job string) (*job.Spec, error) // what its user uploaded
+	LookUpSpec        func(job string) (*job.Spec, error) // returns the spec as the user submitted it
 }
 
-// NewLocalCloud returns a cloud without machines, whose workers run until ctx ends.
+// NewLocalCloud returns a cloud without machines. Its workers run until ctx ends.
 func NewLocalCloud(ctx context.Context, c LocalCloudConfig) *LocalCloud {
 	return &LocalCloud{
 		ctx:       ctx,
 		config:    c,
-		record:    newLocalRecord(),
+		history:   newLocalHistory(),
 		machines:  map[string]*LocalMachine{},
 		scaleOuts: map[string][]string{},
 	}
 }
 
-// MachineTypes lists the types on offer.
+// MachineTypes lists the offered machine types.
 func (c *LocalCloud) MachineTypes(context.Context) ([]cloud.MachineType, error) {
 	return c.config.MachineTypes, nil
 }
 
-// ScaleIn returns machines, with all that is on them.
+// ScaleIn deletes machines together with the tasks on them.
 func (c *LocalCloud) ScaleIn(_ context.Context, names []string) error {
 	for _, name := range names {
 		c.mu.Lock()
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Machines lists the machines in the order of their names.
+// Machines lists the machines, sorted by name.
 func (c *LocalCloud) Machines(context.Context) ([]cloud.Machine, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,23 +82,23 @@
 	return out, nil
 }
 
-// ScaleOut rents machines, as many of those asked for as there is capacity for. A repeated
-// request has the same answer. The error is cloud.ErrNoCapacity if there may be none.
+// ScaleOut creates as many of the requested machines as there is capacity for, or returns
+// cloud.ErrNoCapacity if there is none. A repeated request returns the machines of the first one.
 func (c *LocalCloud) ScaleOut(_ context.Context, r cloud.ScaleOutRequest) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if names, known := c.scaleOuts[r.RequestID]; known {
 		return names, nil
 	}
-	t, offered := findType(c.config.MachineTypes, r.Type)
-	if !offered {
+	machineType, found := findMachineType(c.config.MachineTypes, r.Type)
+	if !found {
 		return nil, cloud.ErrNoCapacity
 	}
 	var names []string
 	for n := c.poolSize(&r); n < c.config.MaxPerPool && len(names) < r.Count; n++ {
-		name, err := c.startMachine(t, &r)
+		name, err := c.startMachine(machineType, &r)
 		if err != nil {
-			break // there are no more ports: that is all the capacity
+			break // no port is available, so capacity is exhausted
 		}
 		names = append(names, name)
 	}
@@ -109,7 +109,8 @@
 	return names, nil
 }
 
-// poolSize counts the machines of the type, zone and kind of a request. The mutex is held.
+// poolSize returns the number of machines of the type, zone and kind that a request names. The
+// caller must hold c.mu.
 func (c *LocalCloud) poolSize(r *cloud.ScaleOutRequest) (n int) {
 	for _, m := range c.machines {
 		if m.machineType.Name == r.Type && m.zone == r.Zone && m.spot == r.Spot {
@@ -119,26 +120,26 @@
 	return n
 }
 
-// startMachine makes a machine that boots from now on, and returns its name. The mutex is
-// held.
-func (c *LocalCloud) startMachine(t cloud.MachineType, r *cloud.ScaleOutRequest) (string, error) {
-	var config net.ListenConfig
-	listener, err := config.Listen(c.ctx, "tcp4", "127.0.0.1:0")
+// startMachine creates a machine, starts to boot it and returns its name. The caller must hold
+// c.mu.
+func (c *LocalCloud) startMachine(machineType cloud.MachineType, r *cloud.ScaleOutRequest) (string, error) {
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(c.ctx, "tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	c.machinesCreated++
 	m := &LocalMachine{
-		cloud:       c,
-		workerLease: workerLease{epoch: 1},
-		name:        machineName(c.machinesCreated),
-		address:     listener.Addr().String(),
-		machineType: t,
-		zone:        r.Zone,
-		spot:        r.Spot,
-		createdAt:   time.Now(),
-		changed:     make(chan struct{}, 1),
-		tasks:       map[string]*localTask{},
+		cloud:              c,
+		workerLease:        workerLease{epoch: 1},
+		name:               machineName(c.machinesCreated),
+		address:            listener.Addr().String(),
+		machineType:        machineType,
+		zone:               r.Zone,
+		spot:               r.Spot,
+		createdAt:          time.Now(),
+		heartbeatRequested: make(chan struct{}, 1),
+		tasks:              map[string]*localTask{},
 	}
 	m.ctx, m.stop = context.WithCancel(c.ctx)
 	c.machines[m.name] = m
@@ -146,21 +147,24 @@
 	return m.name, nil
 }
 
-// Violations lists the rules that were broken.
-func (c *LocalCloud) Violations() []string { return c.record.listViolations() }
+// Violations lists the rule violations detected so far.
+func (c *LocalCloud) Violations() []string { return c.history.listViolations() }
 
-// TaskStarts counts the starts of tasks.
-func (c *LocalCloud) TaskStarts() int { return c.record.taskStarts() }
+// TaskStarts returns the number of task starts.
+func (c *LocalCloud) TaskStarts() int { return c.history.taskStarts() }
 
-// Restarts counts the starts of tasks that had been started before, and tells the longest
-// time without a start.
-func (c *LocalCloud) Restarts() (restarts int, longestGap time.Duration) { return c.record.restarts() }
+// Restarts returns the number of starts of tasks that had started before, and the longest time
+// between two consecutive task starts.
+func (c *LocalCloud) Restarts() (restarts int, longestGap time.Duration) {
+	return c.history.restartStats()
+}
 
-// CheckDependencies has each start of a task checked: dependencies lists the tasks that
-// have to be completed before. It must not ask the cloud.
+// CheckDependencies enables the check that a task starts only after its dependencies. dependencies
+// returns the tasks that must have completed before the given one starts; it must not call the
+// cloud.
 func (c *LocalCloud) CheckDependencies(dependencies func(task string) []string) {
-	c.record.checkDependencies(dependencies)
+	c.history.setDependencyLookup(dependencies)
 }
 
 // TaskCompleted reports whether a task has completed.
-func (c *LocalCloud) TaskCompleted(task string) bool { return c.record.taskCompleted(task) }
+func (c *LocalCloud) TaskCompleted(task string) bool { return c.history.taskCompleted(task) }
--- a/emulator/localcloud_test.go
+++ b/emulator/localcloud_test.go
@@ -6,27 +6,27 @@
 	"robinstack/internal/job"
 )
 
-// The record finds a task that starts on one machine while it is on another, and not one
-// that starts again after it has gone.
-func TestLocalCloudFindsTasksThatRunTwice(t *testing.T) {
+// The cloud must report a task that starts on one machine while it is on another, but not a task
+// that starts again after it was removed.
+func TestLocalCloudDetectsTaskOnTwoMachines(t *testing.T) {
 	c := NewLocalCloud(t.Context(), LocalCloudConfig{})
-	onMachine := func(machine string, attempt uint64) *localTask {
+	newAttempt := func(machine string, attempt uint64) *localTask {
 		return &localTask{
 			machine: &LocalMachine{cloud: c, name: machine}, id: "wk-1/0", job: "wk-1", attempt: attempt,
 			spec: &job.Spec{Tasks: 1},
 		}
 	}
-	first, again, twice := onMachine("m1", 1), onMachine("m2", 2), onMachine("m3", 3)
-	c.record.recordStart(first)
-	c.record.recordEnd(first, false)
-	c.record.recordStart(again)
+	first, second, third := newAttempt("m1", 1), newAttempt("m2", 2), newAttempt("m3", 3)
+	c.history.recordStart(first)
+	c.history.recordRemoval(first, false)
+	c.history.recordStart(second)
 	if violations := c.Violations(); len(violations) != 0 {
-		t.Fatal(violations)
+		t.Fatalf("violations after a restart: got %q, want none", violations)
 	}
-	c.record.recordStart(twice)
-	c.record.recordEnd(again, false) // the end of the one says nothing of the other
-	c.record.recordStart(onMachine("m4", 4))
+	c.history.recordStart(third)
+	c.history.recordRemoval(second, false) // must not hide that the third attempt is still on its machine
+	c.history.recordStart(newAttempt("m4", 4))
 	if violations := c.Violations(); len(violations) != 2 {
-		t.Error(violations)
+		t.Errorf("violations: got %q, want 2", violations)
 	}
 }
--- a/emulator/localmachine.go
+++ b/emulator/localmachine.go
@@ -17,37 +17,37 @@
 	"robinstack/internal/worker"
 )
 
-// LocalMachine is a machine of a local cloud with its worker. Its mutex guards the lease
-// and the tasks; the record's may be taken under it.
+// LocalMachine is a machine of a LocalCloud together with its worker. mu guards the lease and the
+// tasks. The mutex of the localHistory may be locked while mu is held.
 type LocalMachine struct {
-	cloud       *LocalCloud
-	name        string
-	address     string
-	machineType cloud.MachineType
-	zone        string
-	spot        bool
-	createdAt   time.Time
-	ctx         context.Context // ends with the machine
-	stop        context.CancelFunc
-	changed     chan struct{} // that the next heartbeat is to come sooner
+	cloud              *LocalCloud
+	name               string
+	address            string
+	machineType        cloud.MachineType
+	zone               string
+	spot               bool
+	createdAt          time.Time
+	ctx                context.Context // ends when the machine is deleted
+	stop               context.CancelFunc
+	heartbeatRequested chan struct{} // signals that the next heartbeat should be sent soon
 
 	mu sync.Mutex
 	workerLease
 	tasks map[string]*localTask // by attemptKey
 }
 
-// notifyWorker has the next heartbeat come sooner.
-func (m *LocalMachine) notifyWorker() { notify(m.changed) }
+// requestHeartbeat makes the worker send its next heartbeat soon.
+func (m *LocalMachine) requestHeartbeat() { trySignal(m.heartbeatRequested) }
 
-// run is the worker: it boots, then sends heartbeats to one controller at a time and takes
-// commands until the machine ends.
+// run is the main loop of the worker. It boots the machine, then serves commands and sends
+// heartbeats to one controller at a time until the machine is deleted.
 func (m *LocalMachine) run(listener net.Listener) {
 	if !sleep(m.ctx, m.machineType.ProvisioningTime()) {
-		_ = listener.Close() // nothing has used it
+		_ = listener.Close() // the listener has not been used
 		return
 	}
 	server := &http.Server{Handler: http.HandlerFunc(m.serve)}
-	go func() { _ = server.Serve(listener) }() // until it is closed
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	defer func() { _ = server.Close() }()
 	m.mu.Lock()
 	m.renewedAt = time.Now()
@@ -57,28 +57,28 @@
 	hosts := slices.Sorted(maps.Keys(m.cloud.config.Controllers))
 	controllers := controllerRotation{hosts, rand.IntN(len(hosts))}
 	for m.ctx.Err() == nil {
-		next := m.sendHeartbeat(client, m.cloud.config.Controllers[controllers.host()])
+		target := m.sendHeartbeat(client, m.cloud.config.Controllers[controllers.host()])
 		interval := jitter(m.cloud.config.HeartbeatInterval, rand.Float64())
-		waitForHeartbeat(m.ctx, controllers.next(next, interval), m.changed)
+		waitForHeartbeat(m.ctx, controllers.advance(target, interval), m.heartbeatRequested)
 	}
 }
 
-// sendHeartbeat sends one heartbeat, and says where to send the next one.
-func (m *LocalMachine) sendHeartbeat(client *http.Client, address string) redirect {
-	sent := time.Now()
+// sendHeartbeat sends one heartbeat and returns the target of the next one.
+func (m *LocalMachine) sendHeartbeat(client *http.Client, address string) heartbeatTarget {
+	sentAt := time.Now()
 	heartbeat := m.nextHeartbeat()
 	code, body, err := postHeartbeat(m.ctx, client, address, &heartbeat)
 	if err != nil {
-		return redirect{}
+		return heartbeatTarget{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next, response := m.accept(heartbeat.WorkerEpoch, sent, code, body)
+	target, response := m.handleResponse(heartbeat.WorkerEpoch, sentAt, code, body)
 	if response != nil {
 		m.token = response.FencingToken
-		m.executeAll(response.Commands)
+		m.executeCommands(response.Commands)
 	}
-	return next
+	return target
 }
 
 func postHeartbeat(
@@ -89,7 +89,8 @@
 		return 0, nil, err
 	}
 	url := "http://" + address + heartbeatPath
-	// A request goes on when the machine ends, as from one whose power is cut.
+	// A request in flight is not cancelled when the machine is deleted: what a real machine has
+	// sent before it loses power arrives too.
 	request, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodPost, url, bytes.NewReader(raw))
 	if err != nil {
 		return 0, nil, err
@@ -99,7 +100,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	body, err = io.ReadAll(response.Body)
 	return response.StatusCode, body, err
 }
@@ -107,7 +108,7 @@
 func (m *LocalMachine) nextHeartbeat() worker.Heartbeat {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h := m.beginHeartbeat()
+	h := m.newHeartbeat()
 	h.Machine, h.Address, h.Type, h.Zone, h.Spot = m.name, m.address, m.machineType.Name, m.zone, m.spot
 	for _, key := range slices.Sorted(maps.Keys(m.tasks)) {
 		t := m.tasks[key]
@@ -116,64 +117,66 @@
 	return h
 }
 
-// serve answers commands that come straight from controllers.
+// serve handles commands that controllers send directly to the worker. Every other path returns the
+// worker's status.
 func (m *LocalMachine) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != commandPath {
-		respond(w, http.StatusOK, m.nextHeartbeat())
+		writeJSON(w, http.StatusOK, m.nextHeartbeat())
 		return
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		respond(w, http.StatusBadRequest, nil)
+		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	in, err := parseCommands(body)
+	request, err := parseCommands(body)
 	if err != nil {
-		respond(w, http.StatusBadRequest, nil)
+		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	if !m.execute(in) {
-		respond(w, http.StatusConflict, m.nextHeartbeat())
+	if !m.execute(request) {
+		writeJSON(w, http.StatusConflict, m.nextHeartbeat())
 		return
 	}
-	respond(w, http.StatusOK, m.nextHeartbeat())
+	writeJSON(w, http.StatusOK, m.nextHeartbeat())
 }
 
-// execute carries out commands, unless they are for another worker epoch or under a fencing
-// token that has been replaced.
-func (m *LocalMachine) execute(in *commandRequest) bool {
+// execute executes commands and reports true, unless the commands are for another worker epoch or
+// carry a fencing token lower than the highest one seen.
+func (m *LocalMachine) execute(request *commandRequest) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.admits(*in.Token, *in.Epoch) {
+	if !m.acceptsCommands(*request.Token, *request.Epoch) {
 		return false
 	}
-	if m.token < *in.Token {
-		m.notifyWorker()
+	if m.token < *request.Token {
+		m.requestHeartbeat()
 	}
-	m.token = *in.Token
-	m.executeAll(in.Commands)
+	m.token = *request.Token
+	m.executeCommands(request.Commands)
 	return true
 }
 
-// executeAll executes commands in order. The mutex is held.
-func (m *LocalMachine) executeAll(commands []worker.Command) {
+// executeCommands executes commands in order. The caller must hold m.mu.
+func (m *LocalMachine) executeCommands(commands []worker.Command) {
 	for _, c := range commands {
 		key := attemptKey(c.Task, c.Attempt)
 		t := m.tasks[key]
 		switch {
-		case c.Op == opRun && t == nil:
-			m.start(key, c)
-		case c.Op == opKill && t != nil:
+		case c.Op == opStart && t == nil:
+			m.startAttempt(key, c)
+		case c.Op == opStop && t != nil:
 			t.requestStop()
 		case c.Op == opForget && t != nil && t.state == worker.TaskExited:
 			delete(m.tasks, key)
 		}
 	}
-	m.notifyWorker()
+	m.requestHeartbeat()
 }
 
-// start begins an attempt at a task, or lists it as ended at once. The mutex is held.
-func (m *LocalMachine) start(key string, c worker.Command) {
+// startAttempt starts an attempt at a task. If the attempt cannot run here, it is added as exited,
+// with the cause. The caller must hold m.mu.
+func (m *LocalMachine) startAttempt(key string, c worker.Command) {
 	t := newLocalTask(m, c)
 	spec, err := m.cloud.config.LookUpSpec(t.job)
 	t.spec = spec
@@ -193,8 +196,8 @@
 	m.tasks[key] = t
 }
 
-// freeGPUs is what the tasks on the machine leave of its GPUs, and whether one of them is an
-// attempt at the same task. The mutex is held.
+// freeGPUs returns the GPUs that no task on the machine uses, and reports whether the machine runs
+// another attempt at the given task. The caller must hold m.mu.
 func (m *LocalMachine) freeGPUs(task string) (free float64, otherAttempt bool) {
 	free = m.machineType.GPUs
 	for _, other := range m.tasks {
@@ -206,38 +209,38 @@
 	return free, otherAttempt
 }
 
-// dropTasks ends and forgets all tasks, as when the machine goes or its lease expires.
+// dropTasks stops and removes all tasks, because the machine is deleted or its lease has expired.
 func (m *LocalMachine) dropTasks() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for key, t := range m.tasks {
 		t.requestStop()
-		m.cloud.record.recordEnd(t, false)
+		m.cloud.history.recordRemoval(t, false)
 		delete(m.tasks, key)
 	}
 }
 
-// leasePoll is how often a worker looks whether its lease has expired.
-const leasePoll = 100 * time.Millisecond
+// leaseCheckInterval is the interval at which a worker checks whether its lease has expired.
+const leaseCheckInterval = 100 * time.Millisecond
 
-// watchLease ends all tasks whenever the lease expires, until the machine ends.
+// watchLease drops all tasks each time the lease expires, until the machine is deleted.
 func (m *LocalMachine) watchLease() {
-	tick := time.NewTicker(leasePoll)
+	tick := time.NewTicker(leaseCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-m.ctx.Done():
 			return
 		case <-tick.C:
-			if m.takeLeaseExpiry() {
+			if m.expireLeaseIfDue() {
 				m.dropTasks()
 			}
 		}
 	}
 }
 
-// takeLeaseExpiry begins a new worker epoch if the lease has expired, and reports that.
-func (m *LocalMachine) takeLeaseExpiry() bool {
+// expireLeaseIfDue starts a new worker epoch if the lease has expired, and reports whether it has.
+func (m *LocalMachine) expireLeaseIfDue() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if time.Since(m.renewedAt) <= m.cloud.config.LeaseDuration {
--- a/emulator/localrecord.go
+++ b/emulator/localrecord.go
@@ -7,129 +7,130 @@
 	"time"
 )
 
-// localRecord is what happened on the machines of a local cloud, held against the rules
-// that can be seen there: a task is on one machine at a time, and starts after those that
-// it depends on have completed. Its mutex guards all of it, and is a leaf.
-type localRecord struct {
-	mu           sync.Mutex
-	completed    map[string]bool                  // tasks
-	placed       map[string]*localTask            // where a task is, by its id
-	gangs        map[string]map[string]*localTask // tasks on machines, by the job's attempt
-	dependencies func(task string) []string       // nil: not checked
-	started      map[string]bool                  // tasks that have been started
-	starts       int
-	startsAgain  int // of tasks that had been started before
-	lastStart    time.Time
-	longestGap   time.Duration // between two starts
-	violations   []string
+// localHistory records what happens on the machines of a LocalCloud and checks the rules that can
+// be observed there: a task is on one machine at a time and starts only after its dependencies have
+// completed. mu guards all fields; no other lock is taken while it is held.
+type localHistory struct {
+	mu               sync.Mutex
+	completed        map[string]bool                  // by task id
+	placements       map[string]*localTask            // attempts on machines, by task id
+	gangs            map[string]map[string]*localTask // attempts on machines, by job attempt and task id
+	dependencyLookup func(task string) []string       // nil: dependencies are not checked
+	started          map[string]bool                  // tasks that have been on a machine, by id
+	starts           int
+	restartCount     int // starts of tasks that had started before
+	lastStart        time.Time
+	longestStartGap  time.Duration // between two consecutive starts
+	violations       []string
 }
 
-func newLocalRecord() *localRecord {
-	return &localRecord{
-		completed: map[string]bool{},
-		placed:    map[string]*localTask{},
-		gangs:     map[string]map[string]*localTask{},
-		started:   map[string]bool{},
+func newLocalHistory() *localHistory {
+	return &localHistory{
+		completed:  map[string]bool{},
+		placements: map[string]*localTask{},
+		gangs:      map[string]map[string]*localTask{},
+		started:    map[string]bool{},
 	}
 }
 
-func (r *localRecord) listViolations() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.violations)
+func (h *localHistory) listViolations() []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return slices.Clone(h.violations)
 }
 
-func (r *localRecord) taskStarts() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.starts
+func (h *localHistory) taskStarts() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.starts
 }
 
-func (r *localRecord) restarts() (restarts int, longestGap time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.startsAgain, r.longestGap
+func (h *localHistory) restartStats() (restarts int, longestGap time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.restartCount, h.longestStartGap
 }
 
-func (r *localRecord) checkDependencies(dependencies func(task string) []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.dependencies = dependencies
+func (h *localHistory) setDependencyLookup(dependencies func(task string) []string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.dependencyLookup = dependencies
 }
 
-func (r *localRecord) taskCompleted(task string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.completed[task]
+func (h *localHistory) taskCompleted(task string) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.completed[task]
 }
 
-// dependenciesOf lists the tasks that have to be completed before one starts. The mutex
-// must not be held: whoever lists them has a lock of his own.
-func (r *localRecord) dependenciesOf(task string) []string {
-	r.mu.Lock()
-	dependencies := r.dependencies
-	r.mu.Unlock()
+// dependenciesOf returns the tasks that must complete before the given one starts. h.mu must not be
+// held, because the lookup function takes a lock of its own.
+func (h *localHistory) dependenciesOf(task string) []string {
+	h.mu.Lock()
+	dependencies := h.dependencyLookup
+	h.mu.Unlock()
 	if dependencies == nil {
 		return nil
 	}
 	return dependencies(task)
 }
 
-// recordStart notes that a task is on a machine from now on.
-func (r *localRecord) recordStart(t *localTask) {
-	dependencies := r.dependenciesOf(t.id)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.starts++
-	for _, p := range dependencies {
-		if !r.completed[p] {
-			r.violations = append(r.violations, fmt.Sprintf("too_early: %s starts before %s has completed", t.id, p))
+// recordStart records that an attempt is now on a machine, and checks the rules.
+func (h *localHistory) recordStart(t *localTask) {
+	dependencies := h.dependenciesOf(t.id)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.starts++
+	for _, dependency := range dependencies {
+		if !h.completed[dependency] {
+			h.violations = append(h.violations, fmt.Sprintf(
+				"too_early: %s starts before its dependency %s has completed", t.id, dependency))
 			break
 		}
 	}
-	if r.started[t.id] {
-		r.startsAgain++
+	if h.started[t.id] {
+		h.restartCount++
 	}
-	r.started[t.id] = true
+	h.started[t.id] = true
 	now := time.Now()
-	if !r.lastStart.IsZero() {
-		r.longestGap = max(r.longestGap, now.Sub(r.lastStart))
+	if !h.lastStart.IsZero() {
+		h.longestStartGap = max(h.longestStartGap, now.Sub(h.lastStart))
 	}
-	r.lastStart = now
-	if other := r.placed[t.id]; other != nil {
-		r.violations = append(r.violations, fmt.Sprintf(
+	h.lastStart = now
+	if other := h.placements[t.id]; other != nil {
+		h.violations = append(h.violations, fmt.Sprintf(
 			"ran_twice: %s starts on %s while it is on %s", t.id, t.machine.name, other.machine.name))
 	}
-	r.placed[t.id] = t
-	gang := t.jobAttempt()
-	if r.gangs[gang] == nil {
-		r.gangs[gang] = map[string]*localTask{}
+	h.placements[t.id] = t
+	gang := t.jobAttemptKey()
+	if h.gangs[gang] == nil {
+		h.gangs[gang] = map[string]*localTask{}
 	}
-	r.gangs[gang][t.id] = t
+	h.gangs[gang][t.id] = t
 }
 
-// recordEnd notes that a task is not on its machine any more.
-func (r *localRecord) recordEnd(t *localTask, completed bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.placed[t.id] == t {
-		delete(r.placed, t.id)
+// recordRemoval records that an attempt is no longer on its machine.
+func (h *localHistory) recordRemoval(t *localTask, completed bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.placements[t.id] == t {
+		delete(h.placements, t.id)
 	}
-	gang := t.jobAttempt()
-	if r.gangs[gang][t.id] == t {
-		delete(r.gangs[gang], t.id)
+	gang := t.jobAttemptKey()
+	if h.gangs[gang][t.id] == t {
+		delete(h.gangs[gang], t.id)
 	}
-	if len(r.gangs[gang]) == 0 {
-		delete(r.gangs, gang)
+	if len(h.gangs[gang]) == 0 {
+		delete(h.gangs, gang)
 	}
 	if completed {
-		r.completed[t.id] = true
+		h.completed[t.id] = true
 	}
 }
 
-// gangIsComplete reports whether all tasks of a gang's attempt are on machines.
-func (r *localRecord) gangIsComplete(t *localTask) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.gangs[t.jobAttempt()]) == t.spec.Tasks
+// gangIsComplete reports whether all tasks of the job attempt that t belongs to are on machines.
+func (h *localHistory) gangIsComplete(t *localTask) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.gangs[t.jobAttemptKey()]) == t.spec.Tasks
 }
--- a/emulator/localtask.go
+++ b/emulator/localtask.go
@@ -11,8 +11,8 @@
 	"robinstack/internal/worker"
 )
 
-// localTask is an attempt at a task on a machine of a local cloud. The machine's mutex
-// guards its state, its cause and stopped.
+// localTask is an attempt at a task on a machine of a LocalCloud. The machine's mutex guards state,
+// cause and stopRequested.
 type localTask struct {
 	machine *LocalMachine
 	id      string
@@ -22,8 +22,8 @@
 	state   string
 	cause   string
 
-	stop    chan struct{} // closed once it is to stop
-	stopped bool
+	stop          chan struct{} // closed to request the stop of the task
+	stopRequested bool
 }
 
 func newLocalTask(m *LocalMachine, c worker.Command) *localTask {
@@ -33,37 +33,37 @@
 	}
 }
 
-// jobAttempt names the attempt at the task's job.
-func (t *localTask) jobAttempt() string { return attemptKey(t.job, t.attempt) }
+// jobAttemptKey identifies the attempt at the task's job that this attempt belongs to.
+func (t *localTask) jobAttemptKey() string { return attemptKey(t.job, t.attempt) }
 
-// requestStop has the task stop. The machine's mutex is held.
+// requestStop asks the task to stop. The caller must hold the machine's mutex.
 func (t *localTask) requestStop() {
-	if !t.stopped {
-		t.stopped = true
+	if !t.stopRequested {
+		t.stopRequested = true
 		close(t.stop)
 	}
 }
 
-// setState sets what the machine's heartbeats say of the task, unless it has ended.
+// setState sets the state and cause that heartbeats report for the task, unless it has exited.
 func (t *localTask) setState(state, cause string) {
 	t.machine.mu.Lock()
 	if t.state != worker.TaskExited {
 		t.state, t.cause = state, cause
 	}
 	t.machine.mu.Unlock()
-	t.machine.notifyWorker()
+	t.machine.requestHeartbeat()
 }
 
-// finish ends the task. The record is told first: once a heartbeat has it, users may be
-// told, and it may be started elsewhere.
+// finish ends the attempt. It updates the history first: as soon as a heartbeat reports the exit,
+// the user may be told and the task may be started on another machine.
 func (t *localTask) finish(cause string) {
-	t.machine.cloud.record.recordEnd(t, cause == worker.CauseDone)
+	t.machine.cloud.history.recordRemoval(t, cause == worker.CauseDone)
 	t.setState(worker.TaskExited, cause)
 }
 
-// run takes the task through its states, until its machine ends.
+// run executes the attempt until it exits or the machine is deleted.
 func (t *localTask) run(ctx context.Context) {
-	t.machine.cloud.record.recordStart(t)
+	t.machine.cloud.history.recordStart(t)
 	if cause := t.awaitGang(); cause != "" {
 		t.finish(cause)
 		return
@@ -71,11 +71,11 @@
 	t.setState(worker.TaskRunning, "")
 	commandCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var failure error
+	var err error
 	exited := make(chan struct{})
 	go func() {
 		defer close(exited)
-		failure = runCommand(commandCtx, t.spec)
+		err = runCommand(commandCtx, t.spec)
 	}()
 	select {
 	case <-t.stop:
@@ -83,7 +83,7 @@
 		<-exited
 		t.finish(worker.CauseStopped)
 	case <-exited:
-		if failure != nil {
+		if err != nil {
 			t.finish(worker.CauseFailed)
 			return
 		}
@@ -91,34 +91,35 @@
 	}
 }
 
-// How long a member of a gang waits for the others, and how often it looks for them.
+// How long a task of a gang waits for the others, and how often it checks whether they are on
+// machines.
 const (
-	gangWaitTimeout = 20 * time.Second
-	gangPoll        = 20 * time.Millisecond
+	gangWaitTimeout  = 20 * time.Second
+	gangPollInterval = 20 * time.Millisecond
 )
 
-// awaitGang waits until all tasks of a gang are on machines. It returns the cause for which
-// the task ends instead, or "".
+// awaitGang waits until all tasks of the gang's attempt are on machines. It returns "" once they are
+// or if the job is not a gang, and otherwise the cause for which the attempt must end.
 func (t *localTask) awaitGang() (cause string) {
 	timeout := time.After(gangWaitTimeout)
-	for t.spec.Shape == job.Gang && !t.machine.cloud.record.gangIsComplete(t) {
+	for t.spec.Shape == job.Gang && !t.machine.cloud.history.gangIsComplete(t) {
 		t.setState(worker.TaskAwaitingGang, "")
 		select {
 		case <-t.stop:
 			return worker.CauseStopped
 		case <-timeout:
 			return worker.CauseGangIncomplete
-		case <-time.After(gangPoll):
+		case <-time.After(gangPollInterval):
 		}
 	}
 	return ""
 }
 
-// shellPrefix marks images that are commands for the shell.
+// shellPrefix marks an image name that is a shell command.
 const shellPrefix = "sh:"
 
-// runCommand does what the task is for. Commands are small: what the image names after
-// "sh:" is run by the shell, and anything else takes as long as its owner estimated.
+// runCommand does the work of the task. If the image name begins with "sh:", the rest is run by the
+// shell; otherwise the task sleeps for the duration that the user estimated.
 func runCommand(ctx context.Context, s *job.Spec) error {
 	if line, ok := strings.CutPrefix(s.Image, shellPrefix); ok {
 		return exec.CommandContext(ctx, "sh", "-c", line).Run()
--- a/emulator/loopbacknetwork.go
+++ b/emulator/loopbacknetwork.go
@@ -17,29 +17,29 @@
 	"robinstack/internal/worker"
 )
 
-// Traffic counts what passes between workers and controllers, HTTP headers included and
-// those of TCP and IP not. Safe for use from several goroutines.
+// Traffic counts the traffic between workers and controllers. Bytes include HTTP headers but not
+// TCP and IP headers. It is safe for concurrent use.
 type Traffic struct {
 	Heartbeats, Commands atomic.Uint64
-	Bytes                netcount.Counter // that workers sent and received
+	Bytes                netcount.Counter // sent and received by workers
 }
 
-// LoopbackNetwork puts a cloud's workers on the network of this machine: each has a listener
-// and a connection of its own.
+// LoopbackNetwork connects the workers of a SimulatedCloud to controllers over the loopback
+// interface. Each worker has its own listener and its own connection to a controller.
 type LoopbackNetwork struct {
 	ControllerAddresses map[string]string // by host
 	Traffic             Traffic
 }
 
-// UseNetwork has the cloud's workers use the network from now on. It must be called before
-// the first machine is rented.
+// UseNetwork connects workers through n instead of in-process calls. It must be called before the
+// first machine is created.
 func (c *SimulatedCloud) UseNetwork(n *LoopbackNetwork) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.network = n
 }
 
-// countedListener counts what passes over the connections that it accepts.
+// countedListener counts the traffic of the connections that it accepts.
 type countedListener struct {
 	net.Listener
 	traffic *Traffic
@@ -53,9 +53,10 @@
 	return l.traffic.Bytes.Conn(conn), nil
 }
 
-// loopbackTransport is a worker's connection to the controller that gets its heartbeats.
+// loopbackTransport sends a worker's heartbeats over TCP. It keeps one connection, to the
+// controller that received the last heartbeat.
 type loopbackTransport struct {
-	ctx     context.Context // ends with the machine
+	ctx     context.Context // ends when the machine stops
 	network *LoopbackNetwork
 
 	mu     sync.Mutex // guards host and client
@@ -71,19 +72,19 @@
 	}
 }
 
-// dialTimeout is how long a worker tries to connect.
+// dialTimeout limits how long a worker waits for a connection to a controller.
 const dialTimeout = 2 * time.Second
 
-// Thousands of workers are in one process: their buffers, in bytes, hold a heartbeat or
-// some commands and little more.
+// Buffer sizes of HTTP clients and servers. They are just large enough for a heartbeat or a few
+// commands, because thousands of workers run in one process.
 const (
 	heartbeatBufferBytes = 2048
 	commandBufferBytes   = 4096
 )
 
-// clientOf returns the client for a controller: a worker that goes to another one closes
-// the connection to the former.
-func (t *loopbackTransport) clientOf(host string) *fasthttp.HostClient {
+// clientFor returns the HTTP client for a controller. If the last heartbeat went to another
+// controller, it closes the connection to that one.
+func (t *loopbackTransport) clientFor(host string) *fasthttp.HostClient {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.client != nil && t.host == host {
@@ -115,7 +116,7 @@
 }
 
 func (t *loopbackTransport) send(_ context.Context, host string, body []byte) (int, []byte, error) {
-	client := t.clientOf(host)
+	client := t.clientFor(host)
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -125,24 +126,24 @@
 	request.SetBodyRaw(body)
 	t.network.Traffic.Heartbeats.Add(1)
 	if err := client.DoTimeout(request, response, heartbeatTimeout); err != nil {
-		return 0, nil, fmt.Errorf("sending a heartbeat to %s: %w", host, err)
+		return 0, nil, fmt.Errorf("sending heartbeat to %s: %w", host, err)
 	}
 	return response.StatusCode(), append([]byte(nil), response.Body()...), nil
 }
 
-// listen opens the address at which a worker takes commands.
+// listen opens the listener on which the worker receives direct commands.
 func (m *SimulatedMachine) listen() error {
-	var config net.ListenConfig
-	listener, err := config.Listen(m.ctx, "tcp4", "127.0.0.1:0")
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(m.ctx, "tcp4", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("opening an address for %s: %w", m.name, err)
+		return fmt.Errorf("opening listener for commands to %s: %w", m.name, err)
 	}
 	m.address = listener.Addr().String()
 	m.listener = countedListener{listener, &m.cloud.network.Traffic}
 	return nil
 }
 
-// serveCommands takes commands until the machine ends.
+// serveCommands serves direct commands until the machine stops.
 func (m *SimulatedMachine) serveCommands() {
 	server := &fasthttp.Server{
 		Handler:               m.handleCommand,
@@ -151,38 +152,39 @@
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
 	}
-	go func() { _ = server.Serve(m.listener) }() // it ends with the listener
+	go func() { _ = server.Serve(m.listener) }() // returns when the listener is closed
 	<-m.ctx.Done()
 	_ = m.listener.Close()
 	_ = server.Shutdown()
 }
 
-// Paths of a worker.
+// HTTP paths that a worker serves.
 const (
 	statusPath  = "/status"
 	commandPath = "/do"
 )
 
-// commandRequest is the body of commands sent straight to a worker.
+// commandRequest is the body of a request with direct commands to a worker.
 type commandRequest struct {
 	Token    *uint64          `json:"baton"`
 	Epoch    *uint64          `json:"tenure"`
 	Commands []worker.Command `json:"orders"`
 }
 
-// errMalformedCommands says that a body is none of commands.
-var errMalformedCommands = errors.New("malformed commands")
+// errMalformedCommands means that a request body does not contain valid commands.
+var errMalformedCommands = errors.New("malformed command request")
 
-// parseCommands reads a body of commands; all of its fields but the commands must be there.
+// parseCommands parses the body of a command request. The fencing token and the worker epoch are
+// required; the list of commands may be missing.
 func parseCommands(body []byte) (*commandRequest, error) {
-	var in commandRequest
-	if err := json.Unmarshal(body, &in); err != nil {
+	var request commandRequest
+	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformedCommands, err)
 	}
-	if in.Token == nil || in.Epoch == nil {
-		return nil, errMalformedCommands
+	if request.Token == nil || request.Epoch == nil {
+		return nil, fmt.Errorf("%w: fencing token or worker epoch missing", errMalformedCommands)
 	}
-	return &in, nil
+	return &request, nil
 }
 
 func (m *SimulatedMachine) handleCommand(ctx *fasthttp.RequestCtx) {
@@ -194,12 +196,12 @@
 		respondHeartbeat(ctx, http.StatusOK, heartbeat)
 		return
 	}
-	in, err := parseCommands(ctx.PostBody())
+	request, err := parseCommands(ctx.PostBody())
 	if err != nil {
 		ctx.SetStatusCode(http.StatusBadRequest)
 		return
 	}
-	heartbeat, executed, ok := m.execute(*in.Token, *in.Epoch, in.Commands)
+	heartbeat, executed, ok := m.execute(*request.Token, *request.Epoch, request.Commands)
 	switch {
 	case !ok:
 		ctx.SetStatusCode(http.StatusServiceUnavailable)
--- a/emulator/ratelimits.go
+++ b/emulator/ratelimits.go
@@ -9,18 +9,18 @@
 	"golang.org/x/time/rate"
 )
 
-// RateLimits are limits of the state service, in effect for what comes over HTTP, and what
-// was counted under them. Safe for use from several goroutines.
+// RateLimits limits the HTTP requests to a StateService and counts them. It is safe for concurrent
+// use.
 type RateLimits struct {
 	requestLimit, changeLimit *rate.Limiter
 
-	Requests, Changes atomic.Uint64 // that came
-	Refused           atomic.Uint64 // requests beyond a limit
-	Renewals, Watches atomic.Uint64 // of the requests
+	Requests, Changes atomic.Uint64 // received, including those over a limit
+	Refused           atomic.Uint64 // requests rejected because of a limit
+	Renewals, Watches atomic.Uint64 // parts of Requests
 }
 
-// NewRateLimits returns limits of so many requests and changes a second, with bursts of one
-// second's worth.
+// NewRateLimits returns limits on requests and changes per second, with bursts of one second's
+// worth.
 func NewRateLimits(requests, changes float64) *RateLimits {
 	return &RateLimits{
 		requestLimit: rate.NewLimiter(rate.Limit(requests), max(1, int(requests))),
@@ -28,8 +28,9 @@
 	}
 }
 
-// admit counts a request with so many changes, and reports whether it is within the limits.
-func (r *RateLimits) admit(changes int) bool {
+// allow counts a request with the given number of changes and reports whether it is within the
+// limits.
+func (r *RateLimits) allow(changes int) bool {
 	r.Requests.Add(1)
 	r.Changes.Add(uint64(changes))
 	now := time.Now()
@@ -40,12 +41,12 @@
 	return true
 }
 
-// SetRateLimits limits what comes over HTTP from now on; nil: not at all.
+// SetRateLimits sets the limits on requests over HTTP; nil: no limits.
 func (s *StateService) SetRateLimits(r *RateLimits) { s.rateLimits.Store(r) }
 
-// admit holds a request against the limits. A transaction is admitted here: it is held
-// against them once its changes are known (admitTxn).
-func (s *StateService) admit(r *http.Request) bool {
+// allowRequest reports whether a request is within the rate limits. It does not count transactions:
+// allowTxn checks those once the number of their changes is known.
+func (s *StateService) allowRequest(r *http.Request) bool {
 	limits := s.rateLimits.Load()
 	if limits == nil || r.URL.Path == txnPath {
 		return true
@@ -56,11 +57,12 @@
 	case strings.HasSuffix(r.URL.Path, renewSuffix):
 		limits.Renewals.Add(1)
 	}
-	return limits.admit(0)
+	return limits.allow(0)
 }
 
-// admitTxn holds a transaction with so many changes against the limits.
-func (s *StateService) admitTxn(changes int) bool {
+// allowTxn reports whether a transaction with the given number of changes is within the rate
+// limits.
+func (s *StateService) allowTxn(changes int) bool {
 	limits := s.rateLimits.Load()
-	return limits == nil || limits.admit(changes)
+	return limits == nil || limits.allow(changes)
 }
--- a/emulator/simulatedcloud.go
+++ b/emulator/simulatedcloud.go
@@ -16,12 +16,13 @@
 	"robinstack/internal/job"
 )
 
-// SimulatedCloud is a cloud whose machines have workers that keep leases, by the published
-// protocols, in memory and in fake time. What happens on them goes to a history.
+// SimulatedCloud is a cloud whose machines run in this process, in fake time or in real time. Their
+// workers hold leases and speak the published protocols. It records what happens on the machines in
+// a History.
 //
-// Its mutex guards all machines and tasks too, and is held while the history is told.
+// mu also guards all machines and tasks. It is held during calls to the History.
 type SimulatedCloud struct {
-	ctx            context.Context // ends all workers
+	ctx            context.Context // all workers stop when it ends
 	settings       *config.Settings
 	history        *History
 	callController ControllerCall
@@ -32,88 +33,88 @@
 	types           []cloud.MachineType
 	machines        map[string]*SimulatedMachine
 	machinesCreated int
-	scaleOuts       map[string][]string // names of the machines, by request
-	network         *LoopbackNetwork    // nil: all of it is in this process
+	scaleOuts       map[string][]string // names of the created machines, by request id
+	network         *LoopbackNetwork    // nil: workers call controllers in this process
 	timing          Timing
 
-	runTimes        map[string]runTime
+	runTimes        map[string]jobRunTime
 	onTaskCompleted func(task string)
 
-	gangs            map[string]map[string]*simulatedTask // tasks on machines, by the job's attempt
-	brokenGangs      map[string]bool                      // that lost a task with a returned machine
-	lostToScaleIn    int
-	killedByLeaseEnd int
+	gangs               map[string]map[string]*simulatedTask // tasks on machines, by job attempt and task id
+	gangsLostToScaleIn  map[string]bool                      // job attempts that lost a task to a scale-in
+	lostToScaleIn       int
+	killedByLeaseExpiry int
 }
 
-// ControllerCall sends a request to a controller, by its host.
+// ControllerCall sends an HTTP request to the controller on a host.
 type ControllerCall func(host string, r *http.Request) (*http.Response, error)
 
-// SimulatedCloudConfig says what a simulated cloud is like.
+// SimulatedCloudConfig is the configuration of a SimulatedCloud.
 type SimulatedCloudConfig struct {
 	Settings       *config.Settings
 	MachineTypes   []cloud.MachineType
 	MaxMachines    int
-	Seed           uint64 // of boot times, first controllers and intervals between heartbeats
+	Seed           uint64 // for boot times, each worker's first controller, and heartbeat jitter
 	History        *History
-	CallController ControllerCall // carries heartbeats, unless a network does (UseNetwork)
+	CallController ControllerCall // sends heartbeats, unless UseNetwork is called
 }
 
-// Timing says how machines behave in time beyond what their types say.
+// Timing sets durations that the machine types do not determine.
 type Timing struct {
-	ImageFetch   time.Duration            // of an image that a machine does not have; 0: a second for each
-	RandomBoot   bool                     // boots take from 0.6 to 1.5 times what is usual
-	OnWorkerStep func(late time.Duration) // called with how late each step of a worker is
+	ImageFetch   time.Duration            // of an image that is not on the machine; 0: 1 s, also for one that is
+	RandomBoot   bool                     // boot times are 0.6 to 1.5 times the provisioning time
+	OnWorkerStep func(late time.Duration) // called with the lateness of each worker step
 }
 
-// runTime is how long the tasks of a job run.
-type runTime struct {
-	first time.Duration
-	step  time.Duration // by which each task of an array runs longer than the one before it
+// jobRunTime determines how long the tasks of a job run.
+type jobRunTime struct {
+	firstTask time.Duration
+	increment time.Duration // for an array, the difference between the run times of consecutive tasks
 }
 
-// NewSimulatedCloud returns a cloud without machines, whose workers run until ctx ends.
+// NewSimulatedCloud returns a cloud without machines. Its workers run until ctx ends.
 func NewSimulatedCloud(ctx context.Context, c SimulatedCloudConfig) *SimulatedCloud {
 	return &SimulatedCloud{
-		ctx:            ctx,
-		settings:       c.Settings,
-		history:        c.History,
-		callController: c.CallController,
-		maxMachines:    c.MaxMachines,
-		rng:            rand.New(rand.NewPCG(c.Seed, 2)),
-		types:          c.MachineTypes,
-		machines:       map[string]*SimulatedMachine{},
-		scaleOuts:      map[string][]string{},
-		runTimes:       map[string]runTime{},
-		gangs:          map[string]map[string]*simulatedTask{},
-		brokenGangs:    map[string]bool{},
+		ctx:                ctx,
+		settings:           c.Settings,
+		history:            c.History,
+		callController:     c.CallController,
+		maxMachines:        c.MaxMachines,
+		rng:                rand.New(rand.NewPCG(c.Seed, 2)),
+		types:              c.MachineTypes,
+		machines:           map[string]*SimulatedMachine{},
+		scaleOuts:          map[string][]string{},
+		runTimes:           map[string]jobRunTime{},
+		gangs:              map[string]map[string]*simulatedTask{},
+		gangsLostToScaleIn: map[string]bool{},
 	}
 }
 
-// SetTiming has the machines keep to a timing from now on.
+// SetTiming sets the timing of all machines. The boot time applies to machines created later.
 func (c *SimulatedCloud) SetTiming(t Timing) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.timing = t
 }
 
-// SetRunTimes says how long the first task of a job runs, and by how much each of the
-// others of an array runs longer than the one before it.
-func (c *SimulatedCloud) SetRunTimes(id string, first, step time.Duration) {
+// SetRunTimes sets how long the tasks of a job run: the first one runs for firstTask, and each
+// following task of an array runs longer than the one before it by increment.
+func (c *SimulatedCloud) SetRunTimes(id string, firstTask, increment time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.runTimes[id] = runTime{first, step}
+	c.runTimes[id] = jobRunTime{firstTask, increment}
 }
 
-// OnTaskCompleted has do called, in a goroutine of its own, at the moment at which a task
-// completes; nil: nothing.
+// OnTaskCompleted sets a function that is called in its own goroutine when a task completes; nil:
+// none.
 func (c *SimulatedCloud) OnTaskCompleted(do func(task string)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onTaskCompleted = do
 }
 
-// ForEachMachine calls do for every machine with the cloud held still, in the order of
-// their names.
+// ForEachMachine calls do for every machine, sorted by name. The cloud's mutex is held meanwhile,
+// so do must not call methods of the cloud.
 func (c *SimulatedCloud) ForEachMachine(do func(name string, m *SimulatedMachine)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,38 +123,39 @@
 	}
 }
 
-// TasksKilledByLeaseExpiry counts the tasks that ended because their worker's lease did.
+// TasksKilledByLeaseExpiry returns the number of tasks that ended because the lease of their worker
+// expired.
 func (c *SimulatedCloud) TasksKilledByLeaseExpiry() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.killedByLeaseEnd
+	return c.killedByLeaseExpiry
 }
 
-// TasksLostToScaleIn counts the tasks that were on machines when those were returned. A
-// gang that loses one of its tasks loses all, so all of its attempt count, once.
+// TasksLostToScaleIn returns the number of tasks that were on machines when these were deleted. A
+// gang that loses one task has to restart, so all its tasks count as lost, once per job attempt.
 func (c *SimulatedCloud) TasksLostToScaleIn() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lostToScaleIn
 }
 
-// HasCapacity reports whether so many tasks of a job find capacity now on machines that
-// nothing keeps from serving.
+// HasCapacity reports whether the given number of tasks of a job fits on machines without injected
+// faults.
 func (c *SimulatedCloud) HasCapacity(spec job.Spec, tasks int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	byZone := map[string]int{}
+	capacityByZone := map[string]int{}
 	for _, m := range c.machines {
-		if m.servesNormally() && spec.AllowsMachine(m.machineType.Name, m.zone, false) {
-			byZone[m.zone] += spec.CountIn(m.freeCapacity())
+		if m.hasNoFaults() && spec.AllowsMachine(m.machineType.Name, m.zone, false) {
+			capacityByZone[m.zone] += spec.CountIn(m.freeCapacity())
 		}
 	}
 	total, largest := 0, 0
-	for _, n := range byZone {
+	for _, count := range capacityByZone {
 		if spec.Spread {
-			n = min(n, maxTasksInZone(spec))
+			count = min(count, maxTasksInZone(spec))
 		}
-		total, largest = total+n, max(largest, n)
+		total, largest = total+count, max(largest, count)
 	}
 	if spec.OneZone {
 		return largest >= tasks
@@ -161,38 +163,40 @@
 	return total >= tasks
 }
 
-// SetMachineTypes has the cloud offer other types from now on.
+// SetMachineTypes replaces the offered machine types.
 func (c *SimulatedCloud) SetMachineTypes(types []cloud.MachineType) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.types = types
 }
 
-// MachineTypes lists the types on offer.
+// MachineTypes lists the offered machine types.
 func (c *SimulatedCloud) MachineTypes(context.Context) ([]cloud.MachineType, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.types, nil
 }
 
-// errMalformed is the cloud's answer to a request for what it does not offer.
-var errMalformed = errors.New("malformed")
+// errUnknownMachineType means that a request names a machine type that is not offered. CloudServer
+// sends its text to clients.
+var errUnknownMachineType = errors.New("malformed")
 
-// ScaleOut rents machines, as many of those asked for as there may be. A repeated request
-// has the same answer. The error is cloud.ErrNoCapacity if there may be none.
+// ScaleOut creates as many of the requested machines as the maximum number of machines permits, or
+// returns cloud.ErrNoCapacity if that is none. A repeated request returns the machines of the first
+// one.
 func (c *SimulatedCloud) ScaleOut(_ context.Context, r cloud.ScaleOutRequest) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if names, known := c.scaleOuts[r.RequestID]; known {
 		return names, nil
 	}
-	t, offered := findType(c.types, r.Type)
-	if !offered {
-		return nil, errMalformed
+	machineType, found := findMachineType(c.types, r.Type)
+	if !found {
+		return nil, errUnknownMachineType
 	}
 	var names []string
 	for range min(r.Count, c.maxMachines-len(c.machines)) {
-		name, err := c.startMachine(t, r.Zone, c.drawBootTime(t))
+		name, err := c.startMachine(machineType, r.Zone, c.drawBootTime(machineType))
 		if err != nil {
 			return names, err
 		}
@@ -205,36 +209,38 @@
 	return names, nil
 }
 
-// AddMachines puts so many machines into a zone that are up within some time, rented by
-// nobody.
+// AddMachines creates machines in a zone without a scale-out request. Their boot times are random,
+// up to the given one. The maximum number of machines does not apply.
 func (c *SimulatedCloud) AddMachines(typeName, zone string, count int, within time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t, offered := findType(c.types, typeName)
-	if !offered {
-		return fmt.Errorf("there is no machine type %q", typeName)
+	machineType, found := findMachineType(c.types, typeName)
+	if !found {
+		return fmt.Errorf("unknown machine type %q", typeName)
 	}
 	for range count {
-		if _, err := c.startMachine(t, zone, time.Duration(c.rng.Float64()*float64(within))); err != nil {
+		if _, err := c.startMachine(machineType, zone, time.Duration(c.rng.Float64()*float64(within))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func findType(types []cloud.MachineType, name string) (cloud.MachineType, bool) {
-	at := slices.IndexFunc(types, func(t cloud.MachineType) bool { return t.Name == name })
-	if at < 0 {
+func findMachineType(types []cloud.MachineType, name string) (cloud.MachineType, bool) {
+	index := slices.IndexFunc(types, func(t cloud.MachineType) bool { return t.Name == name })
+	if index < 0 {
 		return cloud.MachineType{}, false
 	}
-	return types[at], true
+	return types[index], true
 }
 
-// startMachine makes a machine that boots from now on, and returns its name. The mutex is
-// held.
-func (c *SimulatedCloud) startMachine(t cloud.MachineType, zone string, boot time.Duration) (string, error) {
+// startMachine creates a machine, starts to boot it and returns its name. The caller must hold
+// c.mu.
+func (c *SimulatedCloud) startMachine(
+	machineType cloud.MachineType, zone string, bootTime time.Duration,
+) (string, error) {
 	c.machinesCreated++
-	m, err := c.newMachine(machineName(c.machinesCreated), t, zone, boot)
+	m, err := c.newMachine(machineName(c.machinesCreated), machineType, zone, bootTime)
 	if err != nil {
 		return "", err
 	}
@@ -243,24 +249,25 @@
 	return m.name, nil
 }
 
-// machineName names the nth machine that a cloud has rented out.
+// machineName returns the name of the nth machine that a cloud creates.
 func machineName(n int) string { return fmt.Sprintf("vm-%06d", n) }
 
-// Boot times are drawn from 0.6 to 1.5 times what is usual.
+// Random boot times are uniformly distributed from 0.6 to 1.5 times the provisioning time of the
+// machine type.
 const (
 	minBootFactor    = 0.6
 	bootFactorSpread = 0.9
 )
 
-// drawBootTime is how long a machine takes to come up. The mutex is held.
-func (c *SimulatedCloud) drawBootTime(t cloud.MachineType) time.Duration {
+// drawBootTime returns the boot time of a new machine. The caller must hold c.mu.
+func (c *SimulatedCloud) drawBootTime(machineType cloud.MachineType) time.Duration {
 	if !c.timing.RandomBoot {
-		return t.ProvisioningTime()
+		return machineType.ProvisioningTime()
 	}
-	return time.Duration(float64(t.ProvisioningTime()) * (minBootFactor + bootFactorSpread*c.rng.Float64()))
+	return time.Duration(float64(machineType.ProvisioningTime()) * (minBootFactor + bootFactorSpread*c.rng.Float64()))
 }
 
-// ScaleIn returns machines, with all that is on them.
+// ScaleIn deletes machines together with the tasks on them.
 func (c *SimulatedCloud) ScaleIn(_ context.Context, names []string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,7 +276,7 @@
 		if m == nil {
 			continue
 		}
-		c.countLosses(m)
+		c.countTasksLostToScaleIn(m)
 		m.dropTasks()
 		m.stop()
 		delete(c.machines, name)
@@ -277,24 +284,26 @@
 	return nil
 }
 
-// countLosses counts the tasks that are lost with a machine. The mutex is held.
-func (c *SimulatedCloud) countLosses(m *SimulatedMachine) {
+// countTasksLostToScaleIn counts the tasks that are lost with a deleted machine. The caller must
+// hold c.mu.
+func (c *SimulatedCloud) countTasksLostToScaleIn(m *SimulatedMachine) {
 	for _, task := range m.tasks {
-		if task.onMachine && !c.brokenGangs[task.jobAttempt] {
+		if task.recordedOnMachine && !c.gangsLostToScaleIn[task.jobAttemptKey] {
 			c.lostToScaleIn++
 		}
 	}
 	for _, task := range m.tasks {
-		if task.onMachine && !c.brokenGangs[task.jobAttempt] && c.isGang(task) {
-			c.brokenGangs[task.jobAttempt] = true
-			c.lostToScaleIn += c.gangTasksElsewhere(m, task.jobAttempt)
+		if task.recordedOnMachine && !c.gangsLostToScaleIn[task.jobAttemptKey] && c.isGangTask(task) {
+			c.gangsLostToScaleIn[task.jobAttemptKey] = true
+			c.lostToScaleIn += c.gangTasksOnOtherMachines(m, task.jobAttemptKey)
 		}
 	}
 }
 
-// gangTasksElsewhere counts the tasks of a gang's attempt that are on other machines.
-func (c *SimulatedCloud) gangTasksElsewhere(m *SimulatedMachine, jobAttempt string) (n int) {
-	for _, other := range c.gangs[jobAttempt] {
+// gangTasksOnOtherMachines returns the number of tasks of a gang's attempt that are on machines
+// other than m.
+func (c *SimulatedCloud) gangTasksOnOtherMachines(m *SimulatedMachine, jobAttemptKey string) (n int) {
+	for _, other := range c.gangs[jobAttemptKey] {
 		if m.tasks[attemptKey(other.ID, other.Attempt)] != other {
 			n++
 		}
@@ -302,14 +311,14 @@
 	return n
 }
 
-func (c *SimulatedCloud) isGang(task *simulatedTask) bool {
+func (c *SimulatedCloud) isGangTask(task *simulatedTask) bool {
 	return task.spec(c.history).Shape == job.Gang
 }
 
-// failedAfter is how long the cloud lists a machine as running that has stopped.
-const failedAfter = 30 * time.Second
+// failureListingDelay is how long the cloud still lists a machine as running after it has failed.
+const failureListingDelay = 30 * time.Second
 
-// Machines lists the machines in the order of their names.
+// Machines lists the machines, sorted by name.
 func (c *SimulatedCloud) Machines(context.Context) ([]cloud.Machine, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -319,11 +328,12 @@
 		status := "running"
 		if m.renewedAt.IsZero() {
 			status = "booting"
-		} else if !m.failedAt.IsZero() && time.Since(m.failedAt) > failedAfter {
+		} else if !m.failedAt.IsZero() && time.Since(m.failedAt) > failureListingDelay {
 			status = "failed"
 		}
 		out = append(out, cloud.Machine{
-			Name: name, Address: m.address, Type: m.machineType.Name, Zone: m.zone, Status: status, AgeS: m.listedAge(),
+			Name: name, Address: m.address, Type: m.machineType.Name, Zone: m.zone,
+			Status: status, AgeS: m.reportedAgeSeconds(),
 		})
 	}
 	return out, nil
--- a/emulator/simulatedcommander.go
+++ b/emulator/simulatedcommander.go
@@ -3,33 +3,35 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 
 	"robinstack/internal/worker"
 )
 
-// Commander sends the commands of one controller straight to simulated workers.
+// Commander sends one controller's commands directly to the workers of a SimulatedCloud.
 type Commander struct {
 	cloud *SimulatedCloud
 	host  string
 }
 
-// Commander returns the commander of a controller.
+// Commander returns the Commander of the controller on a host.
 func (c *SimulatedCloud) Commander(host string) Commander { return Commander{c, host} }
 
-// What a commander is told of a worker that does not answer.
+// Errors for commands that a worker does not answer.
 var (
-	errNoAnswer       = errors.New("no answer")
-	errNoAnswerInTime = errors.New("no answer in time")
+	errNoResponse      = errors.New("no response from worker")
+	errResponseTimeout = fmt.Errorf("no response from worker within %v", clientTimeout)
 )
 
-// commandResult is a worker's answer to commands.
+// commandResult is a worker's response to commands.
 type commandResult struct {
 	heartbeat worker.Heartbeat
 	executed  bool
 }
 
-// Send carries commands to a machine. What is held up is carried out later, if token and
-// worker epoch still match.
+// Send sends commands to the worker of the machine at address and reports whether the worker
+// executed them. Commands that are delayed beyond the time-out of Send are executed later, if the
+// fencing token and the worker epoch are still valid by then.
 func (c Commander) Send(
 	ctx context.Context, address string, token, epoch uint64, commands []worker.Command,
 ) (*worker.Heartbeat, bool, error) {
@@ -38,7 +40,7 @@
 	if m == nil || !m.reachableFrom(c.host) {
 		c.cloud.mu.Unlock()
 		sleep(ctx, clientTimeout)
-		return nil, false, errNoAnswer
+		return nil, false, errNoResponse
 	}
 	delay := m.CommandDelay
 	c.cloud.mu.Unlock()
@@ -54,9 +56,9 @@
 	waitCtx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	select {
-	case r := <-done:
-		return &r.heartbeat, r.executed, nil
+	case result := <-done:
+		return &result.heartbeat, result.executed, nil
 	case <-waitCtx.Done():
-		return nil, false, errNoAnswerInTime
+		return nil, false, errResponseTimeout
 	}
 }
--- a/emulator/simulatedmachine.go
+++ b/emulator/simulatedmachine.go
@@ -12,8 +12,9 @@
 	"robinstack/internal/worker"
 )
 
-// SimulatedMachine is a machine with its worker. The cloud's mutex guards it: its methods
-// and fields are for use from SimulatedCloud.ForEachMachine, but for those that say so.
+// SimulatedMachine is a machine of a SimulatedCloud together with its worker. The cloud's mutex
+// guards it: exported methods and fields must be used only from SimulatedCloud.ForEachMachine,
+// unless a method says otherwise.
 type SimulatedMachine struct {
 	workerLease
 	cloud       *SimulatedCloud
@@ -23,48 +24,48 @@
 	createdAt   time.Time
 	bootTime    time.Duration
 
-	ctx       context.Context // ends with the machine
-	stop      context.CancelFunc
-	changed   chan struct{} // that the next heartbeat is to come sooner
-	address   string
-	transport heartbeatTransport
-	listener  net.Listener // of its address, on a loopback network; nil: none
+	ctx                context.Context // ends when the machine fails or is deleted
+	stop               context.CancelFunc
+	heartbeatRequested chan struct{} // signals that the next heartbeat should be sent soon
+	address            string
+	transport          heartbeatTransport
+	listener           net.Listener // for direct commands; nil without a LoopbackNetwork
 
 	tasks  map[string]*simulatedTask // by attemptKey
-	images map[string]bool           // that it has
-
-	Hung            bool          // it does nothing, and may go on within its lease
-	InboundLost     bool          // its heartbeats arrive; answers and direct commands to it are lost
-	CommandsLost    bool          // direct commands to it are lost; answers to its heartbeats arrive
-	HeartbeatsLost  bool          // its heartbeats reach nobody; direct commands to it are carried out
-	CommandDelay    time.Duration // by which direct commands and their answers are held up
-	AnswerDelay     time.Duration // by which answers to its heartbeats are held up
-	UnreachableFrom string        // the only controller that does not reach it directly
-	OnlyController  string        // the only controller that it reaches, and that reaches it
-
-	failedAt         time.Time          // it stopped with all that was on it; zero: it has not
-	CommandsExecuted int                // direct commands that were carried out
-	recentHeartbeats []worker.Heartbeat // that were sent, the latest last, for copies
-	captured         *worker.Heartbeat  // one that is kept for later
+	images map[string]bool           // images that the machine has fetched
+
+	Hung            bool          // the worker does nothing; it can resume before its lease expires
+	InboundLost     bool          // responses and direct commands do not reach the worker; its heartbeats arrive
+	CommandsLost    bool          // direct commands do not reach the worker; responses to its heartbeats do
+	HeartbeatsLost  bool          // heartbeats do not reach any controller; direct commands are executed
+	CommandDelay    time.Duration // delay of direct commands, and therefore of their responses
+	AnswerDelay     time.Duration // delay of responses to heartbeats
+	UnreachableFrom string        // host whose direct commands do not reach the worker; "": none
+	OnlyController  string        // host of the only controller that messages pass to and from; "": all
+
+	failedAt          time.Time          // when the machine failed; zero: it has not
+	CommandsExecuted  int                // number of requests with direct commands that were executed
+	recentHeartbeats  []worker.Heartbeat // in the order sent, for duplicates
+	capturedHeartbeat *worker.Heartbeat  // stored by CaptureHeartbeat
 }
 
-// newMachine makes a machine that does not run yet. The mutex is held.
+// newMachine creates a machine that is not running yet. The caller must hold c.mu.
 func (c *SimulatedCloud) newMachine(
-	name string, t cloud.MachineType, zone string, boot time.Duration,
+	name string, machineType cloud.MachineType, zone string, bootTime time.Duration,
 ) (*SimulatedMachine, error) {
 	m := &SimulatedMachine{
-		workerLease: workerLease{epoch: 1},
-		cloud:       c,
-		name:        name,
-		machineType: t,
-		zone:        zone,
-		createdAt:   time.Now(),
-		bootTime:    boot,
-		changed:     make(chan struct{}, 1),
-		address:     name,
-		transport:   handlerTransport{c.callController},
-		tasks:       map[string]*simulatedTask{},
-		images:      map[string]bool{},
+		workerLease:        workerLease{epoch: 1},
+		cloud:              c,
+		name:               name,
+		machineType:        machineType,
+		zone:               zone,
+		createdAt:          time.Now(),
+		bootTime:           bootTime,
+		heartbeatRequested: make(chan struct{}, 1),
+		address:            name,
+		transport:          handlerTransport{c.callController},
+		tasks:              map[string]*simulatedTask{},
+		images:             map[string]bool{},
 	}
 	m.ctx, m.stop = context.WithCancel(c.ctx)
 	if c.network == nil {
@@ -78,41 +79,42 @@
 	return m, nil
 }
 
-// Kill has a machine stop, with all that is on it. It is listed as running for a while.
+// Kill makes the machine fail, with all tasks on it. The cloud keeps listing it as running until
+// failureListingDelay has passed.
 func (m *SimulatedMachine) Kill() {
 	m.dropTasks()
 	m.stop()
 	m.failedAt = time.Now()
 }
 
-// Zone is the machine's.
+// Zone returns the zone of the machine.
 func (m *SimulatedMachine) Zone() string { return m.zone }
 
-// WorkerEpoch is the worker's: 1, and one more for each lease that has expired.
+// WorkerEpoch returns the worker epoch: 1, incremented each time the lease expires.
 func (m *SimulatedMachine) WorkerEpoch() uint64 { return m.epoch }
 
-// IsUp reports whether the worker is up.
+// IsUp reports whether the machine has booted and not failed.
 func (m *SimulatedMachine) IsUp() bool { return !m.renewedAt.IsZero() && m.failedAt.IsZero() }
 
-// reachableFrom reports whether direct commands of a controller reach the worker.
+// reachableFrom reports whether direct commands of the controller on a host reach the worker.
 func (m *SimulatedMachine) reachableFrom(host string) bool {
-	return m.IsUp() && !m.InboundLost && !m.CommandsLost && m.UnreachableFrom != host && m.reaches(host)
+	return m.IsUp() && !m.InboundLost && !m.CommandsLost && m.UnreachableFrom != host && m.canReach(host)
 }
 
-// reaches reports whether the machine is not cut off together with another controller.
-func (m *SimulatedMachine) reaches(host string) bool {
+// canReach reports whether OnlyController permits messages to and from the controller on a host.
+func (m *SimulatedMachine) canReach(host string) bool {
 	return m.OnlyController == "" || m.OnlyController == host
 }
 
-// servesNormally reports whether nothing keeps the machine from serving.
-func (m *SimulatedMachine) servesNormally() bool {
+// hasNoFaults reports whether the machine is up and no fault is injected into it.
+func (m *SimulatedMachine) hasNoFaults() bool {
 	losesMessages := m.InboundLost || m.CommandsLost || m.HeartbeatsLost
 	partitioned := m.UnreachableFrom != "" || m.OnlyController != ""
 	slow := m.CommandDelay > 0 || m.AnswerDelay > 0
 	return m.IsUp() && !m.Hung && !losesMessages && !partitioned && !slow
 }
 
-// freeCapacity is what the tasks on the machine leave of it.
+// freeCapacity returns the resources that no task on the machine uses.
 func (m *SimulatedMachine) freeCapacity() job.Resources {
 	free := job.Capacity(m.machineType)
 	for _, task := range m.tasks {
@@ -124,24 +126,25 @@
 	return free
 }
 
-// simulatedAge is how old every machine is said to be in fake time, in seconds: tests begin
-// with machines that are no news.
-const simulatedAge = 60
+// simulatedAgeSeconds is the age that the cloud reports for every machine in fake time, so that
+// controllers do not treat the machines at the start of a test as new.
+const simulatedAgeSeconds = 60
 
-// listedAge is how old the machine is said to be, in seconds.
-func (m *SimulatedMachine) listedAge() float64 {
+// reportedAgeSeconds returns the age that the cloud reports for the machine.
+func (m *SimulatedMachine) reportedAgeSeconds() float64 {
 	if m.cloud.network == nil {
-		return simulatedAge
+		return simulatedAgeSeconds
 	}
 	return time.Since(m.createdAt).Seconds()
 }
 
-// run is the worker: it boots, then sends heartbeats until the machine ends.
+// run is the main loop of the worker. It boots the machine, then sends heartbeats until the machine
+// stops.
 func (m *SimulatedMachine) run() {
 	c := m.cloud
 	if !sleep(m.ctx, m.bootTime) {
 		if m.listener != nil {
-			_ = m.listener.Close() // nothing has used it
+			_ = m.listener.Close() // the listener has not been used
 		}
 		return
 	}
@@ -156,52 +159,52 @@
 	c.mu.Unlock()
 	go m.runTasks()
 	for m.ctx.Err() == nil {
-		next := m.sendHeartbeat(controllers.host())
+		target := m.sendHeartbeat(controllers.host())
 		c.mu.Lock()
 		interval := jitter(c.settings.Workers.HeartbeatInterval, c.rng.Float64())
 		c.mu.Unlock()
-		waitForHeartbeat(m.ctx, controllers.next(next, interval), m.changed)
+		waitForHeartbeat(m.ctx, controllers.advance(target, interval), m.heartbeatRequested)
 	}
 }
 
-// maxRecentHeartbeats is how many heartbeats are kept for copies.
+// maxRecentHeartbeats is the number of heartbeats kept for duplicates.
 const maxRecentHeartbeats = 20
 
-// sendHeartbeat sends one heartbeat, and says where to send the next one.
-func (m *SimulatedMachine) sendHeartbeat(host string) redirect {
+// sendHeartbeat sends one heartbeat and returns the target of the next one.
+func (m *SimulatedMachine) sendHeartbeat(host string) heartbeatTarget {
 	c := m.cloud
 	c.mu.Lock()
 	if m.Hung {
 		c.mu.Unlock()
-		return redirect{stay: true}
+		return heartbeatTarget{same: true}
 	}
-	sent, heartbeat := time.Now(), m.nextHeartbeat()
+	sentAt, heartbeat := time.Now(), m.nextHeartbeat()
 	m.recentHeartbeats = append(m.recentHeartbeats, heartbeat)
 	if len(m.recentHeartbeats) > maxRecentHeartbeats {
 		m.recentHeartbeats = m.recentHeartbeats[1:]
 	}
-	lost := m.HeartbeatsLost || !m.reaches(host)
+	lost := m.HeartbeatsLost || !m.canReach(host)
 	c.mu.Unlock()
 	if lost {
 		sleep(m.ctx, heartbeatTimeout)
-		return redirect{}
+		return heartbeatTarget{}
 	}
 	code, body := m.exchange(host, &heartbeat)
-	m.awaitAnswerDelay()
+	m.waitResponseDelay()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m.InboundLost || m.Hung || time.Since(sent) > heartbeatTimeout {
-		return redirect{}
+	if m.InboundLost || m.Hung || time.Since(sentAt) > heartbeatTimeout {
+		return heartbeatTarget{}
 	}
-	next, response := m.accept(heartbeat.WorkerEpoch, sent, code, body)
+	target, response := m.handleResponse(heartbeat.WorkerEpoch, sentAt, code, body)
 	if response != nil {
-		m.executeAll(response.FencingToken, response.Commands)
+		m.executeCommands(response.FencingToken, response.Commands)
 	}
-	return next
+	return target
 }
 
-// awaitAnswerDelay holds up the answer to a heartbeat.
-func (m *SimulatedMachine) awaitAnswerDelay() {
+// waitResponseDelay delays the response to a heartbeat by AnswerDelay.
+func (m *SimulatedMachine) waitResponseDelay() {
 	m.cloud.mu.Lock()
 	delay := m.AnswerDelay
 	m.cloud.mu.Unlock()
@@ -210,9 +213,9 @@
 	}
 }
 
-// nextHeartbeat is the worker's next heartbeat. The cloud's mutex is held.
+// nextHeartbeat returns the worker's next heartbeat. The caller must hold the cloud's mutex.
 func (m *SimulatedMachine) nextHeartbeat() worker.Heartbeat {
-	h := m.beginHeartbeat()
+	h := m.newHeartbeat()
 	h.Machine, h.Address, h.Type, h.Zone = m.name, m.address, m.machineType.Name, m.zone
 	for _, key := range slices.Sorted(maps.Keys(m.tasks)) {
 		h.Tasks = append(h.Tasks, m.tasks[key].Task)
@@ -220,5 +223,5 @@
 	return h
 }
 
-// notifyWorker has the next heartbeat come sooner.
-func (m *SimulatedMachine) notifyWorker() { notify(m.changed) }
+// requestHeartbeat makes the worker send its next heartbeat soon.
+func (m *SimulatedMachine) requestHeartbeat() { trySignal(m.heartbeatRequested) }
--- a/emulator/simulatedtask.go
+++ b/emulator/simulatedtask.go
@@ -10,98 +10,100 @@
 	"robinstack/internal/worker"
 )
 
-// simulatedTask is an attempt at a task on a machine.
+// simulatedTask is an attempt at a task on a SimulatedMachine.
 type simulatedTask struct {
 	worker.Task
-	jobAttempt   string        // the attempt at its job, as attemptKey has it
-	remaining    time.Duration // that it still runs
-	stateSince   time.Time
-	saveDuration time.Duration
-	onMachine    bool // the history has it on its machine
+	jobAttemptKey      string        // identifies the attempt at the job
+	remainingRunTime   time.Duration // until the task completes
+	stateSince         time.Time
+	checkpointDuration time.Duration
+	recordedOnMachine  bool // the history has recorded the task's start but not its removal
 }
 
-// spec is the task's job as its user uploaded it, or none.
+// spec returns the spec of the task's job as it was submitted, or an empty spec if nobody has
+// submitted the job.
 func (t *simulatedTask) spec(h *History) job.Spec {
 	id, _, _ := job.SplitTaskID(t.ID)
 	spec, _ := h.Spec(id)
 	return spec
 }
 
-// resumePoll is how often commands to a worker that hangs try again.
-const resumePoll = 200 * time.Millisecond
+// hungPollInterval is the interval at which direct commands check whether a hung worker has
+// resumed.
+const hungPollInterval = 200 * time.Millisecond
 
-// execute carries out commands that came straight to the worker, as soon as it does not
-// hang, and returns its heartbeat after them. It is not ok if the machine ended before. It
-// takes the cloud's mutex.
+// execute executes direct commands as soon as the worker is not hung. It returns the worker's
+// heartbeat after that and whether the worker accepted the commands. ok is false if the machine
+// stopped first. The cloud's mutex must not be held.
 func (m *SimulatedMachine) execute(
 	token, epoch uint64, commands []worker.Command,
-) (h worker.Heartbeat, executed, ok bool) {
+) (heartbeat worker.Heartbeat, executed, ok bool) {
 	for m.ctx.Err() == nil {
 		m.cloud.mu.Lock()
 		if !m.Hung {
 			defer m.cloud.mu.Unlock()
-			if executed = m.admits(token, epoch); executed {
+			if executed = m.acceptsCommands(token, epoch); executed {
 				m.CommandsExecuted++
-				m.executeAll(token, commands)
+				m.executeCommands(token, commands)
 			}
 			return m.nextHeartbeat(), executed, true
 		}
 		m.cloud.mu.Unlock()
-		sleep(m.ctx, resumePoll)
+		sleep(m.ctx, hungPollInterval)
 	}
-	return h, false, false
+	return heartbeat, false, false
 }
 
-// executeAll executes commands in order. The cloud's mutex is held.
-func (m *SimulatedMachine) executeAll(token uint64, commands []worker.Command) {
+// executeCommands executes commands in order. The caller must hold the cloud's mutex.
+func (m *SimulatedMachine) executeCommands(token uint64, commands []worker.Command) {
 	if token > m.token {
 		m.token = token
-		m.notifyWorker()
+		m.requestHeartbeat()
 	}
 	for _, c := range commands {
 		key := attemptKey(c.Task, c.Attempt)
 		task := m.tasks[key]
 		switch {
-		case c.Op == opRun && task == nil:
-			m.start(key, c)
-		case c.Op == opKill && task != nil && task.State != worker.TaskExited:
-			m.kill(task, c)
+		case c.Op == opStart && task == nil:
+			m.startAttempt(key, c)
+		case c.Op == opStop && task != nil && task.State != worker.TaskExited:
+			m.stopTask(task, c)
 		case c.Op == opForget && task != nil && task.State == worker.TaskExited:
 			delete(m.tasks, key)
 		}
 	}
 }
 
-func (m *SimulatedMachine) start(key string, c worker.Command) {
+func (m *SimulatedMachine) startAttempt(key string, c worker.Command) {
 	id, index, _ := job.SplitTaskID(c.Task)
 	task := &simulatedTask{
-		Task:       worker.Task{ID: c.Task, Attempt: c.Attempt, State: worker.TaskFetching},
-		jobAttempt: attemptKey(id, c.Attempt),
-		stateSince: time.Now(),
+		Task:          worker.Task{ID: c.Task, Attempt: c.Attempt, State: worker.TaskFetching},
+		jobAttemptKey: attemptKey(id, c.Attempt),
+		stateSince:    time.Now(),
 	}
 	m.tasks[key] = task
-	m.notifyWorker()
+	m.requestHeartbeat()
 	spec, known := m.cloud.history.Spec(id)
-	gpus, otherAttempt := m.gpusBeside(task)
+	gpus, otherAttempt := m.gpusUsedByOtherTasks(task)
 	switch {
 	case otherAttempt:
-		m.end(task, worker.CauseOtherAttempt)
+		m.endTask(task, worker.CauseOtherAttempt)
 	case !known:
-		m.end(task, worker.CauseUnknownTask)
+		m.endTask(task, worker.CauseUnknownTask)
 	case spec.GPUs+gpus > m.machineType.GPUs:
-		m.end(task, worker.CauseNoCapacity)
+		m.endTask(task, worker.CauseNoCapacity)
 	default:
-		run := m.cloud.runTimes[id]
-		task.remaining, task.saveDuration = run.first, spec.CheckpointDuration()
+		runTime := m.cloud.runTimes[id]
+		task.remainingRunTime, task.checkpointDuration = runTime.firstTask, spec.CheckpointDuration()
 		if spec.Shape != job.Gang {
-			task.remaining += time.Duration(index) * run.step
+			task.remainingRunTime += time.Duration(index) * runTime.increment
 		}
 	}
 }
 
-// gpusBeside counts the GPUs that the other tasks on the machine use, and reports whether
-// one of them is another attempt at the same task.
-func (m *SimulatedMachine) gpusBeside(task *simulatedTask) (gpus float64, otherAttempt bool) {
+// gpusUsedByOtherTasks returns the GPUs that the other tasks on the machine use, and reports
+// whether one of these is another attempt at the same task.
+func (m *SimulatedMachine) gpusUsedByOtherTasks(task *simulatedTask) (gpus float64, otherAttempt bool) {
 	for _, other := range m.tasks {
 		if other == task || other.State == worker.TaskExited {
 			continue
@@ -112,50 +114,51 @@
 	return gpus, otherAttempt
 }
 
-// end ends a task.
-func (m *SimulatedMachine) end(task *simulatedTask, cause string) {
-	if task.onMachine {
+// endTask ends an attempt with the given cause. If it was on the machine, the history records its
+// removal.
+func (m *SimulatedMachine) endTask(task *simulatedTask, cause string) {
+	if task.recordedOnMachine {
 		m.cloud.history.RecordTaskRemoval(task.ID, m.name)
-		delete(m.cloud.gangs[task.jobAttempt], task.ID)
+		delete(m.cloud.gangs[task.jobAttemptKey], task.ID)
 	}
-	task.onMachine = false
+	task.recordedOnMachine = false
 	task.Cause = cause
 	m.setState(task, worker.TaskExited)
 }
 
 func (m *SimulatedMachine) setState(task *simulatedTask, state string) {
 	task.State, task.stateSince = state, time.Now()
-	m.notifyWorker()
+	m.requestHeartbeat()
 }
 
-func (m *SimulatedMachine) kill(task *simulatedTask, c worker.Command) {
+func (m *SimulatedMachine) stopTask(task *simulatedTask, c worker.Command) {
 	grace := time.Duration(0)
 	if c.GraceS != nil {
 		grace = config.Seconds(*c.GraceS)
 	}
 	spec := task.spec(m.cloud.history)
-	canSave := spec.CanCheckpoint() && task.saveDuration > 0 && grace >= task.saveDuration
+	canCheckpoint := spec.CanCheckpoint() && task.checkpointDuration > 0 && grace >= task.checkpointDuration
 	switch {
-	case task.State == worker.TaskRunning && canSave:
+	case task.State == worker.TaskRunning && canCheckpoint:
 		m.setState(task, worker.TaskCheckpointing)
 	case task.State == worker.TaskCheckpointing && grace > 0:
-		// It goes on saving.
+		// The task continues to save its checkpoint.
 	default:
-		m.end(task, worker.CauseStopped)
+		m.endTask(task, worker.CauseStopped)
 	}
 }
 
-// PlantTask puts a task on the machine that no controller has started.
+// PlantTask adds a running task that no controller has started.
 func (m *SimulatedMachine) PlantTask(task string, attempt uint64) {
 	m.tasks[attemptKey(task, attempt)] = &simulatedTask{
-		Task:       worker.Task{ID: task, Attempt: attempt, State: worker.TaskRunning},
-		stateSince: time.Now(),
-		remaining:  time.Hour,
+		Task:             worker.Task{ID: task, Attempt: attempt, State: worker.TaskRunning},
+		stateSince:       time.Now(),
+		remainingRunTime: time.Hour,
 	}
-	m.notifyWorker()
+	m.requestHeartbeat()
 }
 
-// ListsTask reports whether a task is listed in the machine's heartbeats.
+// ListsTask reports whether the machine's heartbeats list a task, in whatever state.
 func (m *SimulatedMachine) ListsTask(task string) bool {
 	for _, t := range m.tasks {
 		if t.ID == task {
@@ -165,27 +168,28 @@
 	return false
 }
 
-// StartCheckpoints has the tasks that can save do so from now on, for so long.
+// StartCheckpoints makes all running tasks that can save a checkpoint start to do so. Saving takes
+// d.
 func (m *SimulatedMachine) StartCheckpoints(d time.Duration) {
 	for _, task := range m.tasks {
-		if task.State == worker.TaskRunning && task.saveDuration > 0 {
-			task.saveDuration = d
+		if task.State == worker.TaskRunning && task.checkpointDuration > 0 {
+			task.checkpointDuration = d
 			m.setState(task, worker.TaskCheckpointing)
 		}
 	}
 }
 
-// dropTasks ends and forgets all tasks, as when the machine goes or its lease expires.
+// dropTasks ends and removes all tasks, because the machine stops or its lease has expired.
 func (m *SimulatedMachine) dropTasks() {
 	for key, task := range m.tasks {
 		if task.State != worker.TaskExited {
-			m.end(task, worker.CauseStopped)
+			m.endTask(task, worker.CauseStopped)
 		}
 		delete(m.tasks, key)
 	}
 }
 
-// activeTasks counts the tasks that have not ended.
+// activeTasks returns the number of tasks that have not exited.
 func (m *SimulatedMachine) activeTasks() (n int) {
 	for _, task := range m.tasks {
 		if task.State != worker.TaskExited {
@@ -195,12 +199,12 @@
 	return n
 }
 
-// stepInterval is how finely the workers' time goes.
-const stepInterval = 250 * time.Millisecond
+// taskStepInterval is the interval at which workers update their tasks and check their leases.
+const taskStepInterval = 250 * time.Millisecond
 
-// runTasks moves the tasks on, and ends the lease in time.
+// runTasks updates the tasks and checks the lease periodically, until the machine stops.
 func (m *SimulatedMachine) runTasks() {
-	tick := time.NewTicker(stepInterval)
+	tick := time.NewTicker(taskStepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -212,7 +216,7 @@
 	}
 }
 
-// step is what a worker does at each tick, which was due at some time.
+// step checks the lease and updates all tasks. due is the time for which the step was scheduled.
 func (m *SimulatedMachine) step(due time.Time) {
 	m.cloud.mu.Lock()
 	defer m.cloud.mu.Unlock()
@@ -226,15 +230,16 @@
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(m.tasks)) {
-		m.stepTask(m.tasks[key])
+		m.advanceTask(m.tasks[key])
 	}
 }
 
-// expireLease ends all tasks: nobody may command them any more.
+// expireLease begins a new worker epoch and ends all tasks: once its lease has expired, the machine
+// no longer has an owner.
 func (m *SimulatedMachine) expireLease() {
 	m.epoch++
 	m.renewedAt = time.Now()
-	m.cloud.killedByLeaseEnd += m.activeTasks()
+	m.cloud.killedByLeaseExpiry += m.activeTasks()
 	m.dropTasks()
-	m.notifyWorker()
+	m.requestHeartbeat()
 }
--- a/emulator/stateservice.go
+++ b/emulator/stateservice.go
@@ -13,41 +13,41 @@
 	"robinstack/internal/statekv"
 )
 
-// StateService is a state service in memory: keys with revisions, compare-and-swap
-// transactions, leases and watches. Called directly it implements the methods of
-// statekv.Store; over HTTP it answers by the published protocol (ServeHTTP).
+// StateService is an in-memory state service: keys with revisions, compare-and-swap transactions,
+// leases and watches. It implements statekv.Store for direct calls and the published HTTP protocol
+// (ServeHTTP).
 type StateService struct {
-	mu       sync.Mutex // guards all fields up to rateLimits
-	revision uint64     // of the last transaction with changes
+	mu       sync.Mutex // guards all fields but rateLimits
+	revision uint64     // of the latest change
 	keys     map[string]statekv.KV
-	events   []statekv.Event // changes that are kept for watches, in the order of their revisions
-	changed  chan struct{}   // closed at the next change, or change of an outage
+	events   []statekv.Event // changes retained for watches, in ascending order of revision
+	changed  chan struct{}   // closed when a change is made or an outage begins or ends
 
-	// compactedRevision is the last revision whose changes are not kept any more.
+	// compactedRevision is the latest revision whose changes are no longer retained.
 	compactedRevision uint64
 
 	lastLease      uint64
 	leaseDeadlines map[uint64]time.Time
-	keyLeases      map[string]uint64 // leases by the keys that end with them
+	keyLeases      map[string]uint64 // leases that keys are attached to, by key
 
-	// leaseTTLs has those leases alone that end by themselves. Leases granted by a direct
-	// call end when they are revoked: a test decides when.
+	// leaseTTLs contains only the leases that expire. A lease that is granted by a direct call of
+	// Grant does not expire, so that a test decides when it ends: it calls Revoke.
 	leaseTTLs map[uint64]time.Duration
 
-	down        bool          // every request is rejected
-	loseAnswers bool          // transactions are carried out and their answers lost
-	txnLatency  time.Duration // how long a transaction takes
+	down          bool          // every request is rejected
+	loseResponses bool          // transactions are applied but get no response
+	txnLatency    time.Duration // delay before a transaction is applied
 
-	maxValueBytes  int // 0: any number
-	maxTxnOps      int // 0: any number
+	maxValueBytes  int // 0: unlimited
+	maxTxnOps      int // 0: unlimited
 	sizeViolations []string
 	changes        int
 
-	rateLimits atomic.Pointer[RateLimits] // nil: none
+	rateLimits atomic.Pointer[RateLimits] // nil: unlimited
 }
 
-// maxComparesPerOp is how many compares a transaction may have for each change that the
-// size limits allow.
+// maxComparesPerOp is the maximum number of compares in a transaction for each change that the size
+// limit permits.
 const maxComparesPerOp = 4
 
 // NewStateService returns an empty state service at revision 1.
@@ -62,66 +62,71 @@
 	}
 }
 
-// NewEmptyStateService returns a state service at revision 0: nothing has ever been written.
+// NewEmptyStateService returns a state service at revision 0, to which nothing has ever been
+// written.
 func NewEmptyStateService() *StateService {
 	s := NewStateService()
 	s.revision = 0
 	return s
 }
 
-// Changes counts the puts and deletes that were made.
+// Changes returns the number of sets and deletes made by transactions.
 func (s *StateService) Changes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changes
 }
 
-// SetSizeLimits sets how many bytes a value and how many changes a transaction may have
-// from now on, 0: any number. What is larger is refused.
+// SetSizeLimits sets the maximum size of a value and the maximum number of changes in a
+// transaction; 0: unlimited. Transactions over a limit are rejected.
 func (s *StateService) SetSizeLimits(maxValueBytes, maxTxnOps int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxValueBytes, s.maxTxnOps = maxValueBytes, maxTxnOps
 }
 
-// SizeViolations lists what was refused by the size limits.
+// SizeViolations describes the transactions that were rejected because of the size limits.
 func (s *StateService) SizeViolations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sizeViolations
 }
 
-// withinSizeLimits checks a transaction. The mutex is held.
-func (s *StateService) withinSizeLimits(when []statekv.Compare, then []statekv.Op) bool {
+// checkSizeLimits reports whether a transaction is within the size limits, and records a violation
+// if not. The caller must hold s.mu.
+func (s *StateService) checkSizeLimits(when []statekv.Compare, then []statekv.Op) bool {
 	if s.maxTxnOps > 0 && (len(then) > s.maxTxnOps || len(when) > maxComparesPerOp*s.maxTxnOps) {
-		s.sizeViolations = append(s.sizeViolations, fmt.Sprintf("%d changes under %d conditions", len(then), len(when)))
+		s.sizeViolations = append(s.sizeViolations, fmt.Sprintf(
+			"transaction with %d changes and %d compares: the limits are %d and %d",
+			len(then), len(when), s.maxTxnOps, maxComparesPerOp*s.maxTxnOps))
 		return false
 	}
 	if s.maxValueBytes == 0 {
 		return true
 	}
 	for _, op := range then {
-		// A value that can't be encoded is an error of the transaction (apply).
+		// An encoding error is ignored here; apply returns it.
 		raw, _ := json.Marshal(op.Value)
 		if op.Set != "" && len(raw) > s.maxValueBytes {
-			s.sizeViolations = append(s.sizeViolations, fmt.Sprintf("%s has %d bytes", op.Set, len(raw)))
+			s.sizeViolations = append(s.sizeViolations, fmt.Sprintf(
+				"value of %s has %d bytes: the limit is %d", op.Set, len(raw), s.maxValueBytes))
 			return false
 		}
 	}
 	return true
 }
 
-// SetTxnLatency sets how long transactions take from now on.
+// SetTxnLatency sets the delay before transactions are applied.
 func (s *StateService) SetTxnLatency(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.txnLatency = d
 }
 
-// SetOutage sets what fails from now on: down has every request rejected, loseAnswers has
-// transactions carried out and their answers lost. Once an outage is over, every lease that
-// ends by itself has its full time again.
-func (s *StateService) SetOutage(down, loseAnswers bool) {
+// SetOutage begins or ends outages. While down is set, every request is rejected. While loseAnswers
+// is set, transactions are applied but get no response. When down is cleared, every lease that
+// expires starts again with its full TTL.
+func (s *StateService) SetOutage(down, loseResponses bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
@@ -131,8 +136,8 @@
 			}
 		}
 	}
-	s.down, s.loseAnswers = down, loseAnswers
-	s.wakeWatches()
+	s.down, s.loseResponses = down, loseResponses
+	s.wakeWatchers()
 }
 
 // IsDown reports whether every request is rejected.
@@ -142,27 +147,29 @@
 	return s.down
 }
 
-// keptEvents is how many changes are kept at least for watches.
-const keptEvents = 10_000
+// minRetainedEvents is the minimum number of events that are retained for watches once that many
+// changes have been made.
+const minRetainedEvents = 10_000
 
-// recordEvent adds a change for watches. The mutex is held.
+// recordEvent adds an event for watches and drops old events if there are too many. The caller must
+// hold s.mu.
 func (s *StateService) recordEvent(e statekv.Event) {
-	if len(s.events) >= 2*keptEvents {
-		drop := len(s.events) - keptEvents
+	if len(s.events) >= 2*minRetainedEvents {
+		drop := len(s.events) - minRetainedEvents
 		s.compactedRevision = s.events[drop-1].Rev
 		s.events = append([]statekv.Event(nil), s.events[drop:]...)
 	}
 	s.events = append(s.events, e)
-	s.wakeWatches()
+	s.wakeWatchers()
 }
 
-// wakeWatches has all watches look again. The mutex is held.
-func (s *StateService) wakeWatches() {
+// wakeWatchers makes all waiting watches check for events and outages. The caller must hold s.mu.
+func (s *StateService) wakeWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Get reads a key. The error is statekv.ErrNotFound for a key that does not exist.
+// Get implements statekv.Store. It returns statekv.ErrNotFound for a key that does not exist.
 func (s *StateService) Get(_ context.Context, key string) (statekv.KV, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,13 +183,14 @@
 	return kv, nil
 }
 
-// A page of List has a fifth of all keys, and two at least: few, to exercise paging.
+// A page returned by List has a fifth of all keys, but at least two. Pages are small so that tests
+// exercise paging.
 const (
 	minPageKeys  = 2
 	pagesPerList = 5
 )
 
-// List reads a page of the keys under a prefix that come after one.
+// List implements statekv.Store. It returns a page of the keys under prefix that follow after.
 func (s *StateService) List(_ context.Context, prefix, after string) (statekv.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,7 +198,7 @@
 		return statekv.Page{}, statekv.ErrRejected
 	}
 	p := statekv.Page{Rev: s.revision}
-	for _, kv := range s.listAll(prefix) {
+	for _, kv := range s.listAllLocked(prefix) {
 		if kv.Key > after {
 			p.Items = append(p.Items, kv)
 		}
@@ -201,14 +209,14 @@
 	return p, nil
 }
 
-// ListAll returns all keys under a prefix, in order, also in an outage.
+// ListAll returns all keys under a prefix, sorted. It works during an outage too.
 func (s *StateService) ListAll(prefix string) []statekv.KV {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.listAll(prefix)
+	return s.listAllLocked(prefix)
 }
 
-func (s *StateService) listAll(prefix string) []statekv.KV {
+func (s *StateService) listAllLocked(prefix string) []statekv.KV {
 	var out []statekv.KV
 	for k, kv := range s.keys {
 		if strings.HasPrefix(k, prefix) {
@@ -219,9 +227,9 @@
 	return out
 }
 
-// Txn applies all changes if all compares hold, and returns the revision then. The error is
-// a *statekv.ConflictError with the keys for which they don't hold, statekv.ErrTooLarge
-// beyond the size limits, or statekv.ErrOutcomeUnknown where the answer is lost.
+// Txn applies all changes if every compare holds, and returns the new revision. The error is a
+// *statekv.ConflictError with the keys whose compares fail, statekv.ErrTooLarge if a size limit is
+// exceeded, or statekv.ErrOutcomeUnknown if the response is lost.
 func (s *StateService) Txn(_ context.Context, when []statekv.Compare, then []statekv.Op) (uint64, error) {
 	s.mu.Lock()
 	latency := s.txnLatency
@@ -232,7 +240,7 @@
 	if s.down {
 		return 0, statekv.ErrRejected
 	}
-	if !s.withinSizeLimits(when, then) {
+	if !s.checkSizeLimits(when, then) {
 		return 0, statekv.ErrTooLarge
 	}
 	var failed []string
@@ -245,18 +253,18 @@
 		return 0, &statekv.ConflictError{Failed: failed}
 	}
 	if len(then) == 0 {
-		return s.revision, nil // it only compares
+		return s.revision, nil // a transaction without changes
 	}
 	if err := s.apply(then); err != nil {
 		return 0, err
 	}
-	if s.loseAnswers {
+	if s.loseResponses {
 		return 0, statekv.ErrOutcomeUnknown
 	}
 	return s.revision, nil
 }
 
-// apply makes changes at a new revision. The mutex is held.
+// apply makes changes at a new revision. The caller must hold s.mu.
 func (s *StateService) apply(ops []statekv.Op) error {
 	s.revision++
 	s.changes += len(ops)
@@ -268,7 +276,7 @@
 		}
 		raw, err := json.Marshal(op.Value)
 		if err != nil {
-			return fmt.Errorf("encoding %s: %w", op.Set, err)
+			return fmt.Errorf("encoding value of %s: %w", op.Set, err)
 		}
 		s.keys[op.Set] = statekv.KV{Key: op.Set, Value: raw, Rev: s.revision}
 		s.keyLeases[op.Set] = op.Lease
@@ -277,8 +285,9 @@
 	return nil
 }
 
-// Watch returns the changes under a prefix after a revision, as soon as there are any, or
-// none after block. The error is statekv.ErrCompacted if they are not kept any more.
+// Watch returns the changes under prefix after revision since. If there are none, it waits for the
+// first one, for at most block. It returns statekv.ErrCompacted if these changes are no longer
+// retained.
 func (s *StateService) Watch(
 	ctx context.Context, prefix string, since uint64, block time.Duration,
 ) (statekv.WatchResponse, error) {
@@ -307,10 +316,10 @@
 	}
 }
 
-// eventsSince lists the changes under a prefix after a revision. The mutex is held.
+// eventsSince returns the events under a prefix after a revision. The caller must hold s.mu.
 func (s *StateService) eventsSince(revision uint64, prefix string) (out []statekv.Event) {
-	from := sort.Search(len(s.events), func(k int) bool { return s.events[k].Rev > revision })
-	for _, e := range s.events[from:] {
+	first := sort.Search(len(s.events), func(i int) bool { return s.events[i].Rev > revision })
+	for _, e := range s.events[first:] {
 		if strings.HasPrefix(e.Key(), prefix) {
 			out = append(out, e)
 		}
@@ -318,7 +327,7 @@
 	return out
 }
 
-// Size is how many keys there are, and the bytes of their names and values.
+// Size returns the number of keys and the total size of their names and values.
 func (s *StateService) Size() (keys, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -328,11 +337,11 @@
 	return len(s.keys), bytes
 }
 
-// MaxTxnOps says that a transaction may have as many changes as the settings say.
+// MaxTxnOps returns the configured maximum ops; the emulated service never asks for less.
 func (s *StateService) MaxTxnOps(ops int) int { return ops }
 
-// TxnBatchSize says that a transaction need not have fewer changes than it may.
+// TxnBatchSize returns ops: batches are as large as transactions may be.
 func (s *StateService) TxnBatchSize(ops int) int { return ops }
 
-// Allow says that changes may always be made.
+// Allow returns true: direct calls have no rate limit.
 func (s *StateService) Allow(statekv.RequestClass, int) bool { return true }
--- a/emulator/stateservice_http.go
+++ b/emulator/stateservice_http.go
@@ -10,7 +10,7 @@
 	"robinstack/internal/statekv"
 )
 
-// Paths of the state service's protocol.
+// HTTP paths of the state service.
 const (
 	keysPath    = "/keys"
 	txnPath     = "/txn"
@@ -19,14 +19,14 @@
 	renewSuffix = "/extend"
 )
 
-// defaultPageKeys is how many keys a page has if a request does not say.
+// defaultPageKeys is the page size for list requests without the parameter "page".
 const defaultPageKeys = 1000
 
-// ServeHTTP answers as the state service does, by its published protocol.
+// ServeHTTP implements the published HTTP protocol of the state service.
 func (s *StateService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.revokeExpired(time.Now())
-	if !s.admit(r) {
-		respond(w, http.StatusTooManyRequests, nil)
+	if !s.allowRequest(r) {
+		writeJSON(w, http.StatusTooManyRequests, nil)
 		return
 	}
 	switch {
@@ -41,36 +41,37 @@
 	case strings.HasPrefix(r.URL.Path, leasesPath):
 		s.serveLeases(w, r)
 	default:
-		respond(w, http.StatusBadRequest, nil)
+		writeJSON(w, http.StatusBadRequest, nil)
 	}
 }
 
 func (s *StateService) serveList(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	page := s.page(q.Get("prefix"), q.Get("since"), intOr(q.Get("page"), defaultPageKeys))
-	respond(w, http.StatusOK, page)
+	query := r.URL.Query()
+	page := s.listPage(query.Get("prefix"), query.Get("since"), parseIntOr(query.Get("page"), defaultPageKeys))
+	writeJSON(w, http.StatusOK, page)
 }
 
 func (s *StateService) serveGet(w http.ResponseWriter, r *http.Request) {
 	kv, err := s.Get(r.Context(), strings.TrimPrefix(r.URL.Path, keysPath+"/"))
 	if err != nil {
-		respond(w, http.StatusNotFound, map[string]uint64{"ledger_rev": s.currentRevision()})
+		writeJSON(w, http.StatusNotFound, map[string]uint64{"ledger_rev": s.currentRevision()})
 		return
 	}
-	respond(w, http.StatusOK, kv)
+	writeJSON(w, http.StatusOK, kv)
 }
 
 func (s *StateService) serveWatch(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	since, block := uint64(intOr(q.Get("since"), 0)), time.Duration(intOr(q.Get("block_ms"), 0))*time.Millisecond
-	response, err := s.Watch(r.Context(), q.Get("prefix"), since, block)
+	query := r.URL.Query()
+	since, block := uint64(parseIntOr(query.Get("since"), 0)),
+		time.Duration(parseIntOr(query.Get("block_ms"), 0))*time.Millisecond
+	response, err := s.Watch(r.Context(), query.Get("prefix"), since, block)
 	switch {
 	case errors.Is(err, statekv.ErrCompacted):
-		respond(w, http.StatusGone, nil)
+		writeJSON(w, http.StatusGone, nil)
 	case err != nil:
-		respond(w, http.StatusServiceUnavailable, nil)
+		writeJSON(w, http.StatusServiceUnavailable, nil)
 	default:
-		respond(w, http.StatusOK, response)
+		writeJSON(w, http.StatusOK, response)
 	}
 }
 
@@ -80,13 +81,13 @@
 	return s.revision
 }
 
-// page has at most so many of the keys under a prefix that come after one. Unlike List it
-// answers in an outage too.
-func (s *StateService) page(prefix, after string, limit int) statekv.Page {
+// listPage returns at most limit of the keys under prefix that follow after. Unlike List, it works
+// during an outage too.
+func (s *StateService) listPage(prefix, after string, limit int) statekv.Page {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := statekv.Page{Rev: s.revision, Items: []statekv.KV{}}
-	for _, kv := range s.listAll(prefix) {
+	for _, kv := range s.listAllLocked(prefix) {
 		if kv.Key <= after {
 			continue
 		}
@@ -110,17 +111,17 @@
 		} `json:"then"`
 	}
 	if json.NewDecoder(r.Body).Decode(&txn) != nil {
-		respond(w, http.StatusBadRequest, nil)
+		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	if !s.admitTxn(len(txn.Then)) {
-		respond(w, http.StatusTooManyRequests, nil)
+	if !s.allowTxn(len(txn.Then)) {
+		writeJSON(w, http.StatusTooManyRequests, nil)
 		return
 	}
 	var then []statekv.Op
 	for _, op := range txn.Then {
 		if op.Lease != 0 && !s.leaseExists(op.Lease) {
-			respond(w, http.StatusBadRequest, map[string]string{"error": "no such lease"})
+			writeJSON(w, http.StatusBadRequest, map[string]string{"error": "no such lease"})
 			return
 		}
 		then = append(then, statekv.Op{Set: op.Set, Value: op.Value, Lease: op.Lease, Delete: op.Delete})
@@ -129,48 +130,48 @@
 	var conflict *statekv.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		respond(w, http.StatusConflict, map[string]any{"failed": conflict.Failed, "ledger_rev": s.currentRevision()})
+		writeJSON(w, http.StatusConflict, map[string]any{"failed": conflict.Failed, "ledger_rev": s.currentRevision()})
 	case errors.Is(err, statekv.ErrTooLarge):
-		respond(w, http.StatusBadRequest, map[string]string{"error": "too large"})
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": "too large"})
 	case err != nil:
-		respond(w, http.StatusServiceUnavailable, nil)
+		writeJSON(w, http.StatusServiceUnavailable, nil)
 	default:
-		respond(w, http.StatusOK, map[string]uint64{"ledger_rev": rev})
+		writeJSON(w, http.StatusOK, map[string]uint64{"ledger_rev": rev})
 	}
 }
 
-// serveLeases answers POST /grants, DELETE /grants/ID, and POST /grants/ID/extend.
+// serveLeases serves POST /grants, DELETE /grants/ID and POST /grants/ID/extend.
 func (s *StateService) serveLeases(w http.ResponseWriter, r *http.Request) {
-	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
-	if len(parts) == 1 {
+	segments := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
+	if len(segments) == 1 {
 		s.serveGrant(w, r)
 		return
 	}
-	id := uint64(intOr(parts[1], 0))
+	id := uint64(parseIntOr(segments[1], 0))
 	if r.Method == http.MethodDelete {
 		s.revoke(id)
-		respond(w, http.StatusOK, struct{}{})
+		writeJSON(w, http.StatusOK, struct{}{})
 		return
 	}
-	if s.renewExpiring(r.Context(), id) != nil {
-		respond(w, http.StatusNotFound, struct{}{})
+	if s.renewWithExpiry(r.Context(), id) != nil {
+		writeJSON(w, http.StatusNotFound, struct{}{})
 		return
 	}
-	respond(w, http.StatusOK, struct{}{})
+	writeJSON(w, http.StatusOK, struct{}{})
 }
 
 func (s *StateService) serveGrant(w http.ResponseWriter, r *http.Request) {
-	var in struct {
+	var request struct {
 		TTL int64 `json:"ttl_ms"`
 	}
-	if json.NewDecoder(r.Body).Decode(&in) != nil {
-		respond(w, http.StatusBadRequest, nil)
+	if json.NewDecoder(r.Body).Decode(&request) != nil {
+		writeJSON(w, http.StatusBadRequest, nil)
 		return
 	}
-	id, err := s.grantExpiring(r.Context(), time.Duration(in.TTL)*time.Millisecond)
+	id, err := s.grantWithExpiry(r.Context(), time.Duration(request.TTL)*time.Millisecond)
 	if err != nil {
-		respond(w, http.StatusServiceUnavailable, nil)
+		writeJSON(w, http.StatusServiceUnavailable, nil)
 		return
 	}
-	respond(w, http.StatusOK, map[string]uint64{"grant": id})
+	writeJSON(w, http.StatusOK, map[string]uint64{"grant": id})
 }
--- a/emulator/stateservice_leases.go
+++ b/emulator/stateservice_leases.go
@@ -7,7 +7,7 @@
 	"robinstack/internal/statekv"
 )
 
-// Grant makes a lease. It does not end by itself.
+// Grant creates a lease that does not expire.
 func (s *StateService) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,8 +20,8 @@
 	return id, nil
 }
 
-// grantExpiring makes a lease that ends by itself unless it is renewed in time.
-func (s *StateService) grantExpiring(ctx context.Context, ttl time.Duration) (uint64, error) {
+// grantWithExpiry creates a lease that expires unless it is renewed within ttl.
+func (s *StateService) grantWithExpiry(ctx context.Context, ttl time.Duration) (uint64, error) {
 	id, err := s.Grant(ctx, ttl)
 	if err != nil {
 		return 0, err
@@ -32,7 +32,8 @@
 	return id, nil
 }
 
-// Renew reports whether a lease exists: statekv.ErrNotFound if it does not.
+// Renew returns nil if the lease exists and statekv.ErrNotFound if it does not. It does not extend
+// the lease.
 func (s *StateService) Renew(_ context.Context, lease uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,8 +46,8 @@
 	return nil
 }
 
-// renewExpiring gives a lease that ends by itself its full time again.
-func (s *StateService) renewExpiring(ctx context.Context, lease uint64) error {
+// renewWithExpiry extends a lease that expires by its full TTL.
+func (s *StateService) renewWithExpiry(ctx context.Context, lease uint64) error {
 	if err := s.Renew(ctx, lease); err != nil {
 		return err
 	}
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// Revoke ends a lease and removes its keys.
+// Revoke ends a lease and deletes its keys. It works during an outage too.
 func (s *StateService) Revoke(_ context.Context, lease uint64) error {
 	s.revoke(lease)
 	return nil
@@ -66,8 +67,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.leaseDeadlines, lease)
-	for key, of := range s.keyLeases {
-		if of == lease && lease != 0 {
+	for key, keyLease := range s.keyLeases {
+		if keyLease == lease && lease != 0 {
 			s.revision++
 			delete(s.keys, key)
 			delete(s.keyLeases, key)
@@ -83,8 +84,7 @@
 	return ok
 }
 
-// revokeExpired ends the leases that end by themselves and were not renewed in time. In an
-// outage none ends.
+// revokeExpired revokes the leases that have expired. No lease expires during an outage.
 func (s *StateService) revokeExpired(now time.Time) {
 	s.mu.Lock()
 	if s.down {
@@ -103,13 +103,13 @@
 	}
 }
 
-// expiryInterval is how often leases are looked at when no request comes.
-const expiryInterval = 50 * time.Millisecond
+// leaseExpiryInterval is the interval at which ExpireLeases checks for expired leases. Each HTTP
+// request checks too.
+const leaseExpiryInterval = 50 * time.Millisecond
 
-// ExpireLeases ends leases that nobody renews although no request comes, until stop is
-// closed.
+// ExpireLeases revokes expired leases periodically, until stop is closed.
 func (s *StateService) ExpireLeases(stop <-chan struct{}) {
-	tick := time.NewTicker(expiryInterval)
+	tick := time.NewTicker(leaseExpiryInterval)
 	defer tick.Stop()
 	for {
 		select {
