--- a/emulator/taskstates.go
+++ b/emulator/taskstates.go
@@ -7,63 +7,64 @@
 	"robinstack/internal/worker"
 )
 
-// Operations that a command may name.
+// Operations of commands on the wire.
 const (
-	opRun    = "run"
-	opKill   = "kill"
+	opStart  = "run"
+	opStop   = "kill"
 	opForget = "forget"
 )
 
-// stepTask moves one task on. A task fetches its image; a gang's then waits until all of
-// the gang are on machines; then it runs, and saves if it is stopped with time to do so.
-func (m *SimulatedMachine) stepTask(task *simulatedTask) {
+// advanceTask updates the state of one task. A task fetches its image, waits for the other tasks if
+// it belongs to a gang, and runs. If it is stopped with enough grace, it saves a checkpoint before
+// it exits.
+func (m *SimulatedMachine) advanceTask(task *simulatedTask) {
 	spec := task.spec(m.cloud.history)
 	switch task.State {
 	case worker.TaskFetching:
-		m.stepFetching(task, &spec)
+		m.advanceFetching(task, &spec)
 	case worker.TaskAwaitingGang:
-		m.stepAwaitingGang(task, &spec)
+		m.advanceAwaitingGang(task, &spec)
 	case worker.TaskRunning:
-		m.stepRunning(task, &spec)
+		m.advanceRunning(task, &spec)
 	case worker.TaskCheckpointing:
-		if time.Since(task.stateSince) > task.saveDuration {
+		if time.Since(task.stateSince) > task.checkpointDuration {
 			task.Checkpointed = true
-			m.end(task, worker.CauseStopped)
+			m.endTask(task, worker.CauseStopped)
 		}
 	}
 }
 
-// defaultFetchTime is how long each fetch takes where the timing does not say.
+// defaultFetchTime is the duration of each image fetch if Timing.ImageFetch is 0.
 const defaultFetchTime = time.Second
 
-// fetchTime is how long the fetch of an image takes.
+// fetchTime returns how long the machine takes to fetch an image.
 func (m *SimulatedMachine) fetchTime(image string) time.Duration {
-	fetch := m.cloud.timing.ImageFetch
+	fetchTime := m.cloud.timing.ImageFetch
 	switch {
-	case fetch == 0:
+	case fetchTime == 0:
 		return defaultFetchTime
 	case m.images[image]:
 		return 0
 	}
-	return fetch
+	return fetchTime
 }
 
-func (m *SimulatedMachine) stepFetching(task *simulatedTask, spec *job.Spec) {
+func (m *SimulatedMachine) advanceFetching(task *simulatedTask, spec *job.Spec) {
 	if time.Since(task.stateSince) < m.fetchTime(spec.Image) {
 		return
 	}
 	m.images[spec.Image] = true
 	history := m.cloud.history
 	if history.TaskCompleted(task.ID) {
-		m.end(task, worker.CauseDone)
+		m.endTask(task, worker.CauseDone)
 		return
 	}
 	history.RecordTaskStart(TaskStart{Task: task.ID, Machine: m.name, MachineType: m.machineType.Name, Zone: m.zone})
-	task.onMachine = true
-	gang := m.cloud.gangs[task.jobAttempt]
+	task.recordedOnMachine = true
+	gang := m.cloud.gangs[task.jobAttemptKey]
 	if gang == nil {
 		gang = map[string]*simulatedTask{}
-		m.cloud.gangs[task.jobAttempt] = gang
+		m.cloud.gangs[task.jobAttemptKey] = gang
 	}
 	gang[task.ID] = task
 	if spec.Shape == job.Gang {
@@ -73,8 +74,8 @@
 	m.setState(task, worker.TaskRunning)
 }
 
-func (m *SimulatedMachine) stepAwaitingGang(task *simulatedTask, spec *job.Spec) {
-	gang := m.cloud.gangs[task.jobAttempt]
+func (m *SimulatedMachine) advanceAwaitingGang(task *simulatedTask, spec *job.Spec) {
+	gang := m.cloud.gangs[task.jobAttemptKey]
 	complete := len(gang) == spec.Tasks
 	for _, other := range gang {
 		complete = complete && (other.State == worker.TaskAwaitingGang || other.State == worker.TaskRunning)
@@ -83,39 +84,40 @@
 	case complete:
 		m.setState(task, worker.TaskRunning)
 	case time.Since(task.stateSince) > m.cloud.settings.Workers.GangWaitTimeout:
-		m.end(task, worker.CauseGangIncomplete)
+		m.endTask(task, worker.CauseGangIncomplete)
 	}
 }
 
-func (m *SimulatedMachine) stepRunning(task *simulatedTask, spec *job.Spec) {
-	if spec.Shape == job.Gang && m.endsWithGang(task, spec) {
+func (m *SimulatedMachine) advanceRunning(task *simulatedTask, spec *job.Spec) {
+	if spec.Shape == job.Gang && m.endIfGangEnded(task, spec) {
 		return
 	}
-	task.remaining -= stepInterval
-	if task.remaining > 0 || spec.Shape == job.Service {
+	task.remainingRunTime -= taskStepInterval
+	if task.remainingRunTime > 0 || spec.Shape == job.Service {
 		return
 	}
 	history := m.cloud.history
 	if spec.Shape == job.Gang {
-		for other := range m.cloud.gangs[task.jobAttempt] {
+		for other := range m.cloud.gangs[task.jobAttemptKey] {
 			history.RecordTaskCompletion(other)
 		}
 	}
 	history.RecordTaskCompletion(task.ID)
-	m.end(task, worker.CauseDone)
+	m.endTask(task, worker.CauseDone)
 	if observe := m.cloud.onTaskCompleted; observe != nil {
 		go observe(task.ID)
 	}
 }
 
-// endsWithGang ends a task of a gang that has completed, or has lost one for too long.
-func (m *SimulatedMachine) endsWithGang(task *simulatedTask, spec *job.Spec) bool {
-	alone := len(m.cloud.gangs[task.jobAttempt]) < spec.Tasks
+// endIfGangEnded ends a task of a gang if the gang has completed, or if the gang is incomplete and
+// the task has been running for longer than GangPeerTimeout. It reports whether it ended the task.
+func (m *SimulatedMachine) endIfGangEnded(task *simulatedTask, spec *job.Spec) bool {
+	incomplete := len(m.cloud.gangs[task.jobAttemptKey]) < spec.Tasks
 	switch {
 	case m.cloud.history.TaskCompleted(task.ID):
-		m.end(task, worker.CauseDone)
-	case alone && time.Since(task.stateSince) > m.cloud.settings.Workers.GangPeerTimeout:
-		m.end(task, worker.CauseGangPeerLost)
+		m.endTask(task, worker.CauseDone)
+	case incomplete && time.Since(task.stateSince) > m.cloud.settings.Workers.GangPeerTimeout:
+		m.endTask(task, worker.CauseGangPeerLost)
 	default:
 		return false
 	}
--- a/emulator/transport.go
+++ b/emulator/transport.go
@@ -8,14 +8,15 @@
 	"net/http/httptest"
 )
 
-// heartbeatTransport carries a worker's heartbeats to controllers and brings their answers.
+// heartbeatTransport sends a worker's heartbeats to controllers and returns their responses.
 type heartbeatTransport interface {
-	// send sends a heartbeat; the error says that no answer came.
+	// send sends a heartbeat to the controller on a host. An error means that there was no
+	// response.
 	send(ctx context.Context, host string, body []byte) (code int, answer []byte, err error)
 	close()
 }
 
-// handlerTransport reaches controllers of the same process by their HTTP handlers.
+// handlerTransport calls the HTTP handlers of controllers in the same process.
 type handlerTransport struct{ call ControllerCall }
 
 func (t handlerTransport) close() {}
@@ -27,7 +28,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // in memory
+	defer func() { _ = response.Body.Close() }() // the body is in memory
 	answer, err := io.ReadAll(response.Body)
 	return response.StatusCode, answer, err
 }
--- a/emulator/workerlease.go
+++ b/emulator/workerlease.go
@@ -10,127 +10,130 @@
 	"robinstack/internal/worker"
 )
 
-// workerLease is what a worker knows of who may command it, and until when.
+// workerLease is the state that a worker needs to decide which responses and commands it accepts,
+// and when its lease expires.
 type workerLease struct {
-	epoch    uint64 // raised whenever the lease expires
-	sequence uint64 // of its heartbeats
-	token    uint64 // the highest fencing token that it has seen
+	epoch    uint64 // worker epoch, incremented each time the lease expires
+	sequence uint64 // sequence number of the last heartbeat
+	token    uint64 // highest fencing token seen
 
-	// renewedAt is when the last heartbeat that was answered was sent; zero: the worker is
-	// not up yet.
+	// renewedAt is the time from which the lease runs: when the last answered heartbeat was sent,
+	// when the worker came up, or when the previous lease expired. Zero: not up yet.
 	renewedAt time.Time
 }
 
-// admits reports whether commands under a fencing token and for a worker epoch are carried
-// out.
-func (l *workerLease) admits(token, epoch uint64) bool {
+// acceptsCommands reports whether the worker accepts commands with the given fencing token and
+// worker epoch.
+func (l *workerLease) acceptsCommands(token, epoch uint64) bool {
 	return token >= l.token && epoch == l.epoch
 }
 
-// beginHeartbeat is the worker's next heartbeat, without its machine and tasks.
-func (l *workerLease) beginHeartbeat() worker.Heartbeat {
+// newHeartbeat returns the next heartbeat, without the fields of the machine and the tasks.
+func (l *workerLease) newHeartbeat() worker.Heartbeat {
 	l.sequence++
 	return worker.Heartbeat{
 		WorkerEpoch: l.epoch, Sequence: l.sequence, FencingToken: l.token, Tasks: []worker.Task{},
 	}
 }
 
-// redirect is where a worker sends its next heartbeat.
-type redirect struct {
-	stay bool
-	host string // of a controller; "": any other
+// heartbeatTarget tells a worker which controller to send its next heartbeat to.
+type heartbeatTarget struct {
+	same bool   // the controller of the last heartbeat
+	host string // otherwise: controller to switch to; "": the next one in the rotation
 }
 
-// accept takes the response to a heartbeat of a worker epoch that was sent at some time, and
-// says where to send the next one. A response that the worker must drop is nil; any other
-// renews the lease, and its commands are to be carried out under its fencing token.
-func (l *workerLease) accept(
-	epoch uint64, sent time.Time, code int, body []byte,
-) (redirect, *worker.HeartbeatResponse) {
+// handleResponse handles the response to a heartbeat that was sent at sentAt in the given worker
+// epoch. It returns the target of the next heartbeat. If the worker accepts the response,
+// handleResponse renews the lease and returns the response, whose commands the caller must execute.
+// Otherwise it returns nil.
+func (l *workerLease) handleResponse(
+	epoch uint64, sentAt time.Time, code int, body []byte,
+) (heartbeatTarget, *worker.HeartbeatResponse) {
 	switch code {
 	case http.StatusOK:
-		var r worker.HeartbeatResponse
-		if json.Unmarshal(body, &r) != nil {
-			return redirect{}, nil
+		var response worker.HeartbeatResponse
+		if json.Unmarshal(body, &response) != nil {
+			return heartbeatTarget{}, nil
 		}
-		if !l.admits(r.FencingToken, epoch) {
-			return redirect{stay: true}, nil
+		if !l.acceptsCommands(response.FencingToken, epoch) {
+			return heartbeatTarget{same: true}, nil
 		}
-		l.renewedAt = sent
-		return redirect{stay: true}, &r
+		l.renewedAt = sentAt
+		return heartbeatTarget{same: true}, &response
 	case http.StatusMisdirectedRequest:
 		var owner struct {
 			Host string `json:"home"`
 		}
-		_ = json.Unmarshal(body, &owner) // without a host the worker tries the next one
-		return redirect{host: owner.Host}, nil
+		_ = json.Unmarshal(body, &owner) // without a host, the worker tries the next controller
+		return heartbeatTarget{host: owner.Host}, nil
 	}
-	return redirect{}, nil
+	return heartbeatTarget{}, nil
 }
 
-// How long a worker waits before its next heartbeat.
+// Delays before the next heartbeat.
 const (
-	redirectPause = 50 * time.Millisecond  // to the controller that it was sent to
-	retryPause    = time.Second            // to the next one, after none answered
-	minPause      = 500 * time.Millisecond // at most, if something has changed meanwhile
+	redirectDelay        = 50 * time.Millisecond  // after a redirect to another controller
+	retryDelay           = time.Second            // before trying the next controller without a redirect
+	minHeartbeatInterval = 500 * time.Millisecond // before a requested heartbeat, unless the regular delay is shorter
 )
 
-// controllerRotation is which of the controllers a worker sends its heartbeats to.
+// controllerRotation selects the controller that a worker sends its heartbeats to.
 type controllerRotation struct {
 	hosts []string
-	at    int
+	index int
 }
 
-func (c *controllerRotation) host() string { return c.hosts[c.at] }
+func (c *controllerRotation) host() string { return c.hosts[c.index] }
 
-// next goes on to the controller of the next heartbeat, and returns how long to wait before
-// it. interval is the wait between heartbeats to the same one.
-func (c *controllerRotation) next(to redirect, interval time.Duration) (pause time.Duration) {
-	if to.stay {
+// advance selects the controller for the next heartbeat and returns the delay before it. interval
+// is the delay if the controller stays the same.
+func (c *controllerRotation) advance(target heartbeatTarget, interval time.Duration) (pause time.Duration) {
+	if target.same {
 		return interval
 	}
-	for k, host := range c.hosts {
-		if host == to.host && k != c.at {
-			c.at = k
-			return redirectPause
+	for i, host := range c.hosts {
+		if host == target.host && i != c.index {
+			c.index = i
+			return redirectDelay
 		}
 	}
-	c.at = (c.at + 1) % len(c.hosts)
-	return retryPause
+	c.index = (c.index + 1) % len(c.hosts)
+	return retryDelay
 }
 
-// jitter draws a heartbeat interval from three quarters to five quarters of what is usual.
+// jitter returns 0.75 to 1.25 times interval; random is a random number from 0 to 1.
 func jitter(interval time.Duration, random float64) time.Duration {
 	return time.Duration(float64(interval) * (0.75 + random/2))
 }
 
-// waitForHeartbeat waits until the next heartbeat is due: after pause, or sooner if the
-// state of a task changes.
-func waitForHeartbeat(ctx context.Context, pause time.Duration, changed <-chan struct{}) {
-	earliest := time.Now().Add(min(pause, minPause))
+// waitForHeartbeat waits until the next heartbeat is due. That is after pause, or after
+// minHeartbeatInterval if that is shorter and a heartbeat is requested.
+func waitForHeartbeat(ctx context.Context, pause time.Duration, requested <-chan struct{}) {
+	earliest := time.Now().Add(min(pause, minHeartbeatInterval))
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-changed:
+	case <-requested:
 		sleep(ctx, time.Until(earliest))
 	}
 }
 
-// notify has the next heartbeat come sooner. changed has room for one notification.
-func notify(changed chan<- struct{}) {
+// trySignal sends to a channel with a buffer of one. It does nothing if a signal is already
+// pending.
+func trySignal(signal chan<- struct{}) {
 	select {
-	case changed <- struct{}{}:
-	default: // one is there already
+	case signal <- struct{}{}:
+	default: // a signal is already pending
 	}
 }
 
-// Heartbeats go to this path of a controller.
+// heartbeatPath is the HTTP path of a controller that receives heartbeats.
 const heartbeatPath = "/v1/report"
 
-// heartbeatTimeout is how long a worker waits for the response to its heartbeat.
+// heartbeatTimeout limits how long a worker waits for the response to a heartbeat.
 const heartbeatTimeout = 4 * time.Second
 
-// attemptKey names an attempt at a task or a gang among a machine's or a cloud's.
+// attemptKey returns a map key for an attempt at a task or job.
 func attemptKey(id string, attempt uint64) string { return fmt.Sprint(id, " ", attempt) }
--- a/emulator/workerlease_test.go
+++ b/emulator/workerlease_test.go
@@ -6,52 +6,55 @@
 	"time"
 )
 
-// A worker takes responses of its own epoch under its highest fencing token only, renews its
-// lease as of when the heartbeat was sent, and goes where it is redirected.
-func TestWorkerLeaseAcceptsResponses(t *testing.T) {
-	sent := time.Now()
-	for _, c := range []struct {
+// A worker must accept only responses for its worker epoch that do not have a lower fencing token
+// than the highest one seen, must renew its lease from the time at which the heartbeat was sent,
+// and must follow redirects.
+func TestWorkerLeaseHandlesResponses(t *testing.T) {
+	sentAt := time.Now()
+	for _, test := range []struct {
 		name    string
 		epoch   uint64
 		code    int
 		body    string
-		next    redirect
+		target  heartbeatTarget
 		renewed bool
 	}{
-		{"an answer", 2, http.StatusOK, `{"baton":7,"orders":[]}`, redirect{stay: true}, true},
-		{"a lower token", 2, http.StatusOK, `{"baton":6,"orders":[]}`, redirect{stay: true}, false},
-		{"an earlier epoch", 1, http.StatusOK, `{"baton":7,"orders":[]}`, redirect{stay: true}, false},
-		{"no JSON", 2, http.StatusOK, `{`, redirect{}, false},
-		{"another owner", 2, http.StatusMisdirectedRequest, `{"home":"host-1"}`, redirect{host: "host-1"}, false},
-		{"no owner", 2, http.StatusMisdirectedRequest, ``, redirect{}, false},
-		{"no answer", 2, 0, ``, redirect{}, false},
+		{"a valid response", 2, http.StatusOK, `{"baton":7,"orders":[]}`, heartbeatTarget{same: true}, true},
+		{"a lower token", 2, http.StatusOK, `{"baton":6,"orders":[]}`, heartbeatTarget{same: true}, false},
+		{"an earlier epoch", 1, http.StatusOK, `{"baton":7,"orders":[]}`, heartbeatTarget{same: true}, false},
+		{"invalid JSON", 2, http.StatusOK, `{`, heartbeatTarget{}, false},
+		{"an owner", 2, http.StatusMisdirectedRequest, `{"home":"host-1"}`, heartbeatTarget{host: "host-1"}, false},
+		{"no owner", 2, http.StatusMisdirectedRequest, ``, heartbeatTarget{}, false},
+		{"no response", 2, 0, ``, heartbeatTarget{}, false},
 	} {
-		l := workerLease{epoch: 2, token: 7}
-		next, response := l.accept(c.epoch, sent, c.code, []byte(c.body))
-		if next != c.next || (response != nil) != c.renewed || l.renewedAt.Equal(sent) != c.renewed {
-			t.Errorf("%s: %+v, %+v, renewed at %v", c.name, next, response, l.renewedAt)
+		lease := workerLease{epoch: 2, token: 7}
+		target, response := lease.handleResponse(test.epoch, sentAt, test.code, []byte(test.body))
+		if target != test.target || (response != nil) != test.renewed || lease.renewedAt.Equal(sentAt) != test.renewed {
+			t.Errorf("%s: got target %+v, response %+v, lease renewed at %v; want target %+v, lease renewed: %v",
+				test.name, target, response, lease.renewedAt, test.target, test.renewed)
 		}
 	}
 }
 
-// A worker stays with its controller, goes at once to the one that it is redirected to, and
-// otherwise tries the others in turn.
+// A worker must stay with a controller that answers, switch at once to a controller that it is
+// redirected to, and otherwise try the controllers in turn.
 func TestControllerRotation(t *testing.T) {
-	c := controllerRotation{hosts: []string{"host-0", "host-1", "host-2"}}
+	rotation := controllerRotation{hosts: []string{"host-0", "host-1", "host-2"}}
 	const interval = 3 * time.Second
 	for _, step := range []struct {
-		to    redirect
-		host  string
-		pause time.Duration
+		target heartbeatTarget
+		host   string
+		pause  time.Duration
 	}{
-		{redirect{stay: true}, "host-0", interval},
-		{redirect{host: "host-2"}, "host-2", redirectPause},
-		{redirect{host: "host-2"}, "host-0", retryPause}, // to itself: it does not know better
-		{redirect{host: "host-9"}, "host-1", retryPause},
-		{redirect{}, "host-2", retryPause},
+		{heartbeatTarget{same: true}, "host-0", interval},
+		{heartbeatTarget{host: "host-2"}, "host-2", redirectDelay},
+		{heartbeatTarget{host: "host-2"}, "host-0", retryDelay}, // the sender of the redirect
+		{heartbeatTarget{host: "host-9"}, "host-1", retryDelay},
+		{heartbeatTarget{}, "host-2", retryDelay},
 	} {
-		if pause := c.next(step.to, interval); pause != step.pause || c.host() != step.host {
-			t.Errorf("%+v: %s after %v, not %s after %v", step.to, c.host(), pause, step.host, step.pause)
+		if pause := rotation.advance(step.target, interval); pause != step.pause || rotation.host() != step.host {
+			t.Errorf("target %+v: got %s after %v, want %s after %v",
+				step.target, rotation.host(), pause, step.host, step.pause)
 		}
 	}
 }
--- a/emulator/workers.go
+++ b/emulator/workers.go
@@ -3,33 +3,34 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"sync"
 
 	"robinstack/internal/worker"
 )
 
-// Workers is a set of workers that carry out commands at once and do nothing by themselves:
-// tests send their heartbeats and end their tasks. Its mutex guards all workers.
+// Workers is a set of workers that execute commands at once and do nothing on their own: tests send
+// their heartbeats and end their tasks. mu guards byAddress and all workers.
 type Workers struct {
 	mu        sync.Mutex
 	byAddress map[string]*Worker
 }
 
-// Worker is one machine's worker. Its fields are for use from Workers.WithLock, or while
-// nothing sends commands.
+// Worker is the worker of one machine. Its fields must be accessed only from Workers.WithLock, or
+// while no commands are sent.
 type Worker struct {
-	Heartbeat    worker.Heartbeat // the last that was sent, with the tasks as they are now
-	HoldCommands bool             // commands get no answer and are carried out by DeliverHeldCommands
-	TimeOutNext  int              // commands that are lost without an answer, from the next on
-	Started      []string         // every task that was started, in order
+	Heartbeat    worker.Heartbeat // the last heartbeat, with the current tasks
+	HoldCommands bool             // commands get no response and are executed by DeliverHeldCommands
+	TimeOutNext  int              // number of upcoming command requests that are lost
+	Started      []string         // ids of all tasks started, in order
 
 	heldCommands []func()
 }
 
-// NewWorkers returns no workers.
+// NewWorkers returns an empty set of workers.
 func NewWorkers() *Workers { return &Workers{byAddress: map[string]*Worker{}} }
 
-// Add adds the worker of a machine, whose address is its name.
+// Add adds a worker. Its address is the name of its machine.
 func (w *Workers) Add(name, typeName, zone string) *Worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -40,7 +41,7 @@
 	return added
 }
 
-// WithLock runs f with all workers held still.
+// WithLock calls f with the mutex of all workers held. f must not call methods of w.
 func (w *Workers) WithLock(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -48,10 +49,10 @@
 }
 
 // NextHeartbeat returns a worker's next heartbeat.
-func (w *Workers) NextHeartbeat(of *Worker) worker.Heartbeat {
+func (w *Workers) NextHeartbeat(sender *Worker) worker.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return of.nextHeartbeat()
+	return sender.nextHeartbeat()
 }
 
 func (w *Worker) nextHeartbeat() worker.Heartbeat {
@@ -61,96 +62,97 @@
 	return h
 }
 
-// DeliverAnswer has a worker take the answer to its heartbeat.
-func (w *Workers) DeliverAnswer(to *Worker, r worker.HeartbeatResponse) {
+// DeliverAnswer delivers the response to a heartbeat to its worker, which executes the commands.
+func (w *Workers) DeliverAnswer(recipient *Worker, response worker.HeartbeatResponse) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	to.execute(r.FencingToken, to.Heartbeat.WorkerEpoch, r.Commands)
+	recipient.executeCommands(response.FencingToken, recipient.Heartbeat.WorkerEpoch, response.Commands)
 }
 
-// DeliverHeldCommands carries out the commands that were held on the way.
-func (w *Workers) DeliverHeldCommands(to *Worker) {
+// DeliverHeldCommands executes the commands held because of HoldCommands.
+func (w *Workers) DeliverHeldCommands(recipient *Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, execute := range to.heldCommands {
-		execute()
+	for _, deliver := range recipient.heldCommands {
+		deliver()
 	}
-	to.heldCommands = nil
+	recipient.heldCommands = nil
 }
 
-// EndTask ends a task.
-func (w *Workers) EndTask(of *Worker, task, cause string) {
+// EndTask makes a task exit with the given cause.
+func (w *Workers) EndTask(owner *Worker, task, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range of.Heartbeat.Tasks {
-		if t := &of.Heartbeat.Tasks[i]; t.ID == task && t.State != worker.TaskExited {
+	for i := range owner.Heartbeat.Tasks {
+		if t := &owner.Heartbeat.Tasks[i]; t.ID == task && t.State != worker.TaskExited {
 			t.State, t.Cause = worker.TaskExited, cause
 		}
 	}
 }
 
-// execute carries out commands, unless they are for another worker epoch or under a fencing
-// token that has been replaced.
-func (w *Worker) execute(token, epoch uint64, commands []worker.Command) bool {
+// executeCommands executes commands and reports true, unless they are for another worker epoch or
+// carry a fencing token lower than the highest one seen.
+func (w *Worker) executeCommands(token, epoch uint64, commands []worker.Command) bool {
 	if token < w.Heartbeat.FencingToken || epoch != w.Heartbeat.WorkerEpoch {
 		return false
 	}
 	w.Heartbeat.FencingToken = token
 	for _, c := range commands {
-		w.executeOne(c)
+		w.executeCommand(c)
 	}
 	return true
 }
 
-func (w *Worker) executeOne(c worker.Command) {
-	h, at := &w.Heartbeat, w.find(c)
+func (w *Worker) executeCommand(c worker.Command) {
+	h, index := &w.Heartbeat, w.indexOfAttempt(c)
 	switch {
-	case c.Op == opRun && at < 0:
+	case c.Op == opStart && index < 0:
 		w.Started = append(w.Started, c.Task)
 		h.Tasks = append(h.Tasks, worker.Task{ID: c.Task, Attempt: c.Attempt, State: worker.TaskRunning})
-	case c.Op == opKill && at >= 0 && h.Tasks[at].State != worker.TaskExited:
-		h.Tasks[at].State, h.Tasks[at].Cause = worker.TaskExited, worker.CauseStopped
-	case c.Op == opForget && at >= 0:
-		h.Tasks = append(h.Tasks[:at], h.Tasks[at+1:]...)
+	case c.Op == opStop && index >= 0 && h.Tasks[index].State != worker.TaskExited:
+		h.Tasks[index].State, h.Tasks[index].Cause = worker.TaskExited, worker.CauseStopped
+	case c.Op == opForget && index >= 0:
+		h.Tasks = append(h.Tasks[:index], h.Tasks[index+1:]...)
 	}
 }
 
-// find returns the index of the attempt that a command names, or -1.
-func (w *Worker) find(c worker.Command) int {
-	at := -1
+// indexOfAttempt returns the index of the attempt that a command names, or -1.
+func (w *Worker) indexOfAttempt(c worker.Command) int {
+	index := -1
 	for i, t := range w.Heartbeat.Tasks {
 		if t.ID == c.Task && t.Attempt == c.Attempt {
-			at = i
+			index = i
 		}
 	}
-	return at
+	return index
 }
 
-// errUnknownWorker says that nobody is at an address.
-var errUnknownWorker = errors.New("no such worker")
+// errUnknownWorker means that there is no worker at an address.
+var errUnknownWorker = errors.New("unknown worker")
 
-// Send carries commands to the worker at an address, as a worker.Commander.
+// Send sends commands to the worker at address and reports whether the worker executed them. It
+// implements the worker.Commander interface.
 func (w *Workers) Send(
 	ctx context.Context, address string, token, epoch uint64, commands []worker.Command,
 ) (*worker.Heartbeat, bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	to := w.byAddress[address]
-	if to == nil {
-		return nil, false, errUnknownWorker
+	target := w.byAddress[address]
+	if target == nil {
+		return nil, false, fmt.Errorf("%w: address %q", errUnknownWorker, address)
 	}
-	if to.TimeOutNext > 0 {
-		to.TimeOutNext--
+	if target.TimeOutNext > 0 {
+		target.TimeOutNext--
 		w.mu.Unlock()
 		sleep(ctx, clientTimeout)
 		w.mu.Lock()
-		return nil, false, errNoAnswerInTime
+		return nil, false, errResponseTimeout
 	}
-	if to.HoldCommands {
-		to.heldCommands = append(to.heldCommands, func() { to.execute(token, epoch, commands) })
-		return nil, false, errNoAnswer
+	if target.HoldCommands {
+		target.heldCommands = append(target.heldCommands, func() { target.executeCommands(token, epoch, commands) })
+		return nil, false, errNoResponse
 	}
-	executed := to.execute(token, epoch, commands)
-	h := to.nextHeartbeat()
+	executed := target.executeCommands(token, epoch, commands)
+	h := target.nextHeartbeat()
 	return &h, executed, nil
 }
