--- a/emulator/faultystateclient.go
+++ b/emulator/faultystateclient.go
@@ -27,15 +27,15 @@
 	delayProbability  float64       // for each transaction with changes, from 0 to 1
 	txnsToDelay       int           // number of upcoming transactions with changes to delay
 	fixedTxnDelay     time.Duration // 0: a random delay for each transaction
-	loseResponsesOnly bool          // transactions selected for a delay are applied at once; only the response is lost
+	loseResponsesOnly bool          // apply them at once, so that only the response is lost
 
 	changesPerSecond float64 // token bucket rate for changes; 0: unlimited
 	changeTokens     float64 // tokens in the bucket at tokensUpdatedAt
 	tokensUpdatedAt  time.Time
 
 	requestedChanges      int // changes in all transactions sent, whatever their outcome
-	unansweredTxns        int // transactions without a response, applied or not
-	appliedUnansweredTxns int // transactions that were applied without a response
+	unansweredTxns        int // transactions selected for a delay
+	appliedUnansweredTxns int // those of them that have been applied
 }
 
 // NewFaultyStateClient returns a client without faults. seed determines which transactions are
@@ -122,14 +122,16 @@
 	c.changesPerSecond, c.changeTokens, c.tokensUpdatedAt = perSecond, perSecond, time.Now()
 }
 
-// UnansweredTxns returns the number of transactions that got no response, applied or not.
+// UnansweredTxns returns the number of transactions that were selected for a delay and therefore got
+// no response, applied or not.
 func (c *FaultyStateClient) UnansweredTxns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unansweredTxns
 }
 
-// AppliedUnansweredTxns returns the number of transactions that were applied but got no response.
+// AppliedUnansweredTxns returns how many of the transactions that UnansweredTxns counts have been
+// applied.
 func (c *FaultyStateClient) AppliedUnansweredTxns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/emulator/faultystateclient_store.go
+++ b/emulator/faultystateclient_store.go
@@ -115,8 +115,9 @@
 	return 0, statekv.ErrOutcomeUnknown
 }
 
-// applyLater applies an unanswered transaction after delay. If a lease that the transaction attaches
-// to a key has ended by then, it does nothing, because the state service rejects such a transaction.
+// applyLater applies an unanswered transaction after delay. If a lease that the transaction
+// attaches to a key has ended by then, it does nothing, because the state service rejects such a
+// transaction.
 func (c *FaultyStateClient) applyLater(
 	ctx context.Context, delay time.Duration, when []statekv.Compare, then []statekv.Op,
 ) {
--- a/emulator/history_rules_test.go
+++ b/emulator/history_rules_test.go
@@ -104,7 +104,7 @@
 			startTask(h, "wk-1/0", "m1")
 			h.RecordTaskRemoval("wk-1/0", "m1")
 		}},
-	{name: "a cancelled task that completes too late", violation: "ran_cancelled at", run: func(h *History) {
+	{name: "a cancelled task that completes after a hang", violation: "ran_cancelled at", run: func(h *History) {
 		submitAccepted(h, oneTaskJob)
 		startTask(h, "wk-1/0", "m1")
 		acknowledgeCancellation(h, "wk-1")
--- a/emulator/localcloud.go
+++ b/emulator/localcloud.go
@@ -33,7 +33,7 @@
 	Controllers       map[string]string // addresses that workers connect to, by host
 	HeartbeatInterval time.Duration
 	LeaseDuration     time.Duration
-	LookUpSpec        func(job string) (*job.Spec, error) // returns the spec as the user submitted it
+	LookUpSpec        func(job string) (*job.Spec, error) // the spec as submitted; called with a machine's mutex held
 }
 
 // NewLocalCloud returns a cloud without machines. Its workers run until ctx ends.
--- a/emulator/localtask.go
+++ b/emulator/localtask.go
@@ -98,8 +98,8 @@
 	gangPollInterval = 20 * time.Millisecond
 )
 
-// awaitGang waits until all tasks of the gang's attempt are on machines. It returns "" once they are
-// or if the job is not a gang, and otherwise the cause for which the attempt must end.
+// awaitGang waits until all tasks of the gang's attempt are on machines. It returns "" once they
+// are or if the job is not a gang, and otherwise the cause for which the attempt must end.
 func (t *localTask) awaitGang() (cause string) {
 	timeout := time.After(gangWaitTimeout)
 	for t.spec.Shape == job.Gang && !t.machine.cloud.history.gangIsComplete(t) {
