--- a/internal/rollout/capabilities.go
+++ b/internal/rollout/capabilities.go
@@ -9,20 +9,20 @@
 	"robinstack/internal/tombstone"
 )
 
-// BuildVersion names this build, for operators.
+// BuildVersion is the version of this build, shown to operators.
 const BuildVersion = "0.3.0"
 
-// legacyBuild names builds from before there were cluster versions, which do not name
-// themselves.
+// legacyBuild is the name shown for builds that predate cluster versions, which do not report a
+// name.
 const legacyBuild = "form 0"
 
-// Capabilities is what the key of a session says about its build. Sessions of builds from
-// before there were cluster versions say nothing: they support version 0.
+// Capabilities describes the build of a controller in the key of its session. The session keys of
+// builds that predate cluster versions hold no capabilities: such builds support only version 0.
 type Capabilities struct {
 	Build    string            `json:"build"`
 	Features []Feature         `json:"features,omitempty"`
-	Schemas  map[string][2]int `json:"forms,omitempty"` // lowest and highest schema that it reads and writes, by kind
-	// MinVersion is the lowest cluster version at which it can run.
+	Schemas  map[string][2]int `json:"forms,omitempty"` // lowest and highest supported schema, by kind of stored value
+	// MinVersion is the lowest cluster version at which the build can run.
 	MinVersion int `json:"least,omitempty"`
 }
 
@@ -51,7 +51,7 @@
 	return capabilities, nil
 }
 
-// Missing says what the build lacks to run at a cluster version, or "".
+// Missing returns what the build lacks to run at a cluster version, or "" if it lacks nothing.
 func (c Capabilities) Missing(version ClusterVersion) string {
 	if version.Number < c.MinVersion {
 		return fmt.Sprintf("level %d or higher", c.MinVersion)
--- a/internal/rollout/cluster_test.go
+++ b/internal/rollout/cluster_test.go
@@ -20,18 +20,18 @@
 
 var hosts = []string{"host-0", "host-1", "host-2"}
 
-// testCluster is a cluster of controllers as far as upgrades go.
+// testCluster is a set of controllers of which only the parts that take part in upgrades run.
 type testCluster struct {
 	t             *testing.T
 	ctx           context.Context
 	state         *emulator.StateService
 	controllers   map[string]*testController
-	migrationRate float64 // changes a second
+	migrationRate float64 // operations a second
 
-	learnedTxnOps atomic.Int64 // what the migrators' clients learned; 0: nothing
+	learnedTxnOps atomic.Int64 // transaction limit that the migrators' clients have learned; 0: none
 }
 
-// testController is one session of a controller of this build.
+// testController is a controller of this build with one session.
 type testController struct {
 	gate    *rollout.VersionGate
 	mirror  *statekv.Mirror
@@ -40,7 +40,7 @@
 	stop    context.CancelFunc
 }
 
-// runScenario runs a test of a cluster of its own in synthetic time.
+// runScenario runs a test with a cluster of its own in synthetic time.
 func runScenario(t *testing.T, scenario func(f *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -63,15 +63,15 @@
 	}
 }
 
-// startFormerBuild begins a session as controllers of schema 0 do: without looking, with
-// an empty key.
-func (f *testCluster) startFormerBuild(host string) {
+// startLegacyBuild begins a session as a build that predates cluster versions does: without reading
+// the version, and with an empty object as the value of the session key.
+func (f *testCluster) startLegacyBuild(host string) {
 	f.t.Helper()
 	f.stop(host)
 	f.write(statekv.Op{Set: statekv.SessionPrefix + host, Value: struct{}{}})
 }
 
-// start begins a session of this build, which takes the leader's role if leader is set.
+// start begins a session of this build. If leader is set, the session becomes the leader.
 func (f *testCluster) start(host string, leader bool) error {
 	f.t.Helper()
 	f.stop(host)
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// stop ends a session, its lease included.
+// stop stops a controller and deletes its session key, as the expiry of its lease would.
 func (f *testCluster) stop(host string) {
 	f.t.Helper()
 	if c := f.controllers[host]; c != nil {
@@ -133,15 +133,14 @@
 	f.write(statekv.Op{Delete: statekv.SessionPrefix + host})
 }
 
-// limitTxnOps has the state service take no more than so many changes from now on, and the
-// migrators' clients learn that from the first rejection.
+// limitTxnOps lowers the number of operations that the state service accepts in a transaction. The
+// migrators' clients have learned the new limit at once, as after a rejected transaction.
 func (f *testCluster) limitTxnOps(ops int) {
 	f.learnedTxnOps.Store(int64(ops))
 	f.state.SetSizeLimits(2048, ops)
 }
 
-// learningStore is the state service as a client sees it that learns how many changes it
-// takes.
+// learningStore is the state service behind a client that learns the transaction limit.
 type learningStore struct {
 	*emulator.StateService
 	learnedTxnOps *atomic.Int64
@@ -161,7 +160,7 @@
 	}
 }
 
-// version returns the stored version; absent is version 0.
+// version returns the stored version, or version 0 if the key does not exist.
 func (f *testCluster) version() rollout.ClusterVersion {
 	f.t.Helper()
 	kv, err := f.state.Get(f.ctx, statekv.ClusterVersionKey)
@@ -183,14 +182,14 @@
 func (f *testCluster) requireVersion(number int, when string) {
 	f.t.Helper()
 	if n := f.versionNumber(); n != number {
-		f.t.Fatalf("%s: version %d and not %d", when, n, number)
+		f.t.Fatalf("%s: got version %d, want %d", when, n, number)
 	}
 }
 
-// requireRaiseBlockedBy asserts what a raise waits for, as host's status says.
+// requireRaiseBlockedBy asserts that host's status gives a reason why the version is not raised.
 func (f *testCluster) requireRaiseBlockedBy(host, reason string) {
 	f.t.Helper()
 	if s := f.controllers[host].gate.Status(); !strings.Contains(s.RaiseBlockedBy, reason) {
-		f.t.Errorf("the status says %q and not %q", s.RaiseBlockedBy, reason)
+		f.t.Errorf("raise blocked by %q, want a reason with %q", s.RaiseBlockedBy, reason)
 	}
 }
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -10,26 +10,26 @@
 	"robinstack/internal/statekv"
 )
 
-// Commands of operators, as Execute takes them.
+// Operator commands that Execute accepts.
 const (
 	CommandHold  = "hold"
 	CommandRaise = "raise"
 	CommandLower = "lower"
 )
 
-// BlockedError says why a command of an operator cannot be carried out now.
+// BlockedError reports that an operator's command cannot be carried out now, and why.
 type BlockedError struct{ Reason string }
 
 func (e *BlockedError) Error() string { return e.Reason }
 
-// maxExecuteAttempts bounds how often a command is planned anew because something else
-// changed the version meanwhile.
+// maxExecuteAttempts bounds how often Execute plans and writes a command. It plans again if a key
+// that the plan depends on changed before the write.
 const maxExecuteAttempts = 5
 
-// Execute carries out the command of an operator. feature is the one that lowering
-// disables, or "" for the one that was enabled last; reason is the operator's. A
-// *BlockedError says what prevents it; any other error leaves open whether it was carried
-// out, which the status shows.
+// Execute carries out an operator's command. feature is the feature that CommandLower disables; if
+// it is empty, the feature enabled last is disabled. reason is the operator's reason, which is
+// stored as the reason of a hold. A *BlockedError means that the command was not carried out, and
+// why. After any other error it may or may not have been carried out; the status shows the result.
 func (g *VersionGate) Execute(ctx context.Context, command string, feature Feature, reason string) error {
 	if reason == "" {
 		reason = "by a person"
@@ -39,9 +39,9 @@
 		if err = g.mirror.ReadIndex(ctx); err != nil {
 			return fmt.Errorf("reading the fleet's level: %w", err)
 		}
-		change, blocked := g.planCommand(command, feature, reason)
+		change, blockedReason := g.planCommand(command, feature, reason)
 		if change == nil {
-			return &BlockedError{blocked}
+			return &BlockedError{blockedReason}
 		}
 		if err = g.write(ctx, change.Compares, change.Ops); err == nil {
 			slog.Info("rollout command applied",
@@ -51,7 +51,7 @@
 		if !statekv.IsConflict(err) {
 			break
 		}
-		// Something else changed the version, or a session began or ended: plan anew.
+		// The version changed, or a session began or ended, since the snapshot: plan again.
 	}
 	if errors.Is(err, statekv.ErrRejected) {
 		return &BlockedError{err.Error()}
@@ -59,10 +59,11 @@
 	return fmt.Errorf("writing the fleet's level: %w", err)
 }
 
-// planCommand returns the change that carries out a command, or why there is none.
+// planCommand returns the change that carries out a command, or nil and the reason why there is
+// none.
 func (g *VersionGate) planCommand(command string, feature Feature, reason string) (*VersionChange, string) {
 	snapshot := g.snapshot(time.Now())
-	snapshot.LeaderEpoch = 0 // what an operator asks for needs no leader
+	snapshot.LeaderEpoch = 0 // an operator's command does not depend on which controller is leader
 	switch command {
 	case CommandHold:
 		return snapshot.PlanHold(reason)
--- a/internal/rollout/command_plan.go
+++ b/internal/rollout/command_plan.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// PlanLower returns the change that disables a feature, or the one that was enabled last
-// if none is named, for an operator who asked for it, or why it cannot be made. The
-// version is held there for the reason given.
+// PlanLower returns the change by which an operator disables a feature, or nil and the reason why
+// it cannot be made. An empty feature stands for the one enabled last. The new version is held,
+// with holdReason, so that it is not raised again automatically.
 //
-// A feature that stored values may need is disabled in two steps: first nothing that needs
-// it is accepted any more; then, when all that was accepted before has been seen,
-// planDisable disables it. With one step, what is accepted at the same moment would be
-// left to controllers that ignore what it needs.
+// A feature that stored values may need is disabled in two steps. First the version is marked so
+// that nothing that needs the feature is accepted any more. Once the leader has seen everything
+// that was accepted before the mark, planFinishDisabling disables the feature. With a single step,
+// a job accepted at the same moment would be left to controllers that ignore what it needs.
 func (s *Snapshot) PlanLower(feature Feature, holdReason string) (*VersionChange, string) {
-	if reason := s.unwritable(); reason != "" {
+	if reason := s.writeBlockedBy(); reason != "" {
 		return nil, reason
 	}
 	if s.Version.Number == 0 {
@@ -23,7 +23,7 @@
 	if feature == "" {
 		feature = s.Version.Features[s.Version.Number-1]
 	}
-	if reason := s.requiredBy(feature); reason != "" {
+	if reason := s.disableBlockedBy(feature); reason != "" {
 		return nil, reason
 	}
 	to := s.Version.without(feature)
@@ -31,24 +31,26 @@
 	if reason := s.incompatibility(to); reason != "" {
 		return nil, reason
 	}
-	// What the version below writes must be all that it reads: values that only the version
-	// above wrote are restored while this one stands, which still reads both.
+	// Controllers at the lower version must find every value in a format that is written at that
+	// version. Values that a higher version stored in another format only are therefore restored
+	// first, while the present version, which reads both formats, is in force.
 	gate := gateOf(feature)
 	if reverse := gate.ReverseMigration; reverse != "" && s.Migration.Name == reverse && !s.Migration.Done {
 		return nil, "stored values are being brought back: " + s.Migration.String()
 	}
 	if feature == FeatureDependencies {
-		return s.planDisabling(feature, holdReason)
+		return s.planBeginDisabling(feature, holdReason)
 	}
 	migration := ""
 	if gate.Irreversible {
 		migration = gateOf(gate.Requires).ReverseMigration
 	}
-	return s.changeOfFeatures(to, s.migrationAfter(gate, migration)), ""
+	return s.featureChange(to, s.migrationAfter(gate, migration)), ""
 }
 
-// requiredBy says why a feature cannot be disabled by itself, or "".
-func (s *Snapshot) requiredBy(feature Feature) string {
+// disableBlockedBy returns why a feature cannot be disabled by itself, or "": it is not enabled, or
+// another enabled feature requires it.
+func (s *Snapshot) disableBlockedBy(feature Feature) string {
 	if !s.Version.Enabled(feature) {
 		return fmt.Sprintf("feature %q is not on", feature)
 	}
@@ -60,37 +62,38 @@
 	return ""
 }
 
-// planDisabling returns the first of the two steps by which a feature is disabled that
-// stored values may need.
-func (s *Snapshot) planDisabling(feature Feature, holdReason string) (*VersionChange, string) {
-	if reason := s.stillNeeded(feature); reason != "" {
+// planBeginDisabling returns the first of the two steps that disable a feature that stored values
+// may need: the change that marks the feature as being disabled.
+func (s *Snapshot) planBeginDisabling(feature Feature, holdReason string) (*VersionChange, string) {
+	if reason := s.neededByJobs(feature); reason != "" {
 		return nil, reason
 	}
 	if s.Version.Disabling == feature && s.Version.HoldReason != "" {
-		// Written again and again, it would have all that is written under it rejected, the
-		// leader's own step too, and never come to its end.
+		// The request is not written twice. Each write of the version makes pending writes that
+		// compare the version fail, also the leader's step that disables the feature; commands in
+		// quick succession would keep that step from ever being applied.
 		return nil, fmt.Sprintf("the steward is taking feature %q off", feature)
 	}
 	to := s.Version.withFeatures(s.Version.Features)
 	to.HoldReason, to.AllowedUpTo, to.Disabling = holdReason, 0, feature
-	return s.changeOfSettings(to), ""
+	return s.controlChange(to), ""
 }
 
-// PlanHold returns the change that holds the version as it is, for an operator who asked
-// for it, or why it cannot be made.
+// PlanHold returns the change by which an operator holds the version as it is, or nil and the
+// reason why it cannot be made.
 func (s *Snapshot) PlanHold(holdReason string) (*VersionChange, string) {
-	if reason := s.unwritable(); reason != "" {
+	if reason := s.writeBlockedBy(); reason != "" {
 		return nil, reason
 	}
 	to := s.Version.withFeatures(s.Version.Features)
 	to.HoldReason, to.AllowedUpTo = holdReason, 0
-	return s.changeOfSettings(to), ""
+	return s.controlChange(to), ""
 }
 
-// PlanAllowRaise returns the change that lets the version be raised again, also to an
-// irreversible one, for an operator who asked for it, or why it cannot be made.
+// PlanAllowRaise returns the change by which an operator allows the version to be raised again,
+// also to an irreversible one, or nil and the reason why it cannot be made.
 func (s *Snapshot) PlanAllowRaise() (*VersionChange, string) {
-	if reason := s.unwritable(); reason != "" {
+	if reason := s.writeBlockedBy(); reason != "" {
 		return nil, reason
 	}
 	to := s.Version.withFeatures(s.Version.Features)
@@ -99,5 +102,5 @@
 	if slices.ContainsFunc(s.nextGates(), irreversible) {
 		to.AllowedUpTo = to.Number + 1
 	}
-	return s.changeOfSettings(to), ""
+	return s.controlChange(to), ""
 }
--- a/internal/rollout/compatibility.go
+++ b/internal/rollout/compatibility.go
@@ -17,14 +17,14 @@
 	"robinstack/internal/tombstone"
 )
 
-// storedKind is a kind of stored value, by the prefix of its keys, and how this build
-// decodes one.
+// storedKind describes a kind of stored values: the prefix of their keys and how this build decodes
+// them.
 type storedKind struct {
 	prefix, name string
 	decode       func(key string, value json.RawMessage) error
 }
 
-// storedKinds are all keys that this build knows; the first prefix that fits decides.
+// storedKinds lists all kinds of keys that this build knows. The first matching prefix decides.
 var storedKinds = []storedKind{
 	{statekv.ClusterVersionKey, ClusterVersionKind, valueDecoder(ParseClusterVersion)},
 	{statekv.MembershipKey, "joins", objectDecoder("the joins' key")},
@@ -42,7 +42,7 @@
 	{job.CompletedChunkPrefix, "part", valueDecoder(parseJSON[string])},
 }
 
-// valueDecoder adapts a parser of values.
+// valueDecoder adapts a parser that needs only the value of a key.
 func valueDecoder[T any](parse func(json.RawMessage) (T, error)) func(string, json.RawMessage) error {
 	return func(_ string, value json.RawMessage) error {
 		_, err := parse(value)
@@ -55,7 +55,8 @@
 	return parsed, err
 }
 
-// objectDecoder decodes what has no schema of its own beyond being an object of schema 0.
+// objectDecoder returns a decoder that requires a value to be a JSON object of schema 0 and checks
+// nothing else.
 func objectDecoder(subject string) func(string, json.RawMessage) error {
 	return func(_ string, value json.RawMessage) error {
 		if _, err := parseJSON[map[string]json.RawMessage](value); err != nil {
@@ -65,9 +66,9 @@
 	}
 }
 
-// decodeOwnership decodes the keys of machines and of machine shards.
+// decodeOwnership decodes the values of the keys of machines and of machine shards.
 func decodeOwnership(key string, value json.RawMessage) error {
-	err, _ := shard.ParseValue(key, value).(error) // anything else is the decoded value
+	err, _ := shard.ParseValue(key, value).(error) // any other type is the decoded value
 	return err
 }
 
@@ -76,20 +77,20 @@
 	return err
 }
 
-// CompatibilityReport says what this build can read of what is stored.
+// CompatibilityReport says which of the stored values this build can decode.
 type CompatibilityReport struct {
 	Version     ClusterVersion
-	Missing     string         // what this build lacks for the version, or ""
-	Counts      map[string]int // values, by kind
-	Bytes       map[string]int // of keys and values, by kind
+	Missing     string         // what this build lacks for the stored cluster version, or ""
+	Counts      map[string]int // number of values, by kind
+	Bytes       map[string]int // total size of keys and values, by kind
 	Undecodable []UndecodableValue
-	ForeignKeys int // keys that are none of the service's
+	ForeignKeys int // number of keys outside statekv.RootPrefix
 }
 
-// Compatible reports whether this build could run on what is stored.
+// Compatible reports whether this build can run with the stored values.
 func (r *CompatibilityReport) Compatible() bool { return r.Missing == "" && len(r.Undecodable) == 0 }
 
-// Add takes one stored value into the report.
+// Add adds one stored value to the report.
 func (r *CompatibilityReport) Add(key string, value json.RawMessage) {
 	if r.Counts == nil {
 		r.Counts, r.Bytes = map[string]int{}, map[string]int{}
@@ -97,7 +98,7 @@
 	hasPrefix := func(kind storedKind) bool { return strings.HasPrefix(key, kind.prefix) }
 	index := slices.IndexFunc(storedKinds, hasPrefix)
 	if index < 0 {
-		r.addUnknown(key)
+		r.addUnknownKey(key)
 		return
 	}
 	kind := storedKinds[index]
@@ -108,13 +109,14 @@
 		return
 	}
 	if key == statekv.ClusterVersionKey {
-		r.Version, _ = ParseClusterVersion(value) // which was decoded above
+		r.Version, _ = ParseClusterVersion(value) // the value was decoded without an error above
 		r.Missing = LocalCapabilities().Missing(r.Version)
 	}
 }
 
-// addUnknown takes a key into the report that is of no kind that this build knows.
-func (r *CompatibilityReport) addUnknown(key string) {
+// addUnknownKey adds a key of no known kind to the report. Under statekv.RootPrefix it counts as
+// undecodable.
+func (r *CompatibilityReport) addUnknownKey(key string) {
 	if !strings.HasPrefix(key, statekv.RootPrefix) {
 		r.ForeignKeys++
 		return
@@ -128,8 +130,8 @@
 	}
 }
 
-// CheckDump reports on a dump of the state service: its responses to GET /keys, one after
-// the other, as they came.
+// CheckDump reports on a dump of the state service: the concatenated bodies of its responses to GET
+// /keys, one for each page, in their order.
 func CheckDump(dump io.Reader) (*CompatibilityReport, error) {
 	report := &CompatibilityReport{}
 	decoder := json.NewDecoder(dump)
@@ -146,7 +148,7 @@
 	}
 }
 
-// CheckStore reports on all that a state service holds for this service.
+// CheckStore reports on all keys under statekv.RootPrefix in a state service.
 func CheckStore(ctx context.Context, store statekv.Store) (*CompatibilityReport, error) {
 	report := &CompatibilityReport{}
 	after := ""
--- a/internal/rollout/compatibility_test.go
+++ b/internal/rollout/compatibility_test.go
@@ -11,9 +11,9 @@
 	"robinstack/internal/tombstone"
 )
 
-func recordedReport(t *testing.T) *CompatibilityReport {
+func reportOfRecordedDump(t *testing.T) *CompatibilityReport {
 	t.Helper()
-	f, err := os.Open("testdata/form0.json") // what commit 37bc5da left after some jobs
+	f, err := os.Open("testdata/form0.json") // the keys that commit 37bc5da stored while it ran some jobs
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,16 +25,18 @@
 	return report
 }
 
-// What the build from before there were cluster versions has stored is decoded, all of it.
+// Every value stored by a build that predates cluster versions can be decoded.
 func TestSchemaZeroIsCompatible(t *testing.T) {
-	report := recordedReport(t)
-	if !report.Compatible() || report.Version.Number != 0 || report.Counts[JobRecordKind] != 3 || report.Counts["ended, former"] != 3 || report.Counts["machine"] == 0 || report.Counts["shard"] == 0 {
-		t.Errorf("%+v", report)
+	report := reportOfRecordedDump(t)
+	counts := report.Counts
+	if !report.Compatible() || report.Version.Number != 0 || counts[JobRecordKind] != 3 ||
+		counts["ended, former"] != 3 || counts["machine"] == 0 || counts["shard"] == 0 {
+		t.Errorf("got %+v, want 3 job records, 3 legacy tombstones, machines and shards, all decodable", report)
 	}
 }
 
-// What this build cannot decode is reported by key before it is started, and so is a
-// version that it does not support.
+// The check that runs before a build is started reports each value that the build cannot decode by
+// its key, and a cluster version that the build does not support.
 func TestUndecodableValuesAreReported(t *testing.T) {
 	for key, c := range map[string]struct{ value, reason string }{
 		job.RecordKey("wk-1"):            {`{"form":7,"spec":{}}`, "form 7"},
@@ -47,19 +49,22 @@
 		statekv.ClusterVersionKey:        {`{"form":9}`, "form 9"},
 		statekv.RootPrefix + "novelty/x": {`{}`, "knows no such key"},
 	} {
-		report := recordedReport(t)
+		report := reportOfRecordedDump(t)
 		report.Add(key, json.RawMessage(c.value))
-		if report.Compatible() || len(report.Undecodable) != 1 || report.Undecodable[0].Key != key || !strings.Contains(report.Undecodable[0].Reason, c.reason) {
-			t.Errorf("%s: %+v", key, report.Undecodable)
+		if report.Compatible() || len(report.Undecodable) != 1 || report.Undecodable[0].Key != key ||
+			!strings.Contains(report.Undecodable[0].Reason, c.reason) {
+			t.Errorf("%s: got undecodable values %+v, want only this key with a reason that contains %q",
+				key, report.Undecodable, c.reason)
 		}
 	}
-	report := recordedReport(t)
+	report := reportOfRecordedDump(t)
 	report.Add(statekv.ClusterVersionKey, json.RawMessage(`{"form":1,"level":1,"features":["teleport"]}`))
 	var out strings.Builder
-	if err := report.Print(&out); err != nil || report.Compatible() || !strings.Contains(out.String(), `lacks feature "teleport"`) {
-		t.Error(out.String(), err)
+	if err := report.Print(&out); err != nil || report.Compatible() ||
+		!strings.Contains(out.String(), `lacks feature "teleport"`) {
+		t.Errorf("report of an unsupported version: %s %v", out.String(), err)
 	}
 	if _, err := CheckDump(strings.NewReader(`{"items":[`)); err == nil || !strings.Contains(err.Error(), "page 1") {
-		t.Error(err)
+		t.Errorf("truncated dump: got error %v, want one that names page 1", err)
 	}
 }
--- a/internal/rollout/dependencies_test.go
+++ b/internal/rollout/dependencies_test.go
@@ -13,23 +13,23 @@
 	"robinstack/internal/statekv"
 )
 
-// formerFeatures are what the build in production enables, one by one: its versions 0 to 4.
-var formerFeatures = []rollout.Feature{
+// previousBuildFeatures are the features of the build in production, in the order in which it
+// enables them: its version N has the first N of them, from 0 to 4.
+var previousBuildFeatures = []rollout.Feature{
 	rollout.FeatureVersionGate, rollout.FeatureFailureHistory, rollout.FeatureTombstones,
 	rollout.FeatureCompactTombstonesOnly,
 }
 
-// formerBuild is what the key of a session of the build in production says.
-var formerBuild = rollout.Capabilities{
-	Build: "0.2.0", Features: formerFeatures,
+// previousBuild is what the build in production registers with its sessions.
+var previousBuild = rollout.Capabilities{
+	Build: "0.2.0", Features: previousBuildFeatures,
 	Schemas: map[string][2]int{"record": {0, 0}, "ended": {0, 1}, "level": {1, 1}},
 }
 
-// setFormerVersion stores a version, and a migration, as the build in production writes
-// them.
-func (f *testCluster) setFormerVersion(number int, migration *rollout.Migration, hold string) {
+// setPreviousBuildVersion stores a version and a migration as the previous build writes them.
+func (f *testCluster) setPreviousBuildVersion(number int, migration *rollout.Migration, hold string) {
 	f.t.Helper()
-	version := map[string]any{"form": 1, "level": number, "features": formerFeatures[:number], "by": "host-0"}
+	version := map[string]any{"form": 1, "level": number, "features": previousBuildFeatures[:number], "by": "host-0"}
 	if number >= 3 {
 		version["forms"] = map[string]int{"ended": 1}
 	}
@@ -54,22 +54,22 @@
 	return slices.Contains(f.features(), rollout.FeatureDependencies)
 }
 
-// formerBuildMayJoin reports whether the build in production could begin a session now, by
-// its own rules: the version's key can be decoded, and it knows every feature.
-func (f *testCluster) formerBuildMayJoin() bool {
+// previousBuildMayJoin reports whether a session of the previous build could begin now by that
+// build's own rule: it knows every enabled feature.
+func (f *testCluster) previousBuildMayJoin() bool {
 	f.t.Helper()
 	for _, feature := range f.features() {
-		if !slices.Contains(formerFeatures, feature) {
+		if !slices.Contains(previousBuildFeatures, feature) {
 			return false
 		}
 	}
 	return true
 }
 
-// Wherever the build in production has left the cluster, dependencies are enabled within
-// seconds of the last replacement: at each of its versions, with a migration under way,
-// done or none. The migration goes on and ends. Only a hold, which an operator set, is
-// waited for.
+// Dependencies are enabled within seconds of the replacement of the last controller of the previous
+// build, whatever that build left behind: any of its versions, with no migration, one in progress
+// or a complete one. The migration continues to its end. Only an operator's hold delays the
+// feature.
 func TestDependenciesAreEnabledWithinSeconds(t *testing.T) {
 	for number := range 5 {
 		for _, c := range []struct {
@@ -84,38 +84,38 @@
 		} {
 			dropping := c.migration != nil && c.migration.Name == rollout.MigrationDropLegacy
 			if c.migration != nil && (number < 3 || dropping != (number == 4)) {
-				continue // production makes no such migration there
+				continue // the previous build has no such migration at this version
 			}
 			t.Run(fmt.Sprintf("version %d %s", number, c.name), func(t *testing.T) {
-				runScenario(t, func(f *testCluster) { f.replaceFormerBuild(number, c.migration, c.hold) })
+				runScenario(t, func(f *testCluster) { f.replacePreviousBuild(number, c.migration, c.hold) })
 			})
 		}
 	}
 }
 
-// replaceFormerBuild replaces the last controller of the former build and asserts that
-// dependencies are enabled, and that the migration goes on.
-func (f *testCluster) replaceFormerBuild(number int, migration *rollout.Migration, hold string) {
+// replacePreviousBuild replaces the last controller of the previous build and asserts that
+// dependencies are enabled and that the migration completes.
+func (f *testCluster) replacePreviousBuild(number int, migration *rollout.Migration, hold string) {
 	f.t.Helper()
 	for k := range 100 {
 		legacy := map[string]any{"status": "done", "tasks": 1}
 		f.write(statekv.Op{Set: fmt.Sprintf("robin/final/wk-%03d", k), Value: legacy})
 	}
-	f.setFormerVersion(number, migration, hold)
-	f.write(statekv.Op{Set: statekv.SessionPrefix + "host-2", Value: formerBuild})
+	f.setPreviousBuildVersion(number, migration, hold)
+	f.write(statekv.Op{Set: statekv.SessionPrefix + "host-2", Value: previousBuild})
 	if f.start("host-0", true) != nil || f.start("host-1", false) != nil {
 		f.t.Fatal("a controller was rejected")
 	}
 	time.Sleep(8 * time.Second)
 	if f.dependenciesEnabled() {
-		f.t.Fatal("enabled while a controller of the former build is alive")
+		f.t.Fatal("dependencies are enabled while a controller of the previous build is alive")
 	}
 	if err := f.start("host-2", false); err != nil {
 		f.t.Fatal(err)
 	}
 	time.Sleep(5 * time.Second)
 	if enabled := f.dependenciesEnabled(); enabled != (hold == "") {
-		f.t.Fatalf("enabled: %v; %v", enabled, f.features())
+		f.t.Fatalf("dependencies enabled: got %v, want %v; features %v", enabled, hold == "", f.features())
 	}
 	if hold != "" {
 		if err := f.controllers["host-1"].gate.Execute(f.ctx, rollout.CommandRaise, "", ""); err != nil {
@@ -123,8 +123,8 @@
 		}
 		time.Sleep(2 * time.Second)
 	}
-	if !f.dependenciesEnabled() || f.formerBuildMayJoin() {
-		f.t.Fatalf("%v; the former build could join: %v", f.features(), f.formerBuildMayJoin())
+	if !f.dependenciesEnabled() || f.previousBuildMayJoin() {
+		f.t.Fatalf("features %v; the previous build may join: %v", f.features(), f.previousBuildMayJoin())
 	}
 	time.Sleep(time.Minute)
 	if migration == nil {
@@ -133,51 +133,51 @@
 	var progress rollout.Migration
 	kv, err := f.state.Get(f.ctx, statekv.MigrationKey)
 	if err != nil || json.Unmarshal(kv.Value, &progress) != nil || !progress.Done {
-		f.t.Errorf("the migration did not go on: %+v %v", progress, err)
+		f.t.Errorf("the migration did not complete: %+v %v", progress, err)
 	}
 }
 
-// A controller that is down is waited for, and one that comes back with the former build
-// in the middle too.
+// Dependencies are not enabled while a controller is down, nor while it is back with the previous
+// build.
 func TestDependenciesWaitForControllerThatIsDown(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
-		f.setFormerVersion(2, nil, "")
+		f.setPreviousBuildVersion(2, nil, "")
 		f.startAll()
 		f.stop("host-2")
 		time.Sleep(2 * time.Minute)
 		if f.dependenciesEnabled() {
-			t.Fatal("enabled while a controller is down")
+			t.Fatal("dependencies are enabled while a controller is down")
 		}
-		f.write(statekv.Op{Set: statekv.SessionPrefix + "host-2", Value: formerBuild})
+		f.write(statekv.Op{Set: statekv.SessionPrefix + "host-2", Value: previousBuild})
 		time.Sleep(2 * time.Minute)
 		if f.dependenciesEnabled() {
-			t.Fatal("enabled while a controller has the former build")
+			t.Fatal("dependencies are enabled while a controller has the previous build")
 		}
 		if err := f.start("host-2", false); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
 		if !f.dependenciesEnabled() {
-			t.Fatal(f.features())
+			t.Fatalf("dependencies are not enabled: features %v", f.features())
 		}
 	})
 }
 
-// startWithDependencies starts all controllers at a version of the former build and waits
-// until dependencies are enabled.
+// startWithDependencies starts all controllers at version 3 of the previous build and waits until
+// dependencies are enabled.
 func (f *testCluster) startWithDependencies() {
 	f.t.Helper()
-	f.setFormerVersion(3, &rollout.Migration{Name: rollout.MigrationCopy, Version: 3, Done: true}, "")
+	f.setPreviousBuildVersion(3, &rollout.Migration{Name: rollout.MigrationCopy, Version: 3, Done: true}, "")
 	f.startAll()
 	time.Sleep(5 * time.Second)
 	if !f.dependenciesEnabled() {
-		f.t.Fatal(f.features())
+		f.t.Fatalf("dependencies are not enabled: features %v", f.features())
 	}
 }
 
-// Disabling dependencies is refused by name while an unfinished job depends on others,
-// given up when one is accepted at the same moment, and done otherwise; then the former
-// build may join.
+// While an unfinished job depends on others, a command to disable dependencies is refused with the
+// name of the job. If such a job is accepted at the same moment, the request is cancelled.
+// Otherwise dependencies are disabled, and the previous build may join.
 func TestDependenciesAreDisabled(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		f.startWithDependencies()
@@ -187,9 +187,9 @@
 		dependent := job.Record{Spec: job.Spec{ID: "wk-7", Tasks: 1, WaitsOn: []string{"wk-6"}}}
 		f.write(statekv.Op{Set: job.RecordKey("wk-7"), Value: dependent})
 		if err := lower(); err == nil || !strings.Contains(err.Error(), "wk-7") {
-			t.Fatal(err)
+			t.Fatalf("lowering with a dependent job: got error %v, want one that names wk-7", err)
 		}
-		// The record is written under the version as it was before.
+		// A dependent job is accepted under the former version while the command is written.
 		f.write(statekv.Op{Delete: job.RecordKey("wk-7")})
 		kv, _ := f.state.Get(f.ctx, statekv.ClusterVersionKey)
 		f.state.SetTxnLatency(300 * time.Millisecond)
@@ -200,15 +200,15 @@
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
-		underFormer := []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: kv.Rev}}
+		underFormerVersion := []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: kv.Rev}}
 		accept := []statekv.Op{{Set: job.RecordKey("wk-8"), Value: dependent}}
-		if _, err := f.state.Txn(f.ctx, underFormer, accept); !statekv.IsConflict(err) {
-			t.Fatalf("accepted although dependencies are to be disabled: %v", err)
+		if _, err := f.state.Txn(f.ctx, underFormerVersion, accept); !statekv.IsConflict(err) {
+			t.Fatalf("a job was accepted although dependencies are to be disabled: %v", err)
 		}
 		f.state.SetTxnLatency(0)
 		time.Sleep(3 * time.Second)
 		if !f.dependenciesEnabled() {
-			t.Fatal("disabled with a job that needs them")
+			t.Fatal("dependencies are disabled although a job needs them")
 		}
 		f.write(statekv.Op{Delete: job.RecordKey("wk-7")})
 		time.Sleep(time.Second)
@@ -216,20 +216,20 @@
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
-		if f.dependenciesEnabled() || !f.formerBuildMayJoin() {
-			t.Fatal(f.features())
+		if f.dependenciesEnabled() || !f.previousBuildMayJoin() {
+			t.Fatalf("dependencies are not disabled, or the previous build may not join: features %v", f.features())
 		}
 		time.Sleep(2 * time.Minute)
 		if f.dependenciesEnabled() {
-			t.Fatal("enabled again without an operator")
+			t.Fatal("dependencies are enabled again without an operator")
 		}
 	})
 }
 
-// An operator, or a script, asks again and again for dependencies to be disabled while
-// transactions take a moment: the request is written once. Written each time, it had the
-// leader's own step rejected for ever, and with it the end of every job, which carries the
-// version's compare too: on an idle machine real processes stood still so for minutes.
+// A command to disable dependencies that is repeated while transactions are slow is written once.
+// Each write of the version makes pending writes that compare it fail: the leader's step that
+// disables the feature, and the completion of every job. Written on every repetition, the command
+// stalled real processes on an idle machine for minutes.
 func TestRepeatedLowerCommandIsWrittenOnce(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		f.startWithDependencies()
@@ -245,7 +245,7 @@
 		}
 		if f.dependenciesEnabled() || writes != 1 {
 			kv, _ := f.state.Get(f.ctx, statekv.ClusterVersionKey)
-			t.Fatalf("after %d writes, revision %d to %d: %v", writes, before.Rev, kv.Rev, f.features())
+			t.Fatalf("got %d writes, want 1; revision %d to %d, features %v", writes, before.Rev, kv.Rev, f.features())
 		}
 	})
 }
--- a/internal/rollout/feature.go
+++ b/internal/rollout/feature.go
@@ -7,53 +7,55 @@
 	"robinstack/internal/tombstone"
 )
 
-// Feature is something that all controllers of a cluster have to know before any of them
+// Feature names a behaviour that all controllers of a cluster have to support before any of them
 // may use it.
 type Feature string
 
 // Features of this build.
 const (
-	// FeatureVersionGate makes joins and changes of the version conditional. Whoever lacks
-	// it is rejected.
+	// FeatureVersionGate makes the start of a session and each change of the version conditional on
+	// the version's key. Controllers that lack it are rejected.
 	FeatureVersionGate Feature = "gated"
-	// FeatureFailureHistory keeps what is known of a job's failures in its record.
+	// FeatureFailureHistory stores the failure history of a job in its record.
 	FeatureFailureHistory Feature = "failures"
-	// FeatureTombstones writes compact tombstones beside the legacy ones.
+	// FeatureTombstones writes compact tombstones in addition to legacy ones.
 	FeatureTombstones Feature = "ended"
 	// FeatureCompactTombstonesOnly stops writing legacy tombstones.
 	FeatureCompactTombstonesOnly Feature = "ended-only"
-	// FeatureDependencies lets jobs depend on others, and specs be stored in fragments.
+	// FeatureDependencies allows jobs that depend on other jobs, and specs stored in fragments.
 	FeatureDependencies Feature = "pipelines"
 )
 
-// Kinds of stored values that have schemas, as Capabilities and ClusterVersion name them.
+// Kinds of stored values that have schemas, as named in Capabilities and ClusterVersion.
 const (
 	JobRecordKind      = "record"
 	TombstoneKind      = "ended"
 	ClusterVersionKind = "level"
 )
 
-// FeatureGate says when one feature may be enabled, and what that entails.
+// FeatureGate describes when a feature may be enabled and what enabling it entails.
 type FeatureGate struct {
 	Feature  Feature
-	Requires Feature        // has to be enabled before; "": none
-	Schemas  map[string]int // schemas that are written from then on, by kind
-	// Irreversible says that the former version cannot read what is written from then on.
-	// It is enabled only when an operator asks for it.
+	Requires Feature        // feature that has to be enabled before this one, or ""
+	Schemas  map[string]int // schemas written once the feature is enabled, by kind
+	// Irreversible means that controllers at the previous version cannot read what is written once
+	// the feature is enabled. Such a feature is enabled only after an operator has allowed it.
 	Irreversible bool
-	// Migration is the migration of stored values that has to be complete before a feature
-	// that requires this one is enabled; ReverseMigration the one that has to be complete
-	// before this feature is disabled if what requires it was enabled.
+	// Migration is the migration of stored values that begins when this feature is enabled. It has
+	// to be complete before a feature that requires this one is enabled. ReverseMigration begins
+	// when an irreversible feature that requires this one is disabled. It has to be complete before
+	// this feature is disabled.
 	Migration, ReverseMigration string
-	// Immediate says that it is enabled as soon as all controllers have it: users wait for
-	// it, and it writes nothing by itself.
+	// Immediate means that the feature is enabled as soon as all controllers support it and have
+	// been up for immediateSoak, or for the soak time if that is shorter: users wait for the
+	// feature, and enabling it writes no stored values by itself.
 	Immediate   bool
-	Description string // for operators
+	Description string // shown to operators
 }
 
-// FeatureGates are the gates of this build. Those up to the irreversible one require each
-// other in order, as the former version enabled them one by one; FeatureDependencies
-// stands beside them: in that order it would have been enabled much too late, or never.
+// FeatureGates are the feature gates of this build. The features up to the irreversible one require
+// each other in order, since earlier builds enabled them one by one. FeatureDependencies is outside
+// that order: as the last feature in it, it would be enabled much too late, or never.
 var FeatureGates = []FeatureGate{
 	{
 		Feature: FeatureVersionGate, Immediate: true,
@@ -80,10 +82,10 @@
 	},
 }
 
-// MaxClusterVersion returns the highest version of this build.
+// MaxClusterVersion returns the number of the highest version that this build supports.
 func MaxClusterVersion() int { return len(FeatureGates) }
 
-// gateOf returns the gate of a feature, or nil.
+// gateOf returns the gate of a feature, or nil if this build does not know the feature.
 func gateOf(feature Feature) *FeatureGate {
 	for i := range FeatureGates {
 		if FeatureGates[i].Feature == feature {
@@ -98,7 +100,7 @@
 	return slices.ContainsFunc(FeatureGates, func(gate FeatureGate) bool { return gate.Requires == feature })
 }
 
-// FeaturesAt lists the first n features of this build.
+// FeaturesAt lists the first n features of this build, in the order of FeatureGates.
 func FeaturesAt(n int) []Feature {
 	features := []Feature{}
 	for _, gate := range FeatureGates[:n] {
@@ -107,8 +109,7 @@
 	return features
 }
 
-// schemasOf returns the schemas, by kind, that are written while these features are
-// enabled.
+// schemasOf returns the schemas, by kind, that controllers write while these features are enabled.
 func schemasOf(features []Feature) map[string]int {
 	schemas := map[string]int{}
 	for _, gate := range FeatureGates {
--- a/internal/rollout/migration.go
+++ b/internal/rollout/migration.go
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// Migrations of stored values.
+// Names of the migrations of tombstones.
 const (
-	MigrationCopy          = "copy" // tombstones get a compact form beside the legacy one
-	MigrationDropLegacy    = "drop" // the legacy ones are deleted
-	MigrationRestoreLegacy = "back" // legacy ones are written for those that have only a compact form
+	MigrationCopy          = "copy" // writes a compact tombstone beside each legacy one
+	MigrationDropLegacy    = "drop" // deletes the legacy tombstones
+	MigrationRestoreLegacy = "back" // writes a legacy tombstone for each one that has only the compact format
 )
 
-// undecodableMigration is the name of a migration whose key cannot be decoded.
+// undecodableMigration takes the place of the name of a migration whose key cannot be decoded.
 const undecodableMigration = "unreadable"
 
-// Migration is how far a migration has got, as its key holds it.
+// Migration is the progress of a migration, as stored under statekv.MigrationKey.
 type Migration struct {
 	Name     string `json:"move"`
-	Version  int    `json:"level"`           // cluster version at which it is made
-	Cursor   string `json:"after,omitempty"` // the last job that was scanned, by the order of keys
+	Version  int    `json:"level"`           // cluster version at which the migration runs
+	Cursor   string `json:"after,omitempty"` // ID of the last job scanned; jobs are scanned in the order of their keys
 	Scanned  int    `json:"looked"`
 	Migrated int    `json:"moved"`
 	Done     bool   `json:"done,omitempty"`
 
-	// Undecodable counts the values that cannot be decoded and were left as they are; the
-	// first ones are listed.
+	// Undecodable counts the values that cannot be decoded and are left unchanged.
+	// UndecodableSample lists the first of them.
 	Undecodable       int                `json:"bad,omitempty"`
 	UndecodableSample []UndecodableValue `json:"unreadable,omitempty"`
 }
@@ -39,22 +39,25 @@
 	Reason string `json:"why"`
 }
 
-// The key of a migration has to fit the smallest limit of a value with keys of 200 bytes,
-// the longest there are, or the migration could never go on.
+// The value of the migration's key has to fit the lowest value size limit of the state service,
+// even if all listed keys have 200 bytes, the longest keys in use. Otherwise the progress could not
+// be written, and the migration would never continue.
 const (
-	maxUndecodableListed = 4   // values
-	maxReasonBytes       = 150 // of each
+	maxUndecodableListed = 4
+	maxReasonBytes       = 150 // of each listed value
 )
 
-// MarshalJSON writes no more undecodable values than fit: the former version listed more.
+// MarshalJSON writes at most maxUndecodableListed undecodable values, since a list that an earlier
+// build stored may be longer.
 func (m Migration) MarshalJSON() ([]byte, error) {
 	type plain Migration
 	m.UndecodableSample = m.UndecodableSample[:min(len(m.UndecodableSample), maxUndecodableListed)]
 	return json.Marshal(plain(m))
 }
 
-// noteUndecodable counts a value that is left as it is.
-func (m *Migration) noteUndecodable(key string, err error) {
+// recordUndecodable counts a value that cannot be decoded and is left unchanged, and lists it if
+// the list is not full.
+func (m *Migration) recordUndecodable(key string, err error) {
 	slog.Error("stored value undecodable, kept unchanged", "key", key, "err", err)
 	m.Undecodable++
 	if len(m.UndecodableSample) >= maxUndecodableListed {
@@ -62,7 +65,7 @@
 	}
 	reason := err.Error()
 	reason = strings.ToValidUTF8(reason[:min(len(reason), maxReasonBytes)], "")
-	// Copies of the migration share the list.
+	// Copies of the migration share the list, so it is cloned before it grows.
 	m.UndecodableSample = append(slices.Clone(m.UndecodableSample), UndecodableValue{key, reason})
 }
 
--- a/internal/rollout/migration_test.go
+++ b/internal/rollout/migration_test.go
@@ -13,7 +13,7 @@
 	"robinstack/internal/tombstone"
 )
 
-// tombstoneOf is the tombstone of the k-th job: one of seven was cancelled.
+// tombstoneOf returns the tombstone of the k-th job. One of seven jobs was cancelled.
 func tombstoneOf(k int) tombstone.Tombstone {
 	status := job.Done
 	if k%7 == 6 {
@@ -24,16 +24,16 @@
 
 const (
 	migratedJobs = 5000
-	damagedJob   = 555 // whose legacy tombstone cannot be decoded
+	damagedJob   = 555 // index of the job whose legacy tombstone cannot be decoded
 )
 
 func migratedID(k int) string { return fmt.Sprintf("wk-%06d", k) }
 
-// migrationScenario is a cluster with many tombstones of which one is damaged.
+// migrationScenario is a cluster with many tombstones, one of them damaged.
 type migrationScenario struct {
 	*testCluster
 	damagedKey string
-	rounds     int // of readAll
+	reads      int // calls of requireReadable
 }
 
 func startMigrationScenario(f *testCluster) *migrationScenario {
@@ -47,32 +47,33 @@
 	return s
 }
 
-// requireReadable asserts that jobs are found; which ones differs from round to round.
+// requireReadable asserts that a sample of the tombstones, a different one in each call, can be
+// read.
 func (s *migrationScenario) requireReadable() {
 	s.t.Helper()
-	for k := s.rounds % 97; k < migratedJobs; k += 997 {
-		stone, err := tombstone.Read(s.ctx, s.state, nil, migratedID(k))
-		if k != damagedJob && (err != nil || stone != tombstoneOf(k)) {
-			s.t.Fatal(k, stone, err)
+	for k := s.reads % 97; k < migratedJobs; k += 997 {
+		got, err := tombstone.Read(s.ctx, s.state, nil, migratedID(k))
+		if k != damagedJob && (err != nil || got != tombstoneOf(k)) {
+			s.t.Fatalf("tombstone %d: got %+v (error %v), want %+v", k, got, err, tombstoneOf(k))
 		}
 	}
-	s.rounds++
+	s.reads++
 }
 
-// await waits until done while jobs are read, and returns how long it took and how many
-// changes a second were made.
-func (s *migrationScenario) await(what string, done func() bool) (took time.Duration, perSecond float64) {
+// await reads tombstones until done returns true. It returns how long that took and how many
+// operations a second the state service applied.
+func (s *migrationScenario) await(what string, done func() bool) (took time.Duration, opsPerSecond float64) {
 	s.t.Helper()
-	from, changes := time.Now(), s.state.Changes()
+	start, opsBefore := time.Now(), s.state.Changes()
 	for !done() {
-		if time.Since(from) > time.Hour {
-			s.t.Fatalf("%s is not done after an hour", what)
+		if time.Since(start) > time.Hour {
+			s.t.Fatalf("%s is not complete after an hour", what)
 		}
 		time.Sleep(5 * time.Second)
 		s.requireReadable()
 	}
-	took = time.Since(from)
-	return took, float64(s.state.Changes()-changes) / took.Seconds()
+	took = time.Since(start)
+	return took, float64(s.state.Changes()-opsBefore) / took.Seconds()
 }
 
 func (s *migrationScenario) count(prefix string) int { return len(s.state.ListAll(prefix)) }
@@ -81,48 +82,48 @@
 	return s.controllers["host-2"].gate.Execute(s.ctx, command, "", "")
 }
 
-// copyThroughFaults has compact tombstones written through an outage, lost responses, a
-// change of the leader and a lower limit of transactions.
+// copyThroughFaults runs the migration to compact tombstones through an outage, lost responses, a
+// change of the leader and a lower transaction limit.
 func (s *migrationScenario) copyThroughFaults() {
 	s.t.Helper()
-	s.await("the raise", func() bool { return s.versionNumber() == 4 })
+	s.await("the raise to version 4", func() bool { return s.versionNumber() == 4 })
 	s.await("half of the migration", func() bool { return s.count(tombstone.Prefix) > migratedJobs/2 })
 	s.state.SetOutage(true, false)
 	time.Sleep(20 * time.Second)
-	s.state.SetOutage(false, true) // responses are lost: what was sent is carried out
+	s.state.SetOutage(false, true) // only responses are lost: requests are carried out
 	time.Sleep(20 * time.Second)
 	s.state.SetOutage(false, false)
-	if err := s.start("host-1", true); err != nil { // which is leader now
+	if err := s.start("host-1", true); err != nil { // it becomes the leader
 		s.t.Fatal(err)
 	}
-	s.limitTxnOps(5) // in the middle of it
+	s.limitTxnOps(5) // in the middle of the migration
 	took, rate := s.await("the migration", func() bool { return s.count(tombstone.Prefix) == migratedJobs-1 })
-	s.t.Logf("the second half of %d tombstones took %v, %.1f changes a second", migratedJobs, took, rate)
+	s.t.Logf("the second half of %d tombstones took %v, %.1f operations a second", migratedJobs, took, rate)
 	if rate > 9 {
-		s.t.Errorf("%.1f changes a second", rate)
+		s.t.Errorf("the migration made %.1f operations a second, want at most 9", rate)
 	}
 	time.Sleep(5 * time.Second)
 	s.requireDamagedKept()
 }
 
-// requireDamagedKept asserts that the damaged value is as it was, and reported.
+// requireDamagedKept asserts that the damaged value is unchanged and that the status reports it.
 func (s *migrationScenario) requireDamagedKept() {
 	s.t.Helper()
 	undecodable := s.controllers["host-2"].gate.Status().Undecodable
 	if len(undecodable) != 1 || undecodable[0].Key != s.damagedKey {
-		s.t.Errorf("reported as undecodable: %v", undecodable)
+		s.t.Errorf("got undecodable values %v, want only %s", undecodable, s.damagedKey)
 	}
 	kv, err := s.state.Get(s.ctx, s.damagedKey)
 	if err != nil {
 		s.t.Error(err)
 	}
 	if string(kv.Value) != `"mangled"` {
-		s.t.Errorf("the damaged value became %s", kv.Value)
+		s.t.Errorf("the damaged value was changed to %s", kv.Value)
 	}
 }
 
-// requireLegacy asserts that every tombstone has its legacy form, as the former build
-// reads it.
+// requireLegacy asserts that every tombstone but the damaged one exists in the legacy format, as
+// earlier builds read it.
 func (s *migrationScenario) requireLegacy() {
 	s.t.Helper()
 	for k := range migratedJobs {
@@ -135,15 +136,16 @@
 			Tasks  int    `json:"tasks"`
 		}
 		want := tombstoneOf(k)
-		if err != nil || json.Unmarshal(kv.Value, &legacy) != nil || legacy.Tasks != want.Tasks || legacy.Status != want.Status {
-			s.t.Fatal(k, string(kv.Value), err)
+		if err != nil || json.Unmarshal(kv.Value, &legacy) != nil ||
+			legacy.Tasks != want.Tasks || legacy.Status != want.Status {
+			s.t.Fatalf("legacy tombstone %d: got %s (error %v), want %+v", k, kv.Value, err, want)
 		}
 	}
 }
 
-// Thousands of tombstones are migrated, through an outage, a change of the leader and a
-// value that cannot be decoded, and back again; the share of the write limit is kept. Whoever
-// reads finds every job at every moment.
+// Thousands of tombstones are migrated to the compact format and back, through an outage, a change
+// of the leader and with a value that cannot be decoded. The migration keeps to its share of the
+// write limit, and at every moment the tombstone of each job can be read.
 func TestTombstonesAreMigratedAndRestored(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		s := startMigrationScenario(f)
@@ -159,10 +161,12 @@
 		}
 		s.requireVersion(4, "lowered")
 		time.Sleep(5 * time.Second)
-		if err := s.execute(rollout.CommandLower); err == nil || !strings.Contains(err.Error(), "being brought back") {
-			t.Errorf("the version was lowered while legacy tombstones are missing: %v", err)
+		err := s.execute(rollout.CommandLower)
+		if err == nil || !strings.Contains(err.Error(), "being brought back") {
+			t.Errorf("lowering while legacy tombstones are missing: got error %v, want a refusal", err)
 		}
-		s.await("restoring them", func() bool { return s.count(tombstone.LegacyPrefix) == migratedJobs })
+		allRestored := func() bool { return s.count(tombstone.LegacyPrefix) == migratedJobs }
+		s.await("the restoration of the legacy tombstones", allRestored)
 		time.Sleep(5 * time.Second)
 		if err := s.execute(rollout.CommandLower); err != nil {
 			t.Error(err)
@@ -172,16 +176,20 @@
 	})
 }
 
-// startCopying stores a version at which a migration to compact tombstones begins.
+// startCopying stores a version at which the migration to compact tombstones begins, with that
+// migration.
 func (f *testCluster) startCopying() {
 	f.t.Helper()
 	version := rollout.ClusterVersion{Schema: 1, Number: 3, Features: rollout.FeaturesAt(3)}
 	migration := rollout.Migration{Name: rollout.MigrationCopy, Version: 3}
-	f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: version}, statekv.Op{Set: statekv.MigrationKey, Value: migration})
+	f.write(
+		statekv.Op{Set: statekv.ClusterVersionKey, Value: version},
+		statekv.Op{Set: statekv.MigrationKey, Value: migration},
+	)
 }
 
-// storedMigration returns the value of the migration's key, decoded and raw, and whether it
-// can be decoded and the migration is done.
+// storedMigration returns the value of the migration's key, decoded and raw. done reports whether
+// the value can be decoded and the migration is complete.
 func (f *testCluster) storedMigration() (migration rollout.Migration, raw json.RawMessage, done bool) {
 	f.t.Helper()
 	kv, err := f.state.Get(f.ctx, statekv.MigrationKey)
@@ -189,21 +197,21 @@
 	return migration, kv.Value, done
 }
 
-// A migration that is stopped at any moment, by the end of its leader or by another one
-// that takes the role while the first goes on, is finished by the next: every tombstone is
-// there once, in both formats, as it was.
+// A migration that is interrupted at any moment is completed by the next leader, whether the first
+// leader's session has ended or the first leader still runs: every tombstone exists in both
+// formats, with the same content.
 func TestMigrationResumesAfterChangeOfLeader(t *testing.T) {
-	for steps := range 12 {
-		after := time.Duration(steps) * 700 * time.Millisecond
-		for _, ends := range []bool{true, false} {
-			runScenario(t, func(f *testCluster) { f.changeLeaderWhileCopying(after, ends) })
+	for step := range 12 {
+		after := time.Duration(step) * 700 * time.Millisecond
+		for _, stopFirst := range []bool{true, false} {
+			runScenario(t, func(f *testCluster) { f.changeLeaderWhileCopying(after, stopFirst) })
 		}
 	}
 }
 
-// changeLeaderWhileCopying starts a migration and, after a while, another leader; the
-// session of the first one ends if ends is set.
-func (f *testCluster) changeLeaderWhileCopying(after time.Duration, ends bool) {
+// changeLeaderWhileCopying starts a migration and, after a delay, another leader. If stopFirst is
+// set, the first leader's session ends before that.
+func (f *testCluster) changeLeaderWhileCopying(after time.Duration, stopFirst bool) {
 	f.t.Helper()
 	const jobs = 60
 	id := func(k int) string { return fmt.Sprintf("wk-%03d", k) }
@@ -215,7 +223,7 @@
 		f.t.Fatal(err)
 	}
 	time.Sleep(after)
-	if ends {
+	if stopFirst {
 		f.stop("host-0")
 	}
 	if err := f.start("host-1", true); err != nil {
@@ -223,7 +231,7 @@
 	}
 	time.Sleep(30 * time.Second)
 	if migration, raw, done := f.storedMigration(); !done || migration.Scanned != jobs {
-		f.t.Fatalf("stopped after %v: %s", after, raw)
+		f.t.Fatalf("migration interrupted after %v is not complete: %s", after, raw)
 	}
 	for k := range jobs {
 		for _, key := range []string{tombstone.Key(id(k)), tombstone.LegacyKey(id(k))} {
@@ -231,15 +239,16 @@
 			if err != nil {
 				f.t.Fatal(key, err)
 			}
-			if _, stone, _, err := tombstone.Parse(key, kv.Value); err != nil || stone != tombstoneOf(k) {
-				f.t.Fatal(key, stone, err)
+			if _, got, _, err := tombstone.Parse(key, kv.Value); err != nil || got != tombstoneOf(k) {
+				f.t.Fatalf("%s: got %+v (error %v), want %+v", key, got, err, tombstoneOf(k))
 			}
 		}
 	}
 }
 
-// However many values cannot be decoded, and however long their keys are, what is noted of
-// them fits into the migration's key, so that the migration goes on to its end.
+// However many values cannot be decoded, and however long their keys are, the list of them fits
+// into the migration's key. If it did not, the progress could not be written and the migration
+// would never complete.
 func TestUndecodableValuesDoNotStopMigration(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		const damaged = 40
@@ -254,7 +263,8 @@
 		}
 		time.Sleep(time.Minute)
 		if migration, raw, done := f.storedMigration(); !done || migration.Undecodable != damaged || len(raw) > 4096 {
-			t.Errorf("%d bytes: %s", len(raw), raw)
+			t.Errorf("want a complete migration in at most 4096 bytes with %d undecodable values, got %d bytes: %s",
+				damaged, len(raw), raw)
 		}
 		if _, err := f.state.Get(f.ctx, tombstone.Key("wk-1")); err != nil {
 			t.Error(err)
--- a/internal/rollout/migrator.go
+++ b/internal/rollout/migrator.go
@@ -16,33 +16,33 @@
 	"robinstack/internal/tombstone"
 )
 
-// MigrationWriteShare is the share of the state service's write limit that a migration
-// uses. It is beside the share that controllers divide among themselves, so that nothing
-// waits for it.
+// MigrationWriteShare is the fraction of the state service's write limit that a migration uses. It
+// is not part of the share that the controllers divide among themselves, so a migration does not
+// delay their writes.
 const MigrationWriteShare = 0.1
 
 const (
-	migrationInterval     = time.Second     // between two looks for a migration
-	migrationRetryDelay   = 2 * time.Second // after a failure
-	migrationWriteTimeout = 3 * time.Second // of one transaction, the mirror's catching up included
+	migrationInterval     = time.Second     // between two checks for a pending migration
+	migrationRetryDelay   = 2 * time.Second // after a failed page
+	migrationWriteTimeout = 3 * time.Second // of one transaction, including the wait until the mirror shows it
 )
 
-// Migrator migrates stored values while its controller is leader. Each transaction
-// migrates some and notes the progress, under the compares that the version, the leader
-// and the progress are as they were seen; so two migrators never undo each other, and
-// whoever is leader next goes on where the last one stopped.
+// Migrator migrates stored values while its controller is leader. Each transaction migrates a batch
+// of values and stores the progress, under compares that the version, the leader and the progress
+// are unchanged since they were read. So concurrent migrators never undo each other's work, and the
+// next leader continues where the previous one stopped.
 type Migrator struct {
 	store       statekv.Store
 	mirror      *statekv.Mirror
 	session     *statekv.Session
 	leaderEpoch func() uint64
-	txnOps      int // ops of one transaction by the settings
+	txnOps      int // maximum operations of a transaction, from the settings
 	limiter     *rate.Limiter
 }
 
-// NewMigrator returns a migrator that makes up to opsPerSecond changes a second, txnOps in
-// one transaction. leaderEpoch returns the revision of the leader's role while this
-// controller has it, else 0.
+// NewMigrator returns a migrator that writes up to opsPerSecond operations a second, up to txnOps
+// in one transaction. leaderEpoch returns the revision of the leader's key while this controller is
+// leader, else 0.
 func NewMigrator(
 	store statekv.Store, mirror *statekv.Mirror, session *statekv.Session, leaderEpoch func() uint64,
 	txnOps int, opsPerSecond float64,
@@ -57,7 +57,7 @@
 	}
 }
 
-// Run migrates what there is to migrate until ctx ends.
+// Run looks for a pending migration every migrationInterval and continues it, until ctx ends.
 func (m *Migrator) Run(ctx context.Context) {
 	tick := time.NewTicker(migrationInterval)
 	defer tick.Stop()
@@ -70,12 +70,14 @@
 	}
 }
 
-// migrateWhileLeader migrates page by page until there is nothing left to do.
+// migrateWhileLeader migrates page by page until nothing is left to do, ctx ends or this controller
+// is no longer leader.
 func (m *Migrator) migrateWhileLeader(ctx context.Context) {
 	for m.leaderEpoch() != 0 && ctx.Err() == nil {
 		more, err := m.migratePage(ctx)
 		if err != nil {
-			// The service has more to do than this: it comes after everything.
+			// Only logged for debugging: a migration has the lowest priority of all work, and the
+			// next attempt continues it.
 			slog.Debug("stored value migration failed", "err", err)
 			select {
 			case <-ctx.Done():
@@ -88,13 +90,13 @@
 	}
 }
 
-// migrationRun is a migration under way with the revisions that it depends on.
+// migrationRun is a migration in progress, with the revisions that its writes compare.
 type migrationRun struct {
 	Migration
 	rev, versionRev, leaderEpoch uint64
 }
 
-// currentRun returns the migration that this controller has to go on with, if any.
+// currentRun returns the migration that this controller has to continue, if any.
 func (m *Migrator) currentRun() (run migrationRun, ok bool) {
 	kv, ok := m.mirror.Get(statekv.MigrationKey)
 	versionKV, _ := m.mirror.Get(statekv.ClusterVersionKey)
@@ -103,19 +105,19 @@
 		return run, false
 	}
 	version, err := ParseClusterVersion(versionKV.Value)
-	madeHere := err == nil && version.Number == run.Version
-	return run, madeHere
+	isCurrentVersion := err == nil && version.Number == run.Version
+	return run, isCurrentVersion
 }
 
-// source is the prefix of the keys that the migration scans.
-func (r *migrationRun) source() string {
+// sourcePrefix returns the prefix of the keys that the migration scans.
+func (r *migrationRun) sourcePrefix() string {
 	if r.Name == MigrationRestoreLegacy {
 		return tombstone.Prefix
 	}
 	return tombstone.LegacyPrefix
 }
 
-// cursorKey is the key under a prefix after which the scan goes on, or "" at its start.
+// cursorKey returns the key under a prefix after which the scan continues, or "" at its start.
 func (r *migrationRun) cursorKey(prefix string) string {
 	if r.Cursor == "" {
 		return ""
@@ -123,22 +125,22 @@
 	return prefix + r.Cursor
 }
 
-// migratePage migrates the values of one page of the listing. It returns whether there is
-// more to do now.
+// migratePage migrates the values of one page of the listing. more reports whether there is more to
+// do now, as after an error.
 func (m *Migrator) migratePage(ctx context.Context) (more bool, err error) {
 	run, ok := m.currentRun()
 	if !ok {
 		return false, nil
 	}
-	source := run.source()
-	page, err := m.store.List(ctx, source, run.cursorKey(source))
+	prefix := run.sourcePrefix()
+	page, err := m.store.List(ctx, prefix, run.cursorKey(prefix))
 	if err != nil {
-		return true, fmt.Errorf("listing what is to be moved: %w", err)
+		return true, fmt.Errorf("listing the values under %s to migrate: %w", prefix, err)
 	}
 	items := page.Items
 	var compactRevs map[string]uint64
 	if run.Name == MigrationDropLegacy && len(items) > 0 {
-		lastID := items[len(items)-1].Key[len(source):]
+		lastID := items[len(items)-1].Key[len(prefix):]
 		if compactRevs, err = m.compactRevisions(ctx, &run, lastID); err != nil {
 			return true, err
 		}
@@ -162,24 +164,25 @@
 	return false, nil
 }
 
-// batchSize is how many values one transaction migrates, beside the note of the progress.
+// batchSize returns how many values one transaction migrates. One operation is reserved for the
+// progress.
 func (m *Migrator) batchSize(migration string) int {
 	ops := m.store.MaxTxnOps(m.txnOps) - 1
 	if migration == MigrationDropLegacy {
-		ops /= 2 // two ops for each value at most
+		ops /= 2 // up to two operations for each value
 	}
 	return max(1, ops)
 }
 
-// compactRevisions returns the revisions of the compact tombstones, by job, from where the
-// migration is up to a job.
+// compactRevisions returns the revisions of the compact tombstones, by job ID, from the migration's
+// cursor up to and including lastID.
 func (m *Migrator) compactRevisions(ctx context.Context, run *migrationRun, lastID string) (map[string]uint64, error) {
 	revs := map[string]uint64{}
 	after := run.cursorKey(tombstone.Prefix)
 	for {
 		page, err := m.store.List(ctx, tombstone.Prefix, after)
 		if err != nil {
-			return nil, fmt.Errorf("listing what was moved: %w", err)
+			return nil, fmt.Errorf("listing the compact tombstones: %w", err)
 		}
 		for _, kv := range page.Items {
 			after = kv.Key
@@ -195,60 +198,61 @@
 	}
 }
 
-// valueMigration is the migration of one value.
+// valueMigration holds the compares and operations that migrate one value.
 type valueMigration struct {
 	compares []statekv.Compare
 	ops      []statekv.Op
 }
 
-// planValue returns how one tombstone is migrated.
+// planValue returns the compares and operations that migrate one tombstone.
 func (r *migrationRun) planValue(
-	kv statekv.KV, id string, stone tombstone.Tombstone, compactRevs map[string]uint64,
+	kv statekv.KV, id string, parsed tombstone.Tombstone, compactRevs map[string]uint64,
 ) (valueMigration, error) {
-	unchanged := statekv.Compare{Key: kv.Key, Rev: kv.Rev}
-	var target statekv.Compare // what the other form has to be like
+	source := statekv.Compare{Key: kv.Key, Rev: kv.Rev}
+	var target statekv.Compare // required state of the key in the other format
 	var ops []statekv.Op
 	switch r.Name {
 	case MigrationCopy:
 		target = statekv.Compare{Key: tombstone.Key(id)}
-		ops = tombstone.WriteOps(id, stone, tombstone.CompactOnly)
+		ops = tombstone.WriteOps(id, parsed, tombstone.CompactOnly)
 	case MigrationRestoreLegacy:
 		target = statekv.Compare{Key: tombstone.LegacyKey(id)}
-		ops = tombstone.WriteOps(id, stone, tombstone.LegacyOnly)
+		ops = tombstone.WriteOps(id, parsed, tombstone.LegacyOnly)
 	case MigrationDropLegacy:
 		target = statekv.Compare{Key: tombstone.Key(id), Rev: compactRevs[id]}
 		if target.Rev == 0 {
-			// Controllers of the former version that were started all together since have
-			// nobody who rejects them, and write only the legacy form.
-			ops = tombstone.WriteOps(id, stone, tombstone.CompactOnly)
+			// The compact tombstone is missing if, after the copy migration, all controllers were
+			// replaced at once by a build that writes only legacy tombstones: no controller was
+			// left to reject that build.
+			ops = tombstone.WriteOps(id, parsed, tombstone.CompactOnly)
 		}
 		ops = append(ops, statekv.Op{Delete: kv.Key})
 	default:
-		return valueMigration{}, fmt.Errorf("move %q is unknown", r.Name)
+		return valueMigration{}, fmt.Errorf("unknown migration %q", r.Name)
 	}
-	return valueMigration{compares: []statekv.Compare{unchanged, target}, ops: ops}, nil
+	return valueMigration{compares: []statekv.Compare{source, target}, ops: ops}, nil
 }
 
-// migrateBatch migrates some values with one transaction. Those that turn out to be
-// migrated already are left out.
+// migrateBatch migrates some values in one transaction. Values whose compares fail are left out,
+// since they have been migrated already.
 func (m *Migrator) migrateBatch(
 	ctx context.Context, run *migrationRun, items []statekv.KV, compactRevs map[string]uint64,
 ) error {
 	next := *run
 	var migrations []valueMigration
 	for _, kv := range items {
-		id, stone, _, err := tombstone.Parse(kv.Key, kv.Value)
+		id, parsed, _, err := tombstone.Parse(kv.Key, kv.Value)
 		if err != nil {
-			next.noteUndecodable(kv.Key, err)
+			next.recordUndecodable(kv.Key, err)
 			continue
 		}
-		migration, err := run.planValue(kv, id, stone, compactRevs)
+		migration, err := run.planValue(kv, id, parsed, compactRevs)
 		if err != nil {
 			return err
 		}
 		migrations = append(migrations, migration)
 	}
-	next.Cursor = strings.TrimPrefix(items[len(items)-1].Key, run.source())
+	next.Cursor = strings.TrimPrefix(items[len(items)-1].Key, run.sourcePrefix())
 	next.Scanned += len(items)
 	for {
 		attempt := next
@@ -266,7 +270,8 @@
 	}
 }
 
-// withoutConflicting returns the migrations of which no compare failed by err.
+// withoutConflicting returns the migrations that have no compare among those that err reports as
+// failed: all of them, if err is no *statekv.ConflictError.
 func withoutConflicting(migrations []valueMigration, err error) []valueMigration {
 	var conflict *statekv.ConflictError
 	if !errors.As(err, &conflict) {
@@ -278,7 +283,7 @@
 	})
 }
 
-// commit writes the migrations of some values together with the progress.
+// commit writes the migrations of some values and the progress in one transaction.
 func (m *Migrator) commit(ctx context.Context, run *migrationRun, migrations []valueMigration) error {
 	compares := []statekv.Compare{
 		m.session.Fence(),
@@ -299,8 +304,8 @@
 	progress := statekv.Op{Set: statekv.MigrationKey, Value: run.Migration}
 	rev, err := m.store.Txn(ctx, compares, append(ops, progress))
 	if err != nil {
-		return fmt.Errorf("moving %d values: %w", len(ops), err)
+		return fmt.Errorf("migrating %d values with %d operations: %w", len(migrations), len(ops), err)
 	}
 	run.rev = rev
-	return m.mirror.Wait(ctx, rev) // the next page depends on what the mirror shows
+	return m.mirror.Wait(ctx, rev) // the next page starts from the progress that the mirror shows
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -11,20 +11,20 @@
 	"robinstack/internal/statekv"
 )
 
-// An exhaustive model of the sessions of three controllers, up to a number of events: joins
-// of four builds, raises, lowerings, holds, rejections, writes of data, ends of sessions,
-// and transactions that are applied late or never. Every decision is made by the package's
-// own functions, from what the controller read last, however long ago; which is what
-// standing still, a partition and a slow state service amount to.
-
-// modelStore is the state service: keys with their revisions. A key that does not exist
-// has none.
+// The model explores exhaustively what the sessions of three controllers can do within a bounded
+// number of events: joins of four builds, raises, lowerings, holds, rejections, writes of data,
+// ends of sessions, and transactions that are applied late or never. Every decision is made by the
+// package's own functions, from the keys as the controller last read them, however long ago. That
+// covers a paused process, a partition and a slow state service.
+
+// modelStore is the state service: keys with their revisions. A key that does not exist has
+// revision 0.
 type modelStore struct {
 	rev  uint64
 	keys [8]statekv.KV // in the order of modelKeys
 }
 
-const dependentJobKey = "robin/job/wk-1" // of a job that depends on another
+const dependentJobKey = "robin/job/wk-1" // record of a job that depends on another
 
 var modelKeys = []string{
 	dependentJobKey, statekv.MembershipKey, statekv.ClusterVersionKey, statekv.MigrationKey, statekv.LeaderKey,
@@ -53,13 +53,13 @@
 	return items
 }
 
-// pendingTxn is a transaction on its way.
+// pendingTxn is a transaction that was sent and is neither applied nor lost.
 type pendingTxn struct {
-	fingerprint string // action and ops
+	fingerprint string // of the action and the operations
 	action      string
 	compares    []statekv.Compare
 	ops         []statekv.Op
-	features    string // which a write of data depends on
+	features    string // enabled features under which a write of data was made
 }
 
 func (s *pendingTxn) setFingerprint() {
@@ -72,7 +72,7 @@
 
 type modelSession struct {
 	build       int
-	incarnation uint64 // 0: it has not begun, as far as it knows
+	incarnation uint64 // 0: its registration has not been applied
 	seen        modelStore
 	pending     *pendingTxn
 }
@@ -84,11 +84,11 @@
 	modelStore
 	sessions   [3]modelSession
 	budget     eventBudget
-	versionRev uint64 // revision at which the version became what it is
+	versionRev uint64 // revision at which the version got its present number
 }
 
-// modelBuilds: one from before there were versions, one that knows the first feature, one
-// that knows the first two, as the former build did, and one that knows dependencies too.
+// modelBuilds are a build that predates cluster versions, one that knows the first feature, one
+// that knows the first two, as the previous build does, and one that knows dependencies too.
 var modelBuilds = []Capabilities{
 	{},
 	{Build: "1", Features: FeaturesAt(1)},
@@ -101,12 +101,12 @@
 
 var modelHosts = []string{"host-0", "host-1", "host-2"}
 
-// omittedCompare leaves a compare out of what is sent, as an omission in the code would:
-// an action and the prefix of a key.
+// omittedCompare names a compare that is left out of transactions, as a bug in the code would leave
+// it out: an action and the prefix of a key.
 type omittedCompare string
 
-func (f omittedCompare) apply(txn *pendingTxn) {
-	action, key, _ := strings.Cut(string(f), " ")
+func (o omittedCompare) apply(txn *pendingTxn) {
+	action, key, _ := strings.Cut(string(o), " ")
 	if action == txn.action {
 		txn.compares = slices.DeleteFunc(slices.Clone(txn.compares), func(c statekv.Compare) bool {
 			return strings.HasPrefix(c.Key, key)
@@ -114,73 +114,75 @@
 	}
 }
 
-// transitions collects what may follow from one state by events of one host.
+// transitions collects the states that may follow from one state by an event of one host.
 type transitions struct {
 	from    *modelState
 	host    int
-	planted omittedCompare
+	omitted omittedCompare
 	states  []modelState
 	events  []string
 }
 
-// add notes a state that follows, made by change from a copy.
-func (n *transitions) add(event string, change func(w *modelState, l *modelSession)) {
-	w := *n.from
-	change(&w, &w.sessions[n.host])
-	n.states = append(n.states, w)
-	n.events = append(n.events, fmt.Sprintf("%s %s", modelHosts[n.host], event))
+// add adds a following state, which change makes from a copy of the present one.
+func (next *transitions) add(event string, change func(state *modelState, session *modelSession)) {
+	state := *next.from
+	change(&state, &state.sessions[next.host])
+	next.states = append(next.states, state)
+	next.events = append(next.events, fmt.Sprintf("%s %s", modelHosts[next.host], event))
 }
 
-// send returns the change that has the host send a transaction.
-func (n *transitions) send(txn pendingTxn) func(*modelState, *modelSession) {
-	n.planted.apply(&txn)
+// send returns the change by which the host sends a transaction.
+func (next *transitions) send(txn pendingTxn) func(*modelState, *modelSession) {
+	next.omitted.apply(&txn)
 	txn.setFingerprint()
-	return func(_ *modelState, l *modelSession) { l.pending = &txn }
+	return func(_ *modelState, session *modelSession) { session.pending = &txn }
 }
 
-// successors lists the states that may follow, with the events. bad is a broken invariant.
-func (w *modelState) successors(planted omittedCompare) (states []modelState, events []string, bad error) {
-	for h := range w.sessions {
-		n := &transitions{from: w, host: h, planted: planted}
-		l := &w.sessions[h]
+// successors lists the states that may follow, with the events that lead to them. violation is a
+// violated invariant.
+func (state *modelState) successors(omitted omittedCompare) (states []modelState, events []string, violation error) {
+	for h := range state.sessions {
+		next := &transitions{from: state, host: h, omitted: omitted}
+		session := &state.sessions[h]
 		switch {
-		case l.pending != nil: // one transaction at a time
-			if err := n.finishPending(l); err != nil {
+		case session.pending != nil: // a session sends one transaction at a time
+			if err := next.finishPending(session); err != nil {
 				return nil, nil, err
 			}
-		case l.incarnation == 0:
-			n.join()
+		case session.incarnation == 0:
+			next.join()
 		default:
-			n.endSession(l)
-			n.readKeys(l)
-			n.writeData(l)
-			n.decide(l)
+			next.endSession(session)
+			next.readKeys(session)
+			next.writeData(session)
+			next.decide(session)
 		}
-		states, events = append(states, n.states...), append(events, n.events...)
+		states, events = append(states, next.states...), append(events, next.events...)
 	}
 	return states, events, nil
 }
 
-// finishPending has the pending transaction lost or applied.
-func (n *transitions) finishPending(l *modelSession) error {
-	n.add("lost "+l.pending.action, func(_ *modelState, l *modelSession) { l.pending = nil })
-	w := *n.from
-	if err := w.apply(n.host); err != nil {
+// finishPending adds the state in which the pending transaction is lost and the one in which it is
+// applied.
+func (next *transitions) finishPending(session *modelSession) error {
+	next.add("lost "+session.pending.action, func(_ *modelState, session *modelSession) { session.pending = nil })
+	state := *next.from
+	if err := state.apply(next.host); err != nil {
 		return err
 	}
-	n.states = append(n.states, w)
-	n.events = append(n.events, fmt.Sprintf("%s applied %s", modelHosts[n.host], l.pending.action))
+	next.states = append(next.states, state)
+	next.events = append(next.events, fmt.Sprintf("%s applied %s", modelHosts[next.host], session.pending.action))
 	return nil
 }
 
-// join has a session of any build begin.
-func (n *transitions) join() {
-	if n.from.budget.joins == 0 {
+// join adds the states in which a controller of any build sends its registration.
+func (next *transitions) join() {
+	if next.from.budget.joins == 0 {
 		return
 	}
-	sessionKey := statekv.SessionPrefix + modelHosts[n.host]
+	sessionKey := statekv.SessionPrefix + modelHosts[next.host]
 	for b := range modelBuilds {
-		seen := n.from.modelStore
+		seen := next.from.modelStore
 		txn := pendingTxn{action: "join", ops: []statekv.Op{{Set: sessionKey, Value: struct{}{}}}}
 		if b > 0 {
 			registration, err := NewRegistration(&seen, modelBuilds[b])
@@ -190,113 +192,115 @@
 			txn.compares = registration.Compares
 			txn.ops = append([]statekv.Op{{Set: sessionKey, Value: registration.Value}}, registration.Ops...)
 		}
-		send := n.send(txn)
-		n.add("joins with build "+modelBuilds[b].Build, func(w *modelState, l *modelSession) {
-			w.budget.joins--
-			l.build, l.seen = b, seen
-			send(w, l)
+		send := next.send(txn)
+		next.add("joins with build "+modelBuilds[b].Build, func(state *modelState, session *modelSession) {
+			state.budget.joins--
+			session.build, session.seen = b, seen
+			send(state, session)
 		})
 	}
 }
 
-// endSession has the session's lease expire or its controller restart.
-func (n *transitions) endSession(l *modelSession) {
-	if n.from.budget.ends > 0 {
-		if kv := n.from.entry(statekv.SessionPrefix + modelHosts[n.host]); kv.Rev == l.incarnation {
-			// The controller does not know.
-			n.add("expires", func(w *modelState, _ *modelSession) {
-				w.budget.ends--
-				w.rev++
-				w.keys[keyIndex(kv.Key)] = statekv.KV{}
+// endSession adds the state in which the session's lease expires and the one in which its controller
+// restarts.
+func (next *transitions) endSession(session *modelSession) {
+	if next.from.budget.ends > 0 {
+		if kv := next.from.entry(statekv.SessionPrefix + modelHosts[next.host]); kv.Rev == session.incarnation {
+			// The controller does not notice the expiry.
+			next.add("expires", func(state *modelState, _ *modelSession) {
+				state.budget.ends--
+				state.rev++
+				state.keys[keyIndex(kv.Key)] = statekv.KV{}
 			})
 		}
-		n.add("restarts", func(w *modelState, l *modelSession) {
-			w.budget.ends--
-			*l = modelSession{}
+		next.add("restarts", func(state *modelState, session *modelSession) {
+			state.budget.ends--
+			*session = modelSession{}
 		})
 	}
 }
 
-// readKeys brings what the session has seen up to date.
-func (n *transitions) readKeys(l *modelSession) {
-	if l.seen.rev != n.from.rev {
-		n.add("reads", func(_ *modelState, l *modelSession) { l.seen = n.from.modelStore })
+// readKeys adds the state in which the session reads the present keys.
+func (next *transitions) readKeys(session *modelSession) {
+	if session.seen.rev != next.from.rev {
+		next.add("reads", func(_ *modelState, session *modelSession) { session.seen = next.from.modelStore })
 	}
 }
 
-// fence is the compare that the host's session goes on.
-func (n *transitions) fence(l *modelSession) statekv.Compare {
-	return statekv.Compare{Key: statekv.SessionPrefix + modelHosts[n.host], Rev: l.incarnation}
+// fence returns the compare that the host's session has not ended.
+func (next *transitions) fence(session *modelSession) statekv.Compare {
+	return statekv.Compare{Key: statekv.SessionPrefix + modelHosts[next.host], Rev: session.incarnation}
 }
 
-// writeData has the session write data, or accept a job that depends on another.
-func (n *transitions) writeData(l *modelSession) {
-	if n.from.budget.writes == 0 {
+// writeData adds the states in which the session writes data, or accepts a job that depends on
+// another.
+func (next *transitions) writeData(session *modelSession) {
+	if next.from.budget.writes == 0 {
 		return
 	}
-	within := func(txn pendingTxn) func(*modelState, *modelSession) {
-		send := n.send(txn)
-		return func(w *modelState, l *modelSession) {
-			w.budget.writes--
-			send(w, l)
+	countWrite := func(txn pendingTxn) func(*modelState, *modelSession) {
+		send := next.send(txn)
+		return func(state *modelState, session *modelSession) {
+			state.budget.writes--
+			send(state, session)
 		}
 	}
-	write := pendingTxn{action: "write", compares: []statekv.Compare{n.fence(l)}}
-	if l.build > 0 {
-		reader := &VersionReader{keys: &l.seen, capabilities: modelBuilds[l.build]}
+	write := pendingTxn{action: "write", compares: []statekv.Compare{next.fence(session)}}
+	if session.build > 0 {
+		reader := &VersionReader{keys: &session.seen, capabilities: modelBuilds[session.build]}
 		version, fence := reader.Current()
 		write.compares, write.features = append(write.compares, fence), fmt.Sprint(version.Features)
-		if version.Accepts(FeatureDependencies) && l.build == buildWithDependencies {
+		if version.Accepts(FeatureDependencies) && session.build == buildWithDependencies {
 			ops := []statekv.Op{{Set: dependentJobKey, Value: 1}}
 			submit := pendingTxn{action: "submit", compares: write.compares, ops: ops}
-			n.add("submits a dependent job", within(submit))
+			next.add("submits a dependent job", countWrite(submit))
 		}
 	}
-	n.add("writes", within(write))
+	next.add("writes", countWrite(write))
 }
 
-// decide has the session's controller do what the package's plans allow.
-func (n *transitions) decide(l *modelSession) {
-	if l.build == 0 {
+// decide adds the states in which the session's controller sends a change that the package plans.
+func (next *transitions) decide(session *modelSession) {
+	if session.build == 0 {
 		return
 	}
-	s := NewSnapshot(&l.seen, modelHosts, ClusterVersion{})
+	s := NewSnapshot(&session.seen, modelHosts, ClusterVersion{})
 	s.JobsNeeding = func(Feature) (ids []string) {
-		if _, open := l.seen.Get(dependentJobKey); open {
+		if _, open := session.seen.Get(dependentJobKey); open {
 			ids = append(ids, "wk-1")
 		}
 		return ids
 	}
-	s.Self, s.VersionAge, s.LeaderEpoch = modelHosts[n.host], time.Hour, l.seen.entry(statekv.LeaderKey).Rev
+	s.Self, s.VersionAge, s.LeaderEpoch = modelHosts[next.host], time.Hour, session.seen.entry(statekv.LeaderKey).Rev
 	for k := range s.Controllers {
 		s.Controllers[k].StateAge = time.Hour
 	}
-	fence := n.fence(l)
+	fence := next.fence(session)
 	for _, c := range s.IncompatibleControllers() {
-		if c.Host != modelHosts[n.host] && modelBuilds[l.build].Missing(s.Version) == "" {
+		if c.Host != modelHosts[next.host] && modelBuilds[session.build].Missing(s.Version) == "" {
 			compares, ops := s.PlanReject(c, 1)
-			n.add("rejects "+c.Host, n.send(pendingTxn{action: "reject", compares: append(compares, fence), ops: ops}))
+			next.add("rejects "+c.Host, next.send(pendingTxn{action: "reject", compares: append(compares, fence), ops: ops}))
 		}
 	}
 	if s.Version.Number < len(modelBuilds)-1 {
 		if change, _ := s.PlanRaise(); change != nil {
-			n.add("raises", n.send(pendingTxn{action: "raise", compares: append(change.Compares, fence), ops: change.Ops}))
+			next.add("raises", next.send(pendingTxn{action: "raise", compares: append(change.Compares, fence), ops: change.Ops}))
 		}
 	}
-	n.command(s, fence)
+	next.command(s, fence)
 }
 
-// command has an operator ask the host to lower or hold the version.
-func (n *transitions) command(s Snapshot, fence statekv.Compare) {
-	if n.from.budget.commands == 0 {
+// command adds the states in which an operator has the host lower or hold the version.
+func (next *transitions) command(s Snapshot, fence statekv.Compare) {
+	if next.from.budget.commands == 0 {
 		return
 	}
 	s.LeaderEpoch = 0
 	add := func(event, action string, change *VersionChange) {
-		send := n.send(pendingTxn{action: action, compares: append(change.Compares, fence), ops: change.Ops})
-		n.add(event, func(w *modelState, l *modelSession) {
-			w.budget.commands--
-			send(w, l)
+		send := next.send(pendingTxn{action: action, compares: append(change.Compares, fence), ops: change.Ops})
+		next.add(event, func(state *modelState, session *modelSession) {
+			state.budget.commands--
+			send(state, session)
 		})
 	}
 	for _, feature := range s.Version.Features {
@@ -309,9 +313,9 @@
 	}
 }
 
-// version returns the stored version; absent is version 0.
-func (w *modelState) version() ClusterVersion {
-	kv, ok := w.Get(statekv.ClusterVersionKey)
+// version returns the stored version, or version 0 if the key does not exist.
+func (state *modelState) version() ClusterVersion {
+	kv, ok := state.Get(statekv.ClusterVersionKey)
 	if !ok {
 		return ClusterVersion{}
 	}
@@ -322,63 +326,63 @@
 	return version
 }
 
-// apply carries out what a host sent, if its compares hold, and checks the invariants.
-func (w *modelState) apply(host int) error {
-	l := &w.sessions[host]
-	txn := l.pending
-	l.pending = nil
+// apply applies the pending transaction of a host if its compares hold, and checks the invariants.
+func (state *modelState) apply(host int) error {
+	session := &state.sessions[host]
+	txn := session.pending
+	session.pending = nil
 	for _, c := range txn.compares {
-		if w.entry(c.Key).Rev != c.Rev {
+		if state.entry(c.Key).Rev != c.Rev {
 			return nil
 		}
 	}
-	before := w.version()
-	w.rev++
+	before := state.version()
+	state.rev++
 	for _, op := range txn.ops {
 		raw, err := json.Marshal(op.Value)
 		if err != nil {
 			return err
 		}
 		if op.Delete != "" {
-			w.keys[keyIndex(op.Delete)] = statekv.KV{}
+			state.keys[keyIndex(op.Delete)] = statekv.KV{}
 		} else {
-			w.set(op.Set, raw)
+			state.set(op.Set, raw)
 		}
 	}
-	after := w.version()
-	if _, open := w.Get(dependentJobKey); open && !after.Enabled(FeatureDependencies) {
-		return errors.New("a job depends on another and the version lets controllers live that do not know of that")
+	after := state.version()
+	if _, open := state.Get(dependentJobKey); open && !after.Enabled(FeatureDependencies) {
+		return errors.New("a dependent job is stored at a version without dependencies")
 	}
 	if after.Number != before.Number {
-		w.versionRev = w.rev
+		state.versionRev = state.rev
 	}
 	switch txn.action {
 	case "join":
-		l.incarnation = w.rev
-		if l.build > 0 && modelBuilds[l.build].Missing(after) != "" {
+		session.incarnation = state.rev
+		if session.build > 0 && modelBuilds[session.build].Missing(after) != "" {
 			return errors.New("a session began at a version that its build does not support")
 		}
 	case "write":
-		bound := l.build > 0 || after.Number > 0 && w.startedBeforeVersion(host)
+		bound := session.build > 0 || after.Number > 0 && state.startedBeforeVersion(host)
 		if bound && txn.features != fmt.Sprint(after.Features) {
-			return fmt.Errorf("a write under %s was applied under %v", txn.features, after.Features)
+			return fmt.Errorf("a write planned under features %s was applied under %v", txn.features, after.Features)
 		}
 	case "raise", "lower":
-		return w.checkChange(txn.action, before, after)
+		return state.checkChange(txn.action, before, after)
 	}
 	return nil
 }
 
 // checkChange checks the invariants of a change of the version.
-func (w *modelState) checkChange(action string, before, after ClusterVersion) error {
+func (state *modelState) checkChange(action string, before, after ClusterVersion) error {
 	if d := after.Number - before.Number; d != 1 && d != -1 && after.Disabling == before.Disabling {
-		return fmt.Errorf("from version %d to %d", before.Number, after.Number)
+		return fmt.Errorf("the version changed from %d to %d", before.Number, after.Number)
 	}
 	if before.HoldReason != "" && action == "raise" && after.Number > before.Number {
-		return errors.New("it was raised although an operator held it")
+		return errors.New("the version was raised although an operator held it")
 	}
-	for k := range w.sessions {
-		kv, alive := w.Get(statekv.SessionPrefix + modelHosts[k])
+	for k := range state.sessions {
+		kv, alive := state.Get(statekv.SessionPrefix + modelHosts[k])
 		if !alive || statekv.RejectionReason(kv) != "" {
 			continue
 		}
@@ -387,14 +391,15 @@
 			return err
 		}
 		if missing := capabilities.Missing(after); missing != "" && capabilities.Missing(before) == "" {
-			return fmt.Errorf("it went to version %d while %s is alive, whose build lacks %s",
+			return fmt.Errorf("the version became %d while %s is alive, whose build lacks %s",
 				after.Number, modelHosts[k], missing)
 		}
 	}
 	return nil
 }
 
-// startedBeforeVersion reports whether a controller's session began before the version did.
-func (w *modelState) startedBeforeVersion(host int) bool {
-	return w.sessions[host].incarnation < w.versionRev
+// startedBeforeVersion reports whether the host's session began before the version got its present
+// number.
+func (state *modelState) startedBeforeVersion(host int) bool {
+	return state.sessions[host].incarnation < state.versionRev
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -9,19 +9,18 @@
 	"robinstack/internal/statekv"
 )
 
-// VersionChange is a write of the cluster version that may be made under its compares.
+// VersionChange is a write of the cluster version, to be made under its compares.
 type VersionChange struct {
 	To       ClusterVersion
 	Compares []statekv.Compare
 	Ops      []statekv.Op
 }
 
-// changeOfFeatures returns the write that leads to a version with other features. Each of
-// its compares excludes a race: with another change of the version, an operator's hold
-// among them; with a leader that is none any more; with a session that began, or ended,
-// since the snapshot, whether or not its build knows of versions; with the end of a
-// migration that was not seen.
-func (s *Snapshot) changeOfFeatures(to ClusterVersion, migration Migration) *VersionChange {
+// featureChange returns the write of a version with other features. Each of its compares excludes
+// one kind of change since the snapshot: of the version, such as an operator's hold; of the leader;
+// of the sessions, of which one may have begun or ended, also one of a build that does not know
+// cluster versions; of the migration, which may have been completed.
+func (s *Snapshot) featureChange(to ClusterVersion, migration Migration) *VersionChange {
 	to.WrittenBy = s.Self
 	compares := []statekv.Compare{
 		{Key: statekv.ClusterVersionKey, Rev: s.VersionRev},
@@ -37,7 +36,7 @@
 	ops := []statekv.Op{{Set: statekv.ClusterVersionKey, Value: to.storedValue()}}
 	switch {
 	case migration.Name == undecodableMigration:
-		// Left as it is: whoever wrote it can read it.
+		// Left unchanged: the build that wrote it can decode it.
 	case migration.Name != "":
 		migration.Version = to.Number
 		ops = append(ops, statekv.Op{Set: statekv.MigrationKey, Value: migration})
@@ -47,9 +46,10 @@
 	return &VersionChange{To: to, Compares: compares, Ops: ops}
 }
 
-// changeOfSettings returns the write of a version with the same features. Whoever joins
-// meanwhile does no harm: what is enabled stays as it is.
-func (s *Snapshot) changeOfSettings(to ClusterVersion) *VersionChange {
+// controlChange returns the write of a version with the same features but another hold, approval or
+// feature to be disabled. It does not compare the sessions: a controller that joins meanwhile
+// supports the same features.
+func (s *Snapshot) controlChange(to ClusterVersion) *VersionChange {
 	to.WrittenBy = s.Self
 	return &VersionChange{
 		To:       to,
@@ -58,19 +58,19 @@
 	}
 }
 
-// migrationAfter is the migration to go on with when a feature is enabled or disabled:
-// the feature's own one, else that which is under way, if the feature stands beside those
-// to which it belongs.
+// migrationAfter returns the migration to store when a feature is enabled or disabled, where own is
+// the migration that this change starts, or "". Without one, a feature outside the order in which
+// features require each other leaves the present migration in progress, and any other feature
+// removes it.
 func (s *Snapshot) migrationAfter(gate *FeatureGate, own string) Migration {
-	inOrder := isRequired(gate.Feature) || gate.Irreversible
-	if own == "" && !inOrder {
+	isOrdered := isRequired(gate.Feature) || gate.Irreversible
+	if own == "" && !isOrdered {
 		return s.Migration
 	}
 	return Migration{Name: own}
 }
 
-// nextGates lists the gates of the features that may be enabled from here, those first
-// that users wait for.
+// nextGates lists the gates of the features that may be enabled next, immediate ones first.
 func (s *Snapshot) nextGates() []*FeatureGate {
 	var immediate, others []*FeatureGate
 	for i := range FeatureGates {
@@ -87,20 +87,21 @@
 	return append(immediate, others...)
 }
 
-// PlanRaise returns the change to the next version if the leader may make it now, or why
-// not; both are empty at the highest version.
+// PlanRaise returns the change that the leader may make now, or nil and the reason why there is
+// none. The change enables the next feature, or completes the disabling of one that an operator
+// requested. At the highest version both results are empty.
 func (s *Snapshot) PlanRaise() (*VersionChange, string) {
-	if reason := s.unwritable(); reason != "" {
+	if reason := s.writeBlockedBy(); reason != "" {
 		return nil, reason
 	}
 	if s.Version.Disabling != "" {
-		return s.planDisable()
+		return s.planFinishDisabling()
 	}
 	var reasons []string
 	for _, gate := range s.nextGates() {
 		reason := s.raiseBlockedBy(gate)
 		if reason == "" {
-			return s.changeOfFeatures(s.raised(gate), s.migrationAfter(gate, gate.Migration)), ""
+			return s.featureChange(s.raised(gate), s.migrationAfter(gate, gate.Migration)), ""
 		}
 		if !slices.Contains(reasons, reason) {
 			reasons = append(reasons, reason)
@@ -109,16 +110,16 @@
 	return nil, strings.Join(reasons, "; ")
 }
 
-// raised returns the version with one feature more.
+// raised returns the version with the gate's feature enabled.
 func (s *Snapshot) raised(gate *FeatureGate) ClusterVersion {
 	to := s.Version.with(gate.Feature)
 	if to.AllowedUpTo > s.Version.Number && !gate.Irreversible {
-		to.AllowedUpTo++ // it was for the irreversible feature, whose number grows by this one
+		to.AllowedUpTo++ // the approval is for the irreversible feature, whose version number grows by one
 	}
 	return to
 }
 
-// raiseBlockedBy says what prevents a feature from being enabled, or "".
+// raiseBlockedBy returns what prevents a feature from being enabled, or "".
 func (s *Snapshot) raiseBlockedBy(gate *FeatureGate) string {
 	if reason := s.heldBy(gate); reason != "" {
 		return reason
@@ -126,7 +127,7 @@
 	if reason := s.incompatibility(s.Version.with(gate.Feature)); reason != "" {
 		return reason
 	}
-	if reason := s.soakingFor(gate); reason != "" {
+	if reason := s.soakBlockedBy(gate); reason != "" {
 		return reason
 	}
 	if s.LeaderEpoch == 0 {
@@ -135,8 +136,7 @@
 	return ""
 }
 
-// heldBy says which hold, missing approval or unfinished migration a feature waits for, or
-// "".
+// heldBy returns which hold, missing approval or unfinished migration a feature waits for, or "".
 func (s *Snapshot) heldBy(gate *FeatureGate) string {
 	next := s.Version.Number + 1
 	switch required := gateOf(gate.Requires); {
@@ -154,13 +154,13 @@
 
 func (s *Snapshot) migrationComplete() bool { return s.Migration.Name != "" && s.Migration.Done }
 
-// immediateSoak is how long all controllers have to have been up before an immediate
-// feature is enabled: long enough for one that fails as it starts.
+// immediateSoak is how long all controllers have to be up before an immediate feature is enabled:
+// long enough to notice a controller that fails during its start.
 const immediateSoak = 3 * time.Second
 
-// soakingFor says which controller has not been up, or down, for long enough, or that the
-// version has not, or "".
-func (s *Snapshot) soakingFor(gate *FeatureGate) string {
+// soakBlockedBy returns which controller has been up or down for too short a time, or that the
+// version has been in force for too short a time, or "".
+func (s *Snapshot) soakBlockedBy(gate *FeatureGate) string {
 	soak := s.SoakTime
 	if gate.Immediate {
 		soak = min(soak, immediateSoak)
@@ -174,7 +174,7 @@
 			return fmt.Sprintf("%s is away since %v and waited for until %v", c.Host, age, s.AbsenceTimeout)
 		}
 	}
-	// An immediate feature need not wait because others were enabled a moment ago.
+	// An immediate feature does not wait because another feature was enabled a moment ago.
 	if !gate.Immediate && s.VersionAge < soak {
 		age := s.VersionAge.Round(time.Second)
 		return fmt.Sprintf("level %d has stood for %v of %v", s.Version.Number, age, soak)
@@ -182,32 +182,32 @@
 	return ""
 }
 
-// planDisable carries out an operator's request: it disables the feature that is to be
-// disabled, or gives that up if something needs it. All that was accepted before is in
-// this snapshot, for it was written under the version before the request, and this
-// snapshot has the one after it.
-func (s *Snapshot) planDisable() (*VersionChange, string) {
+// planFinishDisabling completes an operator's request to disable a feature, or cancels the request
+// if an unfinished job needs the feature. This snapshot contains everything that was accepted
+// before the request, because that was written under a compare on the version before the request,
+// and the snapshot shows the version with the request.
+func (s *Snapshot) planFinishDisabling() (*VersionChange, string) {
 	feature := s.Version.Disabling
 	if s.LeaderEpoch == 0 {
 		return nil, fmt.Sprintf("the steward takes feature %q off", feature)
 	}
-	if s.stillNeeded(feature) != "" {
+	if s.neededByJobs(feature) != "" {
 		to := s.Version.withFeatures(s.Version.Features)
 		to.Disabling = ""
-		return s.changeOfSettings(to), ""
+		return s.controlChange(to), ""
 	}
 	to := s.Version.without(feature)
 	to.Disabling = ""
 	if reason := s.incompatibility(to); reason != "" {
 		return nil, reason
 	}
-	return s.changeOfFeatures(to, s.migrationAfter(gateOf(feature), "")), ""
+	return s.featureChange(to, s.migrationAfter(gateOf(feature), "")), ""
 }
 
-// IncompatibleControllers lists the live controllers that must not go on at this version:
-// those of builds from before there were versions join without looking.
+// IncompatibleControllers lists the live controllers that must not continue at this version. There
+// may be some because builds that predate cluster versions join without reading the version.
 func (s *Snapshot) IncompatibleControllers() []Controller {
-	if s.unwritable() != "" {
+	if s.writeBlockedBy() != "" {
 		return nil
 	}
 	var incompatible []Controller
@@ -219,9 +219,10 @@
 	return incompatible
 }
 
-// PlanReject returns the write that ends the session of an incompatible controller: its
-// writes have the compare that its key is as it wrote it, and it ends by itself once it
-// sees that it is not. The rejection is written under the lease.
+// PlanReject returns the write that ends the session of an incompatible controller by replacing the
+// value of its session key. Every write of that session compares the key's revision, so none is
+// applied any more, and the controller ends the session when it sees the change. The new value is
+// attached to lease.
 func (s *Snapshot) PlanReject(c Controller, lease uint64) ([]statekv.Compare, []statekv.Op) {
 	sessionKey := statekv.SessionPrefix + c.Host
 	reason := fmt.Sprintf("the fleet is at level %d and build %s lacks %s",
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -9,14 +9,14 @@
 	"robinstack/internal/statekv"
 )
 
-// featuresBeforeIrreversible are the features of a cluster that was at the former build's
-// highest version before the irreversible one when dependencies were enabled.
+// featuresBeforeIrreversible are the features of a cluster that had all features before the
+// irreversible one when dependencies were enabled.
 var featuresBeforeIrreversible = []Feature{
 	FeatureVersionGate, FeatureFailureHistory, FeatureTombstones, FeatureDependencies,
 }
 
-// stableSnapshot is a snapshot of three controllers of this build that have been up for
-// long.
+// stableSnapshot returns a snapshot of three controllers of this build that have been up for an
+// hour.
 func stableSnapshot(features ...Feature) Snapshot {
 	s := Snapshot{
 		Self: "host-0", Version: ClusterVersion{}.withFeatures(features), LeaderEpoch: 3, VersionAge: time.Hour,
@@ -30,18 +30,22 @@
 	return s
 }
 
-// What blocks a raise is reported by name; once nothing does, the version is raised by one,
-// under the compares of all that was read.
+// PlanRaise returns the reason that blocks a raise. If nothing blocks it, the version is raised by
+// one feature, under compares on all keys that the plan depends on.
 func TestRaiseBlockedBy(t *testing.T) {
 	for _, c := range []struct {
 		reason string
 		change func(*Snapshot)
 	}{
 		{"", func(*Snapshot) {}},
-		{`host-1 (build form 0) lacks feature "gated"`, func(s *Snapshot) { s.Controllers[1].Capabilities, _ = ParseCapabilities([]byte("{}")) }},
+		{`host-1 (build form 0) lacks feature "gated"`, func(s *Snapshot) {
+			s.Controllers[1].Capabilities, _ = ParseCapabilities([]byte("{}"))
+		}},
 		{"host-2 has stood for 5s of 30s", func(s *Snapshot) { s.Controllers[2].StateAge = 5 * time.Second }},
-		{"host-2 is away since 1m0s", func(s *Snapshot) { s.Controllers[2].Alive, s.Controllers[2].StateAge = false, time.Minute }},
-		{"", func(s *Snapshot) { s.Controllers[2].Alive = false }}, // for an hour: it is waited for no longer
+		{"host-2 is away since 1m0s", func(s *Snapshot) {
+			s.Controllers[2].Alive, s.Controllers[2].StateAge = false, time.Minute
+		}},
+		{"", func(s *Snapshot) { s.Controllers[2].Alive = false }}, // for an hour, which is longer than the absence timeout
 		{"held: it is Friday", func(s *Snapshot) { s.Version.HoldReason = "it is Friday" }},
 		{"held by the policy", func(s *Snapshot) { s.HeldByPolicy = true }},
 		{"level 2 has stood for 2s", func(s *Snapshot) { s.VersionAge = 2 * time.Second }},
@@ -56,72 +60,74 @@
 		c.change(&s)
 		change, reason := s.PlanRaise()
 		if (change != nil) != (c.reason == "") || !strings.Contains(reason, c.reason) {
-			t.Errorf("%q: %v, %q", c.reason, change, reason)
+			t.Errorf("got change %v and reason %q, want reason %q", change, reason, c.reason)
 		}
-		if change != nil && (change.To.Number != 3 || !change.To.Enabled(FeatureFailureHistory) || len(change.Compares) != 7) {
-			t.Errorf("%+v", change)
+		if change != nil && (change.To.Number != 3 || !change.To.Enabled(FeatureFailureHistory) ||
+			len(change.Compares) != 7) {
+			t.Errorf("got %+v, want version 3 with the failure history under 7 compares", change)
 		}
 	}
 }
 
-// The irreversible version waits for the migration of stored values and for an operator.
+// The irreversible feature waits until stored values are migrated and an operator allows it.
 func TestIrreversibleFeatureWaitsForMigrationAndOperator(t *testing.T) {
 	s := stableSnapshot(featuresBeforeIrreversible...)
 	if _, reason := s.PlanRaise(); !strings.Contains(reason, "waits for a person") {
-		t.Error(reason)
+		t.Errorf("raise without an approval: got reason %q", reason)
 	}
 	raise, _ := s.PlanAllowRaise()
 	s.Version = raise.To
 	s.Migration = Migration{Name: MigrationCopy, Version: 4}
 	if _, reason := s.PlanRaise(); !strings.Contains(reason, "being moved") {
-		t.Error(reason)
+		t.Errorf("raise during the migration: got reason %q", reason)
 	}
 	s.Migration.Done = true
 	change, reason := s.PlanRaise()
 	if change == nil || change.To.Number != 5 {
-		t.Fatal(reason)
+		t.Fatalf("raise to version 5: got %+v, %q", change, reason)
 	}
-	// And back: what has only the new form is restored before the version that reads both
-	// is lowered.
+	// Lowering: tombstones that have only the compact format are restored before the version that
+	// reads both formats is lowered.
 	s = stableSnapshot(append(featuresBeforeIrreversible, FeatureCompactTombstonesOnly)...)
 	lower, reason := s.PlanLower("", "it went wrong")
 	if lower == nil || lower.To.Number != 4 || lower.To.HoldReason == "" {
-		t.Fatal(reason)
+		t.Fatalf("lowering to version 4: got %+v, %q", lower, reason)
 	}
 	raw, _ := json.Marshal(lower.Ops[1].Value)
 	s.Version = lower.To
 	if err := json.Unmarshal(raw, &s.Migration); err != nil || s.Migration.Name != MigrationRestoreLegacy {
-		t.Fatal(string(raw), err)
+		t.Fatalf("migration after the lowering: got %s (error %v), want %s", raw, err, MigrationRestoreLegacy)
 	}
 	if _, reason := s.PlanLower(FeatureTombstones, "further"); !strings.Contains(reason, "being brought back") {
-		t.Error(reason)
+		t.Errorf("lowering during the restoration: got reason %q", reason)
 	}
 	s.Migration.Done = true
 	if lower, reason = s.PlanLower(FeatureTombstones, "further"); lower == nil || lower.To.Number != 3 {
-		t.Error(reason)
+		t.Errorf("lowering to version 3: got %+v, %q", lower, reason)
 	}
 }
 
-// What an operator cannot ask for at version 0, or at one that this build does not
-// support, is refused by name; a version is never skipped.
+// A command that cannot be carried out is refused with the reason: lowering version 0, lowering to
+// a version at which a controller cannot run, and any command at a version that this build does not
+// support.
 func TestCommandsBlocked(t *testing.T) {
 	s := stableSnapshot()
 	if _, reason := s.PlanLower("", "x"); !strings.Contains(reason, "at level 0") {
-		t.Error(reason)
+		t.Errorf("lowering version 0: got reason %q", reason)
 	}
 	s = stableSnapshot(FeatureVersionGate, FeatureFailureHistory)
 	s.Controllers[1].Capabilities.MinVersion = 2
 	if _, reason := s.PlanLower("", "x"); !strings.Contains(reason, "host-1") {
-		t.Error(reason)
+		t.Errorf("lowering below the lowest version of host-1: got reason %q", reason)
 	}
 	s.Version = ClusterVersion{Schema: 1, Number: 9, Features: make([]Feature, 9)}
 	if _, reason := s.PlanHold("x"); !strings.Contains(reason, "does not know") {
-		t.Error(reason)
+		t.Errorf("holding an unsupported version: got reason %q", reason)
 	}
 }
 
-// The version's key keeps what a later build wrote into it, and is never taken for
-// another version when it is damaged.
+// The version's key keeps the fields that a later build wrote, and a damaged value is never taken
+// for another version.
 func TestVersionKey(t *testing.T) {
 	version, err := ParseClusterVersion([]byte(`{"form":1,"level":1,"features":["gated"],"colour":"blue"}`))
 	if err != nil {
@@ -129,38 +135,43 @@
 	}
 	raw, err := json.Marshal(version.withFeatures(FeaturesAt(2)).storedValue())
 	if err != nil || !strings.Contains(string(raw), `"colour":"blue"`) || !strings.Contains(string(raw), `"level":2`) {
-		t.Error(string(raw), err)
+		t.Errorf("got %s (error %v), want version 2 with the unknown field", raw, err)
 	}
-	for _, bad := range []string{`{}`, `"x"`, `{"form":1,"level":2,"features":["gated"]}`, `{"form":2,"level":0,"features":[]}`, `{"form":1,"level":-1}`} {
-		if version, err := ParseClusterVersion([]byte(bad)); err == nil {
-			t.Errorf("%s: %+v", bad, version)
+	for _, damaged := range []string{
+		`{}`, `"x"`, `{"form":1,"level":2,"features":["gated"]}`, `{"form":2,"level":0,"features":[]}`,
+		`{"form":1,"level":-1}`,
+	} {
+		if version, err := ParseClusterVersion([]byte(damaged)); err == nil {
+			t.Errorf("%s: got %+v, want an error", damaged, version)
 		}
 	}
 	keys := &modelStore{rev: 5}
 	reader := NewVersionReader(keys)
 	if version, fence := reader.Current(); version.Number != 0 || fence.Rev != 0 {
-		t.Error(version, fence)
+		t.Errorf("no key: got version %+v under %+v", version, fence)
 	}
 	keys.set(statekv.ClusterVersionKey, []byte(`{"form":1,"level":1,"features":["gated"]}`))
 	if version, fence := reader.Current(); version.Number != 1 || fence.Rev != 5 {
-		t.Error(version, fence)
+		t.Errorf("version 1: got version %+v under %+v", version, fence)
 	}
-	// Damaged: the cluster keeps the former version. Of a later build: nothing that is
-	// conditional on the version is written any more.
+	// If the value is damaged, the cluster stays at the previous version. If a later build wrote
+	// it, writes that are conditional on the version fail.
 	keys.rev = 6
 	keys.set(statekv.ClusterVersionKey, []byte(`"x"`))
 	if version, fence := reader.Current(); version.Number != 1 || fence.Rev != 6 || reader.Problem() == "" {
-		t.Error(version, fence, reader.Problem())
+		t.Errorf("damaged key: got version %+v under %+v, problem %q", version, fence, reader.Problem())
 	}
 	if _, err := NewRegistration(keys, LocalCapabilities()); !IsJoinRejected(err) {
-		t.Error(err)
+		t.Errorf("registration with a damaged key: got error %v, want a rejection", err)
 	}
 	keys.rev = 7
-	keys.set(statekv.ClusterVersionKey, []byte(`{"form":1,"level":5,"features":["gated","failures","ended","ended-only","future"]}`))
+	keys.set(statekv.ClusterVersionKey,
+		[]byte(`{"form":1,"level":5,"features":["gated","failures","ended","ended-only","future"]}`))
 	if version, fence := reader.Current(); version.Number != 1 || fence.Rev != 6 {
-		t.Error(version, fence)
+		t.Errorf("unsupported version: got version %+v under %+v, want version 1 under revision 6", version, fence)
 	}
-	if _, err := NewRegistration(keys, LocalCapabilities()); !IsJoinRejected(err) || !strings.Contains(err.Error(), "future") {
-		t.Error(err)
+	_, err = NewRegistration(keys, LocalCapabilities())
+	if !IsJoinRejected(err) || !strings.Contains(err.Error(), "future") {
+		t.Errorf("registration at an unsupported version: got error %v, want a rejection", err)
 	}
 }
--- a/internal/rollout/raise_test.go
+++ b/internal/rollout/raise_test.go
@@ -9,8 +9,8 @@
 	"robinstack/internal/statekv"
 )
 
-// The version is raised within the soak time plus 5 s of the last new session, by one
-// feature at a time, up to the irreversible one.
+// The version is raised by one feature at a time, up to the irreversible one, within the soak time
+// plus 5 s of the last new session.
 func TestVersionIsRaisedAfterSoakTime(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		f.startAll()
@@ -28,51 +28,50 @@
 	})
 }
 
-// One host runs the former build, then this one, then the former again during an upgrade:
-// the version waits for it, and after the raise the former one is rejected; its writes are
-// not applied, and the others serve on.
-func TestFormerBuildBlocksRaiseAndIsRejectedAfterIt(t *testing.T) {
+// During an upgrade, one host runs a build that predates cluster versions, then this build, then
+// the former one again. The version is not raised while the former build runs. After the raise the
+// former build is rejected: its writes are not applied, and the other controllers continue.
+func TestLegacyBuildBlocksRaiseAndIsRejectedAfterIt(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
-		f.startFormerBuild("host-2")
+		f.startLegacyBuild("host-2")
 		if f.start("host-0", true) != nil || f.start("host-1", false) != nil {
 			t.Fatal("a controller was rejected")
 		}
 		time.Sleep(3 * soak)
-		f.requireVersion(0, "with one of the former build")
+		f.requireVersion(0, "with a controller of a legacy build")
 		f.requireRaiseBlockedBy("host-0", `host-2 (build form 0) lacks feature "gated"`)
 		if err := f.start("host-2", false); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
-		f.startFormerBuild("host-2")
+		f.startLegacyBuild("host-2")
 		time.Sleep(3 * soak)
-		f.requireVersion(0, "with one of the former build again")
+		f.requireVersion(0, "with a controller of a legacy build again")
 		if err := f.start("host-2", false); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
-		f.requireVersion(2, "with all of this build")
+		f.requireVersion(2, "with all controllers of this build")
 
-		f.startFormerBuild("host-2")
+		f.startLegacyBuild("host-2")
 		kv, _ := f.state.Get(f.ctx, statekv.SessionPrefix+"host-2")
 		own := []statekv.Compare{{Key: statekv.SessionPrefix + "host-2", Rev: kv.Rev}}
 		time.Sleep(2 * time.Second)
 		if _, err := f.state.Txn(f.ctx, own, []statekv.Op{{Set: "robin/job/wk-1", Value: 1}}); !statekv.IsConflict(err) {
-			t.Errorf("a rejected session wrote: %v", err)
+			t.Errorf("write of a rejected session: got error %v, want a conflict", err)
 		}
-		f.requireVersion(2, "while the former build is rejected")
+		f.requireVersion(2, "while the legacy build is rejected")
 		if hosts := f.controllers["host-0"].session.AliveHosts(); len(hosts) != 2 {
-			t.Errorf("the rejected one counts as alive: %v", hosts)
+			t.Errorf("got live hosts %v, want 2 without the rejected one", hosts)
 		}
 		if s := f.controllers["host-1"].gate.Status(); !strings.Contains(s.Controllers[2].RejectedReason, "lacks") {
-			t.Errorf("%+v", s.Controllers)
+			t.Errorf("got controllers %+v, want host-2 rejected for what it lacks", s.Controllers)
 		}
 	})
 }
 
-// A controller of this build ends by itself after 2 s, again and again: the version is
-// never raised. And a cluster in which one is down is raised when it has been down for long
-// enough.
+// While a controller of this build ends 2 s after each start, the version is not raised. Once a
+// controller has been down for the absence timeout, the version is raised without it.
 func TestCrashLoopingControllerBlocksRaise(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		f.startAll()
@@ -84,7 +83,7 @@
 			f.stop("host-2")
 			time.Sleep(time.Second)
 		}
-		f.requireVersion(0, "with one that is restarted again and again")
+		f.requireVersion(0, "with a controller that restarts again and again")
 		f.requireRaiseBlockedBy("host-0", "host-2 is away")
 		time.Sleep(9 * time.Minute)
 		f.requireVersion(0, "before its absence timeout")
@@ -93,12 +92,12 @@
 	})
 }
 
-// The leader has the former build and this one in turn, and builds are mixed for a whole
-// night: nothing is raised, and nothing is written for it.
+// While builds are mixed for a night, and leaders of a former build and of this one alternate, the
+// version is not raised and nothing is written in the attempt.
 func TestMixedBuildsWriteNothing(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		f.startAll()
-		f.startFormerBuild("host-2")
+		f.startLegacyBuild("host-2")
 		for range 4 {
 			kv, _ := f.state.Get(f.ctx, statekv.SessionPrefix+"host-2")
 			f.write(statekv.Op{Set: statekv.LeaderKey, Value: statekv.Holder{Host: "host-2", Incarnation: kv.Rev}})
@@ -112,18 +111,21 @@
 		time.Sleep(12 * time.Hour)
 		f.requireVersion(0, "after a night")
 		if n := f.state.Changes() - before; n > 0 {
-			t.Errorf("%d changes in a night in which nothing could be raised", n)
+			t.Errorf("got %d operations in a night in which nothing could be raised, want 0", n)
 		}
 	})
 }
 
-// A version of a later build: sessions that run under it by mistake end, and those that
-// begin are rejected with the reason. Nobody writes anything.
+// Under a version that only a later build supports, sessions that run by mistake end, new sessions
+// are rejected with the reason, and nobody writes anything.
 func TestUnsupportedVersionEndsSessions(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		f.startAll()
 		time.Sleep(soak + 2*time.Second)
-		future := rollout.ClusterVersion{Schema: 1, Number: 9, Features: []rollout.Feature{"a", "b", "c", "d", "e", "f", "g", "h", "teleport"}}
+		future := rollout.ClusterVersion{
+			Schema: 1, Number: 9,
+			Features: []rollout.Feature{"a", "b", "c", "d", "e", "f", "g", "h", "teleport"},
+		}
 		f.write(statekv.Op{Set: statekv.ClusterVersionKey, Value: future})
 		time.Sleep(3 * time.Second)
 		before := f.state.Changes()
@@ -131,26 +133,26 @@
 			select {
 			case err := <-f.controllers[host].result:
 				if err == nil || !strings.Contains(err.Error(), `feature "a"`) {
-					t.Error(err)
+					t.Errorf("the session of %s ended with %v, want an error that names the feature", host, err)
 				}
 			default:
-				t.Errorf("the session of %s goes on", host)
+				t.Errorf("the session of %s has not ended", host)
 			}
 			if err := f.controllers[host].gate.Execute(f.ctx, rollout.CommandLower, "", ""); err == nil {
 				t.Errorf("%s wrote a version that it does not support", host)
 			}
 		}
 		if n := f.state.Changes() - before; n > 0 {
-			t.Errorf("%d changes", n)
+			t.Errorf("got %d operations, want 0", n)
 		}
 		if err := f.start("host-0", false); !rollout.IsJoinRejected(err) {
-			t.Error(err)
+			t.Errorf("new session at an unsupported version: got error %v, want a rejection", err)
 		}
 	})
 }
 
-// A version's key that cannot be decoded: the cluster serves on as it was, reports it, and
-// nobody overwrites the key.
+// If the version's key cannot be decoded, the cluster continues at the previous version and reports
+// the key, and nobody overwrites it.
 func TestUndecodableVersionIsKept(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		f.startAll()
@@ -159,20 +161,22 @@
 		time.Sleep(2 * soak)
 		kv, err := f.state.Get(f.ctx, statekv.ClusterVersionKey)
 		if err != nil || string(kv.Value) != `"mangled"` {
-			t.Error(string(kv.Value), err)
+			t.Errorf("the damaged value became %s (error %v)", kv.Value, err)
 		}
-		l := f.controllers["host-1"]
-		if s := l.gate.Status(); s.ClusterVersion != 3 || len(s.Undecodable) != 1 || s.Undecodable[0].Key != statekv.ClusterVersionKey {
-			t.Errorf("%+v", s)
+		controller := f.controllers["host-1"]
+		s := controller.gate.Status()
+		if s.ClusterVersion != 3 || len(s.Undecodable) != 1 || s.Undecodable[0].Key != statekv.ClusterVersionKey {
+			t.Errorf("got status %+v, want version 3 with the undecodable key", s)
 		}
-		if _, under := rollout.NewVersionReader(l.mirror).Current(); under.Rev != kv.Rev {
-			t.Error("writes under the version are not possible any more")
+		if _, fence := rollout.NewVersionReader(controller.mirror).Current(); fence.Rev != kv.Rev {
+			t.Error("the compare does not have the key's revision, so conditional writes would fail")
 		}
 	})
 }
 
-// An operator holds the version while a raise is under way: whichever comes first, the
-// version is not raised after it; lowering holds too, until an operator allows raises again.
+// An operator holds the version while a raise is being written: whichever is applied first, the
+// version is not raised after the hold. Lowering holds the version too, until an operator allows
+// raises again.
 func TestOperatorCommands(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		f.startAll()
@@ -190,20 +194,20 @@
 		f.state.SetTxnLatency(0)
 		held := f.versionNumber()
 		time.Sleep(3 * soak)
-		f.requireVersion(held, "while it is held")
+		f.requireVersion(held, "while the version is held")
 		f.requireRaiseBlockedBy("host-1", "held: told so")
 		for n := held; n > 0; n-- {
 			if err := execute("host-1", rollout.CommandLower); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(time.Second) // what stored values may need is disabled by the leader a moment later
+			time.Sleep(time.Second) // the leader disables a feature that stored values may need a moment later
 			f.requireVersion(n-1, "lowered")
 		}
 		if err := execute("host-1", rollout.CommandLower); err == nil || !strings.Contains(err.Error(), "at level 0") {
-			t.Error(err)
+			t.Errorf("lowering version 0: got error %v", err)
 		}
 		time.Sleep(3 * soak)
-		f.requireVersion(0, "held there")
+		f.requireVersion(0, "held at version 0")
 		if err := execute("host-1", rollout.CommandRaise); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rollout/registration.go
+++ b/internal/rollout/registration.go
@@ -7,20 +7,20 @@
 	"robinstack/internal/statekv"
 )
 
-// JoinRejectedError says that this build may not join the cluster.
+// JoinRejectedError reports that this build may not join the cluster, and why.
 type JoinRejectedError struct{ Reason string }
 
 func (e *JoinRejectedError) Error() string { return "this build may not join: " + e.Reason }
 
-// IsJoinRejected reports whether err says that this build may not join.
+// IsJoinRejected reports whether err is or wraps a *JoinRejectedError.
 func IsJoinRejected(err error) bool {
 	var rejected *JoinRejectedError
 	return errors.As(err, &rejected)
 }
 
-// NewRegistration returns how a session of a build with these capabilities registers. A
-// *JoinRejectedError says that the controller has to wait, unready, until the cluster
-// version is another one or the controller is replaced.
+// NewRegistration returns the registration of a session of a build with these capabilities. A
+// *JoinRejectedError means that the controller has to wait, unready, until the cluster version
+// changes or the controller is replaced.
 func NewRegistration(keys Keys, capabilities Capabilities) (statekv.Registration, error) {
 	version := ClusterVersion{}
 	kv, ok := keys.Get(statekv.ClusterVersionKey)
@@ -38,8 +38,9 @@
 	}
 	return statekv.Registration{
 		Value: capabilities,
-		// A raise between the read and the write needs what this session may not have;
-		// and a raise that did not see this session join must not be written after it.
+		// The compare detects a raise since the version was read, which may require what this build
+		// lacks. The write of the membership key makes a raise fail that was planned without this
+		// session.
 		Compares: []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: kv.Rev}},
 		Ops:      []statekv.Op{{Set: statekv.MembershipKey, Value: struct{}{}}},
 	}, nil
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -11,48 +11,49 @@
 	"robinstack/internal/statekv"
 )
 
-// Keys are the keys of the state service as last seen; *statekv.Mirror implements it.
+// Keys reads the keys of the state service as last seen. *statekv.Mirror implements it.
 type Keys interface {
 	Get(key string) (statekv.KV, bool)
 	Dir(prefix string) []statekv.KV
 }
 
-// Controller is one controller as the deciding one sees it.
+// Controller is the state of one controller as the deciding controller sees it.
 type Controller struct {
 	Host           string
-	Rev            uint64        // of its session's key; 0: it has no session
-	Capabilities   Capabilities  // of its session
-	DecodeError    string        // why its session's key cannot be decoded, or ""
-	Alive          bool          // it has a session that is not rejected
-	RejectedReason string        // why others ended its session, or ""
-	StateAge       time.Duration // how long it has been so, as the deciding one observed
+	Rev            uint64        // revision of its session key; 0: it has no session
+	Capabilities   Capabilities  // of the build, as its session registered them
+	DecodeError    string        // why its session key cannot be decoded, or ""
+	Alive          bool          // whether it has a session that is not rejected
+	RejectedReason string        // why another controller rejected its session, or ""
+	StateAge       time.Duration // how long it has been down, or up with this session
 }
 
-// Snapshot is all that a decision depends on: the keys as of one moment, and how long they
-// have been so.
+// Snapshot is everything that a decision depends on: the keys at one moment, how long the deciding
+// controller has observed them unchanged, and the policy.
 type Snapshot struct {
 	Self               string // host of the deciding controller
 	Version            ClusterVersion
 	VersionRev         uint64
-	VersionDecodeError string        // why the version's key cannot be decoded, or ""
-	VersionAge         time.Duration // since the version got its number
-	Controllers        []Controller  // those in the settings and those that have a session, by host
+	VersionDecodeError string        // why the version cannot be decoded, or ""
+	VersionAge         time.Duration // how long the version has had this number
+	Controllers        []Controller  // those in the settings and those with a session, sorted by host
 	MembershipRev      uint64
-	LeaderEpoch        uint64 // revision of the leader's role if this controller has it, else 0
+	LeaderEpoch        uint64 // revision of the leader's key if the deciding controller is leader, else 0
 	Migration          Migration
 	MigrationRev       uint64
 
-	SoakTime       time.Duration // how long all controllers have to have been up
-	AbsenceTimeout time.Duration // how long a controller of the settings that is down is waited for
-	HeldByPolicy   bool          // by this controller's policy
+	SoakTime       time.Duration // how long all controllers have to be up before a raise
+	AbsenceTimeout time.Duration // how long a raise waits for a controller of the settings that is down
+	HeldByPolicy   bool          // whether the deciding controller's policy forbids raises
 
-	// JobsNeeding lists the unfinished jobs that need a feature; nil: they are not known.
+	// JobsNeeding lists the unfinished jobs that need a feature. It is nil if the jobs are not
+	// known.
 	JobsNeeding func(Feature) []string
 }
 
-// NewSnapshot returns what the keys say. hosts are those in the settings; known is the
-// version to keep where its key cannot be decoded. Ages, the policy and who is deciding
-// are for the caller to add.
+// NewSnapshot returns a snapshot of the keys. hosts are those in the settings. known is the version
+// to assume if the stored one cannot be decoded. The caller adds the ages, the policy, the jobs and
+// the deciding controller.
 func NewSnapshot(keys Keys, hosts []string, known ClusterVersion) Snapshot {
 	var s Snapshot
 	if kv, ok := keys.Get(statekv.ClusterVersionKey); ok {
@@ -62,7 +63,7 @@
 			s.Version, s.VersionDecodeError = known, err.Error()
 		}
 	}
-	membership, _ := keys.Get(statekv.MembershipKey) // absent: revision 0
+	membership, _ := keys.Get(statekv.MembershipKey) // revision 0 if absent
 	s.MembershipRev = membership.Rev
 	if kv, ok := keys.Get(statekv.MigrationKey); ok {
 		s.MigrationRev = kv.Rev
@@ -74,8 +75,7 @@
 	return s
 }
 
-// controllersOf returns the controllers that have a session or are in the settings, by
-// host.
+// controllersOf returns the controllers that have a session or are in the settings, sorted by host.
 func controllersOf(sessions []statekv.KV, hosts []string) []Controller {
 	byHost := map[string]Controller{}
 	for _, host := range hosts {
@@ -105,9 +105,8 @@
 	return c
 }
 
-// unwritable says why no controller of this build may write the version's key at all, or
-// "".
-func (s *Snapshot) unwritable() string {
+// writeBlockedBy returns why no controller of this build may write the version's key at all, or "".
+func (s *Snapshot) writeBlockedBy() string {
 	if s.VersionDecodeError != "" {
 		return statekv.ClusterVersionKey + " cannot be read: " + s.VersionDecodeError
 	}
@@ -118,8 +117,8 @@
 	return ""
 }
 
-// incompatibility names a live controller that lacks something for a version, and what;
-// "" if there is none.
+// incompatibility returns which live controller cannot run at a version and what it lacks, or "". A
+// controller whose session key cannot be decoded counts as unable to run at any version.
 func (s *Snapshot) incompatibility(version ClusterVersion) string {
 	for _, c := range s.Controllers {
 		if !c.Alive {
@@ -135,11 +134,11 @@
 	return ""
 }
 
-// maxJobsNamed bounds the jobs that are named as preventing a feature from being disabled.
+// maxJobsNamed bounds the jobs that are named in the reason why a feature cannot be disabled.
 const maxJobsNamed = 5
 
-// stillNeeded says what is stored and needs a feature, or "".
-func (s *Snapshot) stillNeeded(feature Feature) string {
+// neededByJobs returns which unfinished jobs need a feature, for operators, or "" if none is known.
+func (s *Snapshot) neededByJobs(feature Feature) string {
 	if s.JobsNeeding == nil {
 		return ""
 	}
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -8,21 +8,21 @@
 	"robinstack/internal/statekv"
 )
 
-// Status is what operators see of an upgrade.
+// Status is the state of an upgrade as shown to operators.
 type Status struct {
 	ClusterVersion int                `json:"level"`
 	Features       []Feature          `json:"features"`
 	HoldReason     string             `json:"hold,omitempty"`
 	RaiseBlockedBy string             `json:"waits_for,omitempty"` // why the version is not raised
 	Next           *NextVersion       `json:"next,omitempty"`
-	LowerBlockedBy string             `json:"lowering,omitempty"` // why it cannot be lowered, or "possible"
+	LowerBlockedBy string             `json:"lowering,omitempty"` // why the version cannot be lowered, or "possible"
 	Controllers    []ControllerStatus `json:"controllers"`
 	Migration      string             `json:"move,omitempty"`
 	Undecodable    []UndecodableValue `json:"unreadable"`
 	Build          string             `json:"build_here"`
 }
 
-// NextVersion is the version to which the cluster is raised next.
+// NextVersion is the version to which the next raise leads.
 type NextVersion struct {
 	ClusterVersion int     `json:"level"`
 	Feature        Feature `json:"adds"`
@@ -30,20 +30,20 @@
 	Irreversible   bool    `json:"closes_the_way_back"`
 }
 
-// ControllerStatus is one controller.
+// ControllerStatus is the state of one controller, as the controller that was asked has observed it.
 type ControllerStatus struct {
 	Host           string  `json:"host"`
 	Build          string  `json:"build,omitempty"`
 	Alive          bool    `json:"lives"`
-	StateAgeS      float64 `json:"for_s"`                    // seconds it has been so, as this controller observed
-	MissingForNext string  `json:"lacks_for_next,omitempty"` // what it lacks for the next version
+	StateAgeS      float64 `json:"for_s"`                    // seconds it has been down, or up with this session
+	MissingForNext string  `json:"lacks_for_next,omitempty"` // what its build lacks for the next version
 	RejectedReason string  `json:"refused,omitempty"`
 }
 
-// statusAgeUnit is what the ages of controllers are rounded to.
+// statusAgeUnit is the unit to which the ages of controllers are rounded.
 const statusAgeUnit = 100 * time.Millisecond
 
-// Status returns how the upgrade stands, as seen from this controller.
+// Status returns the state of the upgrade as this controller sees it.
 func (g *VersionGate) Status() Status {
 	snapshot := g.snapshot(time.Now())
 	status := Status{
@@ -53,7 +53,7 @@
 		Build:          BuildVersion,
 	}
 	if status.Features == nil {
-		status.Features = []Feature{} // an empty list in JSON
+		status.Features = []Feature{} // encoded in JSON as an empty list instead of null
 	}
 	change, reason := snapshot.PlanRaise()
 	if change != nil {
@@ -103,8 +103,8 @@
 	return statuses
 }
 
-// undecodable lists the stored values that this controller cannot decode or the migration
-// could not, by key.
+// undecodable lists, sorted by key, the stored values that this controller or the migration cannot
+// decode.
 func (g *VersionGate) undecodable(snapshot *Snapshot) []UndecodableValue {
 	reasons := g.mirror.Undecodable()
 	for _, value := range snapshot.Migration.UndecodableSample {
--- a/internal/rollout/version.go
+++ b/internal/rollout/version.go
@@ -12,25 +12,26 @@
 // versionSchema is the schema of the cluster version's key.
 const versionSchema = 1
 
-// ClusterVersion is the value of the cluster version's key. Its absence means version 0.
+// ClusterVersion is the value of the cluster version's key. If the key does not exist, the version
+// is 0.
 type ClusterVersion struct {
 	Schema     int            `json:"form"`
 	Number     int            `json:"level"`
 	Features   []Feature      `json:"features"` // in the order in which they were enabled
 	Schemas    map[string]int `json:"forms,omitempty"`
-	HoldReason string         `json:"hold,omitempty"` // why it is not raised automatically
-	// AllowedUpTo is the version up to which an operator lets it be raised although that is
+	HoldReason string         `json:"hold,omitempty"` // why the version is not raised automatically, or ""
+	// AllowedUpTo is the highest version number to which an operator allows raises that are
 	// irreversible.
 	AllowedUpTo int    `json:"allow,omitempty"`
 	WrittenBy   string `json:"by,omitempty"` // host of the controller that wrote it
-	// Disabling is a feature that is to be disabled: nothing that needs it is accepted any
-	// more. The leader disables it, unless something stored needs it still.
+	// Disabling is a feature that is to be disabled: nothing that needs it is accepted any more.
+	// The leader disables it unless an unfinished job still needs it.
 	Disabling Feature `json:"ends,omitempty"`
 
-	UnknownFields statekv.UnknownFields `json:"-"` // written by a later version
+	UnknownFields statekv.UnknownFields `json:"-"` // fields of the stored value that a later build wrote
 }
 
-// withFeatures returns the version with these features and what else v says.
+// withFeatures returns the version with these features and the other fields of v.
 func (v ClusterVersion) withFeatures(features []Feature) ClusterVersion {
 	v.Schema = versionSchema
 	v.Number = len(features)
@@ -39,12 +40,12 @@
 	return v
 }
 
-// with returns the version with one feature more.
+// with returns the version with a feature added.
 func (v ClusterVersion) with(feature Feature) ClusterVersion {
 	return v.withFeatures(append(slices.Clone(v.Features), feature))
 }
 
-// without returns the version with one feature less.
+// without returns the version with a feature removed.
 func (v ClusterVersion) without(feature Feature) ClusterVersion {
 	isFeature := func(other Feature) bool { return other == feature }
 	return v.withFeatures(slices.DeleteFunc(slices.Clone(v.Features), isFeature))
@@ -69,7 +70,7 @@
 	return tombstone.LegacyOnly
 }
 
-// storedValue is what is written to the key: the version with its unknown fields.
+// storedValue returns the value to store under the key: the version and its unknown fields.
 func (v ClusterVersion) storedValue() any {
 	if v.UnknownFields == nil {
 		return v
@@ -77,8 +78,8 @@
 	return statekv.WithUnknown{Value: v, Unknown: v.UnknownFields}
 }
 
-// ParseClusterVersion decodes the value of the cluster version's key. A
-// *statekv.SchemaError says that this build does not read its schema.
+// ParseClusterVersion decodes the value of the cluster version's key. A *statekv.SchemaError means
+// that this build cannot read the value's schema.
 func ParseClusterVersion(raw json.RawMessage) (ClusterVersion, error) {
 	const subject = "the level's key"
 	if err := statekv.CheckSchema(subject, raw, versionSchema); err != nil {
--- a/internal/rollout/version_gate.go
+++ b/internal/rollout/version_gate.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	// gateInterval is the time between two looks at the mirror, of which each reads a few
+	// gateInterval is the time between two evaluations of the mirror, each of which reads a few
 	// keys.
 	gateInterval = 500 * time.Millisecond
 
 	// versionWriteTimeout bounds a write of the version or of a rejection.
 	versionWriteTimeout = 3 * time.Second
 
-	// rejectAfter is how long controllers that are not leader leave an incompatible one to
-	// the leader, which may be the incompatible one.
+	// rejectAfter is how long controllers that are not leader wait before they reject an
+	// incompatible controller. The leader rejects it at once, unless the leader is the incompatible
+	// controller.
 	rejectAfter = time.Second
 
-	// rejectTimeout bounds all requests of one rejection.
+	// rejectTimeout bounds all requests of one rejection together.
 	rejectTimeout = 2 * time.Second
 
-	// rejectionTTL is how long a rejection stands: longer than the rejected session takes
-	// to see it.
+	// rejectionTTL is the time to live of a rejection's lease. It is longer than the rejected
+	// session takes to see the rejection.
 	rejectionTTL = 4 * time.Second
 
-	// maxRejectedRemembered bounds the rejected sessions that are remembered; after so many
-	// all are forgotten, which costs one more write for each that is still there.
+	// maxRejectedRemembered bounds the rejected sessions that are remembered. When there are more,
+	// all are forgotten, which costs one more write for each session that still exists.
 	maxRejectedRemembered = 1000
 )
 
-// VersionGate takes part in the upgrade for one session of a controller: it observes who
-// is alive, rejects incompatible controllers, raises the cluster version while it is
-// leader, and ends its own session where the version is not for this build.
+// VersionGate takes part in upgrades for one session of a controller. It observes which controllers
+// are alive, rejects incompatible ones, raises the cluster version while its controller is leader,
+// and ends its own session if this build does not support the version.
 type VersionGate struct {
 	host        string
-	hosts       []string // in the settings
+	hosts       []string // from the settings
 	policy      *policy.Policy
 	mirror      *statekv.Mirror
 	session     *statekv.Session
@@ -50,23 +51,23 @@
 	leaderEpoch func() uint64
 	reader      *VersionReader
 
-	mu          sync.Mutex // guards what follows
-	controllers map[string]observation
-	version     observation // its rev is the version's number
-	blockedBy   string      // what kind of thing a raise waited for, as last logged
-	rejected    map[uint64]bool
+	mu            sync.Mutex             // guards controllers, version, lastBlockedBy and rejected
+	controllers   map[string]observation // by host
+	version       observation            // rev is the version's number
+	lastBlockedBy string                 // why a raise was last blocked, up to the first digit of the reason
+	rejected      map[uint64]bool        // by the revision of the rejected session key
 }
 
-// observation is since when something has been as it is.
+// observation is the last observed state of a controller or of the version, and since when it has
+// been unchanged.
 type observation struct {
 	rev   uint64
 	alive bool
 	since time.Time
 }
 
-// NewVersionGate returns the gate of a session. hosts are those in the settings;
-// leaderEpoch returns the revision of the leader's role while this controller has it, else
-// 0.
+// NewVersionGate returns the gate of a session. hosts are those in the settings. leaderEpoch
+// returns the revision of the leader's key while this controller is leader, else 0.
 func NewVersionGate(
 	hosts []string, pol *policy.Policy, mirror *statekv.Mirror, session *statekv.Session, store statekv.Store,
 	leaderEpoch func() uint64,
@@ -85,7 +86,7 @@
 	}
 }
 
-// Run takes part until ctx ends.
+// Run evaluates the keys every gateInterval until ctx ends.
 func (g *VersionGate) Run(ctx context.Context) {
 	tick := time.NewTicker(gateInterval)
 	defer tick.Stop()
@@ -98,11 +99,12 @@
 	}
 }
 
-// step does what there is to do at one moment.
+// step evaluates the keys once: it ends the session, rejects controllers or changes the version
+// where that is due.
 func (g *VersionGate) step(ctx context.Context) {
 	snapshot := g.snapshot(time.Now())
 	if problem := g.reader.Problem(); problem != "" && snapshot.VersionDecodeError == "" {
-		g.session.Abort(fmt.Errorf("level %d is not for this build: %s", snapshot.Version.Number, problem))
+		g.session.Abort(fmt.Errorf("cluster version %d is not supported: %s", snapshot.Version.Number, problem))
 		return
 	}
 	g.rejectIncompatible(ctx, snapshot)
@@ -118,8 +120,8 @@
 	slog.Info("cluster version changed", "cluster_version", change.To.Number, "features", change.To.Features)
 }
 
-// logBlocked logs what a raise waits for, when that becomes something else than time
-// passing: reasons that differ only from their first digit on count as one.
+// logBlocked logs why a raise is blocked when the reason changes. It compares reasons only up to
+// their first digit, so that a reason is not logged again only because the time in it has passed.
 func (g *VersionGate) logBlocked(reason string) {
 	kind := reason
 	if digit := strings.IndexAny(reason, "0123456789"); digit >= 0 {
@@ -127,13 +129,13 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if kind != g.blockedBy && reason != "" {
+	if kind != g.lastBlockedBy && reason != "" {
 		slog.Debug("cluster version raise blocked", "reason", reason)
 	}
-	g.blockedBy = kind
+	g.lastBlockedBy = kind
 }
 
-// write makes a change in the name of this session.
+// write writes under this session's fence, within versionWriteTimeout.
 func (g *VersionGate) write(ctx context.Context, compares []statekv.Compare, ops []statekv.Op) error {
 	ctx, cancel := context.WithTimeout(ctx, versionWriteTimeout)
 	defer cancel()
@@ -141,7 +143,7 @@
 	return err
 }
 
-// snapshot returns what the mirror shows now, with the ages as this gate observed them.
+// snapshot returns a snapshot of the mirror, with the ages that this gate has observed.
 func (g *VersionGate) snapshot(now time.Time) Snapshot {
 	known, _ := g.reader.Current()
 	s := NewSnapshot(g.mirror, g.hosts, known)
@@ -154,7 +156,7 @@
 	return s
 }
 
-// observe fills in the ages of a snapshot.
+// observe compares a snapshot with the last observations and fills in its ages.
 func (g *VersionGate) observe(s *Snapshot, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,14 +170,14 @@
 		controllers[c.Host] = o
 		c.StateAge = now.Sub(o.since)
 	}
-	g.controllers = controllers // those removed from the settings are forgotten
+	g.controllers = controllers // forgets controllers that the snapshot no longer contains
 	if number := uint64(s.Version.Number); g.version.since.IsZero() || g.version.rev != number {
 		g.version = observation{rev: number, since: now}
 	}
 	s.VersionAge = now.Sub(g.version.since)
 }
 
-// jobsNeeding lists the unfinished jobs that need a feature, as last seen.
+// jobsNeeding lists the unfinished jobs that need a feature, according to the mirror.
 func (g *VersionGate) jobsNeeding(feature Feature) []string {
 	if feature != FeatureDependencies {
 		return nil
@@ -189,7 +191,7 @@
 	return ids
 }
 
-// rejectIncompatible ends the sessions of incompatible controllers.
+// rejectIncompatible ends the sessions of the incompatible controllers in a snapshot.
 func (g *VersionGate) rejectIncompatible(ctx context.Context, snapshot Snapshot) {
 	for _, c := range snapshot.IncompatibleControllers() {
 		leftToLeader := snapshot.LeaderEpoch == 0 && c.StateAge < rejectAfter
@@ -200,7 +202,7 @@
 			slog.Debug("controller rejection failed", "host", c.Host, "err", err)
 			continue
 		}
-		g.noteRejected(c.Rev)
+		g.rememberRejected(c.Rev)
 		slog.Warn("controller rejected", "host", c.Host, "build", c.Capabilities.Build,
 			"cluster_version", snapshot.Version.Number, "missing_features", c.Capabilities.Missing(snapshot.Version))
 	}
@@ -212,7 +214,7 @@
 	return g.rejected[rev]
 }
 
-func (g *VersionGate) noteRejected(rev uint64) {
+func (g *VersionGate) rememberRejected(rev uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.rejected) > maxRejectedRemembered {
@@ -227,11 +229,11 @@
 	defer cancel()
 	lease, err := g.store.Grant(ctx, rejectionTTL)
 	if err != nil {
-		return fmt.Errorf("granting the lease of a rejection: %w", err)
+		return fmt.Errorf("granting the lease for the rejection of %s: %w", c.Host, err)
 	}
 	compares, ops := snapshot.PlanReject(c, lease)
 	if err := g.write(ctx, compares, ops); err != nil {
-		_ = g.store.Revoke(ctx, lease) // else it expires by itself
+		_ = g.store.Revoke(ctx, lease) // otherwise the lease expires by itself
 		return fmt.Errorf("writing the rejection of %s: %w", c.Host, err)
 	}
 	return nil
--- a/internal/rollout/version_reader.go
+++ b/internal/rollout/version_reader.go
@@ -7,36 +7,35 @@
 	"robinstack/internal/statekv"
 )
 
-// VersionReader returns the cluster version, as last seen in a mirror. It is safe for
-// concurrent use.
+// VersionReader reads the cluster version from a mirror. It is safe for concurrent use.
 type VersionReader struct {
 	keys         Keys
 	capabilities Capabilities
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards version, readRev, fenceRev and problem
 	version  ClusterVersion
-	readRev  uint64 // revision of the key as it was read last, decodable or not
-	fenceRev uint64 // revision under which this build may write
-	problem  string // why the key cannot be used, or ""
+	readRev  uint64 // revision of the key when it was last read, decodable or not
+	fenceRev uint64 // revision of the key that Current's compare requires
+	problem  string // why the stored version cannot be used, or ""
 }
 
-// NewVersionReader returns a reader for this build. It reads the version at once: a
-// session begins only under a version that can be read, so that there is one to keep.
+// NewVersionReader returns a reader for this build. It reads the version at once. Since a session
+// begins only under a version that can be read, the reader has one to keep if a later value of the
+// key cannot be decoded.
 func NewVersionReader(keys Keys) *VersionReader {
 	r := &VersionReader{keys: keys, capabilities: LocalCapabilities()}
 	r.Current()
 	return r
 }
 
-// Current returns the version and the compare that it has not changed, which every
-// transaction carries whose ops depend on the version.
+// Current returns the cluster version and a compare that it is unchanged. Every transaction whose
+// operations depend on the version carries the compare.
 //
-// A key that cannot be decoded changes nothing here: the cluster keeps the version that it
-// had, and nobody overwrites the key. A version that this build does not support leaves it
-// with the compare of the one that it supported, which does not hold any more, so that it
-// writes nothing.
+// If the key cannot be decoded, the previous version stays in force, and nobody overwrites the key.
+// If this build does not support the stored version, Current returns the last supported version
+// with its compare, which no longer holds, so that this build's writes fail.
 func (r *VersionReader) Current() (ClusterVersion, statekv.Compare) {
-	kv, _ := r.keys.Get(statekv.ClusterVersionKey) // absent: revision 0, version 0
+	kv, _ := r.keys.Get(statekv.ClusterVersionKey) // if absent: revision 0, version 0
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if kv.Rev != r.readRev {
@@ -45,7 +44,7 @@
 	return r.version, statekv.Compare{Key: statekv.ClusterVersionKey, Rev: r.fenceRev}
 }
 
-// update takes over another revision of the key. r.mu is held.
+// update reads a new revision of the key. The caller must hold r.mu.
 func (r *VersionReader) update(kv statekv.KV) {
 	r.readRev, r.problem = kv.Rev, ""
 	version := ClusterVersion{}
@@ -71,7 +70,7 @@
 	return version.Enabled(feature)
 }
 
-// Problem says why the key cannot be used, or "".
+// Problem returns why the stored version cannot be used, or "".
 func (r *VersionReader) Problem() string {
 	r.Current()
 	r.mu.Lock()
