--- a/internal/policy/parse.go
+++ b/internal/policy/parse.go
@@ -14,13 +14,13 @@
 	"robinstack/internal/config"
 )
 
-// queueOrderName is the setting whose expression is evaluated for each job.
-const queueOrderName = "queue_order"
+// queueOrderSetting is the setting whose expression is evaluated for each job.
+const queueOrderSetting = "queue_order"
 
-// numberSetting is a setting that is a number within bounds.
+// numberSetting is a numeric setting with its bounds.
 type numberSetting struct {
-	least, most float64
-	set         func(*Policy, float64)
+	min, max float64
+	set      func(*Policy, float64)
 }
 
 const (
@@ -29,8 +29,8 @@
 	daysPerMonth  = 30
 )
 
-// numbers are the settings that are numbers, by name.
-var numbers = map[string]numberSetting{
+// numberSettings are the numeric settings by name.
+var numberSettings = map[string]numberSetting{
 	"sample_controllers": {0.01, 1, func(p *Policy, v float64) { p.SampleControllerShare = v }},
 	"sample_machines":    {0.01, 1, func(p *Policy, v float64) { p.SampleMachineShare = v }},
 	"sample_least":       {1, 10000, func(p *Policy, v float64) { p.SampleMinMachines = int(v) }},
@@ -47,8 +47,8 @@
 	}},
 }
 
-// switches are the settings that are on or off, by name.
-var switches = map[string]func(*Policy) *bool{
+// boolSettings are the boolean settings by name.
+var boolSettings = map[string]func(*Policy) *bool{
 	"class_parts":  func(p *Policy) *bool { return &p.ClassFairShare },
 	"preempt":      func(p *Policy) *bool { return &p.Preemption },
 	"rollout_hold": func(p *Policy) *bool { return &p.RolloutHold },
@@ -69,60 +69,60 @@
 	p := Default()
 	var errs []error
 	seen := map[string]bool{}
-	lines := bufio.NewScanner(bytes.NewReader(raw))
-	for number := 1; lines.Scan(); number++ {
-		text, _, _ := strings.Cut(lines.Text(), "#")
+	scanner := bufio.NewScanner(bytes.NewReader(raw))
+	for lineNumber := 1; scanner.Scan(); lineNumber++ {
+		text, _, _ := strings.Cut(scanner.Text(), "#")
 		if strings.TrimSpace(text) == "" {
 			continue
 		}
 		if err := p.parseLine(text, seen); err != nil {
-			errs = append(errs, fmt.Errorf("%s:%d:%w", path, number, err))
+			errs = append(errs, fmt.Errorf("%s:%d:%w", path, lineNumber, err))
 		}
 	}
-	if err := errors.Join(append(errs, lines.Err())...); err != nil {
+	if err := errors.Join(append(errs, scanner.Err())...); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-// parseLine sets what one line without its comment says; seen holds the names set so far. Its
-// error begins with the column.
+// parseLine applies one line, without its comment. seen holds the names set so far. The error text
+// begins with the column.
 func (p *Policy) parseLine(text string, seen map[string]bool) error {
 	left, source, ok := strings.Cut(text, "=")
 	name := strings.TrimSpace(left)
-	fail := func(column int, err error) error { return fmt.Errorf("%d: %s: %w", column, name, err) }
+	errorAt := func(column int, err error) error { return fmt.Errorf("%d: %s: %w", column, name, err) }
 	if !ok {
-		return fail(1, errors.New(`expected "name = expression"`))
+		return errorAt(1, errors.New(`expected "name = expression"`))
 	}
 	if seen[name] {
-		return fail(1, errors.New("is set twice"))
+		return errorAt(1, errors.New("is set twice"))
 	}
 	seen[name] = true
 	err := p.set(name, source)
 	if err == nil {
 		return nil
 	}
-	sourceColumn := len(left) + 2 // columns count from 1, and the "=" lies between
+	sourceColumn := len(left) + 2 // columns count from 1, and the "=" takes up one
 	var exprErr *file.Error
 	if errors.As(err, &exprErr) {
-		return fail(sourceColumn+exprErr.Column, errors.New(exprErr.Message))
+		return errorAt(sourceColumn+exprErr.Column, errors.New(exprErr.Message))
 	}
-	return fail(sourceColumn, err)
+	return errorAt(sourceColumn, err)
 }
 
-// set evaluates or compiles an expression and takes it over.
+// set evaluates or compiles the expression of a setting and applies the result.
 func (p *Policy) set(name, source string) error {
-	if number, ok := numbers[name]; ok {
+	if number, ok := numberSettings[name]; ok {
 		return p.setNumber(number, source)
 	}
-	if field, ok := switches[name]; ok {
+	if field, ok := boolSettings[name]; ok {
 		value, err := evaluateConstant[bool](source, expr.AsBool())
 		if err == nil {
 			*field(p) = value
 		}
 		return err
 	}
-	if name == queueOrderName {
+	if name == queueOrderSetting {
 		return p.setQueueOrder(source)
 	}
 	return errors.New("is no setting")
@@ -133,17 +133,18 @@
 	if err != nil {
 		return err
 	}
-	if value < number.least || value > number.most {
-		return fmt.Errorf("%v is not within %v to %v", value, number.least, number.most)
+	if value < number.min || value > number.max {
+		return fmt.Errorf("%v is not within %v to %v", value, number.min, number.max)
 	}
 	number.set(p, value)
 	return nil
 }
 
-// evaluateConstant evaluates an expression that refers to nothing; kind makes its value a T.
-func evaluateConstant[T any](source string, kind expr.Option) (T, error) {
+// evaluateConstant evaluates an expression without variables. resultType has expr check that its
+// value is a T.
+func evaluateConstant[T any](source string, resultType expr.Option) (T, error) {
 	var zero T
-	program, err := expr.Compile(source, expr.Env(struct{}{}), kind)
+	program, err := expr.Compile(source, expr.Env(struct{}{}), resultType)
 	if err != nil {
 		return zero, err
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,7 +1,8 @@
-// Package policy holds what operators may set beyond the platform's file: a file of lines
-// "name = expression", checked before the service starts, and the queue order that follows.
+// Package policy holds the settings that operators can change apart from the platform's
+// configuration: a file of lines "name = expression", which is checked before the service starts,
+// and the queue order that it defines.
 //
-// A Policy does not change once it is loaded, so nothing guards it. The package imports only the
+// A Policy does not change once it is loaded, so it needs no lock. The package imports only the
 // descriptions of jobs and the settings.
 package policy
 
@@ -11,41 +12,47 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Policy is the operators' settings, with defaults that serve any deployment.
+// Policy holds the operators' settings. The defaults suit any deployment.
 type Policy struct {
-	// SampleControllerShare is the share of the controllers asked for samples (the paper's C_p).
+	// SampleControllerShare is the share of the controllers that are asked for samples (C_p in the
+	// paper).
 	SampleControllerShare float64
-	// SampleMachineShare is the share of its machines that each samples (the paper's N_p).
+	// SampleMachineShare is the share of its machines that each of these controllers samples (N_p
+	// in the paper).
 	SampleMachineShare float64
-	// SampleMinMachines is how many machines each samples at least, if it has as many.
+	// SampleMinMachines is the minimum number of machines that each controller samples, if it owns
+	// as many.
 	SampleMinMachines int
-	// SampleTimeout is how long sampling may take.
+	// SampleTimeout bounds the time that sampling may take.
 	SampleTimeout time.Duration
-	// MultiBind is how many candidates are tried in the commit phase (the paper's m).
+	// MultiBind is the number of candidates that are tried in the commit phase (m in the paper).
 	MultiBind int
-	// ResampleDelay is the pause before a job that found no machine samples again.
+	// ResampleDelay is the pause before sampling again for a job for which no machine was found.
 	ResampleDelay time.Duration
 	// ScaleInIdleTime is the idle time after which a machine is returned to the cloud.
 	ScaleInIdleTime time.Duration
-	// WarmTasksPerGangClass is for how many tasks of each class of gangs capacity is kept ready.
+	// WarmTasksPerGangClass is the number of tasks of each gang class for which capacity is kept
+	// warm.
 	WarmTasksPerGangClass int
-	// Preemption stops tasks of lower priority in favour of gangs.
+	// Preemption allows tasks of lower priority to be stopped in favour of gangs.
 	Preemption bool
-	// ClassFairShare keeps Preemption from a class that waits with less than its fair share.
+	// ClassFairShare protects the tasks of a class that waits with less than its fair share from
+	// Preemption.
 	ClassFairShare bool
 
-	// RolloutSoak is how long all controllers have to have been unchanged before the cluster
-	// version is raised.
+	// RolloutSoak is how long all controllers have to be unchanged before the cluster version is
+	// raised.
 	RolloutSoak time.Duration
-	// RolloutAbsenceTimeout is how long a controller that is away is waited for.
+	// RolloutAbsenceTimeout is how long a raise of the cluster version waits for a controller that
+	// is down.
 	RolloutAbsenceTimeout time.Duration
-	// RolloutHold keeps the cluster version from being raised without an operator.
+	// RolloutHold prevents the cluster version from being raised.
 	RolloutHold bool
 
-	queueOrder *vm.Program // queue_order, nil for the built-in order
+	queueOrder *vm.Program // compiled queue_order; nil: the built-in order
 }
 
-// Default returns the policy that holds where operators set nothing.
+// Default returns the policy that applies where operators set nothing.
 func Default() *Policy {
 	return &Policy{
 		SampleControllerShare: 1,
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -8,7 +8,9 @@
 	"robinstack/internal/job"
 )
 
-func TestPolicyIsCheckedBeforeItIsUsed(t *testing.T) {
+// Valid settings of a policy file are applied. Each mistake is reported with its line before the
+// service starts.
+func TestParse(t *testing.T) {
 	const valid = `# ours
 multibind = 2 + 3
 preempt = false
@@ -20,11 +22,11 @@
 		t.Fatal(err)
 	}
 	if p.MultiBind != 5 || p.Preemption || p.ScaleInIdleTime != 90*time.Second {
-		t.Fatalf("%+v", p)
+		t.Fatalf("got %+v, want the values of the file", p)
 	}
 	night, day := &job.Spec{Rank: "normal", Team: "night"}, &job.Spec{Rank: "normal", Team: "day"}
 	if p.QueueOrder(night, time.Minute, nil, 0) <= p.QueueOrder(day, 2*time.Minute, nil, 0) {
-		t.Fatal("the operators' order is not used")
+		t.Fatal("queue_order of the file is not used")
 	}
 	for source, want := range map[string]string{
 		"multibind = 0":                   "ops.policy:1:",
@@ -37,13 +39,13 @@
 		"sample_controllers = 1 / (2 -":   "ops.policy:1:",
 	} {
 		if _, err := Parse("ops.policy", []byte(source)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", source, err)
+			t.Errorf("%q: got error %v, want one that contains %q", source, err, want)
 		}
 	}
 }
 
-// Jobs that can still meet their deadline go before those that cannot, and of these those first that
-// can still meet the users' next objective.
+// Jobs that can still meet their deadline go before those that cannot. Among the latter, those that
+// can still meet the next completion target go first.
 func TestDeadlineOrder(t *testing.T) {
 	p := Default()
 	order := func(rank string, deadlineS float64, age time.Duration) float64 {
@@ -55,21 +57,22 @@
 	}
 	const age = 100 * time.Second
 	if order("normal", 200, age) <= order("normal", 300, age) {
-		t.Error("the earlier deadline goes first")
+		t.Error("the job with the earlier deadline does not go first")
 	}
 	if order("normal", 110, age) >= order("normal", 300, age) {
-		t.Error("a deadline that cannot be met any more goes behind")
+		t.Error("a job that misses its deadline does not go behind one that can meet it")
 	}
 	if order("normal", 60, age) >= order("normal", 110, age) {
-		t.Error("a job that is too late for every objective goes last")
+		t.Error("a job that is too late for all targets does not go last")
 	}
 	if p.QueueOrder(&job.Spec{Rank: "high"}, 0, nil, 0) <= order("normal", 160, age) {
-		t.Error("rank goes before everything")
+		t.Error("a job of higher rank does not go first")
 	}
 }
 
-// A job that is late for all completion targets was passed by whatever came later and was not, until
-// nothing else waited: 4% of such jobs had tasks that never started within the users' objective.
+// A job that was late for all its completion targets was passed by every later job that was not,
+// until no other job waited: 4% of such jobs had tasks that did not start within the users'
+// objective.
 func TestStartTargetComesBeforeCompletionTargets(t *testing.T) {
 	deadlineS := 100.0
 	spec := &job.Spec{Rank: "normal", EstimateS: 50, DeadlineS: &deadlineS}
@@ -79,12 +82,12 @@
 	}
 	fresh := order(10 * time.Second)
 	if order(180*time.Second) >= fresh {
-		t.Error("with time left for its start, a late job goes behind those that can be done in time")
+		t.Error("a late job goes before one that can meet its target although its start target is not near")
 	}
 	if order(220*time.Second) <= fresh || order(240*time.Second) <= order(220*time.Second) {
-		t.Error("shortly before the start target it goes before them, the one with less time left first")
+		t.Error("shortly before its start target, a late job does not go first, by the time left")
 	}
 	if order(260*time.Second) >= fresh {
-		t.Error("once the start target is missed nothing is won by it")
+		t.Error("a late job goes first after its start target has passed")
 	}
 }
--- a/internal/policy/queue_order.go
+++ b/internal/policy/queue_order.go
@@ -8,7 +8,7 @@
 	"robinstack/internal/job"
 )
 
-// jobEnv is what queue_order can refer to.
+// jobEnv holds the variables that queue_order can use.
 type jobEnv struct {
 	Rank        int     `expr:"rank"` // 3 production, 2 high, 1 normal, 0 best effort
 	Class       string  `expr:"class"`
@@ -19,19 +19,21 @@
 	AgeS        float64 `expr:"age_s"`
 	EstimateS   float64 `expr:"estimate_s"`
 	HasDeadline bool    `expr:"has_deadline"`
-	LeftS       float64 `expr:"left_s"` // until the deadline
+	LeftS       float64 `expr:"left_s"` // seconds until the deadline
 }
 
-// Steps of the built-in order; within one, seconds decide.
+// Distances between ranks, and between the groups within a rank, in the built-in order. Within a
+// group, seconds decide.
 const (
 	rankStep  = 1e9
 	groupStep = 1e6
 )
 
-// startTargetUrgencyS is how many seconds before the target for its start a job goes first.
+// startTargetUrgencyS is how many seconds before its start target a job with a deadline goes ahead
+// of all other jobs of its rank.
 const startTargetUrgencyS = 45
 
-// setQueueOrder compiles queue_order and tries it on an empty job.
+// setQueueOrder compiles queue_order and evaluates it once for an empty job.
 func (p *Policy) setQueueOrder(source string) error {
 	program, err := expr.Compile(source, expr.Env(jobEnv{}), expr.AsFloat64())
 	if err != nil {
@@ -44,15 +46,16 @@
 	return nil
 }
 
-// QueueOrder is a job's place in the queue, higher first. age counts from its submission, as do
-// completionTargets and startTarget (0: none). Operators may replace the built-in order; where
-// their expression fails, jobs go by age.
+// QueueOrder returns a job's place in the queue: jobs with higher values go first. age,
+// completionTargets and startTarget (0: none) count from the moment when the job became ready, or
+// from its submission if it has no dependencies. Operators may replace the built-in order; if their
+// expression fails, jobs go by age.
 //
-// The built-in order is rank; jobs without a deadline by age; then those that can still meet the
-// earliest of their completion targets, by when that is; those that can still meet the next; and
-// last those that are too late for all. A job whose tasks should all have started soon by its
-// start target goes before them: jobs that come later and can meet their targets would pass it by
-// for ever.
+// The built-in order goes by rank first. Within a rank, jobs without a deadline come first, by age;
+// then jobs that can still meet the earliest of their completion targets, by the time left until
+// it; then those that can still meet the next one, and so on; and last those that are too late for
+// all targets. A job with a deadline goes ahead of all these groups shortly before its start
+// target: otherwise later jobs that can meet their completion targets would always go before it.
 func (p *Policy) QueueOrder(
 	spec *job.Spec, age time.Duration, completionTargets []time.Duration, startTarget time.Duration,
 ) float64 {
@@ -74,7 +77,7 @@
 	return order + age.Seconds() - *spec.DeadlineS
 }
 
-// customOrder evaluates the operators' queue_order.
+// customOrder evaluates the operators' queue_order, or returns the age in seconds if that fails.
 func (p *Policy) customOrder(spec *job.Spec, age time.Duration) float64 {
 	env := jobEnv{
 		Rank:        spec.Priority(),
@@ -96,7 +99,7 @@
 	}
 	order, ok := value.(float64)
 	if !ok {
-		return age.Seconds() // it was compiled to be a number
+		return age.Seconds() // does not occur: the expression is compiled to return a number
 	}
 	return order
 }
