--- a/internal/rollout/dependencies_test.go
+++ b/internal/rollout/dependencies_test.go
@@ -189,7 +189,7 @@
 		if err := lower(); err == nil || !strings.Contains(err.Error(), "wk-7") {
 			t.Fatalf("lowering with a dependent job: got error %v, want one that names wk-7", err)
 		}
-		// A dependent job is accepted under the former version while the command is written.
+		// A dependent job is accepted while the command, delayed by 300 ms, is being written.
 		f.write(statekv.Op{Delete: job.RecordKey("wk-7")})
 		kv, _ := f.state.Get(f.ctx, statekv.ClusterVersionKey)
 		f.state.SetTxnLatency(300 * time.Millisecond)
--- a/internal/rollout/raise_test.go
+++ b/internal/rollout/raise_test.go
@@ -28,9 +28,10 @@
 	})
 }
 
-// During an upgrade, one host runs a build that predates cluster versions, then this build, then
-// the former one again. The version is not raised while the former build runs. After the raise the
-// former build is rejected: its writes are not applied, and the other controllers continue.
+// During an upgrade, one host runs a legacy build, which predates cluster versions, then this build,
+// then the legacy build again. The version is not raised while the legacy build runs. After the
+// raise the legacy build is rejected: its writes are not applied, and the other controllers
+// continue.
 func TestLegacyBuildBlocksRaiseAndIsRejectedAfterIt(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		f.startLegacyBuild("host-2")
@@ -92,7 +93,7 @@
 	})
 }
 
-// While builds are mixed for a night, and leaders of a former build and of this one alternate, the
+// While builds are mixed for a night, and leaders of a legacy build and of this one alternate, the
 // version is not raised and nothing is written in the attempt.
 func TestMixedBuildsWriteNothing(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
