--- a/test/wireformat/names_places_test.go
+++ b/test/wireformat/names_places_test.go
@@ -20,8 +20,8 @@
 // one of them renames it here too.
 var places = []place{
 	{kind: "machine state", pkg: "internal/gateway", declaration: "machineState", texts: true},
-	{kind: "status of a compact tombstone", pkg: "internal/tombstone", declaration: "compactStatuses"},
-	{kind: "required field of a submission", pkg: "internal/job", declaration: "required"},
+	{kind: "status of a compact tombstone", pkg: "internal/tombstone", declaration: "compactStatusCodes"},
+	{kind: "required field of a submission", pkg: "internal/job", declaration: "requiredFields"},
 	{kind: "bytes sought in a stored record", pkg: "internal/job", declaration: "fragmentsField", texts: true},
 	{kind: "bytes sought in a stored record", pkg: "internal/job", declaration: "dependenciesField", texts: true},
 	{kind: "pattern of job ids", pkg: "internal/job", declaration: "idPattern", texts: true},
@@ -32,7 +32,7 @@
 	{kind: "machine status in the cloud", pkg: "emulator", declaration: "SimulatedCloud.Machines"},
 	{kind: "machine status in the cloud", pkg: "emulator", declaration: "LocalCloud.Machines"},
 	{kind: "name in the checks of a profile", pkg: "tools/scaletest", declaration: "JobClass.checks"},
-	{kind: "log level", pkg: "cmd/robinstack", declaration: "startLog"},
+	{kind: "log level", pkg: "cmd/robinstack", declaration: "configureLogging"},
 	{kind: "log field of a task's phase", pkg: "tools/audit", declaration: "phaseFields"},
 }
 
--- a/test/wireformat/names_renamed_test.go
+++ b/test/wireformat/names_renamed_test.go
@@ -84,7 +84,7 @@
 func TestMissingPlaceIsReported(t *testing.T) {
 	for file, want := range map[string]string{
 		"internal/gateway/g.go":    "internal/gateway.machineState",
-		"internal/job/j.go":        "internal/job.required",
+		"internal/job/j.go":        "internal/job.requiredFields",
 		"internal/statekv/k.go":    "internal/statekv.RootPrefix",
 		"internal/rollout/r.go":    "internal/rollout.FeatureGates",
 		"internal/logline/l.go":    "internal/logline.Renames",
--- a/test/wireformat/names_values_test.go
+++ b/test/wireformat/names_values_test.go
@@ -22,7 +22,7 @@
 // internalConstants are values of constants, by package, that stay in the process.
 var internalConstants = map[string][]string{
 	"emulator":           {"cancel", "submit"},
-	"internal/gateway":   {"ordinary", "spot"},
+	"internal/gateway":   {"on-demand", "spot"},
 	"internal/scheduler": {"open"},
 }
 
