--- a/tools/devcluster/childattributes_linux.go
+++ b/tools/devcluster/childattributes_linux.go
@@ -2,8 +2,9 @@
 
 import "syscall"
 
-// ChildAttributes keeps a process apart from the terminal's interrupt, which ends the
-// cluster in its own order, and has it end with this program, however that ends.
+// ChildAttributes puts a child process into its own process group, so that an interrupt from the
+// terminal does not reach it and the parent stops the processes in its own order. The kernel kills
+// the child when the parent ends, however that happens.
 func ChildAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
--- a/tools/devcluster/childattributes_other.go
+++ b/tools/devcluster/childattributes_other.go
@@ -4,6 +4,6 @@
 
 import "syscall"
 
-// ChildAttributes keeps a process apart from the terminal's interrupt, which ends the
-// cluster in its own order.
+// ChildAttributes puts a child process into its own process group, so that an interrupt from the
+// terminal does not reach it and the parent stops the processes in its own order.
 func ChildAttributes() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
--- a/tools/devcluster/cluster.go
+++ b/tools/devcluster/cluster.go
@@ -1,11 +1,11 @@
-// Package devcluster runs a whole service on one machine for those who want to see it or
-// work on it: a state service, a cloud and workers that are stand-ins over the published
-// protocols, and controllers as processes of their own. It owns those processes and the
-// ports, and leaves nothing behind.
+// Package devcluster runs a complete service on one machine, for demonstration and development:
+// controllers as separate processes, and emulators of the state service, the cloud and the workers,
+// which speak the published protocols. The package owns these processes, their ports and files, and
+// removes all of them when it stops, except logs in a directory that the caller names.
 //
-// Controllers guards its processes with a mutex, and so do the simulated users of a rollout
-// (userLoad); a Cluster does not change once it runs. The package may import what describes
-// jobs, stored keys and rollouts, and package emulator; it decides nothing for controllers.
+// The mutex of Controllers guards its processes, and that of userLoad guards the simulated users of
+// a rollout test; a Cluster is immutable once started. The package may import emulator and the
+// packages that define jobs, stored keys and rollouts; it makes no decisions for controllers.
 package devcluster
 
 import (
@@ -22,46 +22,45 @@
 	"robinstack/internal/statekv"
 )
 
-// Options say what to run.
+// Options configures a Cluster.
 type Options struct {
-	Port         int      // first of the ports: state service, cloud, then two for each controller
-	Controllers  int      // how many
-	Programs     []string // of single controllers, in their order; the others run Program
+	Port         int      // first port: state service, then cloud, then two ports per controller
+	Controllers  int      // number of controllers, 1 to maxControllers
+	Programs     []string // program of each controller by index; where missing or "", Program
 	Program      string
-	Policy       string  // policy file for those that run Program, or ""
-	LogDirectory string  // for the controllers' logs, or "" for a temporary one
-	MaxMachines  int     // that the cloud has
-	GPUs         float64 // of each machine
+	Policy       string  // policy file for the controllers that run Program; "": none
+	LogDirectory string  // directory of the controllers' logs; "": a temporary one
+	MaxMachines  int     // size of the cloud
+	GPUs         float64 // GPUs of each machine
 }
 
-// Cluster is a running service.
+// Cluster is a running service: its controllers and the emulated state service and cloud.
 type Cluster struct {
 	*Controllers
 	State *emulator.StateService
 	Cloud *emulator.LocalCloud
 
-	options Options
-	servers []io.Closer // and their listeners
-	stop    chan struct{}
+	options         Options
+	closers         []io.Closer // HTTP servers and their listeners
+	leaseExpiryStop chan struct{}
 }
 
-// maxControllers is how many controllers there may be.
+// maxControllers bounds the number of controllers of a cluster.
 const maxControllers = 8
 
 var zones = []string{"north", "south"}
 
-// pools is how many kinds of machines the cloud tells apart: ordinary and spot ones, in
-// each zone.
-var pools = 2 * len(zones)
+// poolCount is the number of machine pools of the cloud: on-demand and spot machines in each zone.
+var poolCount = 2 * len(zones)
 
-// address is that of the kth port.
-func (o *Options) address(k int) string { return fmt.Sprintf("127.0.0.1:%d", o.Port+k) }
+// portAddress returns the loopback address of port number k, counted from Options.Port.
+func (o *Options) portAddress(k int) string { return fmt.Sprintf("127.0.0.1:%d", o.Port+k) }
 
-// Which port serves what.
+// Offsets of the ports from Options.Port.
 const (
 	statePort = iota
 	cloudPort
-	controllerPorts // two for each controller: for users and workers, and for its peers
+	controllerPorts // first of two ports per controller: for users and workers, and for peers
 )
 
 func (o *Options) nodes() []Node {
@@ -71,17 +70,17 @@
 		out = append(out, Node{
 			Host:       fmt.Sprintf("host-%d", k),
 			Zone:       zones[k%len(zones)],
-			Listen:     o.address(port),
-			PeerListen: o.address(port + 1),
+			Listen:     o.portAddress(port),
+			PeerListen: o.portAddress(port + 1),
 		})
 	}
 	return out
 }
 
-// ControllerAddress is where a controller answers users.
+// ControllerAddress returns the address at which controller k serves users.
 func (c *Cluster) ControllerAddress(k int) string { return c.config.Nodes[k].Listen }
 
-// ControllerAddresses lists where the controllers answer users.
+// ControllerAddresses lists the addresses at which the controllers serve users.
 func (c *Cluster) ControllerAddresses() []string {
 	var out []string
 	for k := range c.options.Controllers {
@@ -90,20 +89,22 @@
 	return out
 }
 
-// LogDirectory is the directory with the controllers' logs.
+// LogDirectory returns the directory of the controllers' logs.
 func (c *Cluster) LogDirectory() string { return c.config.LogDirectory }
 
-// Start starts everything and returns once the controllers run. An error leaves nothing
+// Start starts the emulators and the controllers, and returns once the controller processes are
+// started; WaitUntilReady waits until one accepts jobs. If Start returns an error, nothing is left
 // running.
 func Start(ctx context.Context, o Options) (*Cluster, error) {
 	if o.Controllers < 1 || o.Controllers > maxControllers || len(o.Programs) > o.Controllers {
-		return nil, fmt.Errorf("%d controllers: 1 to %d are possible", o.Controllers, maxControllers)
+		return nil, fmt.Errorf("got %d controllers and programs for %d, want 1 to %d controllers and no more programs",
+			o.Controllers, len(o.Programs), maxControllers)
 	}
 	nodes := o.nodes()
 	controllers, err := NewControllers(ControllersConfig{
 		Nodes:        nodes,
-		State:        o.address(statePort),
-		Cloud:        o.address(cloudPort),
+		State:        o.portAddress(statePort),
+		Cloud:        o.portAddress(cloudPort),
 		Deployment:   deployment(o.Controllers),
 		Policy:       o.Policy,
 		Program:      o.Program,
@@ -117,14 +118,14 @@
 		addresses[n.Host] = n.Listen
 	}
 	c := &Cluster{
-		Controllers: controllers,
-		State:       emulator.NewStateService(),
-		options:     o,
-		stop:        make(chan struct{}),
+		Controllers:     controllers,
+		State:           emulator.NewStateService(),
+		options:         o,
+		leaseExpiryStop: make(chan struct{}),
 	}
 	c.Cloud = emulator.NewLocalCloud(ctx, emulator.LocalCloudConfig{
 		MachineTypes:      []cloud.MachineType{machineType(o.GPUs)},
-		MaxPerPool:        max(1, o.MaxMachines/pools),
+		MaxPerPool:        max(1, o.MaxMachines/poolCount),
 		Controllers:       addresses,
 		HeartbeatInterval: heartbeatInterval,
 		LeaseDuration:     leaseDuration,
@@ -144,7 +145,7 @@
 	}
 }
 
-// start serves the stand-ins and launches the controllers.
+// start serves the emulated state service and cloud, and launches the controllers.
 func (c *Cluster) start(ctx context.Context) error {
 	if err := c.CheckPorts(ctx); err != nil {
 		return err
@@ -155,41 +156,41 @@
 	if err := c.serve(ctx, "cloud", cloudPort, emulator.NewCloudServer(c.Cloud, 0, 0)); err != nil {
 		return err
 	}
-	go c.State.ExpireLeases(c.stop)
+	go c.State.ExpireLeases(c.leaseExpiryStop)
 	for k := range c.options.Controllers {
-		if err := c.Launch(ctx, k, c.options.programOf(k)); err != nil {
+		if err := c.Launch(ctx, k, c.options.programFor(k)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// programOf is the program of a controller at the start.
-func (o *Options) programOf(k int) string {
+// programFor returns the program with which controller k is first launched.
+func (o *Options) programFor(k int) string {
 	if k < len(o.Programs) && o.Programs[k] != "" {
 		return o.Programs[k]
 	}
 	return o.Program
 }
 
-// serve has a stand-in answer at a port until the cluster ends.
+// serve serves an emulator at a port until the cluster stops.
 func (c *Cluster) serve(ctx context.Context, name string, port int, handler http.Handler) error {
 	var config net.ListenConfig
-	listener, err := config.Listen(ctx, "tcp4", c.options.address(port))
+	listener, err := config.Listen(ctx, "tcp4", c.options.portAddress(port))
 	if err != nil {
-		return fmt.Errorf("a port for the %s: %w", name, err)
+		return fmt.Errorf("listening for the %s: %w", name, err)
 	}
 	server := &http.Server{Handler: handler}
-	// The listener too: a server that is closed before it has begun to serve closes it only
-	// later, and the port would be taken still.
-	c.servers = append(c.servers, server, listener)
-	go func() { _ = server.Serve(listener) }() // until it is closed
+	// The listener is closed explicitly: a server that is closed before Serve has begun closes its
+	// listener only later, and the port would still be in use after Stop.
+	c.closers = append(c.closers, server, listener)
+	go func() { _ = server.Serve(listener) }() // returns once the server is closed
 	return nil
 }
 
-// lookUpSpec is what a job's owner submitted, as its record has it.
+// lookUpSpec returns the submitted spec of a job, read from its job record.
 func (c *Cluster) lookUpSpec(id string) (*job.Spec, error) {
-	ctx := context.Background() // the state service is in this process
+	ctx := context.Background() // no time-out: the state service is in this process
 	kv, err := c.State.Get(ctx, job.RecordKey(id))
 	if err != nil {
 		return nil, err
@@ -202,21 +203,22 @@
 		})
 	}
 	if err != nil {
-		return nil, fmt.Errorf("the record of %s: %w", id, err)
+		return nil, fmt.Errorf("reading the job record of %s: %w", id, err)
 	}
 	return &record.Spec, nil
 }
 
-// Stop ends everything. With logs in the temporary directory they go too.
+// Stop stops the controllers and the emulators, and removes the settings files. Logs in the
+// temporary directory are removed as well.
 func (c *Cluster) Stop() {
 	c.Controllers.Stop()
-	for _, s := range c.servers {
-		_ = s.Close() // a listener that its server has closed says so
+	for _, s := range c.closers {
+		_ = s.Close() // a listener that its server has already closed returns an error
 	}
-	close(c.stop)
+	close(c.leaseExpiryStop)
 }
 
-// sleep waits, or until ctx ends.
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/tools/devcluster/cluster_test.go
+++ b/tools/devcluster/cluster_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// freePorts returns the first of eight ports in a row that are free.
+// freePorts returns the first of eight consecutive free ports.
 func freePorts(t *testing.T) int {
 	t.Helper()
 	for range 20 {
@@ -30,41 +30,42 @@
 			return port
 		}
 	}
-	t.Skip("no eight ports in a row are free")
+	t.Skip("found no eight consecutive free ports")
 	return 0
 }
 
-// Ports that are taken and programs that do not start, or end at once, are reported at once,
-// and nothing is left: no port, no file, no process.
-func TestStartFailuresAreReportedAndLeaveNothing(t *testing.T) {
-	no, err := exec.LookPath("false")
+// A start fails at once if a port is in use, if there are too many controllers, or if the program
+// does not start or exits immediately. The failed start leaves no port in use, no file and no
+// process.
+func TestStartFailureIsReportedAndCleanedUp(t *testing.T) {
+	failingProgram, err := exec.LookPath("false")
 	if err != nil {
-		t.Skip("there is no program that ends at once")
+		t.Skip("no program named false, which exits at once")
 	}
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
 	for name, c := range map[string]struct {
-		program string
-		taken   int // which port, counted from the first; -1: none
-		why     string
+		program   string
+		busyPort  int // index of the port in use; -1: none; -2: none, and 99 controllers
+		wantError string
 	}{
-		"state service's port":   {no, 0, "a port for the state service"},
-		"cloud's port":           {no, 1, "a port for the cloud"},
-		"a controller's port":    {no, 5, "a port for host-1"},
-		"no program":             {filepath.Join(dir, "nothing"), -1, "starting host-0"},
-		"a program that ends":    {no, -1, "has ended"},
-		"too many for the ports": {no, -2, "controllers"},
+		"state service port in use":  {failingProgram, 0, "listening for the state service"},
+		"cloud port in use":          {failingProgram, 1, "listening for the cloud"},
+		"controller port in use":     {failingProgram, 5, "checking a port of controller host-1"},
+		"missing program":            {filepath.Join(dir, "nothing"), -1, "starting controller host-0"},
+		"program that exits at once": {failingProgram, -1, "exited unexpectedly"},
+		"too many controllers":       {failingProgram, -2, "got 99 controllers"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := Options{Port: freePorts(t), Controllers: 3, Program: c.program, MaxMachines: 4, GPUs: 8}
-			if c.taken >= 0 {
-				ln, err := net.Listen("tcp4", o.address(c.taken))
+			if c.busyPort >= 0 {
+				ln, err := net.Listen("tcp4", o.portAddress(c.busyPort))
 				if err != nil {
-					t.Skip("the port is not free any more")
+					t.Skip("the port is no longer free")
 				}
 				defer ln.Close()
 			}
-			if c.taken == -2 {
+			if c.busyPort == -2 {
 				o.Controllers = 99
 			}
 			cluster, err := Start(t.Context(), o)
@@ -72,17 +73,17 @@
 				err = cluster.WaitUntilReady(t.Context())
 				cluster.Stop()
 			}
-			if err == nil || !strings.Contains(err.Error(), c.why) {
-				t.Errorf("%v", err)
+			if err == nil || !strings.Contains(err.Error(), c.wantError) {
+				t.Errorf("got error %v, want one that contains %q", err, c.wantError)
 			}
-			if left, _ := os.ReadDir(dir); len(left) > 0 {
-				t.Errorf("left behind: %v", left)
+			if leftovers, _ := os.ReadDir(dir); len(leftovers) > 0 {
+				t.Errorf("got files left in the temporary directory: %v, want none", leftovers)
 			}
 			for k := range 8 {
-				if ln, err := net.Listen("tcp4", o.address(k)); err == nil {
+				if ln, err := net.Listen("tcp4", o.portAddress(k)); err == nil {
 					ln.Close()
-				} else if k != c.taken {
-					t.Errorf("port %d is still taken", k)
+				} else if k != c.busyPort {
+					t.Errorf("port %d is still in use", k)
 				}
 			}
 		})
--- a/tools/devcluster/controllers.go
+++ b/tools/devcluster/controllers.go
@@ -15,33 +15,33 @@
 	"time"
 )
 
-// Node is a controller as its settings file has it.
+// Node describes a controller for its settings file.
 type Node struct {
 	Host, Zone         string
 	Listen, PeerListen string // host:port for users and workers, and for other controllers
 }
 
-// ControllersConfig says what controllers are told.
+// ControllersConfig configures controllers: their settings files, programs and logs.
 type ControllersConfig struct {
 	Nodes        []Node
-	State, Cloud string // addresses
-	Deployment   any    // as the settings file has it
-	Policy       string // policy file for those that run Program, or ""
+	State, Cloud string // addresses of the state service and the cloud
+	Deployment   any    // JSON value of "facts" in the settings files
+	Policy       string // policy file for the controllers that run Program; "": none
 	Program      string
-	LogDirectory string // for their logs; "": with the settings
-	LogLevel     string // "": that of this process
+	LogDirectory string // directory of the controllers' logs; "": the settings directory
+	LogLevel     string // LOG_LEVEL of the controllers; "": inherited from this process
 }
 
-// Controllers runs controllers as processes of their own. Its mutex guards the processes.
+// Controllers runs controllers as separate processes. mu guards processes.
 type Controllers struct {
 	config            ControllersConfig
 	settingsDirectory string
 
 	mu        sync.Mutex
-	processes []*process // by node; nil: not launched yet
+	processes []*process // by index of the node; nil: not launched yet
 }
 
-// process is a controller's. exitErr may be read once exited is closed.
+// process is the process of a controller. exitErr may be read only after exited is closed.
 type process struct {
 	cmd     *exec.Cmd
 	exited  chan struct{}
@@ -57,11 +57,11 @@
 	}
 }
 
-// NewControllers writes the settings files. Nothing runs yet.
+// NewControllers writes the settings files of all controllers. It launches none of them.
 func NewControllers(config ControllersConfig) (*Controllers, error) {
 	directory, err := os.MkdirTemp("", "robinstack-dev-")
 	if err != nil {
-		return nil, fmt.Errorf("making a directory for settings: %w", err)
+		return nil, fmt.Errorf("creating the settings directory: %w", err)
 	}
 	c := &Controllers{config: config, settingsDirectory: directory, processes: make([]*process, len(config.Nodes))}
 	if c.config.LogDirectory == "" {
@@ -76,40 +76,41 @@
 	return c, nil
 }
 
-// CheckPorts reports the first address of a controller that is taken: whose port is taken
-// says so before anything is started.
+// CheckPorts returns an error for the first controller address that is in use, so that a port
+// conflict is reported before anything is started.
 func (c *Controllers) CheckPorts(ctx context.Context) error {
 	for _, n := range c.config.Nodes {
 		for _, address := range []string{n.Listen, n.PeerListen} {
 			var config net.ListenConfig
 			listener, err := config.Listen(ctx, "tcp4", address)
 			if err != nil {
-				return fmt.Errorf("a port for %s: %w", n.Host, err)
+				return fmt.Errorf("checking a port of controller %s: %w", n.Host, err)
 			}
-			_ = listener.Close() // nothing has used it
+			_ = listener.Close() // the listener was not used
 		}
 	}
 	return nil
 }
 
-// SettingsFile is the file that the platform hands to a controller.
+// SettingsFile returns the path of the settings file of controller k.
 func (c *Controllers) SettingsFile(k int) string {
 	return filepath.Join(c.settingsDirectory, c.config.Nodes[k].Host+".json")
 }
 
-// logFile is the file with a controller's log.
+// logFile returns the path of the log of controller k.
 func (c *Controllers) logFile(k int) string {
 	return filepath.Join(c.config.LogDirectory, c.config.Nodes[k].Host+".log")
 }
 
-// ownerOnly is the mode of files that are nobody else's.
-const ownerOnly = 0o600
+// privateFileMode makes files readable and writable by their owner only.
+const privateFileMode = 0o600
 
-// writeSettings writes the file that the platform hands to a controller.
+// writeSettings writes the settings file of controller k, in the format that the platform provides
+// in production.
 func (c *Controllers) writeSettings(k int) error {
 	type peer struct {
 		Host    string `json:"host_name"`
-		Area    string `json:"area"`
+		Zone    string `json:"area"`
 		Address string `json:"address"`
 	}
 	own := c.config.Nodes[k]
@@ -129,27 +130,27 @@
 		"facts":     c.config.Deployment,
 	}, "", "  ")
 	if err == nil {
-		err = os.WriteFile(c.SettingsFile(k), raw, ownerOnly)
+		err = os.WriteFile(c.SettingsFile(k), raw, privateFileMode)
 	}
 	if err != nil {
-		return fmt.Errorf("settings of %s: %w", own.Host, err)
+		return fmt.Errorf("writing the settings of controller %s: %w", own.Host, err)
 	}
 	return nil
 }
 
-// Launch starts a controller, which must not be running, with a program. It runs on when ctx
-// ends, until Kill or Stop.
+// Launch starts controller k with the given program. The controller must not be running. It keeps
+// running when ctx ends, until Kill or Stop is called.
 func (c *Controllers) Launch(ctx context.Context, k int, program string) error {
 	host := c.config.Nodes[k].Host
 	args := []string{"--config", c.SettingsFile(k)}
 	if c.config.Policy != "" && program == c.config.Program {
 		args = append(args, "--policy", c.config.Policy)
 	}
-	log, err := os.OpenFile(c.logFile(k), os.O_CREATE|os.O_APPEND|os.O_WRONLY, ownerOnly)
+	log, err := os.OpenFile(c.logFile(k), os.O_CREATE|os.O_APPEND|os.O_WRONLY, privateFileMode)
 	if err != nil {
-		return fmt.Errorf("a log for %s: %w", host, err)
+		return fmt.Errorf("opening the log of controller %s: %w", host, err)
 	}
-	defer func() { _ = log.Close() }() // the process has its own
+	defer func() { _ = log.Close() }() // the child process has its own file descriptor
 	cmd := exec.CommandContext(context.WithoutCancel(ctx), program, args...)
 	cmd.Stderr, cmd.Stdout = log, log
 	if c.config.LogLevel != "" {
@@ -157,7 +158,7 @@
 	}
 	cmd.SysProcAttr = ChildAttributes()
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("starting %s: %w", host, err)
+		return fmt.Errorf("starting controller %s: %w", host, err)
 	}
 	p := &process{cmd: cmd, exited: make(chan struct{})}
 	go func() {
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// Kill ends a controller without warning, and returns once it has ended.
+// Kill kills controller k without a graceful shutdown, and returns once the process has exited.
 func (c *Controllers) Kill(k int) {
 	c.mu.Lock()
 	p := c.processes[k]
@@ -178,11 +179,11 @@
 	if p == nil {
 		return
 	}
-	_ = p.cmd.Process.Kill() // it may have ended
+	_ = p.cmd.Process.Kill() // fails if the process has already exited
 	<-p.exited
 }
 
-// PID is a controller's process id, or 0 if it does not run.
+// PID returns the process ID of controller k, or 0 if it is not running.
 func (c *Controllers) PID(k int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,29 +194,31 @@
 	return p.cmd.Process.Pid
 }
 
-// errExitedByItself marks the end of a process that nobody ended.
-var errExitedByItself = errors.New("by itself")
+// errUnexpectedExit marks the exit of a process that was not killed by Kill or Stop.
+var errUnexpectedExit = errors.New("exited unexpectedly")
 
-// UnexpectedExit reports a controller that ended by itself, with its name.
+// UnexpectedExit returns an error that names a controller whose process has exited, or nil.
+// Controllers that were killed and not launched again count as well.
 func (c *Controllers) UnexpectedExit() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k, p := range c.processes {
 		if p != nil && p.hasExited() {
-			return fmt.Errorf("%s has ended (%w); its log is %s",
-				c.config.Nodes[k].Host, errors.Join(p.exitErr, errExitedByItself), c.logFile(k))
+			return fmt.Errorf("controller %s: %w; log: %s",
+				c.config.Nodes[k].Host, errors.Join(errUnexpectedExit, p.exitErr), c.logFile(k))
 		}
 	}
 	return nil
 }
 
-// How often WaitUntilReady asks the controllers, and how long it waits for an answer.
+// The interval at which WaitUntilReady polls the controllers, and the time-out of each request.
 const (
 	readyPoll    = 100 * time.Millisecond
 	readyTimeout = time.Second
 )
 
-// WaitUntilReady waits until a controller takes jobs, or one has ended.
+// WaitUntilReady waits until a controller accepts jobs. It returns an error if a controller exits
+// first or ctx ends.
 func (c *Controllers) WaitUntilReady(ctx context.Context) error {
 	client := &http.Client{Timeout: readyTimeout}
 	for ctx.Err() == nil {
@@ -229,10 +232,10 @@
 		}
 		sleep(ctx, readyPoll)
 	}
-	return fmt.Errorf("waiting for a controller: %w", ctx.Err())
+	return fmt.Errorf("no controller became ready: %w", ctx.Err())
 }
 
-// isReady asks a controller whether it takes jobs.
+// isReady reports whether the controller at address accepts jobs.
 func isReady(ctx context.Context, client *http.Client, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/ready", nil)
 	if err != nil {
@@ -242,15 +245,15 @@
 	if err != nil {
 		return false
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // so that the connection is used again
+	_, _ = io.Copy(io.Discard, response.Body) // reading the whole body allows the connection to be reused
 	_ = response.Body.Close()
 	return response.StatusCode == http.StatusOK
 }
 
-// Stop ends all controllers and removes their settings.
+// Stop kills all controllers and removes their settings files.
 func (c *Controllers) Stop() {
 	for k := range c.processes {
 		c.Kill(k)
 	}
-	_ = os.RemoveAll(c.settingsDirectory) // it is the system's temporary directory's
+	_ = os.RemoveAll(c.settingsDirectory) // a leftover would be in the system's temporary directory
 }
--- a/tools/devcluster/deployment.go
+++ b/tools/devcluster/deployment.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// What the settings say of the deployment that more than one place goes by.
+// Values of the settings that this package also uses elsewhere.
 const (
 	heartbeatInterval    = time.Second
 	leaseDuration        = 8 * time.Second
-	cancellationDeadline = 20 * time.Second // within which all is over after a cancellation
+	cancellationDeadline = 20 * time.Second // bounds the time from a cancellation until it has fully taken effect
 )
 
-// announcedLimits are limits of the state service that the settings announce for later.
-type announcedLimits struct {
+// stateServiceLimits are lower limits of the state service that the settings announce for a later
+// date.
+type stateServiceLimits struct {
 	TxnOps   int `json:"txn_ops"`
 	ValueKB  int `json:"value_kb"`
 	WriteRPS int `json:"write_rps"`
 }
 
-var limitsToCome = announcedLimits{TxnOps: 8, ValueKB: 2, WriteRPS: 55}
+var upcomingLimits = stateServiceLimits{TxnOps: 8, ValueKB: 2, WriteRPS: 55}
 
-// deployment is what the settings say of this deployment, as their file has it.
+// deployment returns the "facts" object of the settings file, which describes the deployment.
 func deployment(controllers int) any {
 	return map[string]any{
 		"size":       controllers,
@@ -32,7 +33,7 @@
 			"gang_peer_s": 3,
 			"cancel_s":    cancellationDeadline.Seconds(),
 		},
-		"state":        map[string]any{"rps": 200, "write_rps": 75, "value_kb": 8, "txn_ops": 24, "next": limitsToCome},
+		"state":        map[string]any{"rps": 200, "write_rps": 75, "value_kb": 8, "txn_ops": 24, "next": upcomingLimits},
 		"cloud":        map[string]float64{"rps": 20, "list_lag_s": 1},
 		"clock_off_ms": 10,
 		"quota":        map[string]float64{"cores": 1, "memory_mb": 512, "max_connections": 2000},
--- a/tools/devcluster/rollouts.go
+++ b/tools/devcluster/rollouts.go
@@ -15,53 +15,58 @@
 	"robinstack/tools/console"
 )
 
-// RolloutPlan says how often to roll, from and to what, and what goes on meanwhile.
+// RolloutPlan configures repeated rollouts, and the load of jobs during them.
 type RolloutPlan struct {
 	Rollouts      int
-	FormerProgram string        // program of the former version
-	RunningTasks  int           // tasks that are to run at a time
-	MeanTasks     float64       // of a job
-	MeanSeconds   float64       // that a task runs
-	MaxPause      time.Duration // between the end of a controller's start and the next one's end
-	Warmup        time.Duration // before the first rollout
+	FormerProgram string        // program of the previous version
+	RunningTasks  int           // target for the number of tasks that run at the same time
+	MeanTasks     float64       // mean number of tasks per job
+	MeanSeconds   float64       // mean run time of a task
+	MaxPause      time.Duration // longest pause after a controller is launched, before the next one is killed
+	Warmup        time.Duration // time under load before the first rollout
 }
 
-// Pauses while controllers are replaced, each drawn from nothing to so much.
+// Upper bounds of the random pauses during a rollout.
 const (
-	maxRestartPause  = 500 * time.Millisecond // between a controller's end and its start
-	maxUpgradedPause = 12 * time.Second       // with all controllers on this version
-	maxFormerPause   = 2 * time.Second        // with all on the former one
+	maxRestartPause    = 500 * time.Millisecond // after a controller is killed, before it is launched again
+	maxUpgradedPause   = 12 * time.Second       // while all controllers run this version
+	maxDowngradedPause = 2 * time.Second        // while all controllers run the previous version
 )
 
 const (
-	// keepVersionEvery: the cluster version is not lowered before one in so many ways back.
-	keepVersionEvery = 3
-	// progressEvery is after how many rollouts it is told how they go.
-	progressEvery = 5
-	// maxRestarts is how often a controller is ended at most when it is replaced.
+	// rolloutsPerSkippedLowering: in one of this many rollouts, the cluster version is not lowered
+	// before the roll back.
+	rolloutsPerSkippedLowering = 3
+	// rolloutsPerProgressReport is the number of rollouts after which progress is printed.
+	rolloutsPerProgressReport = 5
+	// maxRestarts bounds how often a controller is killed and launched when it is replaced.
 	maxRestarts = 2
 )
 
-// rolloutRun is rollouts under load.
+// rolloutRun is the state of RunRollouts.
 type rolloutRun struct {
 	cluster   *Cluster
 	plan      RolloutPlan
 	users     *userLoad
 	startTime time.Time
 
-	// Cluster versions from which the way back was begun: without lowering them, so that
-	// the former controllers had to be refused, and after lowering them.
-	refusedAt, loweredFrom []int
+	// Cluster versions at the time of each roll back. For unloweredVersions the version was not
+	// lowered first, so controllers of the previous version had to be rejected; for loweredVersions
+	// it was.
+	unloweredVersions, loweredVersions []int
 }
 
-// RunRollouts replaces the controllers, one after the other, by this program and back by
-// the former one, so many times, under load; each is killed at any moment, some twice. On
-// the way back the cluster version is lowered first, or, every third time, not: then the
-// former ones must be refused without harm, and are replaced again. It writes what was
-// lost. An error says that something was, or that it could not go on.
+// RunRollouts repeatedly replaces the controllers one by one with this program and then with the
+// previous version, while users submit jobs. Controllers are killed without a graceful shutdown,
+// some of them twice per replacement. Before a roll back the cluster version is lowered. Every
+// third rollout skips this unless the version is 0 or irreversible: the cluster must then reject
+// the controllers of the previous version without harm, until they are replaced again.
+//
+// RunRollouts prints a report. It returns an error if jobs were lost, if an invariant was violated,
+// or if the rollouts could not continue.
 func (c *Cluster) RunRollouts(ctx context.Context, out io.Writer, plan RolloutPlan) error {
 	if plan.FormerProgram == "" || plan.RunningTasks < 1 || plan.MeanTasks < 1 || plan.MeanSeconds <= 0 {
-		return errors.New("--former is missing, or the load is none")
+		return errors.New("rollouts need --former, --running and --tasks of at least 1, and --seconds above 0")
 	}
 	users := newUserLoad(c, plan)
 	c.Cloud.CheckDependencies(users.dependencyTasks)
@@ -75,7 +80,7 @@
 		if err := r.rollForwardAndBack(ctx, n); err != nil {
 			return err
 		}
-		if (n+1)%progressEvery == 0 || n+1 == plan.Rollouts {
+		if (n+1)%rolloutsPerProgressReport == 0 || n+1 == plan.Rollouts {
 			r.printProgress(out, n+1)
 		}
 	}
@@ -84,41 +89,42 @@
 	}
 	stopLoad()
 	load.Wait()
-	return r.finish(ctx, out)
+	return r.drainAndReport(ctx, out)
 }
 
-// rollForwardAndBack is the nth rollout: to this program and back.
+// rollForwardAndBack performs rollout number n: to this program and back to the previous version.
 func (r *rolloutRun) rollForwardAndBack(ctx context.Context, n int) error {
 	c := r.cluster
 	if err := r.replaceAll(ctx, c.options.Program); err != nil {
 		return err
 	}
 	c.sendCommand(ctx, rollout.CommandRaise)
-	// As soon as all are new, users send dependent jobs, and the limits are lowered.
+	// Once all controllers run this version, users submit jobs with dependencies, and the state
+	// service enforces the announced lower limits.
 	r.users.allowDependencies()
-	c.State.SetSizeLimits(limitsToCome.ValueKB*bytesPerKB, limitsToCome.TxnOps)
+	c.State.SetSizeLimits(upcomingLimits.ValueKB*bytesPerKB, upcomingLimits.TxnOps)
 	pauseUpTo(ctx, maxUpgradedPause)
 	version := c.clusterVersion()
-	if n%keepVersionEvery == keepVersionEvery-1 && version > 0 && !isIrreversible(version) {
-		r.refusedAt = append(r.refusedAt, version)
+	if n%rolloutsPerSkippedLowering == rolloutsPerSkippedLowering-1 && version > 0 && !isIrreversible(version) {
+		r.unloweredVersions = append(r.unloweredVersions, version)
 	} else {
-		r.loweredFrom = append(r.loweredFrom, version)
+		r.loweredVersions = append(r.loweredVersions, version)
 		r.users.forbidDependencies()
 		if err := c.lowerVersion(ctx); err != nil {
 			return err
 		}
 	}
-	c.State.SetSizeLimits(0, 0) // the former version keeps to those of before
+	c.State.SetSizeLimits(0, 0) // the previous version respects only the higher limits
 	if err := r.replaceAll(ctx, r.plan.FormerProgram); err != nil {
 		return err
 	}
-	pauseUpTo(ctx, maxFormerPause)
+	pauseUpTo(ctx, maxDowngradedPause)
 	return nil
 }
 
 const bytesPerKB = 1024
 
-// replaceAll replaces the controllers, in any order, by those of a program.
+// replaceAll replaces all controllers, in random order, with controllers that run program.
 func (r *rolloutRun) replaceAll(ctx context.Context, program string) error {
 	for _, k := range rand.Perm(r.cluster.options.Controllers) {
 		for range 1 + rand.IntN(maxRestarts) {
@@ -133,13 +139,13 @@
 	return ctx.Err()
 }
 
-// pauseUpTo waits for a time drawn from nothing to limit.
+// pauseUpTo waits for a random time between 0 and limit.
 func pauseUpTo(ctx context.Context, limit time.Duration) {
 	sleep(ctx, time.Duration(rand.Float64()*float64(limit)))
 }
 
-// isIrreversible reports whether there is no way back from a cluster version: then the
-// former version must not be put back without lowering it.
+// isIrreversible reports whether a cluster version includes an irreversible feature. From such a
+// version a roll back is only allowed after lowering it.
 func isIrreversible(version int) bool {
 	for _, gate := range rollout.FeatureGates[:version] {
 		if gate.Irreversible {
@@ -149,37 +155,36 @@
 	return false
 }
 
-// How long the cluster version may take to be lowered, for stored values have to be brought
-// back first, and how often that is asked for.
+// lowerTimeout bounds the time for lowering the cluster version, which waits for stored values to
+// be migrated back. lowerInterval is the time between the requests to lower it.
 const (
 	lowerTimeout  = 10 * time.Minute
 	lowerInterval = 100 * time.Millisecond
 )
 
-// lowerVersion lowers the cluster version to 0, however long it takes to bring stored
-// values back.
+// lowerVersion requests the lowering of the cluster version until it is 0, for up to lowerTimeout.
 func (c *Cluster) lowerVersion(ctx context.Context) error {
 	for deadline := time.Now().Add(lowerTimeout); c.clusterVersion() > 0; time.Sleep(lowerInterval) {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("the level is still %d after ten minutes of lowering it", c.clusterVersion())
+			return fmt.Errorf("cluster version is still %d after %v of requests to lower it", c.clusterVersion(), lowerTimeout)
 		}
 		c.sendCommand(ctx, rollout.CommandLower)
 	}
 	return nil
 }
 
-// commandTimeout is how long a person's command waits for an answer.
+// commandTimeout bounds the HTTP request of an operator's command.
 const commandTimeout = 3 * time.Second
 
-// sendCommand gives a person's command to any controller that takes it.
+// sendCommand sends an operator's rollout command to the controllers in turn until one accepts it.
 func (c *Cluster) sendCommand(ctx context.Context, verb string) {
 	client := &http.Client{Timeout: commandTimeout}
 	for k := range c.options.Controllers {
 		url := "http://" + c.ControllerAddress(k) + "/rollout/" + verb
-		// A command that is on its way is not taken back.
+		// The end of ctx does not abort a command that has been sent.
 		request, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodPost, url, nil)
 		if err != nil {
 			continue
@@ -188,14 +193,15 @@
 		if err != nil {
 			continue
 		}
-		_ = response.Body.Close() // its status says enough
+		_ = response.Body.Close() // the status code is sufficient
 		if response.StatusCode == http.StatusOK {
 			return
 		}
 	}
 }
 
-// clusterVersion is the number of the cluster version, as the state service has it.
+// clusterVersion returns the number of the cluster version in the state service, or 0 if there is
+// none.
 func (c *Cluster) clusterVersion() int {
 	for _, kv := range c.State.ListAll(statekv.ClusterVersionKey) {
 		if v, err := rollout.ParseClusterVersion(kv.Value); err == nil {
@@ -205,14 +211,14 @@
 	return 0
 }
 
-// shownProgressViolations is how many broken rules are shown while rollouts go on.
-const shownProgressViolations = 5
+// maxShownProgressViolations bounds the violations that a progress report shows.
+const maxShownProgressViolations = 5
 
 func (r *rolloutRun) printProgress(out io.Writer, rollouts int) {
-	u, starts, byWorkers := r.users, r.cluster.Cloud.TaskStarts(), len(r.cluster.Cloud.Violations())
+	u, starts, workerViolations := r.users, r.cluster.Cloud.TaskStarts(), len(r.cluster.Cloud.Violations())
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	console.Printf(out, "%d rolls in %v: %d jobs accepted, %d starts, broken: %d here, %d seen by workers %v\n",
-		rollouts, time.Since(r.startTime).Round(time.Second), len(u.jobs), starts, len(u.violations), byWorkers,
-		firstOf(u.violations, shownProgressViolations))
+		rollouts, time.Since(r.startTime).Round(time.Second), len(u.jobs), starts, len(u.violations), workerViolations,
+		firstN(u.violations, maxShownProgressViolations))
 }
--- a/tools/devcluster/userload.go
+++ b/tools/devcluster/userload.go
@@ -13,110 +13,110 @@
 	"robinstack/internal/job"
 )
 
-// userLoad is users that submit, ask and cancel for as long as rollouts go on, and remember
-// what they were told. Its mutex guards all fields below it, and is never held while a
-// controller is asked.
+// userLoad simulates users who submit, query and cancel jobs during the rollouts, and checks each
+// response against the earlier ones. mu guards the fields below it and must not be held during
+// requests to controllers.
 type userLoad struct {
 	cluster *Cluster
 	plan    RolloutPlan
 	client  *Client
 
-	// dependentSubmissions are those under way of jobs that wait for others.
+	// dependentSubmissions counts submissions in progress of jobs with dependencies.
 	dependentSubmissions sync.WaitGroup
 
-	mu                  sync.Mutex
-	dependenciesAllowed bool // all controllers know them
-	jobs                map[string]*knownJob
-	recent              []string // jobs accepted last, of which new ones name some
-	submissions         int
-	dependentJobs       int // accepted
-	givenUp             int // submissions that were not accepted in their time
-	slowSubmissions     int // accepted after more than slowSubmission
-	slowestSubmission   time.Duration
-	violations          []string
+	mu                   sync.Mutex
+	dependenciesAllowed  bool // all controllers run a version that supports dependencies
+	jobs                 map[string]*observedJob
+	recent               []string // IDs of the jobs accepted last, from which new jobs choose dependencies
+	submissions          int
+	dependentJobs        int // accepted jobs with dependencies
+	abandonedSubmissions int // not accepted within submitTimeout
+	slowSubmissions      int // accepted after more than slowSubmissionThreshold
+	slowestSubmission    time.Duration
+	violations           []string
 }
 
-// knownJob is what a user was told of a job.
-type knownJob struct {
+// observedJob is an accepted job as the responses to its user have reported it.
+type observedJob struct {
 	tasks           int
-	finalStatus     string // "": it goes on as far as its user knows
+	finalStatus     string // "": not reported as finished
 	cancelRequested bool
 	dependencies    []string
 
-	// dependencyCancelledAt is when its user was told that one that it depends on is
-	// cancelled; zero: none is.
+	// dependencyCancelledAt is when a user was told that a direct or indirect dependency of the job
+	// is cancelled; zero: no user was.
 	dependencyCancelledAt time.Time
 }
 
 const (
-	// maxRecentJobs is of how many jobs accepted last some are named by new ones.
+	// maxRecentJobs bounds the jobs accepted last from which new jobs choose dependencies.
 	maxRecentJobs = 12
-	// maxDependencies is how many of them a new one names at most.
+	// maxDependencies bounds the dependencies of a job.
 	maxDependencies = 3
-	// gangEvery: one in so many jobs is a gang, of at most maxGangTasks tasks.
-	gangEvery    = 4
+	// One in jobsPerGang jobs is a gang, of at most maxGangTasks tasks.
+	jobsPerGang  = 4
 	maxGangTasks = 3
-	// cancelEvery: one in so many queries is a cancellation instead.
-	cancelEvery = 60
+	// queriesPerCancellation: one in this many requests about an unfinished job cancels it.
+	queriesPerCancellation = 60
 )
 
-// How users submit and ask.
+// Timing of the users' requests.
 const (
-	submitTimeout  = time.Minute // after which they give up
-	submitInterval = 300 * time.Millisecond
-	slowSubmission = time.Second
-	queryInterval  = 50 * time.Millisecond
+	submitTimeout           = time.Minute // time after which a user abandons a submission
+	submitInterval          = 300 * time.Millisecond
+	slowSubmissionThreshold = time.Second
+	queryInterval           = 50 * time.Millisecond
 )
 
 func newUserLoad(c *Cluster, plan RolloutPlan) *userLoad {
-	return &userLoad{cluster: c, plan: plan, client: NewClient(), jobs: map[string]*knownJob{}}
+	return &userLoad{cluster: c, plan: plan, client: NewClient(), jobs: map[string]*observedJob{}}
 }
 
-// address is that of any controller.
+// address returns the address of a random controller.
 func (u *userLoad) address() string {
 	return u.cluster.ControllerAddress(rand.IntN(u.cluster.options.Controllers))
 }
 
-// violate notes that a rule was broken. The mutex is held.
-func (u *userLoad) violate(format string, args ...any) {
+// recordViolation records a violated invariant. The caller must hold u.mu.
+func (u *userLoad) recordViolation(format string, args ...any) {
 	u.violations = append(u.violations, fmt.Sprintf(format, args...))
 }
 
-// run has users come and ask until ctx ends, and returns once all have gone.
+// run submits and queries jobs until ctx ends, and returns once all its requests are complete.
 func (u *userLoad) run(ctx context.Context) {
-	var users sync.WaitGroup
-	every := func(mean time.Duration, do func()) {
-		users.Go(func() {
+	var goroutines sync.WaitGroup
+	startRepeating := func(mean time.Duration, action func()) {
+		goroutines.Go(func() {
 			for ctx.Err() == nil {
-				users.Go(do)
+				goroutines.Go(action)
 				time.Sleep(time.Duration(float64(mean) * (0.5 + rand.Float64())))
 			}
 		})
 	}
 	jobsPerSecond := float64(u.plan.RunningTasks) / (u.plan.MeanTasks * u.plan.MeanSeconds)
-	every(time.Duration(float64(time.Second)/jobsPerSecond), func() { u.submit(ctx) })
-	every(queryInterval, func() { u.queryAny(ctx) })
-	users.Wait()
+	startRepeating(time.Duration(float64(time.Second)/jobsPerSecond), func() { u.submit(ctx) })
+	startRepeating(queryInterval, func() { u.queryRandomJobs(ctx) })
+	goroutines.Wait()
 }
 
-// queryAny asks about a job that goes on, or cancels it, and about one that is over.
-func (u *userLoad) queryAny(ctx context.Context) {
-	unfinished, finished := u.unfinishedAndFinished()
+// queryRandomJobs queries or cancels a random unfinished job, and queries a random finished one.
+func (u *userLoad) queryRandomJobs(ctx context.Context) {
+	unfinished, finished := u.jobsByCompletion()
 	if len(unfinished) > 0 {
-		kind := query
-		if rand.IntN(cancelEvery) == 0 {
-			kind = cancellation
+		kind := queryRequest
+		if rand.IntN(queriesPerCancellation) == 0 {
+			kind = cancelRequest
 		}
-		u.exchange(ctx, drawOne(unfinished), kind)
+		u.requestAndCheck(ctx, randomElement(unfinished), kind)
 	}
 	if len(finished) > 0 {
-		u.exchange(ctx, drawOne(finished), query)
+		u.requestAndCheck(ctx, randomElement(finished), queryRequest)
 	}
 }
 
-// unfinishedAndFinished lists the jobs that go on as far as their users know, and those that
-// are over, in any order.
-func (u *userLoad) unfinishedAndFinished() (unfinished, finished []string) {
+// jobsByCompletion lists the accepted jobs in any order: those not reported as finished, and those
+// reported as done or cancelled.
+func (u *userLoad) jobsByCompletion() (unfinished, finished []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, j := range u.jobs {
@@ -129,7 +129,7 @@
 	return unfinished, finished
 }
 
-// submission is a job that a user submits.
+// submission is a job to be submitted, with its request body.
 type submission struct {
 	id           string
 	tasks        int
@@ -137,16 +137,17 @@
 	body         map[string]any
 }
 
-// drawSubmission draws the next job. If it depends on others, it counts as under way.
-func (u *userLoad) drawSubmission() submission {
+// nextSubmission returns a random job to submit. A job with dependencies is counted in
+// u.dependentSubmissions.
+func (u *userLoad) nextSubmission() submission {
 	u.mu.Lock()
 	u.submissions++
 	n := u.submissions
-	s := submission{id: fmt.Sprintf("wk-%08d", n), dependencies: u.drawDependencies()}
+	s := submission{id: fmt.Sprintf("wk-%08d", n), dependencies: u.chooseDependencies()}
 	u.mu.Unlock()
 	shape := job.Array
 	s.tasks = 1 + rand.IntN(int(2*u.plan.MeanTasks))
-	if n%gangEvery == 0 {
+	if n%jobsPerGang == 0 {
 		shape, s.tasks = job.Gang, 1+rand.IntN(maxGangTasks)
 	}
 	s.body = NewSubmission(s.id, shape, "", s.tasks, 1, u.plan.MeanSeconds*(0.25+1.5*rand.Float64()))
@@ -156,14 +157,14 @@
 	return s
 }
 
-// drawDependencies draws jobs that the next one is to wait for: none for about half. The
-// mutex is held.
-func (u *userLoad) drawDependencies() (dependencies []string) {
+// chooseDependencies returns random dependencies for the next job; about half of the jobs have
+// none. A job with dependencies is counted in u.dependentSubmissions. The caller must hold u.mu.
+func (u *userLoad) chooseDependencies() (dependencies []string) {
 	if !u.dependenciesAllowed || len(u.recent) == 0 || rand.IntN(2) == 0 {
 		return nil
 	}
 	for range 1 + rand.IntN(maxDependencies) {
-		if id := drawOne(u.recent); !slices.Contains(dependencies, id) {
+		if id := randomElement(u.recent); !slices.Contains(dependencies, id) {
 			dependencies = append(dependencies, id)
 		}
 	}
@@ -171,15 +172,15 @@
 	return dependencies
 }
 
-// allowDependencies has new jobs wait for others from now on.
+// allowDependencies lets new jobs have dependencies from now on.
 func (u *userLoad) allowDependencies() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.dependenciesAllowed = true
 }
 
-// forbidDependencies has no new job wait for others, and waits until no such submission is
-// under way.
+// forbidDependencies makes new jobs have no dependencies, and waits until no submission of a job
+// with dependencies is in progress.
 func (u *userLoad) forbidDependencies() {
 	u.mu.Lock()
 	u.dependenciesAllowed = false
@@ -187,25 +188,27 @@
 	u.dependentSubmissions.Wait()
 }
 
-// maySubmit reports whether a job may be submitted, by what it depends on.
+// maySubmit reports whether the job may be submitted: it has no dependencies, or dependencies are
+// allowed.
 func (u *userLoad) maySubmit(s *submission) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(s.dependencies) == 0 || u.dependenciesAllowed
 }
 
-// submit submits one job, as often as it takes, for up to submitTimeout.
+// submit submits a new job, and repeats the request until it is answered as accepted or invalid,
+// for up to submitTimeout.
 func (u *userLoad) submit(ctx context.Context) {
-	s := u.drawSubmission()
+	s := u.nextSubmission()
 	if len(s.dependencies) > 0 {
 		defer u.dependentSubmissions.Done()
 	}
-	began := time.Now()
-	for time.Since(began) < submitTimeout && ctx.Err() == nil && u.maySubmit(&s) {
+	startedAt := time.Now()
+	for time.Since(startedAt) < submitTimeout && ctx.Err() == nil && u.maySubmit(&s) {
 		r, err := u.client.Submit(ctx, u.address(), s.body)
 		switch {
 		case err == nil && r.isAccepted():
-			u.recordAccepted(&s, time.Since(began))
+			u.recordAccepted(&s, time.Since(startedAt))
 			return
 		case err == nil && r.isInvalid():
 			u.recordInvalid(&s, r.Code)
@@ -214,14 +217,14 @@
 		time.Sleep(submitInterval)
 	}
 	if ctx.Err() == nil && u.maySubmit(&s) {
-		u.recordGivenUp()
+		u.recordAbandoned()
 	}
 }
 
-func (u *userLoad) recordAccepted(s *submission, took time.Duration) {
+func (u *userLoad) recordAccepted(s *submission, latency time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	j := &knownJob{tasks: s.tasks, dependencies: s.dependencies}
+	j := &observedJob{tasks: s.tasks, dependencies: s.dependencies}
 	u.jobs[s.id] = j
 	u.recent = append(u.recent, s.id)
 	if len(u.recent) > maxRecentJobs {
@@ -236,8 +239,8 @@
 			j.dependencyCancelledAt = time.Now()
 		}
 	}
-	u.slowestSubmission = max(u.slowestSubmission, took)
-	if took > slowSubmission {
+	u.slowestSubmission = max(u.slowestSubmission, latency)
+	if latency > slowSubmissionThreshold {
 		u.slowSubmissions++
 	}
 }
@@ -245,23 +248,23 @@
 func (u *userLoad) recordInvalid(s *submission, code int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.violate("forgotten: a submission of %s answers %d", s.id, code)
+	u.recordViolation("forgotten: submission of %s returned HTTP %d", s.id, code)
 }
 
-func (u *userLoad) recordGivenUp() {
+func (u *userLoad) recordAbandoned() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.givenUp++
+	u.abandonedSubmissions++
 }
 
-// dependencyTasks lists the tasks that have to be completed before one starts.
+// dependencyTasks lists the tasks that must have completed before the given task starts.
 func (u *userLoad) dependencyTasks(task string) (tasks []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	id, _, _ := strings.Cut(task, "/")
 	j := u.jobs[id]
 	if j == nil {
-		return nil // its acceptance is on its way to its user
+		return nil // the user has not received the acceptance yet
 	}
 	for _, dependency := range j.dependencies {
 		for k := range u.jobs[dependency].tasks {
@@ -271,25 +274,25 @@
 	return tasks
 }
 
-// requestKind is what a user asks about a job that was accepted.
+// requestKind is the kind of a user's request about an accepted job.
 type requestKind int
 
 const (
-	query requestKind = iota
-	cancellation
+	queryRequest requestKind = iota
+	cancelRequest
 )
 
-// exchange asks about a job, or cancels it, and holds the answer against earlier ones.
-func (u *userLoad) exchange(ctx context.Context, id string, kind requestKind) {
+// requestAndCheck queries or cancels a job, and checks the response against earlier responses.
+func (u *userLoad) requestAndCheck(ctx context.Context, id string, kind requestKind) {
 	u.mu.Lock()
 	j := u.jobs[id]
 	finalBefore := j.finalStatus
-	j.cancelRequested = j.cancelRequested || kind == cancellation
+	j.cancelRequested = j.cancelRequested || kind == cancelRequest
 	u.mu.Unlock()
-	asked := time.Now()
+	requestedAt := time.Now()
 	var r Response
 	var err error
-	if kind == cancellation {
+	if kind == cancelRequest {
 		r, err = u.client.Cancel(ctx, u.address(), id)
 	} else {
 		r, err = u.client.Query(ctx, u.address(), id)
@@ -301,42 +304,44 @@
 	defer u.mu.Unlock()
 	switch {
 	case r.Code == http.StatusNotFound:
-		u.violate("forgotten: %s answers 404", id)
+		u.recordViolation("forgotten: request for accepted job %s returned HTTP 404", id)
 	case finalBefore != "" && r.Status != finalBefore:
-		u.violate("went_back: %s was %s and is %s", id, finalBefore, r.Status)
+		u.recordViolation("went_back: %s changed from %s to %s", id, finalBefore, r.Status)
 	case r.Status == job.Done && finalBefore == "":
 		u.checkCompleted(id, j)
 		j.finalStatus = r.Status
 	case r.Status == job.Cancelled:
 		u.recordCancelled(id, j, kind)
 	default:
-		u.checkActive(id, j, asked, r.Status)
+		u.checkActive(id, j, requestedAt, r.Status)
 	}
 }
 
-// checkCompleted holds it against the tasks that a job is told as done. The mutex is held.
-func (u *userLoad) checkCompleted(id string, j *knownJob) {
+// checkCompleted checks that all tasks of a job reported as done have completed. The caller must
+// hold u.mu.
+func (u *userLoad) checkCompleted(id string, j *observedJob) {
 	for k := range j.tasks {
 		if task := job.TaskID(id, k); !u.cluster.Cloud.TaskCompleted(task) {
-			u.violate("not_done: %s is called done before %s is", id, task)
+			u.recordViolation("not_done: %s is reported as done, but task %s has not completed", id, task)
 		}
 	}
 }
 
-// recordCancelled notes that a job is told as cancelled. The mutex is held.
-func (u *userLoad) recordCancelled(id string, j *knownJob, kind requestKind) {
+// recordCancelled records that a job is reported as cancelled. It is a violation if neither the job
+// nor a dependency was cancelled. The caller must hold u.mu.
+func (u *userLoad) recordCancelled(id string, j *observedJob, kind requestKind) {
 	if !j.cancelRequested && j.dependencyCancelledAt.IsZero() {
-		u.violate("went_back: %s is called cancelled and nobody cancelled it", id)
+		u.recordViolation("went_back: %s is reported as cancelled, but no user cancelled it", id)
 		return
 	}
 	j.finalStatus = job.Cancelled
-	if kind == cancellation {
+	if kind == cancelRequest {
 		u.markDependents(id)
 	}
 }
 
-// markDependents notes that a user was told of a cancellation, for all jobs that depend on
-// the cancelled one. The mutex is held.
+// markDependents records the time of a reported cancellation in all jobs that depend on the
+// cancelled job, directly or indirectly. The caller must hold u.mu.
 func (u *userLoad) markDependents(id string) {
 	for dependent, j := range u.jobs {
 		if j.dependencyCancelledAt.IsZero() && slices.Contains(j.dependencies, id) {
@@ -346,14 +351,14 @@
 	}
 }
 
-// checkActive holds a status that is no cancellation against those that the job depends on.
-// The mutex is held.
-func (u *userLoad) checkActive(id string, j *knownJob, asked time.Time, status string) {
+// checkActive checks a job that is not reported as cancelled: it is a violation if a dependency was
+// cancelled more than cancellationDeadline before the request. The caller must hold u.mu.
+func (u *userLoad) checkActive(id string, j *observedJob, requestedAt time.Time, status string) {
 	if j.dependencyCancelledAt.IsZero() {
 		return
 	}
-	if after := asked.Sub(j.dependencyCancelledAt); after > cancellationDeadline {
-		u.violate("orphaned: %s is called %s %v after a job before it was cancelled",
+	if after := requestedAt.Sub(j.dependencyCancelledAt); after > cancellationDeadline {
+		u.recordViolation("orphaned: %s is reported as %s %v after a dependency was cancelled",
 			id, status, after.Round(time.Second))
 	}
 }
