--- a/tools/audit/deadlines.go
+++ b/tools/audit/deadlines.go
@@ -12,21 +12,24 @@
 	"robinstack/tools/console"
 )
 
-// DeadlineOutcome is what the deadlines of a class became, and what another queue order
-// could have made of them with the GPU time that the class had.
+// DeadlineOutcome counts the deadlines that the jobs of a class met, and the deadlines that another
+// queue order could have met with the same GPU time.
 type DeadlineOutcome struct {
 	Class      string `json:"class"`
-	Jobs       int    `json:"jobs_completed"` // with a deadline; of others the work is not known
-	Kept       int    `json:"deadlines_kept"`
+	Jobs       int    `json:"jobs_completed"` // completed jobs with a deadline; the work of other jobs is unknown
+	Met        int    `json:"deadlines_kept"`
 	Achievable int    `json:"deadlines_another_order_keeps"`
 }
 
-// DeadlineOutcomes works out, for each class with deadlines, how many of them some order
-// keeps that knows every run time beforehand and never fetches an image or saves: what is
-// beyond that is lost to the machines there were, not to the order. Jobs are taken up from
-// the smallest on, as long as serving the earliest deadline first still keeps all that were
-// taken; a job gets at most all its tasks' GPUs at a time, and of the GPUs of the class
-// what its tasks had at that moment, second by second.
+// DeadlineOutcomes compares, for each class with deadlines, the deadlines that were met with those
+// that an ideal queue order meets: one that knows all run times in advance and spends no time on
+// image fetches or checkpoints. Deadlines beyond that number were missed for lack of machines, not
+// because of the queue order.
+//
+// The ideal order is approximated as follows. Jobs are selected in ascending order of their work,
+// as long as earliest-deadline-first execution meets the deadlines of all selected jobs. Time
+// advances in steps of one second. In each second the jobs share the GPUs that tasks of the class
+// held in that second of the log, and a job uses at most the GPUs of all its tasks.
 func (l *Log) DeadlineOutcomes() []DeadlineOutcome {
 	byClass := map[string][]*jobRecord{}
 	for _, j := range l.jobs {
@@ -40,35 +43,36 @@
 		o := DeadlineOutcome{Class: class, Jobs: len(jobs)}
 		for _, j := range jobs {
 			if !j.lastCompletion.After(j.deadline) {
-				o.Kept++
+				o.Met++
 			}
 		}
-		o.Achievable = achievableDeadlines(jobs, l.gpusBySecond(class), l.first)
+		o.Achievable = countAchievableDeadlines(jobs, l.gpusBySecond(class), l.firstLineAt)
 		out = append(out, o)
 	}
 	return out
 }
 
-// gpusBySecond is how many GPUs tasks of a class had in each second of the log.
+// gpusBySecond returns the mean number of GPUs that tasks of a class held in each second of the
+// log.
 func (l *Log) gpusBySecond(class string) []float64 {
-	gpus := make([]float64, max(0, int(l.last.Sub(l.first).Seconds()))+2)
+	gpus := make([]float64, max(0, int(l.lastLineAt.Sub(l.firstLineAt).Seconds()))+2)
 	for _, m := range l.machines {
 		for k := range m.runs {
 			run := &m.runs[k]
 			if j := l.jobs[run.job]; j != nil && j.class == class {
-				l.addGPUs(gpus, run)
+				l.addGPUTime(gpus, run)
 			}
 		}
 	}
 	return gpus
 }
 
-// addGPUs adds what a run had in each second of the log.
-func (l *Log) addGPUs(gpus []float64, run *taskRun) {
+// addGPUTime adds the GPU seconds of a task run to each second of the log.
+func (l *Log) addGPUTime(gpus []float64, run *taskRun) {
 	start := run.start()
-	first, last := max(0, int(start.Sub(l.first).Seconds())), int(run.end.Sub(l.first).Seconds())
+	first, last := max(0, int(start.Sub(l.firstLineAt).Seconds())), int(run.end.Sub(l.firstLineAt).Seconds())
 	for second := first; second <= last && second < len(gpus); second++ {
-		from := l.first.Add(time.Duration(second) * time.Second)
+		from := l.firstLineAt.Add(time.Duration(second) * time.Second)
 		to := from.Add(time.Second)
 		if start.After(from) {
 			from = start
@@ -76,39 +80,39 @@
 		if run.end.Before(to) {
 			to = run.end
 		}
-		gpus[second] += run.need.GPUs * max(0, to.Sub(from).Seconds())
+		gpus[second] += run.resources.GPUs * max(0, to.Sub(from).Seconds())
 	}
 }
 
-// achievableDeadlines is how many of the jobs are kept by taking them up from the smallest
-// on.
-func achievableDeadlines(jobs []*jobRecord, gpus []float64, origin time.Time) int {
+// countAchievableDeadlines selects jobs in ascending order of their work while all selected jobs
+// can meet their deadlines, and returns how many were selected.
+func countAchievableDeadlines(jobs []*jobRecord, gpus []float64, origin time.Time) int {
 	jobs = slices.Clone(jobs)
 	slices.SortFunc(jobs, func(a, b *jobRecord) int {
 		return cmp.Or(cmp.Compare(a.workGPUS, b.workGPUS), cmp.Compare(a.id, b.id))
 	})
-	var taken []*jobRecord
+	var selected []*jobRecord
 	for _, j := range jobs {
 		if j.acceptedAt.Add(j.longestRun).After(j.deadline) {
 			continue
 		}
-		candidate := append(slices.Clone(taken), j)
+		candidate := append(slices.Clone(selected), j)
 		slices.SortFunc(candidate, func(a, b *jobRecord) int {
 			return cmp.Or(a.deadline.Compare(b.deadline), cmp.Compare(a.id, b.id))
 		})
-		if keepsAllDeadlines(candidate, gpus, origin) {
-			taken = candidate
+		if meetsAllDeadlines(candidate, gpus, origin) {
+			selected = candidate
 		}
 	}
-	return len(taken)
+	return len(selected)
 }
 
-// workSlack is how much work, in GPU seconds, is a matter of rounding.
-const workSlack = 1e-6
+// workTolerance is the remaining work, in GPU seconds, that counts as a rounding error.
+const workTolerance = 1e-6
 
-// keepsAllDeadlines serves the jobs, which are in the order of their deadlines, second by
-// second from origin on, and reports whether all are done in time.
-func keepsAllDeadlines(jobs []*jobRecord, gpus []float64, origin time.Time) bool {
+// meetsAllDeadlines reports whether all jobs meet their deadlines if the GPUs of each second since
+// origin go to the jobs in the given order. The jobs must be sorted by deadline.
+func meetsAllDeadlines(jobs []*jobRecord, gpus []float64, origin time.Time) bool {
 	remaining := make([]float64, len(jobs))
 	for k, j := range jobs {
 		remaining[k] = j.workGPUS
@@ -121,14 +125,14 @@
 			if int(j.deadline.Sub(origin).Seconds()) <= second {
 				return false
 			}
-			served := min(free, remaining[k], float64(j.tasks)*j.gpus)
-			remaining[k] -= served
-			if free -= served; free <= 0 {
+			work := min(free, remaining[k], float64(j.tasks)*j.gpus)
+			remaining[k] -= work
+			if free -= work; free <= 0 {
 				break
 			}
 		}
 	}
-	return !slices.ContainsFunc(remaining, func(work float64) bool { return work > workSlack })
+	return !slices.ContainsFunc(remaining, func(work float64) bool { return work > workTolerance })
 }
 
 // PrintDeadlineOutcomes writes the outcomes as a table.
@@ -138,7 +142,7 @@
 	for _, o := range outcomes {
 		share := func(n int) float64 { return float64(n) / float64(o.Jobs) }
 		fmt.Fprintf(&rows, "%s\t%d\t%d (%.2f)\t%d (%.2f)\n",
-			o.Class, o.Jobs, o.Kept, share(o.Kept), o.Achievable, share(o.Achievable))
+			o.Class, o.Jobs, o.Met, share(o.Met), o.Achievable, share(o.Achievable))
 	}
 	return console.WriteTable(w, rows.String(), 0)
 }
--- a/tools/audit/events.go
+++ b/tools/audit/events.go
@@ -7,7 +7,8 @@
 	"robinstack/internal/logline"
 )
 
-// record books a line, given under its current names. Of other messages it takes nothing.
+// record evaluates a line, whose message and keys have their current names. Lines with other
+// messages are ignored.
 func (l *Log) record(at time.Time, message string, fields map[string]string) error {
 	switch message {
 	case logline.MachineTypePrice:
@@ -33,7 +34,7 @@
 func (l *Log) recordPrice(at time.Time, fields map[string]string) error {
 	r := &numberReader{fields: fields}
 	p := price{at, r.number("hourly"), r.number("spot")}
-	capacity := r.need()
+	capacity := r.resources()
 	if r.err != nil {
 		return r.err
 	}
@@ -43,7 +44,7 @@
 	return nil
 }
 
-// machine returns a machine of which a line speaks.
+// machine returns the record of the named machine, and creates it if the machine is new.
 func (l *Log) machine(name string) *machine {
 	if l.machines[name] == nil {
 		l.machines[name] = &machine{}
@@ -51,34 +52,34 @@
 	return l.machines[name]
 }
 
-// describe takes what kind of machine it is.
-func (m *machine) describe(fields map[string]string) {
+// setPool sets the type, zone and spot flag of the machine.
+func (m *machine) setPool(fields map[string]string) {
 	m.typeName, m.zone, m.spot = fields["type"], fields["zone"], fields["spot"] == "true"
 }
 
-// parseList reads a list as slog writes it: [a b c].
+// parseList parses a list in the format of slog: [a b c].
 func parseList(list string) []string { return strings.Fields(strings.Trim(list, "[]")) }
 
 func (l *Log) recordScaleOut(at time.Time, fields map[string]string) {
 	for _, name := range parseList(fields["machines"]) {
 		m := l.machine(name)
-		m.describe(fields)
-		m.rentedAt = at
+		m.setPool(fields)
+		m.scaledOutAt = at
 	}
 }
 
 func (l *Log) recordScaleIn(at time.Time, fields map[string]string) {
 	for _, name := range parseList(fields["machines"]) {
-		if m := l.machine(name); m.returnedAt.IsZero() {
-			m.returnedAt = at
+		if m := l.machine(name); m.scaledInAt.IsZero() {
+			m.scaledInAt = at
 		}
 	}
 }
 
 func (l *Log) recordRegistration(at time.Time, fields map[string]string) {
 	m := l.machine(fields["machine"])
-	m.describe(fields)
-	keepEarlier(&m.registeredAt, at)
+	m.setPool(fields)
+	setEarliest(&m.registeredAt, at)
 }
 
 func (l *Log) recordUnresponsive(at time.Time, fields map[string]string) error {
@@ -87,15 +88,16 @@
 	return r.err
 }
 
-// recordTaskRun books an attempt at a task that has ended on its machine.
+// recordTaskRun records an attempt that has ended on its machine or has been handed over to another
+// owner.
 func (l *Log) recordTaskRun(at time.Time, fields map[string]string) error {
 	r := &numberReader{fields: fields}
-	run := taskRun{job: jobOf(fields["task"]), end: at, need: r.need()}
-	for phase, key := range phaseFields {
-		run.spent[phase] = r.seconds(key)
+	run := taskRun{job: jobIDOf(fields["task"]), end: at, resources: r.resources()}
+	for phase, key := range phaseKeys {
+		run.durations[phase] = r.seconds(key)
 	}
 	run.useful = usefulTime(
-		run.spent[running], fields["cause"], fields["checkpointed"] == "true", r.seconds("checkpoint_interval_s"))
+		run.durations[running], fields["cause"], fields["checkpointed"] == "true", r.seconds("checkpoint_interval_s"))
 	if r.err != nil {
 		return r.err
 	}
@@ -107,15 +109,16 @@
 	return nil
 }
 
-// Causes of a task's end, as the lines have them.
+// Values of the cause key of logline.TaskFinished.
 const (
 	causeDone       = "done"
-	causeHandedOver = "handed over" // it goes on under another owner
+	causeHandedOver = "handed over" // the attempt continues under another owner of the machine
 )
 
-// usefulTime is how much of a run counts in the end: all of it if the task completed, saved
-// when it was stopped or goes on under another owner; else what its checkpoints hold, which
-// are at multiples of their interval.
+// usefulTime returns how much of an attempt's run time contributed to a result: all of it if the
+// task completed, wrote a checkpoint when it was stopped, or continues under another owner;
+// otherwise the time up to its last checkpoint. Checkpoints are written at multiples of interval; 0
+// means none.
 func usefulTime(run time.Duration, cause string, checkpointed bool, interval time.Duration) time.Duration {
 	switch {
 	case cause == causeDone || cause == causeHandedOver || checkpointed:
@@ -126,8 +129,8 @@
 	return 0
 }
 
-// keepEarlier keeps the earlier of two moments; zero is none.
-func keepEarlier(t *time.Time, at time.Time) {
+// setEarliest sets t to at if t is zero or later than at.
+func setEarliest(t *time.Time, at time.Time) {
 	if t.IsZero() || at.Before(*t) {
 		*t = at
 	}
--- a/tools/audit/jobs.go
+++ b/tools/audit/jobs.go
@@ -7,30 +7,30 @@
 	"robinstack/internal/logline"
 )
 
-// jobRecord is a job, as its acceptance and its course were logged.
+// jobRecord is a job as the log describes it.
 type jobRecord struct {
 	id, class, team string
 	tasks           int
 	gpus            float64 // of each task
 	acceptedAt      time.Time
 	deadline        time.Time // zero: none
-	dependencies    int       // jobs that it names
+	dependencies    int       // number of jobs that it depends on
 
-	// When it went on; zero: it did not.
+	// Times of the job's events; zero: not logged.
 	dependenciesSatisfiedAt time.Time
 	startedAt               time.Time
 	completedAt             time.Time
-	cancelledAt             time.Time // by its user, or with one that it depends on
+	cancelledAt             time.Time // by its user or by a dependency
 
-	// Its runs that completed.
+	// Totals of the task runs that completed.
 	completedTasks int
 	workGPUS       float64 // GPU seconds
 	longestRun     time.Duration
 	lastCompletion time.Time
 }
 
-// eligibleAt is when the job could start: at once, or when the jobs that it depends on were
-// done; ok is false for one that waits for them still.
+// eligibleAt returns when the job could start: at its acceptance, or when its dependencies were
+// satisfied. ok is false if it still waits for dependencies.
 func (j *jobRecord) eligibleAt() (at time.Time, ok bool) {
 	if j.dependencies == 0 {
 		return j.acceptedAt, true
@@ -38,10 +38,10 @@
 	return j.dependenciesSatisfiedAt, !j.dependenciesSatisfiedAt.IsZero()
 }
 
-// recordAcceptance takes a job from the line of its acceptance.
+// recordAcceptance adds a job that was accepted.
 func (l *Log) recordAcceptance(at time.Time, fields map[string]string) error {
 	if _, ok := fields["deadline_s"]; !ok {
-		return nil // written before deadlines were logged
+		return nil // line of a version that did not log deadlines
 	}
 	r := &numberReader{fields: fields}
 	j := &jobRecord{
@@ -51,7 +51,7 @@
 	if deadline := r.seconds("deadline_s"); deadline > 0 {
 		j.deadline = at.Add(deadline)
 	}
-	if _, ok := fields["dependencies"]; ok { // logged since there are dependencies
+	if _, ok := fields["dependencies"]; ok { // absent in lines of versions without dependencies
 		j.dependencies = int(r.number("dependencies"))
 	}
 	if r.err != nil {
@@ -61,11 +61,11 @@
 	return nil
 }
 
-// recordJobEvent takes what a line says of a job's course.
+// recordJobEvent records the time of an event of a known job.
 func (l *Log) recordJobEvent(at time.Time, message string, fields map[string]string) {
 	id := fields["job"]
 	if id == "" {
-		id = jobOf(fields["task"])
+		id = jobIDOf(fields["task"])
 	}
 	j := l.jobs[id]
 	if j == nil {
@@ -73,33 +73,33 @@
 	}
 	switch message {
 	case logline.TaskCommitted:
-		keepEarlier(&j.startedAt, at)
+		setEarliest(&j.startedAt, at)
 	case logline.JobCompleted:
-		keepEarlier(&j.completedAt, at)
+		setEarliest(&j.completedAt, at)
 	case logline.JobCancelled, logline.JobWithdrawn:
-		keepEarlier(&j.cancelledAt, at)
+		setEarliest(&j.cancelledAt, at)
 	case logline.JobReady:
-		keepEarlier(&j.dependenciesSatisfiedAt, at)
+		setEarliest(&j.dependenciesSatisfiedAt, at)
 	}
 }
 
-// addRun books an attempt at a task that has ended, and that it was started: of a commit
-// that its owner answered too late there is no line of its own.
+// addRun records an ended attempt. Its start counts as a start of the job, because no commit is
+// logged if the response to the commit arrives late.
 func (j *jobRecord) addRun(run *taskRun, cause string) {
-	keepEarlier(&j.startedAt, run.start())
+	setEarliest(&j.startedAt, run.start())
 	if cause != causeDone {
 		return
 	}
 	j.completedTasks++
-	j.workGPUS += run.need.GPUs * run.spent[running].Seconds()
-	j.longestRun = max(j.longestRun, run.spent[running])
+	j.workGPUS += run.resources.GPUs * run.durations[running].Seconds()
+	j.longestRun = max(j.longestRun, run.durations[running])
 	if run.end.After(j.lastCompletion) {
 		j.lastCompletion = run.end
 	}
 }
 
-// jobOf is the job of a task's name.
-func jobOf(task string) string {
+// jobIDOf returns the ID of the job to which a task ID belongs.
+func jobIDOf(task string) string {
 	id, _, _ := strings.Cut(task, "/")
 	return id
 }
--- a/tools/audit/log.go
+++ b/tools/audit/log.go
@@ -1,13 +1,13 @@
-// Package audit splits what the machines of a cluster cost by what they did with their
-// time, and works out what became of jobs and deadlines, from the logs of the controllers
-// alone. It owns no state of the service and may touch none: it reads lines and adds up. A
-// Log is for one goroutine. It may import packages that only describe (job, logline) and
-// console.
+// Package audit evaluates the logs of the controllers, and nothing else: it splits the cost of the
+// machines by what the machines spent their time on, and reports how many jobs met their objectives
+// and deadlines. It keeps no state of the service and must not access any. A Log is not safe for
+// concurrent use. The package may import console and packages that only define data (job, logline).
 //
-// The messages that it goes by are the constants of package logline, which the writers of
-// the lines use too. Lines of the former version are read as well: each line gets its
-// current names once, when it is read. A line has the time of day of its controller, which
-// may be off by the bound in the settings; so each share is as exact as that.
+// The messages that audit evaluates are constants of package logline, which the code that logs them
+// uses as well. Lines of the previous version are accepted: their messages and keys are replaced
+// with the current names when a line is read. The time of a line comes from the clock of the
+// controller that wrote it and may be off by the bound in the settings, which limits the accuracy
+// of all results.
 package audit
 
 import (
@@ -25,7 +25,7 @@
 	"robinstack/internal/logline"
 )
 
-// Problem is a line that could not be used.
+// Problem is a line that could not be evaluated.
 type Problem struct {
 	Line   int
 	Reason string
@@ -33,31 +33,31 @@
 
 func (p Problem) String() string { return fmt.Sprintf("line %d: %s", p.Line, p.Reason) }
 
-// Log is what was read from the logs of a cluster.
+// Log is the content of the controllers' logs.
 type Log struct {
-	machines    map[string]*machine
-	prices      map[string][]price       // by machine type, in the order of the lines
-	capacity    map[string]job.Resources // by machine type
-	jobs        map[string]*jobRecord
-	first, last time.Time // of the lines
-
-	Lines        int       // lines of controllers that were read
-	Unrecognized int       // lines that are none, such as those of a wrapper around them
-	Problems     []Problem // lines of controllers that are cut or make no sense
+	machines                map[string]*machine
+	prices                  map[string][]price       // by machine type, in the order of the lines
+	capacity                map[string]job.Resources // by machine type
+	jobs                    map[string]*jobRecord
+	firstLineAt, lastLineAt time.Time // earliest and latest time of all lines
+
+	Lines        int       // parsed lines of controllers, including those with messages that are not evaluated
+	Unrecognized int       // non-empty lines that no controller wrote, such as those of a wrapper script
+	Problems     []Problem // lines of controllers that are truncated or malformed
 }
 
-// price is what a machine type costs an hour from a moment on.
+// price is the hourly price of a machine type from a point in time.
 type price struct {
-	at             time.Time
+	validFrom      time.Time
 	onDemand, spot float64
 }
 
-// maxLineBytes bounds a line; longer ones are reported and left out.
+// maxLineBytes bounds the length of a line. Longer lines are reported as problems and skipped.
 const maxLineBytes = 1 << 20
 
-// Read reads logs as the controllers write them, one after the other or mixed, with or
-// without something before the time in each line. Lines that are cut are listed as
-// problems, and the rest is used. The error is the reader's, if any.
+// Read reads the controllers' logs, concatenated or interleaved. Each line may have a prefix before
+// its time. Malformed lines are listed in Problems, and all others are evaluated. The error is that
+// of r.
 func Read(r io.Reader) (*Log, error) {
 	l := &Log{
 		machines: map[string]*machine{},
@@ -69,7 +69,7 @@
 	for n := 1; ; n++ {
 		line, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			l.addProblem(n, "is longer than a mebibyte")
+			l.addProblem(n, "is longer than %d bytes", maxLineBytes)
 			for errors.Is(err, bufio.ErrBufferFull) {
 				_, err = in.ReadSlice('\n')
 			}
@@ -81,7 +81,7 @@
 			return l, nil
 		}
 		if err != nil {
-			return l, fmt.Errorf("reading the log after line %d: %w", n, err)
+			return l, fmt.Errorf("reading line %d of the log: %w", n, err)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	l.Problems = append(l.Problems, Problem{n, fmt.Sprintf(format, args...)})
 }
 
-// readLine reads the nth line; atEnd tells that nothing comes after it.
+// readLine evaluates line number n. atEnd says that it is the last line.
 func (l *Log) readLine(n int, line []byte, atEnd bool) {
 	line = bytes.TrimSpace(line)
 	start := bytes.Index(line, []byte("time="))
@@ -103,26 +103,26 @@
 	fields, err := parseFields(line[start:])
 	if err != nil {
 		if atEnd {
-			err = fmt.Errorf("%w (the log ends here)", err)
+			err = fmt.Errorf("%w (last line of the log)", err)
 		}
 		l.addProblem(n, "%v", err)
 		return
 	}
 	at, err := time.Parse(time.RFC3339Nano, fields["time"])
 	if err != nil {
-		l.addProblem(n, "time: %q is no time", fields["time"])
+		l.addProblem(n, "time: %q is not a valid time", fields["time"])
 		return
 	}
 	l.Lines++
-	if l.first.IsZero() || at.Before(l.first) {
-		l.first = at
+	if l.firstLineAt.IsZero() || at.Before(l.firstLineAt) {
+		l.firstLineAt = at
 	}
-	if at.After(l.last) {
-		l.last = at
+	if at.After(l.lastLineAt) {
+		l.lastLineAt = at
 	}
 	message, attributes := logline.Current(fields["msg"], fields)
 	if err := l.record(at, message, attributes); err != nil {
-		l.addProblem(n, "msg=%q: %v", fields["msg"], err) // as the line has it, to be found there
+		l.addProblem(n, "msg=%q: %v", fields["msg"], err) // the original message, so that it can be found in the log
 	}
 }
 
@@ -135,13 +135,13 @@
 		}
 	}
 	if err := d.Err(); err != nil {
-		return nil, fmt.Errorf("is cut or no log line: %w", err)
+		return nil, fmt.Errorf("is truncated or not a log line: %w", err)
 	}
 	return out, nil
 }
 
-// numberReader reads numbers out of a line's fields; the first that is missing or none is
-// the error.
+// numberReader reads numbers from the fields of a line. err is the first error: a missing field or
+// an invalid number.
 type numberReader struct {
 	fields map[string]string
 	err    error
@@ -153,9 +153,9 @@
 	switch {
 	case r.err != nil:
 	case !ok:
-		r.err = fmt.Errorf("%s: is missing", key)
+		r.err = fmt.Errorf("%s: missing", key)
 	case err != nil || x < 0:
-		r.err = fmt.Errorf("%s: %q is no amount", key, s)
+		r.err = fmt.Errorf("%s: got %q, want a non-negative number", key, s)
 	}
 	return x
 }
@@ -164,7 +164,7 @@
 	return time.Duration(r.number(key) * float64(time.Second))
 }
 
-// need reads what a task takes of its machine, or a machine has.
-func (r *numberReader) need() job.Resources {
+// resources reads the resources of a task or the capacity of a machine type.
+func (r *numberReader) resources() job.Resources {
 	return job.Resources{CPUs: r.number("cpus"), GPUs: r.number("gpus"), MemoryGB: r.number("mem_gb")}
 }
--- a/tools/audit/machinetime.go
+++ b/tools/audit/machinetime.go
@@ -16,55 +16,57 @@
 	phaseCount
 )
 
-// phaseFields are the fields that say how long each phase took.
-var phaseFields = [phaseCount]string{"fetch_s", "gang_wait_s", "run_s", "checkpoint_s"}
+// phaseKeys are the log keys of the phase durations.
+var phaseKeys = [phaseCount]string{"fetch_s", "gang_wait_s", "run_s", "checkpoint_s"}
 
-// taskRun is what one attempt at a task did on a machine, as one owner saw it.
+// taskRun is an attempt on a machine, as logged by one owner of the machine.
 type taskRun struct {
-	job    string
-	end    time.Time
-	spent  [phaseCount]time.Duration
-	need   job.Resources
-	useful time.Duration // of what it ran: what counts in the end
+	job       string
+	end       time.Time
+	durations [phaseCount]time.Duration
+	resources job.Resources
+	useful    time.Duration // part of the running phase that contributed to a result
 }
 
-// start is when the attempt came to its machine.
+// start returns when the attempt was started on its machine.
 func (r *taskRun) start() time.Time {
 	at := r.end
-	for _, d := range r.spent {
+	for _, d := range r.durations {
 		at = at.Add(-d)
 	}
 	return at
 }
 
-// machine is a machine from its rental to its return.
+// machine is a machine as the log describes it.
 type machine struct {
-	typeName string // "": no line says what it is
+	typeName string // "": not logged
 	zone     string
 	spot     bool
 
-	rentedAt, registeredAt, returnedAt time.Time // zero: no line says when
-	unresponsiveSince                  time.Time // zero: it was not given up
-	runs                               []taskRun
+	scaledOutAt, registeredAt, scaledInAt time.Time // zero: not logged
+	unresponsiveSince                     time.Time // zero: never reported as unresponsive
+	runs                                  []taskRun
 }
 
-// minChargedTime is what a machine that is returned is charged for at least.
+// minChargedTime is the minimum time for which a machine that was scaled in is charged.
 const minChargedTime = time.Minute
 
-// lifetime is when a machine was charged for.
+// lifetime is the time for which a machine is charged, and when in it the machine registered.
 type lifetime struct{ start, registered, end time.Time }
 
-// lifetime is when the machine was charged for, as far as the log tells. One that the cloud
-// took becomes unresponsive and is not returned before.
+// lifetime returns the time for which the machine is charged. If the log does not show when the
+// machine was scaled out or in, it is charged from the start or to the end of the log. A machine
+// that the cloud reclaims is first reported as unresponsive and is scaled in only after that, so it
+// is charged until then.
 func (m *machine) lifetime(l *Log) lifetime {
-	t := lifetime{m.rentedAt, m.registeredAt, m.returnedAt}
+	t := lifetime{m.scaledOutAt, m.registeredAt, m.scaledInAt}
 	if t.start.IsZero() {
-		t.start = l.first // it was there before the log begins
+		t.start = l.firstLineAt // added before the log begins
 	}
 	if t.end.IsZero() {
-		t.end = l.last
+		t.end = l.lastLineAt
 	}
-	if !m.returnedAt.IsZero() && !m.rentedAt.IsZero() && t.end.Sub(t.start) < minChargedTime {
+	if !m.scaledInAt.IsZero() && !m.scaledOutAt.IsZero() && t.end.Sub(t.start) < minChargedTime {
 		t.end = t.start.Add(minChargedTime)
 	}
 	if t.registered.IsZero() || t.registered.After(t.end) {
@@ -76,31 +78,31 @@
 	return t
 }
 
-// use is a share of a machine that goes into a category for some time.
+// use is a share of a machine that belongs to a category for a period of time.
 type use struct {
 	from, to time.Time
 	category string
 	share    float64
 }
 
-// uses lays the phases of all tasks on the machine's time. Of a run that counts in part the
-// first part counts.
+// uses returns the phases of all task runs on the machine. Where only a part of a run was useful,
+// it is the first part.
 func (m *machine) uses(capacity job.Resources) []use {
 	var out []use
 	for k := range m.runs {
 		run := &m.runs[k]
-		share := min(1, run.need.DominantShare(capacity))
+		share := min(1, run.resources.DominantShare(capacity))
 		at := run.start()
-		useful := min(run.useful, run.spent[running])
+		useful := min(run.useful, run.durations[running])
 		for _, phase := range []struct {
 			category string
 			duration time.Duration
 		}{
-			{Fetch, run.spent[fetching]},
-			{GangWait, run.spent[awaitingGang]},
+			{Fetch, run.durations[fetching]},
+			{GangWait, run.durations[awaitingGang]},
 			{Useful, useful},
-			{LostWork, run.spent[running] - useful},
-			{Checkpoint, run.spent[checkpointing]},
+			{LostWork, run.durations[running] - useful},
+			{Checkpoint, run.durations[checkpointing]},
 		} {
 			if phase.duration > 0 {
 				end := at.Add(phase.duration)
@@ -112,14 +114,14 @@
 	return out
 }
 
-// segment is a stretch of a machine's lifetime in which nothing changes; its shares, by
-// category, add up to 1.
+// segment is a period of a machine's lifetime in which no share changes. The shares, by category,
+// add up to 1.
 type segment struct {
 	from, to time.Time
 	shares   map[string]float64
 }
 
-// segments divides the machine's lifetime wherever something changes.
+// segments splits the machine's lifetime at every time at which a share changes.
 func (m *machine) segments(l *Log) []segment {
 	charged := m.lifetime(l)
 	uses := m.uses(l.capacity[m.typeName])
@@ -144,7 +146,7 @@
 		if !s.to.After(s.from) || s.from.Before(charged.start) || s.to.After(charged.end) {
 			continue
 		}
-		if !s.addTasks(uses) {
+		if !s.addTaskShares(uses) {
 			s.shares[m.idleCategory(s.from, charged, firstUse, lastUse)] = 1
 		}
 		out = append(out, s)
@@ -152,9 +154,10 @@
 	return out
 }
 
-// addTasks adds the shares of tasks in the segment, scaled down where they overbook the
-// machine, and what they leave unused. It reports whether tasks take anything.
-func (s *segment) addTasks(uses []use) bool {
+// addTaskShares adds the shares of the tasks in the segment, scaled down to 1 in total if they
+// overbook the machine, and the share that they leave unused. It reports whether tasks use any
+// share of the machine.
+func (s *segment) addTaskShares(uses []use) bool {
 	total := 0.0
 	for _, u := range uses {
 		if !u.from.After(s.from) && !u.to.Before(s.to) {
@@ -172,7 +175,7 @@
 	return true
 }
 
-// idleCategory is what a machine without tasks does at a moment.
+// idleCategory returns the category of a machine without tasks at a point in time.
 func (m *machine) idleCategory(at time.Time, charged lifetime, firstUse, lastUse time.Time) string {
 	switch {
 	case at.Before(charged.registered):
--- a/tools/audit/servicelevels.go
+++ b/tools/audit/servicelevels.go
@@ -12,71 +12,72 @@
 	"robinstack/tools/console"
 )
 
-// SLOMultiples are the multiples of what its objective asks by which a job is looked for.
+// SLOMultiples are the multiples of an objective's time limit at which completed jobs are counted.
 var SLOMultiples = [...]float64{1, 1.5, 2}
 
-// ServiceLevel is what became of the jobs of a class or a team.
+// ServiceLevel summarizes the jobs of a class or a team.
 type ServiceLevel struct {
 	Name         string   `json:"name"`
-	Jobs         int      `json:"jobs"`      // accepted, without those that their users cancelled
-	Cancelled    int      `json:"cancelled"` // by their users, or with one that they depend on
-	Waiting      int      `json:"waiting"`   // for other jobs when the log ends; not among Jobs
-	Started      int      `json:"started"`   // with at least one task on a machine
+	Jobs         int      `json:"jobs"`      // accepted, without Cancelled and Waiting
+	Cancelled    int      `json:"cancelled"` // by their users or by a dependency
+	Waiting      int      `json:"waiting"`   // for dependencies at the end of the log
+	Started      int      `json:"started"`   // jobs of which at least one task has started
 	Done         int      `json:"done"`
 	Tasks        int      `json:"tasks"`
 	TasksDone    int      `json:"tasks_done"`
-	DoneBy       [3]Ratio `json:"done_by"`        // by each of SLOMultiples
-	LongestWaitS float64  `json:"longest_wait_s"` // until the first start, or until the log's end
-
-	// The largest jobs are the tenth with the most tasks, at least one, and any as large as
-	// the smallest of those. Started in time are those that had a task on a machine within
-	// LargestStartLimit of when they could start, of those for which that has passed.
-	Largest              Ratio   `json:"largest_started"`
-	LargestStartedInTime Ratio   `json:"largest_begun_in_time"`
-	LargestMinTasks      int     `json:"largest_from_tasks"`
-	LargestLongestWaitS  float64 `json:"largest_longest_wait_s"`
-
-	counted []*jobRecord // those of Jobs, until the largest are summed up
+	DoneBy       [3]Ratio `json:"done_by"`        // within each of SLOMultiples
+	LongestWaitS float64  `json:"longest_wait_s"` // until the first start or the end of the log
+
+	// The largest jobs are the tenth of Jobs with the most tasks, at least one job, and all others
+	// with as many tasks as the smallest of these. A job started in time if its first task started
+	// within LargestJobsStartLimit after the job became eligible. Jobs that have waited for less
+	// time without a start are not in LargestJobsStartedInTime.
+	LargestJobsStarted       Ratio   `json:"largest_started"`
+	LargestJobsStartedInTime Ratio   `json:"largest_begun_in_time"`
+	LargestJobsMinTasks      int     `json:"largest_from_tasks"`
+	LargestJobsLongestWaitS  float64 `json:"largest_longest_wait_s"`
+
+	countedJobs []*jobRecord // the jobs counted in Jobs; nil after summarizeLargestJobs
 }
 
-// LargestStartLimit is the time within which the largest jobs have to begin.
-const LargestStartLimit = 4 * time.Minute
+// LargestJobsStartLimit is the time after which a start of one of the largest jobs is late.
+const LargestJobsStartLimit = 4 * time.Minute
 
-// largestShare: the largest jobs are one in so many.
-const largestShare = 10
+// largestJobsDivisor: one in this many jobs is among the largest.
+const largestJobsDivisor = 10
 
-// Ratio is how many of so many.
+// Ratio is a count out of a total.
 type Ratio struct {
-	Of   int `json:"of"`
-	Kept int `json:"kept"`
+	Total int `json:"of"`
+	Count int `json:"kept"`
 }
 
 func (r Ratio) String() string {
-	if r.Of == 0 {
+	if r.Total == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.2f", r.share())
 }
 
-// share is 1 where there is none.
+// share returns Count divided by Total, or 1 if Total is 0.
 func (r Ratio) share() float64 {
-	if r.Of == 0 {
+	if r.Total == 0 {
 		return 1
 	}
-	return float64(r.Kept) / float64(r.Of)
+	return float64(r.Count) / float64(r.Total)
 }
 
-func (r *Ratio) add(kept bool) {
-	r.Of++
-	if kept {
-		r.Kept++
+func (r *Ratio) add(counted bool) {
+	r.Total++
+	if counted {
+		r.Count++
 	}
 }
 
-// ServiceLevels tells for each class and each team what became of its jobs. objective
-// returns how long after its submission a job should be done by the users' tightest
-// objective, given its class and deadline (0: none); 0 is none. A job counts towards a
-// multiple once its time for it has passed by the log's end, or it is done.
+// ServiceLevels summarizes the jobs of each class and of each team. objective returns the tightest
+// time limit from submission to completion that the users' objectives set for a class and a
+// deadline (0: no deadline), or 0 for no limit. A job is counted in DoneBy for a multiple if it is
+// done, or if the multiple of its limit has passed by the end of the log.
 func (l *Log) ServiceLevels(
 	objective func(class string, deadline time.Duration) time.Duration,
 ) (classes, teams []ServiceLevel) {
@@ -87,29 +88,30 @@
 			deadline = j.deadline.Sub(j.acceptedAt)
 		}
 		limit := objective(j.class, deadline)
-		levelOf(byClass, j.class).add(j, limit, l.last)
-		levelOf(byTeam, j.team).add(j, limit, l.last)
+		levelFor(byClass, j.class).add(j, limit, l.lastLineAt)
+		levelFor(byTeam, j.team).add(j, limit, l.lastLineAt)
 	}
-	return sumUpLevels(byClass, l.last), sumUpLevels(byTeam, l.last)
+	return summarizeLevels(byClass, l.lastLineAt), summarizeLevels(byTeam, l.lastLineAt)
 }
 
-func levelOf(levels map[string]*ServiceLevel, name string) *ServiceLevel {
+func levelFor(levels map[string]*ServiceLevel, name string) *ServiceLevel {
 	if levels[name] == nil {
 		levels[name] = &ServiceLevel{Name: name}
 	}
 	return levels[name]
 }
 
-// sumUpLevels lists the levels by their names, at the log's end.
-func sumUpLevels(levels map[string]*ServiceLevel, end time.Time) (out []ServiceLevel) {
+// summarizeLevels returns the levels sorted by name, with their largest jobs summarized as of end,
+// the end of the log.
+func summarizeLevels(levels map[string]*ServiceLevel, end time.Time) (out []ServiceLevel) {
 	for _, name := range slices.Sorted(maps.Keys(levels)) {
-		levels[name].sumUpLargest(end)
+		levels[name].summarizeLargestJobs(end)
 		out = append(out, *levels[name])
 	}
 	return out
 }
 
-// add counts a job that should be done within limit (0: no objective), at the log's end.
+// add counts a job whose time limit is limit (0: none), as of end, the end of the log.
 func (s *ServiceLevel) add(j *jobRecord, limit time.Duration, end time.Time) {
 	if !j.cancelledAt.IsZero() {
 		s.Cancelled++
@@ -121,13 +123,13 @@
 		return
 	}
 	s.Jobs++
-	s.counted = append(s.counted, j)
+	s.countedJobs = append(s.countedJobs, j)
 	s.Tasks += j.tasks
 	s.TasksDone += min(j.completedTasks, j.tasks)
 	if !j.startedAt.IsZero() {
 		s.Started++
 	}
-	s.LongestWaitS = max(s.LongestWaitS, j.waited(eligible, end).Seconds())
+	s.LongestWaitS = max(s.LongestWaitS, j.waitTime(eligible, end).Seconds())
 	done := !j.completedAt.IsZero()
 	if done {
 		s.Done++
@@ -136,52 +138,54 @@
 		return
 	}
 	for k, multiple := range SLOMultiples {
-		by := j.acceptedAt.Add(time.Duration(multiple * float64(limit)))
-		if done || by.Before(end) {
-			s.DoneBy[k].add(done && !j.completedAt.After(by))
+		dueAt := j.acceptedAt.Add(time.Duration(multiple * float64(limit)))
+		if done || dueAt.Before(end) {
+			s.DoneBy[k].add(done && !j.completedAt.After(dueAt))
 		}
 	}
 }
 
-// waitResolution is how finely waits are told.
+// waitResolution is the unit to which wait times are rounded.
 const waitResolution = 100 * time.Millisecond
 
-// waited is how long a job waited for its first start since it could.
-func (j *jobRecord) waited(eligible, end time.Time) time.Duration {
+// waitTime returns how long the job waited from when it became eligible to its first start, or to
+// end if it has not started.
+func (j *jobRecord) waitTime(eligible, end time.Time) time.Duration {
 	if !j.startedAt.IsZero() {
 		end = j.startedAt
 	}
 	return max(0, end.Sub(eligible).Round(waitResolution))
 }
 
-// sumUpLargest tells what became of the largest jobs.
-func (s *ServiceLevel) sumUpLargest(end time.Time) {
-	if len(s.counted) == 0 {
+// summarizeLargestJobs computes the figures of the largest jobs as of end, the end of the log.
+func (s *ServiceLevel) summarizeLargestJobs(end time.Time) {
+	if len(s.countedJobs) == 0 {
 		return
 	}
-	slices.SortFunc(s.counted, func(a, b *jobRecord) int { return b.tasks - a.tasks })
-	s.LargestMinTasks = s.counted[(len(s.counted)-1)/largestShare].tasks
-	for _, j := range s.counted {
-		if j.tasks < s.LargestMinTasks {
+	slices.SortFunc(s.countedJobs, func(a, b *jobRecord) int { return b.tasks - a.tasks })
+	s.LargestJobsMinTasks = s.countedJobs[(len(s.countedJobs)-1)/largestJobsDivisor].tasks
+	for _, j := range s.countedJobs {
+		if j.tasks < s.LargestJobsMinTasks {
 			break
 		}
 		eligible, _ := j.eligibleAt()
-		wait, started := j.waited(eligible, end), !j.startedAt.IsZero()
-		s.LargestLongestWaitS = max(s.LargestLongestWaitS, wait.Seconds())
-		s.Largest.add(started)
-		if started || wait > LargestStartLimit {
-			s.LargestStartedInTime.add(started && wait <= LargestStartLimit)
+		wait, started := j.waitTime(eligible, end), !j.startedAt.IsZero()
+		s.LargestJobsLongestWaitS = max(s.LargestJobsLongestWaitS, wait.Seconds())
+		s.LargestJobsStarted.add(started)
+		if started || wait > LargestJobsStartLimit {
+			s.LargestJobsStartedInTime.add(started && wait <= LargestJobsStartLimit)
 		}
 	}
-	s.counted = nil
+	s.countedJobs = nil
 }
 
-// leastServedFirst orders levels by the tightest multiple.
-func leastServedFirst(a, b ServiceLevel) int {
+// compareByAttainment orders levels by the share of jobs done within the first of SLOMultiples,
+// lowest first.
+func compareByAttainment(a, b ServiceLevel) int {
 	return cmp.Or(cmp.Compare(a.DoneBy[0].share(), b.DoneBy[0].share()), cmp.Compare(a.Name, b.Name))
 }
 
-// PrintServiceLevels writes classes and teams as a table, the least served first.
+// PrintServiceLevels writes the classes and the teams as tables, lowest attainment first.
 func PrintServiceLevels(w io.Writer, classes, teams []ServiceLevel) error {
 	var rows strings.Builder
 	writeLevelRows(&rows, "class", classes)
@@ -189,9 +193,9 @@
 	return console.WriteTable(w, rows.String(), 0)
 }
 
-func writeLevelRows(rows *strings.Builder, what string, levels []ServiceLevel) {
-	slices.SortFunc(levels, leastServedFirst)
-	fmt.Fprintf(rows, "%s\tjobs\tcancelled\tstarted\tdone\ttasks done", what)
+func writeLevelRows(rows *strings.Builder, heading string, levels []ServiceLevel) {
+	slices.SortFunc(levels, compareByAttainment)
+	fmt.Fprintf(rows, "%s\tjobs\tcancelled\tstarted\tdone\ttasks done", heading)
 	for _, multiple := range SLOMultiples {
 		fmt.Fprintf(rows, "\tby %g times its aim", multiple)
 	}
@@ -204,6 +208,7 @@
 			fmt.Fprintf(rows, "\t%v", r)
 		}
 		fmt.Fprintf(rows, "\t%.1f s\t%d of %d\t%v\t%v\t%.1f s\n",
-			s.LongestWaitS, s.Largest.Of, s.LargestMinTasks, s.Largest, s.LargestStartedInTime, s.LargestLongestWaitS)
+			s.LongestWaitS, s.LargestJobsStarted.Total, s.LargestJobsMinTasks,
+			s.LargestJobsStarted, s.LargestJobsStartedInTime, s.LargestJobsLongestWaitS)
 	}
 }
--- a/tools/audit/wire_test.go
+++ b/tools/audit/wire_test.go
@@ -16,29 +16,30 @@
 	"robinstack/test/wireformat"
 )
 
-// moduleRoot is the module's directory, seen from this package's.
+// moduleRoot is the root directory of the module, relative to this package.
 const moduleRoot = "../.."
 
-// The log lines that the audit goes by have the levels, messages and keys of the recorded
-// former ones, after the table of renamed lines. They are looked for in all sources, so
-// that what writes them may move.
+// The log lines that audit evaluates are written with the recorded levels, messages and keys, after
+// the renames of package logline. All sources of the module are searched, so that the code that
+// writes a line may move to another package.
 func TestWireLogLines(t *testing.T) {
 	var want []string
 	messages := map[string]bool{}
 	for _, line := range strings.Split(strings.TrimSpace(wireformat.Recorded(t, "log-lines")), "\n") {
-		message, renamed := currentLine(t, line)
+		message, renamed := renameRecordedLine(t, line)
 		messages[message] = true
 		want = append(want, renamed)
 	}
 	slices.Sort(want)
 	got := writtenLines(t, messages)
 	if !slices.Equal(got, want) {
-		t.Errorf("log lines are\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("got log lines\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
 
-// currentLine is a recorded line, as `Level "message" key ...`, under the current names.
-func currentLine(t *testing.T, recorded string) (message, line string) {
+// renameRecordedLine returns the message and the line of a recorded line, `Level "message" key
+// ...`, under current names.
+func renameRecordedLine(t *testing.T, recorded string) (message, line string) {
 	t.Helper()
 	parts := strings.SplitN(recorded, `"`, 3)
 	if len(parts) != 3 {
@@ -59,7 +60,7 @@
 	return message, line
 }
 
-// writtenLines describes all calls of slog with one of the messages, sorted.
+// writtenLines returns descriptions of all slog calls with one of the messages, sorted.
 func writtenLines(t *testing.T, messages map[string]bool) []string {
 	t.Helper()
 	names := messageConstants(t)
@@ -73,7 +74,7 @@
 			return err
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
-			if message, line := logLine(n, names); messages[message] {
+			if message, line := describeLogCall(n, names); messages[message] {
 				lines = append(lines, line)
 			}
 			return true
@@ -87,7 +88,7 @@
 	return lines
 }
 
-// messageConstants returns the constants of package logline by their names.
+// messageConstants returns the values of the constants of package logline by name.
 func messageConstants(t *testing.T) map[string]string {
 	t.Helper()
 	path := filepath.Join(moduleRoot, "internal", "logline", "logline.go")
@@ -98,15 +99,16 @@
 	names := map[string]string{}
 	ast.Inspect(file, func(n ast.Node) bool {
 		if spec, ok := n.(*ast.ValueSpec); ok && len(spec.Values) == 1 {
-			names[spec.Names[0].Name] = literal(spec.Values[0])
+			names[spec.Names[0].Name] = stringLiteral(spec.Values[0])
 		}
 		return true
 	})
 	return names
 }
 
-// logLine describes a call of slog, if n is one, and returns its message.
-func logLine(n ast.Node, constants map[string]string) (message, line string) {
+// describeLogCall returns the message and a description of a slog call, or "" if n is something
+// else.
+func describeLogCall(n ast.Node, constants map[string]string) (message, line string) {
 	call, isCall := n.(*ast.CallExpr)
 	if !isCall || len(call.Args) == 0 {
 		return "", ""
@@ -118,19 +120,19 @@
 	if pkg, isName := method.X.(*ast.Ident); !isName || pkg.Name != "slog" {
 		return "", ""
 	}
-	message = literal(call.Args[0])
+	message = stringLiteral(call.Args[0])
 	if name, isConstant := call.Args[0].(*ast.SelectorExpr); isConstant {
 		message = constants[name.Sel.Name]
 	}
 	line = fmt.Sprintf("%s %q", method.Sel.Name, message)
 	for i := 1; i < len(call.Args); i += 2 {
-		line += " " + literal(call.Args[i])
+		line += " " + stringLiteral(call.Args[i])
 	}
 	return message, line
 }
 
-// literal is the value of a string literal, or a mark where it is none.
-func literal(e ast.Expr) string {
+// stringLiteral returns the value of a string literal, or "(no literal)" for other expressions.
+func stringLiteral(e ast.Expr) string {
 	if lit, ok := e.(*ast.BasicLit); ok {
 		if text, err := strconv.Unquote(lit.Value); err == nil {
 			return text
