--- a/tools/audit/bill.go
+++ b/tools/audit/bill.go
@@ -56,7 +56,7 @@
 	ByCategory      map[string]float64          `json:"by_part"` // cost by category
 	Pools           map[Pool]map[string]float64 `json:"-"`       // cost by pool and category
 	Unpriced        int                         `json:"machines_without_price"`
-	NeverRegistered int                         `json:"machines_never_up"` // machines of the bill that never sent a heartbeat
+	NeverRegistered int                         `json:"machines_never_up"` // of Machines: never sent a heartbeat
 }
 
 // Bill computes the cost of all machines in the log whose price is known. The categories of each
--- a/tools/audit/deadlines.go
+++ b/tools/audit/deadlines.go
@@ -125,9 +125,9 @@
 			if int(j.deadline.Sub(origin).Seconds()) <= second {
 				return false
 			}
-			work := min(free, remaining[k], float64(j.tasks)*j.gpus)
-			remaining[k] -= work
-			if free -= work; free <= 0 {
+			allocated := min(free, remaining[k], float64(j.tasks)*j.gpus)
+			remaining[k] -= allocated
+			if free -= allocated; free <= 0 {
 				break
 			}
 		}
--- a/tools/audit/log.go
+++ b/tools/audit/log.go
@@ -1,7 +1,8 @@
-// Package audit evaluates the logs of the controllers, and nothing else: it splits the cost of the
-// machines by what the machines spent their time on, and reports how many jobs met their objectives
-// and deadlines. It keeps no state of the service and must not access any. A Log is not safe for
-// concurrent use. The package may import console and packages that only define data (job, logline).
+// Package audit evaluates the logs of the controllers. From these logs alone it splits the cost of
+// the machines by what the machines spent their time on, and reports how many jobs met their
+// objectives and deadlines. It keeps no state of the service and must not access any. A Log is not
+// safe for concurrent use. The package may import console and packages that only define data (job,
+// logline).
 //
 // The messages that audit evaluates are constants of package logline, which the code that logs them
 // uses as well. Lines of the previous version are accepted: their messages and keys are replaced
--- a/tools/devcluster/controllers.go
+++ b/tools/devcluster/controllers.go
@@ -194,11 +194,11 @@
 	return p.cmd.Process.Pid
 }
 
-// errUnexpectedExit marks the exit of a process that was not killed by Kill or Stop.
+// errUnexpectedExit is wrapped by the errors of UnexpectedExit.
 var errUnexpectedExit = errors.New("exited unexpectedly")
 
-// UnexpectedExit returns an error that names a controller whose process has exited, or nil.
-// Controllers that were killed and not launched again count as well.
+// UnexpectedExit returns an error that names a controller whose process has exited, or nil if there
+// is none. A controller that was stopped with Kill and not launched again is reported as well.
 func (c *Controllers) UnexpectedExit() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/tools/devcluster/deployment.go
+++ b/tools/devcluster/deployment.go
@@ -17,7 +17,7 @@
 	WriteRPS int `json:"write_rps"`
 }
 
-var upcomingLimits = stateServiceLimits{TxnOps: 8, ValueKB: 2, WriteRPS: 55}
+var nextLimits = stateServiceLimits{TxnOps: 8, ValueKB: 2, WriteRPS: 55}
 
 // deployment returns the "facts" object of the settings file, which describes the deployment.
 func deployment(controllers int) any {
@@ -33,7 +33,7 @@
 			"gang_peer_s": 3,
 			"cancel_s":    cancellationDeadline.Seconds(),
 		},
-		"state":        map[string]any{"rps": 200, "write_rps": 75, "value_kb": 8, "txn_ops": 24, "next": upcomingLimits},
+		"state":        map[string]any{"rps": 200, "write_rps": 75, "value_kb": 8, "txn_ops": 24, "next": nextLimits},
 		"cloud":        map[string]float64{"rps": 20, "list_lag_s": 1},
 		"clock_off_ms": 10,
 		"quota":        map[string]float64{"cores": 1, "memory_mb": 512, "max_connections": 2000},
--- a/tools/devcluster/rollouts.go
+++ b/tools/devcluster/rollouts.go
@@ -102,7 +102,7 @@
 	// Once all controllers run this version, users submit jobs with dependencies, and the state
 	// service enforces the announced lower limits.
 	r.users.allowDependencies()
-	c.State.SetSizeLimits(upcomingLimits.ValueKB*bytesPerKB, upcomingLimits.TxnOps)
+	c.State.SetSizeLimits(nextLimits.ValueKB*bytesPerKB, nextLimits.TxnOps)
 	pauseUpTo(ctx, maxUpgradedPause)
 	version := c.clusterVersion()
 	if n%rolloutsPerSkippedLowering == rolloutsPerSkippedLowering-1 && version > 0 && !isIrreversible(version) {
@@ -169,7 +169,7 @@
 			return ctx.Err()
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("cluster version is still %d after %v of requests to lower it", c.clusterVersion(), lowerTimeout)
+			return fmt.Errorf("cluster version is still %d after lowering it for %v", c.clusterVersion(), lowerTimeout)
 		}
 		c.sendCommand(ctx, rollout.CommandLower)
 	}
--- a/tools/devcluster/userload.go
+++ b/tools/devcluster/userload.go
@@ -351,8 +351,9 @@
 	}
 }
 
-// checkActive checks a job that is not reported as cancelled: it is a violation if a dependency was
-// cancelled more than cancellationDeadline before the request. The caller must hold u.mu.
+// checkActive checks a job that is not reported as cancelled. It is a violation if a user was told
+// more than cancellationDeadline before the request that a dependency is cancelled. The caller must
+// hold u.mu.
 func (u *userLoad) checkActive(id string, j *observedJob, requestedAt time.Time, status string) {
 	if j.dependencyCancelledAt.IsZero() {
 		return
