--- a/test/docs/imports_test.go
+++ b/test/docs/imports_test.go
@@ -14,62 +14,63 @@
 	"testing"
 )
 
-// modulePath begins the import paths of the module's packages.
+// modulePath is the prefix of the import paths of the module's packages.
 const modulePath = "robinstack/"
 
-// diagramLine is a line of the diagram: level, packages, what they import.
+// diagramLine matches the first line of a diagram entry: an optional level, a comma-separated list
+// of packages, and the packages that they import.
 var diagramLine = regexp.MustCompile(`^    (\d| )  ([a-z, ]+?) *(?:-> (.*))?$`)
 
-// continuation is a further line of a package's imports.
-var continuation = regexp.MustCompile(`^ {20,}([a-z ]+)$`)
+// continuationLine matches a line that continues the imports of the entry above it.
+var continuationLine = regexp.MustCompile(`^ {20,}([a-z ]+)$`)
 
-// drawn is what the diagram says of one package.
-type drawn struct {
+// diagramEntry is the level and the imports that the diagram shows for one package.
+type diagramEntry struct {
 	level   int
 	imports []string
 }
 
-// The diagram on the architecture page shows all packages, at their levels, with all their
-// imports from the module.
-func TestDiagramShowsTheImports(t *testing.T) {
+// The import diagram on the architecture page is written by hand. It must show every package at its
+// level, with all its imports from the module.
+func TestDiagramMatchesImports(t *testing.T) {
 	diagram := parseDiagram(t, readPage(t, architecturePage))
 	imports := moduleImports(t)
 	for name, want := range imports {
 		shown, ok := diagram[name]
 		if !ok {
-			t.Errorf("the diagram does not show %s", name)
+			t.Errorf("the diagram does not show package %s", name)
 			continue
 		}
 		slices.Sort(shown.imports)
 		if !slices.Equal(shown.imports, want) {
-			t.Errorf("%s: the diagram shows the imports %v; they are %v", name, shown.imports, want)
+			t.Errorf("imports of %s in the diagram: got %v, want %v", name, shown.imports, want)
 		}
 		if level := levelOf(name, imports); shown.level != level {
-			t.Errorf("%s: the diagram shows level %d; it is %d", name, shown.level, level)
+			t.Errorf("level of %s in the diagram: got %d, want %d", name, shown.level, level)
 		}
 	}
 	for name := range diagram {
 		if _, ok := imports[name]; !ok {
-			t.Errorf("the diagram shows %s, which does not exist", name)
+			t.Errorf("the diagram shows package %s, which does not exist", name)
 		}
 	}
 }
 
-// parseDiagram reads the lines of the diagram, by the last element of the import path.
-func parseDiagram(t *testing.T, page string) map[string]*drawn {
+// parseDiagram returns the entries of the diagram, keyed by the last element of the import path.
+func parseDiagram(t *testing.T, page string) map[string]*diagramEntry {
 	t.Helper()
-	diagram := map[string]*drawn{}
+	diagram := map[string]*diagramEntry{}
 	level := 0
-	var last []string // packages of the latest line
+	var lastPackages []string // packages of the entry that a continuation line extends
 	for line := range strings.Lines(page) {
 		line = strings.TrimRight(line, "\n")
-		if more := continuation.FindStringSubmatch(line); more != nil {
-			for _, name := range last {
+		if more := continuationLine.FindStringSubmatch(line); more != nil {
+			for _, name := range lastPackages {
 				diagram[name].imports = append(diagram[name].imports, strings.Fields(more[1])...)
 			}
 			continue
 		}
-		last = nil
+		lastPackages = nil
 		parts := diagramLine.FindStringSubmatch(line)
 		if parts == nil {
 			continue
@@ -79,15 +80,16 @@
 		}
 		for name := range strings.SplitSeq(parts[2], ",") {
 			name = strings.TrimSpace(name)
-			diagram[name] = &drawn{level: level, imports: strings.Fields(parts[3])}
-			last = append(last, name)
+			diagram[name] = &diagramEntry{level: level, imports: strings.Fields(parts[3])}
+			lastPackages = append(lastPackages, name)
 		}
 	}
 	return diagram
 }
 
-// moduleImports returns what each package outside test imports from the module, by the last
-// element of the import path, without tests.
+// moduleImports returns, for each package outside the directory test, the packages of the module
+// that it imports. Packages are named by the last element of their import path; test files are
+// ignored.
 func moduleImports(t *testing.T) map[string][]string {
 	t.Helper()
 	sets := map[string]map[string]bool{}
@@ -113,7 +115,7 @@
 	return imports
 }
 
-// addImports adds what a file imports from the module to a set.
+// addImports adds the module packages that a file imports to set.
 func addImports(file string, set map[string]bool) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
 	if err != nil {
@@ -131,7 +133,8 @@
 	return nil
 }
 
-// levelOf is the length of the longest chain of imports below a package.
+// levelOf returns the length of the longest import chain that starts at a package: 0 for a package
+// that imports nothing from the module.
 func levelOf(name string, imports map[string][]string) int {
 	level := 0
 	for _, imported := range imports[name] {
--- a/test/docs/names_test.go
+++ b/test/docs/names_test.go
@@ -1,5 +1,5 @@
-// Package docs checks that the pages about the code speak of code that exists. It has
-// only tests and keeps no state.
+// Package docs checks that the documentation names only code and paths that exist. It contains only
+// tests and has no state.
 package docs
 
 import (
@@ -14,43 +14,44 @@
 	"testing"
 )
 
-// moduleRoot is the module's directory, seen from this package's.
+// moduleRoot is the root directory of the module, relative to this package.
 const moduleRoot = "../.."
 
-// architecturePage is the page whose names are checked; sectionOfFormerNames is its last
-// part, which lists names that are no more.
+// architecturePage is the page whose names are checked. Its last section, which starts with
+// formerNamesHeading, lists names that no longer exist and is not checked.
 const (
-	architecturePage     = "docs/ARCHITECTURE.md"
-	sectionOfFormerNames = "\n## Former names"
+	architecturePage   = "docs/ARCHITECTURE.md"
+	formerNamesHeading = "\n## Former names"
 )
 
-// quoted matches code in backticks, qualified a name such as scheduler.Scheduler.Run, and
-// sourcePath a file or folder of the module.
+// codeSpan matches code in backticks, qualifiedName an identifier with its package, such as
+// scheduler.Scheduler.Run, and sourcePath a file or directory of the module.
 var (
-	quoted     = regexp.MustCompile("`([^`\n]+)`")
-	qualified  = regexp.MustCompile(`^([a-z]+)((?:\.[A-Za-z]\w*){1,2})(?:\(\))?$`)
-	sourcePath = regexp.MustCompile(`^(?:cmd|deploy|docs|emulator|internal|test|tools)/[\w./-]*$`)
+	codeSpan      = regexp.MustCompile("`([^`\n]+)`")
+	qualifiedName = regexp.MustCompile(`^([a-z]+)((?:\.[A-Za-z]\w*){1,2})(?:\(\))?$`)
+	sourcePath    = regexp.MustCompile(`^(?:cmd|deploy|docs|emulator|internal|test|tools)/[\w./-]*$`)
 )
 
-// Every name and path in backticks on the architecture page exists in the sources.
-func TestArchitecturePageNamesWhatExists(t *testing.T) {
-	text, _, found := strings.Cut(readPage(t, architecturePage), sectionOfFormerNames)
+// The architecture page must not go out of date when code is renamed or moved: every qualified
+// identifier and every path in backticks on it must exist.
+func TestArchitecturePageNamesExistingCode(t *testing.T) {
+	text, _, found := strings.Cut(readPage(t, architecturePage), formerNamesHeading)
 	if !found {
-		t.Errorf("%s has no section %q", architecturePage, strings.TrimSpace(sectionOfFormerNames))
+		t.Errorf("%s has no section %q", architecturePage, strings.TrimSpace(formerNamesHeading))
 	}
-	declared := declarations(t)
+	declared := indexDeclarations(t)
 	checked := 0
-	for _, match := range quoted.FindAllStringSubmatch(text, -1) {
+	for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
 		switch code := match[1]; {
 		case sourcePath.MatchString(code):
 			checked++
 			if _, err := os.Stat(filepath.Join(moduleRoot, code)); err != nil {
-				t.Errorf("%s names %s: %v", architecturePage, code, err)
+				t.Errorf("%s names the path %s, which cannot be found: %v", architecturePage, code, err)
 			}
-		case qualified.MatchString(code):
-			parts := qualified.FindStringSubmatch(code)
+		case qualifiedName.MatchString(code):
+			parts := qualifiedName.FindStringSubmatch(code)
 			if !declared.packages[parts[1]] {
-				continue // not a package of this module: a host, a file name, a field of JSON
+				continue // not a package of this module: a host, a file name or a JSON field
 			}
 			checked++
 			if !declared.names[parts[1]+parts[2]] {
@@ -58,13 +59,13 @@
 			}
 		}
 	}
-	const fewest = 60 // a page whose names are not recognized any more would pass unseen
-	if checked < fewest {
-		t.Errorf("only %d names and paths were checked, at least %d are expected", checked, fewest)
+	const minChecked = 60 // guards against patterns that no longer match the page
+	if checked < minChecked {
+		t.Errorf("checked %d names and paths, want at least %d", checked, minChecked)
 	}
 }
 
-// readPage returns the text of a page, given as a path in the module.
+// readPage returns the text of a page; page is relative to the module root.
 func readPage(t *testing.T, page string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(moduleRoot, page))
@@ -74,16 +75,16 @@
 	return string(text)
 }
 
-// declared lists what packages of the module declare: "package.Name" for what stands at
-// the top, "package.Type.Name" for methods and fields.
-type declared struct {
+// declarationIndex lists the declarations of the module's packages: "package.Name" for
+// package-level declarations, "package.Type.Name" for methods and fields.
+type declarationIndex struct {
 	packages map[string]bool
 	names    map[string]bool
 }
 
-func declarations(t *testing.T) declared {
+func indexDeclarations(t *testing.T) declarationIndex {
 	t.Helper()
-	d := declared{packages: map[string]bool{}, names: map[string]bool{}}
+	d := declarationIndex{packages: map[string]bool{}, names: map[string]bool{}}
 	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -98,7 +99,7 @@
 		if err != nil {
 			return err
 		}
-		d.add(file)
+		d.addFile(file)
 		return nil
 	})
 	if err != nil {
@@ -107,7 +108,7 @@
 	return d
 }
 
-func (d declared) add(file *ast.File) {
+func (d declarationIndex) addFile(file *ast.File) {
 	pkg := file.Name.Name
 	d.packages[pkg] = true
 	for _, decl := range file.Decls {
@@ -122,7 +123,7 @@
 	}
 }
 
-// receiver is "." and the type that a method belongs to, or "" for a function.
+// receiver returns "." and the name of a method's receiver type, or "" for a function.
 func receiver(decl *ast.FuncDecl) string {
 	if decl.Recv == nil {
 		return ""
@@ -140,7 +141,7 @@
 	return ""
 }
 
-func (d declared) addSpec(pkg string, spec ast.Spec) {
+func (d declarationIndex) addSpec(pkg string, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
 		for _, name := range spec.Names {
@@ -152,7 +153,7 @@
 	}
 }
 
-func (d declared) addMembers(typeName string, typ ast.Expr) {
+func (d declarationIndex) addMembers(typeName string, typ ast.Expr) {
 	var fields *ast.FieldList
 	switch typ := typ.(type) {
 	case *ast.StructType:
--- a/test/docs/paths_test.go
+++ b/test/docs/paths_test.go
@@ -13,64 +13,65 @@
 	"testing"
 )
 
-// historyPages keep the paths of their day.
-var historyPages = []string{"measurements.md", "ROADMAP.md"}
+// historicalPages describe past states of the module and may name paths that no longer exist.
+var historicalPages = []string{"measurements.md", "ROADMAP.md"}
 
-// goFile is a Go file, with or without folders before it.
-var goFile = regexp.MustCompile(`^[\w./-]+\.go$`)
+// goFilePath matches the name of a Go file, with or without directories.
+var goFilePath = regexp.MustCompile(`^[\w./-]+\.go$`)
 
-// Every Go file and every folder in backticks on the pages exists, but on those about the
-// past and in the list of former names.
-func TestPagesNamePathsThatExist(t *testing.T) {
+// The pages must not go out of date when files are moved or renamed: every Go file and directory in
+// backticks must exist. Historical pages and the list of former names are not checked.
+func TestPagesNameExistingPaths(t *testing.T) {
 	files := goFileNames(t)
 	checked := 0
 	for _, page := range currentPages(t) {
-		text, _, _ := strings.Cut(readPage(t, page), sectionOfFormerNames)
-		for _, match := range quoted.FindAllStringSubmatch(text, -1) {
+		text, _, _ := strings.Cut(readPage(t, page), formerNamesHeading)
+		for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
 			code := match[1]
 			switch {
-			case sourcePath.MatchString(code), goFile.MatchString(code) && strings.Contains(code, "/"):
+			case sourcePath.MatchString(code), goFilePath.MatchString(code) && strings.Contains(code, "/"):
 				checked++
 				if _, err := os.Stat(filepath.Join(moduleRoot, code)); err != nil {
-					t.Errorf("%s names %s: %v", page, code, err)
+					t.Errorf("%s names the path %s, which cannot be found: %v", page, code, err)
 				}
-			case goFile.MatchString(code):
+			case goFilePath.MatchString(code):
 				checked++
 				if !files[code] {
-					t.Errorf("%s names %s: no folder has such a file", page, code)
+					t.Errorf("%s names the file %s, which no directory contains", page, code)
 				}
 			}
 		}
 	}
-	const fewest = 40 // paths that are not recognized any more would pass unseen
-	if checked < fewest {
-		t.Errorf("only %d paths were checked, at least %d are expected", checked, fewest)
+	const minChecked = 40 // guards against patterns that no longer match the pages
+	if checked < minChecked {
+		t.Errorf("checked %d paths, want at least %d", checked, minChecked)
 	}
 }
 
-// fileOfPage is a file beside the code that is no name of a package's: a page, or data.
-var fileOfPage = regexp.MustCompile(`\.(md|json|toml|golden|go)$`)
+// fileName matches file names, which otherwise look like qualified identifiers (job.go).
+var fileName = regexp.MustCompile(`\.(md|json|toml|golden|go)$`)
 
-// testFunction is the name of a test.
+// testFunction matches the name of a test function.
 var testFunction = regexp.MustCompile(`^Test[A-Z]\w*$`)
 
-// Every test, and every name qualified by a package of the module, that stands in backticks
-// on the pages is declared, but on those about the past and in the list of former names.
-func TestPagesNameWhatIsDeclared(t *testing.T) {
-	declared, tests := declarations(t), testFunctions(t)
+// The pages must not go out of date when code is renamed: every test function and every identifier
+// qualified by a package of the module, in backticks, must be declared. Historical pages and the
+// list of former names are not checked.
+func TestPagesNameDeclaredIdentifiers(t *testing.T) {
+	declared, tests := indexDeclarations(t), testFunctions(t)
 	checked := 0
 	for _, page := range currentPages(t) {
-		text, _, _ := strings.Cut(readPage(t, page), sectionOfFormerNames)
-		for _, match := range quoted.FindAllStringSubmatch(text, -1) {
+		text, _, _ := strings.Cut(readPage(t, page), formerNamesHeading)
+		for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
 			code := match[1]
-			name := qualified.FindStringSubmatch(code)
+			name := qualifiedName.FindStringSubmatch(code)
 			switch {
 			case testFunction.MatchString(code):
 				checked++
 				if !tests[code] {
-					t.Errorf("%s names %s, which is no test", page, code)
+					t.Errorf("%s names the test %s, which is not declared", page, code)
 				}
-			case name != nil && declared.packages[name[1]] && !fileOfPage.MatchString(code):
+			case name != nil && declared.packages[name[1]] && !fileName.MatchString(code):
 				checked++
 				if !declared.names[name[1]+name[2]] {
 					t.Errorf("%s names %s, which is not declared", page, code)
@@ -78,13 +79,13 @@
 			}
 		}
 	}
-	const fewest = 100 // names that are not recognized any more would pass unseen
-	if checked < fewest {
-		t.Errorf("only %d names were checked, at least %d are expected", checked, fewest)
+	const minChecked = 100 // guards against patterns that no longer match the pages
+	if checked < minChecked {
+		t.Errorf("checked %d names, want at least %d", checked, minChecked)
 	}
 }
 
-// testFunctions returns the names of all tests of the module.
+// testFunctions returns the names of all functions in the module's test files.
 func testFunctions(t *testing.T) map[string]bool {
 	t.Helper()
 	tests := map[string]bool{}
@@ -109,7 +110,7 @@
 	return tests
 }
 
-// currentPages lists the pages that speak of the present, as paths in the module.
+// currentPages lists the pages that describe the present state, relative to the module root.
 func currentPages(t *testing.T) []string {
 	t.Helper()
 	entries, err := os.ReadDir(filepath.Join(moduleRoot, "docs"))
@@ -118,14 +119,14 @@
 	}
 	pages := []string{"README.md"}
 	for _, entry := range entries {
-		if filepath.Ext(entry.Name()) == ".md" && !slices.Contains(historyPages, entry.Name()) {
+		if filepath.Ext(entry.Name()) == ".md" && !slices.Contains(historicalPages, entry.Name()) {
 			pages = append(pages, "docs/"+entry.Name())
 		}
 	}
 	return pages
 }
 
-// goFileNames returns the names of all Go files of the module, without their folders.
+// goFileNames returns the base names of all Go files of the module.
 func goFileNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
