--- a/test/wireformat/forms.go
+++ b/test/wireformat/forms.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// Service compares the methods that net/rpc would register of a service with the
-// recorded ones, each with the form of its argument and of its reply; and it sees that
-// messages recorded with an earlier build are read as what they said.
+// Service compares the methods of a service that net/rpc would register, with the form of each
+// argument and reply, with the golden file "rpc". It also checks that messages that an earlier
+// build encoded still decode to the same values.
 func Service(t *testing.T, service any) {
 	t.Helper()
 	const file = "rpc"
@@ -25,40 +25,41 @@
 	typ := reflect.TypeOf(service)
 	for i := range typ.NumMethod() {
 		m := typ.Method(i)
-		if !callable(m) {
+		if !isRPCMethod(m) {
 			continue
 		}
 		for k, role := range []string{"argument", "reply"} {
-			in := m.Type.In(1 + k)
-			for in.Kind() == reflect.Pointer {
-				in = in.Elem()
+			messageType := m.Type.In(1 + k)
+			for messageType.Kind() == reflect.Pointer {
+				messageType = messageType.Elem()
 			}
 			name := m.Name + " " + role
-			current := message{form: Describe(in), stream: encodeFilled(t, in)}
+			current := message{form: Describe(messageType), stream: encodeFilled(t, messageType)}
 			stream := base64.StdEncoding.EncodeToString(current.stream)
 			fmt.Fprintf(&all, "== %s\n%sgob %s\n", name, current.form, stream)
 			if Updating() {
 				continue
 			}
-			t.Run(name, func(t *testing.T) { current.check(t, in, recorded[name]) })
+			t.Run(name, func(t *testing.T) { current.check(t, messageType, recorded[name]) })
 			delete(recorded, name)
 		}
 	}
 	for name := range recorded {
-		t.Errorf("%s: recorded, and no such method any more", name)
+		t.Errorf("%s is recorded, but the service has no such method", name)
 	}
 	if Updating() {
 		Golden(t, file, all.String())
 	}
 }
 
-// callable reports whether net/rpc registers a method.
-func callable(m reflect.Method) bool {
+// isRPCMethod reports whether net/rpc registers a method.
+func isRPCMethod(m reflect.Method) bool {
 	return m.IsExported() && m.Type.NumIn() == 3 && m.Type.In(2).Kind() == reflect.Pointer &&
 		m.Type.NumOut() == 1 && m.Type.Out(0) == reflect.TypeFor[error]()
 }
 
-// message is an argument or a reply: its form, and a filled one as gob sends it.
+// message is the argument or reply of a method: the form of its type, and the gob stream of a
+// filled value.
 type message struct {
 	form   string
 	stream []byte
@@ -72,35 +73,35 @@
 		form, encoded, _ := strings.Cut(rest, "gob ")
 		stream, err := base64.StdEncoding.DecodeString(strings.TrimSpace(encoded))
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("decoding the recorded stream of %s: %v", name, err)
 		}
 		out[name] = message{form, stream}
 	}
 	return out
 }
 
-// check compares a message of the given type with the recorded one. The streams may
-// differ in the names of types, which gob sends and does not compare.
+// check compares a message of type typ with the recorded one. Only the decoded values of the two
+// streams are compared: gob also writes the names of Go types, which receivers ignore.
 func (m message) check(t *testing.T, typ reflect.Type, recorded message) {
 	t.Helper()
 	if recorded.form == "" {
-		t.Fatal("is not recorded")
+		t.Fatal("the golden file has no entry for this message")
 	}
 	if difference := firstDifference(recorded.form, m.form); difference != "" {
-		t.Errorf("its form is not the recorded one: %s", difference)
+		t.Errorf("the form of the message differs from the recorded one: %s", difference)
 	}
-	want := filled(typ)
+	want := newFilled(typ)
 	for what, stream := range map[string][]byte{"recorded": recorded.stream, "current": m.stream} {
 		got := reflect.New(typ)
 		if err := gob.NewDecoder(bytes.NewReader(stream)).DecodeValue(got); err != nil {
-			t.Errorf("reading the %s stream: %v", what, err)
+			t.Errorf("decoding the %s stream: %v", what, err)
 		} else if !reflect.DeepEqual(got.Interface(), want.Interface()) {
-			t.Errorf("the %s stream reads as %+v, want %+v", what, got.Elem(), want.Elem())
+			t.Errorf("decoding the %s stream: got %+v, want %+v", what, got.Elem(), want.Elem())
 		}
 	}
 }
 
-func filled(typ reflect.Type) reflect.Value {
+func newFilled(typ reflect.Type) reflect.Value {
 	v := reflect.New(typ)
 	Fill(v.Interface())
 	return v
@@ -109,14 +110,14 @@
 func encodeFilled(t *testing.T, typ reflect.Type) []byte {
 	t.Helper()
 	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).EncodeValue(filled(typ)); err != nil {
-		t.Fatalf("encoding %s: %v", typ, err)
+	if err := gob.NewEncoder(&b).EncodeValue(newFilled(typ)); err != nil {
+		t.Fatalf("encoding a filled %s: %v", typ, err)
 	}
 	return b.Bytes()
 }
 
-// JSON compares the JSON of a filled and of a zero T with the recorded text of that
-// name, and sees that the recorded filled one is read back in full.
+// JSON compares the JSON encodings of a filled and of a zero T with the golden file of that name,
+// and checks that the recorded filled value decodes without loss.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
@@ -126,10 +127,10 @@
 		recorded, _, _ := strings.Cut(strings.TrimPrefix(Recorded(t, name), "filled "), "\nzero ")
 		var got T
 		if err := json.Unmarshal([]byte(recorded), &got); err != nil {
-			t.Fatalf("reading the recorded value: %v", err)
+			t.Fatalf("decoding the recorded value: %v", err)
 		}
-		if before, after := Indent(t, value), Indent(t, got); before != after {
-			t.Errorf("the recorded value reads as %s, want %s", after, before)
+		if wantJSON, gotJSON := Indent(t, value), Indent(t, got); wantJSON != gotJSON {
+			t.Errorf("decoding the recorded value: got %s, want %s", gotJSON, wantJSON)
 		}
 	})
 }
--- a/test/wireformat/names_command_test.go
+++ b/test/wireformat/names_command_test.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// commandPackage declares the commands and their flags.
+// commandPackage is the package that declares the commands and their flags.
 const commandPackage = "cmd/robinstack"
 
-// eachFunction visits the functions of the command package.
-func (c *collection) eachFunction(visit func(f *goFile, function *ast.FuncDecl)) {
+// eachCommandFunction calls visit for each function of the command package.
+func (c *collection) eachCommandFunction(visit func(f *goFile, function *ast.FuncDecl)) {
 	p := c.module.packages[commandPackage]
 	if p == nil {
 		return
@@ -25,17 +25,17 @@
 	}
 }
 
-// collectCommands gathers the commands with their arguments, as their usage states them. The
-// name of a command that is not constant is *; the map of the verbs has it (collectMapKeys).
+// collectCommands collects the commands and their arguments from their usage lines. A command whose
+// name is not constant is collected as "*"; its names are keys of a map (see collectMapKeys).
 func collectCommands(c *collection) {
-	c.eachFunction(func(f *goFile, function *ast.FuncDecl) {
+	c.eachCommandFunction(func(f *goFile, function *ast.FuncDecl) {
 		for _, usage := range usages(function) {
 			c.add("command", c.pattern(f, usage), usage.Pos())
 		}
 	})
 }
 
-// usages returns the usage of each command that a function makes.
+// usages returns the usage line of each command that a function creates.
 func usages(function *ast.FuncDecl) []ast.Expr {
 	var found []ast.Expr
 	ast.Inspect(function, func(node ast.Node) bool {
@@ -47,12 +47,12 @@
 	return found
 }
 
-// flagMethods are the methods of a flag set that define a flag in a variable.
+// flagMethods matches the methods of a flag set that bind a flag to a variable.
 var flagMethods = regexp.MustCompile(`^(String|Bool|Int|Int64|Uint|Float64|Duration|StringArray|StringSlice)VarP?$`)
 
-// collectFlags gathers the flags of each command.
+// collectFlags collects the flags of each command.
 func collectFlags(c *collection) {
-	c.eachFunction(func(f *goFile, function *ast.FuncDecl) {
+	c.eachCommandFunction(func(f *goFile, function *ast.FuncDecl) {
 		ast.Inspect(function, func(node ast.Node) bool {
 			call, ok := node.(*ast.CallExpr)
 			if !ok || len(call.Args) < 2 || !flagMethods.MatchString(typeName(call.Fun)) {
@@ -65,7 +65,7 @@
 			}
 			name, ok := c.module.stringValue(f, call.Args[1])
 			if !ok {
-				c.faultf("%s: the name of a flag is not constant", c.module.fset.Position(call.Pos()))
+				c.errorf("%s: the name of a flag is not constant", c.module.fset.Position(call.Pos()))
 			}
 			c.add(kind, "--"+name, call.Pos())
 			return true
@@ -73,28 +73,28 @@
 	})
 }
 
-// processFlag matches a flag among the arguments of a process.
+// processFlag matches a flag on the command line of a started process.
 var processFlag = regexp.MustCompile(`^--[a-z][a-z-]*$`)
 
-// collectArguments gathers the flags that are given to processes.
+// collectArguments collects the flags that are passed to started processes.
 func collectArguments(c *collection) {
 	c.eachNode(func(f *goFile, node ast.Node) {
 		switch node := node.(type) {
 		case *ast.BasicLit, *ast.BinaryExpr:
 			if value, ok := c.module.stringValue(f, node.(ast.Expr)); ok && processFlag.MatchString(value) {
-				c.add(in("flag given to a process", f), value, node.Pos())
+				c.add(packageKind("flag given to a process", f), value, node.Pos())
 			}
 		}
 	})
 }
 
-// environmentCalls are the functions that name an environment variable.
+// environmentCalls matches the functions that take the name of an environment variable.
 var environmentCalls = regexp.MustCompile(`^os\.(Getenv|LookupEnv|Setenv|Unsetenv)$`)
 
-// environmentSetting matches the start of an entry of a process's environment.
+// environmentSetting matches the prefix NAME= of an entry in the environment of a process.
 var environmentSetting = regexp.MustCompile(`^([A-Z][A-Z0-9_]*)=`)
 
-// collectEnvironment gathers the environment variables that are read or set.
+// collectEnvironment collects the environment variables that are read or set.
 func collectEnvironment(c *collection) {
 	c.eachNode(func(f *goFile, node ast.Node) {
 		switch node := node.(type) {
@@ -104,15 +104,15 @@
 			}
 			name, ok := c.module.stringValue(f, node.Args[0])
 			if !ok {
-				c.faultf("%s: the environment variable is not constant", c.module.fset.Position(node.Pos()))
+				c.errorf("%s: the environment variable is not constant", c.module.fset.Position(node.Pos()))
 			}
-			c.add(in("environment variable", f), name, node.Pos())
+			c.add(packageKind("environment variable", f), name, node.Pos())
 		case *ast.BasicLit:
 			if node.Kind != token.STRING {
 				return
 			}
 			if match := environmentSetting.FindStringSubmatch(unquote(node.Value)); match != nil {
-				c.add(in("environment variable", f), match[1], node.Pos())
+				c.add(packageKind("environment variable", f), match[1], node.Pos())
 			}
 		}
 	})
--- a/test/wireformat/names_http_test.go
+++ b/test/wireformat/names_http_test.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// servedRoute matches a route in a server that compares the method and the path as one string.
+// servedRoute matches a route of a server that matches method and path as one string.
 var servedRoute = regexp.MustCompile(`^(GET|POST|PUT|DELETE) /`)
 
-// routeMethods are the methods of the HTTP framework that add a route.
+// routeMethods matches the methods of the HTTP framework that add a route.
 var routeMethods = regexp.MustCompile(`^(Get|Post|Put|Patch|Delete|All|Use)$`)
 
-// collectRoutes gathers the routes that servers answer.
+// collectRoutes collects the routes that servers serve.
 func collectRoutes(c *collection) {
 	c.eachNode(func(f *goFile, node ast.Node) {
 		switch node := node.(type) {
 		case *ast.BasicLit:
 			if route := unquote(node.Value); servedRoute.MatchString(route) {
-				c.add(in("HTTP route", f), route, node.Pos())
+				c.add(packageKind("HTTP route", f), route, node.Pos())
 			}
 		case *ast.CallExpr:
 			selector, ok := node.Fun.(*ast.SelectorExpr)
@@ -28,17 +28,18 @@
 				return
 			}
 			if route, ok := c.module.stringValue(f, node.Args[0]); ok && strings.HasPrefix(route, "/") {
-				c.add(in("HTTP route", f), strings.ToUpper(selector.Sel.Name)+" "+route, node.Pos())
+				c.add(packageKind("HTTP route", f), strings.ToUpper(selector.Sel.Name)+" "+route, node.Pos())
 			}
 		}
 	})
 }
 
-// requestPath matches a literal that begins the path of a request.
+// requestPath matches a string literal that begins with a request path.
 var requestPath = regexp.MustCompile(`^/[a-z_]`)
 
-// collectRequests gathers the requests that clients send, method and path, and every path that
-// stands in a literal. A request whose path is not known at the place has its method alone.
+// collectRequests collects the method and path of each request that clients send, and every path in
+// a string literal. A request whose path is not known where it is sent is collected as its method
+// alone.
 func collectRequests(c *collection) {
 	c.eachNode(func(f *goFile, node ast.Node) {
 		if f.pkg.dir == ownPackage {
@@ -48,7 +49,7 @@
 		switch node := node.(type) {
 		case *ast.BasicLit:
 			if literal := unquote(node.Value); requestPath.MatchString(literal) {
-				c.add(in("HTTP path", f), literal, node.Pos())
+				c.add(packageKind("HTTP path", f), literal, node.Pos())
 			}
 		case *ast.CallExpr:
 			if !strings.HasPrefix(qualifiedName(node.Fun), "httptest.") {
@@ -58,12 +59,13 @@
 			parts = node.Elts
 		}
 		if request := c.request(f, parts); request != "" {
-			c.add(in("HTTP request", f), request, node.Pos())
+			c.add(packageKind("HTTP request", f), request, node.Pos())
 		}
 	})
 }
 
-// request returns the method and path among arguments or elements, or "" without a method.
+// request returns the method and path of a request among call arguments or composite literal
+// elements, or "" if they contain no method.
 func (c *collection) request(f *goFile, parts []ast.Expr) string {
 	method, requestedPath := "", ""
 	for _, part := range parts {
@@ -84,7 +86,7 @@
 	return method + requestedPath
 }
 
-// pattern renders a string expression, with * for what is not constant.
+// pattern returns the value of a string expression, with "*" for each part that is not constant.
 func (c *collection) pattern(f *goFile, expr ast.Expr) string {
 	if value, ok := c.module.stringValue(f, expr); ok {
 		return value
@@ -102,7 +104,7 @@
 	return "*"
 }
 
-// qualifiedName returns package.Name of a selector on an identifier, or "".
+// qualifiedName returns package.Name for a selector on an identifier, or "" for other expressions.
 func qualifiedName(expr ast.Expr) string {
 	if selector, ok := expr.(*ast.SelectorExpr); ok {
 		if qualifier, ok := selector.X.(*ast.Ident); ok {
@@ -112,10 +114,11 @@
 	return ""
 }
 
-// parameterMethods are the methods that read or set a parameter of a path or a query.
+// parameterMethods matches the methods that read or set a path or query parameter.
 var parameterMethods = regexp.MustCompile(`^(Params|Query|Get|Set)$`)
 
-// collectParameters gathers the names of path and query parameters outside of map literals.
+// collectParameters collects the names of path and query parameters that are not keys of a map
+// literal.
 func collectParameters(c *collection) {
 	c.eachNode(func(f *goFile, node ast.Node) {
 		call, ok := node.(*ast.CallExpr)
@@ -132,12 +135,12 @@
 			return
 		}
 		if name := unquote(literal.Value); nameLike.MatchString(name) {
-			c.add(in("HTTP parameter", f), name, call.Pos())
+			c.add(packageKind("HTTP parameter", f), name, call.Pos())
 		}
 	})
 }
 
-// collectHeaders gathers the headers that are set, with the value where it is constant.
+// collectHeaders collects the headers that are set, with their values where these are constant.
 func collectHeaders(c *collection) {
 	c.eachNode(func(f *goFile, node ast.Node) {
 		call, ok := node.(*ast.CallExpr)
@@ -149,17 +152,17 @@
 			return
 		}
 		if len(call.Args) == 0 {
-			c.add(in("HTTP header", f), name, call.Pos())
+			c.add(packageKind("HTTP header", f), name, call.Pos())
 			return
 		}
 		if value, ok := c.module.stringValue(f, call.Args[len(call.Args)-1]); ok {
 			name += ": " + value
 		}
-		c.add(in("HTTP header", f), name, call.Pos())
+		c.add(packageKind("HTTP header", f), name, call.Pos())
 	})
 }
 
-// headerName returns the header that a call sets, or "".
+// headerName returns the name of the header that a call sets, or "" for other calls.
 func headerName(call *ast.CallExpr) string {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
@@ -185,7 +188,7 @@
 	return ""
 }
 
-// hyphenate writes RetryAfter as Retry-After.
+// hyphenate converts a name in camel case to a header name: RetryAfter becomes Retry-After.
 func hyphenate(name string) string {
 	var b strings.Builder
 	for i, r := range name {
@@ -197,8 +200,8 @@
 	return b.String()
 }
 
-// collectStatusCodes gathers the HTTP status codes that a package sends or compares, once each,
-// and the texts of errors in answers.
+// collectStatusCodes collects the HTTP status codes that a package sends or compares, once for each
+// package, and the error texts of responses.
 func collectStatusCodes(c *collection) {
 	seen := map[string]bool{}
 	c.eachNode(func(f *goFile, node ast.Node) {
@@ -212,14 +215,14 @@
 			key := fmt.Sprint(f.pkg.dir, code)
 			if ok && code != "" && (qualifier == "http" || qualifier == "fiber") && !seen[key] {
 				seen[key] = true
-				c.add(in("HTTP status", f), code, node.Pos())
+				c.add(packageKind("HTTP status", f), code, node.Pos())
 			}
 		case *ast.CompositeLit:
 			if typeName(node.Type) != "requestError" || len(node.Elts) != 2 {
 				return
 			}
 			if text, ok := c.module.stringValue(f, node.Elts[1]); ok {
-				c.add(in("HTTP error text", f), text, node.Pos())
+				c.add(packageKind("HTTP error text", f), text, node.Pos())
 			}
 		}
 	})
--- a/test/wireformat/names_json_test.go
+++ b/test/wireformat/names_json_test.go
@@ -6,11 +6,10 @@
 	"strings"
 )
 
-// tagKinds maps the encodings whose struct tags name what leaves a process to the kind of these
-// names.
+// tagKinds maps the keys of struct tags that contain external names to the kind of these names.
 var tagKinds = map[string]string{"json": "JSON key", "toml": "TOML key", "expr": "policy variable"}
 
-// collectTags gathers the names in struct tags.
+// collectTags collects the names in struct tags.
 func collectTags(c *collection) {
 	c.eachNode(func(f *goFile, node ast.Node) {
 		field, ok := node.(*ast.Field)
@@ -21,48 +20,48 @@
 			tag, ok := structTag(field, encoding)
 			name, _, _ := strings.Cut(tag, ",")
 			if ok && name != "-" && name != "" {
-				c.add(in(kind, f), name, field.Pos())
+				c.add(packageKind(kind, f), name, field.Pos())
 			}
 		}
 	})
 }
 
-// Kinds of fields that JSON writes under their Go names.
+// Kinds of the fields that JSON encodes under their Go names.
 const (
-	goFieldKey    = "JSON key that is a Go field name"
-	loadPlanField = "Go field name in the plan of the load process"
+	untaggedFieldKind = "JSON key that is a Go field name"
+	loadPlanFieldKind = "Go field name in the plan of the load process"
 )
 
-// collectUntaggedFields gathers the fields that JSON writes under their Go names: those without
-// a tag of every struct that another one with JSON tags contains.
+// collectUntaggedFields collects the fields that JSON encodes under their Go names: the fields
+// without a tag in all structs that have a JSON tag or are contained in such a struct.
 func collectUntaggedFields(c *collection) {
 	visited := map[ast.Expr]bool{}
-	if decl := c.declared(decodedOnly); decl != nil {
+	if decl := c.declared(internalFieldType); decl != nil {
 		visited[decl.expr] = true
 	}
 	c.eachNode(func(f *goFile, node ast.Node) {
 		if s, ok := node.(*ast.StructType); ok && hasJSONTag(s) {
-			c.visitJSON(goFieldKey, f, s, visited)
+			c.collectJSONFields(untaggedFieldKind, f, s, visited)
 		}
 	})
-	if decl := c.declared(untaggedRoot); decl != nil {
-		c.visitJSON(loadPlanField, decl.file, decl.expr, map[ast.Expr]bool{})
+	if decl := c.declared(untaggedJSONType); decl != nil {
+		c.collectJSONFields(loadPlanFieldKind, decl.file, decl.expr, map[ast.Expr]bool{})
 	}
 }
 
-// typeReference names a type that the collector looks for.
+// typeReference names a type that the collector treats specially.
 type typeReference struct{ pkg, name string }
 
-// untaggedRoot is a type without any tag that is written as JSON: the plan for the process of the
-// workers and users. decodedOnly is a type with tags and a field without one that is set by the
-// code and never part of JSON.
+// untaggedJSONType is encoded as JSON although it has no tags: the plan for the load
+// process. internalFieldType has JSON tags, but its untagged field is set by the code after
+// decoding and is never part of the JSON.
 var (
-	untaggedRoot = typeReference{"tools/scaletest", "LoadPlan"}
-	decodedOnly  = typeReference{"tools/devcluster", "Response"}
+	untaggedJSONType  = typeReference{"tools/scaletest", "LoadPlan"}
+	internalFieldType = typeReference{"tools/devcluster", "Response"}
 )
 
-// declared returns the declaration of a type, or nil in a module without its package. A package
-// without the type is a fault.
+// declared returns the declaration of a type, or nil in a module without the type's package. A
+// package that does not declare the type is reported as an error.
 func (c *collection) declared(reference typeReference) *typeDecl {
 	p := c.module.packages[reference.pkg]
 	if p == nil {
@@ -70,7 +69,8 @@
 	}
 	decl := p.types[reference.name]
 	if decl == nil {
-		c.faultf("%s.%s is not declared; was it renamed?", reference.pkg, reference.name)
+		c.errorf("%s.%s, which the collector looks up by name, is not declared; was it renamed?",
+			reference.pkg, reference.name)
 	}
 	return decl
 }
@@ -85,22 +85,22 @@
 	return false
 }
 
-// visitJSON gathers the untagged fields of the structs in a type.
-func (c *collection) visitJSON(kind string, f *goFile, expr ast.Expr, visited map[ast.Expr]bool) {
+// collectJSONFields collects the untagged fields of all structs that a type contains.
+func (c *collection) collectJSONFields(kind string, f *goFile, expr ast.Expr, visited map[ast.Expr]bool) {
 	if visited[expr] {
 		return
 	}
 	visited[expr] = true
 	switch typ := expr.(type) {
 	case *ast.StarExpr:
-		c.visitJSON(kind, f, typ.X, visited)
+		c.collectJSONFields(kind, f, typ.X, visited)
 	case *ast.ArrayType:
-		c.visitJSON(kind, f, typ.Elt, visited)
+		c.collectJSONFields(kind, f, typ.Elt, visited)
 	case *ast.MapType:
-		c.visitJSON(kind, f, typ.Value, visited)
+		c.collectJSONFields(kind, f, typ.Value, visited)
 	case *ast.Ident, *ast.SelectorExpr:
 		if decl := c.module.typeOf(f, typ); decl != nil && !decl.encodesItself() {
-			c.visitJSON(kind, decl.file, decl.expr, visited)
+			c.collectJSONFields(kind, decl.file, decl.expr, visited)
 		}
 	case *ast.StructType:
 		for _, field := range typ.Fields.List {
@@ -110,15 +110,15 @@
 			}
 			for _, name := range fieldNames(field) {
 				if !tagged && len(field.Names) > 0 && token.IsExported(name) {
-					c.add(in(kind, f), name, field.Pos())
+					c.add(packageKind(kind, f), name, field.Pos())
 				}
 			}
-			c.visitJSON(kind, f, field.Type, visited)
+			c.collectJSONFields(kind, f, field.Type, visited)
 		}
 	}
 }
 
-// encodesItself reports whether the type has its own JSON encoding.
+// encodesItself reports whether the type implements its own JSON encoding.
 func (d *typeDecl) encodesItself() bool {
 	for _, method := range d.file.pkg.methods[d.name] {
 		if method.Name.Name == "MarshalJSON" {
@@ -128,17 +128,17 @@
 	return false
 }
 
-// internalMaps are packages whose map literals have keys for their own use only.
-var internalMaps = map[string]bool{
+// internalMapPackages are the packages whose map literals have only internal keys.
+var internalMapPackages = map[string]bool{
 	logTablePackage: true, ownPackage: true, "internal/machine": true, "internal/tombstone": true,
 }
 
-// collectMapKeys gathers the constant string keys of composite literals: JSON objects that are
-// written as maps, and tables of settings.
+// collectMapKeys collects the constant string keys of composite literals: JSON objects that are
+// encoded from maps, and tables of settings.
 func collectMapKeys(c *collection) {
 	c.eachNode(func(f *goFile, node ast.Node) {
 		literal, ok := node.(*ast.CompositeLit)
-		if !ok || internalMaps[f.pkg.dir] {
+		if !ok || internalMapPackages[f.pkg.dir] {
 			return
 		}
 		for _, element := range literal.Elts {
@@ -151,7 +151,7 @@
 				continue
 			}
 			if key, ok := c.module.stringValue(f, pair.Key); ok && key != "" {
-				c.add(in("map key", f), key, pair.Pos())
+				c.add(packageKind("map key", f), key, pair.Pos())
 			}
 		}
 	})
--- a/test/wireformat/names_list_test.go
+++ b/test/wireformat/names_list_test.go
@@ -9,47 +9,48 @@
 	"strings"
 )
 
-// outerName is a name that leaves a process, and where the sources have it.
-type outerName struct {
-	kind  string
-	name  string
-	place string
+// externalName is a name that other processes, operators or stored data depend on, with its
+// position in the sources.
+type externalName struct {
+	kind     string
+	name     string
+	position string
 }
 
-// collection gathers names by kind. A name that stands in several places is kept once for each,
-// so that a rename in one of them is found.
+// collection holds the external names of a module by kind. A name that occurs at several positions
+// has one entry for each, so that a rename at a single position changes the count.
 type collection struct {
 	module *module
-	names  map[string][]outerName
-	faults []string
+	names  map[string][]externalName
+	errors []string
 }
 
-// add records a name that stands at a position.
+// add records the occurrence of a name.
 func (c *collection) add(kind, name string, pos token.Pos) {
-	c.names[kind] = append(c.names[kind], outerName{kind, name, c.module.fset.Position(pos).String()})
+	c.names[kind] = append(c.names[kind], externalName{kind, name, c.module.fset.Position(pos).String()})
 }
 
-// faultf records that the collector does not find what it looks for.
-func (c *collection) faultf(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf(format, args...))
+// errorf records that a declaration or value that the collector relies on was not found.
+func (c *collection) errorf(format string, args ...any) {
+	c.errors = append(c.errors, fmt.Sprintf(format, args...))
 }
 
-// collect gathers the names of all kinds from a module.
+// collect collects the external names of all kinds from a module.
 func collect(m *module) *collection {
-	c := &collection{module: m, names: map[string][]outerName{}}
-	for _, gather := range []func(*collection){
+	c := &collection{module: m, names: map[string][]externalName{}}
+	for _, collectKind := range []func(*collection){
 		collectTags, collectUntaggedFields, collectMapKeys, collectServices, collectCalledMethods,
 		collectRoutes, collectRequests, collectParameters, collectHeaders, collectStatusCodes,
 		collectCommands, collectFlags, collectArguments, collectEnvironment,
-		collectConstants, collectStateKeys, collectIdentifierFormats, collectPlaces,
+		collectConstants, collectStateKeys, collectIdentifierFormats, collectNamedDeclarations,
 		collectClusterVersions, collectIntegers, collectLogTable, collectLogCalls, collectDeployedTOML,
 	} {
-		gather(c)
+		collectKind(c)
 	}
 	return c
 }
 
-// format writes the names as the list has them: by kind, sorted, one a line.
+// format returns the names in the format of the list: sorted by kind and name, one name a line.
 func (c *collection) format() string {
 	var b strings.Builder
 	for i, kind := range slices.Sorted(maps.Keys(c.names)) {
@@ -69,7 +70,7 @@
 	return b.String()
 }
 
-// parseList reads a list and returns how often it has each name, by kind.
+// parseList parses a list and returns how often it contains each name, by kind.
 func parseList(text string) map[string]map[string]int {
 	listed := map[string]map[string]int{}
 	kind := ""
@@ -85,22 +86,22 @@
 	return listed
 }
 
-// differences compares a list with the collected names. Each line names what was renamed, added
-// or removed.
+// differences compares a list with the collected names. It returns the errors of the collection,
+// and one line for each name that was renamed, added or removed.
 func (c *collection) differences(list string) []string {
 	listed := parseList(list)
 	found := map[string]map[string][]string{}
 	for kind, names := range c.names {
 		found[kind] = map[string][]string{}
 		for _, n := range names {
-			found[kind][n.name] = append(found[kind][n.name], n.place)
+			found[kind][n.name] = append(found[kind][n.name], n.position)
 		}
 	}
-	report := slices.Clone(c.faults)
+	report := slices.Clone(c.errors)
 	for kind, names := range listed {
 		for name, count := range names {
 			if places := found[kind][name]; len(places) < count {
-				report = append(report, fmt.Sprintf("%s: %q is listed %d times and stands in %d places %v",
+				report = append(report, fmt.Sprintf("%s: %q is listed %d times and occurs %d times at %v",
 					kind, name, count, len(places), places))
 			}
 		}
@@ -108,7 +109,7 @@
 	for kind, names := range found {
 		for name, places := range names {
 			if count := listed[kind][name]; len(places) > count {
-				report = append(report, fmt.Sprintf("%s: %q is listed %d times and stands in %d places %v",
+				report = append(report, fmt.Sprintf("%s: %q is listed %d times and occurs %d times at %v",
 					kind, name, count, len(places), places))
 			}
 		}
@@ -117,7 +118,7 @@
 	return report
 }
 
-// eachNode visits the nodes of the files of all packages.
+// eachNode calls visit for each syntax node of all packages.
 func (c *collection) eachNode(visit func(f *goFile, node ast.Node)) {
 	for _, dir := range slices.Sorted(maps.Keys(c.module.packages)) {
 		for _, f := range c.module.packages[dir].files {
@@ -131,5 +132,5 @@
 	}
 }
 
-// in is a kind of names that is listed for each package.
-func in(kind string, f *goFile) string { return kind + ", " + f.pkg.dir }
+// packageKind returns the kind of names that is listed separately for the package of f.
+func packageKind(kind string, f *goFile) string { return kind + ", " + f.pkg.dir }
--- a/test/wireformat/names_module_test.go
+++ b/test/wireformat/names_module_test.go
@@ -15,17 +15,18 @@
 	"strings"
 )
 
-// modulePath begins the import paths of this module.
+// modulePath is the prefix of the import paths of the module's packages.
 const modulePath = "robinstack/"
 
-// sources maps the slash-separated path of each source file in the module to its text.
+// sources maps the slash-separated path of each source file, relative to the module root, to its
+// contents.
 type sources map[string]string
 
-// deployment is the directory whose TOML files are settings that leave with the program.
-const deployment = "deploy/"
+// deploymentDir is the directory whose TOML files are settings that are deployed with the program.
+const deploymentDir = "deploy/"
 
-// readSources reads the Go files below root, except tests and testdata, and the TOML files of the
-// deployment.
+// readSources reads the TOML files of the deployment and all Go files below root except tests and
+// files in testdata directories.
 func readSources(root string) (sources, error) {
 	files := sources{}
 	err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
@@ -54,12 +55,12 @@
 	return files, err
 }
 
-// isSource reports whether a file of the module has names.
+// isSource reports whether external names are collected from a file.
 func isSource(file string) bool {
 	if strings.HasSuffix(file, ".go") {
 		return !strings.HasSuffix(file, "_test.go")
 	}
-	return strings.HasPrefix(file, deployment) && strings.HasSuffix(file, ".toml")
+	return strings.HasPrefix(file, deploymentDir) && strings.HasSuffix(file, ".toml")
 }
 
 // module holds the parsed packages of a module by directory, and its TOML files by path.
@@ -69,25 +70,25 @@
 	fset     *token.FileSet
 }
 
-// goPackage is one parsed package.
+// goPackage is a parsed package.
 type goPackage struct {
 	dir   string
 	name  string
 	files []*goFile
 	types map[string]*typeDecl
-	// constants maps package-level constants and variables with an initial value to it.
-	constants map[string]constant
-	methods   map[string][]*ast.FuncDecl // by receiver type
+	// initialValues holds the initial values of package-level constants and variables.
+	initialValues map[string]initialValue
+	methods       map[string][]*ast.FuncDecl // by receiver type
 }
 
-// goFile is one parsed file, with the import path of each package it imports by name.
+// goFile is a parsed file. imports maps the name of each imported package to its import path.
 type goFile struct {
 	pkg     *goPackage
 	syntax  *ast.File
 	imports map[string]string
 }
 
-// typeDecl is a declared type.
+// typeDecl is a type declaration.
 type typeDecl struct {
 	file  *goFile
 	name  string
@@ -95,13 +96,13 @@
 	alias bool
 }
 
-// constant is the initial value of a declared name.
-type constant struct {
+// initialValue is the expression that initializes a constant or variable.
+type initialValue struct {
 	file  *goFile
 	value ast.Expr
 }
 
-// parseModule parses all sources.
+// parseModule parses all source files.
 func parseModule(files sources) (*module, error) {
 	m := &module{packages: map[string]*goPackage{}, toml: map[string]string{}, fset: token.NewFileSet()}
 	for _, name := range slices.Sorted(maps.Keys(files)) {
@@ -123,11 +124,11 @@
 	p := m.packages[dir]
 	if p == nil {
 		p = &goPackage{
-			dir:       dir,
-			name:      syntax.Name.Name,
-			types:     map[string]*typeDecl{},
-			constants: map[string]constant{},
-			methods:   map[string][]*ast.FuncDecl{},
+			dir:           dir,
+			name:          syntax.Name.Name,
+			types:         map[string]*typeDecl{},
+			initialValues: map[string]initialValue{},
+			methods:       map[string][]*ast.FuncDecl{},
 		}
 		m.packages[dir] = p
 	}
@@ -156,7 +157,7 @@
 	}
 }
 
-// addSpec indexes a declared type, constant or variable.
+// addSpec indexes the declaration of a type, or of constants or variables.
 func (f *goFile) addSpec(spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.TypeSpec:
@@ -164,13 +165,13 @@
 	case *ast.ValueSpec:
 		for i, name := range spec.Names {
 			if len(spec.Values) == len(spec.Names) {
-				f.pkg.constants[name.Name] = constant{f, spec.Values[i]}
+				f.pkg.initialValues[name.Name] = initialValue{f, spec.Values[i]}
 			}
 		}
 	}
 }
 
-// function returns a declared function or method, which is written Type.Method, or nil.
+// function returns the declaration of a function, or of a method given as Type.Method, or nil.
 func (p *goPackage) function(name string) (*goFile, *ast.FuncDecl) {
 	for _, f := range p.files {
 		for _, decl := range f.syntax.Decls {
@@ -190,7 +191,7 @@
 	return nil, nil
 }
 
-// imported returns the package of this module that a qualifier refers to, or nil.
+// imported returns the package of this module that f imports under a name, or nil.
 func (m *module) imported(f *goFile, qualifier string) *goPackage {
 	importPath, inModule := strings.CutPrefix(f.imports[qualifier], modulePath)
 	if !inModule {
@@ -199,7 +200,7 @@
 	return m.packages[importPath]
 }
 
-// typeOf returns the declaration of a named type of this module, with aliases followed, or nil.
+// typeOf returns the declaration of a named type of this module, or nil. It resolves aliases.
 func (m *module) typeOf(f *goFile, expr ast.Expr) *typeDecl {
 	var found *typeDecl
 	switch expr := expr.(type) {
@@ -230,13 +231,13 @@
 	case *ast.ParenExpr:
 		return m.stringValue(f, expr.X)
 	case *ast.Ident:
-		if c, ok := f.pkg.constants[expr.Name]; ok {
+		if c, ok := f.pkg.initialValues[expr.Name]; ok {
 			return m.stringValue(c.file, c.value)
 		}
 	case *ast.SelectorExpr:
 		if qualifier, ok := expr.X.(*ast.Ident); ok {
 			if p := m.imported(f, qualifier.Name); p != nil {
-				if c, ok := p.constants[expr.Sel.Name]; ok {
+				if c, ok := p.initialValues[expr.Sel.Name]; ok {
 					return m.stringValue(c.file, c.value)
 				}
 			}
@@ -249,7 +250,7 @@
 	return "", false
 }
 
-// unquote returns the value of a string literal, or "" for other literals.
+// unquote returns the value of a string literal, or "" for any other literal.
 func unquote(literal string) string {
 	value, err := strconv.Unquote(literal)
 	if err != nil {
@@ -258,8 +259,8 @@
 	return value
 }
 
-// typeName returns the unqualified name of a type, of what a pointer points to, of a function that
-// is called, or of a value.
+// typeName returns the unqualified name of a type, of the element of a pointer type, of a called
+// function or of a value.
 func typeName(expr ast.Expr) string {
 	switch expr := expr.(type) {
 	case *ast.StarExpr:
@@ -276,7 +277,7 @@
 	return ""
 }
 
-// structTag returns the part of a field's tag for one encoding.
+// structTag returns the value of a key in the struct tag of a field.
 func structTag(field *ast.Field, encoding string) (string, bool) {
 	if field.Tag == nil {
 		return "", false
@@ -284,7 +285,7 @@
 	return reflect.StructTag(unquote(field.Tag.Value)).Lookup(encoding)
 }
 
-// fieldNames returns the names of a struct field; an embedded field has that of its type.
+// fieldNames returns the names of a struct field; an embedded field has the name of its type.
 func fieldNames(field *ast.Field) []string {
 	if len(field.Names) == 0 {
 		return []string{typeName(field.Type)}
--- a/test/wireformat/names_renamecases_test.go
+++ b/test/wireformat/names_renamecases_test.go
@@ -1,6 +1,6 @@
 package wireformat
 
-// renameCases are the cases of all kinds but those of net/rpc and of named declarations.
+// renameCases covers all kinds of names except those of net/rpc and of namedDeclarations.
 var renameCases = []renameCase{
 	{
 		"JSON key, p", "p/p.go", "package p\ntype T struct{ Host string `json:\"host,omitempty\"` }",
@@ -161,8 +161,8 @@
 	},
 }
 
-// rpcSource is a package with a service and a message. It takes the place of the controller, so
-// that one source has all that a registered service consists of.
+// rpcSource is a package with a service and its messages. It replaces the controller package, so
+// that one source file contains everything that belongs to a registered service.
 const rpcSource = `package controller
 
 func register(agent *Service) {
@@ -186,7 +186,7 @@
 type Entry struct{ Tasks []TaskRef }
 `
 
-// rpcRenameCases are the cases of net/rpc and gob.
+// rpcRenameCases covers the names of net/rpc and gob.
 var rpcRenameCases = []renameCase{
 	rpcCase("RPC service", `{"Agent"`, `{"Owner"`, "Agent", "Owner"),
 	rpcCase("RPC method", ") Commit(", ") Start(", "Agent.Commit", "Agent.Start"),
@@ -197,7 +197,7 @@
 	rpcCase("gob type, internal/controller", "Tasks []TaskRef", "Tasks []Entry", "[]controller.TaskRef", "[]controller.Entry"),
 }
 
-// rpcCase is a case in rpcSource.
-func rpcCase(kind, old, replacement, before, after string) renameCase {
-	return renameCase{kind, "internal/controller/c.go", rpcSource, old, replacement, before, after}
+// rpcCase returns a case that edits rpcSource.
+func rpcCase(kind, oldText, newText, oldName, newName string) renameCase {
+	return renameCase{kind, "internal/controller/c.go", rpcSource, oldText, newText, oldName, newName}
 }
--- a/test/wireformat/names_rpc_test.go
+++ b/test/wireformat/names_rpc_test.go
@@ -7,11 +7,11 @@
 	"slices"
 )
 
-// controllerPackage registers the net/rpc services.
+// controllerPackage is the package that registers the net/rpc services.
 const controllerPackage = "internal/controller"
 
-// collectServices gathers the services that are registered for net/rpc, their methods, and the
-// types and fields of the messages.
+// collectServices collects the services that are registered with net/rpc, their methods, and the
+// types and fields of their messages.
 func collectServices(c *collection) {
 	p := c.module.packages[controllerPackage]
 	if p == nil {
@@ -28,11 +28,11 @@
 		}
 	}
 	if !registered {
-		c.faultf("%s has no function that registers services", controllerPackage)
+		c.errorf("%s has no function that calls RegisterName to register services", controllerPackage)
 	}
 }
 
-// calls reports whether a function calls a method of this name.
+// calls reports whether a function calls a function or method of this name.
 func calls(function *ast.FuncDecl, method string) bool {
 	found := false
 	ast.Inspect(function, func(node ast.Node) bool {
@@ -44,7 +44,7 @@
 	return found
 }
 
-// addServices gathers the services in the map literal of the function that registers them.
+// addServices collects the services in the map literal of the function that registers them.
 func (g *gobMessages) addServices(f *goFile, function *ast.FuncDecl) {
 	ast.Inspect(function, func(node ast.Node) bool {
 		pair, ok := node.(*ast.KeyValueExpr)
@@ -54,7 +54,7 @@
 		name, ok := g.module.stringValue(f, pair.Key)
 		service := g.serviceType(f, function, pair.Value)
 		if !ok || service == nil {
-			g.faultf("%s: the type of a registered service is not found", g.module.fset.Position(pair.Pos()))
+			g.errorf("%s: cannot find the name or the type of a registered service", g.module.fset.Position(pair.Pos()))
 			return true
 		}
 		g.add("RPC service", name, pair.Pos())
@@ -70,8 +70,8 @@
 	})
 }
 
-// serviceType returns the type of a registered value: the result of a constructor, or the type
-// of a parameter.
+// serviceType returns the type of a registered value, which is the result of a constructor call or
+// a parameter of the registering function.
 func (g *gobMessages) serviceType(f *goFile, function *ast.FuncDecl, value ast.Expr) *typeDecl {
 	switch value := value.(type) {
 	case *ast.Ident:
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// rpcParameters returns the types of the argument and the reply of a method that net/rpc
-// registers, or nil.
+// rpcParameters returns the types of the argument and the reply of a method that net/rpc registers,
+// or nil for other methods.
 func rpcParameters(method *ast.FuncDecl) []ast.Expr {
 	var types []ast.Expr
 	for _, field := range method.Type.Params.List {
@@ -117,13 +117,13 @@
 	return types
 }
 
-// gobMessages gathers the names that gob writes of message types.
+// gobMessages collects the names that gob writes for the types of messages.
 type gobMessages struct {
 	*collection
 	visited map[*typeDecl]bool
 }
 
-// visit gathers the names of a type and of what it contains.
+// visit collects the names of a type and of the types that it contains.
 func (g *gobMessages) visit(f *goFile, expr ast.Expr) {
 	switch typ := expr.(type) {
 	case *ast.StarExpr:
@@ -146,8 +146,8 @@
 	}
 }
 
-// visitNamed gathers the names of a declared type once. Of types with a basic kind gob sends no
-// name.
+// visitNamed collects the names of a declared type, once for each type. gob writes no name for a
+// type whose underlying type is basic.
 func (g *gobMessages) visitNamed(f *goFile, expr ast.Expr) {
 	decl := g.module.typeOf(f, expr)
 	if decl == nil || g.visited[decl] {
@@ -164,14 +164,14 @@
 	}
 }
 
-// visitFields gathers the exported fields of a struct.
+// visitFields collects the exported fields of a struct.
 func (g *gobMessages) visitFields(f *goFile, structName string, s *ast.StructType) {
 	for _, field := range s.Fields.List {
 		for _, name := range fieldNames(field) {
 			if !token.IsExported(name) {
 				continue
 			}
-			g.add(in("gob field", f), structName+"."+name, field.Pos())
+			g.add(packageKind("gob field", f), structName+"."+name, field.Pos())
 			if composite := g.compositeName(f, field.Type); composite != "" {
 				g.addType(f, composite, field.Pos())
 			}
@@ -180,9 +180,9 @@
 	}
 }
 
-// addType records the name of a type, once in a package.
+// addType records the name of a type, once for each package.
 func (g *gobMessages) addType(f *goFile, name string, pos token.Pos) {
-	kind := in("gob type", f)
+	kind := packageKind("gob type", f)
 	for _, known := range g.names[kind] {
 		if known.name == name {
 			return
@@ -191,7 +191,8 @@
 	g.add(kind, name, pos)
 }
 
-// compositeName is the name that gob gives an unnamed slice, array or map type of a field, or "".
+// compositeName returns the name that gob gives to the unnamed slice or map type of a field, or ""
+// for other types.
 func (g *gobMessages) compositeName(f *goFile, expr ast.Expr) string {
 	switch typ := expr.(type) {
 	case *ast.StarExpr:
@@ -206,7 +207,7 @@
 	return ""
 }
 
-// goTypeName is the name of a type as the reflect package has it.
+// goTypeName returns the name of a type as package reflect formats it.
 func (g *gobMessages) goTypeName(f *goFile, expr ast.Expr) string {
 	if star, ok := expr.(*ast.StarExpr); ok {
 		return "*" + g.goTypeName(f, star.X)
@@ -226,7 +227,7 @@
 // calledMethod matches the name of a method in a call of another controller.
 var calledMethod = regexp.MustCompile(`^[A-Z]\w+\.[A-Z]\w+$`)
 
-// collectCalledMethods gathers the net/rpc methods that are called, by package.
+// collectCalledMethods collects the net/rpc methods that are called, by package.
 func collectCalledMethods(c *collection) {
 	c.eachNode(func(f *goFile, node ast.Node) {
 		literal, ok := node.(*ast.BasicLit)
@@ -234,7 +235,7 @@
 			return
 		}
 		if method := unquote(literal.Value); calledMethod.MatchString(method) {
-			c.add(in("RPC method called", f), method, literal.Pos())
+			c.add(packageKind("RPC method called", f), method, literal.Pos())
 		}
 	})
 }
--- a/test/wireformat/names_test.go
+++ b/test/wireformat/names_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// moduleRoot is the directory of the module, and listFile the list of outer names, both seen
-// from this package.
+// moduleRoot is the root directory of the module, and listFile the list of external names; both are
+// relative to this package.
 const (
 	moduleRoot = "../.."
 	listFile   = "outer-names.txt"
 )
 
-// Every name that leaves a process is on the list, and every name on the list still stands where
-// it leaves the process. Without this check a rename of a Go identifier, a tag or a constant can
-// change what other processes, operators and stored data rely on. The list is written anew with
-// UPDATE_GOLDEN=1, which is right only where a name is meant to change.
-func TestOuterNamesAreListed(t *testing.T) {
+// Renaming a Go identifier, a struct tag or a constant can change a name that other processes,
+// operators or stored data depend on. Every such name must be on the list, and every name on the
+// list must still occur in the sources. UPDATE_GOLDEN=1 rewrites the list; use it only for an
+// intended change of a name.
+func TestExternalNamesAreListed(t *testing.T) {
 	files, err := readSources(moduleRoot)
 	if err != nil {
 		t.Fatal(err)
@@ -25,9 +25,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	names := collect(m)
+	collected := collect(m)
 	if Updating() {
-		if err := os.WriteFile(listFile, []byte(names.format()), 0o644); err != nil {
+		if err := os.WriteFile(listFile, []byte(collected.format()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -35,12 +35,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, difference := range names.differences(string(list)) {
+	for _, difference := range collected.differences(string(list)) {
 		t.Error(difference)
 	}
 	if t.Failed() {
-		t.Log("Names on the list keep their outer form: a renamed field of JSON or TOML gets a tag with the outer " +
+		t.Log("Names on the list must not change: a renamed field of JSON or TOML gets a tag with the listed " +
 			"name, a renamed constant keeps its value; gob and net/rpc take Go names, which cannot change. " +
-			"A declaration that the collector itself names is renamed in these tests too.")
+			"A declaration that the collector looks up by name must be renamed in these tests too.")
 	}
 }
--- a/test/wireformat/names_values_test.go
+++ b/test/wireformat/names_values_test.go
@@ -9,25 +9,25 @@
 	"strings"
 )
 
-// Packages whose strings are collected by kinds of their own.
+// Packages that the general rules for strings leave out.
 const (
-	logTablePackage = "internal/logline"
-	logReader       = "tools/audit"
-	ownPackage      = "test/wireformat"
+	logTablePackage  = "internal/logline"
+	logReaderPackage = "tools/audit"
+	ownPackage       = "test/wireformat"
 )
 
-// nameLike matches a string that is a name rather than a text, a number or a path.
+// nameLike matches a string that is a name, not a text, a number or a path.
 var nameLike = regexp.MustCompile(`^[A-Za-z][\w-]*:?$`)
 
-// internalConstants are values of constants, by package, that stay in the process.
+// internalConstants lists constant values, by package, that never leave the process.
 var internalConstants = map[string][]string{
 	"emulator":           {"cancel", "submit"},
 	"internal/gateway":   {"on-demand", "spot"},
 	"internal/scheduler": {"open"},
 }
 
-// collectConstants gathers the values of string constants that look like names: states, causes,
-// kinds, verbs and the like. Their Go names may change, their values may not.
+// collectConstants collects the values of string constants that look like names: states, causes,
+// kinds, verbs and the like. The Go names of the constants may change, the values must not.
 func collectConstants(c *collection) {
 	c.eachConstant(func(f *goFile, name *ast.Ident, value ast.Expr) {
 		literal, ok := value.(*ast.BasicLit)
@@ -36,12 +36,12 @@
 		}
 		text := unquote(literal.Value)
 		if nameLike.MatchString(text) && !slices.Contains(internalConstants[f.pkg.dir], text) {
-			c.add(in("string constant", f), text, name.Pos())
+			c.add(packageKind("string constant", f), text, name.Pos())
 		}
 	})
 }
 
-// eachConstant visits the constants that have a value of their own, local ones too.
+// eachConstant calls visit for each constant with an explicit value, including local constants.
 func (c *collection) eachConstant(visit func(f *goFile, name *ast.Ident, value ast.Expr)) {
 	c.eachNode(func(f *goFile, node ast.Node) {
 		group, ok := node.(*ast.GenDecl)
@@ -58,13 +58,13 @@
 	})
 }
 
-// rootPrefixPackage and rootPrefix are where the prefix of all keys is declared.
+// rootPrefixPackage declares rootPrefix, the constant with the common prefix of all keys.
 const (
 	rootPrefixPackage = "internal/statekv"
 	rootPrefix        = "RootPrefix"
 )
 
-// collectStateKeys gathers the constants that are keys or prefixes of the state service.
+// collectStateKeys collects the constants that are keys or key prefixes in the state service.
 func collectStateKeys(c *collection) {
 	p := c.module.packages[rootPrefixPackage]
 	if p == nil {
@@ -72,46 +72,48 @@
 	}
 	root, ok := c.module.stringValue(p.files[0], ast.NewIdent(rootPrefix))
 	if !ok {
-		c.faultf("%s.%s, the prefix of all keys, is not declared", rootPrefixPackage, rootPrefix)
+		c.errorf("%s.%s, the prefix of all keys, is not declared; was it renamed?", rootPrefixPackage, rootPrefix)
 		return
 	}
 	c.eachConstant(func(f *goFile, name *ast.Ident, value ast.Expr) {
 		if key, ok := c.module.stringValue(f, value); ok && strings.HasPrefix(key, root) {
-			c.add(in("state key", f), key, name.Pos())
+			c.add(packageKind("state key", f), key, name.Pos())
 		}
 	})
 }
 
-// integerKinds are the kinds of integer constants on the wire, by the form of their Go names.
+// integerKinds maps each kind of integer constant that leaves the process to the pattern of its Go
+// names.
 var integerKinds = map[string]*regexp.Regexp{
 	"schema number": regexp.MustCompile(`(?i)schema$`),
 	"exit code":     regexp.MustCompile(`^exit[A-Z]`),
 }
 
-// collectIntegers gathers schema numbers and exit codes.
+// collectIntegers collects schema numbers and exit codes.
 func collectIntegers(c *collection) {
 	c.eachConstant(func(f *goFile, name *ast.Ident, value ast.Expr) {
 		literal, ok := value.(*ast.BasicLit)
 		for kind, form := range integerKinds {
 			if ok && literal.Kind == token.INT && form.MatchString(name.Name) {
-				c.add(in(kind, f), literal.Value, name.Pos())
+				c.add(packageKind(kind, f), literal.Value, name.Pos())
 			}
 		}
 	})
 }
 
-// featureGates is the table of internal/rollout whose order numbers the cluster versions.
-var featureGates = struct{ pkg, variable, field string }{"internal/rollout", "FeatureGates", "Feature"}
+// gateTable identifies the table of feature gates in internal/rollout. The position of a gate in
+// the table is its cluster version, counted from 1.
+var gateTable = struct{ pkg, variable, field string }{"internal/rollout", "FeatureGates", "Feature"}
 
-// collectClusterVersions gathers the number of each cluster version with the feature it adds.
+// collectClusterVersions collects the number of each cluster version with the feature that it adds.
 func collectClusterVersions(c *collection) {
-	p := c.module.packages[featureGates.pkg]
+	p := c.module.packages[gateTable.pkg]
 	if p == nil {
 		return
 	}
-	table, ok := p.constants[featureGates.variable].value.(*ast.CompositeLit)
+	table, ok := p.initialValues[gateTable.variable].value.(*ast.CompositeLit)
 	if !ok {
-		c.faultf("%s.%s is not declared", featureGates.pkg, featureGates.variable)
+		c.errorf("%s.%s, the table of feature gates, is not declared; was it renamed?", gateTable.pkg, gateTable.variable)
 		return
 	}
 	for i, element := range table.Elts {
@@ -121,20 +123,20 @@
 		}
 		for _, pair := range gate.Elts {
 			pair, ok := pair.(*ast.KeyValueExpr)
-			if !ok || typeName(pair.Key) != featureGates.field {
+			if !ok || typeName(pair.Key) != gateTable.field {
 				continue
 			}
-			feature, _ := c.module.stringValue(p.constants[featureGates.variable].file, pair.Value)
+			feature, _ := c.module.stringValue(p.initialValues[gateTable.variable].file, pair.Value)
 			c.add("cluster version and the feature that it adds", strconv.Itoa(i+1)+" "+feature, pair.Pos())
 		}
 	}
 }
 
-// identifierFormat matches a format that makes an identifier.
+// identifierFormat matches a format string that builds an identifier.
 var identifierFormat = regexp.MustCompile(`^[^ /%]*%[^ ]*$`)
 
-// collectIdentifierFormats gathers the formats of keys and identifiers that are stored. Those of
-// package config name fields in errors.
+// collectIdentifierFormats collects the formats of stored keys and identifiers. Package config is
+// left out: its formats only name settings in error messages.
 func collectIdentifierFormats(c *collection) {
 	c.eachNode(func(f *goFile, node ast.Node) {
 		call, ok := node.(*ast.CallExpr)
@@ -145,7 +147,7 @@
 			return
 		}
 		if format, ok := c.module.stringValue(f, call.Args[0]); ok && identifierFormat.MatchString(format) {
-			c.add(in("identifier format", f), format, call.Pos())
+			c.add(packageKind("identifier format", f), format, call.Pos())
 		}
 	})
 }
--- a/test/wireformat/peer.go
+++ b/test/wireformat/peer.go
@@ -11,42 +11,43 @@
 	"testing"
 )
 
-// Peer is an HTTP server for tests of clients: it notes each request and gives the
-// answers that it was told, in turn.
+// Peer is an HTTP server for tests of clients. It records each request and sends the given
+// responses in order.
 type Peer struct {
 	server *httptest.Server
 
-	mu      sync.Mutex
-	answers []string // each "STATUS BODY"
-	notes   strings.Builder
+	mu        sync.Mutex
+	responses []string // each is "STATUS BODY"
+	record    strings.Builder
 }
 
-// NewPeer returns a server that ends with the test.
-func NewPeer(t testing.TB, answers ...string) *Peer {
-	p := &Peer{answers: answers}
+// NewPeer starts a server that is closed when the test ends.
+func NewPeer(t testing.TB, responses ...string) *Peer {
+	p := &Peer{responses: responses}
 	p.server = httptest.NewServer(p)
 	t.Cleanup(p.server.Close)
 	return p
 }
 
-// Address is where the server listens, as host:port.
+// Address returns the host:port at which the server listens.
 func (p *Peer) Address() string { return strings.TrimPrefix(p.server.URL, "http://") }
 
-// Notef adds a line to the notes, for what the client made of an answer.
+// Notef appends a line to the record, for example the client's interpretation of a response.
 func (p *Peer) Notef(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	fmt.Fprintf(&p.notes, format+"\n", args...)
+	fmt.Fprintf(&p.record, format+"\n", args...)
 }
 
-// Notes returns the requests and notes so far.
+// Notes returns the requests and lines recorded so far.
 func (p *Peer) Notes() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.notes.String()
+	return p.record.String()
 }
 
-// ServeHTTP notes a request and gives the next answer.
+// ServeHTTP records a request and sends the next response. Without a response left it sends status
+// 500.
 func (p *Peer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -66,17 +67,17 @@
 	p.Notef("%s", strings.Join(words, " "))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.answers) == 0 {
+	if len(p.responses) == 0 {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	var status int
-	code, answer, _ := strings.Cut(p.answers[0], " ")
-	p.answers = p.answers[1:]
+	code, response, _ := strings.Cut(p.responses[0], " ")
+	p.responses = p.responses[1:]
 	if _, err := fmt.Sscan(code, &status); err != nil {
 		status = http.StatusInternalServerError
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, answer) // a client that has gone fails its own test
+	_, _ = io.WriteString(w, response) // a client that disconnects early fails its own test
 }
--- a/test/wireformat/wireformat.go
+++ b/test/wireformat/wireformat.go
@@ -1,12 +1,12 @@
-// Package wireformat holds what tests need to keep every form that leaves a process as
-// it is: messages of net/rpc, stored values, JSON bodies, HTTP requests, settings.
+// Package wireformat helps tests to keep every format that leaves a process unchanged: net/rpc
+// messages, stored values, JSON bodies, HTTP requests and settings.
 //
-// A test fills a value by reflection and compares its form with a golden file under
-// testdata/wire of its own package. The files name wire fields and kinds only, never the
-// Go names of types or packages, so that those may be renamed and moved. They are
-// written anew with UPDATE_GOLDEN=1, which is right only where a form is meant to change.
+// A test fills a value by reflection and compares its encoded form with a golden file below
+// testdata/wire in its own package. Golden files contain only the names and kinds of encoded
+// fields, never the Go names of types or packages, so that types and packages can be renamed and
+// moved. UPDATE_GOLDEN=1 rewrites the golden files; use it only for an intended change of a format.
 //
-// Only tests import this package; it imports nothing of the project and keeps no state.
+// Only tests import this package. It imports no other package of the project and has no state.
 package wireformat
 
 import (
@@ -19,25 +19,25 @@
 	"time"
 )
 
-// updateVariable is the environment variable with which golden files are written anew.
+// updateVariable is the environment variable that makes tests rewrite their golden files.
 const updateVariable = "UPDATE_GOLDEN"
 
-// Updating reports whether golden files are written rather than compared.
+// Updating reports whether tests rewrite golden files instead of comparing with them.
 func Updating() bool { return os.Getenv(updateVariable) == "1" }
 
 func goldenPath(name string) string { return filepath.Join("testdata", "wire", name+".golden") }
 
-// Recorded returns the recorded text of that name.
+// Recorded returns the contents of the golden file of that name.
 func Recorded(t testing.TB, name string) string {
 	t.Helper()
 	raw, err := os.ReadFile(goldenPath(name))
 	if err != nil {
-		t.Fatalf("no recorded form: %v", err)
+		t.Fatalf("reading the golden file: %v", err)
 	}
 	return string(raw)
 }
 
-// Golden compares got with the recorded text of that name.
+// Golden compares got with the golden file of that name.
 func Golden(t testing.TB, name, got string) {
 	t.Helper()
 	if Updating() {
@@ -50,11 +50,12 @@
 		return
 	}
 	if difference := firstDifference(Recorded(t, name), got); difference != "" {
-		t.Errorf("the form %q is not the recorded one: %s", name, difference)
+		t.Errorf("%q differs from its golden file: %s", name, difference)
 	}
 }
 
-// firstDifference says where two texts begin to differ, or "".
+// firstDifference describes the first line in which two texts differ, or returns "" if they are
+// equal.
 func firstDifference(want, got string) string {
 	wanted, given := strings.Split(want, "\n"), strings.Split(got, "\n")
 	for i := range max(len(wanted), len(given)) {
@@ -66,14 +67,14 @@
 			g = given[i]
 		}
 		if w != g {
-			return fmt.Sprintf("line %d is %q, recorded %q", i+1, g, w)
+			return fmt.Sprintf("line %d: got %q, want %q", i+1, g, w)
 		}
 	}
 	return ""
 }
 
-// Describe lists the fields that gob sends of a type, in order and recursively, with
-// their kinds. An embedded struct is, for gob, a field with its type's name.
+// Describe lists the fields of a type that gob encodes, in order and recursively, with their kinds.
+// gob encodes an embedded struct as a field with the name of its type.
 func Describe(t reflect.Type) string {
 	var b strings.Builder
 	describe(&b, t, "")
@@ -108,14 +109,14 @@
 	}
 }
 
-// Fill sets everything that v points to, except what JSON leaves out, to values that are
-// not zero and are the same in every run.
+// Fill sets everything that v points to, except fields that JSON omits, to non-zero values that are
+// the same in every run.
 func Fill(v any) {
 	n := 0
 	fill(reflect.ValueOf(v).Elem(), &n)
 }
 
-// fillTime is the time from which filled times count.
+// fillTime is the base of filled times.
 var fillTime = time.Date(2020, 1, 2, 3, 4, 5, 0, time.UTC)
 
 func fill(v reflect.Value, n *int) {
