--- a/test/integration/completion_races_test.go
+++ b/test/integration/completion_races_test.go
@@ -9,12 +9,13 @@
 	"robinstack/internal/job"
 )
 
-// A job's last task completes as a cancellation, a query or a repeated submission arrives, at
-// any controller, some milliseconds before or after, hundreds of times and with no other
-// fault. Each job has one final status, the same at every controller and for good.
+// Guards against a job with two final statuses. The last task of a job completes within
+// milliseconds of a cancellation, a query or a repeated submission at any controller; this is
+// repeated for hundreds of jobs without any fault. Each job must have one final status, which is
+// the same at every controller and does not change.
 func TestCompletionRacesCancelQueryAndResubmission(t *testing.T) {
 	runScenarioWithMachines(t, 91, 5, 40, func(b *testbed) {
-		b.setStateFaults(25*time.Millisecond, 0) // between a read and a write there is time
+		b.setStateFaults(25*time.Millisecond, 0) // leaves time between a read and the write that follows it
 		var mu sync.Mutex
 		specs := map[string]job.Spec{}
 		finals := map[string]int{}
@@ -43,7 +44,7 @@
 			k := completions
 			completions++
 			mu.Unlock()
-			if known && k%2 == 0 { // after the completion: up to 0.3 s
+			if known && k%2 == 0 { // up to 0.3 s after the completion
 				time.Sleep(time.Duration(k%61) * 5 * time.Millisecond)
 				race(s, k/2)
 			}
@@ -61,7 +62,7 @@
 				for b.history.TasksOnMachines(s.ID) == 0 && b.ctx.Err() == nil && !b.history.TaskCompleted(job.TaskID(s.ID, 0)) {
 					time.Sleep(5 * time.Millisecond)
 				}
-				// About the completion: from 0.15 s before to 0.15 s after.
+				// From 0.15 s before to 0.15 s after the completion.
 				time.Sleep(1850*time.Millisecond + time.Duration(k%61)*5*time.Millisecond)
 				race(s, k/2)
 			})
@@ -76,12 +77,13 @@
 				seen[status] = true
 			}
 			if len(seen) != 1 || !seen[job.Done] && !seen[job.Cancelled] {
-				b.t.Errorf("%s is told as %v", s.ID, seen)
+				b.t.Errorf("statuses of %s at all controllers: got %v, want one final status", s.ID, seen)
 			}
 		}
-		b.t.Logf("cancellations were answered %v", finals)
+		b.t.Logf("statuses in responses to cancellations: %v", finals)
 		if finals[job.Done] < 30 || finals[job.Cancelled] < 30 {
-			b.t.Errorf("cancellations were answered %v: completions were hardly met", finals)
+			b.t.Errorf("scenario hardly exercised: statuses in responses to cancellations: got %v, want at least 30 of each final status",
+				finals)
 		}
 		b.checkNoViolations()
 	})
--- a/test/integration/delayed_writes_test.go
+++ b/test/integration/delayed_writes_test.go
@@ -11,16 +11,16 @@
 	"robinstack/internal/statekv"
 )
 
-// New machines are up within two seconds and get work at once, while many transactions are
-// delayed or their answers lost, and a role fails: a machine may have tasks although its claim
-// was written late, or by a controller that is no more.
+// Guards against losing track of tasks on a machine whose claim was written late or by a crashed
+// controller. New machines boot within two seconds and get tasks at once, while many transactions
+// are delayed or their responses lost, and the holder of a role crashes.
 func TestFastBootsWithDelayedWrites(t *testing.T) {
-	for _, answersOnly := range []bool{false, true} {
+	for _, responsesOnly := range []bool{false, true} {
 		for _, f := range failovers(roles) {
-			t.Run(fmt.Sprint("answers alone are lost: ", answersOnly, ", ", f), func(t *testing.T) {
+			t.Run(fmt.Sprint("applied without a response: ", responsesOnly, ", ", f), func(t *testing.T) {
 				t.Parallel()
 				runScenarioWithBootTime(t, 63, 1, func(b *testbed) {
-					b.setLoseAnswersOnly(answersOnly)
+					b.setLoseResponsesOnly(responsesOnly)
 					b.setStateFaults(0, 0.5)
 					var jobs []job.Spec
 					for k := range 5 {
@@ -31,38 +31,41 @@
 						jobs = append(jobs, s)
 						go b.submit("", s, 25*time.Second)
 					}
-					b.waitUntil("some run", 2*time.Minute, func() bool { return b.tasksOnMachines(jobs) >= 2 })
-					up := 0
-					b.cloud.ForEachMachine(func(string, *emulator.SimulatedMachine) { up++ })
+					b.waitUntil("two tasks are running", 2*time.Minute, func() bool {
+						return b.tasksOnMachines(jobs) >= 2
+					})
+					machinesAtCrash := 0
+					b.cloud.ForEachMachine(func(string, *emulator.SimulatedMachine) { machinesAtCrash++ })
 					running := ""
 					for _, s := range jobs {
 						if running == "" && b.history.TasksOnMachines(s.ID) > 0 {
 							running = s.ID
 						}
 					}
-					sessions := b.sessionRevisions()
-					restart := b.fail(f, running)
+					sessions := b.sessionRevisionSum()
+					restart := b.crashRole(f, running)
 					for range 3 {
 						go b.submit("", arrayJob(b.nextJobID(), 2), 10*time.Second)
 					}
-					time.Sleep(max(25*time.Second, f.downtime+15*time.Second)) // those that are back meet it too
+					// Long enough that restarted controllers meet the faults too.
+					time.Sleep(max(25*time.Second, f.downtime+15*time.Second))
 					unanswered := 0
 					for _, h := range b.hosts {
 						unanswered += b.stateClient(h).UnansweredTxns()
 					}
-					if b.t.Logf("%d transactions got no answer", unanswered); unanswered < 5 {
-						b.t.Error("writes hardly lagged: this shows little")
+					if b.t.Logf("%d transactions got no response", unanswered); unanswered < 5 {
+						b.t.Error("scenario hardly exercised: want at least 5 transactions without a response")
 					}
-					if f.downtime < downtimeBeyondLease && b.sessionRevisions() == sessions {
-						b.t.Error("no session changed: this shows nothing")
+					if f.downtime < downtimeBeyondLease && b.sessionRevisionSum() == sessions {
+						b.t.Error("scenario not exercised: no session changed")
 					}
-					if up == 0 {
-						b.t.Error("no machine was up when the role failed: this shows nothing")
+					if machinesAtCrash == 0 {
+						b.t.Error("scenario not exercised: no machine was up when the holder of the role crashed")
 					}
 					b.setStateFaults(0, 0)
-					more := 0
-					b.cloud.ForEachMachine(func(string, *emulator.SimulatedMachine) { more++ })
-					b.t.Logf("%d machines when it ended, %d later", up, more)
+					machinesLater := 0
+					b.cloud.ForEachMachine(func(string, *emulator.SimulatedMachine) { machinesLater++ })
+					b.t.Logf("%d machines at the crash, %d later", machinesAtCrash, machinesLater)
 					restart()
 					b.history.RecordFaultsEnded()
 					time.Sleep(5 * time.Minute)
@@ -74,9 +77,9 @@
 	}
 }
 
-// A machine is returned and its key removed; a claim of it that had no answer is carried out
-// after that. What it makes is a key of a machine that is no more: it is found and removed,
-// and nothing waits for it.
+// Guards against the key of a machine that no longer exists. A machine is deleted and its key
+// removed; then a delayed claim of it, whose response was lost, is applied and creates the key
+// again. The key must be found and removed, and nothing may wait for the machine.
 func TestDelayedClaimOfReturnedMachine(t *testing.T) {
 	runScenarioWithBootTime(t, 64, 1, func(b *testbed) {
 		b.setTxnDelay(25 * time.Second)
@@ -91,13 +94,17 @@
 			})
 			return name != ""
 		})
-		// Its claim is delayed: all are, for a while.
+		// All transactions are delayed for a while, the claim of this machine among them.
 		b.setStateFaults(0, 1)
 		time.Sleep(8 * time.Second)
 		b.setStateFaults(0, 0)
 		_ = b.cloud.ScaleIn(b.ctx, []string{name})
-		b.waitUntil("its key is there", 40*time.Second, func() bool { return b.keyRevision(statekv.MachinePrefix+name) > 0 })
-		b.waitUntil("its key is removed", 2*time.Minute, func() bool { return b.keyRevision(statekv.MachinePrefix+name) == 0 })
+		b.waitUntil("the key of the machine exists", 40*time.Second, func() bool {
+			return b.keyRevision(statekv.MachinePrefix+name) > 0
+		})
+		b.waitUntil("the key of the machine is removed", 2*time.Minute, func() bool {
+			return b.keyRevision(statekv.MachinePrefix+name) == 0
+		})
 		b.history.RecordFaultsEnded()
 		time.Sleep(3 * time.Minute)
 		b.history.CheckFinalState()
@@ -105,43 +112,48 @@
 	})
 }
 
-// A machine is drained, returned and its key removed; then a second delayed claim brings the
-// key back under an owner that knows the machine from its last entry: as draining. The leader
-// tells that owner that the machine is gone, so that its key does not stay until the leader
-// has forgotten the machine.
+// A machine is drained and deleted and its key removed. Then a second delayed claim creates the key
+// again, under an owner that knows the machine as draining from its former entry. The leader must
+// tell this owner that the machine no longer exists; otherwise the key would stay until the leader
+// itself has forgotten the machine.
 func TestSecondDelayedClaimOfDrainedMachine(t *testing.T) {
 	runScenarioWithBootTime(t, 66, 1, func(b *testbed) {
 		b.submit("", arrayJob(b.nextJobID(), 2), 5*time.Second)
-		name, shardID := "", ""
-		b.waitUntil("a machine is owned", 30*time.Second, func() bool {
+		name, otherShard := "", ""
+		b.waitUntil("a machine has an owner", 30*time.Second, func() bool {
 			for _, kv := range b.state.ListAll(statekv.MachinePrefix) {
 				name = kv.Key[len(statekv.MachinePrefix):]
 			}
 			return name != ""
 		})
 		record := *shard.ParseMachineRecord(b.state.ListAll(statekv.MachinePrefix + name)[0])
-		b.waitUntil("its key is removed", 3*time.Minute, func() bool { return b.keyRevision(statekv.MachinePrefix+name) == 0 })
+		b.waitUntil("the key of the machine is removed", 3*time.Minute, func() bool {
+			return b.keyRevision(statekv.MachinePrefix+name) == 0
+		})
 		leader := b.roleHolder(statekv.LeaderKey)
 		for _, kv := range b.state.ListAll(statekv.MachineShardPrefix) {
 			if h := b.roleHolder(kv.Key); h != leader && h != "" {
-				shardID = kv.Key[len(statekv.MachineShardPrefix):]
+				otherShard = kv.Key[len(statekv.MachineShardPrefix):]
 			}
 		}
-		if shardID == "" {
-			b.t.Fatal("no controller but the leader has a shard: this shows nothing")
+		if otherShard == "" {
+			b.t.Fatal("scenario not exercised: no controller except the leader owns a machine shard")
 		}
-		record.Shard = shardID
+		record.Shard = otherShard
 		if _, err := b.state.Txn(b.ctx, []statekv.Compare{{Key: statekv.MachinePrefix + name}}, []statekv.Op{{Set: statekv.MachinePrefix + name, Value: record}}); err != nil {
 			b.t.Fatal(err)
 		}
-		b.waitUntil("its key is removed again", time.Minute, func() bool { return b.keyRevision(statekv.MachinePrefix+name) == 0 })
+		b.waitUntil("the key of the machine is removed again", time.Minute, func() bool {
+			return b.keyRevision(statekv.MachinePrefix+name) == 0
+		})
 		b.checkNoViolations()
 	})
 }
 
-// A registration has no answer, the request that ends its lease is lost too, and it is carried
-// out when the same host's next session goes on already. That session must not be replaced by
-// a key that nobody renews: all its roles would be lost.
+// The registration of a session gets no response, the revocation of its lease is lost too, and the
+// registration is applied when the next session of the same host is already registered. It must not
+// replace the key of the next session by one whose lease nobody renews: the host would lose all its
+// roles.
 func TestDelayedRegistrationDoesNotReplaceNextSession(t *testing.T) {
 	runScenario(t, 1, func(b *testbed) {
 		b.crash("host-0")
@@ -152,23 +164,27 @@
 		b.start("host-0")
 		time.Sleep(time.Second)
 		b.stateClient("host-0").SetFaults(0, 0)
-		b.waitUntil("the next session is registered", 10*time.Second, func() bool { return b.keyRevision(statekv.SessionPrefix+"host-0") > 0 })
+		b.waitUntil("the next session is registered", 10*time.Second, func() bool {
+			return b.keyRevision(statekv.SessionPrefix+"host-0") > 0
+		})
 		began := b.keyRevision(statekv.SessionPrefix + "host-0")
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
 			if now := b.keyRevision(statekv.SessionPrefix + "host-0"); now != began {
-				b.t.Fatalf("its key went from revision %d to %d", began, now)
+				b.t.Fatalf("revision of the session key: got %d, want %d", now, began)
 			}
 		}
 		b.checkNoViolations()
 	})
 }
 
-// The machine types are written down without an answer, written again, and then the first
-// copy is carried out: it must not bring back what was offered then.
-func TestDelayedMachineTypesDoNotReplaceNewerOnes(t *testing.T) {
+// A write of the machine types gets no response and is repeated; then the first write is applied.
+// It must not overwrite the newer machine types with older ones.
+func TestDelayedMachineTypesDoNotOverwriteNewerOnes(t *testing.T) {
 	runScenario(t, 2, func(b *testbed) {
-		b.waitUntil("types are kept", time.Minute, func() bool { return b.keyRevision(statekv.MachineTypesKey) > 0 })
+		b.waitUntil("the machine types are stored", time.Minute, func() bool {
+			return b.keyRevision(statekv.MachineTypesKey) > 0
+		})
 		b.setStateFaults(0, 1)
 		b.setTxnDelay(30 * time.Second)
 		if _, err := b.state.Txn(b.ctx, nil, []statekv.Op{{Delete: statekv.MachineTypesKey}}); err != nil {
@@ -176,36 +192,38 @@
 		}
 		time.Sleep(23 * time.Second)
 		b.setStateFaults(0, 0)
-		b.waitUntil("they are written again", 30*time.Second, func() bool { return b.keyRevision(statekv.MachineTypesKey) > 0 })
+		b.waitUntil("the machine types are stored again", 30*time.Second, func() bool {
+			return b.keyRevision(statekv.MachineTypesKey) > 0
+		})
 		kept := b.keyRevision(statekv.MachineTypesKey)
 		time.Sleep(time.Minute)
 		if now := b.keyRevision(statekv.MachineTypesKey); now != kept {
-			b.t.Errorf("the types went from revision %d to %d", kept, now)
+			b.t.Errorf("revision of the machine types: got %d, want %d", now, kept)
 		}
 		b.checkNoViolations()
 	})
 }
 
-// The leader ends, and the acquisition of its role has no answer and is carried out late:
-// whoever then has the role by the key has to do its work. Nobody rented machines and granted
-// quota for as long as that session went on.
-func TestLeaderByDelayedAcquisitionDoesItsWork(t *testing.T) {
+// The leader crashes, and the transaction by which its successor acquires the role gets no response
+// and is applied late. The controller named by the leader key must then act as leader. Otherwise no
+// machine is provisioned and no quota granted for as long as its session lives.
+func TestLeaderElectedByDelayedTransactionActsAsLeader(t *testing.T) {
 	runScenario(t, 3, func(b *testbed) {
 		first := b.roleHolder(statekv.LeaderKey)
 		b.setStateFaults(0, 1)
 		b.setTxnDelay(3 * time.Second)
 		b.crash(first)
-		b.waitUntil("another has the role", 20*time.Second, func() bool {
+		b.waitUntil("another controller is the leader", 20*time.Second, func() bool {
 			h := b.roleHolder(statekv.LeaderKey)
 			return h != first && h != ""
 		})
 		b.setStateFaults(0, 0)
 		b.start(first)
 		time.Sleep(15 * time.Second)
-		s := arrayJob(b.nextJobID(), 4) // more than one machine
-		s.Team = "full"                 // which needs a quota grant
+		s := arrayJob(b.nextJobID(), 4) // needs more than one machine
+		s.Team = "full"                 // needs a quota grant
 		if !b.submit("", s, 10*time.Second) {
-			b.t.Fatal("not accepted")
+			b.t.Fatal("the job was not accepted")
 		}
 		time.Sleep(2 * time.Minute)
 		b.history.CheckFinalState()
@@ -213,14 +231,14 @@
 	})
 }
 
-// The transaction of a submission, or of a cancellation, gets no answer and is carried out
-// late: its user is answered within a second all the same, and once.
-func TestDelayedSubmissionAndCancellationAreAnsweredSoon(t *testing.T) {
+// The transaction of a submission or cancellation gets no response and is applied late. The user
+// must nevertheless get the result within a second.
+func TestDelayedSubmissionAndCancellationAreAnsweredWithinOneSecond(t *testing.T) {
 	runScenario(t, 4, func(b *testbed) {
 		s := arrayJob(b.nextJobID(), 1)
 		b.history.RecordSubmission(s)
 		b.cloud.SetRunTimes(s.ID, time.Hour, 0)
-		time.Sleep(15 * time.Second) // nothing else is written
+		time.Sleep(15 * time.Second) // until no other writes are in progress
 		for _, step := range []struct{ verb, method, path, status string }{
 			{"submit", "POST", "/submissions", job.Queued},
 			{"cancel", "POST", "/submissions/" + s.ID + "/abort", job.Cancelled},
@@ -230,12 +248,13 @@
 			if step.verb == "cancel" {
 				b.history.RecordCancelRequest(s.ID)
 			}
-			asked, sent := b.history.StampRequest(), time.Now()
+			requestedAt, sent := b.history.StampRequest(), time.Now()
 			code, status := b.callAsUser("host-1", step.method, step.path, submissionOf(s), 5*time.Second)
 			took := time.Since(sent)
-			b.history.RecordResponse(step.verb, s.ID, asked, code, status)
+			b.history.RecordResponse(step.verb, s.ID, requestedAt, code, status)
 			if code/100 != 2 || status != step.status || took > time.Second {
-				b.t.Errorf("%s: %d %s after %v", step.verb, code, status, took)
+				b.t.Errorf("%s: got code %d and status %q after %v, want success within 1s",
+					step.verb, code, status, took)
 			}
 			time.Sleep(20 * time.Second)
 		}
--- a/test/integration/doc.go
+++ b/test/integration/doc.go
@@ -1,8 +1,8 @@
-// Package integration holds the scenarios in which two failures meet: whole controllers,
-// with every part of them, on stand-ins in fake time, and all rules of the protocol checked
-// against what happened. Most rules that were seen broken broke where failures met, between
-// parts that each are right by themselves.
+// Package integration tests what happens when two failures coincide. It runs complete controllers
+// against simulated external systems in fake time and checks every rule of the protocol against the
+// events that occurred. Most violations of these rules were found where two failures coincided,
+// between components that were each correct on their own.
 //
-// A scenario owns a testbed: controllers, state service, cloud, network and users. It may
-// import package controller, what describes stored values, and package emulator.
+// A scenario runs on a testbed: controllers, state service, cloud, network and users. Scenarios may
+// import package controller, the packages that describe stored values, and package emulator.
 package integration
--- a/test/integration/drawn_faults_test.go
+++ b/test/integration/drawn_faults_test.go
@@ -14,18 +14,19 @@
 	"robinstack/internal/statekv"
 )
 
-// activeFault is a fault that goes on.
+// activeFault is a fault that has begun and not ended yet.
 type activeFault struct {
 	kind  *fault
 	end   func()
 	until time.Time
 }
 
-// maxActiveFaults is how many faults go on at a time.
+// maxActiveFaults is the maximum number of faults at the same time.
 const maxActiveFaults = 3
 
-// runRandomFaults draws what happens: jobs of all shapes come, some are cancelled, and
-// faults come in pairs and triples, while users ask. Then all are over.
+// runRandomFaults submits jobs of all shapes at random, cancels some of them, and injects up to
+// three faults at a time, while users query their jobs. It then ends all faults and checks the
+// final state.
 func (b *testbed) runRandomFaults(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	var active []activeFault
@@ -45,19 +46,19 @@
 	for _, f := range active {
 		f.end()
 	}
-	b.history.RecordFault("all faults are over")
+	b.history.RecordFault("all faults have ended")
 	time.Sleep(5 * time.Second)
 	b.history.RecordFaultsEnded()
 	time.Sleep(10 * time.Minute)
 	b.history.CheckFinalState()
 }
 
-// endDueFaults ends the faults whose time is over, and returns the others.
+// endDueFaults ends the faults whose duration is over, and returns the remaining ones.
 func (b *testbed) endDueFaults(active []activeFault) []activeFault {
 	remaining := active[:0]
 	for _, f := range active {
 		if time.Now().After(f.until) {
-			b.history.RecordFault("over: %s", f.kind.name)
+			b.history.RecordFault("ended: %s", f.kind.name)
 			f.end()
 		} else {
 			remaining = append(remaining, f)
@@ -66,19 +67,19 @@
 	return remaining
 }
 
-// injectRandomFault draws one more fault, and injects it unless one that goes on excludes it.
+// injectRandomFault picks a random fault, and injects it unless an active fault excludes it.
 func (b *testbed) injectRandomFault(rng *rand.Rand, active []activeFault) []activeFault {
-	drawn := drawFault(rng)
-	if slices.ContainsFunc(active, func(f activeFault) bool { return f.kind.excludes(drawn) }) {
+	kind := randomFault(rng)
+	if slices.ContainsFunc(active, func(f activeFault) bool { return f.kind.excludes(kind) }) {
 		return active
 	}
-	seconds := drawn.drawDuration(rng)
-	b.history.RecordFault("%s for %d s", drawn.name, seconds)
-	end := drawn.inject(b, rng)
-	return append(active, activeFault{drawn, end, time.Now().Add(time.Duration(seconds) * time.Second)})
+	seconds := kind.randomDuration(rng)
+	b.history.RecordFault("%s for %d s", kind.name, seconds)
+	end := kind.inject(b, rng)
+	return append(active, activeFault{kind, end, time.Now().Add(time.Duration(seconds) * time.Second)})
 }
 
-// submitRandomJob has a user submit a job: often of two or three tasks that end far apart.
+// submitRandomJob submits a random job. The tasks of many of these jobs complete far apart.
 func (b *testbed) submitRandomJob(rng *rand.Rand) {
 	s := arrayJob(b.nextJobID(), 1+rng.IntN(3))
 	switch rng.IntN(8) {
@@ -101,20 +102,20 @@
 	go b.submitStaggered("", s, runTime, time.Duration(rng.IntN(2)*rng.IntN(30))*time.Second)
 }
 
-// seedsVariable names the environment variable with a range of seeds to play, FROM-TO.
+// seedsVariable is the environment variable with a range of seeds FROM-TO to run; TO is excluded.
 const seedsVariable = "MEETINGS"
 
-// seeds are those of CI, or a range given in the environment.
-func seeds(t *testing.T, ofCI ...uint64) []uint64 {
+// seeds returns the seeds in the range given in the environment, or defaults if there is none.
+func seeds(t *testing.T, defaults ...uint64) []uint64 {
 	t.Helper()
 	from, to, ok := strings.Cut(os.Getenv(seedsVariable), "-")
 	if !ok {
-		return ofCI
+		return defaults
 	}
 	first, errFirst := strconv.ParseUint(from, 10, 64)
 	end, errEnd := strconv.ParseUint(to, 10, 64)
 	if errFirst != nil || errEnd != nil {
-		t.Fatalf("%s is not FROM-TO", seedsVariable)
+		t.Fatalf("%s is not a range FROM-TO of seeds", seedsVariable)
 	}
 	var out []uint64
 	for seed := first; seed < end; seed++ {
@@ -123,20 +124,21 @@
 	return out
 }
 
-// With drawn faults of all kinds together no rule breaks, and every job is known, answered
-// about, and comes to its end.
+// Random faults of all kinds coincide. No rule may be violated, and every accepted job must remain
+// known, be reported on request, and finish.
 func TestDrawnFaults(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6, 7, 8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			bootS := 5.0
 			if seed%3 == 0 {
-				bootS = 1 // machines are up at once
+				bootS = 1 // so that machines get tasks almost at once
 			}
 			runScenarioWithBootTime(t, seed, bootS, func(b *testbed) {
 				b.runRandomFaults(seed)
 				if n := len(b.history.AcceptedJobs()); n < 15 || b.history.TaskStarts() < 20 {
-					b.t.Errorf("only %d jobs and %d starts: this shows little", n, b.history.TaskStarts())
+					b.t.Errorf("scenario hardly exercised: %d jobs accepted and %d tasks started, want at least 15 and 20",
+						n, b.history.TaskStarts())
 				}
 				b.checkNoViolations()
 				if b.t.Failed() {
@@ -148,8 +150,8 @@
 	}
 }
 
-// logOpenJobs logs who has what of the jobs that are still open: it tells why one does not
-// end.
+// logOpenJobs logs the record, job shard and tasks of each job that is still open, which shows why
+// a job does not finish.
 func (b *testbed) logOpenJobs() {
 	for _, kv := range b.state.ListAll(job.RecordPrefix) {
 		record, err := job.ParseRecord(kv.Value)
@@ -158,12 +160,12 @@
 			continue
 		}
 		shard := b.state.ListAll(statekv.JobShardPrefix + record.JobShard)
-		b.t.Logf("%s rev %d: job shard %v, tasks on machines %d",
+		b.t.Logf("%s at revision %d: job shard %v, %d tasks on machines",
 			kv.Key, kv.Rev, shard, b.history.TasksOnMachines(record.Spec.ID))
 	}
 	if b.t.Failed() {
 		for _, kv := range b.state.ListAll(statekv.ClusterPrefix) {
-			b.t.Logf("%s rev %d: %s", kv.Key, kv.Rev, kv.Value)
+			b.t.Logf("%s at revision %d: %s", kv.Key, kv.Rev, kv.Value)
 		}
 	}
 }
--- a/test/integration/fault_kinds_test.go
+++ b/test/integration/fault_kinds_test.go
@@ -10,56 +10,57 @@
 	"robinstack/internal/job"
 )
 
-// fault is one kind of failure.
+// fault is a kind of failure that can be injected at random.
 type fault struct {
 	name                         string
-	minDurationS, durationRangeS int // it lasts at least, and less than so much longer
-	weight                       int // how often it is drawn, against the others
+	minDurationS, durationRangeS int // a random duration from minDurationS to below their sum
+	weight                       int // relative frequency
 	inject                       injection
 }
 
-// injection causes a fault and returns what ends it.
+// injection causes a fault and returns a function that ends it.
 type injection func(b *testbed, rng *rand.Rand) (end func())
 
-// lasting is a fault that lasts from one number of seconds to below another.
-func lasting(name string, minS, maxS, weight int, inject injection) fault {
+// lastingFault returns a fault that lasts from minS to below maxS seconds.
+func lastingFault(name string, minS, maxS, weight int, inject injection) fault {
 	return fault{name, minS, maxS - minS, weight, inject}
 }
 
-// momentary is a fault that is over at once.
-func momentary(name string, weight int, inject func(b *testbed, rng *rand.Rand)) fault {
+// instantFault returns a fault without a duration.
+func instantFault(name string, weight int, inject func(b *testbed, rng *rand.Rand)) fault {
 	return fault{name, 0, 0, weight, func(b *testbed, rng *rand.Rand) func() {
 		inject(b, rng)
 		return func() {}
 	}}
 }
 
-// drawDuration draws how long the fault lasts, in seconds.
-func (f *fault) drawDuration(rng *rand.Rand) int {
+// randomDuration returns a random duration of the fault in seconds.
+func (f *fault) randomDuration(rng *rand.Rand) int {
 	if f.durationRangeS <= 0 {
 		return f.minDurationS
 	}
 	return f.minDurationS + rng.IntN(f.durationRangeS)
 }
 
-// Faults that exclude others.
+// Names of faults that exclude others.
 const (
-	controllerRestarts = "a controller is back within a fraction of a second"
+	controllerRestarts = "a controller restarts"
 	controllerDown     = "a controller is down"
-	allDown            = "all controllers end"
+	allDown            = "all controllers are down"
 )
 
-// excludes reports whether a fault that goes on excludes one that is drawn.
-func (f *fault) excludes(drawn *fault) bool {
-	return f.name == drawn.name || f.name == allDown || drawn.name == allDown ||
-		f.name == controllerDown && drawn.name == controllerRestarts
+// excludes reports whether the other fault must not be injected while this one is active.
+func (f *fault) excludes(other *fault) bool {
+	return f.name == other.name || f.name == allDown || other.name == allDown ||
+		f.name == controllerDown && other.name == controllerRestarts
 }
 
-// faults are all kinds of failures. Their order decides what a seed draws.
+// faults lists all kinds of failures. A seed selects faults by their position, so a changed order
+// changes the runs of all seeds.
 var faults = slices.Concat(controllerFaults, stateServiceFaults, networkFaults, machineFaults, userFaults)
 
-// drawFault draws one by its weight.
-func drawFault(rng *rand.Rand) *fault {
+// randomFault picks a fault at random, in proportion to the weights.
+func randomFault(rng *rand.Rand) *fault {
 	sum := 0
 	for k := range faults {
 		sum += faults[k].weight
@@ -73,21 +74,21 @@
 	return &faults[0]
 }
 
-func drawHost(b *testbed, rng *rand.Rand) string { return b.hosts[rng.IntN(len(b.hosts))] }
+func randomHost(b *testbed, rng *rand.Rand) string { return b.hosts[rng.IntN(len(b.hosts))] }
 
 var controllerFaults = []fault{
-	momentary(controllerRestarts, 3, func(b *testbed, rng *rand.Rand) {
-		h := drawHost(b, rng)
+	instantFault(controllerRestarts, 3, func(b *testbed, rng *rand.Rand) {
+		h := randomHost(b, rng)
 		b.crash(h)
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		b.start(h)
 	}),
-	lasting(controllerDown, 2, 60, 2, func(b *testbed, rng *rand.Rand) func() {
-		h := drawHost(b, rng)
+	lastingFault(controllerDown, 2, 60, 2, func(b *testbed, rng *rand.Rand) func() {
+		h := randomHost(b, rng)
 		b.crash(h)
 		return func() { b.start(h) }
 	}),
-	lasting(allDown, 0, 8, 1, func(b *testbed, rng *rand.Rand) func() {
+	lastingFault(allDown, 0, 8, 1, func(b *testbed, rng *rand.Rand) func() {
 		for _, h := range b.hosts {
 			b.crash(h)
 		}
@@ -101,28 +102,28 @@
 }
 
 var stateServiceFaults = []fault{
-	lasting("the state service refuses one", 1, 90, 3, func(b *testbed, rng *rand.Rand) func() {
-		h := drawHost(b, rng)
+	lastingFault("the state service rejects a controller", 1, 90, 3, func(b *testbed, rng *rand.Rand) func() {
+		h := randomHost(b, rng)
 		b.stateClient(h).SetRefuseAll(true)
 		return func() { b.stateClient(h).SetRefuseAll(false) }
 	}),
-	lasting("the state service is down", 1, 80, 2, func(b *testbed, _ *rand.Rand) func() {
+	lastingFault("the state service is down", 1, 80, 2, func(b *testbed, _ *rand.Rand) func() {
 		b.state.SetOutage(true, false)
 		return func() { b.state.SetOutage(false, false) }
 	}),
-	lasting("the state service is slow", 5, 40, 1, func(b *testbed, rng *rand.Rand) func() {
+	lastingFault("the state service is slow", 5, 40, 1, func(b *testbed, rng *rand.Rand) func() {
 		b.setStateFaults(time.Duration(100+rng.IntN(1500))*time.Millisecond, 0)
 		return func() { b.setStateFaults(0, 0) }
 	}),
-	lasting("transactions are delayed", 10, 60, 3, func(b *testbed, rng *rand.Rand) func() {
+	lastingFault("transactions are delayed", 10, 60, 3, func(b *testbed, rng *rand.Rand) func() {
 		b.setStateFaults(0, 0.1+0.5*rng.Float64())
 		return func() { b.setStateFaults(0, 0) }
 	}),
 }
 
 var networkFaults = []fault{
-	lasting("one is partitioned from state and peers", 5, 90, 3, func(b *testbed, rng *rand.Rand) func() {
-		h := drawHost(b, rng)
+	lastingFault("a controller is partitioned from the state service and its peers", 5, 90, 3, func(b *testbed, rng *rand.Rand) func() {
+		h := randomHost(b, rng)
 		b.stateClient(h).SetRefuseAll(true)
 		b.network.setPartitioned(h, true)
 		return func() {
@@ -130,24 +131,24 @@
 			b.network.setPartitioned(h, false)
 		}
 	}),
-	lasting("one is partitioned from peers", 5, 90, 2, func(b *testbed, rng *rand.Rand) func() {
-		h := drawHost(b, rng)
+	lastingFault("a controller is partitioned from its peers", 5, 90, 2, func(b *testbed, rng *rand.Rand) func() {
+		h := randomHost(b, rng)
 		b.network.setPartitioned(h, true)
 		return func() { b.network.setPartitioned(h, false) }
 	}),
-	lasting("peers do not reach one", 5, 60, 1, func(b *testbed, rng *rand.Rand) func() {
-		h := drawHost(b, rng)
+	lastingFault("calls of peers to a controller are lost", 5, 60, 1, func(b *testbed, rng *rand.Rand) func() {
+		h := randomHost(b, rng)
 		b.network.setInboundLost(h, true)
 		return func() { b.network.setInboundLost(h, false) }
 	}),
-	lasting("workers do not reach one", 5, 60, 1, func(b *testbed, rng *rand.Rand) func() {
-		h := drawHost(b, rng)
+	lastingFault("heartbeats to a controller are lost", 5, 60, 1, func(b *testbed, rng *rand.Rand) func() {
+		h := randomHost(b, rng)
 		b.setUnreachableByWorkers(h, true)
 		return func() { b.setUnreachableByWorkers(h, false) }
 	}),
 }
 
-// onShareOfMachines has some of the machines changed, and changed back.
+// onShareOfMachines applies a fault to a random share of the machines.
 func onShareOfMachines(share float64, set func(m *emulator.SimulatedMachine, on bool)) injection {
 	return func(b *testbed, rng *rand.Rand) func() {
 		affected := map[*emulator.SimulatedMachine]bool{}
@@ -187,37 +188,37 @@
 }
 
 var machineFaults = []fault{
-	lasting("machines get no answers and commands", 3, 60, 2, onShareOfMachines(0.4, setInboundLost)),
-	lasting("commands are lost", 3, 60, 2, onShareOfMachines(0.4, setCommandsLost)),
-	lasting("machines hang", 2, 60, 2, onShareOfMachines(0.3, setHung)),
-	lasting("commands are delayed", 5, 30, 2, onShareOfMachines(0.5, setCommandsDelayed)),
-	lasting("answers are delayed", 5, 30, 2, onShareOfMachines(0.5, setAnswersDelayed)),
-	momentary("duplicate heartbeats arrive late", 4, func(b *testbed, rng *rand.Rand) {
-		h := drawHost(b, rng)
+	lastingFault("responses and commands to machines are lost", 3, 60, 2, onShareOfMachines(0.4, setInboundLost)),
+	lastingFault("commands are lost", 3, 60, 2, onShareOfMachines(0.4, setCommandsLost)),
+	lastingFault("machines hang", 2, 60, 2, onShareOfMachines(0.3, setHung)),
+	lastingFault("commands are delayed", 5, 30, 2, onShareOfMachines(0.5, setCommandsDelayed)),
+	lastingFault("responses to heartbeats are delayed", 5, 30, 2, onShareOfMachines(0.5, setAnswersDelayed)),
+	instantFault("duplicate heartbeats arrive late", 4, func(b *testbed, rng *rand.Rand) {
+		h := randomHost(b, rng)
 		b.forEachMachine(func(m *emulator.SimulatedMachine) {
 			if rng.IntN(2) == 0 {
 				m.SendDuplicateHeartbeat(h)
 			}
 		})
 	}),
-	lasting("only answers of the state service are lost", 10, 60, 3, func(b *testbed, rng *rand.Rand) func() {
-		b.setLoseAnswersOnly(true)
+	lastingFault("responses to applied transactions are lost", 10, 60, 3, func(b *testbed, rng *rand.Rand) func() {
+		b.setLoseResponsesOnly(true)
 		b.setStateFaults(0, 0.1+0.6*rng.Float64())
 		return func() {
-			b.setLoseAnswersOnly(false)
+			b.setLoseResponsesOnly(false)
 			b.setStateFaults(0, 0)
 		}
 	}),
-	lasting("heartbeats are lost", 3, 70, 2, onShareOfMachines(0.4, setHeartbeatsLost)),
-	lasting("heartbeats are captured for the next owner", 5, 50, 3, injectCapturedHeartbeats),
+	lastingFault("heartbeats are lost", 3, 70, 2, onShareOfMachines(0.4, setHeartbeatsLost)),
+	lastingFault("captured heartbeats are replayed to the next owner", 5, 50, 3, replayHeartbeatsAfterRestart),
 }
 
-// injectCapturedHeartbeats captures heartbeats now, and has them arrive at the end, while a
-// controller restarts.
-func injectCapturedHeartbeats(b *testbed, rng *rand.Rand) func() {
+// replayHeartbeatsAfterRestart captures heartbeats when it is injected. When the fault ends, it
+// sends them repeatedly while a controller restarts.
+func replayHeartbeatsAfterRestart(b *testbed, rng *rand.Rand) func() {
 	b.forEachMachine(func(m *emulator.SimulatedMachine) { m.CaptureHeartbeat() })
 	return func() {
-		if h := drawHost(b, rng); b.isUp(h) {
+		if h := randomHost(b, rng); b.isUp(h) {
 			b.crash(h)
 			go func() {
 				time.Sleep(time.Duration(rng.IntN(2)*rng.IntN(1500)) * time.Millisecond)
@@ -234,8 +235,8 @@
 }
 
 var userFaults = []fault{
-	lasting("jobs are cancelled as their machines hang", 5, 45, 2, injectCancelledOnHungMachines),
-	lasting("jobs are cancelled as they complete", 5, 40, 2, func(b *testbed, _ *rand.Rand) func() {
+	lastingFault("jobs on hung machines are cancelled", 5, 45, 2, cancelJobsOnHungMachines),
+	lastingFault("jobs are cancelled while they complete", 5, 40, 2, func(b *testbed, _ *rand.Rand) func() {
 		k := 0
 		b.cloud.OnTaskCompleted(func(task string) {
 			id, _, _ := job.SplitTaskID(task)
@@ -245,7 +246,7 @@
 		})
 		return func() { b.cloud.OnTaskCompleted(nil) }
 	}),
-	lasting("users query frequently", 5, 30, 2, func(b *testbed, rng *rand.Rand) func() {
+	lastingFault("users query frequently", 5, 30, 2, func(b *testbed, rng *rand.Rand) func() {
 		return b.repeat(rng.IntN(1000), 2*time.Second, func(k int) {
 			if ids := b.history.AcceptedJobs(); len(ids) > 0 {
 				s, _ := b.history.Spec(ids[k*7%len(ids)])
@@ -253,11 +254,11 @@
 					b.cancelPromptly(b.hosts[k%3], s.ID)
 				}
 				var counts queryCounts
-				b.queryClosely(s, &counts)
+				b.queryFrequently(s, &counts)
 			}
 		})
 	}),
-	lasting("users resubmit, and submit what is invalid", 5, 30, 1, func(b *testbed, rng *rand.Rand) func() {
+	lastingFault("users resubmit jobs and submit invalid ones", 5, 30, 1, func(b *testbed, rng *rand.Rand) func() {
 		return b.repeat(rng.IntN(1000), 700*time.Millisecond, func(k int) {
 			if ids := b.history.AcceptedJobs(); len(ids) > 0 {
 				s, _ := b.history.Spec(ids[k*5%len(ids)])
@@ -269,7 +270,7 @@
 			b.submitOnce(b.hosts[(k+1)%3], invalid.ID, submissionOf(invalid))
 		})
 	}),
-	lasting("single-task jobs come", 5, 20, 1, func(b *testbed, _ *rand.Rand) func() {
+	lastingFault("single-task jobs are submitted", 5, 20, 1, func(b *testbed, _ *rand.Rand) func() {
 		return b.repeat(0, 500*time.Millisecond, func(k int) {
 			s := arrayJob(b.nextJobID(), 1)
 			go func() {
@@ -279,7 +280,7 @@
 			}()
 		})
 	}),
-	momentary("a machine stops with all that is on it", 1, func(b *testbed, rng *rand.Rand) {
+	instantFault("a machine fails", 1, func(b *testbed, rng *rand.Rand) {
 		at := rng.IntN(8)
 		b.forEachMachine(func(m *emulator.SimulatedMachine) {
 			if at--; at == 0 {
@@ -289,7 +290,7 @@
 	}),
 }
 
-// repeat does something again and again, with numbers from first on, until it is stopped.
+// repeat calls do at an interval with increasing numbers, starting with first, until it is stopped.
 func (b *testbed) repeat(first int, interval time.Duration, do func(k int)) (stop func()) {
 	ctx, stop := context.WithCancel(b.ctx)
 	go func() {
@@ -301,8 +302,8 @@
 	return stop
 }
 
-// injectCancelledOnHungMachines has up to four machines hang and their jobs cancelled.
-func injectCancelledOnHungMachines(b *testbed, rng *rand.Rand) func() {
+// cancelJobsOnHungMachines makes up to four machines hang and cancels the jobs on them.
+func cancelJobsOnHungMachines(b *testbed, rng *rand.Rand) func() {
 	hung := map[string]bool{}
 	for _, id := range b.history.AcceptedJobs() {
 		machine := b.history.MachineOfFirstTask(id)
--- a/test/integration/lost_answers_test.go
+++ b/test/integration/lost_answers_test.go
@@ -10,18 +10,18 @@
 	"robinstack/internal/statekv"
 )
 
-// Transactions are carried out at once and only their answers are lost, for a while, while
-// users submit, cancel and ask elsewhere and a role fails: submissions, cancellations,
-// completions, acquisitions of every role and claims of machines. Nobody takes the trace of
-// their own write for another's, nor another's for their own.
+// Guards against a controller that mistakes the result of its own write for another controller's,
+// or the reverse. For a while, transactions are applied and only their responses are lost, while
+// users submit, cancel and query elsewhere and the holder of a role crashes. This affects
+// submissions, cancellations, completions, the acquisition of every role and claims of machines.
 func TestAppliedTransactionsWithLostAnswers(t *testing.T) {
 	for _, share := range []float64{0.4, 1} {
 		for _, f := range failovers(roles) {
-			t.Run(fmt.Sprint(share, " of them, ", f), func(t *testing.T) {
+			t.Run(fmt.Sprint("share ", share, ", ", f), func(t *testing.T) {
 				t.Parallel()
 				runScenario(t, 51, func(b *testbed) {
 					long := b.startRunningJob("host-0", "b", job.Array)
-					b.setLoseAnswersOnly(true)
+					b.setLoseResponsesOnly(true)
 					b.setStateFaults(0, share)
 					before := b.appliedUnansweredTxns()
 					for k := range 12 {
@@ -32,7 +32,7 @@
 						}
 					}
 					time.Sleep(4 * time.Second)
-					restart := b.fail(f, long.ID)
+					restart := b.crashRole(f, long.ID)
 					go b.cancel("host-2", long.ID)
 					time.Sleep(max(20*time.Second, f.downtime+10*time.Second))
 					for range 2 {
@@ -41,12 +41,12 @@
 					time.Sleep(15 * time.Second)
 					b.setStateFaults(0, 0)
 					n := b.appliedUnansweredTxns() - before
-					if b.t.Logf("%d transactions were carried out without an answer", n); n < 10 {
-						b.t.Error("this shows little")
+					if b.t.Logf("%d transactions were applied without a response", n); n < 10 {
+						b.t.Error("scenario hardly exercised: want at least 10 transactions that were applied without a response")
 					}
 					restart()
 					b.history.RecordFaultsEnded()
-					b.cancel("", long.ID) // its user may have given up
+					b.cancel("", long.ID) // the cancellation during the fault may have timed out
 					time.Sleep(5 * time.Minute)
 					b.history.CheckFinalState()
 					b.checkNoViolations()
@@ -56,8 +56,8 @@
 	}
 }
 
-// appliedUnansweredTxns counts the transactions of all controllers that were carried out and
-// got no answer.
+// appliedUnansweredTxns returns the number of transactions of all controllers that were applied and
+// got no response.
 func (b *testbed) appliedUnansweredTxns() (n int) {
 	for _, h := range b.hosts {
 		n += b.stateClient(h).AppliedUnansweredTxns()
@@ -65,8 +65,9 @@
 	return n
 }
 
-// The answer to one transaction is lost, and before the controller that sent it knows, all
-// others are asked: they answer what it wrote, and it answers nothing older then.
+// The response to one transaction is lost, and all controllers are queried before the sender knows
+// the outcome. The others report what it wrote, and the sender must not report anything older
+// afterwards.
 func TestPeersAnswerWhatWriterDoesNotKnowYet(t *testing.T) {
 	for _, verb := range []string{"submit", "cancel"} {
 		t.Run(verb, func(t *testing.T) {
@@ -77,9 +78,11 @@
 				path, key, want := "/submissions", job.RecordKey(s.ID), job.Queued
 				if verb == "cancel" {
 					if !b.submit("host-0", s, time.Hour) {
-						b.t.Fatal("not accepted")
+						b.t.Fatal("the job was not accepted")
 					}
-					b.waitUntil("it runs", time.Minute, func() bool { return b.history.TasksOnMachines(s.ID) == 1 })
+					b.waitUntil("the task is running", time.Minute, func() bool {
+						return b.history.TasksOnMachines(s.ID) == 1
+					})
 					time.Sleep(15 * time.Second)
 					b.history.RecordCancelRequest(s.ID)
 					path, key, want = path+"/"+s.ID+"/abort", statekv.RootPrefix+"final/"+s.ID, job.Cancelled
@@ -89,28 +92,30 @@
 				b.stateClient("host-1").SetLoseAnswersOnly(true)
 				b.stateClient("host-1").DelayNextTxns(3)
 				before := b.stateClient("host-1").AppliedUnansweredTxns()
-				asked := b.history.StampRequest()
+				requestedAt := b.history.StampRequest()
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
 					code, status := b.callAsUser("host-1", http.MethodPost, path, submissionOf(s), 5*time.Second)
-					b.history.RecordResponse(verb, s.ID, asked, code, status)
+					b.history.RecordResponse(verb, s.ID, requestedAt, code, status)
 					if code/100 != 2 || status != want {
-						b.t.Errorf("its writer answers %d %s", code, status)
+						b.t.Errorf("response of the sender: got code %d and status %q, want success and %q",
+							code, status, want)
 					}
 				}()
 				for end := time.Now().Add(2 * time.Second); b.keyRevision(key) == 0 && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
 				if b.stateClient("host-1").AppliedUnansweredTxns() == before {
-					b.t.Fatal("no answer was lost: this shows nothing")
+					b.t.Fatal("scenario not exercised: no response was lost")
 				}
 				var counts queryCounts
-				b.queryClosely(s, &counts)
+				b.queryFrequently(s, &counts)
 				<-done
-				b.queryClosely(s, &counts)
+				b.queryFrequently(s, &counts)
 				if counts.count("host-0") < 20 || counts.count("host-1") < 20 || counts.count("host-2") < 20 {
-					b.t.Errorf("answers: %v", counts.answered)
+					b.t.Errorf("scenario hardly exercised: answered requests by controller: got %v, want at least 20 each",
+						counts.answered)
 				}
 				if verb == "submit" {
 					b.cancel("host-2", s.ID)
--- a/test/integration/network_test.go
+++ b/test/integration/network_test.go
@@ -11,12 +11,12 @@
 	"robinstack/internal/peer"
 )
 
-// controllerNetwork connects the controllers' sessions. Its mutex guards all of it.
+// controllerNetwork connects the sessions of the controllers. mu guards all other fields.
 type controllerNetwork struct {
 	mu          sync.Mutex
 	endpoints   map[string]*endpoint // by host
-	partitioned map[string]bool      // controllers that others do not reach, nor they others
-	inboundLost map[string]bool      // controllers that others do not reach
+	partitioned map[string]bool      // hosts that are cut off from all others, in both directions
+	inboundLost map[string]bool      // hosts that others cannot call
 }
 
 func newControllerNetwork() *controllerNetwork {
@@ -27,22 +27,23 @@
 	}
 }
 
-// setPartitioned parts a controller from the others, or joins it again.
+// setPartitioned cuts a controller off from the others, or reconnects it.
 func (n *controllerNetwork) setPartitioned(host string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitioned[host] = partitioned
 }
 
-// setInboundLost has a controller not be reached by the others, while it reaches them.
+// setInboundLost sets whether calls to a controller are lost. Its own calls to others still
+// succeed.
 func (n *controllerNetwork) setInboundLost(host string, lost bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.inboundLost[host] = lost
 }
 
-// route returns where calls of a controller to a host go, nil if nobody listens there, and
-// whether they get there.
+// route returns the endpoint that serves calls to a host, or nil if no session listens there, and
+// whether the calls arrive.
 func (n *controllerNetwork) route(from *endpoint, host string) (to *endpoint, reachable bool) {
 	if host == from.host {
 		return from, true
@@ -53,15 +54,15 @@
 	return n.endpoints[host], !lost
 }
 
-// endpoint is the network of one session, with net/rpc over pipes. Its mutex guards clients
-// and connections.
+// endpoint is the controller.Network of one session: net/rpc over pipes. mu guards clients and
+// connections.
 type endpoint struct {
 	network *controllerNetwork
 	host    string
 	server  *rpc.Server
 
 	mu          sync.Mutex
-	clients     map[*endpoint]*rpc.Client // by the session that they reach
+	clients     map[*endpoint]*rpc.Client // by the endpoint that they call
 	connections []net.Conn
 }
 
@@ -69,18 +70,18 @@
 	return &endpoint{network: n, host: host, server: server, clients: map[*endpoint]*rpc.Client{}}
 }
 
-// Listen has the others reach this session until serve's context ends.
+// Listen registers the session on the network. serve unregisters it when its context ends.
 func (e *endpoint) Listen() (serve func(ctx context.Context), err error) {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
 	e.network.endpoints[e.host] = e
 	return func(ctx context.Context) {
 		<-ctx.Done()
-		e.leave()
+		e.unregister()
 	}, nil
 }
 
-func (e *endpoint) leave() {
+func (e *endpoint) unregister() {
 	e.network.mu.Lock()
 	if e.network.endpoints[e.host] == e {
 		delete(e.network.endpoints, e.host)
@@ -89,7 +90,7 @@
 	e.Close()
 }
 
-// Close ends the connections to this session.
+// Close closes the connections to this session.
 func (e *endpoint) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -98,7 +99,7 @@
 	}
 }
 
-// connect returns a client that reaches this session.
+// connect returns a new client that calls this session.
 func (e *endpoint) connect() *rpc.Client {
 	ours, theirs := net.Pipe()
 	e.mu.Lock()
@@ -108,8 +109,8 @@
 	return rpc.NewClient(ours)
 }
 
-// clientOf returns the client for another session.
-func (e *endpoint) clientOf(to *endpoint) *rpc.Client {
+// clientFor returns the client for calls to another session.
+func (e *endpoint) clientFor(to *endpoint) *rpc.Client {
 	e.mu.Lock()
 	client := e.clients[to]
 	e.mu.Unlock()
@@ -123,8 +124,8 @@
 	return client
 }
 
-// Call calls a method of a controller. The error is peer.ErrNoAnswer if that does not
-// answer before ctx ends.
+// Call calls a method of a controller. The error is peer.ErrNoAnswer if the controller does not
+// reply before ctx ends.
 func (e *endpoint) Call(ctx context.Context, host, method string, args, reply any) error {
 	to, reachable := e.network.route(e, host)
 	if !reachable {
@@ -134,7 +135,7 @@
 	if to == nil {
 		return fmt.Errorf("%s: connection refused", host)
 	}
-	call := e.clientOf(to).Go(method, args, reply, make(chan *rpc.Call, 1))
+	call := e.clientFor(to).Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 		var answered rpc.ServerError
--- a/test/integration/outage_test.go
+++ b/test/integration/outage_test.go
@@ -9,9 +9,9 @@
 	"robinstack/internal/job"
 )
 
-// The state service answers slowly, refuses one alone, then is down for all for
-// longer than the cancellation deadline, while users submit, cancel and ask: no older answer,
-// and every query is answered again soon after it.
+// The state service responds slowly, then rejects one controller, and then is down for all
+// controllers for longer than the cancellation deadline, while users submit, cancel and query. No
+// controller may report an older status, and every query must be answered soon after the outage.
 func TestStateServiceDegradesUntilOutage(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 1900 * time.Millisecond} {
 		t.Run(fmt.Sprint(slow), func(t *testing.T) {
@@ -39,7 +39,7 @@
 				b.history.RecordFaultsEnded()
 				time.Sleep(30 * time.Second)
 				if id := b.history.UnansweredJob(30 * time.Second); id != "" {
-					b.t.Errorf("no question about %s has been answered for 30 s", id)
+					b.t.Errorf("no query about %s was answered for 30 s", id)
 				}
 				time.Sleep(5 * time.Minute)
 				b.history.CheckFinalState()
@@ -49,10 +49,10 @@
 	}
 }
 
-// An outage of the state service lasts for longer than owners may answer their workers, so
-// that these go from one controller to the next. That says nothing about who reaches whom:
-// afterwards every shard is still its owner's. On a cluster all shards were swapped between
-// two owners that were up, and each machine had to be reconciled once more.
+// During a long outage of the state service owners stop answering their workers, and the workers
+// turn to other controllers. This does not show that the owner is unreachable, so every shard must
+// still belong to its owner afterwards. On a cluster, all shards were swapped between two running
+// owners, and each machine had to be reconciled again.
 func TestOutageMovesNoShards(t *testing.T) {
 	runScenario(t, 18, func(b *testbed) {
 		for k, h := range b.hosts {
@@ -69,16 +69,16 @@
 		after := b.shardOwners()
 		for _, shard := range before {
 			if !strings.Contains(after, shard) {
-				b.t.Errorf("%s is not any more: %s", shard, after)
+				b.t.Errorf("machine shard %q changed: the shards are now %s", shard, after)
 			}
 		}
 		b.checkNoViolations()
 	})
 }
 
-// The state service is down for all for longer than owners may answer by their own view. All
-// controllers reach each other and say that they acknowledged nothing later, so no machine
-// loses its tasks.
+// The state service is down for all controllers for longer than the lease grace period. All
+// controllers reach each other and confirm that they have acknowledged no cancellation since, so no
+// machine may lose its tasks.
 func TestLongOutageSeenByAllLosesNoTask(t *testing.T) {
 	runScenario(t, 19, func(b *testbed) {
 		var ids []string
@@ -93,7 +93,8 @@
 			time.Sleep(workers.CancellationDeadline + 40*time.Second)
 			for _, id := range ids {
 				if b.history.TasksOnMachines(id) != 2 {
-					b.t.Errorf("%d tasks of %s are on machines after the outage", b.history.TasksOnMachines(id), id)
+					b.t.Errorf("%d tasks of %s are on machines after the outage, want 2",
+						b.history.TasksOnMachines(id), id)
 				}
 			}
 			b.state.SetOutage(false, false)
@@ -101,24 +102,28 @@
 		}
 		time.Sleep(2 * time.Minute)
 		if n := b.history.TaskStarts(); n != 6 {
-			b.t.Errorf("six tasks were started %d times", n)
+			b.t.Errorf("starts of six tasks: got %d, want 6", n)
 		}
 		b.history.CheckFinalState()
 		b.checkNoViolations()
 	})
 }
 
-// The same where one of them cannot be asked, has ended, or is back without a session: it may
-// have acknowledged anything, so owners stop renewing leases when their lease grace period is
-// over, and what was cancelled is gone in time. In the last case the controller that
-// acknowledged has it by its own write only, and no watch has shown it to any when the outage
-// begins.
+// In a long outage, one controller cannot be asked, has crashed, or has restarted without a
+// session. It may have acknowledged a cancellation, so owners must stop renewing worker leases at
+// the end of the lease grace period, and the tasks of cancelled jobs must stop in time. In the last
+// case, the acknowledging controller knows of the cancellation only from its own write: no watch
+// has shown it to any controller when the outage begins.
 func TestLongOutageWithPossibleAcknowledgement(t *testing.T) {
 	for name, isolate := range map[string]func(b *testbed){
 		"partitioned from peers": func(b *testbed) { b.network.setPartitioned("host-2", true) },
-		"ended":                  func(b *testbed) { b.crash("host-2") },
-		"back without a session": func(b *testbed) { b.crash("host-2"); time.Sleep(200 * time.Millisecond); b.start("host-2") },
-		"not shown by watches":   func(b *testbed) {},
+		"crashed":                func(b *testbed) { b.crash("host-2") },
+		"restarted without a session": func(b *testbed) {
+			b.crash("host-2")
+			time.Sleep(200 * time.Millisecond)
+			b.start("host-2")
+		},
+		"not shown by watches": func(b *testbed) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -127,12 +132,12 @@
 				b.setWatchLag(5 * time.Second)
 				time.Sleep(7 * time.Second)
 				if !b.cancelPromptly("host-2", s.ID) {
-					b.t.Fatal("the cancellation is not acknowledged")
+					b.t.Fatal("the cancellation was not acknowledged")
 				}
 				b.state.SetOutage(true, false)
 				isolate(b)
 				time.Sleep(workers.CancellationDeadline + 40*time.Second)
-				b.t.Logf("tasks stayed for %v", b.history.TimesToStopAfterCancel())
+				b.t.Logf("tasks stopped %v after the acknowledgement", b.history.TimesToStopAfterCancel())
 				b.checkNoViolations()
 				b.state.SetOutage(false, false)
 				b.network.setPartitioned("host-2", false)
@@ -144,9 +149,9 @@
 	}
 }
 
-// An owner learns of a job only after its cancellation: it acquires the shards of one that has
-// ended, and from that moment on the state service is down, so that nobody tells it whether
-// what runs there goes on.
+// A controller acquires the machine shards of a crashed owner after a job on them was cancelled.
+// From then on the state service is down, so nothing tells the new owner whether the tasks on its
+// machines may continue. The tasks must stop in time.
 func TestNewOwnerDuringOutageStopsCancelledJob(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Millisecond, 20 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
@@ -154,11 +159,11 @@
 				s := b.startRunningJob("host-0", "a", job.Array)
 				b.crash("host-0")
 				if !b.cancel("host-2", s.ID) {
-					b.t.Fatal("the cancellation is not acknowledged")
+					b.t.Fatal("the cancellation was not acknowledged")
 				}
 				for end := time.Now().Add(20 * time.Second); b.ownsShards("host-0"); time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
-						b.t.Fatal("its shards were not acquired")
+						b.t.Fatal("the shards of the crashed owner were not acquired within 20 s")
 					}
 				}
 				time.Sleep(after)
@@ -166,7 +171,7 @@
 				time.Sleep(workers.CancellationDeadline + 40*time.Second)
 				b.state.SetOutage(false, false)
 				time.Sleep(20 * time.Second)
-				b.t.Logf("tasks stayed for %v", b.history.TimesToStopAfterCancel())
+				b.t.Logf("tasks stopped %v after the acknowledgement", b.history.TimesToStopAfterCancel())
 				b.checkNoViolations()
 			})
 		})
--- a/test/integration/partition_test.go
+++ b/test/integration/partition_test.go
@@ -9,12 +9,12 @@
 	"robinstack/internal/job"
 )
 
-// A controller is partitioned from the state service and the others, not from its workers and
-// users; jobs are cancelled through another. Users who ask the partitioned one get no older
-// answer, and what it placed is gone in time.
+// A controller is partitioned from the state service and from the other controllers, but not from
+// its workers and users, and jobs are cancelled at another controller. The partitioned controller
+// must not report an older status, and the tasks that it started must stop in time.
 func TestPartitionedControllerWhileJobsAreCancelled(t *testing.T) {
 	for _, inboundOnly := range []bool{false, true} {
-		t.Run(fmt.Sprint("it still reaches others: ", inboundOnly), func(t *testing.T) {
+		t.Run(fmt.Sprint("outbound calls succeed: ", inboundOnly), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 11, func(b *testbed) {
 				local, remote := b.startRunningJob("host-0", "a", job.Array), b.startRunningJob("host-0", "b", job.Gang)
@@ -26,7 +26,7 @@
 				}
 				for _, s := range []job.Spec{local, remote} {
 					if !b.cancel("host-1", s.ID) {
-						b.t.Fatal("the cancellation is not acknowledged")
+						b.t.Fatal("the cancellation was not acknowledged")
 					}
 				}
 				late := arrayJob(b.nextJobID(), 1)
@@ -37,7 +37,7 @@
 					for _, id := range []string{local.ID, remote.ID, "wk-999999"} {
 						code, _ := b.queryOnce("host-0", id)
 						if code == 0 {
-							b.t.Fatalf("a question about %s was not answered at once", id)
+							b.t.Fatalf("a query about %s to the partitioned controller got no response", id)
 						}
 						answered++
 					}
@@ -47,37 +47,40 @@
 				b.network.setPartitioned("host-0", false)
 				b.network.setInboundLost("host-0", false)
 				time.Sleep(30 * time.Second)
-				b.t.Logf("%d answers by the partitioned one; tasks stayed for %v", answered, b.history.TimesToStopAfterCancel())
+				b.t.Logf("%d responses from the partitioned controller; tasks stopped %v after the acknowledgement",
+					answered, b.history.TimesToStopAfterCancel())
 				b.checkNoViolations()
 			})
 		})
 	}
 }
 
-// A zone with its workers and a controller is partitioned from everything else for longer than
-// a lease: work goes on there, nothing of it starts elsewhere, and what is cancelled outside
-// meanwhile is gone in time.
+// A zone with its workers and one controller is partitioned from everything else, for less or more
+// than a worker lease. Tasks in the zone may continue and must not be started elsewhere, and jobs
+// that are cancelled outside meanwhile must stop in time.
 func TestZonePartitionedWithItsController(t *testing.T) {
 	for _, duration := range []time.Duration{20 * time.Second, 45 * time.Second, 2 * time.Minute} {
 		t.Run(duration.String(), func(t *testing.T) {
 			t.Parallel()
-			// Machines boot for so long that unresponsive ones are waited for, and not returned,
+			// The boot time of 40 s delays the replacement of unresponsive machines by the
+			// autoscaler.
 			runScenarioWithBootTime(t, 101, 40, func(b *testbed) {
 				running, cancelled := inZone("b", arrayJob(b.nextJobID(), 2)), inZone("b", arrayJob(b.nextJobID(), 2))
-				// And so many that they are not returned at once as few that do not answer.
+				// Six machines in the zone: more than an isolated failure, which the autoscaler
+				// would delete at once.
 				for _, s := range []job.Spec{running, cancelled, inZone("b", arrayJob(b.nextJobID(), 4)), inZone("b", arrayJob(b.nextJobID(), 4))} {
 					if !b.submit("host-0", s, 4*time.Minute) {
-						b.t.Fatal("not accepted")
+						b.t.Fatal("the job was not accepted")
 					}
 				}
-				b.waitUntil("they run", 3*time.Minute, func() bool {
+				b.waitUntil("the tasks of both jobs are running", 3*time.Minute, func() bool {
 					return b.history.TasksOnMachines(running.ID) == 2 && b.history.TasksOnMachines(cancelled.ID) == 2
 				})
 				time.Sleep(10 * time.Second)
 				if h := b.ownerOf(b.history.MachineOfFirstTask(running.ID)); h != "host-1" {
-					b.t.Fatalf("the owner is %s: this shows nothing", h)
+					b.t.Fatalf("scenario not exercised: owner of the machine: got %s, want host-1", h)
 				}
-				setPartitioned := func(on bool) {
+				setZonePartitioned := func(on bool) {
 					b.network.setPartitioned("host-1", on)
 					b.stateClient("host-1").SetRefuseAll(on)
 					b.setUnreachableByUsers("host-1", on)
@@ -92,22 +95,22 @@
 						}
 					})
 				}
-				setPartitioned(true)
+				setZonePartitioned(true)
 				if !b.cancel("host-2", cancelled.ID) {
-					b.t.Fatal("the cancellation is not acknowledged")
+					b.t.Fatal("the cancellation was not acknowledged")
 				}
 				if b.history.TasksOnMachines(cancelled.ID) == 0 {
-					b.t.Error("nothing was on machines: this shows nothing")
+					b.t.Error("scenario not exercised: no task was on a machine at the acknowledgement")
 				}
 				go b.submit("host-2", inZone("b", arrayJob(b.nextJobID(), 1)), 10*time.Second)
 				time.Sleep(duration)
 				if n := b.history.TasksOnMachines(running.ID); n == 0 && duration < 25*time.Second {
-					b.t.Errorf("%d tasks run on in the zone", n)
+					b.t.Errorf("%d tasks are running in the partitioned zone, want at least 1", n)
 				}
-				setPartitioned(false)
+				setZonePartitioned(false)
 				b.history.RecordFaultsEnded()
 				time.Sleep(8 * time.Minute)
-				b.t.Logf("tasks stayed for %v", b.history.TimesToStopAfterCancel())
+				b.t.Logf("tasks stopped %v after the acknowledgement", b.history.TimesToStopAfterCancel())
 				b.history.CheckFinalState()
 				b.checkNoViolations()
 			})
@@ -115,8 +118,8 @@
 	}
 }
 
-// A job's scheduler and the owner of its machines do not reach each other, and its user cancels
-// it: nobody but the owner itself can have its tasks stopped.
+// The scheduler of a job and the owner of its machines cannot reach each other when the job is
+// cancelled. Only the owner itself can have the tasks stopped.
 func TestSchedulerPartitionedFromOwner(t *testing.T) {
 	for _, shape := range []string{job.Array, job.Gang, job.Service} {
 		t.Run(shape, func(t *testing.T) {
@@ -124,12 +127,12 @@
 				s := b.startRunningJob("host-0", "b", shape)
 				b.network.setPartitioned("host-1", true)
 				if !b.cancel("host-2", s.ID) {
-					b.t.Fatal("the cancellation is not acknowledged")
+					b.t.Fatal("the cancellation was not acknowledged")
 				}
 				time.Sleep(workers.CancellationDeadline + 10*time.Second)
 				b.network.setPartitioned("host-1", false)
 				time.Sleep(30 * time.Second)
-				b.t.Logf("tasks stayed for %v", b.history.TimesToStopAfterCancel())
+				b.t.Logf("tasks stopped %v after the acknowledgement", b.history.TimesToStopAfterCancel())
 				b.checkNoViolations()
 			})
 		})
--- a/test/integration/refused_controller_test.go
+++ b/test/integration/refused_controller_test.go
@@ -9,17 +9,21 @@
 	"robinstack/internal/job"
 )
 
-// An owner's lease is not renewed, while its watches are served: it sees that others have
-// acquired its shards, and all tell it that they have acknowledged nothing later. Commands of
-// the new owners do not reach the machines. It must not renew their leases, for its successors
-// count on them to expire and start the tasks elsewhere.
+// The state service rejects the lease renewals of an owner but still serves its watches. The owner
+// sees that other controllers have acquired its shards, and all of them confirm that they have
+// acknowledged no cancellation since. The commands of the new owners do not reach the machines. The
+// former owner must not renew the worker leases, because its successors rely on their expiry before
+// they start the tasks elsewhere.
 func TestOwnerWithSuccessorsStopsRenewingLeases(t *testing.T) {
-	runScenarioWithBootTime(t, 23, 40, func(b *testbed) { // longer than unresponsive machines are waited for
+	// A long boot time delays the replacement of unresponsive machines.
+	runScenarioWithBootTime(t, 23, 40, func(b *testbed) {
 		s := inZone("a", arrayJob(b.nextJobID(), 10))
 		if !b.submit("host-1", s, 10*time.Minute) {
-			b.t.Fatal("not accepted")
+			b.t.Fatal("the job was not accepted")
 		}
-		b.waitUntil("it runs", 3*time.Minute, func() bool { return b.history.TasksOnMachines(s.ID) == 10 })
+		b.waitUntil("the tasks are running", 3*time.Minute, func() bool {
+			return b.history.TasksOnMachines(s.ID) == 10
+		})
 		b.forEachMachine(func(m *emulator.SimulatedMachine) { m.CommandsLost = true })
 		b.stateClient("host-0").SetRefuseRenewals(true)
 		time.Sleep(3 * time.Minute)
@@ -31,25 +35,26 @@
 	})
 }
 
-// refusedRoles is who is what when the state service refuses a controller alone.
-type refusedRoles struct{ scheduler, zone, refused string }
+// rejectionCase is the scheduler and the zone of a job, and the controller that the state service
+// rejects.
+type rejectionCase struct{ scheduler, zone, rejected string }
 
-var refusedRoleCases = map[string]refusedRoles{
-	"scheduler and owner refused": {"host-0", "a", "host-0"},
-	"scheduler refused":           {"host-0", "b", "host-0"},
-	"owner refused":               {"host-1", "a", "host-0"},
+var rejectionCases = map[string]rejectionCase{
+	"scheduler and owner rejected": {"host-0", "a", "host-0"},
+	"scheduler rejected":           {"host-0", "b", "host-0"},
+	"owner rejected":               {"host-1", "a", "host-0"},
 }
 
-// outageDelays are the times from the acknowledgement to the outage: before the refused one's
-// roles can be acquired, about when they are, and afterwards. A lease of the state service is
-// 4 s.
+// outageDelays are the times from the acknowledgement to the outage: before the roles of the
+// rejected controller can be acquired, at about that time, and after it. A lease in the state
+// service lasts 4 s.
 var outageDelays = []time.Duration{100 * time.Millisecond, 2800 * time.Millisecond, 3300 * time.Millisecond, 4300 * time.Millisecond, 5 * time.Second}
 
-// refuseThenOutage plays the scenario: the state service refuses one controller alone, another
-// acknowledges that the job is cancelled, and then the service is down for all for longer than
-// the cancellation deadline, while the workers go on with their heartbeats. before and after
-// are done before the refusal and after the acknowledgement; nil: nothing.
-func (b *testbed) refuseThenOutage(c refusedRoles, shape string, delay time.Duration, before, after func()) {
+// rejectThenOutage rejects one controller at the state service, cancels the job at another, and
+// then takes the state service down for all controllers for longer than the cancellation deadline,
+// while workers continue to send heartbeats. before runs before the rejection and after, in a
+// goroutine, after the acknowledgement; both may be nil.
+func (b *testbed) rejectThenOutage(c rejectionCase, shape string, delay time.Duration, before, after func()) {
 	b.t.Helper()
 	s := b.startRunningJob(c.scheduler, c.zone, shape)
 	dependent := arrayJob(b.nextJobID(), 1)
@@ -58,13 +63,13 @@
 	if before != nil {
 		before()
 	}
-	b.stateClient(c.refused).SetRefuseAll(true)
+	b.stateClient(c.rejected).SetRefuseAll(true)
 	running := b.history.TasksOnMachines(s.ID)
 	if running == 0 {
-		b.t.Fatal("nothing was on machines: this shows nothing")
+		b.t.Fatal("scenario not exercised: no task was on a machine")
 	}
 	if !b.cancel("host-2", s.ID) {
-		b.t.Fatal("the cancellation is not acknowledged")
+		b.t.Fatal("the cancellation was not acknowledged")
 	}
 	if after != nil {
 		go after()
@@ -73,29 +78,31 @@
 	b.state.SetOutage(true, false)
 	time.Sleep(workers.CancellationDeadline + 40*time.Second)
 	b.state.SetOutage(false, false)
-	b.stateClient(c.refused).SetRefuseAll(false)
+	b.stateClient(c.rejected).SetRefuseAll(false)
 	time.Sleep(40 * time.Second)
-	b.t.Logf("%d tasks on machines at the acknowledgement; they stayed for %v", running, b.history.TimesToStopAfterCancel())
+	b.t.Logf("%d tasks were on machines before the cancellation; tasks stopped %v after the acknowledgement",
+		running, b.history.TimesToStopAfterCancel())
 	if code, status := b.callAsUser("host-2", "GET", "/submissions/"+dependent.ID, nil, 2*time.Second); waits && status != job.Cancelled {
-		b.t.Errorf("orphaned: the dependent job is told as %d %s", code, status)
+		b.t.Errorf("orphaned: status of the dependent job: got code %d and %q, want %q", code, status, job.Cancelled)
 	}
 	b.checkNoViolations()
 }
 
-// For each role that the refused controller may have.
-func TestRefusedControllerThenOutage(t *testing.T) {
-	for name, c := range refusedRoleCases {
+// Guards against cancelled tasks that keep running, or dependent jobs that are not cancelled, when
+// the state service first rejects a controller and then fails: for each role of that controller.
+func TestRejectedControllerThenOutage(t *testing.T) {
+	for name, c := range rejectionCases {
 		for _, delay := range outageDelays {
 			t.Run(fmt.Sprint(name, " ", delay), func(t *testing.T) {
 				t.Parallel()
-				runScenario(t, 2, func(b *testbed) { b.refuseThenOutage(c, job.Array, delay, nil, nil) })
+				runScenario(t, 2, func(b *testbed) { b.rejectThenOutage(c, job.Array, delay, nil, nil) })
 			})
 		}
 	}
 }
 
-// The same with gangs, services and dependent jobs, and with one more fault meanwhile.
-func TestRefusedControllerThenOutageWithAnotherFault(t *testing.T) {
+// Like TestRejectedControllerThenOutage, with gangs and services as well and with one more fault.
+func TestRejectedControllerThenOutageWithAnotherFault(t *testing.T) {
 	hang := func(b *testbed, duration time.Duration) func() {
 		return func() {
 			time.Sleep(50 * time.Millisecond)
@@ -104,30 +111,37 @@
 			b.forEachMachine(func(m *emulator.SimulatedMachine) { m.Hung = false })
 		}
 	}
-	moreFaults := map[string]func(b *testbed, c refusedRoles) (before, after func()){
-		"nothing more":          func(*testbed, refusedRoles) (func(), func()) { return nil, nil },
-		"workers hang for 10 s": func(b *testbed, _ refusedRoles) (func(), func()) { return nil, hang(b, 10*time.Second) },
-		"workers hang for long": func(b *testbed, _ refusedRoles) (func(), func()) { return nil, hang(b, 70*time.Second) },
-		"the refused one starts": func(b *testbed, c refusedRoles) (func(), func()) {
-			return nil, func() { b.crash(c.refused); time.Sleep(300 * time.Millisecond); b.start(c.refused) }
+	moreFaults := map[string]func(b *testbed, c rejectionCase) (before, after func()){
+		"no further faults": func(*testbed, rejectionCase) (func(), func()) { return nil, nil },
+		"workers hang for 10 s": func(b *testbed, _ rejectionCase) (func(), func()) {
+			return nil, hang(b, 10*time.Second)
 		},
-		"the refused one ends": func(b *testbed, c refusedRoles) (func(), func()) { return nil, func() { b.crash(c.refused) } },
-		"peers refuse": func(b *testbed, c refusedRoles) (func(), func()) {
-			return func() { b.network.setPartitioned(c.refused, true) }, func() { time.Sleep(80 * time.Second); b.network.setPartitioned(c.refused, false) }
+		"workers hang for 70 s": func(b *testbed, _ rejectionCase) (func(), func()) {
+			return nil, hang(b, 70*time.Second)
 		},
-		"commands are lost": func(b *testbed, _ refusedRoles) (func(), func()) {
+		"the rejected controller restarts": func(b *testbed, c rejectionCase) (func(), func()) {
+			return nil, func() { b.crash(c.rejected); time.Sleep(300 * time.Millisecond); b.start(c.rejected) }
+		},
+		"rejected controller shuts down": func(b *testbed, c rejectionCase) (func(), func()) {
+			return nil, func() { b.crash(c.rejected) }
+		},
+		"partitioned from peers": func(b *testbed, c rejectionCase) (func(), func()) {
+			return func() { b.network.setPartitioned(c.rejected, true) }, func() { time.Sleep(80 * time.Second); b.network.setPartitioned(c.rejected, false) }
+		},
+		"commands are lost": func(b *testbed, _ rejectionCase) (func(), func()) {
 			return func() { b.forEachMachine(func(m *emulator.SimulatedMachine) { m.CommandsLost = true }) }, nil
 		},
 	}
-	for name, c := range refusedRoleCases {
+	for name, c := range rejectionCases {
 		for fault, inject := range moreFaults {
 			for k, shape := range []string{job.Array, job.Gang, job.Service} {
 				t.Run(fmt.Sprint(name, " ", fault, " ", shape), func(t *testing.T) {
 					t.Parallel()
 					runScenario(t, 4, func(b *testbed) {
 						before, after := inject(b, c)
+						// The length of the name spreads the delays over the cases.
 						delay := outageDelays[(k+len(fault))%len(outageDelays)]
-						b.refuseThenOutage(c, shape, delay, before, after)
+						b.rejectThenOutage(c, shape, delay, before, after)
 					})
 				})
 			}
--- a/test/integration/roles_test.go
+++ b/test/integration/roles_test.go
@@ -9,33 +9,32 @@
 	"robinstack/internal/statekv"
 )
 
-// Roles that a scenario may have fail: a job's scheduler, the owner of the machine that its
-// first task is on, the leader, or all controllers.
+// Roles whose holder a scenario crashes: the scheduler of a job, the owner of the machine of its
+// first running task, the leader, or all controllers.
 const (
 	schedulerRole = "scheduler"
 	ownerRole     = "owner"
 	leaderRole    = "leader"
-	allRoles      = "all"
+	allRoles      = "all controllers"
 )
 
 var roles = []string{schedulerRole, ownerRole, leaderRole, allRoles}
 
-// nobody is for scenarios in which no role fails.
-const nobody = "nobody"
+// noRole means that a scenario crashes no controller.
+const noRole = "none"
 
 const (
-	// never is for one that does not come back before the scenario is over.
-	never = -1
-	// downtimeBeyondLease is the downtime after which leases may have expired.
+	// forever is the downtime of a controller that does not restart before the end of the scenario.
+	forever = -1
+	// downtimeBeyondLease is a downtime after which worker leases may have expired.
 	downtimeBeyondLease = 40 * time.Second
 )
 
-// downtimes are after what time controllers are back: at once, after a fraction of a second,
-// after more than a worker's lease, never.
-var downtimes = []time.Duration{0, 400 * time.Millisecond, downtimeBeyondLease, never}
+// downtimes are the times between crash and restart: none, a fraction of a second, longer than a
+// worker lease, and forever.
+var downtimes = []time.Duration{0, 400 * time.Millisecond, downtimeBeyondLease, forever}
 
-// downtimesOf are those that a scenario tries for a role: somebody has to come back when all
-// have ended.
+// downtimesOf returns the downtimes to test for a role. Not all controllers can be down forever.
 func downtimesOf(role string) []time.Duration {
 	if role == allRoles {
 		return downtimes[:3]
@@ -43,15 +42,15 @@
 	return downtimes
 }
 
-// failover is the failure of a role, and how long those who have it are down.
+// failover is a crash of the holders of a role and their downtime.
 type failover struct {
 	role     string
 	downtime time.Duration
 }
 
-func (f failover) String() string { return fmt.Sprint("the ", f.role, " is back after ", f.downtime) }
+func (f failover) String() string { return fmt.Sprint("crash of ", f.role, ", downtime ", f.downtime) }
 
-// failovers lists the failures of roles with all downtimes of each.
+// failovers returns the failovers of each role with each of its downtimes.
 func failovers(roles []string) (out []failover) {
 	for _, role := range roles {
 		for _, downtime := range downtimesOf(role) {
@@ -61,13 +60,13 @@
 	return out
 }
 
-// fail has the hosts that have the role for a job end, and begin again after the downtime.
-// What it returns brings back those that never would.
-func (b *testbed) fail(f failover, job string) (restart func()) {
-	return b.stopFor(b.hostsOf(f.role, job), f.downtime)
+// crashRole crashes the holders of a role for a job and restarts them after the downtime. restart
+// starts the controllers whose downtime is forever.
+func (b *testbed) crashRole(f failover, job string) (restart func()) {
+	return b.crashFor(b.hostsOf(f.role, job), f.downtime)
 }
 
-// hostsOf lists the hosts that have a role for a job.
+// hostsOf returns the hosts that hold a role for a job.
 func (b *testbed) hostsOf(role, id string) []string {
 	switch role {
 	case schedulerRole:
@@ -80,7 +79,7 @@
 	return b.hosts
 }
 
-// schedulerOf is the host that has a job's shard, or one that is up.
+// schedulerOf returns the host that holds the job shard of a job, or host-0 if there is none.
 func (b *testbed) schedulerOf(id string) string {
 	for _, kv := range b.state.ListAll(job.RecordKey(id)) {
 		if record, err := job.ParseRecord(kv.Value); err == nil && kv.Key == job.RecordKey(id) {
@@ -92,7 +91,7 @@
 	return "host-0"
 }
 
-// ownerOf is the host that owns a machine by its key, or "".
+// ownerOf returns the host that owns a machine according to its key, or "".
 func (b *testbed) ownerOf(machine string) string {
 	for _, kv := range b.state.ListAll(statekv.MachinePrefix + machine) {
 		if record := shard.ParseMachineRecord(kv); record != nil && kv.Key == statekv.MachinePrefix+machine {
@@ -102,7 +101,7 @@
 	return ""
 }
 
-// keyRevision is the revision of a key, or 0 if it does not exist.
+// keyRevision returns the revision of a key, or 0 if the key does not exist.
 func (b *testbed) keyRevision(key string) uint64 {
 	for _, kv := range b.state.ListAll(key) {
 		if kv.Key == key {
@@ -112,7 +111,7 @@
 	return 0
 }
 
-// roleHolder is the host that a role's key names, or "".
+// roleHolder returns the host in the key of a role, or "".
 func (b *testbed) roleHolder(key string) string {
 	for _, kv := range b.state.ListAll(key) {
 		if kv.Key != key {
@@ -125,7 +124,7 @@
 	return ""
 }
 
-// shardOwners are the machine shards' holders, with the revisions of their keys.
+// shardOwners lists the machine shards with the revision of their key and their holder.
 func (b *testbed) shardOwners() string {
 	out := ""
 	for _, kv := range b.state.ListAll(statekv.MachineShardPrefix) {
@@ -134,7 +133,7 @@
 	return out
 }
 
-// ownsShards reports whether a controller has machine shards.
+// ownsShards reports whether a controller owns machine shards.
 func (b *testbed) ownsShards(host string) bool {
 	for _, kv := range b.state.ListAll(statekv.MachineShardPrefix) {
 		if h, err := statekv.HolderOf(kv); err == nil && h.Host == host {
@@ -144,17 +143,18 @@
 	return false
 }
 
-// sessionRevisions tells how often controllers' sessions have begun: it changes with each.
-func (b *testbed) sessionRevisions() (sum uint64) {
+// sessionRevisionSum returns the sum of the revisions of all session keys, which changes whenever a
+// session begins or ends.
+func (b *testbed) sessionRevisionSum() (sum uint64) {
 	for _, h := range b.hosts {
 		sum += b.keyRevision(statekv.SessionPrefix + h)
 	}
 	return sum
 }
 
-// stopFor has controllers end, and each begin again so much later. What it returns brings
-// back those that never would.
-func (b *testbed) stopFor(hosts []string, downtime time.Duration) (restart func()) {
+// crashFor crashes controllers and restarts them after the downtime. restart starts the controllers
+// whose downtime is forever.
+func (b *testbed) crashFor(hosts []string, downtime time.Duration) (restart func()) {
 	for _, h := range hosts {
 		b.crash(h)
 	}
@@ -163,7 +163,7 @@
 			b.start(h)
 		}
 	}
-	if downtime == never {
+	if downtime == forever {
 		return start
 	}
 	go func() {
@@ -173,19 +173,21 @@
 	return func() {}
 }
 
-// ensureNotLeader sees to it that a controller is not the leader: one that peers do not
-// reach learns of no demand and rents no machines, so that nothing would end.
+// ensureNotLeader makes another controller the leader if host is the leader. A leader that peers
+// cannot reach learns of no demand and provisions no machines, so that no job would finish.
 func (b *testbed) ensureNotLeader(host string) {
 	if b.roleHolder(statekv.LeaderKey) != host {
 		return
 	}
 	b.crash(host)
-	b.waitUntil("another is leader", 20*time.Second, func() bool { return b.roleHolder(statekv.LeaderKey) != host })
+	b.waitUntil("another controller is the leader", 20*time.Second, func() bool {
+		return b.roleHolder(statekv.LeaderKey) != host
+	})
 	b.start(host)
 	time.Sleep(3 * time.Second)
 }
 
-// restartRepeatedly has a controller end and begin a session again, for a while.
+// restartRepeatedly crashes and restarts a controller eight times.
 func (b *testbed) restartRepeatedly(host string) {
 	for range 8 {
 		b.crash(host)
--- a/test/integration/slow_links_test.go
+++ b/test/integration/slow_links_test.go
@@ -9,8 +9,8 @@
 	"robinstack/internal/job"
 )
 
-// Commands, or the answers to heartbeats, are delayed for longer than anyone waits, and carried
-// out then; meanwhile the owner fails over, or the machine's lease expires.
+// Commands and responses to heartbeats arrive later than any timeout and are then still executed.
+// Meanwhile the owner or its session changes, or the machines get a new worker epoch.
 func TestDelayedCommandsAcrossFailover(t *testing.T) {
 	for name, change := range map[string]func(b *testbed){
 		"fencing token": func(*testbed) {},
@@ -26,7 +26,7 @@
 			t.Run(fmt.Sprint(name, " ", delay), func(t *testing.T) {
 				t.Parallel()
 				runScenario(t, 13, func(b *testbed) {
-					b.startRunningJob("host-0", "a", job.Array) // machines are up
+					b.startRunningJob("host-0", "a", job.Array) // so that machines are up
 					b.forEachMachine(func(m *emulator.SimulatedMachine) {
 						m.CommandDelay, m.AnswerDelay = delay, min(delay, 3*time.Second)
 					})
@@ -54,8 +54,8 @@
 	}
 }
 
-// There is more work than capacity, urgent and not, and commands, answers and the state service
-// are slow: the urgent begin first, nothing runs twice, and all come to their end.
+// There is more work than capacity, and commands, responses and the state service are slow. Jobs of
+// the highest rank must start first, no task may run twice, and all jobs must finish.
 func TestOverloadWithSlowLinks(t *testing.T) {
 	runScenario(t, 104, func(b *testbed) {
 		b.setStateFaults(300*time.Millisecond, 0)
@@ -89,21 +89,22 @@
 			go b.submit("", s, 25*time.Second)
 			time.Sleep(400 * time.Millisecond)
 		}
-		waiting := 0
+		waitingObservations := 0
 		for range 60 {
 			time.Sleep(time.Second)
 			for _, s := range other {
 				if b.history.TasksOnMachines(s.ID) == 0 {
-					waiting++
+					waitingObservations++
 				}
 			}
 		}
-		if waiting < 60 {
-			b.t.Errorf("work hardly waited: this shows little")
+		if waitingObservations < 60 {
+			b.t.Errorf("scenario hardly exercised: %d observations of a waiting job, want at least 60",
+				waitingObservations)
 		}
 		for _, s := range urgent {
 			if b.history.TasksOnMachines(s.ID) == 0 && !b.history.TaskCompleted(job.TaskID(s.ID, 0)) {
-				b.t.Errorf("%s is urgent and has not begun after a minute", s.ID)
+				b.t.Errorf("the job %s of the highest rank has not started after a minute", s.ID)
 			}
 		}
 		time.Sleep(2 * time.Minute)
--- a/test/integration/stale_heartbeats_test.go
+++ b/test/integration/stale_heartbeats_test.go
@@ -11,20 +11,21 @@
 	"robinstack/internal/policy"
 )
 
-// When the heartbeats of TestStaleHeartbeatsDuringFailover were captured.
+// Worker epoch and content of the heartbeats that TestStaleHeartbeatsDuringFailover captures.
 const (
-	sameEpoch  = "the same worker epoch"
-	endedEpoch = "an ended worker epoch"
-	beforeWork = "before its work began"
+	sameEpoch   = "current worker epoch"
+	endedEpoch  = "ended worker epoch"
+	beforeStart = "before the tasks started"
 )
 
-// Heartbeats are captured, and copies of them reach every controller during a failover, before
-// and after the first true heartbeat: of the present worker epoch, of one that has ended, with
-// tasks that have ended since and were forgotten. Nothing is taken for gone, for running or
-// for reconciled on their strength.
+// Guards against an owner that trusts an old heartbeat. Copies of captured heartbeats reach every
+// controller during a failover, before and after the first current heartbeat. They are of the
+// current worker epoch or of an ended one, and list tasks that have ended and were forgotten since,
+// or lack tasks that have started since. They must not make a task count as running or lost, or a
+// machine as reconciled.
 func TestStaleHeartbeatsDuringFailover(t *testing.T) {
 	for _, f := range failovers(roles) {
-		for _, capture := range []string{sameEpoch, endedEpoch, beforeWork} {
+		for _, capture := range []string{sameEpoch, endedEpoch, beforeStart} {
 			t.Run(fmt.Sprint(capture, ", ", f), func(t *testing.T) {
 				t.Parallel()
 				runScenarioWithPolicy(t, 65, defaultBootS, defaultMaxMachines, capturePolicy(capture), func(b *testbed) {
@@ -33,38 +34,42 @@
 					b.submit("host-0", long, 3*time.Minute)
 					first := inZone("a", arrayJob(b.nextJobID(), 6))
 					b.submit("host-0", first, 5*time.Second)
-					b.waitUntil("both run", time.Minute, func() bool {
+					b.waitUntil("the tasks of both jobs are running", time.Minute, func() bool {
 						return b.history.TasksOnMachines(short.ID) == 2 && b.history.TasksOnMachines(long.ID) == 2
 					})
-					b.waitUntil("the first is over", time.Minute, func() bool {
+					b.waitUntil("the first job is done", time.Minute, func() bool {
 						return b.history.TaskCompleted(job.TaskID(first.ID, 5)) && b.history.TasksOnMachines(first.ID) == 0
 					})
 					time.Sleep(4 * time.Second)
 					b.forEachMachine(func(m *emulator.SimulatedMachine) { m.CaptureHeartbeat() })
 					switch capture {
-					case beforeWork:
-						// What has begun since is in no captured heartbeat, and a new owner
-						// gets those before any other.
+					case beforeStart:
+						// The captured heartbeats do not list the tasks of this job, and a new
+						// owner receives them before any other heartbeat.
 						long = inZone("a", arrayJob(b.nextJobID(), 6))
 						b.submit("host-0", long, 3*time.Minute)
-						b.waitUntil("the long one runs too", time.Minute, func() bool { return b.history.TasksOnMachines(long.ID) == 6 })
+						b.waitUntil("the tasks of the long job are running", time.Minute, func() bool {
+							return b.history.TasksOnMachines(long.ID) == 6
+						})
 						time.Sleep(4 * time.Second)
 					case endedEpoch:
-						// Answers come too late for the workers: their leases expire.
+						// The workers receive the responses too late, so their leases expire.
 						b.forEachMachine(func(m *emulator.SimulatedMachine) { m.AnswerDelay = 4500 * time.Millisecond })
 						time.Sleep(workers.LeaseDuration + 6*time.Second)
 						b.forEachMachine(func(m *emulator.SimulatedMachine) { m.AnswerDelay = 0 })
-						b.waitUntil("they run again", 3*time.Minute, func() bool { return b.history.TasksOnMachines(short.ID)+b.history.TasksOnMachines(long.ID) > 1 })
+						b.waitUntil("two tasks are running again", 3*time.Minute, func() bool {
+							return b.history.TasksOnMachines(short.ID)+b.history.TasksOnMachines(long.ID) > 1
+						})
 					default:
-						b.waitUntil("the short one has run", 3*time.Minute, func() bool {
+						b.waitUntil("the short job is done", 3*time.Minute, func() bool {
 							return b.history.TaskCompleted(job.TaskID(short.ID, 0)) && b.history.TaskCompleted(job.TaskID(short.ID, 1))
 						})
-						time.Sleep(8 * time.Second) // it is forgotten
+						time.Sleep(8 * time.Second) // until the workers have forgotten the task
 					}
-					before, sessions := b.history.TaskStarts(), b.sessionRevisions()
-					if capture == beforeWork {
+					before, sessions := b.history.TaskStarts(), b.sessionRevisionSum()
+					if capture == beforeStart {
 						if n := b.capturedHeartbeatsWithout(long.ID); n == 0 {
-							b.t.Fatal("no captured heartbeat was sent before its machine's work began: this shows nothing")
+							b.t.Fatal("scenario not exercised: every captured heartbeat lists the tasks on its machine")
 						}
 						b.forEachMachine(func(m *emulator.SimulatedMachine) { m.HeartbeatsLost, m.CommandsLost = true, true })
 						go func() {
@@ -72,32 +77,33 @@
 							b.forEachMachine(func(m *emulator.SimulatedMachine) { m.HeartbeatsLost, m.CommandsLost = false, false })
 						}()
 					} else if n := b.staleCapturedHeartbeats(short.ID, capture == endedEpoch); n == 0 {
-						b.t.Fatal("no captured heartbeat lists a task that is over: this shows nothing")
+						b.t.Fatal("scenario not exercised: no captured heartbeat lists a task that is over")
 					}
-					restart := b.fail(f, long.ID)
-					arrived := 0
-					for range 40 { // from the failure on, through the acquisition
-						arrived += b.sendCapturedHeartbeats()
+					restart := b.crashRole(f, long.ID)
+					responses := 0
+					for range 40 { // from the crash until the shards are acquired
+						responses += b.sendCapturedHeartbeats()
 						time.Sleep(200 * time.Millisecond)
 					}
 					if f.downtime == downtimeBeyondLease {
 						time.Sleep(f.downtime - 10*time.Second)
 						for range 20 {
-							arrived += b.sendCapturedHeartbeats()
+							responses += b.sendCapturedHeartbeats()
 							time.Sleep(200 * time.Millisecond)
 						}
 					}
-					if b.sessionRevisions() == sessions && f.downtime != never {
-						b.t.Error("no session changed: this shows nothing")
+					if b.sessionRevisionSum() == sessions && f.downtime != forever {
+						b.t.Error("scenario not exercised: no session changed")
 					}
-					if arrived < 50 {
-						b.t.Errorf("%d copies arrived: this shows little", arrived)
+					if responses < 50 {
+						b.t.Errorf("scenario hardly exercised: %d captured heartbeats got a response, want at least 50",
+							responses)
 					}
 					restart()
 					b.history.RecordFaultsEnded()
 					time.Sleep(30 * time.Second)
-					if again := b.history.TaskStarts() - before - b.cloud.TasksLostToScaleIn(); again > 0 && f.downtime != downtimeBeyondLease && capture == sameEpoch {
-						b.t.Errorf("%d tasks were started again", again)
+					if restarts := b.history.TaskStarts() - before - b.cloud.TasksLostToScaleIn(); restarts > 0 && f.downtime != downtimeBeyondLease && capture == sameEpoch {
+						b.t.Errorf("%d tasks were restarted, want 0", restarts)
 					}
 					time.Sleep(6 * time.Minute)
 					b.history.CheckFinalState()
@@ -108,19 +114,21 @@
 	}
 }
 
-// capturePolicy keeps the machines of an ended worker epoch while the scenario goes on: tasks
-// that were killed with the epoch start again on any machine, and those that are empty then
-// would now and then be returned, all whose captured heartbeat lists what the scenario is about.
+// capturePolicy keeps idle machines when the worker epoch ends during the scenario: tasks that were
+// killed with the epoch start again on any machine, and the machines that are idle then could all
+// be deleted, including every machine whose captured heartbeat lists a task that the scenario is
+// about.
 func capturePolicy(capture string) *policy.Policy {
-	operators := policy.Default()
+	p := policy.Default()
 	if capture == endedEpoch {
-		operators.ScaleInIdleTime = time.Hour
+		p.ScaleInIdleTime = time.Hour
 	}
-	return operators
+	return p
 }
 
-// staleCapturedHeartbeats counts the machines whose captured heartbeat lists a task of a job: of
-// an earlier worker epoch, or of this one and the task is not listed any more.
+// staleCapturedHeartbeats counts the tasks of a job that a captured heartbeat lists although they
+// are over: with earlier, because the worker epoch has changed; otherwise, because the machine no
+// longer lists them.
 func (b *testbed) staleCapturedHeartbeats(id string, earlier bool) (n int) {
 	b.forEachMachine(func(m *emulator.SimulatedMachine) {
 		for _, task := range []string{job.TaskID(id, 0), job.TaskID(id, 1)} {
@@ -132,8 +140,8 @@
 	return n
 }
 
-// capturedHeartbeatsWithout counts the machines that have a task of a job and whose captured
-// heartbeat does not list it.
+// capturedHeartbeatsWithout counts the tasks of a job that are on a machine whose captured
+// heartbeat does not list them.
 func (b *testbed) capturedHeartbeatsWithout(id string) (n int) {
 	b.forEachMachine(func(m *emulator.SimulatedMachine) {
 		for k := range 6 {
@@ -145,9 +153,9 @@
 	return n
 }
 
-// sendCapturedHeartbeats sends the captured heartbeats of all machines to all controllers at
-// once, and returns how many reached one that answered.
-func (b *testbed) sendCapturedHeartbeats() (arrived int) {
+// sendCapturedHeartbeats sends the captured heartbeats of all machines to all controllers
+// concurrently, and returns how many of them got a response.
+func (b *testbed) sendCapturedHeartbeats() (responses int) {
 	var machines []*emulator.SimulatedMachine
 	b.forEachMachine(func(m *emulator.SimulatedMachine) { machines = append(machines, m) })
 	var mu sync.Mutex
@@ -157,18 +165,18 @@
 			all.Go(func() {
 				if m.SendCapturedHeartbeat(h) != 0 {
 					mu.Lock()
-					arrived++
+					responses++
 					mu.Unlock()
 				}
 			})
 		}
 	}
 	all.Wait()
-	return arrived
+	return responses
 }
 
-// Copies of old heartbeats, of earlier worker epochs and attempts as well, arrive at every
-// controller from seconds to well over a lease late, while tasks come and go.
+// Copies of old heartbeats, also of earlier worker epochs and attempts, reach every controller from
+// seconds to well over a worker lease late, while tasks start and end.
 func TestDuplicateHeartbeatsArriveLate(t *testing.T) {
 	runScenario(t, 17, func(b *testbed) {
 		for k := range 5 {
@@ -178,7 +186,7 @@
 			time.Sleep(1500 * time.Millisecond)
 			b.forEachMachine(func(m *emulator.SimulatedMachine) {
 				m.SendDuplicateHeartbeat(b.hosts[step%3])
-				m.InboundLost = step >= 30 && step < 54 // their sessions end
+				m.InboundLost = step >= 30 && step < 54 // their worker leases expire
 			})
 			if step%10 == 5 {
 				go b.submit("", withShape(job.Gang, arrayJob(b.nextJobID(), 2)), 8*time.Second)
@@ -196,8 +204,8 @@
 	})
 }
 
-// A heartbeat is delayed until a failover is over, and then arrives at the successor, as the
-// first that anybody gets of its machine.
+// A heartbeat is delayed until a failover is over. It then reaches the successor as the first
+// heartbeat that any controller gets from its machine.
 func TestHeartbeatDelayedPastFailover(t *testing.T) {
 	for _, role := range roles {
 		t.Run(role, func(t *testing.T) {
@@ -205,26 +213,28 @@
 			runScenario(t, 106, func(b *testbed) {
 				long, short := inZone("a", arrayJob(b.nextJobID(), 2)), inZone("a", arrayJob(b.nextJobID(), 2))
 				b.submit("host-0", long, 3*time.Minute)
-				for range 4 { // so many machines that they are waited for, and not returned
+				for range 4 { // more machines than an isolated failure, which the autoscaler would delete at once
 					b.submit("host-0", inZone("a", arrayJob(b.nextJobID(), 2)), 3*time.Minute)
 				}
 				b.submit("host-0", short, 20*time.Second)
-				b.waitUntil("they run", time.Minute, func() bool {
+				b.waitUntil("the tasks of both jobs are running", time.Minute, func() bool {
 					return b.history.TasksOnMachines(long.ID) == 2 && b.history.TasksOnMachines(short.ID) == 2
 				})
 				b.forEachMachine(func(m *emulator.SimulatedMachine) { m.HeartbeatsLost, m.CommandsLost = true, true })
 				time.Sleep(4 * time.Second)
 				b.forEachMachine(func(m *emulator.SimulatedMachine) { m.CaptureHeartbeat() })
-				sessions := b.sessionRevisions()
-				b.stopFor(b.hostsOf(role, long.ID), 400*time.Millisecond)
-				b.waitUntil("the short one has run", 30*time.Second, func() bool { return b.history.TaskCompleted(job.TaskID(short.ID, 1)) })
+				sessions := b.sessionRevisionSum()
+				b.crashFor(b.hostsOf(role, long.ID), 400*time.Millisecond)
+				b.waitUntil("the short job is done", 30*time.Second, func() bool {
+					return b.history.TaskCompleted(job.TaskID(short.ID, 1))
+				})
 				b.forEachMachine(func(m *emulator.SimulatedMachine) { m.HeartbeatsLost, m.CommandsLost = false, false })
 				time.Sleep(6 * time.Second)
-				if b.sessionRevisions() == sessions {
-					b.t.Error("no session changed: this shows nothing")
+				if b.sessionRevisionSum() == sessions {
+					b.t.Error("scenario not exercised: no session changed")
 				}
 				if n := b.sendCapturedHeartbeats(); n < 3 {
-					b.t.Errorf("%d heartbeats arrived: this shows nothing", n)
+					b.t.Errorf("scenario not exercised: %d captured heartbeats got a response, want at least 3", n)
 				}
 				time.Sleep(500 * time.Millisecond)
 				b.sendCapturedHeartbeats()
--- a/test/integration/submission_rate_test.go
+++ b/test/integration/submission_rate_test.go
@@ -8,31 +8,32 @@
 	"robinstack/emulator"
 )
 
-// Jobs of one task come four a second for minutes, and a quarter are cancelled, alone and
-// with each other fault, while the state service lets 60 changes a second through, as on the
-// smaller of the deployments. Nothing is refused for long, nothing is forgotten.
+// Four single-task jobs per second are submitted for three minutes and a quarter of them cancelled,
+// with each kind of fault and without one. The state service accepts 60 changes per second, 20 of
+// each controller, as in the smaller deployment. No submission may be rejected for long, and no job
+// forgotten.
 func TestFourSingleTaskJobsPerSecond(t *testing.T) {
 	for name, inject := range map[string]func(b *testbed) func(){
-		"alone": func(*testbed) func() { return func() {} },
+		"no fault": func(*testbed) func() { return func() {} },
 		"a controller restarts": func(b *testbed) func() {
 			b.crash("host-0")
 			return func() { b.start("host-0") }
 		},
-		"all end": func(b *testbed) func() { return b.stopFor(b.hosts, time.Second) },
+		"all controllers restart": func(b *testbed) func() { return b.crashFor(b.hosts, time.Second) },
 		"transactions are delayed": func(b *testbed) func() {
 			b.setStateFaults(0, 0.2)
 			return func() {
 				b.setStateFaults(0, 0)
 			}
 		},
-		"answers are lost": func(b *testbed) func() {
-			b.setLoseAnswersOnly(true)
+		"responses are lost": func(b *testbed) func() {
+			b.setLoseResponsesOnly(true)
 			b.setStateFaults(0, 0.2)
 			return func() {
 				b.setStateFaults(0, 0)
 			}
 		},
-		"one is refused": func(b *testbed) func() {
+		"the state service rejects a controller": func(b *testbed) func() {
 			b.stateClient("host-1").SetRefuseAll(true)
 			return func() { b.stateClient("host-1").SetRefuseAll(false) }
 		},
@@ -64,7 +65,7 @@
 				began := time.Now()
 				var mu sync.Mutex
 				var users sync.WaitGroup
-				all, acceptedSoon, cancelled := 0, 0, 0
+				submitted, acceptedSoon, cancelled := 0, 0, 0
 				user := func(k int) {
 					s := arrayJob(b.nextJobID(), 1)
 					b.history.RecordSubmission(s)
@@ -76,7 +77,7 @@
 						}
 					}
 					mu.Lock()
-					if all++; time.Since(sent) <= time.Second {
+					if submitted++; time.Since(sent) <= time.Second {
 						acceptedSoon++
 					}
 					mu.Unlock()
@@ -103,19 +104,20 @@
 				}
 				users.Wait()
 				took := time.Since(began)
-				share := float64(acceptedSoon) / float64(all)
-				b.t.Logf("%d of %d accepted within a second (%.3f), %d cancelled, %.1f changes a second, %d starts after a cancellation",
-					acceptedSoon, all, share, cancelled, float64(b.state.Changes()-before)/took.Seconds(), b.history.StartsAfterCancel())
-				if name == "alone" && share < 0.99 || share < 0.7 {
-					b.t.Errorf("%.3f were accepted within a second", share)
+				share := float64(acceptedSoon) / float64(submitted)
+				b.t.Logf("%d of %d jobs accepted within a second (%.3f), %d cancelled, %.1f changes per second, %d tasks started after a cancellation",
+					acceptedSoon, submitted, share, cancelled, float64(b.state.Changes()-before)/took.Seconds(), b.history.StartsAfterCancel())
+				if name == "no fault" && share < 0.99 || share < 0.7 {
+					b.t.Errorf("share of jobs accepted within a second: got %.3f, want at least 0.7, without faults 0.99",
+						share)
 				}
 				if cancelled < 120 {
-					b.t.Errorf("%d jobs were cancelled: this shows little", cancelled)
+					b.t.Errorf("scenario hardly exercised: %d jobs were cancelled, want at least 120", cancelled)
 				}
 				b.history.RecordFaultsEnded()
 				time.Sleep(2 * time.Minute)
 				if id := b.history.UnansweredJob(10 * time.Second); id != "" {
-					b.t.Errorf("no question about %s has been answered for 10 s", id)
+					b.t.Errorf("no query about %s was answered for 10 s", id)
 				}
 				b.history.CheckFinalState()
 				b.checkNoViolations()
--- a/test/integration/testbed_test.go
+++ b/test/integration/testbed_test.go
@@ -22,11 +22,11 @@
 	"robinstack/internal/policy"
 )
 
-// testbed is a service of three controllers, one in each zone, with its users and machines.
-// Its mutex guards all fields below it.
+// testbed is a cluster with three controllers, one in each zone, and its users and machines. mu
+// guards the fields below it.
 type testbed struct {
 	t       *testing.T
-	ctx     context.Context // ends all of it
+	ctx     context.Context // its end stops the whole testbed
 	state   *emulator.StateService
 	cloud   *emulator.SimulatedCloud
 	history *emulator.History
@@ -36,15 +36,15 @@
 
 	mu                   sync.Mutex
 	rng                  *rand.Rand
-	controllers          map[string]*runningController // by host; nil: none runs
+	controllers          map[string]*runningController // by host; only running ones
 	stateClients         map[string]*emulator.FaultyStateClient
-	ready                map[string]bool // as the load balancer sees it
-	unreachableByUsers   map[string]bool // controllers
-	unreachableByWorkers map[string]bool // controllers
+	ready                map[string]bool // by host, as the load balancer sees it
+	unreachableByUsers   map[string]bool // hosts of controllers
+	unreachableByWorkers map[string]bool // hosts of controllers
 	lastJobNumber        int
 }
 
-// runningController is a controller's process.
+// runningController is the process of a controller.
 type runningController struct {
 	controller *controller.Controller
 	stop       context.CancelFunc
@@ -60,14 +60,14 @@
 	CancellationDeadline: 60 * time.Second,
 }
 
-// Teams: one without a quota, and two whose quotas in GPUs jobs reach.
+// Team t has no quota; the quotas of the other two are small enough for the scenarios to exhaust.
 var teams = map[string]config.Team{
 	"t":     {Name: "t"},
 	"full":  {Name: "full", GPUQuota: 6},
 	"small": {Name: "small", GPUQuota: 4},
 }
 
-// settings are those of a controller.
+// settings returns the settings of a controller.
 func (b *testbed) settings(host string) *config.Settings {
 	s := &config.Settings{
 		Host:           host,
@@ -92,32 +92,33 @@
 	return s
 }
 
-// What a scenario has unless it says otherwise.
+// Default boot time and number of machines.
 const (
 	defaultBootS       = 5
 	defaultMaxMachines = 12
 )
 
-// Scenarios begin once all is up, and end once what was under way has ended.
+// A scenario begins once everything is up. After it, operations in progress have shutdownTime to
+// end.
 const (
 	startupTime  = 5 * time.Second
 	shutdownTime = 30 * time.Second
 )
 
-// runScenario runs a scenario in fake time: everything is up when it begins. Seed decides
-// what the testbed draws.
+// runScenario runs a scenario in fake time, once everything is up. seed determines the random
+// choices of the testbed.
 func runScenario(t *testing.T, seed uint64, scenario func(b *testbed)) {
 	t.Helper()
 	runScenarioWithBootTime(t, seed, defaultBootS, scenario)
 }
 
-// runScenarioWithBootTime runs a scenario in which machines boot in so many seconds.
+// runScenarioWithBootTime runs a scenario in which machines boot in bootS seconds.
 func runScenarioWithBootTime(t *testing.T, seed uint64, bootS float64, scenario func(b *testbed)) {
 	t.Helper()
 	runScenarioWithMachines(t, seed, bootS, defaultMaxMachines, scenario)
 }
 
-// runScenarioWithMachines runs one with up to so many machines.
+// runScenarioWithMachines runs a scenario with at most maxMachines machines.
 func runScenarioWithMachines(
 	t *testing.T, seed uint64, bootS float64, maxMachines int, scenario func(b *testbed),
 ) {
@@ -125,15 +126,15 @@
 	runScenarioWithPolicy(t, seed, bootS, maxMachines, policy.Default(), scenario)
 }
 
-// runScenarioWithPolicy runs one whose controllers have a policy of their own.
+// runScenarioWithPolicy runs a scenario whose controllers use the given policy.
 func runScenarioWithPolicy(
-	t *testing.T, seed uint64, bootS float64, maxMachines int, operators *policy.Policy, scenario func(b *testbed),
+	t *testing.T, seed uint64, bootS float64, maxMachines int, controllerPolicy *policy.Policy, scenario func(b *testbed),
 ) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		b := newTestbed(ctx, t, seed)
-		b.policy = operators
+		b.policy = controllerPolicy
 		stopExpiry := make(chan struct{})
 		go b.state.ExpireLeases(stopExpiry)
 		defer func() {
@@ -162,7 +163,7 @@
 	})
 }
 
-// newTestbed returns a testbed in which nothing runs yet.
+// newTestbed returns a testbed without running controllers.
 func newTestbed(ctx context.Context, t *testing.T, seed uint64) *testbed {
 	return &testbed{
 		t:       t,
@@ -180,7 +181,7 @@
 	}
 }
 
-// boxType is the only type of machine: of two GPUs.
+// boxType returns the only machine type, which has two GPUs.
 func boxType(bootS float64) cloud.MachineType {
 	return cloud.MachineType{
 		Name: "box", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 1,
@@ -188,8 +189,8 @@
 	}
 }
 
-// start begins a controller's process, if none runs: two of one host would end each other's
-// sessions for ever, and no deployment has them.
+// start starts the process of a controller unless it is running. Two processes of one host would
+// end each other's sessions forever; no deployment has them.
 func (b *testbed) start(host string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -213,7 +214,7 @@
 	go c.RunSessions(ctx)
 }
 
-// crash ends a controller's process.
+// crash stops the process of a controller.
 func (b *testbed) crash(host string) {
 	b.mu.Lock()
 	c := b.controllers[host]
@@ -224,17 +225,17 @@
 	}
 }
 
-// isUp reports whether a controller's process runs.
+// isUp reports whether the process of a controller is running.
 func (b *testbed) isUp(host string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.controllers[host] != nil
 }
 
-var errNoAnswer = errors.New("nobody answers")
+var errNoResponse = errors.New("the controller does not answer")
 
-// callController asks a controller over HTTP; one that does not run, or is among those that
-// are unreachable, does not answer.
+// callController sends an HTTP request to a controller. It fails if the controller is not running
+// or is in unreachable.
 func (b *testbed) callController(
 	host string, r *http.Request, unreachable map[string]bool,
 ) (*http.Response, error) {
@@ -242,7 +243,7 @@
 	c, isUnreachable := b.controllers[host], unreachable[host]
 	b.mu.Unlock()
 	if c == nil || isUnreachable {
-		return nil, errNoAnswer
+		return nil, errNoResponse
 	}
 	return c.controller.HandleRequest(r)
 }
@@ -251,28 +252,28 @@
 	return b.callController(host, r, b.unreachableByWorkers)
 }
 
-// setUnreachableByWorkers has workers not reach a controller, or reach it again.
+// setUnreachableByWorkers sets whether heartbeats fail to reach a controller.
 func (b *testbed) setUnreachableByWorkers(host string, unreachable bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.unreachableByWorkers[host] = unreachable
 }
 
-// setUnreachableByUsers has users not reach a controller, or reach it again.
+// setUnreachableByUsers sets whether the requests of users fail to reach a controller.
 func (b *testbed) setUnreachableByUsers(host string, unreachable bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.unreachableByUsers[host] = unreachable
 }
 
-// stateClient is the state service as a controller reaches it.
+// stateClient returns a controller's client of the state service.
 func (b *testbed) stateClient(host string) *emulator.FaultyStateClient {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.stateClients[host]
 }
 
-// checkWaitingJobs has the history look at who waits, all the time.
+// checkWaitingJobs checks every second that no job waits although there is capacity for it.
 func (b *testbed) checkWaitingJobs() {
 	for b.ctx.Err() == nil {
 		b.history.CheckWaitingJobs(b.cloud.HasCapacity)
@@ -280,7 +281,7 @@
 	}
 }
 
-// withMachine calls do for the machine of that name, with the cloud held still.
+// withMachine calls do for a machine, with the cloud locked.
 func (b *testbed) withMachine(machine string, do func(m *emulator.SimulatedMachine)) {
 	b.cloud.ForEachMachine(func(name string, m *emulator.SimulatedMachine) {
 		if name == machine {
@@ -289,7 +290,7 @@
 	})
 }
 
-// tasksOnMachines counts the tasks of jobs that are on machines.
+// tasksOnMachines returns the number of tasks of the jobs that are on machines.
 func (b *testbed) tasksOnMachines(jobs []job.Spec) (n int) {
 	for _, s := range jobs {
 		n += b.history.TasksOnMachines(s.ID)
@@ -297,7 +298,7 @@
 	return n
 }
 
-// nextJobID names the next job.
+// nextJobID returns a new job ID.
 func (b *testbed) nextJobID() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -305,7 +306,7 @@
 	return fmt.Sprintf("wk-%06d", b.lastJobNumber)
 }
 
-// waitUntil waits for something, and ends the test if it does not come in time.
+// waitUntil waits until a condition holds, and fails the test if it does not hold in time.
 func (b *testbed) waitUntil(what string, within time.Duration, ok func() bool) {
 	b.t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
@@ -313,52 +314,54 @@
 			return
 		}
 	}
-	b.t.Fatalf("not within %v: %s", within, what)
+	b.t.Fatalf("condition did not hold within %v: %s", within, what)
 }
 
-// checkNoViolations fails the test for every rule that was broken.
+// checkNoViolations fails the test if a rule was violated.
 func (b *testbed) checkNoViolations() {
 	b.t.Helper()
 	if violations := b.history.Violations(); len(violations) > 0 {
-		b.t.Errorf("%d broken: %s", len(violations), strings.Join(violations[:min(5, len(violations))], "; "))
+		b.t.Errorf("%d violations of protocol rules, want 0: %s",
+			len(violations), strings.Join(violations[:min(5, len(violations))], "; "))
 	}
 }
 
-// forEachMachine calls do for every machine with the cloud held still.
+// forEachMachine calls do for every machine, with the cloud locked.
 func (b *testbed) forEachMachine(do func(m *emulator.SimulatedMachine)) {
 	b.cloud.ForEachMachine(func(_ string, m *emulator.SimulatedMachine) { do(m) })
 }
 
-// setStateFaults sets what requests to the state service meet, at all controllers.
+// setStateFaults sets the latency of state service requests and the share of delayed transactions
+// at all controllers.
 func (b *testbed) setStateFaults(latency time.Duration, delayedShare float64) {
 	for _, h := range b.hosts {
 		b.stateClient(h).SetFaults(latency, delayedShare)
 	}
 }
 
-// setLoseAnswersOnly has delayed transactions carried out at once, at all controllers, or
-// delayed again.
-func (b *testbed) setLoseAnswersOnly(on bool) {
+// setLoseResponsesOnly sets, at all controllers, whether the transactions that setStateFaults
+// selects are applied at once, so that only their responses are lost, or are applied late.
+func (b *testbed) setLoseResponsesOnly(on bool) {
 	for _, h := range b.hosts {
 		b.stateClient(h).SetLoseAnswersOnly(on)
 	}
 }
 
-// setTxnDelay sets how late delayed transactions are, at all controllers.
+// setTxnDelay sets the delay of delayed transactions at all controllers.
 func (b *testbed) setTxnDelay(d time.Duration) {
 	for _, h := range b.hosts {
 		b.stateClient(h).SetTxnDelay(d)
 	}
 }
 
-// setWatchLag has watches show changes so much later, at all controllers.
+// setWatchLag sets the delay with which watches show changes, at all controllers.
 func (b *testbed) setWatchLag(d time.Duration) {
 	for _, h := range b.hosts {
 		b.stateClient(h).SetWatchLag(d)
 	}
 }
 
-// setChangeRate lets so many changes a second of each controller through.
+// setChangeRate limits the changes per second of each controller.
 func (b *testbed) setChangeRate(perSecond float64) {
 	for _, h := range b.hosts {
 		b.stateClient(h).SetChangeRate(perSecond)
--- a/test/integration/unknown_tasks_test.go
+++ b/test/integration/unknown_tasks_test.go
@@ -8,9 +8,9 @@
 	"robinstack/internal/job"
 )
 
-// Heartbeats list tasks of a job that nobody submitted, and of ids that are no job's. The first
-// are stopped and forgotten, for they have no open record; the others are left alone. Both
-// kinds leave their machines fit to serve.
+// Heartbeats list tasks of a job that was never submitted, and tasks with malformed IDs. The former
+// have no open job record and must be stopped; the latter must be left alone. Neither may keep the
+// machines from running other tasks.
 func TestTasksOfUnknownJobsAreStopped(t *testing.T) {
 	runScenario(t, 31, func(b *testbed) {
 		b.startRunningJob("host-0", "a", job.Array)
@@ -29,14 +29,14 @@
 		}
 		time.Sleep(20 * time.Second)
 		if n := left("wk-777777/0"); n > 0 {
-			b.t.Errorf("%d machines have the task of a job that nobody submitted", n)
+			b.t.Errorf("%d machines still list the task of a job that was never submitted, want 0", n)
 		}
 		if left("nobody's") == 0 {
-			b.t.Error("a task that is no job's was touched")
+			b.t.Error("a task with a malformed ID was stopped")
 		}
 		s := inZone("a", arrayJob(b.nextJobID(), 6))
 		if !b.submit("", s, 10*time.Second) {
-			b.t.Fatal("not accepted")
+			b.t.Fatal("the job was not accepted")
 		}
 		b.cancel("", "wk-000001")
 		time.Sleep(2 * time.Minute)
--- a/test/integration/unreachable_machines_test.go
+++ b/test/integration/unreachable_machines_test.go
@@ -9,19 +9,21 @@
 	"robinstack/internal/job"
 )
 
-// The heartbeats of machines reach nobody, while commands are carried out. Their leases expire
-// all the same: nothing is taken for renewed by an answered command, what ran is given up on
-// proof, and nothing new is placed where it would be killed again and again.
+// The heartbeats of machines are lost while commands still reach them. Their worker leases expire
+// nevertheless. An executed command must not count as a renewal of the lease, tasks are given up
+// only on proof, and no new task may be placed on a machine where it would be killed again.
 func TestMachinesWithLostHeartbeats(t *testing.T) {
-	for _, role := range append([]string{nobody}, roles...) {
-		t.Run("fails: "+role, func(t *testing.T) {
+	for _, role := range append([]string{noRole}, roles...) {
+		t.Run("crash: "+role, func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 81, func(b *testbed) {
 				long := inZone("a", arrayJob(b.nextJobID(), 2))
 				if !b.submit("host-0", long, 50*time.Second) {
-					b.t.Fatal("not accepted")
+					b.t.Fatal("the job was not accepted")
 				}
-				b.waitUntil("it runs", time.Minute, func() bool { return b.history.TasksOnMachines(long.ID) == 2 })
+				b.waitUntil("the tasks are running", time.Minute, func() bool {
+					return b.history.TasksOnMachines(long.ID) == 2
+				})
 				time.Sleep(5 * time.Second)
 				var machines []*emulator.SimulatedMachine
 				b.forEachMachine(func(m *emulator.SimulatedMachine) {
@@ -29,8 +31,8 @@
 					machines = append(machines, m)
 				})
 				epoch, executed := machines[0].WorkerEpoch(), machines[0].CommandsExecuted
-				if role != nobody {
-					b.stopFor(b.hostsOf(role, long.ID), 400*time.Millisecond)
+				if role != noRole {
+					b.crashFor(b.hostsOf(role, long.ID), 400*time.Millisecond)
 				}
 				time.Sleep(workers.LeaseDuration*2/3 + 5*time.Second)
 				starts := b.history.TaskStarts()
@@ -45,17 +47,19 @@
 				for _, s := range more {
 					for k := range s.Tasks {
 						if !b.history.TaskCompleted(job.TaskID(s.ID, k)) {
-							b.t.Errorf("%s/%d is not done while heartbeats are lost", s.ID, k)
+							b.t.Errorf("task %s/%d has not completed while heartbeats are lost", s.ID, k)
 						}
 					}
 				}
-				// Eight tasks, and the two of the long one once or twice more.
+				// Eight tasks, and the two of the long job, which may start once or twice more.
 				if n := b.history.TaskStarts() - starts; n > 12 {
-					b.t.Errorf("%d starts for eight tasks: they are placed where they are killed", n)
+					b.t.Errorf("starts of eight new tasks: got %d, want at most 12: tasks are placed on machines where they are killed",
+						n)
 				}
 				b.forEachMachine(func(m *emulator.SimulatedMachine) {
 					if m == machines[0] && (m.WorkerEpoch() == epoch || m.CommandsExecuted == executed) {
-						b.t.Errorf("worker epoch %d, %d commands executed: this shows nothing", m.WorkerEpoch(), m.CommandsExecuted)
+						b.t.Errorf("scenario not exercised: worker epoch %d and %d executed commands, want both higher than before the fault",
+							m.WorkerEpoch(), m.CommandsExecuted)
 					}
 					m.HeartbeatsLost = false
 				})
@@ -68,18 +72,25 @@
 	}
 }
 
-// Machines hang from the moment at which their jobs are cancelled: for less than a lease, for
-// more, for good. What they ran is gone in time, by their lease, by the kill that they find
-// when they go on, or by their return; also where the owner ends, or is refused.
+// Machines hang from the moment their jobs are cancelled: for less than a worker lease, for longer,
+// or for good. The tasks must stop in time, by the expiry of the lease, by the kill command that
+// the machine executes when it resumes, or by the deletion of the machine, also if a controller
+// crashes or the state service rejects the owner.
 func TestCancelledTasksOnHungMachines(t *testing.T) {
 	for _, hang := range []time.Duration{10 * time.Second, 28 * time.Second, 40 * time.Second, 10 * time.Minute} {
 		for name, inject := range map[string]func(b *testbed, id string) func(){
-			"nothing more":       func(*testbed, string) func() { return func() {} },
-			"the owner ends":     func(b *testbed, id string) func() { return b.stopFor(b.hostsOf(ownerRole, id), 300*time.Millisecond) },
-			"the owner goes":     func(b *testbed, id string) func() { return b.stopFor(b.hostsOf(ownerRole, id), never) },
-			"the scheduler goes": func(b *testbed, id string) func() { return b.stopFor(b.hostsOf(schedulerRole, id), never) },
-			"all end":            func(b *testbed, id string) func() { return b.stopFor(b.hosts, time.Second) },
-			"the owner is refused": func(b *testbed, id string) func() {
+			"no further fault": func(*testbed, string) func() { return func() {} },
+			"the owner restarts": func(b *testbed, id string) func() {
+				return b.crashFor(b.hostsOf(ownerRole, id), 300*time.Millisecond)
+			},
+			"the owner is down": func(b *testbed, id string) func() {
+				return b.crashFor(b.hostsOf(ownerRole, id), forever)
+			},
+			"the scheduler is down": func(b *testbed, id string) func() {
+				return b.crashFor(b.hostsOf(schedulerRole, id), forever)
+			},
+			"all controllers restart": func(b *testbed, id string) func() { return b.crashFor(b.hosts, time.Second) },
+			"the state service rejects the owner": func(b *testbed, id string) func() {
 				h := b.hostsOf(ownerRole, id)[0]
 				b.stateClient(h).SetRefuseAll(true)
 				return func() { b.stateClient(h).SetRefuseAll(false) }
@@ -97,17 +108,17 @@
 					restart := inject(b, array.ID)
 					for range cap(acknowledged) {
 						if !<-acknowledged {
-							b.t.Fatal("the cancellation is not acknowledged")
+							b.t.Fatal("the cancellation was not acknowledged")
 						}
 					}
 					if b.history.TasksOnMachines(array.ID)+b.history.TasksOnMachines(gang.ID) == 0 {
-						b.t.Fatal("nothing was on machines: this shows nothing")
+						b.t.Fatal("scenario not exercised: no task was on a machine at the acknowledgement")
 					}
 					time.Sleep(hang)
 					b.forEachMachine(func(m *emulator.SimulatedMachine) { m.Hung = false })
 					restart()
 					time.Sleep(workers.CancellationDeadline + 10*time.Second)
-					b.t.Logf("tasks stayed for %v", b.history.TimesToStopAfterCancel())
+					b.t.Logf("tasks stopped %v after the acknowledgement", b.history.TimesToStopAfterCancel())
 					b.checkNoViolations()
 				})
 			})
--- a/test/integration/users_test.go
+++ b/test/integration/users_test.go
@@ -13,7 +13,7 @@
 	"robinstack/internal/job"
 )
 
-// How long users wait for an answer, and go on trying.
+// Timeouts of user requests, and how long and how often users retry or poll.
 const (
 	submitTimeout = 5 * time.Second
 	queryTimeout  = 2 * time.Second
@@ -22,7 +22,7 @@
 	pollInterval  = 5 * time.Second
 )
 
-// callAsUser sends a controller a request as a user does; a code of 0 is no answer in time.
+// callAsUser sends a user's request to a controller. The code is 0 if no response arrives in time.
 func (b *testbed) callAsUser(
 	host, method, path string, body any, timeout time.Duration,
 ) (code int, status string) {
@@ -48,7 +48,7 @@
 			Status string `json:"status"`
 		}
 		body, _ := io.ReadAll(response.Body)
-		_ = json.Unmarshal(body, &out) // an answer without a body of ours has its code alone
+		_ = json.Unmarshal(body, &out) // a response without a JSON body has no status
 		done <- answer{response.StatusCode, out.Status}
 	}()
 	timer := time.NewTimer(timeout)
@@ -61,32 +61,31 @@
 	}
 }
 
-// submitOnce submits a job at a controller.
+// submitOnce submits a job to a controller without retries.
 func (b *testbed) submitOnce(host, id string, submission any) (code int, status string) {
-	asked := b.history.StampRequest()
+	requestedAt := b.history.StampRequest()
 	code, status = b.callAsUser(host, http.MethodPost, "/submissions", submission, submitTimeout)
-	b.history.RecordResponse("submit", id, asked, code, status)
+	b.history.RecordResponse("submit", id, requestedAt, code, status)
 	return code, status
 }
 
-// queryOnce asks a controller about a job.
+// queryOnce queries the status of a job at a controller.
 func (b *testbed) queryOnce(host, id string) (code int, status string) {
-	asked := b.history.StampRequest()
+	requestedAt := b.history.StampRequest()
 	code, status = b.callAsUser(host, http.MethodGet, "/submissions/"+id, nil, queryTimeout)
-	b.history.RecordResponse("query", id, asked, code, status)
+	b.history.RecordResponse("query", id, requestedAt, code, status)
 	return code, status
 }
 
-// cancelOnce asks a controller for a cancellation that the history knows of
-// (RecordCancelRequest).
+// cancelOnce sends a cancellation without retries. The caller must have called RecordCancelRequest.
 func (b *testbed) cancelOnce(host, id string) (code int, status string) {
-	asked := b.history.StampRequest()
+	requestedAt := b.history.StampRequest()
 	code, status = b.callAsUser(host, http.MethodPost, "/submissions/"+id+"/abort", nil, submitTimeout)
-	b.history.RecordResponse("cancel", id, asked, code, status)
+	b.history.RecordResponse("cancel", id, requestedAt, code, status)
 	return code, status
 }
 
-// probeReadiness is the load balancer's.
+// probeReadiness runs the readiness probes of the load balancer.
 func (b *testbed) probeReadiness() {
 	for b.ctx.Err() == nil {
 		for _, h := range b.hosts {
@@ -99,7 +98,7 @@
 	}
 }
 
-// readyHost is a controller that the load balancer picks.
+// readyHost returns a random ready controller, as the load balancer does.
 func (b *testbed) readyHost() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,7 +109,7 @@
 	return ready[b.rng.IntN(len(ready))]
 }
 
-// hostOrReady is a host, or for "" a controller that the load balancer picks.
+// hostOrReady returns host, or a random ready controller if host is "".
 func (b *testbed) hostOrReady(host string) string {
 	if host == "" {
 		return b.readyHost()
@@ -118,14 +117,13 @@
 	return host
 }
 
-// submit has a user submit a job at a controller ("": any), again and again for a minute,
-// and ask about it from then on. It returns whether the job was accepted.
+// submit submits a job to a controller, or to any ready one if host is "". It retries for a minute,
+// polls the job's status from then on, and reports whether the job was accepted.
 func (b *testbed) submit(host string, spec job.Spec, runTime time.Duration) bool {
 	return b.submitStaggered(host, spec, runTime, 0)
 }
 
-// submitStaggered is submit of a job each of whose tasks runs longer by step than the one
-// before it.
+// submitStaggered is like submit, but each task runs longer by step than the task before it.
 func (b *testbed) submitStaggered(host string, spec job.Spec, runTime, step time.Duration) bool {
 	b.history.RecordSubmission(spec)
 	b.cloud.SetRunTimes(spec.ID, runTime, step)
@@ -142,21 +140,21 @@
 	return false
 }
 
-// resubmit submits a job at one controller once more, and returns whether it was accepted.
+// resubmit repeats the submission of a job at a controller, and reports whether it was accepted.
 func (b *testbed) resubmit(host string, spec job.Spec) bool {
 	code, _ := b.submitOnce(host, spec.ID, submissionOf(spec))
 	return code == http.StatusOK || code == http.StatusCreated
 }
 
-// submissionOf is a submission with the fields that must not be left out.
+// submissionOf returns the JSON fields of a submission, including all required fields.
 func submissionOf(s job.Spec) map[string]any {
-	raw, _ := json.Marshal(s) // a spec can always be encoded
+	raw, _ := json.Marshal(s) // encoding a spec cannot fail
 	var fields map[string]any
 	_ = json.Unmarshal(raw, &fields)
 	return fields
 }
 
-// pollUntilFinal has a user ask about a job until it is over.
+// pollUntilFinal polls the status of a job until it is final.
 func (b *testbed) pollUntilFinal(id string) {
 	for b.ctx.Err() == nil {
 		time.Sleep(pollInterval)
@@ -167,8 +165,8 @@
 	}
 }
 
-// cancel has a user cancel a job at a controller ("": any), and returns whether it was
-// acknowledged.
+// cancel cancels a job at a controller, or at any ready one if host is "". It retries for a minute
+// and reports whether the cancellation was acknowledged.
 func (b *testbed) cancel(host, id string) bool {
 	b.history.RecordCancelRequest(id)
 	for end := time.Now().Add(retryFor); time.Now().Before(end); time.Sleep(retryInterval) {
@@ -179,7 +177,8 @@
 	return false
 }
 
-// cancelPromptly is cancel that returns the moment the user is answered.
+// cancelPromptly is like cancel with retries every 50 ms, so that it returns right after the
+// acknowledgement.
 func (b *testbed) cancelPromptly(host, id string) bool {
 	b.history.RecordCancelRequest(id)
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -190,19 +189,19 @@
 	return false
 }
 
-// startRunningJob submits a job of one zone and waits until its tasks are on machines.
+// startRunningJob submits a job to run in a zone and waits until its tasks are on machines.
 func (b *testbed) startRunningJob(scheduler, zone, shape string) job.Spec {
 	b.t.Helper()
 	s := withShape(shape, inZone(zone, arrayJob(b.nextJobID(), 2)))
 	if !b.submit(scheduler, s, time.Hour) {
-		b.t.Fatal("not accepted")
+		b.t.Fatal("the job was not accepted")
 	}
-	b.waitUntil("it runs", time.Minute, func() bool { return b.history.TasksOnMachines(s.ID) == 2 })
+	b.waitUntil("the tasks are running", time.Minute, func() bool { return b.history.TasksOnMachines(s.ID) == 2 })
 	time.Sleep(5 * time.Second)
 	return s
 }
 
-// arrayJob is an array of tasks of one GPU.
+// arrayJob returns an array job whose tasks need one GPU each.
 func arrayJob(id string, tasks int) job.Spec {
 	return job.Spec{
 		ID: id, Class: "c", Team: "t", Shape: job.Array, Rank: "normal", Tasks: tasks,
@@ -210,13 +209,13 @@
 	}
 }
 
-// inZone is a job that may run in one zone only.
+// inZone returns the job restricted to a zone.
 func inZone(zone string, s job.Spec) job.Spec {
 	s.Zone = &zone
 	return s
 }
 
-// withShape is a job of another shape; gangs save their progress.
+// withShape returns the job with another shape. Gangs save checkpoints.
 func withShape(shape string, s job.Spec) job.Spec {
 	s.Shape = shape
 	if shape == job.Gang {
@@ -225,7 +224,7 @@
 	return s
 }
 
-// queryCounts counts the answers to frequent requests, by controller.
+// queryCounts counts the answered requests of queryFrequently by controller.
 type queryCounts struct {
 	mu       sync.Mutex
 	answered map[string]int
@@ -248,9 +247,9 @@
 	return c.answered[host]
 }
 
-// queryClosely has users ask all controllers about a job every few milliseconds for a while,
-// and submit it again, whatever has just been answered. It returns when all are answered.
-func (b *testbed) queryClosely(spec job.Spec, counts *queryCounts) {
+// queryFrequently queries all controllers about a job every few milliseconds for 0.3 s, and repeats
+// its submission, without waiting for the others' answers.
+func (b *testbed) queryFrequently(spec job.Spec, counts *queryCounts) {
 	const duration = 300 * time.Millisecond
 	var users sync.WaitGroup
 	for _, h := range b.hosts {
--- a/test/wireformat/names_log_test.go
+++ b/test/wireformat/names_log_test.go
@@ -18,7 +18,8 @@
 	declared := p.initialValues[logTableVariable]
 	table, ok := declared.value.(*ast.CompositeLit)
 	if !ok {
-		c.errorf("%s.%s, the table of log messages, is not declared; was it renamed?", logTablePackage, logTableVariable)
+		c.errorf("%s.%s, the table of log messages, is not declared; was it renamed?",
+			logTablePackage, logTableVariable)
 		return
 	}
 	for _, element := range table.Elts {
--- a/test/wireformat/names_values_test.go
+++ b/test/wireformat/names_values_test.go
@@ -113,7 +113,8 @@
 	}
 	table, ok := p.initialValues[gateTable.variable].value.(*ast.CompositeLit)
 	if !ok {
-		c.errorf("%s.%s, the table of feature gates, is not declared; was it renamed?", gateTable.pkg, gateTable.variable)
+		c.errorf("%s.%s, the table of feature gates, is not declared; was it renamed?",
+			gateTable.pkg, gateTable.variable)
 		return
 	}
 	for i, element := range table.Elts {
