--- a/test/integration/fault_kinds_test.go
+++ b/test/integration/fault_kinds_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-func setAnswersDelayed(m *emulator.SimulatedMachine, on bool) {
+func setResponsesDelayed(m *emulator.SimulatedMachine, on bool) {
 	m.AnswerDelay = 0
 	if on {
 		m.AnswerDelay = 3 * time.Second
@@ -192,7 +192,7 @@
 	lastingFault("commands are lost", 3, 60, 2, onShareOfMachines(0.4, setCommandsLost)),
 	lastingFault("machines hang", 2, 60, 2, onShareOfMachines(0.3, setHung)),
 	lastingFault("commands are delayed", 5, 30, 2, onShareOfMachines(0.5, setCommandsDelayed)),
-	lastingFault("responses to heartbeats are delayed", 5, 30, 2, onShareOfMachines(0.5, setAnswersDelayed)),
+	lastingFault("responses to heartbeats are delayed", 5, 30, 2, onShareOfMachines(0.5, setResponsesDelayed)),
 	instantFault("duplicate heartbeats arrive late", 4, func(b *testbed, rng *rand.Rand) {
 		h := randomHost(b, rng)
 		b.forEachMachine(func(m *emulator.SimulatedMachine) {
--- a/test/integration/frequent_queries_test.go
+++ b/test/integration/frequent_queries_test.go
@@ -102,18 +102,18 @@
 		tiny := boxType(defaultBootS)
 		tiny.Name, tiny.CPUs, tiny.GPUs, tiny.MemoryGB = "tiny", 0.5, 0.5, 0.5
 		b.cloud.SetMachineTypes([]cloud.MachineType{tiny})
-		var refusing []string
+		var rejecting []string
 		b.waitUntil("a controller rejects a new job for lack of a suitable machine type", 2*time.Minute, func() bool {
 			for _, h := range b.hosts {
 				s := arrayJob(b.nextJobID(), 1)
 				b.history.RecordInvalidSubmission(s)
-				if code, _ := b.callAsUser(h, http.MethodPost, "/submissions", submissionOf(s), 5*time.Second); code == 422 && !slices.Contains(refusing, h) {
-					refusing = append(refusing, h)
+				if code, _ := b.callAsUser(h, http.MethodPost, "/submissions", submissionOf(s), 5*time.Second); code == 422 && !slices.Contains(rejecting, h) {
+					rejecting = append(rejecting, h)
 				}
 			}
-			return len(refusing) > 0
+			return len(rejecting) > 0
 		})
-		for _, h := range refusing {
+		for _, h := range rejecting {
 			for _, s := range []job.Spec{open, finished} {
 				if !b.resubmit(h, s) {
 					b.t.Errorf("repeated submission of %s at %s: the known job was not accepted", s.ID, h)
--- a/test/integration/users_test.go
+++ b/test/integration/users_test.go
@@ -30,17 +30,17 @@
 	if err != nil {
 		return 0, ""
 	}
-	type answer struct {
+	type result struct {
 		code   int
 		status string
 	}
-	done := make(chan answer, 1)
+	done := make(chan result, 1)
 	go func() {
 		request := httptest.NewRequest(method, path, bytes.NewReader(raw))
 		request.Header.Set("Content-Type", "application/json")
 		response, err := b.callController(host, request, b.unreachableByUsers)
 		if err != nil {
-			done <- answer{}
+			done <- result{}
 			return
 		}
 		defer response.Body.Close()
@@ -49,7 +49,7 @@
 		}
 		body, _ := io.ReadAll(response.Body)
 		_ = json.Unmarshal(body, &out) // a response without a JSON body has no status
-		done <- answer{response.StatusCode, out.Status}
+		done <- result{response.StatusCode, out.Status}
 	}()
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
