--- a/test/wireformat/names_places_test.go
+++ b/test/wireformat/names_places_test.go
@@ -34,7 +34,7 @@
 	{kind: "machine status in the cloud", pkg: "emulator", declaration: "LocalCloud.Machines"},
 	{kind: "name in the checks of a profile", pkg: "tools/scaletest", declaration: "JobClass.checks"},
 	{kind: "log level", pkg: "cmd/robinstack", declaration: "configureLogging"},
-	{kind: "log field of a task's phase", pkg: "tools/audit", declaration: "phaseFields"},
+	{kind: "log field of a task's phase", pkg: "tools/audit", declaration: "phaseKeys"},
 }
 
 // lowerCaseName matches a name in lower case; the external names in namedDeclarations have this
