--- a/cmd/robinstack/dev.go
+++ b/cmd/robinstack/dev.go
@@ -42,15 +42,15 @@
 	f.IntVar(&o.MaxMachines, "machines", 24, "number of machines that the cloud has")
 	f.Float64Var(&o.GPUs, "gpus", 8, "GPUs of each machine")
 	f.IntVar(&r.RunningTasks, "running", 20, "target number of tasks running at a time, for --rolls")
-	f.Float64Var(&r.MeanSeconds, "seconds", 1.3, "mean run time of a task in seconds, for --rolls")
-	f.Float64Var(&r.MeanTasks, "tasks", 3, "mean number of tasks of a job, for --rolls")
+	f.Float64Var(&r.MeanTaskSeconds, "seconds", 1.3, "mean run time of a task in seconds, for --rolls")
+	f.Float64Var(&r.MeanTasksPerJob, "tasks", 3, "mean number of tasks of a job, for --rolls")
 	f.DurationVar(&r.Warmup, "warmup", 0, "time before the first replacement of the controllers, for --rolls")
 	f.DurationVar(&r.MaxPause, "pause", 1500*time.Millisecond,
 		"maximum pause after a controller has started, before the next one is killed, for --rolls")
 	f.BoolVar(&flags.sampleJob, "try", false, "submit a sample job, wait until it is done, and exit")
 	f.IntVar(&r.Rollouts, "rolls", 0, "how many times to upgrade the controllers from --former to this program "+
 		"and back, under load, killing them at any moment; reports what was lost")
-	f.StringVar(&r.FormerProgram, "former", "", "program of the previous version, for --rolls")
+	f.StringVar(&r.PreviousProgram, "former", "", "program of the previous version, for --rolls")
 	return cmd
 }
 
--- a/cmd/robinstack/scale.go
+++ b/cmd/robinstack/scale.go
@@ -54,7 +54,7 @@
 // markUsage marks errors that the operator can fix: in the profile, or a run that does not fit this
 // machine.
 func markUsage(err error) error {
-	if errors.Is(err, scaletest.ErrProfile) || errors.Is(err, scaletest.ErrDoesNotFit) {
+	if errors.Is(err, scaletest.ErrInvalidProfile) || errors.Is(err, scaletest.ErrInsufficientCapacity) {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	return err
@@ -64,7 +64,7 @@
 	if flags.tables {
 		return printTables(path, out)
 	}
-	profile, err := scaletest.Load(path)
+	profile, err := scaletest.LoadProfile(path)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 	if err != nil {
 		return fmt.Errorf("locating the executable of this program: %w", err)
 	}
-	options := scaletest.Options{Program: program, Logs: flags.logs, Out: out}
+	options := scaletest.Options{Program: program, LogDirectory: flags.logs, Output: out}
 	if flags.sweep {
 		return scaletest.RunSweep(ctx, profile, options, func(s *scaletest.SweepResult) error {
 			return writeJSON(flags.json, s)
@@ -131,5 +131,5 @@
 	if err := json.Unmarshal(raw, &plan); err != nil {
 		return fmt.Errorf("decoding the load plan %s: %w", path, err)
 	}
-	return scaletest.RunLoad(ctx, &plan, in, out)
+	return scaletest.RunLoadProcess(ctx, &plan, in, out)
 }
--- a/cmd/robinstack/wire_test.go
+++ b/cmd/robinstack/wire_test.go
@@ -31,5 +31,5 @@
 		}
 	}
 	list(rootCommand())
-	wireformat.Golden(t, "commands", b.String())
+	wireformat.CheckGolden(t, "commands", b.String())
 }
--- a/emulator/cloudserver.go
+++ b/emulator/cloudserver.go
@@ -50,8 +50,8 @@
 // Requests returns the number of requests received, including those over the rate limit.
 func (s *CloudServer) Requests() uint64 { return s.requests.Load() }
 
-// Refused returns the number of requests rejected because of the rate limit.
-func (s *CloudServer) Refused() uint64 { return s.rateLimited.Load() }
+// RateLimited returns the number of requests rejected because of the rate limit.
+func (s *CloudServer) RateLimited() uint64 { return s.rateLimited.Load() }
 
 // ServeHTTP implements http.Handler.
 func (s *CloudServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/emulator/cloudserver_test.go
+++ b/emulator/cloudserver_test.go
@@ -47,9 +47,9 @@
 			s.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/hosts?page=2", nil))
 			codes[w.Code]++
 		}
-		if codes[200] != 4 || codes[429] != 2 || s.Refused() != 2 {
-			t.Errorf("responses by status: got %v, want 4 of 200 and 2 of 429; Refused: got %d, want 2",
-				codes, s.Refused())
+		if codes[200] != 4 || codes[429] != 2 || s.RateLimited() != 2 {
+			t.Errorf("responses by status: got %v, want 4 of 200 and 2 of 429; RateLimited: got %d, want 2",
+				codes, s.RateLimited())
 		}
 	})
 }
@@ -61,8 +61,8 @@
 		s := NewStateService()
 		limits := NewRateLimits(10, 4)
 		s.SetRateLimits(limits)
-		if !limits.allow(3) || limits.allow(2) || !limits.allow(1) || limits.Refused.Load() != 1 {
-			t.Error("3, 2 and 1 changes at a limit of 4: want allowed, rejected, allowed, and Refused = 1")
+		if !limits.allow(3) || limits.allow(2) || !limits.allow(1) || limits.Rejected.Load() != 1 {
+			t.Error("3, 2 and 1 changes at a limit of 4: want allowed, rejected, allowed, and Rejected = 1")
 		}
 		time.Sleep(time.Second)
 		for k := range 12 {
--- a/emulator/faultystateclient.go
+++ b/emulator/faultystateclient.go
@@ -55,17 +55,17 @@
 	txnDelaySpread = 10 * time.Second
 )
 
-// SetRefuseAll sets whether every request of this controller is rejected.
-func (c *FaultyStateClient) SetRefuseAll(on bool) {
+// SetRejectAll sets whether every request of this controller is rejected.
+func (c *FaultyStateClient) SetRejectAll(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rejectAll = on
 }
 
-// SetFaults sets the latency of each request and the probability with which a transaction with
-// changes is delayed: it gets no response and is applied 2 to 12 s later, possibly after newer
-// transactions.
-func (c *FaultyStateClient) SetFaults(latency time.Duration, delayProbability float64) {
+// SetLatencyAndTxnDelays sets the latency of each request and the probability with which a
+// transaction with changes is delayed: it gets no response and is applied 2 to 12 s later, possibly
+// after newer transactions.
+func (c *FaultyStateClient) SetLatencyAndTxnDelays(latency time.Duration, delayProbability float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.latency, c.delayProbability = latency, delayProbability
@@ -85,16 +85,16 @@
 	c.dropRevokes = on
 }
 
-// SetLoseAnswersOnly sets whether a transaction selected for a delay is applied at once, so that
+// SetLoseResponsesOnly sets whether a transaction selected for a delay is applied at once, so that
 // only its response is lost.
-func (c *FaultyStateClient) SetLoseAnswersOnly(on bool) {
+func (c *FaultyStateClient) SetLoseResponsesOnly(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.loseResponsesOnly = on
 }
 
-// SetRefuseRenewals sets whether lease renewals are rejected. Other requests are not affected.
-func (c *FaultyStateClient) SetRefuseRenewals(on bool) {
+// SetRejectRenewals sets whether lease renewals are rejected. Other requests are not affected.
+func (c *FaultyStateClient) SetRejectRenewals(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rejectRenewals = on
--- a/emulator/history.go
+++ b/emulator/history.go
@@ -98,9 +98,9 @@
 		"%s at %.1f s: %s", rule, time.Since(h.startTime).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// StampRequest returns the logical time of a request. It must be called just before the request is
-// sent.
-func (h *History) StampRequest() LogicalTime {
+// NextRequestTime returns the logical time of a request. It must be called just before the request
+// is sent.
+func (h *History) NextRequestTime() LogicalTime {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.logicalClock++
--- a/emulator/history_report.go
+++ b/emulator/history_report.go
@@ -187,8 +187,8 @@
 	return j != nil && j.completed[index]
 }
 
-// AcceptedJobs returns the ids of all accepted jobs, sorted.
-func (h *History) AcceptedJobs() []string {
+// AcceptedJobIDs returns the ids of all accepted jobs, sorted.
+func (h *History) AcceptedJobIDs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []string
@@ -201,8 +201,9 @@
 	return out
 }
 
-// Spec returns a job's spec as it was submitted, and false if nobody has submitted the job.
-func (h *History) Spec(id string) (job.Spec, bool) {
+// SubmittedSpec returns a job's spec as it was submitted, and false if nobody has submitted the
+// job.
+func (h *History) SubmittedSpec(id string) (job.Spec, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	j := h.jobs[id]
--- a/emulator/history_responses.go
+++ b/emulator/history_responses.go
@@ -19,8 +19,9 @@
 
 // RecordResponse records and checks the response to a request about a job. It must be called when
 // the response is received. kind is "submit", "query" or "cancel"; sentAt is the value of
-// StampRequest for the request. A request that was sent before an earlier response was received may
-// be answered with the state of the job before that response: overlapping requests have no order.
+// NextRequestTime for the request. A request that was sent before an earlier response was received
+// may be answered with the state of the job before that response: overlapping requests have no
+// order.
 func (h *History) RecordResponse(kind, id string, sentAt LogicalTime, code int, status string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/emulator/history_rules_test.go
+++ b/emulator/history_rules_test.go
@@ -28,7 +28,7 @@
 
 // recordResponse records a response that is received right after its request was sent.
 func recordResponse(h *History, kind, id string, code int, status string) {
-	h.RecordResponse(kind, id, h.StampRequest(), code, status)
+	h.RecordResponse(kind, id, h.NextRequestTime(), code, status)
 }
 
 func submitAccepted(h *History, specs ...job.Spec) {
@@ -173,11 +173,11 @@
 	{name: "permitted: a request that overlaps another", run: func(h *History) {
 		// The query is sent before the other response is received, so neither is older.
 		h.RecordSubmission(oneTaskJob)
-		early := h.StampRequest()
+		early := h.NextRequestTime()
 		recordResponse(h, "submit", "wk-1", 201, job.Queued)
 		h.RecordResponse("query", "wk-1", early, 404, "")
 		h.RecordCancelRequest("wk-1")
-		early = h.StampRequest()
+		early = h.NextRequestTime()
 		recordResponse(h, "cancel", "wk-1", 200, job.Cancelled)
 		h.RecordResponse("query", "wk-1", early, 200, job.Running)
 	}},
--- a/emulator/localcloud.go
+++ b/emulator/localcloud.go
@@ -28,12 +28,12 @@
 
 // LocalCloudConfig is the configuration of a LocalCloud.
 type LocalCloudConfig struct {
-	MachineTypes      []cloud.MachineType
-	MaxPerPool        int               // machines of one type, zone and kind (on-demand or spot)
-	Controllers       map[string]string // addresses that workers connect to, by host
-	HeartbeatInterval time.Duration
-	LeaseDuration     time.Duration
-	LookUpSpec        func(job string) (*job.Spec, error) // the spec as submitted; called with a machine's mutex held
+	MachineTypes       []cloud.MachineType
+	MaxMachinesPerPool int               // machines of one type, zone and kind (on-demand or spot)
+	Controllers        map[string]string // addresses that workers connect to, by host
+	HeartbeatInterval  time.Duration
+	LeaseDuration      time.Duration
+	LookUpSpec         func(job string) (*job.Spec, error) // the spec as submitted; called with a machine's mutex held
 }
 
 // NewLocalCloud returns a cloud without machines. Its workers run until ctx ends.
@@ -95,7 +95,7 @@
 		return nil, cloud.ErrNoCapacity
 	}
 	var names []string
-	for n := c.poolSize(&r); n < c.config.MaxPerPool && len(names) < r.Count; n++ {
+	for n := c.poolSize(&r); n < c.config.MaxMachinesPerPool && len(names) < r.Count; n++ {
 		name, err := c.startMachine(machineType, &r)
 		if err != nil {
 			break // no port is available, so capacity is exhausted
@@ -153,16 +153,16 @@
 // TaskStarts returns the number of task starts.
 func (c *LocalCloud) TaskStarts() int { return c.history.taskStarts() }
 
-// Restarts returns the number of starts of tasks that had started before, and the longest time
+// RestartStats returns the number of starts of tasks that had started before, and the longest time
 // between two consecutive task starts.
-func (c *LocalCloud) Restarts() (restarts int, longestGap time.Duration) {
+func (c *LocalCloud) RestartStats() (restarts int, longestGap time.Duration) {
 	return c.history.restartStats()
 }
 
-// CheckDependencies enables the check that a task starts only after its dependencies. dependencies
-// returns the tasks that must have completed before the given one starts; it must not call the
-// cloud.
-func (c *LocalCloud) CheckDependencies(dependencies func(task string) []string) {
+// SetDependencyLookup enables the check that a task starts only after its dependencies.
+// dependencies returns the tasks that must have completed before the given one starts; it must not
+// call the cloud.
+func (c *LocalCloud) SetDependencyLookup(dependencies func(task string) []string) {
 	c.history.setDependencyLookup(dependencies)
 }
 
--- a/emulator/loopbacknetwork.go
+++ b/emulator/loopbacknetwork.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.traffic.Bytes.Conn(conn), nil
+	return l.traffic.Bytes.WrapConn(conn), nil
 }
 
 // loopbackTransport sends a worker's heartbeats over TCP. It keeps one connection, to the
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return t.network.Traffic.Bytes.Conn(conn), nil
+	return t.network.Traffic.Bytes.WrapConn(conn), nil
 }
 
 func (t *loopbackTransport) send(_ context.Context, host string, body []byte) (int, []byte, error) {
--- a/emulator/ratelimits.go
+++ b/emulator/ratelimits.go
@@ -15,7 +15,7 @@
 	requestLimit, changeLimit *rate.Limiter
 
 	Requests, Changes atomic.Uint64 // received, including those over a limit
-	Refused           atomic.Uint64 // requests rejected because of a limit
+	Rejected          atomic.Uint64 // requests rejected because of a limit
 	Renewals, Watches atomic.Uint64 // parts of Requests
 }
 
@@ -35,7 +35,7 @@
 	r.Changes.Add(uint64(changes))
 	now := time.Now()
 	if !r.requestLimit.AllowN(now, 1) || !r.changeLimit.AllowN(now, changes) {
-		r.Refused.Add(1)
+		r.Rejected.Add(1)
 		return false
 	}
 	return true
--- a/emulator/simulatedmachine.go
+++ b/emulator/simulatedmachine.go
@@ -34,14 +34,14 @@
 	tasks  map[string]*simulatedTask // by attemptKey
 	images map[string]bool           // images that the machine has fetched
 
-	Hung            bool          // the worker does nothing; it can resume before its lease expires
-	InboundLost     bool          // responses and direct commands do not reach the worker; its heartbeats arrive
-	CommandsLost    bool          // direct commands do not reach the worker; responses to its heartbeats do
-	HeartbeatsLost  bool          // heartbeats do not reach any controller; direct commands are executed
-	CommandDelay    time.Duration // delay of direct commands, and therefore of their responses
-	AnswerDelay     time.Duration // delay of responses to heartbeats
-	UnreachableFrom string        // host whose direct commands do not reach the worker; "": none
-	OnlyController  string        // host of the only controller that messages pass to and from; "": all
+	Hung                    bool          // the worker does nothing; it can resume before its lease expires
+	InboundLost             bool          // responses and direct commands do not reach the worker; heartbeats arrive
+	CommandsLost            bool          // direct commands do not reach the worker; responses to its heartbeats do
+	HeartbeatsLost          bool          // heartbeats do not reach any controller; direct commands are executed
+	CommandDelay            time.Duration // delay of direct commands, and therefore of their responses
+	ResponseDelay           time.Duration // delay of responses to heartbeats
+	UnreachableFrom         string        // host whose direct commands do not reach the worker; "": none
+	OnlyReachableController string        // host of the only controller that messages pass to and from; "": all
 
 	failedAt          time.Time          // when the machine failed; zero: it has not
 	CommandsExecuted  int                // number of requests with direct commands that were executed
@@ -79,9 +79,9 @@
 	return m, nil
 }
 
-// Kill makes the machine fail, with all tasks on it. The cloud keeps listing it as running until
+// Fail makes the machine fail, with all tasks on it. The cloud keeps listing it as running until
 // failureListingDelay has passed.
-func (m *SimulatedMachine) Kill() {
+func (m *SimulatedMachine) Fail() {
 	m.dropTasks()
 	m.stop()
 	m.failedAt = time.Now()
@@ -101,16 +101,17 @@
 	return m.IsUp() && !m.InboundLost && !m.CommandsLost && m.UnreachableFrom != host && m.canReach(host)
 }
 
-// canReach reports whether OnlyController permits messages to and from the controller on a host.
+// canReach reports whether OnlyReachableController permits messages to and from the controller on a
+// host.
 func (m *SimulatedMachine) canReach(host string) bool {
-	return m.OnlyController == "" || m.OnlyController == host
+	return m.OnlyReachableController == "" || m.OnlyReachableController == host
 }
 
 // hasNoFaults reports whether the machine is up and no fault is injected into it.
 func (m *SimulatedMachine) hasNoFaults() bool {
 	losesMessages := m.InboundLost || m.CommandsLost || m.HeartbeatsLost
-	partitioned := m.UnreachableFrom != "" || m.OnlyController != ""
-	slow := m.CommandDelay > 0 || m.AnswerDelay > 0
+	partitioned := m.UnreachableFrom != "" || m.OnlyReachableController != ""
+	slow := m.CommandDelay > 0 || m.ResponseDelay > 0
 	return m.IsUp() && !m.Hung && !losesMessages && !partitioned && !slow
 }
 
@@ -203,10 +204,10 @@
 	return target
 }
 
-// waitResponseDelay delays the response to a heartbeat by AnswerDelay.
+// waitResponseDelay delays the response to a heartbeat by ResponseDelay.
 func (m *SimulatedMachine) waitResponseDelay() {
 	m.cloud.mu.Lock()
-	delay := m.AnswerDelay
+	delay := m.ResponseDelay
 	m.cloud.mu.Unlock()
 	if delay > 0 {
 		sleep(m.ctx, delay)
--- a/emulator/simulatedtask.go
+++ b/emulator/simulatedtask.go
@@ -24,7 +24,7 @@
 // submitted the job.
 func (t *simulatedTask) spec(h *History) job.Spec {
 	id, _, _ := job.SplitTaskID(t.ID)
-	spec, _ := h.Spec(id)
+	spec, _ := h.SubmittedSpec(id)
 	return spec
 }
 
@@ -83,7 +83,7 @@
 	}
 	m.tasks[key] = task
 	m.requestHeartbeat()
-	spec, known := m.cloud.history.Spec(id)
+	spec, known := m.cloud.history.SubmittedSpec(id)
 	gpus, otherAttempt := m.gpusUsedByOtherTasks(task)
 	switch {
 	case otherAttempt:
@@ -148,8 +148,8 @@
 	}
 }
 
-// PlantTask adds a running task that no controller has started.
-func (m *SimulatedMachine) PlantTask(task string, attempt uint64) {
+// InjectTask adds a running task that no controller has started.
+func (m *SimulatedMachine) InjectTask(task string, attempt uint64) {
 	m.tasks[attemptKey(task, attempt)] = &simulatedTask{
 		Task:             worker.Task{ID: task, Attempt: attempt, State: worker.TaskRunning},
 		stateSince:       time.Now(),
--- a/emulator/stateservice.go
+++ b/emulator/stateservice.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// NewEmptyStateService returns a state service at revision 0, to which nothing has ever been
-// written.
-func NewEmptyStateService() *StateService {
+// NewStateServiceAtRevisionZero returns a state service at revision 0, to which nothing has ever
+// been written.
+func NewStateServiceAtRevisionZero() *StateService {
 	s := NewStateService()
 	s.revision = 0
 	return s
@@ -123,7 +123,7 @@
 	s.txnLatency = d
 }
 
-// SetOutage begins or ends outages. While down is set, every request is rejected. While loseAnswers
+// SetOutage begins or ends outages. While down is set, every request is rejected. While loseResponses
 // is set, transactions are applied but get no response. When down is cleared, every lease that
 // expires starts again with its full TTL.
 func (s *StateService) SetOutage(down, loseResponses bool) {
--- a/emulator/workers.go
+++ b/emulator/workers.go
@@ -19,10 +19,10 @@
 // Worker is the worker of one machine. Its fields must be accessed only from Workers.WithLock, or
 // while no commands are sent.
 type Worker struct {
-	Heartbeat    worker.Heartbeat // the last heartbeat, with the current tasks
-	HoldCommands bool             // commands get no response and are executed by DeliverHeldCommands
-	TimeOutNext  int              // number of upcoming command requests that are lost
-	Started      []string         // ids of all tasks started, in order
+	Heartbeat      worker.Heartbeat // the last heartbeat, with the current tasks
+	HoldCommands   bool             // commands get no response and are executed by DeliverHeldCommands
+	CommandsToLose int              // number of upcoming command requests that are lost
+	Started        []string         // ids of all tasks started, in order
 
 	heldCommands []func()
 }
@@ -62,8 +62,9 @@
 	return h
 }
 
-// DeliverAnswer delivers the response to a heartbeat to its worker, which executes the commands.
-func (w *Workers) DeliverAnswer(recipient *Worker, response worker.HeartbeatResponse) {
+// DeliverHeartbeatResponse delivers the response to a heartbeat to its worker, which executes the
+// commands.
+func (w *Workers) DeliverHeartbeatResponse(recipient *Worker, response worker.HeartbeatResponse) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	recipient.executeCommands(response.FencingToken, recipient.Heartbeat.WorkerEpoch, response.Commands)
@@ -141,8 +142,8 @@
 	if target == nil {
 		return nil, false, fmt.Errorf("%w: address %q", errUnknownWorker, address)
 	}
-	if target.TimeOutNext > 0 {
-		target.TimeOutNext--
+	if target.CommandsToLose > 0 {
+		target.CommandsToLose--
 		w.mu.Unlock()
 		sleep(ctx, clientTimeout)
 		w.mu.Lock()
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -46,25 +46,25 @@
 }
 
 // demand returns the waiting tasks, limited to the teams' quotas, together with the warm capacity
-// for gangs, and the turnover of the running tasks.
-func (f *Fleet) demand(snapshot *Snapshot) ([]Demand, turnover) {
+// for gangs, and a forecast of the capacity that running tasks free.
+func (f *Fleet) demand(snapshot *Snapshot) ([]Demand, freedCapacityForecast) {
 	now := snapshot.Now
 	var waiting []Demand
-	turnover := newTurnover(snapshot.Types)
+	freedCapacity := newFreedCapacityForecast(snapshot.Types)
 	jobs := snapshot.Demand.current(now)
 	for i := range jobs {
 		d := &jobs[i]
 		if d.Spec.Shape == job.Gang && d.Spec.Priority() > job.LowestPriority {
 			f.gangClasses[d.Spec.Class] = gangClass{d.Spec, now}
 		}
-		turnover.add(d)
+		freedCapacity.add(d)
 		if d.Waiting > 0 {
 			waiting = append(waiting, *d)
 		}
 	}
 	limitToQuotas(waiting, f.settings, snapshot.TeamUsage)
-	turnover.growing = f.backlog.grows(now) && f.backlog.last() > turnover.freedDuringProvisioning()
-	return append(waiting, f.warmDemand(now)...), turnover
+	freedCapacity.growing = f.backlog.grows(now) && f.backlog.last() > freedCapacity.freedDuringProvisioning()
+	return append(waiting, f.warmDemand(now)...), freedCapacity
 }
 
 // limitToQuotas reduces the waiting tasks to the number that the teams' quotas allow to run.
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -124,10 +124,10 @@
 
 // Plan holds the scaling actions to take now, and the events to log.
 type Plan struct {
-	ScaleOut []cloud.ScaleOutRequest // requests, to be sent concurrently
-	ScaleIn  []string                // surplus and empty draining or quarantined machines, to be drained and deleted
-	Delete   []string                // machines that are lost or did not come up
-	Notify   []string                // deleted machines whose owners have to be notified again
+	ScaleOut        []cloud.ScaleOutRequest // requests, to be sent concurrently
+	ScaleIn         []string                // to drain and delete: surplus and empty draining or quarantined machines
+	Delete          []string                // machines that are lost or did not come up
+	RenotifyDeleted []string                // deleted machines whose owners have to be notified again
 	// Unreconciled is the number of unresponsive machines that their new owners have not
 	// reconciled.
 	Unreconciled int
@@ -140,28 +140,32 @@
 
 // Plan decides which machines to request, which idle machines to return and which lost machines to
 // delete.
-func (f *Fleet) Plan(stock *Stock, snapshot *Snapshot) *Plan {
-	plan := &Plan{Lost: stock.lost, Notify: stock.notify, Unreconciled: stock.unreconciled}
-	for _, lost := range stock.lost {
+func (f *Fleet) Plan(inventory *Inventory, snapshot *Snapshot) *Plan {
+	plan := &Plan{
+		Lost:            inventory.lost,
+		RenotifyDeleted: inventory.renotifyDeleted,
+		Unreconciled:    inventory.unreconciled,
+	}
+	for _, lost := range inventory.lost {
 		plan.Delete = append(plan.Delete, lost.Machine)
 	}
-	bins := append(stock.bins, f.planProvisioning(snapshot, plan)...)
-	demands, turnover := f.demand(snapshot)
-	plan.ScaleOut = f.scaleOut(snapshot, demands, bins, turnover)
+	bins := append(inventory.bins, f.planProvisioning(snapshot, plan)...)
+	demands, freedCapacity := f.demand(snapshot)
+	plan.ScaleOut = f.scaleOut(snapshot, demands, bins, freedCapacity)
 	plan.Summary = f.summarize(bins, demands, snapshot)
-	plan.ScaleIn = append(stock.emptied, f.surplus(bins, stock.idleFor, snapshot.Now)...)
+	plan.ScaleIn = append(inventory.emptied, f.surplus(bins, inventory.idleFor, snapshot.Now)...)
 	return plan
 }
 
 // scaleOut returns the scale-out requests to send now, beginning with repeated requests.
 func (f *Fleet) scaleOut(
-	snapshot *Snapshot, demands []Demand, bins []*bin, turnover turnover,
+	snapshot *Snapshot, demands []Demand, bins []*bin, freedCapacity freedCapacityForecast,
 ) []cloud.ScaleOutRequest {
 	now := snapshot.Now
 	requests := f.unanswered
 	f.unanswered = nil
 	offers := listOffers(snapshot.Types, func(p Pool) int { return f.limits.available(p, now) })
-	needed, backlog := pack(demands, bins, turnover, offers, maxMachinesPerPlan)
+	needed, backlog := pack(demands, bins, freedCapacity, offers, maxMachinesPerPlan)
 	f.backlog.add(now, backlog, backlogSpan)
 	for _, o := range offers {
 		// Machines that a repeated request may still bring are not requested again.
--- a/internal/autoscaler/packing.go
+++ b/internal/autoscaler/packing.go
@@ -178,7 +178,7 @@
 // GPU equivalents, of the unplaced tasks of jobs that can wait for capacity that running tasks
 // free.
 func pack(
-	demands []Demand, bins []*bin, turnover turnover, offers []*offer, maxMachines int,
+	demands []Demand, bins []*bin, freedCapacity freedCapacityForecast, offers []*offer, maxMachines int,
 ) (requested map[Pool]int, backlog float64) {
 	slices.SortStableFunc(demands, comparePackingOrder)
 	slices.SortStableFunc(bins, func(a, b *bin) int { return cmp.Compare(a.name, b.name) })
@@ -190,7 +190,7 @@
 			spec:         &d.Spec,
 			zone:         d.Zone,
 			tasks:        concurrentTasks(d),
-			maxCostRatio: costRatioLimit(d, turnover.growing),
+			maxCostRatio: costRatioLimit(d, freedCapacity.growing),
 		}
 		if group.tasks <= 0 {
 			continue
@@ -202,10 +202,10 @@
 		if unplaced == 0 {
 			continue
 		}
-		if turnover.appliesTo(d) {
+		if freedCapacity.appliesTo(d) {
 			backlog += float64(unplaced) * gpuEquivalents(d.Spec.Need)
 		}
-		p.requestMachines(&group, unplaced-turnover.reserve(d, unplaced))
+		p.requestMachines(&group, unplaced-freedCapacity.reserve(d, unplaced))
 	}
 	return p.requested, backlog
 }
--- a/internal/autoscaler/packing_test.go
+++ b/internal/autoscaler/packing_test.go
@@ -15,13 +15,13 @@
 	}
 	demands := []Demand{{Spec: job.Spec{Need: job.Resources{CPUs: 6, GPUs: 1, MemoryGB: 48}, Spot: true, Rank: "normal"}, Waiting: 10}}
 	bins := []*bin{{Pool: Pool{Type: "small", Zone: "a"}, name: "m1", free: job.Resources{CPUs: 24, GPUs: 4, MemoryGB: 96}}}
-	requested, _ := pack(demands, bins, turnover{}, listOffers(types, func(Pool) int { return 100 }), 20)
+	requested, _ := pack(demands, bins, freedCapacityForecast{}, listOffers(types, func(Pool) int { return 100 }), 20)
 	if len(requested) != 1 || requested[Pool{"big", "a", true}] != 1 || !bins[0].used {
 		t.Fatalf("requested %v, machine in use %v; want 2 tasks on the existing machine, 8 on one big spot machine",
 			requested, bins[0].used)
 	}
 	demands[0].Spec.Spot = false
-	requested, _ = pack(demands, nil, turnover{}, listOffers(types, func(Pool) int { return 100 }), 20)
+	requested, _ = pack(demands, nil, freedCapacityForecast{}, listOffers(types, func(Pool) int { return 100 }), 20)
 	if requested[Pool{"big", "a", false}] != 2 {
 		t.Fatalf("job that forbids spot machines: requested %v, want 2 big on-demand machines", requested)
 	}
@@ -33,7 +33,7 @@
 		}
 		return 0
 	}
-	growth := turnover{}
+	growth := freedCapacityForecast{}
 	for _, growth.growing = range []bool{false, true} {
 		requested, _ = pack(demands, nil, growth, listOffers(types, onlySmall), 20)
 		if n := requested[Pool{"small", "a", false}]; (n > 0) != growth.growing {
@@ -42,10 +42,10 @@
 	}
 	// A job array with 20 running and 40 waiting tasks and a deadline in 3 minutes needs few new
 	// machines, since its running tasks free capacity in time for most of the others. Without
-	// turnover, machines were requested for all 40 tasks and became idle soon after.
+	// the forecast, machines were requested for all 40 tasks and became idle soon after.
 	demands[0] = Demand{Spec: job.Spec{Shape: job.Array, Need: demands[0].Spec.Need, Spot: true, Rank: "normal", EstimateS: 50, DeadlineS: new(float64)}, Waiting: 40, Running: 20}
 	*demands[0].Spec.DeadlineS = 180
-	running := turnover{provisioningS: 40}
+	running := freedCapacityForecast{provisioningS: 40}
 	running.add(&demands[0])
 	if requested, backlog := pack(demands, nil, running, listOffers(types, func(Pool) int { return 100 }), 20); requested[Pool{"big", "a", true}] != 1 || backlog != 40 {
 		t.Fatalf("requested %v with backlog %v, want one big spot machine with backlog 40", requested, backlog)
@@ -59,7 +59,7 @@
 		}
 		return 100
 	}
-	if requested, _ := pack([]Demand{lowest}, nil, turnover{}, listOffers(types, noSpot), 20); len(requested) != 0 {
+	if requested, _ := pack([]Demand{lowest}, nil, freedCapacityForecast{}, listOffers(types, noSpot), 20); len(requested) != 0 {
 		t.Fatalf("job of the lowest priority: requested %v, want none", requested)
 	}
 	// In a burst, later jobs need the capacity that is freed later. When the tasks waited for that
@@ -76,7 +76,7 @@
 	types := map[string]cloud.MachineType{"box": {Name: "box", CPUs: 16, GPUs: 2, MemoryGB: 64, OnDemandPrice: 10, Zones: []string{"a", "b"}}}
 	elsewhere := &bin{Pool: Pool{Type: "box", Zone: "a"}, name: "m1", free: job.Resources{CPUs: 16, GPUs: 2, MemoryGB: 64}}
 	spec := job.Spec{Shape: job.Array, OneZone: true, Rank: "normal", Need: job.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}}
-	requested, _ := pack([]Demand{{Spec: spec, Waiting: 2, Running: 1, Zone: "b"}}, []*bin{elsewhere}, turnover{}, listOffers(types, func(Pool) int { return 10 }), 10)
+	requested, _ := pack([]Demand{{Spec: spec, Waiting: 2, Running: 1, Zone: "b"}}, []*bin{elsewhere}, freedCapacityForecast{}, listOffers(types, func(Pool) int { return 10 }), 10)
 	if want := (Pool{"box", "b", false}); len(requested) != 1 || requested[want] != 1 || elsewhere.used {
 		t.Errorf("requested %v, want one machine of %v; machine in the other zone used: %v",
 			requested, want, elsewhere.used)
--- a/internal/autoscaler/pool_test.go
+++ b/internal/autoscaler/pool_test.go
@@ -26,7 +26,7 @@
 	types := map[string]cloud.MachineType{"big": {Name: "big", GPUs: 8, OnDemandPrice: 25, SpotPrice: 10, Zones: []string{"a"}}}
 	demands := []Demand{{Spec: job.Spec{Rank: "normal", Need: job.Resources{GPUs: 8}, Spot: true}, Waiting: 10}}
 	available := func(p Pool) int { return limits.available(p, now) }
-	requested, _ := pack(demands, nil, turnover{}, listOffers(types, available), 100)
+	requested, _ := pack(demands, nil, freedCapacityForecast{}, listOffers(types, available), 100)
 	if requested[p] != initialProbeSize || requested[Pool{"big", "a", false}] != 10-initialProbeSize {
 		t.Fatalf("requested %v, want %d spot machines and the others on demand", requested, initialProbeSize)
 	}
--- a/internal/autoscaler/stock.go
+++ b/internal/autoscaler/stock.go
@@ -8,16 +8,16 @@
 	"robinstack/internal/worker"
 )
 
-// Stock is the state of the machines that have owners, as input of a plan.
-type Stock struct {
+// Inventory is the state of the machines that have owners, as input of a plan.
+type Inventory struct {
 	Present map[string]bool // all machines that have owners
 
-	bins         []*bin                   // machines that can take tasks
-	idleFor      map[string]time.Duration // idle time of the machines in bins that have no tasks
-	emptied      []string                 // draining or quarantined machines without tasks, to be returned
-	lost         []LostMachine
-	notify       []string // deleted machines whose owners have to be notified again
-	unreconciled int
+	bins            []*bin                   // machines that can take tasks
+	idleFor         map[string]time.Duration // idle time of the machines in bins that have no tasks
+	emptied         []string                 // draining or quarantined machines without tasks, to be returned
+	lost            []LostMachine
+	renotifyDeleted []string // deleted machines whose owners have to be notified again
+	unreconciled    int
 }
 
 // LostMachine is a machine that will not come back.
@@ -26,33 +26,33 @@
 	Reason  string
 }
 
-// TakeStock classifies all machines that have owners.
-func (f *Fleet) TakeStock(snapshot *Snapshot) *Stock {
+// BuildInventory classifies all machines that have owners.
+func (f *Fleet) BuildInventory(snapshot *Snapshot) *Inventory {
 	now := snapshot.Now
-	stock := &Stock{Present: map[string]bool{}, idleFor: map[string]time.Duration{}}
-	stock.unreconciled = countUnreconciled(snapshot.Entries)
+	inventory := &Inventory{Present: map[string]bool{}, idleFor: map[string]time.Duration{}}
+	inventory.unreconciled = countUnreconciled(snapshot.Entries)
 	for i := range snapshot.Entries {
 		entry := &snapshot.Entries[i]
-		stock.Present[entry.Machine] = true
+		inventory.Present[entry.Machine] = true
 		f.recordArrival(entry.Machine, now)
 		if f.isDeleted(entry.Machine) {
 			if f.notificationDue(entry.Machine, now) {
-				stock.notify = append(stock.notify, entry.Machine)
+				inventory.renotifyDeleted = append(inventory.renotifyDeleted, entry.Machine)
 			}
 			continue
 		}
-		if reason := f.lossReason(entry, stock.unreconciled, snapshot); reason != "" {
-			stock.lost = append(stock.lost, LostMachine{entry.Machine, reason})
+		if reason := f.lossReason(entry, inventory.unreconciled, snapshot); reason != "" {
+			inventory.lost = append(inventory.lost, LostMachine{entry.Machine, reason})
 			continue
 		}
-		stock.add(entry, snapshot)
+		inventory.add(entry, snapshot)
 	}
 	f.expireDeletions(now)
-	return stock
+	return inventory
 }
 
 // add adds a machine that is neither deleted nor lost.
-func (s *Stock) add(entry *agentapi.MachineEntry, snapshot *Snapshot) {
+func (s *Inventory) add(entry *agentapi.MachineEntry, snapshot *Snapshot) {
 	t, ok := snapshot.Types[entry.Type]
 	if !ok || entry.Unresponsive() || entry.ReclaimNoticed() {
 		return
--- a/internal/autoscaler/turnover.go
+++ b/internal/autoscaler/turnover.go
@@ -7,9 +7,10 @@
 	"robinstack/internal/job"
 )
 
-// turnover is the capacity, in GPU equivalents, that running tasks of job arrays free over time. A
-// job whose deadline is far enough away waits for that capacity instead of new machines.
-type turnover struct {
+// freedCapacityForecast is the capacity, in GPU equivalents, that running tasks of job arrays free
+// over time. A job whose deadline is far enough away waits for that capacity instead of new
+// machines.
+type freedCapacityForecast struct {
 	freedPerSecond float64 // capacity that is freed per second
 	reserved       float64 // capacity that is already set aside for waiting jobs
 	growing        bool    // whether the backlog grows: later jobs will need the capacity that is freed later
@@ -18,9 +19,9 @@
 }
 
 const (
-	// turnoverShare is the fraction of the expected capacity that the plan counts on. Some of the
+	// forecastShare is the fraction of the expected capacity that the plan counts on. Some of the
 	// capacity goes to gangs, and estimates are inexact.
-	turnoverShare = 0.8
+	forecastShare = 0.8
 	// imageMissShare is the fraction of the image fetch time that tasks wait on average. Some
 	// machines already have the image.
 	imageMissShare = 0.5
@@ -38,25 +39,25 @@
 	minGPUEquivalents = 1e-3
 )
 
-// newTurnover returns an empty turnover with the longest provisioning time and the lowest fetch
-// rate of all machine types.
-func newTurnover(types map[string]cloud.MachineType) turnover {
-	var t turnover
+// newFreedCapacityForecast returns an empty forecast with the longest provisioning time and the
+// lowest fetch rate of all machine types.
+func newFreedCapacityForecast(types map[string]cloud.MachineType) freedCapacityForecast {
+	var f freedCapacityForecast
 	for _, m := range types {
-		t.provisioningS = max(t.provisioningS, m.ProvisioningS)
-		if m.FetchGBPerS > 0 && (t.fetchGBPerS == 0 || m.FetchGBPerS < t.fetchGBPerS) {
-			t.fetchGBPerS = m.FetchGBPerS
+		f.provisioningS = max(f.provisioningS, m.ProvisioningS)
+		if m.FetchGBPerS > 0 && (f.fetchGBPerS == 0 || m.FetchGBPerS < f.fetchGBPerS) {
+			f.fetchGBPerS = m.FetchGBPerS
 		}
 	}
-	return t
+	return f
 }
 
 // fetchS returns the average time in seconds that the job's tasks wait for their image.
-func (t *turnover) fetchS(spec *job.Spec) float64 {
-	if t.fetchGBPerS == 0 {
+func (f *freedCapacityForecast) fetchS(spec *job.Spec) float64 {
+	if f.fetchGBPerS == 0 {
 		return 0
 	}
-	return imageMissShare * spec.ImageGB / t.fetchGBPerS
+	return imageMissShare * spec.ImageGB / f.fetchGBPerS
 }
 
 // gpuEquivalents returns the size of a task in GPU equivalents: its GPUs or, if it needs none, its
@@ -69,56 +70,56 @@
 }
 
 // add adds the capacity that a job's running tasks free per second.
-func (t *turnover) add(d *Demand) {
+func (f *freedCapacityForecast) add(d *Demand) {
 	if d.Spec.Shape != job.Array || d.Spec.EstimateS <= 0 {
 		return
 	}
-	t.freedPerSecond += float64(d.Running) * gpuEquivalents(d.Spec.Need) / (d.Spec.EstimateS + t.fetchS(&d.Spec))
+	f.freedPerSecond += float64(d.Running) * gpuEquivalents(d.Spec.Need) / (d.Spec.EstimateS + f.fetchS(&d.Spec))
 }
 
 // appliesTo reports whether a job's tasks can wait for capacity that running tasks free: the job is
 // an array with a deadline and an estimate.
-func (t *turnover) appliesTo(d *Demand) bool {
+func (f *freedCapacityForecast) appliesTo(d *Demand) bool {
 	return d.Spec.Shape == job.Array && d.Spec.DeadlineS != nil && d.Spec.EstimateS > 0
 }
 
 // freedDuringProvisioning returns the capacity that is freed before a machine that is requested now
 // is ready.
-func (t *turnover) freedDuringProvisioning() float64 {
-	return turnoverShare * t.freedPerSecond * t.provisioningS
+func (f *freedCapacityForecast) freedDuringProvisioning() float64 {
+	return forecastShare * f.freedPerSecond * f.provisioningS
 }
 
 // reserve sets freed capacity aside for a job and returns how many of the given number of tasks can
 // wait for it.
-func (t *turnover) reserve(d *Demand, tasks int) int {
-	if !t.appliesTo(d) {
+func (f *freedCapacityForecast) reserve(d *Demand, tasks int) int {
+	if !f.appliesTo(d) {
 		return 0
 	}
 	size := gpuEquivalents(d.Spec.Need)
-	free := turnoverShare*t.freedPerSecond*t.slackS(d) - t.reserved
+	free := forecastShare*f.freedPerSecond*f.slackS(d) - f.reserved
 	reserved := min(tasks, int(free/max(size, minGPUEquivalents)))
 	if reserved <= 0 {
 		return 0
 	}
-	t.reserved += float64(reserved) * size
+	f.reserved += float64(reserved) * size
 	return reserved
 }
 
 // slackS returns how many seconds a job's tasks may wait for freed capacity.
-func (t *turnover) slackS(d *Demand) float64 {
-	fetch := t.fetchS(&d.Spec)
+func (f *freedCapacityForecast) slackS(d *Demand) float64 {
+	fetch := f.fetchS(&d.Spec)
 	slack := *d.Spec.DeadlineS - d.AgeS - estimateMargin*d.Spec.EstimateS - fetch
-	if slack < t.provisioningS {
+	if slack < f.provisioningS {
 		// A machine requested now would be ready too late. Finishing up to lateDeadlineShare after
 		// the deadline is better than never; for a job that would be later than that, scaling out
 		// gains nothing.
 		slack += lateDeadlineShare * *d.Spec.DeadlineS
 	}
-	if slack < t.provisioningS {
+	if slack < f.provisioningS {
 		slack = lateSlackS
 	}
-	if t.growing {
-		slack = min(slack, t.provisioningS+fetch) // a machine requested now is ready by then
+	if f.growing {
+		slack = min(slack, f.provisioningS+fetch) // a machine requested now is ready by then
 	}
 	return slack
 }
--- a/internal/cloud/wire_test.go
+++ b/internal/cloud/wire_test.go
@@ -9,13 +9,13 @@
 )
 
 func TestWireForms(t *testing.T) {
-	wireformat.JSON[[]MachineType](t, "machine-types")
-	wireformat.JSON[Machine](t, "machine")
-	wireformat.JSON[ScaleOutRequest](t, "rental")
+	wireformat.CheckJSON[[]MachineType](t, "machine-types")
+	wireformat.CheckJSON[Machine](t, "machine")
+	wireformat.CheckJSON[ScaleOutRequest](t, "rental")
 }
 
 func TestWireRequests(t *testing.T) {
-	server := wireformat.NewPeer(t,
+	server := wireformat.NewRecordingServer(t,
 		`200 {"host_kinds":[{"label":"g8","cpus":96,"gpus":8,"mem_gb":768,"local_gb":200,"pull_gb_per_s":1.0,`+
 			`"hourly":12.0,"low_price":4.5,"startup_s":45,"sites":["a","b"]}]}`,
 		`200 {"hosts":["vm-1","vm-2"]}`, `503 {"error":"no capacity"}`, `503 {"error":"trouble"}`, `200 {}`,
@@ -25,7 +25,7 @@
 	client := NewClient(server.Address(), 1000)
 	ctx := context.Background()
 	recordResult := func(v any, err error) {
-		server.Notef("  %s failed %t, no capacity %t", wireformat.Indent(t, v), err != nil, errors.Is(err, ErrNoCapacity))
+		server.Recordf("  %s failed %t, no capacity %t", wireformat.IndentJSON(t, v), err != nil, errors.Is(err, ErrNoCapacity))
 	}
 	recordResult(client.MachineTypes(ctx))
 	for range 3 {
@@ -33,5 +33,5 @@
 	}
 	recordResult(nil, client.ScaleIn(ctx, []string{"vm-1", "vm-2"}))
 	recordResult(client.Machines(ctx))
-	wireformat.Golden(t, "requests", server.Notes())
+	wireformat.CheckGolden(t, "requests", server.Record())
 }
--- a/internal/clusteragent/cancellation.go
+++ b/internal/clusteragent/cancellation.go
@@ -119,9 +119,9 @@
 	return ok && (change.Err != nil || change.Status == job.Cancelled)
 }
 
-// NoteAcknowledgement records that a cancellation, which this controller wrote at revision rev, is
-// about to be acknowledged to its user. The mirror may not show that revision yet.
-func (a *Agent) NoteAcknowledgement(rev uint64) {
+// RecordAcknowledgement records that a cancellation, which this controller wrote at revision rev,
+// is about to be acknowledged to its user. The mirror may not show that revision yet.
+func (a *Agent) RecordAcknowledgement(rev uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancellations.recordAcknowledgedRev(rev)
--- a/internal/clusteragent/claims.go
+++ b/internal/clusteragent/claims.go
@@ -163,7 +163,7 @@
 			compares = append(compares, shardCompare)
 		}
 		previous, _ := a.mirror.Get(key)
-		ops = append(ops, statekv.Op{Set: key, Value: statekv.PreserveUnknown(previous.Value, c.key)})
+		ops = append(ops, statekv.Op{Set: key, Value: statekv.PreserveUnknownFields(previous.Value, c.key)})
 	}
 	txnCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
--- a/internal/clusteragent/commands.go
+++ b/internal/clusteragent/commands.go
@@ -110,9 +110,10 @@
 func (a *Agent) handleCommandFailure(m *ownedMachine, batch *commandBatch, sent time.Time, err error) {
 	slog.Debug("command outcome unknown", "machine", m.Name, "err", err)
 	lostBefore := m.Liveness.CommandsLost(sent)
-	m.CommandUnanswered(batch.token, sent)
+	m.HandleUnansweredCommand(batch.token, sent)
 	if !lostBefore && m.Liveness.CommandsLost(time.Now()) && !m.Liveness.Unresponsive() {
-		slog.Info("machine commands undeliverable", "machine", m.Name, "failed_commands", m.Liveness.Unanswered())
+		slog.Info("machine commands undeliverable",
+			"machine", m.Name, "failed_commands", m.Liveness.UnansweredCommands())
 		a.changes.markChanged(m)
 	}
 	m.retryAt = time.Now().Add(batch.retryDelay)
@@ -126,7 +127,7 @@
 		m.retryAt = time.Now().Add(commandRetryDelay)
 		return false
 	}
-	if m.Liveness.NoteCommandAnswered() {
+	if m.Liveness.RecordCommandResponse() {
 		a.changes.markChanged(m)
 	}
 	if state.FencingToken > m.Ownership.Token() {
--- a/internal/clusteragent/commit.go
+++ b/internal/clusteragent/commit.go
@@ -58,7 +58,7 @@
 			// The request was repeated: the machine's entry shows the outcome.
 			reply.Verdicts[i] = agentapi.Unresolved
 		case r.Hold:
-			t.KeepReserved(now.Add(gangReservationTimeout))
+			t.SetReservationExpiry(now.Add(gangReservationTimeout))
 			reply.Verdicts[i] = agentapi.Held
 		default:
 			starts[i] = m.Start(t, now)
--- a/internal/clusteragent/failover_test.go
+++ b/internal/clusteragent/failover_test.go
@@ -54,7 +54,7 @@
 		w := bed.workers.Add("m1", "box", "a")
 		a.sendHeartbeat(w)
 		time.Sleep(time.Second)
-		bed.workers.WithLock(func() { w.TimeOutNext = 1 })
+		bed.workers.WithLock(func() { w.CommandsToLose = 1 })
 		a.stop()
 		synctest.Wait()
 		if err := bed.state.Revoke(bed.ctx, 1); err != nil {
--- a/internal/clusteragent/heartbeat.go
+++ b/internal/clusteragent/heartbeat.go
@@ -121,7 +121,7 @@
 			return HeartbeatReply{}, true
 		}
 	}
-	m.Ownership.NoteAnswer(now)
+	m.Ownership.RecordAnswer(now)
 	if m.CommandDue(now) {
 		m.wakeSender()
 	}
@@ -137,17 +137,17 @@
 	if !m.Operational() {
 		return HeartbeatReply{}, true
 	}
-	if why := m.Malformed(r); why != "" {
+	if why := m.MalformedReason(r); why != "" {
 		a.logMalformed(r, why)
 		return HeartbeatReply{Malformed: why}, true
 	}
-	if m.Liveness.Duplicate(r) {
+	if m.Liveness.IsDuplicate(r) {
 		// An empty reply to a duplicate renews no lease, and no command counts as sent with it. If
 		// the worker is in fact still waiting for the reply to this heartbeat, a reply without the
 		// due commands, or one after the lease grace period, would wrongly renew its lease.
 		return HeartbeatReply{}, true
 	}
-	if m.Liveness.NoteHeartbeat(now) {
+	if m.Liveness.RecordHeartbeat(now) {
 		a.changes.markChanged(m)
 	}
 	if r.FencingToken > m.Ownership.Token() {
--- a/internal/clusteragent/inspect.go
+++ b/internal/clusteragent/inspect.go
@@ -52,13 +52,13 @@
 	if !m.Operational() {
 		return // deleted; only its key is left
 	}
-	changed := m.CheckLiveness(now, a.livenessLimits())
-	expired := m.Expired(now, a.settings.WorkerLeaseExpiry())
+	changed := m.CheckLiveness(now, a.livenessTimeouts())
+	expired := m.WorkerLeaseExpired(now, a.settings.WorkerLeaseExpiry())
 	a.recheckExited(m, now)
 	if m.RemoveExpiredReservations(now) {
 		changed = true
 	}
-	if expired && m.Expire(time.Now()) {
+	if expired && m.HandleLeaseExpiry(time.Now()) {
 		changed = true
 	}
 	if changed {
@@ -69,13 +69,13 @@
 	}
 }
 
-// livenessLimits returns the times after which a machine counts as unresponsive or its heartbeats
+// livenessTimeouts returns the times after which a machine counts as unresponsive or its heartbeats
 // as lost.
-func (a *Agent) livenessLimits() machine.LivenessLimits {
-	return machine.LivenessLimits{
-		Heartbeat:    a.settings.Workers.LeaseDuration * 2 / 3,
-		Quiet:        2*a.settings.Workers.HeartbeatInterval + heartbeatDelayMargin,
-		Unreconciled: unreconciledResponseTimeout,
+func (a *Agent) livenessTimeouts() machine.LivenessTimeouts {
+	return machine.LivenessTimeouts{
+		Heartbeat:           a.settings.Workers.LeaseDuration * 2 / 3,
+		Contact:             2*a.settings.Workers.HeartbeatInterval + heartbeatDelayMargin,
+		UnreconciledContact: unreconciledResponseTimeout,
 	}
 }
 
--- a/internal/clusteragent/job_lookup.go
+++ b/internal/clusteragent/job_lookup.go
@@ -175,7 +175,7 @@
 	a.lookups.notifyWaiters()
 	for _, m := range a.machines {
 		if applyRecordsTo(m.Machine, records) {
-			m.RecordsChanged()
+			m.OnJobRecordsRead()
 			m.wakeSender()
 			a.changes.markChanged(m)
 		}
--- a/internal/clusteragent/owned_machine.go
+++ b/internal/clusteragent/owned_machine.go
@@ -77,7 +77,7 @@
 	}
 	if acquiredBy == takenOver {
 		// The earlier owner may answer the worker until its lease grace period ends.
-		m.Ownership.TakeOver(now.Add(a.settings.LeaseGracePeriod()))
+		m.Ownership.RecordTakeover(now.Add(a.settings.LeaseGracePeriod()))
 		a.cancellations.recordAcknowledgedRev(rev)
 	}
 	a.machines[name] = m
@@ -101,7 +101,7 @@
 		return
 	}
 	slog.Info("machine ownership lost", "machine", m.Name)
-	m.Release(time.Now())
+	m.EndOwnership(time.Now())
 	a.shards.releasedMachines[m.Name] = m.Ownership.Rev
 	if !m.Deregistered() {
 		// The command sender of a deregistered machine has stopped already. Its release means that
--- a/internal/clusteragent/preempt.go
+++ b/internal/clusteragent/preempt.go
@@ -156,7 +156,7 @@
 		return a.settings.CompletionTargets(spec.Class, spec.DeadlineS)
 	})
 	for missedTargets, deadline := range deadlines {
-		if slack := deadline - now.Sub(t.Submitted()) - remaining; slack >= 0 {
+		if slack := deadline - now.Sub(t.ReadyOrSubmittedAt()) - remaining; slack >= 0 {
 			risk := min(1, max(0, (maxRequeueTime-slack).Seconds()/(maxRequeueTime-typicalRequeueTime).Seconds()))
 			sizeFactor := smallJobTasks / max(smallJobTasks, float64(t.Spec.Tasks))
 			return risk * latenessPenalty / float64(missedTargets+1) * sizeFactor
--- a/internal/clusteragent/removal.go
+++ b/internal/clusteragent/removal.go
@@ -93,7 +93,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.machines {
-		if m.KeyLeft() && len(batch) < a.store.MaxTxnOps(min(maxKeysRemovedPerTxn, a.settings.StateLimits.MaxTxnOps)) {
+		if m.AwaitsKeyRemoval() &&
+			len(batch) < a.store.MaxTxnOps(min(maxKeysRemovedPerTxn, a.settings.StateLimits.MaxTxnOps)) {
 			batch = append(batch, m)
 		}
 	}
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -16,7 +16,7 @@
 // implements the Filter stage of sampling and the conflict check of commits. The caller must hold
 // a.mu.
 func (a *Agent) ineligibleReason(m *ownedMachine, r *agentapi.Request, now time.Time) string {
-	if why := m.Unavailable(now); why != "" {
+	if why := m.UnavailableReason(now); why != "" {
 		return why
 	}
 	switch {
@@ -32,7 +32,7 @@
 		return reasonHeldForGangs
 	case m.Reservation.HeldByOther(r.Spec.ID, now):
 		return reasonReservedForOther
-	case m.Quarantine.FailedLately(r.Spec.ID, now):
+	case m.Quarantine.FailedRecently(r.Spec.ID, now):
 		return "job has failed on this machine"
 	}
 	return ""
@@ -85,7 +85,7 @@
 		}
 		foundCapacity.add(m.Zone, n)
 		c := a.candidate(m, n)
-		c.Image = m.ImageState(r.Spec.Image)
+		c.Image = m.ImageAvailability(r.Spec.Image)
 		c.Score = reservedBonus(m.Machine, &r, now) + score(types, m.Machine, &r.Spec, free, c.Image)
 		found = append(found, c)
 	}
--- a/internal/clusteragent/service.go
+++ b/internal/clusteragent/service.go
@@ -64,7 +64,7 @@
 		return agentapi.QuarantinedMachine{
 			Machine: m.Name,
 			Why:     "in doubt: jobs failed here, and it is not known yet whose fault it was",
-			Jobs:    m.Quarantine.UnattributedJobs(),
+			Jobs:    m.Quarantine.FailedJobs(),
 		}, true
 	}
 	return status, false
--- a/internal/clusteragent/strays.go
+++ b/internal/clusteragent/strays.go
@@ -51,10 +51,10 @@
 
 // misdirectedCount counts the misdirected heartbeats of one worker under one ownership.
 type misdirectedCount struct {
-	ownershipRev uint64
-	count        int
-	first, last  time.Time
-	latestSerial machine.Serial // the last heartbeat counted; duplicates of it are ignored
+	ownershipRev   uint64
+	count          int
+	first, last    time.Time
+	latestSequence machine.MessageSequence // the last heartbeat counted; duplicates of it are ignored
 }
 
 // record counts a misdirected heartbeat of a machine whose ownership has revision ownershipRev, and
@@ -62,12 +62,12 @@
 func (s misdirectedHeartbeats) record(heartbeat *worker.Heartbeat, ownershipRev uint64, now time.Time) bool {
 	c := s[heartbeat.Machine]
 	if c.ownershipRev != ownershipRev || now.Sub(c.last) > misdirectedWindow {
-		c = misdirectedCount{ownershipRev: ownershipRev, first: now, latestSerial: c.latestSerial}
+		c = misdirectedCount{ownershipRev: ownershipRev, first: now, latestSequence: c.latestSequence}
 	}
-	if !c.latestSerial.Before(machine.SerialOf(heartbeat)) {
+	if !c.latestSequence.Before(machine.MessageSequenceOf(heartbeat)) {
 		return false // a delayed duplicate: the worker now reports to another controller
 	}
-	c.latestSerial = machine.SerialOf(heartbeat)
+	c.latestSequence = machine.MessageSequenceOf(heartbeat)
 	c.count++
 	c.last = now
 	if len(s) > maxMisdirectedWorkers {
--- a/internal/clusteragent/testbed_test.go
+++ b/internal/clusteragent/testbed_test.go
@@ -124,7 +124,7 @@
 	r := n.bed.workers.NextHeartbeat(w)
 	reply := n.agent.Heartbeat(context.Background(), &r)
 	if reply.Accepted {
-		n.bed.workers.DeliverAnswer(w, reply.Answer)
+		n.bed.workers.DeliverHeartbeatResponse(w, reply.Answer)
 	}
 	return reply
 }
--- a/internal/clusteragent/wire_test.go
+++ b/internal/clusteragent/wire_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestWireForms(t *testing.T) {
-	wireformat.Service(t, (*Service)(nil))
-	wireformat.JSON[shard.MachineRecord](t, "machine-key")
-	wireformat.JSON[shard.Record](t, "shard-key")
-	wireformat.Golden(t, "words", strings.Join([]string{agentapi.Started, agentapi.Held, agentapi.Refused, agentapi.Unresolved, agentapi.Starting}, "\n")+"\n")
+	wireformat.CheckRPCService(t, (*Service)(nil))
+	wireformat.CheckJSON[shard.MachineRecord](t, "machine-key")
+	wireformat.CheckJSON[shard.Record](t, "shard-key")
+	wireformat.CheckGolden(t, "words", strings.Join([]string{agentapi.Started, agentapi.Held, agentapi.Refused, agentapi.Unresolved, agentapi.Starting}, "\n")+"\n")
 }
--- a/internal/config/wire_test.go
+++ b/internal/config/wire_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestWireForms(t *testing.T) {
-	wireformat.JSON[wireSettings](t, "settings")
+	wireformat.CheckJSON[wireSettings](t, "settings")
 	var filled wireSettings
 	wireformat.Fill(&filled)
 	filled.Listen, filled.PeerListen, filled.External.Cloud, filled.External.State = "l:1", "p:2", "c:3", "s:4"
@@ -38,7 +38,7 @@
 		s.CloudRequestsPerSecond, s.CloudListLag, s.MemoryBytes, s.MaxConnections, s.MaxClockOffset, len(s.Teams),
 		objective.Kind, objective.Class, objective.Within, objective.Share, objective.DeadlineFactor,
 	}
-	wireformat.Golden(t, "read", wireformat.Indent(t, got))
+	wireformat.CheckGolden(t, "read", wireformat.IndentJSON(t, got))
 }
 
 // Guards the keys and values of deploy/service.toml, from which the platform builds and runs the
@@ -56,5 +56,5 @@
 		t.Error("deploy/service.toml has no production version")
 	}
 	deployment["production"] = "a version" // changes with each release
-	wireformat.Golden(t, "deployment", wireformat.Indent(t, deployment))
+	wireformat.CheckGolden(t, "deployment", wireformat.IndentJSON(t, deployment))
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -60,7 +60,7 @@
 type Controller struct {
 	settings       *config.Settings
 	policy         *policy.Policy
-	store          Store
+	store          StateStore
 	migrationStore statekv.Store // with request and write limits of its own
 	cloud          cloud.API
 	workers        worker.Commander
@@ -72,8 +72,8 @@
 	requestsInFlight sync.WaitGroup // of ended sessions
 }
 
-// Store is the state service, whose request rate is divided among the live controllers.
-type Store interface {
+// StateStore is the state service, whose request rate is divided among the live controllers.
+type StateStore interface {
 	statekv.Store
 	SetControllerCount(controllers int)
 }
@@ -90,7 +90,7 @@
 // ExternalSystems holds the clients of everything that a controller uses outside its process. Tests
 // of whole controllers pass emulators to inject failures into otherwise unchanged components.
 type ExternalSystems struct {
-	StateStore     Store
+	StateStore     StateStore
 	MigrationStore statekv.Store
 	Cloud          cloud.API
 	Workers        worker.Commander
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -118,7 +118,7 @@
 		c.settings.MinWatchInterval(),
 		s.onWatchEvents,
 	)
-	s.mirror.Parse, s.mirror.Track = parseValue, clusteragent.IsCancellation
+	s.mirror.Parse, s.mirror.IsTracked = parseValue, clusteragent.IsCancellation
 	s.dependencies = dag.NewTracker(s.mirror, c.estimatedDuration, c.gateway.CachedTombstone)
 	s.mirror.OnApply = s.onApply
 	if err := s.mirror.Load(ctx); err != nil {
@@ -242,7 +242,7 @@
 		Mirror:      s.mirror,
 		Session:     s.state,
 		LeaderEpoch: s.leader.Epoch,
-		TxnOps:      limits.MaxTxnOps,
+		MaxTxnOps:   limits.MaxTxnOps,
 		Interval:    garbageCollectionInterval,
 	}
 }
--- a/internal/controller/wire_test.go
+++ b/internal/controller/wire_test.go
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	methods := append(slices.Clone(handshake.Calls), "Peer.Hello")
-	wireformat.Golden(t, "methods", strings.Join(methods, "\n")+"\n")
+	wireformat.CheckGolden(t, "methods", strings.Join(methods, "\n")+"\n")
 
 	clientConn, serverConn := net.Pipe()
 	go server.ServeConn(serverConn)
--- a/internal/dag/tracker.go
+++ b/internal/dag/tracker.go
@@ -25,8 +25,8 @@
 	damagedRetryDelay = 20 * time.Second
 )
 
-// Keys is the part of a mirror that a Tracker needs. *statekv.Mirror implements it.
-type Keys interface {
+// Mirror is the part of a mirror that a Tracker needs. *statekv.Mirror implements it.
+type Mirror interface {
 	Get(key string) (statekv.KV, bool)
 	Dir(prefix string) []statekv.KV
 	ReportUndecodable(key string, err error)
@@ -37,7 +37,7 @@
 // dependencies. The mirror passes each change to the tracker before the revision of that change
 // counts as seen. It is safe for concurrent use.
 type Tracker struct {
-	mirror          Keys
+	mirror          Mirror
 	estimate        func(*job.Spec) time.Duration
 	cachedTombstone func(id string) (tombstone.Tombstone, bool)
 
@@ -56,7 +56,7 @@
 // NewTracker returns a tracker without jobs. estimate returns how long a job takes, approximately,
 // once it is ready. cachedTombstone returns tombstones that other components have read.
 func NewTracker(
-	mirror Keys, estimate func(*job.Spec) time.Duration, cachedTombstone func(string) (tombstone.Tombstone, bool),
+	mirror Mirror, estimate func(*job.Spec) time.Duration, cachedTombstone func(string) (tombstone.Tombstone, bool),
 ) *Tracker {
 	t := &Tracker{
 		mirror:          mirror,
--- a/internal/gateway/components.go
+++ b/internal/gateway/components.go
@@ -91,7 +91,7 @@
 	if c.Agent == nil {
 		return
 	}
-	c.Agent.NoteAcknowledgement(rev)
+	c.Agent.RecordAcknowledgement(rev)
 	c.Agent.StopCancelledJob(jobID)
 	ctx, cancel := context.WithTimeout(ctx, ownerNotificationTimeout)
 	defer cancel()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -37,7 +37,7 @@
 	Controllers         []agentapi.Health        `json:"controllers"`
 	OverdueProvisioning []autoscaler.OverduePool `json:"boots_overdue"`
 	Latencies           []Latency                `json:"answer_times_here"`
-	RefusedQueries      int64                    `json:"queries_refused_here"`
+	RejectedQueries     int64                    `json:"queries_refused_here"`
 	ProcessPauses       int                      `json:"pauses_here"`
 	LongestPauseS       float64                  `json:"longest_pause_s"`
 
@@ -216,7 +216,7 @@
 		s.PeerTraffic = components.PeerTraffic()
 	}
 	s.Latencies = g.latencies.summaries()
-	s.RefusedQueries = g.rejectedQueries.Load()
+	s.RejectedQueries = g.rejectedQueries.Load()
 	count, longest := g.processPauses()
 	s.ProcessPauses, s.LongestPauseS = count, longest.Seconds()
 }
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -17,8 +17,8 @@
 )
 
 func TestWireForms(t *testing.T) {
-	wireformat.JSON[jobStatus](t, "job")
-	wireformat.JSON[Status](t, "status")
+	wireformat.CheckJSON[jobStatus](t, "job")
+	wireformat.CheckJSON[Status](t, "status")
 	var routes []string
 	runWithGateway(t, func(fixture *gatewayFixture) {
 		for _, route := range fixture.gateway.app.GetRoutes(true) {
@@ -28,7 +28,7 @@
 		}
 	})
 	slices.Sort(routes)
-	wireformat.Golden(t, "routes", strings.Join(routes, "\n")+"\n")
+	wireformat.CheckGolden(t, "routes", strings.Join(routes, "\n")+"\n")
 }
 
 // Responses to users and workers. Error texts are for people and may change.
@@ -70,13 +70,13 @@
 			if _, ok := answer["error"]; ok {
 				answer["error"] = "(a reason)"
 			}
-			fmt.Fprintf(&b, "%s\n  %d %s\n", strings.Join(request[:], " "), code, wireformat.Indent(t, answer))
+			fmt.Fprintf(&b, "%s\n  %d %s\n", strings.Join(request[:], " "), code, wireformat.IndentJSON(t, answer))
 			if stored, err := fixture.state.Get(fixture.ctx, job.RecordKey("wk-1")); err == nil && code == http.StatusCreated {
 				fmt.Fprintf(&b, "  stored %s\n", stored.Value)
 			}
 		}
 	})
-	wireformat.Golden(t, "answers", b.String())
+	wireformat.CheckGolden(t, "answers", b.String())
 }
 
 // Values on the status page: machine states and kinds of requests.
@@ -97,5 +97,5 @@
 		}
 		words = append(words, slices.Sorted(slices.Values(requests))...)
 	})
-	wireformat.Golden(t, "status-words", strings.Join(words, "\n")+"\n")
+	wireformat.CheckGolden(t, "status-words", strings.Join(words, "\n")+"\n")
 }
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -80,10 +80,10 @@
 	if r.UnknownSpecFields == nil && r.UnknownFields == nil {
 		return json.Marshal(struct{ *plain }{(*plain)(&r)})
 	}
-	spec := statekv.WithUnknown{Value: r.Spec, Unknown: r.UnknownSpecFields}
-	return json.Marshal(statekv.WithUnknown{Unknown: r.UnknownFields, Value: struct {
+	spec := statekv.ValueWithUnknownFields{Value: r.Spec, Unknown: r.UnknownSpecFields}
+	return json.Marshal(statekv.ValueWithUnknownFields{Unknown: r.UnknownFields, Value: struct {
 		*plain
-		Spec statekv.WithUnknown `json:"spec"`
+		Spec statekv.ValueWithUnknownFields `json:"spec"`
 	}{(*plain)(&r), spec}})
 }
 
--- a/internal/job/spec_fragments.go
+++ b/internal/job/spec_fragments.go
@@ -48,7 +48,7 @@
 // returns the operations that write them. It returns ErrSpecTooLarge if that takes more than maxOps
 // operations. From then on the record is encoded with a stub of its spec.
 func (r *Record) SplitSpec(limit, maxOps int) ([]statekv.Op, error) {
-	raw, err := json.Marshal(statekv.WithUnknown{Value: r.Spec, Unknown: r.UnknownSpecFields})
+	raw, err := json.Marshal(statekv.ValueWithUnknownFields{Value: r.Spec, Unknown: r.UnknownSpecFields})
 	if err != nil {
 		return nil, fmt.Errorf("encoding a spec: %w", err)
 	}
--- a/internal/job/wire_test.go
+++ b/internal/job/wire_test.go
@@ -11,12 +11,12 @@
 )
 
 func TestWireForms(t *testing.T) {
-	wireformat.JSON[Spec](t, "spec")
-	wireformat.JSON[Record](t, "record")
-	wireformat.Golden(t, "keys", RecordKey("wk-1")+"\n"+CompletedChunkKey("wk-1", 2)+"\n"+SpecFragmentKey("wk-1", 3)+"\n")
-	wireformat.Golden(t, "words", strings.Join([]string{Array, Gang, Service, Queued, Running, Done, Cancelled,
+	wireformat.CheckJSON[Spec](t, "spec")
+	wireformat.CheckJSON[Record](t, "record")
+	wireformat.CheckGolden(t, "keys", RecordKey("wk-1")+"\n"+CompletedChunkKey("wk-1", 2)+"\n"+SpecFragmentKey("wk-1", 3)+"\n")
+	wireformat.CheckGolden(t, "words", strings.Join([]string{Array, Gang, Service, Queued, Running, Done, Cancelled,
 		"production", "high", "normal", "best_effort"}, "\n")+"\n")
-	wireformat.Golden(t, "required", strings.Join(requiredFields, "\n")+"\n")
+	wireformat.CheckGolden(t, "required", strings.Join(requiredFields, "\n")+"\n")
 	for name, priority := range map[string]int{"production": 3, "high": 2, "normal": 1, "best_effort": 0} {
 		if PriorityOfRank(name) != priority {
 			t.Errorf("priority of rank %s: got %d, want %d", name, PriorityOfRank(name), priority)
@@ -35,15 +35,15 @@
 	r.CompletedTasks = completed.EncodeChunk(0)
 	r.UnknownFields = statekv.UnknownFields{"later": json.RawMessage(`[1]`)}
 	r.UnknownSpecFields = statekv.UnknownFields{"later_too": json.RawMessage(`{"a":2}`)}
-	wireformat.Golden(t, "record-later", wireformat.Indent(t, r))
+	wireformat.CheckGolden(t, "record-later", wireformat.IndentJSON(t, r))
 
-	raw := json.RawMessage(wireformat.Recorded(t, "record-later"))
+	raw := json.RawMessage(wireformat.ReadGolden(t, "record-later"))
 	got, err := ParseRecord(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got.KeepUnknownFields(raw)
-	if wireformat.Indent(t, got) != wireformat.Indent(t, r) {
+	if wireformat.IndentJSON(t, got) != wireformat.IndentJSON(t, r) {
 		t.Errorf("recorded record: got %+v, want %+v", got, r)
 	}
 	decoded := NewTaskBitmap(r.Spec.Tasks)
@@ -63,11 +63,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if wireformat.Updating() {
-		wireformat.Golden(t, "pieces", wireformat.Indent(t, ops))
+	if wireformat.UpdatingGolden() {
+		wireformat.CheckGolden(t, "pieces", wireformat.IndentJSON(t, ops))
 	}
 	var recorded []statekv.Event
-	if err := json.Unmarshal([]byte(wireformat.Recorded(t, "pieces")), &recorded); err != nil {
+	if err := json.Unmarshal([]byte(wireformat.ReadGolden(t, "pieces")), &recorded); err != nil {
 		t.Fatal(err)
 	}
 	r.SpecFragments = len(recorded)
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -48,7 +48,7 @@
 			tick.Reset(reconcilingPlanInterval)
 		}
 		select {
-		case l.deletionReports <- plan.Notify:
+		case l.deletionReports <- plan.RenotifyDeleted:
 		default: // the previous reports are still being sent
 		}
 		l.drainAndDelete(ctx, plan.ScaleIn)
@@ -71,14 +71,14 @@
 	defer l.mu.Unlock()
 	snapshot.Epoch, snapshot.Demand = l.epoch, l.demand
 	snapshot.LedgerMachines = l.ledger.MachineCount()
-	stock := l.fleet.TakeStock(snapshot)
-	l.ledger.RetainMachines(stock.Present)
+	inventory := l.fleet.BuildInventory(snapshot)
+	l.ledger.RetainMachines(inventory.Present)
 	if now.Sub(l.recomputedAt) > recomputeInterval {
 		l.recomputedAt = now
 		l.ledger.Recompute()
 	}
 	snapshot.TeamUsage = l.ledger.Usage()
-	return l.fleet.Plan(stock, snapshot)
+	return l.fleet.Plan(inventory, snapshot)
 }
 
 func logPlan(plan *autoscaler.Plan) {
--- a/internal/leader/service.go
+++ b/internal/leader/service.go
@@ -43,7 +43,7 @@
 		l.reservations.Reserve(*request.Reserve, snapshot.Now)
 		reply.Reserved = quota.CanStart(request.Reserve, snapshot)
 	}
-	reply.Granted = quota.Decide(request.Wants, snapshot)
+	reply.Granted = quota.DecideGrants(request.Wants, snapshot)
 	if request.Probe {
 		return nil
 	}
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -15,10 +15,10 @@
 	JobAccepted = "job accepted"
 	// JobCancelled: a user cancelled the job.
 	JobCancelled = "job cancelled"
-	// JobReady: all dependencies of a job completed.
-	JobReady = "job dependencies satisfied"
-	// JobWithdrawn: the job was cancelled because one of its dependencies was.
-	JobWithdrawn = "job cancelled by dependency"
+	// JobDependenciesSatisfied: all dependencies of a job completed.
+	JobDependenciesSatisfied = "job dependencies satisfied"
+	// JobCancelledByDependency: the job was cancelled because one of its dependencies was.
+	JobCancelledByDependency = "job cancelled by dependency"
 	// JobCompleted: all tasks of a job completed.
 	JobCompleted = "job completed"
 	// TaskCommitted: a task was committed to a machine; the line has the result of the commit.
--- a/internal/machine/commands.go
+++ b/internal/machine/commands.go
@@ -101,12 +101,12 @@
 	return starts
 }
 
-// CommandUnanswered records that a command with the given token got no response, so the worker may
-// still receive it. It raises the token: once a heartbeat shows the new token, the worker can no
-// longer execute the command.
-func (m *Machine) CommandUnanswered(token uint64, sent time.Time) {
+// HandleUnansweredCommand records that a command with the given token got no response, so the
+// worker may still receive it. It raises the token: once a heartbeat shows the new token, the
+// worker can no longer execute the command.
+func (m *Machine) HandleUnansweredCommand(token uint64, sent time.Time) {
 	m.Ownership.RaiseToken()
-	m.Liveness.NoteUnanswered(sent)
+	m.Liveness.RecordUnansweredCommand(sent)
 	for _, t := range m.tasks {
 		if t.start.delivery != startUnsent && t.start.token == token {
 			t.startUnanswered(m.Ownership.Token())
--- a/internal/machine/contention.go
+++ b/internal/machine/contention.go
@@ -77,7 +77,7 @@
 // there.
 func (c *FetchContention) Contended(m *Machine, spec *job.Spec) bool {
 	contention := c.estimate()
-	if spec.Shape == job.Gang || contention == 0 || m.ImageState(spec.Image) > 0 {
+	if spec.Shape == job.Gang || contention == 0 || m.ImageAvailability(spec.Image) > 0 {
 		return false
 	}
 	return float64(m.imagesBeingFetched())*contention > maxContention
--- a/internal/machine/heartbeat.go
+++ b/internal/machine/heartbeat.go
@@ -12,7 +12,7 @@
 // anything changed. executedToken is the token of the command that was executed, or 0 for a
 // heartbeat or a command that was not. Apply ignores a state that is not newer than the latest one.
 func (m *Machine) Apply(r *worker.Heartbeat, now time.Time, executedToken uint64) (changed bool) {
-	if !m.Liveness.latest.Before(SerialOf(r)) {
+	if !m.Liveness.latest.Before(MessageSequenceOf(r)) {
 		return false
 	}
 	changed = m.applyWorkerEpoch(r, now)
@@ -50,11 +50,11 @@
 func (m *Machine) applyMachineState(r *worker.Heartbeat, now time.Time) (changed bool) {
 	l := &m.Liveness
 	changed = l.unresponsive
-	l.latest, l.LastContact, l.unresponsive = SerialOf(r), now, false
+	l.latest, l.LastContact, l.unresponsive = MessageSequenceOf(r), now, false
 	if m.Ownership.applyToken(r.FencingToken, now) {
 		changed = true
 	}
-	if !m.Ownership.Unfenced() && l.NoteCommandAnswered() {
+	if !m.Ownership.Unfenced() && l.RecordCommandResponse() {
 		changed = true // the worker has seen the latest token, so messages reach it
 	}
 	if r.SpotNoticeS != nil && m.reclaimAt.IsZero() {
--- a/internal/machine/images.go
+++ b/internal/machine/images.go
@@ -29,9 +29,9 @@
 // fetchingAvailability is the availability of an image that another task is fetching.
 const fetchingAvailability = 0.5
 
-// ImageState returns the availability of an image on the machine: 1 if the image is known to be
-// there, fetchingAvailability if another task is fetching it or about to, 0 otherwise.
-func (m *Machine) ImageState(image string) float64 {
+// ImageAvailability returns the availability of an image on the machine: 1 if the image is known to
+// be there, fetchingAvailability if another task is fetching it or about to, 0 otherwise.
+func (m *Machine) ImageAvailability(image string) float64 {
 	if m.Images.Has(image) {
 		return 1
 	}
--- a/internal/machine/lifecycle.go
+++ b/internal/machine/lifecycle.go
@@ -10,10 +10,10 @@
 	Serving Lifecycle = iota
 	// Draining machines get no new tasks.
 	Draining
-	// Removing machines have been deleted in the cloud, but their keys still exist.
-	Removing
-	// Gone machines are deregistered: their keys have been removed.
-	Gone
+	// Deleted machines have been deleted in the cloud, but their keys still exist.
+	Deleted
+	// Deregistered machines are deregistered: their keys have been removed.
+	Deregistered
 )
 
 // lifecycleEvent is an event that can change a machine's stage.
@@ -31,11 +31,11 @@
 func (l Lifecycle) next(event lifecycleEvent) Lifecycle {
 	switch {
 	case event == deregistered:
-		return Gone
-	case l >= Removing:
+		return Deregistered
+	case l >= Deleted:
 		return l
 	case event == deleted:
-		return Removing
+		return Deleted
 	case event == drainStarted:
 		return Draining
 	default:
--- a/internal/machine/lifecycle_test.go
+++ b/internal/machine/lifecycle_test.go
@@ -7,10 +7,10 @@
 func TestLifecycleTransitions(t *testing.T) {
 	events := []lifecycleEvent{drainStarted, drainCancelled, deleted, deregistered}
 	want := map[Lifecycle][]Lifecycle{ // by event, in the order above
-		Serving:  {Draining, Serving, Removing, Gone},
-		Draining: {Draining, Serving, Removing, Gone},
-		Removing: {Removing, Removing, Removing, Gone},
-		Gone:     {Gone, Gone, Gone, Gone},
+		Serving:      {Draining, Serving, Deleted, Deregistered},
+		Draining:     {Draining, Serving, Deleted, Deregistered},
+		Deleted:      {Deleted, Deleted, Deleted, Deregistered},
+		Deregistered: {Deregistered, Deregistered, Deregistered, Deregistered},
 	}
 	for from, next := range want {
 		for k, event := range events {
--- a/internal/machine/liveness.go
+++ b/internal/machine/liveness.go
@@ -8,18 +8,20 @@
 	"robinstack/internal/worker"
 )
 
-// Serial orders the messages of a worker by worker epoch and sequence number.
+// MessageSequence orders the messages of a worker by worker epoch and sequence number.
 //
 // Each heartbeat has its own sequence number, and a worker has one heartbeat in flight at a time. A
 // heartbeat that is not newer than the latest received one is therefore a duplicate: the worker has
 // already received the answer or stopped waiting for it, and drops any later answer.
-type Serial struct{ epoch, sequence uint64 }
+type MessageSequence struct{ epoch, sequence uint64 }
 
-// SerialOf returns the serial of a heartbeat.
-func SerialOf(r *worker.Heartbeat) Serial { return Serial{r.WorkerEpoch, r.Sequence} }
+// MessageSequenceOf returns the epoch and sequence number of a heartbeat.
+func MessageSequenceOf(r *worker.Heartbeat) MessageSequence {
+	return MessageSequence{r.WorkerEpoch, r.Sequence}
+}
 
 // Before reports whether o is newer than s.
-func (s Serial) Before(o Serial) bool {
+func (s MessageSequence) Before(o MessageSequence) bool {
 	return o.epoch > s.epoch || o.epoch == s.epoch && o.sequence > s.sequence
 }
 
@@ -60,9 +62,9 @@
 	// ownership, workers find their new owner long before that.
 	heartbeatsLost bool
 
-	latest          Serial // of all heartbeats and responses to commands
-	latestHeartbeat Serial // of the heartbeats sent to this owner, without responses to commands
-	unanswered      int    // consecutive commands without a response
+	latest          MessageSequence // of all heartbeats and responses to commands
+	latestHeartbeat MessageSequence // of the heartbeats sent to this owner, without responses to commands
+	unanswered      int             // consecutive commands without a response
 	unansweredSince time.Time
 }
 
@@ -80,39 +82,41 @@
 	return l.unanswered >= commandsLostThreshold && now.Sub(l.unansweredSince) >= commandsLostMinDuration
 }
 
-// Unanswered returns the number of consecutive commands without a response.
-func (l *Liveness) Unanswered() int { return l.unanswered }
+// UnansweredCommands returns the number of consecutive commands without a response.
+func (l *Liveness) UnansweredCommands() int { return l.unanswered }
 
-// NoteUnanswered records that a command had no response.
-func (l *Liveness) NoteUnanswered(now time.Time) {
+// RecordUnansweredCommand records that a command had no response.
+func (l *Liveness) RecordUnansweredCommand(now time.Time) {
 	if l.unanswered == 0 {
 		l.unansweredSince = now
 	}
 	l.unanswered++
 }
 
-// NoteCommandAnswered records that commands reach the machine, and reports whether the previous
+// RecordCommandResponse records that commands reach the machine, and reports whether the previous
 // command had no response.
-func (l *Liveness) NoteCommandAnswered() (changed bool) {
+func (l *Liveness) RecordCommandResponse() (changed bool) {
 	changed = l.unanswered > 0
 	l.unanswered = 0
 	return changed
 }
 
-// Duplicate reports whether a heartbeat is not newer than the latest one sent to this owner.
-func (l *Liveness) Duplicate(r *worker.Heartbeat) bool { return !l.latestHeartbeat.Before(SerialOf(r)) }
+// IsDuplicate reports whether a heartbeat is not newer than the latest one sent to this owner.
+func (l *Liveness) IsDuplicate(r *worker.Heartbeat) bool {
+	return !l.latestHeartbeat.Before(MessageSequenceOf(r))
+}
 
 // IsLatestHeartbeat reports whether no later heartbeat to this owner has arrived.
 func (l *Liveness) IsLatestHeartbeat(r *worker.Heartbeat) bool {
-	return l.latestHeartbeat == SerialOf(r)
+	return l.latestHeartbeat == MessageSequenceOf(r)
 }
 
 // AcceptHeartbeat records a heartbeat as the latest one sent to this owner.
-func (l *Liveness) AcceptHeartbeat(r *worker.Heartbeat) { l.latestHeartbeat = SerialOf(r) }
+func (l *Liveness) AcceptHeartbeat(r *worker.Heartbeat) { l.latestHeartbeat = MessageSequenceOf(r) }
 
-// NoteHeartbeat records the arrival of a heartbeat that is not a duplicate, and reports whether
+// RecordHeartbeat records the arrival of a heartbeat that is not a duplicate, and reports whether
 // heartbeats were lost before.
-func (l *Liveness) NoteHeartbeat(now time.Time) (changed bool) {
+func (l *Liveness) RecordHeartbeat(now time.Time) (changed bool) {
 	l.lastHeartbeat = now
 	changed = l.heartbeatsLost
 	l.heartbeatsLost = false
@@ -128,20 +132,20 @@
 	return ""
 }
 
-// LivenessLimits holds the timeouts after which a machine counts as out of contact.
-type LivenessLimits struct {
-	Heartbeat    time.Duration // time without a heartbeat after which heartbeats count as lost
-	Quiet        time.Duration // time without any state after which a machine counts as unresponsive
-	Unreconciled time.Duration // the same for an unreconciled machine, which is sent commands continuously
+// LivenessTimeouts holds the timeouts after which a machine counts as out of contact.
+type LivenessTimeouts struct {
+	Heartbeat           time.Duration // time without a heartbeat after which heartbeats count as lost
+	Contact             time.Duration // time without any state after which a machine counts as unresponsive
+	UnreconciledContact time.Duration // the same for an unreconciled machine, which is sent commands continuously
 }
 
 // CheckLiveness detects that heartbeats are lost or that the machine is unresponsive, and reports
 // whether either has begun.
-func (m *Machine) CheckLiveness(now time.Time, limits LivenessLimits) (changed bool) {
+func (m *Machine) CheckLiveness(now time.Time, timeouts LivenessTimeouts) (changed bool) {
 	l := &m.Liveness
 	sinceContact, sinceHeartbeat := now.Sub(l.LastContact), now.Sub(l.lastHeartbeat)
-	contactLost := sinceContact > m.contactTimeout(limits)
-	if !l.heartbeatsLost && m.Ownership.reconciled && sinceHeartbeat > limits.Heartbeat {
+	contactLost := sinceContact > m.contactTimeout(timeouts)
+	if !l.heartbeatsLost && m.Ownership.reconciled && sinceHeartbeat > timeouts.Heartbeat {
 		l.heartbeatsLost, changed = true, true
 		if !l.unresponsive && !contactLost {
 			slog.Info("machine heartbeats missing", "machine", m.Name, "duration_s", seconds(sinceHeartbeat))
@@ -155,13 +159,13 @@
 }
 
 // contactTimeout returns the time without any state after which the machine counts as unresponsive.
-func (m *Machine) contactTimeout(limits LivenessLimits) time.Duration {
-	if m.Ownership.reconciled || m.Liveness.latestHeartbeat != (Serial{}) {
-		return limits.Quiet
+func (m *Machine) contactTimeout(timeouts LivenessTimeouts) time.Duration {
+	if m.Ownership.reconciled || m.Liveness.latestHeartbeat != (MessageSequence{}) {
+		return timeouts.Contact
 	}
 	// The owner sends commands to an unreconciled machine continuously, and the reconciliation of
 	// job shards waits for its response, so the shorter timeout applies. It does not apply to a
 	// machine whose heartbeats arrive here: that machine is alive, and if commands do not reach it,
 	// the answers to its heartbeats reconcile it.
-	return min(limits.Quiet, limits.Unreconciled)
+	return min(timeouts.Contact, timeouts.UnreconciledContact)
 }
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -72,7 +72,7 @@
 
 // Operational reports whether the machine exists as far as the owner knows, that is, it has been
 // neither deleted nor deregistered.
-func (m *Machine) Operational() bool { return m.lifecycle < Removing }
+func (m *Machine) Operational() bool { return m.lifecycle < Deleted }
 
 // Drain excludes the machine from new tasks.
 func (m *Machine) Drain() { m.lifecycle = m.lifecycle.next(drainStarted) }
@@ -98,10 +98,10 @@
 }
 
 // Deregistered reports whether the machine's key has been removed.
-func (m *Machine) Deregistered() bool { return m.lifecycle == Gone }
+func (m *Machine) Deregistered() bool { return m.lifecycle == Deregistered }
 
-// Unavailable returns why the machine gets no new tasks of any job, or "".
-func (m *Machine) Unavailable(now time.Time) string {
+// UnavailableReason returns why the machine gets no new tasks of any job, or "".
+func (m *Machine) UnavailableReason(now time.Time) string {
 	switch {
 	case !m.Operational() || !m.Ownership.reconciled:
 		return "machine is deleted or not reconciled"
@@ -121,16 +121,16 @@
 	return ""
 }
 
-// Expired reports whether the worker's last possible lease renewal is longer than leaseExpiry ago,
-// so that the worker has killed all its tasks.
-func (m *Machine) Expired(now time.Time, leaseExpiry time.Duration) bool {
+// WorkerLeaseExpired reports whether the worker's last possible lease renewal is longer than
+// leaseExpiry ago, so that the worker has killed all its tasks.
+func (m *Machine) WorkerLeaseExpired(now time.Time, leaseExpiry time.Duration) bool {
 	return now.Sub(m.Ownership.lastPossibleRenewal) > leaseExpiry
 }
 
-// Expire removes all tasks after the expiry of the worker lease, and reports whether anything
-// changed. Commands that are still in flight cannot take effect any more, because the worker is in
-// a later epoch.
-func (m *Machine) Expire(now time.Time) (changed bool) {
+// HandleLeaseExpiry removes all tasks after the expiry of the worker lease, and reports whether
+// anything changed. Commands that are still in flight cannot take effect any more, because the
+// worker is in a later epoch.
+func (m *Machine) HandleLeaseExpiry(now time.Time) (changed bool) {
 	for key, t := range m.tasks {
 		t.Resolve(agentapi.Refused)
 		m.RemoveTask(key, now)
@@ -142,9 +142,9 @@
 	return changed
 }
 
-// Release ends the ownership, because another owner takes over: it resolves the commits that wait
-// for the machine's tasks and logs the tasks that are still running.
-func (m *Machine) Release(now time.Time) {
+// EndOwnership ends the ownership, because another owner takes over: it resolves the commits that
+// wait for the machine's tasks and logs the tasks that are still running.
+func (m *Machine) EndOwnership(now time.Time) {
 	for _, t := range m.tasks {
 		t.Resolve(agentapi.Unresolved)
 		if t.listed() && t.state != Exited {
@@ -153,13 +153,13 @@
 	}
 }
 
-// Malformed returns why a heartbeat cannot come from this machine, or "".
-func (m *Machine) Malformed(r *worker.Heartbeat) string {
+// MalformedReason returns why a heartbeat cannot come from this machine, or "".
+func (m *Machine) MalformedReason(r *worker.Heartbeat) string {
 	if r.Address != m.Address {
 		return "its address is another machine's"
 	}
 	return m.Liveness.outOfRange(r)
 }
 
-// KeyLeft reports whether the machine has been deleted but its key still exists.
-func (m *Machine) KeyLeft() bool { return m.lifecycle == Removing }
+// AwaitsKeyRemoval reports whether the machine has been deleted but its key still exists.
+func (m *Machine) AwaitsKeyRemoval() bool { return m.lifecycle == Deleted }
--- a/internal/machine/ownership.go
+++ b/internal/machine/ownership.go
@@ -33,15 +33,15 @@
 // Reconciled reports whether no command of an earlier owner can take effect any more.
 func (o *Ownership) Reconciled() bool { return o.reconciled }
 
-// TakeOver records that the machine had an owner before, which may renew the worker lease until
-// lastPossibleRenewal.
-func (o *Ownership) TakeOver(lastPossibleRenewal time.Time) {
+// RecordTakeover records that the machine had an owner before, which may renew the worker lease
+// until lastPossibleRenewal.
+func (o *Ownership) RecordTakeover(lastPossibleRenewal time.Time) {
 	o.heartbeatAnswered = true
 	o.lastPossibleRenewal = lastPossibleRenewal
 }
 
-// NoteAnswer records that a heartbeat was answered, which renews the worker lease.
-func (o *Ownership) NoteAnswer(now time.Time) {
+// RecordAnswer records that a heartbeat was answered, which renews the worker lease.
+func (o *Ownership) RecordAnswer(now time.Time) {
 	o.heartbeatAnswered = true
 	o.recordRenewal(now)
 }
--- a/internal/machine/ownership_test.go
+++ b/internal/machine/ownership_test.go
@@ -12,8 +12,8 @@
 func TestLateAnswerDoesNotShortenWorkerLease(t *testing.T) {
 	var o Ownership
 	later := time.Now()
-	o.NoteAnswer(later)
-	o.NoteAnswer(later.Add(-10 * time.Second))
+	o.RecordAnswer(later)
+	o.RecordAnswer(later.Add(-10 * time.Second))
 	if !o.lastPossibleRenewal.Equal(later) {
 		t.Fatalf("last possible renewal moved back by %v, want it unchanged", later.Sub(o.lastPossibleRenewal))
 	}
--- a/internal/machine/quarantine.go
+++ b/internal/machine/quarantine.go
@@ -67,8 +67,8 @@
 	return failedJobs >= minFailedJobs
 }
 
-// FailedLately reports whether a job failed here so recently that it avoids the machine.
-func (q *Quarantine) FailedLately(jobID string, now time.Time) bool {
+// FailedRecently reports whether a job failed here so recently that it avoids the machine.
+func (q *Quarantine) FailedRecently(jobID string, now time.Time) bool {
 	at, failed := q.failures[jobID]
 	return failed && now.Sub(at) < avoidanceDuration
 }
@@ -82,8 +82,8 @@
 	return ids
 }
 
-// UnattributedJobs returns the jobs that failed here, except those found to be at fault themselves.
-func (q *Quarantine) UnattributedJobs() []string {
+// FailedJobs returns the jobs that failed here, except those found to be at fault themselves.
+func (q *Quarantine) FailedJobs() []string {
 	var ids []string
 	for id := range q.failures {
 		ids = append(ids, id)
--- a/internal/machine/task.go
+++ b/internal/machine/task.go
@@ -123,9 +123,9 @@
 // it can still be withdrawn.
 func (t *Task) StartNotSent() bool { return t.state == Starting && t.start.delivery == startUnsent }
 
-// Submitted returns when the task's job was submitted or, if the task came with a commit, when the
-// job became ready to start. It is known once Spec is.
-func (t *Task) Submitted() time.Time { return t.submitted }
+// ReadyOrSubmittedAt returns when the task's job was submitted or, if the task came with a commit,
+// when the job became ready to start. It is known once Spec is.
+func (t *Task) ReadyOrSubmittedAt() time.Time { return t.submitted }
 
 // RunningSince returns when the task was first seen running, or the zero time.
 func (t *Task) RunningSince() time.Time { return t.runningSince }
@@ -147,8 +147,8 @@
 	t.state = next
 }
 
-// KeepReserved sets the time at which the task's reservation expires.
-func (t *Task) KeepReserved(until time.Time) { t.reservedUntil = until }
+// SetReservationExpiry sets the time at which the task's reservation expires.
+func (t *Task) SetReservationExpiry(until time.Time) { t.reservedUntil = until }
 
 // ReservationExpired reports whether the task's reservation has expired before the task was
 // started.
@@ -188,8 +188,8 @@
 // StopRequested reports whether the task is to be stopped.
 func (t *Task) StopRequested() bool { return t.stop.requested }
 
-// StoppedAtOnce reports whether the task is to be stopped without a grace period.
-func (t *Task) StoppedAtOnce() bool { return t.stop.requested && t.stop.grace == 0 }
+// StopRequestedWithoutGrace reports whether the task is to be stopped without a grace period.
+func (t *Task) StopRequestedWithoutGrace() bool { return t.stop.requested && t.stop.grace == 0 }
 
 // RequestStop requests that the task be stopped with the given grace period. It has no effect if a
 // stop with the same or a shorter grace period has been requested already.
@@ -236,7 +236,7 @@
 // NeedsVerification reports whether the worker has the task although its job may have finished, and
 // no stop without a grace period has been requested.
 func (t *Task) NeedsVerification() bool {
-	return t.Unverified && t.listed() && t.Occupies() && !t.StoppedAtOnce()
+	return t.Unverified && t.listed() && t.Occupies() && !t.StopRequestedWithoutGrace()
 }
 
 // RecheckExit reports whether the job record must be read again: the task has been in state Exited
--- a/internal/machine/task_test.go
+++ b/internal/machine/task_test.go
@@ -61,7 +61,7 @@
 	if got := m.DirectCommands(now); len(got) != 1 {
 		t.Fatalf("got commands %v, want one", got)
 	}
-	m.CommandUnanswered(sentToken, now)
+	m.HandleUnansweredCommand(sentToken, now)
 	if got := <-result; got != agentapi.Unresolved {
 		t.Fatalf("got result %q, want %q", got, agentapi.Unresolved)
 	}
--- a/internal/machine/tasks.go
+++ b/internal/machine/tasks.go
@@ -73,6 +73,6 @@
 	}
 }
 
-// RecordsChanged records that job records have been read, so that the resource needs of tasks may
+// OnJobRecordsRead records that job records have been read, so that the resource needs of tasks may
 // have changed.
-func (m *Machine) RecordsChanged() { m.invalidateUsage() }
+func (m *Machine) OnJobRecordsRead() { m.invalidateUsage() }
--- a/internal/netcount/netcount.go
+++ b/internal/netcount/netcount.go
@@ -11,8 +11,8 @@
 // is ready to use.
 type Counter struct{ Sent, Received atomic.Uint64 }
 
-// Conn wraps a connection so that its bytes are counted.
-func (c *Counter) Conn(conn net.Conn) net.Conn { return countingConn{conn, c} }
+// WrapConn wraps a connection so that its bytes are counted.
+func (c *Counter) WrapConn(conn net.Conn) net.Conn { return countingConn{conn, c} }
 
 type countingConn struct {
 	net.Conn
--- a/internal/netcount/netcount_test.go
+++ b/internal/netcount/netcount_test.go
@@ -12,7 +12,7 @@
 	local, remote := net.Pipe()
 	defer remote.Close()
 	var counter Counter
-	conn := counter.Conn(local)
+	conn := counter.WrapConn(local)
 	go func() {
 		io.CopyN(io.Discard, remote, 5)
 		remote.Write([]byte("abc"))
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, Handshake{}, err
 	}
-	client := rpc.NewClient(counters.bytes.Conn(conn))
+	client := rpc.NewClient(counters.bytes.WrapConn(conn))
 	remote, err := exchangeHandshakes(ctx, client, local)
 	if err != nil {
 		_ = client.Close() // err already tells why the connection is given up
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -6,4 +6,4 @@
 	"robinstack/test/wireformat"
 )
 
-func TestWireForms(t *testing.T) { wireformat.Service(t, (*Service)(nil)) }
+func TestWireForms(t *testing.T) { wireformat.CheckRPCService(t, (*Service)(nil)) }
--- a/internal/policy/wire_test.go
+++ b/internal/policy/wire_test.go
@@ -31,9 +31,9 @@
 		}
 	}
 	fmt.Fprintf(&file, "queue_order = %s\n", order)
-	wireformat.Golden(t, "settings", settings.String())
-	wireformat.Golden(t, "file", file.String())
-	p, err := Parse("recorded", []byte(wireformat.Recorded(t, "file")))
+	wireformat.CheckGolden(t, "settings", settings.String())
+	wireformat.CheckGolden(t, "file", file.String())
+	p, err := Parse("recorded", []byte(wireformat.ReadGolden(t, "file")))
 	if err != nil {
 		t.Fatalf("the recorded file is rejected: %v", err)
 	}
@@ -43,5 +43,5 @@
 			values = append(values, fmt.Sprint(v))
 		}
 	}
-	wireformat.Golden(t, "read", strings.Join(values, "\n")+"\n")
+	wireformat.CheckGolden(t, "read", strings.Join(values, "\n")+"\n")
 }
--- a/internal/quota/decide.go
+++ b/internal/quota/decide.go
@@ -16,10 +16,10 @@
 	Now          time.Time
 }
 
-// Decide returns, in the order of the requests, whether each can be granted. The quota of its team
-// must have room for it, for the granted requests before it, and for the reservation of another job.
-// Decide does not change the snapshot.
-func Decide(requests []GrantRequest, snapshot *Snapshot) []bool {
+// DecideGrants returns, in the order of the requests, whether each can be granted. The quota of its
+// team must have room for it, for the granted requests before it, and for the reservation of
+// another job. DecideGrants does not change the snapshot.
+func DecideGrants(requests []GrantRequest, snapshot *Snapshot) []bool {
 	granted := make([]bool, len(requests))
 	grantedByTeam := map[string]job.Resources{}
 	for i, request := range requests {
--- a/internal/quota/decide_test.go
+++ b/internal/quota/decide_test.go
@@ -23,9 +23,9 @@
 
 // Requests of one team are granted up to its quota. A request that does not fit does not block
 // smaller requests after it. A team without a quota gets everything.
-func TestDecideCountsEarlierGrants(t *testing.T) {
+func TestDecideGrantsCountsEarlierGrants(t *testing.T) {
 	snapshot := testSnapshot(time.Time{}.Add(time.Hour))
-	granted := Decide([]GrantRequest{
+	granted := DecideGrants([]GrantRequest{
 		grantRequest("wk-1", "gpus", gpus(3)),
 		grantRequest("wk-2", "gpus", gpus(2)),
 		grantRequest("wk-3", "gpus", gpus(1)),
@@ -37,15 +37,15 @@
 		t.Errorf("granted %v, want %v", granted, want)
 	}
 	if snapshot.Usage["gpus"] != gpus(6) {
-		t.Errorf("Decide changed the usage to %v", snapshot.Usage)
+		t.Errorf("DecideGrants changed the usage to %v", snapshot.Usage)
 	}
 }
 
 // Guards against exceeding a quota: resources whose team is not known count against every team.
-func TestDecideCountsUnattributedCapacityForEveryTeam(t *testing.T) {
+func TestDecideGrantsCountsUnattributedCapacityForEveryTeam(t *testing.T) {
 	snapshot := testSnapshot(time.Time{}.Add(time.Hour))
 	snapshot.Unattributed = job.Resources{CPUs: 8, GPUs: 4}
-	granted := Decide([]GrantRequest{
+	granted := DecideGrants([]GrantRequest{
 		grantRequest("wk-1", "gpus", gpus(1)),
 		grantRequest("wk-2", "cpus", job.Resources{CPUs: 9}),
 		grantRequest("wk-3", "cpus", job.Resources{CPUs: 8}),
@@ -69,11 +69,11 @@
 		t.Error("the reservation is not held by the job that became ready first")
 	}
 	requests := []GrantRequest{grantRequest("wk-1", "gpus", gpus(1)), grantRequest("wk-9", "gpus", gpus(4))}
-	if granted, want := Decide(requests, snapshot), []bool{false, true}; !slices.Equal(granted, want) {
+	if granted, want := DecideGrants(requests, snapshot), []bool{false, true}; !slices.Equal(granted, want) {
 		t.Errorf("granted %v, want %v", granted, want)
 	}
 	snapshot.Now = now.Add(ReservationDuration)
-	if granted := Decide(requests[:1], snapshot); !granted[0] {
+	if granted := DecideGrants(requests[:1], snapshot); !granted[0] {
 		t.Error("got no grant after the reservation expired")
 	}
 	snapshot.Reservations.Reserve(later, snapshot.Now)
--- a/internal/recovery/wire_test.go
+++ b/internal/recovery/wire_test.go
@@ -9,5 +9,5 @@
 
 // The steps are keys of the status page, which operators' tools read.
 func TestWireForms(t *testing.T) {
-	wireformat.Golden(t, "steps", strings.Join([]string{StepRegistered, StepReady, StepSubmissionAccepted, StepTaskStarted, StepReconciled}, "\n")+"\n")
+	wireformat.CheckGolden(t, "steps", strings.Join([]string{StepRegistered, StepReady, StepSubmissionAccepted, StepTaskStarted, StepReconciled}, "\n")+"\n")
 }
--- a/internal/rollout/capabilities.go
+++ b/internal/rollout/capabilities.go
@@ -30,7 +30,7 @@
 func LocalCapabilities() Capabilities {
 	return Capabilities{
 		Build:    BuildVersion,
-		Features: FeaturesAt(MaxClusterVersion()),
+		Features: FirstFeatures(MaxClusterVersion()),
 		Schemas: map[string][2]int{
 			JobRecordKind:      {0, job.RecordSchema},
 			TombstoneKind:      {0, tombstone.Schema},
--- a/internal/rollout/dependencies_test.go
+++ b/internal/rollout/dependencies_test.go
@@ -78,8 +78,8 @@
 		}{
 			{"as it is", "", nil},
 			{"held", "it is Friday", nil},
-			{"copying", "", &rollout.Migration{Name: rollout.MigrationCopy, Version: number}},
-			{"copied", "", &rollout.Migration{Name: rollout.MigrationCopy, Version: number, Done: true}},
+			{"copying", "", &rollout.Migration{Name: rollout.MigrationWriteCompact, Version: number}},
+			{"copied", "", &rollout.Migration{Name: rollout.MigrationWriteCompact, Version: number, Done: true}},
 			{"dropping", "", &rollout.Migration{Name: rollout.MigrationDropLegacy, Version: number}},
 		} {
 			dropping := c.migration != nil && c.migration.Name == rollout.MigrationDropLegacy
@@ -167,7 +167,7 @@
 // dependencies are enabled.
 func (f *testCluster) startWithDependencies() {
 	f.t.Helper()
-	f.setPreviousBuildVersion(3, &rollout.Migration{Name: rollout.MigrationCopy, Version: 3, Done: true}, "")
+	f.setPreviousBuildVersion(3, &rollout.Migration{Name: rollout.MigrationWriteCompact, Version: 3, Done: true}, "")
 	f.startAll()
 	time.Sleep(5 * time.Second)
 	if !f.dependenciesEnabled() {
--- a/internal/rollout/feature.go
+++ b/internal/rollout/feature.go
@@ -68,7 +68,7 @@
 	{
 		Feature: FeatureTombstones, Requires: FeatureFailureHistory,
 		Schemas:   map[string]int{TombstoneKind: tombstone.Schema},
-		Migration: MigrationCopy, ReverseMigration: MigrationRestoreLegacy,
+		Migration: MigrationWriteCompact, ReverseMigration: MigrationRestoreLegacy,
 		Description: "ended jobs have small records, beside the former ones",
 	},
 	{
@@ -100,8 +100,8 @@
 	return slices.ContainsFunc(FeatureGates, func(gate FeatureGate) bool { return gate.Requires == feature })
 }
 
-// FeaturesAt lists the first n features of this build, in the order of FeatureGates.
-func FeaturesAt(n int) []Feature {
+// FirstFeatures lists the first n features of this build, in the order of FeatureGates.
+func FirstFeatures(n int) []Feature {
 	features := []Feature{}
 	for _, gate := range FeatureGates[:n] {
 		features = append(features, gate.Feature)
--- a/internal/rollout/migration.go
+++ b/internal/rollout/migration.go
@@ -10,7 +10,7 @@
 
 // Names of the migrations of tombstones.
 const (
-	MigrationCopy          = "copy" // writes a compact tombstone beside each legacy one
+	MigrationWriteCompact  = "copy" // writes a compact tombstone beside each legacy one
 	MigrationDropLegacy    = "drop" // deletes the legacy tombstones
 	MigrationRestoreLegacy = "back" // writes a legacy tombstone for each one that has only the compact format
 )
--- a/internal/rollout/migration_test.go
+++ b/internal/rollout/migration_test.go
@@ -180,8 +180,8 @@
 // migration.
 func (f *testCluster) startCopying() {
 	f.t.Helper()
-	version := rollout.ClusterVersion{Schema: 1, Number: 3, Features: rollout.FeaturesAt(3)}
-	migration := rollout.Migration{Name: rollout.MigrationCopy, Version: 3}
+	version := rollout.ClusterVersion{Schema: 1, Number: 3, Features: rollout.FirstFeatures(3)}
+	migration := rollout.Migration{Name: rollout.MigrationWriteCompact, Version: 3}
 	f.write(
 		statekv.Op{Set: statekv.ClusterVersionKey, Value: version},
 		statekv.Op{Set: statekv.MigrationKey, Value: migration},
--- a/internal/rollout/migrator.go
+++ b/internal/rollout/migrator.go
@@ -212,7 +212,7 @@
 	var target statekv.Compare // required state of the key in the other format
 	var ops []statekv.Op
 	switch r.Name {
-	case MigrationCopy:
+	case MigrationWriteCompact:
 		target = statekv.Compare{Key: tombstone.Key(id)}
 		ops = tombstone.WriteOps(id, parsed, tombstone.CompactOnly)
 	case MigrationRestoreLegacy:
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -91,9 +91,9 @@
 // that knows the first two, as the previous build does, and one that knows dependencies too.
 var modelBuilds = []Capabilities{
 	{},
-	{Build: "1", Features: FeaturesAt(1)},
-	{Build: "2", Features: FeaturesAt(2)},
-	{Build: "3", Features: append(FeaturesAt(2), FeatureDependencies)},
+	{Build: "1", Features: FirstFeatures(1)},
+	{Build: "2", Features: FirstFeatures(2)},
+	{Build: "3", Features: append(FirstFeatures(2), FeatureDependencies)},
 }
 
 // buildWithDependencies is the index of the build that knows dependencies.
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -77,7 +77,7 @@
 	}
 	raise, _ := s.PlanAllowRaise()
 	s.Version = raise.To
-	s.Migration = Migration{Name: MigrationCopy, Version: 4}
+	s.Migration = Migration{Name: MigrationWriteCompact, Version: 4}
 	if _, reason := s.PlanRaise(); !strings.Contains(reason, "being moved") {
 		t.Errorf("raise during the migration: got reason %q", reason)
 	}
@@ -133,7 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := json.Marshal(version.withFeatures(FeaturesAt(2)).storedValue())
+	raw, err := json.Marshal(version.withFeatures(FirstFeatures(2)).storedValue())
 	if err != nil || !strings.Contains(string(raw), `"colour":"blue"`) || !strings.Contains(string(raw), `"level":2`) {
 		t.Errorf("got %s (error %v), want version 2 with the unknown field", raw, err)
 	}
@@ -158,8 +158,8 @@
 	// it, writes that are conditional on the version fail.
 	keys.rev = 6
 	keys.set(statekv.ClusterVersionKey, []byte(`"x"`))
-	if version, fence := reader.Current(); version.Number != 1 || fence.Rev != 6 || reader.Problem() == "" {
-		t.Errorf("damaged key: got version %+v under %+v, problem %q", version, fence, reader.Problem())
+	if version, fence := reader.Current(); version.Number != 1 || fence.Rev != 6 || reader.UnusableReason() == "" {
+		t.Errorf("damaged key: got version %+v under %+v, problem %q", version, fence, reader.UnusableReason())
 	}
 	if _, err := NewRegistration(keys, LocalCapabilities()); !IsJoinRejected(err) {
 		t.Errorf("registration with a damaged key: got error %v, want a rejection", err)
--- a/internal/rollout/registration.go
+++ b/internal/rollout/registration.go
@@ -21,7 +21,7 @@
 // NewRegistration returns the registration of a session of a build with these capabilities. A
 // *JoinRejectedError means that the controller has to wait, unready, until the cluster version
 // changes or the controller is replaced.
-func NewRegistration(keys Keys, capabilities Capabilities) (statekv.Registration, error) {
+func NewRegistration(keys KeyReader, capabilities Capabilities) (statekv.Registration, error) {
 	version := ClusterVersion{}
 	kv, ok := keys.Get(statekv.ClusterVersionKey)
 	if ok {
--- a/internal/rollout/snapshot.go
+++ b/internal/rollout/snapshot.go
@@ -11,8 +11,8 @@
 	"robinstack/internal/statekv"
 )
 
-// Keys reads the keys of the state service as last seen. *statekv.Mirror implements it.
-type Keys interface {
+// KeyReader reads the keys of the state service as last seen. *statekv.Mirror implements it.
+type KeyReader interface {
 	Get(key string) (statekv.KV, bool)
 	Dir(prefix string) []statekv.KV
 }
@@ -54,7 +54,7 @@
 // NewSnapshot returns a snapshot of the keys. hosts are those in the settings. known is the version
 // to assume if the stored one cannot be decoded. The caller adds the ages, the policy, the jobs and
 // the deciding controller.
-func NewSnapshot(keys Keys, hosts []string, known ClusterVersion) Snapshot {
+func NewSnapshot(keys KeyReader, hosts []string, known ClusterVersion) Snapshot {
 	var s Snapshot
 	if kv, ok := keys.Get(statekv.ClusterVersionKey); ok {
 		s.VersionRev = kv.Rev
--- a/internal/rollout/version.go
+++ b/internal/rollout/version.go
@@ -75,7 +75,7 @@
 	if v.UnknownFields == nil {
 		return v
 	}
-	return statekv.WithUnknown{Value: v, Unknown: v.UnknownFields}
+	return statekv.ValueWithUnknownFields{Value: v, Unknown: v.UnknownFields}
 }
 
 // ParseClusterVersion decodes the value of the cluster version's key. A *statekv.SchemaError means
--- a/internal/rollout/version_gate.go
+++ b/internal/rollout/version_gate.go
@@ -103,7 +103,7 @@
 // where that is due.
 func (g *VersionGate) step(ctx context.Context) {
 	snapshot := g.snapshot(time.Now())
-	if problem := g.reader.Problem(); problem != "" && snapshot.VersionDecodeError == "" {
+	if problem := g.reader.UnusableReason(); problem != "" && snapshot.VersionDecodeError == "" {
 		g.session.Abort(fmt.Errorf("cluster version %d is not supported: %s", snapshot.Version.Number, problem))
 		return
 	}
--- a/internal/rollout/version_reader.go
+++ b/internal/rollout/version_reader.go
@@ -9,7 +9,7 @@
 
 // VersionReader reads the cluster version from a mirror. It is safe for concurrent use.
 type VersionReader struct {
-	keys         Keys
+	keys         KeyReader
 	capabilities Capabilities
 
 	mu       sync.Mutex // guards version, readRev, fenceRev and problem
@@ -22,7 +22,7 @@
 // NewVersionReader returns a reader for this build. It reads the version at once. Since a session
 // begins only under a version that can be read, the reader has one to keep if a later value of the
 // key cannot be decoded.
-func NewVersionReader(keys Keys) *VersionReader {
+func NewVersionReader(keys KeyReader) *VersionReader {
 	r := &VersionReader{keys: keys, capabilities: LocalCapabilities()}
 	r.Current()
 	return r
@@ -70,8 +70,8 @@
 	return version.Enabled(feature)
 }
 
-// Problem returns why the stored version cannot be used, or "".
-func (r *VersionReader) Problem() string {
+// UnusableReason returns why the stored version cannot be used, or "".
+func (r *VersionReader) UnusableReason() string {
 	r.Current()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rollout/wire_test.go
+++ b/internal/rollout/wire_test.go
@@ -9,20 +9,20 @@
 // The JSON forms of stored values and of the status, and the names in them, stay as recorded:
 // other builds read them.
 func TestWireForms(t *testing.T) {
-	wireformat.JSON[ClusterVersion](t, "level")
-	wireformat.JSON[Capabilities](t, "capabilities")
-	wireformat.JSON[Migration](t, "move")
-	wireformat.JSON[Status](t, "status")
+	wireformat.CheckJSON[ClusterVersion](t, "level")
+	wireformat.CheckJSON[Capabilities](t, "capabilities")
+	wireformat.CheckJSON[Migration](t, "move")
+	wireformat.CheckJSON[Status](t, "status")
 	caps := LocalCapabilities()
 	caps.Build = ""
-	wireformat.Golden(t, "words", wireformat.Indent(t, map[string]any{
-		"capabilities": caps, "top": ClusterVersion{}.withFeatures(FeaturesAt(MaxClusterVersion())),
+	wireformat.CheckGolden(t, "words", wireformat.IndentJSON(t, map[string]any{
+		"capabilities": caps, "top": ClusterVersion{}.withFeatures(FirstFeatures(MaxClusterVersion())),
 		"features": []Feature{
 			FeatureVersionGate, FeatureFailureHistory, FeatureTombstones, FeatureCompactTombstonesOnly,
 			FeatureDependencies,
 		},
 		"kinds": []string{JobRecordKind, TombstoneKind, ClusterVersionKind},
-		"moves": []string{MigrationCopy, MigrationDropLegacy, MigrationRestoreLegacy},
+		"moves": []string{MigrationWriteCompact, MigrationDropLegacy, MigrationRestoreLegacy},
 		"verbs": []string{CommandHold, CommandRaise, CommandLower},
 	}))
 }
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -221,7 +221,7 @@
 				heartbeat := cluster.workers.NextHeartbeat(machine)
 				reply := controller.agent.Heartbeat(cluster.ctx, &heartbeat)
 				if reply.Accepted {
-					cluster.workers.DeliverAnswer(machine, reply.Answer)
+					cluster.workers.DeliverHeartbeatResponse(machine, reply.Answer)
 					break
 				}
 				host = otherHost(host)
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -55,12 +55,12 @@
 		j.advance(jobRunnable, "")
 		j.readyAt = readyTime(j.submittedAt, result.ReadySince, now)
 		s.setUrgency(j, j.urgency)
-		slog.Info(logline.JobReady,
+		slog.Info(logline.JobDependenciesSatisfied,
 			"job", id, "elapsed", j.readyAt.Sub(j.submittedAt).Round(time.Millisecond))
 	case dag.Cancelled:
 		// No task of the job has ever run, and its dependencies can never all be done.
 		j.advance(jobFinished, job.Cancelled)
-		slog.Info(logline.JobWithdrawn, "job", id, "dependency", result.CancelledBy)
+		slog.Info(logline.JobCancelledByDependency, "job", id, "dependency", result.CancelledBy)
 	}
 }
 
--- a/internal/statekv/mirror.go
+++ b/internal/statekv/mirror.go
@@ -29,9 +29,9 @@
 	// processed. OnApply must not do I/O. Set it before Load.
 	OnApply func([]Event)
 
-	// Track reports whether TrackedRev counts a change. If Track is nil, none is counted. Set it
-	// before Load.
-	Track func(Event) bool
+	// IsTracked reports whether TrackedRev counts a change. If IsTracked is nil, none is counted.
+	// Set it before Load.
+	IsTracked func(Event) bool
 
 	undecodable undecodableKeys
 
@@ -39,7 +39,7 @@
 	mu                  sync.Mutex
 	dirs                directories
 	rev                 uint64
-	trackedRev          uint64        // revision of the latest change for which Track returns true
+	trackedRev          uint64        // revision of the latest change for which IsTracked returns true
 	freshAsOf           time.Time     // when the latest successful load or watch was sent
 	loaded              bool          // whether rev and dirs have been loaded from the store
 	advanced            chan struct{} // closed and replaced whenever rev advances
@@ -93,7 +93,7 @@
 	return m.rev
 }
 
-// TrackedRev returns the revision of the latest change for which Track returns true, among the
+// TrackedRev returns the revision of the latest change for which IsTracked returns true, among the
 // changes that the mirror shows. It advances atomically with the mirrored keys.
 func (m *Mirror) TrackedRev() uint64 {
 	m.mu.Lock()
--- a/internal/statekv/mirror_test.go
+++ b/internal/statekv/mirror_test.go
@@ -32,7 +32,7 @@
 // which then rejected every submission.
 func TestMirrorSeesChangesDuringLoadOfEmptyStore(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
-		state := emulator.NewEmptyStateService()
+		state := emulator.NewStateServiceAtRevisionZero()
 		store := &changingStore{StateService: state}
 		mirror := newMirror(store, statekv.ClusterPrefix, jobPrefix)
 		var other *statekv.Session
--- a/internal/statekv/mirrorwatch.go
+++ b/internal/statekv/mirrorwatch.go
@@ -22,7 +22,7 @@
 	}
 	m.mu.Lock()
 	m.dirs = dirs
-	m.trackedRev = max(m.trackedRev, rev) // Track may hold for any change up to rev
+	m.trackedRev = max(m.trackedRev, rev) // IsTracked may hold for any change up to rev
 	m.mu.Unlock()
 	if m.OnApply != nil {
 		m.OnApply(nil)
@@ -118,7 +118,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range events {
-		if m.Track != nil && m.Track(e) {
+		if m.IsTracked != nil && m.IsTracked(e) {
 			m.trackedRev = max(m.trackedRev, e.Rev)
 		}
 		key := e.Key()
--- a/internal/statekv/role.go
+++ b/internal/statekv/role.go
@@ -161,7 +161,7 @@
 func (s *Session) roleOp(role Role) Op {
 	value := role.Value
 	if kv, ok := s.mirror.Get(role.Key); ok && kv.Rev == role.ExpectedRev {
-		value = PreserveUnknown(kv.Value, value)
+		value = PreserveUnknownFields(kv.Value, value)
 	}
 	return Op{Set: role.Key, Value: value}
 }
--- a/internal/statekv/unknownfields.go
+++ b/internal/statekv/unknownfields.go
@@ -52,16 +52,16 @@
 	}
 }
 
-// WithUnknown is a value that is written together with the unknown fields of the object that it
-// replaces.
-type WithUnknown struct {
+// ValueWithUnknownFields is a value that is written together with the unknown fields of the object
+// that it replaces.
+type ValueWithUnknownFields struct {
 	Value   any
 	Unknown UnknownFields
 }
 
 // MarshalJSON writes the value, which must be a JSON object, with the unknown fields. The value's
 // own fields take precedence.
-func (w WithUnknown) MarshalJSON() ([]byte, error) {
+func (w ValueWithUnknownFields) MarshalJSON() ([]byte, error) {
 	raw, err := json.Marshal(w.Value)
 	if err != nil || len(w.Unknown) == 0 {
 		return raw, err
@@ -78,10 +78,11 @@
 	return json.Marshal(fields)
 }
 
-// PreserveUnknown returns value together with the unknown fields of the object that it replaces.
-func PreserveUnknown(replaced json.RawMessage, value any) any {
+// PreserveUnknownFields returns value together with the unknown fields of the object that it
+// replaces.
+func PreserveUnknownFields(replaced json.RawMessage, value any) any {
 	if unknown := UnknownFieldsOf(replaced, value); unknown != nil {
-		return WithUnknown{Value: value, Unknown: unknown}
+		return ValueWithUnknownFields{Value: value, Unknown: unknown}
 	}
 	return value
 }
--- a/internal/statekv/unknownfields_test.go
+++ b/internal/statekv/unknownfields_test.go
@@ -33,7 +33,7 @@
 			}
 		}
 		raw, _ := json.Marshal(stored)
-		out, err := json.Marshal(statekv.PreserveUnknown(raw, knownFields{embedded: embedded{"b"}, Index: 4}))
+		out, err := json.Marshal(statekv.PreserveUnknownFields(raw, knownFields{embedded: embedded{"b"}, Index: 4}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +55,7 @@
 // Unknown fields can be written only together with a JSON object.
 func TestUnknownFieldsRequireObject(t *testing.T) {
 	unknown := statekv.UnknownFields{"colour": json.RawMessage(`"blue"`)}
-	if out, err := json.Marshal(statekv.WithUnknown{Value: []int{1}, Unknown: unknown}); err == nil {
+	if out, err := json.Marshal(statekv.ValueWithUnknownFields{Value: []int{1}, Unknown: unknown}); err == nil {
 		t.Errorf("marshalling a list with unknown fields: got %s, want an error", out)
 	}
 }
--- a/internal/tombstone/garbage_collector.go
+++ b/internal/tombstone/garbage_collector.go
@@ -25,7 +25,7 @@
 	Mirror      *statekv.Mirror
 	Session     *statekv.Session
 	LeaderEpoch func() uint64 // revision of the leader role while this controller holds it, else 0
-	TxnOps      int           // configured limit of operations per transaction
+	MaxTxnOps   int           // configured limit of operations per transaction
 	Interval    time.Duration // between two collections
 }
 
@@ -81,7 +81,7 @@
 		if _, hasRecord := g.Mirror.Get(job.RecordKey(id)); !hasRecord {
 			batch.add(id, kv.Key)
 		}
-		isFull := len(batch.ops) >= g.Store.MaxTxnOps(g.TxnOps)
+		isFull := len(batch.ops) >= g.Store.MaxTxnOps(g.MaxTxnOps)
 		isLast := i == len(items)-1 && len(batch.ops) > 0
 		if !isFull && !isLast {
 			continue
--- a/internal/tombstone/tombstone_test.go
+++ b/internal/tombstone/tombstone_test.go
@@ -163,7 +163,7 @@
 		}
 		go mirror.Run(ctx)
 		var leaderEpoch atomic.Uint64
-		collector := &tombstone.GarbageCollector{Store: state, Mirror: mirror, Session: session, LeaderEpoch: leaderEpoch.Load, TxnOps: 8, Interval: time.Minute}
+		collector := &tombstone.GarbageCollector{Store: state, Mirror: mirror, Session: session, LeaderEpoch: leaderEpoch.Load, MaxTxnOps: 8, Interval: time.Minute}
 		go collector.Run(ctx)
 		remaining := func() int {
 			return len(state.ListAll(job.CompletedChunkPrefix)) + len(state.ListAll(job.SpecFragmentPrefix))
--- a/internal/tombstone/wire_test.go
+++ b/internal/tombstone/wire_test.go
@@ -18,11 +18,11 @@
 			all = append(all, WriteOps("wk-1", tombstone, formats)...)
 		}
 	}
-	wireformat.Golden(t, "tombstones", wireformat.Indent(t, all))
-	wireformat.Golden(t, "absent", wireformat.Indent(t, AbsentCompares("wk-1")))
+	wireformat.CheckGolden(t, "tombstones", wireformat.IndentJSON(t, all))
+	wireformat.CheckGolden(t, "absent", wireformat.IndentJSON(t, AbsentCompares("wk-1")))
 
 	var recorded []statekv.Event
-	if err := json.Unmarshal([]byte(wireformat.Recorded(t, "tombstones")), &recorded); err != nil {
+	if err := json.Unmarshal([]byte(wireformat.ReadGolden(t, "tombstones")), &recorded); err != nil {
 		t.Fatal(err)
 	}
 	for i, e := range recorded {
@@ -31,5 +31,5 @@
 			t.Errorf("%s %s: got %s, %+v, %t, %v; want wk-1, %+v", e.Set, e.Value, id, got, ok, err, want)
 		}
 	}
-	wireformat.Golden(t, "keys", strings.Join([]string{LegacyKey("wk-1"), Key("wk-1")}, "\n")+"\n")
+	wireformat.CheckGolden(t, "keys", strings.Join([]string{LegacyKey("wk-1"), Key("wk-1")}, "\n")+"\n")
 }
--- a/test/integration/delayed_writes_test.go
+++ b/test/integration/delayed_writes_test.go
@@ -162,12 +162,12 @@
 	runScenario(t, 1, func(b *testbed) {
 		b.crash("host-0")
 		time.Sleep(6 * time.Second)
-		b.stateClient("host-0").SetFaults(0, 1)
+		b.stateClient("host-0").SetLatencyAndTxnDelays(0, 1)
 		b.stateClient("host-0").SetTxnDelay(3 * time.Second)
 		b.stateClient("host-0").SetDropRevokes(true)
 		b.start("host-0")
 		time.Sleep(time.Second)
-		b.stateClient("host-0").SetFaults(0, 0)
+		b.stateClient("host-0").SetLatencyAndTxnDelays(0, 0)
 		b.waitUntil("the next session is registered", 10*time.Second, func() bool {
 			return b.keyRevision(statekv.SessionPrefix+"host-0") > 0
 		})
@@ -252,7 +252,7 @@
 			if step.verb == "cancel" {
 				b.history.RecordCancelRequest(s.ID)
 			}
-			requestedAt, sent := b.history.StampRequest(), time.Now()
+			requestedAt, sent := b.history.NextRequestTime(), time.Now()
 			code, status := b.callAsUser("host-1", step.method, step.path, submissionOf(s), 5*time.Second)
 			took := time.Since(sent)
 			b.history.RecordResponse(step.verb, s.ID, requestedAt, code, status)
--- a/test/integration/drawn_faults_test.go
+++ b/test/integration/drawn_faults_test.go
@@ -34,7 +34,7 @@
 		if rng.IntN(2) == 0 {
 			b.submitRandomJob(rng)
 		}
-		if ids := b.history.AcceptedJobs(); rng.IntN(6) == 0 && len(ids) > 0 {
+		if ids := b.history.AcceptedJobIDs(); rng.IntN(6) == 0 && len(ids) > 0 {
 			go b.cancel("", ids[rng.IntN(len(ids))])
 		}
 		active = b.endDueFaults(active)
@@ -95,7 +95,7 @@
 	case 4:
 		s.Spread = true
 	}
-	if ids := b.history.AcceptedJobs(); rng.IntN(4) == 0 && len(ids) > 0 {
+	if ids := b.history.AcceptedJobIDs(); rng.IntN(4) == 0 && len(ids) > 0 {
 		s.WaitsOn = []string{ids[rng.IntN(len(ids))]}
 	}
 	runTime := time.Duration(2+rng.IntN(60)) * time.Second
@@ -126,7 +126,7 @@
 
 // Random faults of all kinds coincide. No rule may be violated, and every accepted job must remain
 // known, be reported on request, and finish.
-func TestDrawnFaults(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6, 7, 8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -136,7 +136,7 @@
 			}
 			runScenarioWithBootTime(t, seed, bootS, func(b *testbed) {
 				b.runRandomFaults(seed)
-				if n := len(b.history.AcceptedJobs()); n < 15 || b.history.TaskStarts() < 20 {
+				if n := len(b.history.AcceptedJobIDs()); n < 15 || b.history.TaskStarts() < 20 {
 					b.t.Errorf("scenario hardly exercised: %d jobs and %d task starts, want at least 15 and 20",
 						n, b.history.TaskStarts())
 				}
--- a/test/integration/failover_test.go
+++ b/test/integration/failover_test.go
@@ -121,7 +121,7 @@
 					time.Sleep(15 * time.Second)
 					for round := range 4 {
 						for _, h := range b.hosts {
-							b.stateClient(h).SetFaults(0, delayedShare)
+							b.stateClient(h).SetLatencyAndTxnDelays(0, delayedShare)
 							b.crash(h)
 						}
 						time.Sleep(firstRestart)
@@ -220,7 +220,7 @@
 						}
 						go b.submitStaggered("", arrayJob(b.nextJobID(), 1+k%3), 10*time.Second, 5*time.Second)
 						if k%3 == 1 {
-							if ids := b.history.AcceptedJobs(); len(ids) > 2 {
+							if ids := b.history.AcceptedJobIDs(); len(ids) > 2 {
 								go b.cancel("", ids[1+k%(len(ids)-1)])
 							}
 						}
--- a/test/integration/fault_kinds_test.go
+++ b/test/integration/fault_kinds_test.go
@@ -104,8 +104,8 @@
 var stateServiceFaults = []fault{
 	lastingFault("the state service rejects a controller", 1, 90, 3, func(b *testbed, rng *rand.Rand) func() {
 		h := randomHost(b, rng)
-		b.stateClient(h).SetRefuseAll(true)
-		return func() { b.stateClient(h).SetRefuseAll(false) }
+		b.stateClient(h).SetRejectAll(true)
+		return func() { b.stateClient(h).SetRejectAll(false) }
 	}),
 	lastingFault("the state service is down", 1, 80, 2, func(b *testbed, _ *rand.Rand) func() {
 		b.state.SetOutage(true, false)
@@ -124,10 +124,10 @@
 var networkFaults = []fault{
 	lastingFault("a controller is partitioned from state and peers", 5, 90, 3, func(b *testbed, rng *rand.Rand) func() {
 		h := randomHost(b, rng)
-		b.stateClient(h).SetRefuseAll(true)
+		b.stateClient(h).SetRejectAll(true)
 		b.network.setPartitioned(h, true)
 		return func() {
-			b.stateClient(h).SetRefuseAll(false)
+			b.stateClient(h).SetRejectAll(false)
 			b.network.setPartitioned(h, false)
 		}
 	}),
@@ -181,9 +181,9 @@
 }
 
 func setResponsesDelayed(m *emulator.SimulatedMachine, on bool) {
-	m.AnswerDelay = 0
+	m.ResponseDelay = 0
 	if on {
-		m.AnswerDelay = 3 * time.Second
+		m.ResponseDelay = 3 * time.Second
 	}
 }
 
@@ -248,8 +248,8 @@
 	}),
 	lastingFault("users query frequently", 5, 30, 2, func(b *testbed, rng *rand.Rand) func() {
 		return b.repeat(rng.IntN(1000), 2*time.Second, func(k int) {
-			if ids := b.history.AcceptedJobs(); len(ids) > 0 {
-				s, _ := b.history.Spec(ids[k*7%len(ids)])
+			if ids := b.history.AcceptedJobIDs(); len(ids) > 0 {
+				s, _ := b.history.SubmittedSpec(ids[k*7%len(ids)])
 				if k%3 == 0 {
 					b.cancelPromptly(b.hosts[k%3], s.ID)
 				}
@@ -260,8 +260,8 @@
 	}),
 	lastingFault("users resubmit jobs and submit invalid ones", 5, 30, 1, func(b *testbed, rng *rand.Rand) func() {
 		return b.repeat(rng.IntN(1000), 700*time.Millisecond, func(k int) {
-			if ids := b.history.AcceptedJobs(); len(ids) > 0 {
-				s, _ := b.history.Spec(ids[k*5%len(ids)])
+			if ids := b.history.AcceptedJobIDs(); len(ids) > 0 {
+				s, _ := b.history.SubmittedSpec(ids[k*5%len(ids)])
 				b.resubmit(b.hosts[k%3], s)
 			}
 			invalid := arrayJob(b.nextJobID(), 1)
@@ -284,7 +284,7 @@
 		at := rng.IntN(8)
 		b.forEachMachine(func(m *emulator.SimulatedMachine) {
 			if at--; at == 0 {
-				m.Kill()
+				m.Fail()
 			}
 		})
 	}),
@@ -305,7 +305,7 @@
 // cancelJobsOnHungMachines makes up to four machines hang and cancels the jobs on them.
 func cancelJobsOnHungMachines(b *testbed, rng *rand.Rand) func() {
 	hung := map[string]bool{}
-	for _, id := range b.history.AcceptedJobs() {
+	for _, id := range b.history.AcceptedJobIDs() {
 		machine := b.history.MachineOfFirstTask(id)
 		if machine != "" && len(hung) < 4 && rng.IntN(2) == 0 {
 			hung[machine] = true
--- a/test/integration/frequent_queries_test.go
+++ b/test/integration/frequent_queries_test.go
@@ -21,19 +21,19 @@
 			b.stateClient("host-1").SetWatchLag(1500 * time.Millisecond)
 		},
 		"the state service is slow for one controller": func(b *testbed) {
-			b.stateClient("host-1").SetFaults(700*time.Millisecond, 0)
+			b.stateClient("host-1").SetLatencyAndTxnDelays(700*time.Millisecond, 0)
 		},
-		"the state service rejects one controller": func(b *testbed) { b.stateClient("host-1").SetRefuseAll(true) },
+		"the state service rejects one controller": func(b *testbed) { b.stateClient("host-1").SetRejectAll(true) },
 		"one controller restarts repeatedly":       func(b *testbed) { go b.restartRepeatedly("host-1") },
 		"responses to one controller are lost": func(b *testbed) {
-			b.stateClient("host-1").SetLoseAnswersOnly(true)
-			b.stateClient("host-1").SetFaults(0, 0.5)
+			b.stateClient("host-1").SetLoseResponsesOnly(true)
+			b.stateClient("host-1").SetLatencyAndTxnDelays(0, 0.5)
 		},
 		"one controller is partitioned from its peers": func(b *testbed) {
 			b.ensureNotLeader("host-1")
 			b.network.setPartitioned("host-1", true)
 		},
-		"writes of one controller are delayed": func(b *testbed) { b.stateClient("host-1").SetFaults(0, 0.5) },
+		"writes of one controller are delayed": func(b *testbed) { b.stateClient("host-1").SetLatencyAndTxnDelays(0, 0.5) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/test/integration/lost_answers_test.go
+++ b/test/integration/lost_answers_test.go
@@ -14,7 +14,7 @@
 // or the reverse. For a while, transactions are applied and only their responses are lost, while
 // users submit, cancel and query elsewhere and the holder of a role crashes. This affects
 // submissions, cancellations, completions, the acquisition of every role and claims of machines.
-func TestAppliedTransactionsWithLostAnswers(t *testing.T) {
+func TestAppliedTransactionsWithLostResponses(t *testing.T) {
 	for _, share := range []float64{0.4, 1} {
 		for _, f := range failovers(roles) {
 			t.Run(fmt.Sprint(share, " of the transactions, ", f), func(t *testing.T) {
@@ -89,10 +89,10 @@
 				} else {
 					time.Sleep(15 * time.Second)
 				}
-				b.stateClient("host-1").SetLoseAnswersOnly(true)
+				b.stateClient("host-1").SetLoseResponsesOnly(true)
 				b.stateClient("host-1").DelayNextTxns(3)
 				before := b.stateClient("host-1").AppliedUnansweredTxns()
-				requestedAt := b.history.StampRequest()
+				requestedAt := b.history.NextRequestTime()
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
--- a/test/integration/machine_loss_test.go
+++ b/test/integration/machine_loss_test.go
@@ -35,7 +35,7 @@
 				})
 				killed := 0
 				for _, s := range jobs {
-					b.withMachine(b.history.MachineOfFirstTask(s.ID), func(m *emulator.SimulatedMachine) { m.Kill(); killed++ })
+					b.withMachine(b.history.MachineOfFirstTask(s.ID), func(m *emulator.SimulatedMachine) { m.Fail(); killed++ })
 					if s.ID == bound.ID && role != noRole {
 						b.crashFor(b.hostsOf(role, oneZone.ID), 400*time.Millisecond)
 					}
@@ -44,7 +44,7 @@
 				time.Sleep(20 * time.Second)
 				b.forEachMachine(func(m *emulator.SimulatedMachine) {
 					if m.Zone() == "b" {
-						m.Kill()
+						m.Fail()
 						killed++
 					}
 				})
@@ -104,7 +104,7 @@
 			return b.history.TasksOnMachines(elsewhere.ID) == 1 &&
 				b.cloud.HasCapacity(inZone(other, arrayJob("", 2)), 2)
 		})
-		b.withMachine(lost, func(m *emulator.SimulatedMachine) { m.Kill() })
+		b.withMachine(lost, func(m *emulator.SimulatedMachine) { m.Fail() })
 		b.waitUntil("the array has lost two tasks", 90*time.Second, func() bool {
 			return b.history.TasksOnMachines(array.ID) == 1
 		})
--- a/test/integration/partition_test.go
+++ b/test/integration/partition_test.go
@@ -18,7 +18,7 @@
 			t.Parallel()
 			runScenario(t, 11, func(b *testbed) {
 				local, remote := b.startRunningJob("host-0", "a", job.Array), b.startRunningJob("host-0", "b", job.Gang)
-				b.stateClient("host-0").SetRefuseAll(true)
+				b.stateClient("host-0").SetRejectAll(true)
 				if inboundOnly {
 					b.network.setInboundLost("host-0", true)
 				} else {
@@ -43,7 +43,7 @@
 					}
 					b.submitOnce("host-0", late.ID, submissionOf(late))
 				}
-				b.stateClient("host-0").SetRefuseAll(false)
+				b.stateClient("host-0").SetRejectAll(false)
 				b.network.setPartitioned("host-0", false)
 				b.network.setInboundLost("host-0", false)
 				time.Sleep(30 * time.Second)
@@ -87,16 +87,16 @@
 				}
 				setZonePartitioned := func(on bool) {
 					b.network.setPartitioned("host-1", on)
-					b.stateClient("host-1").SetRefuseAll(on)
+					b.stateClient("host-1").SetRejectAll(on)
 					b.setUnreachableByUsers("host-1", on)
 					b.forEachMachine(func(m *emulator.SimulatedMachine) {
 						switch {
 						case m.Zone() != "b":
 							m.UnreachableFrom = map[bool]string{true: "host-1"}[on]
 						case on:
-							m.OnlyController = "host-1"
+							m.OnlyReachableController = "host-1"
 						default:
-							m.OnlyController = ""
+							m.OnlyReachableController = ""
 						}
 					})
 				}
--- a/test/integration/refused_controller_test.go
+++ b/test/integration/refused_controller_test.go
@@ -25,9 +25,9 @@
 			return b.history.TasksOnMachines(s.ID) == 10
 		})
 		b.forEachMachine(func(m *emulator.SimulatedMachine) { m.CommandsLost = true })
-		b.stateClient("host-0").SetRefuseRenewals(true)
+		b.stateClient("host-0").SetRejectRenewals(true)
 		time.Sleep(3 * time.Minute)
-		b.stateClient("host-0").SetRefuseRenewals(false)
+		b.stateClient("host-0").SetRejectRenewals(false)
 		b.forEachMachine(func(m *emulator.SimulatedMachine) { m.CommandsLost = false })
 		time.Sleep(15 * time.Minute)
 		b.history.CheckFinalState()
@@ -65,7 +65,7 @@
 	if before != nil {
 		before()
 	}
-	b.stateClient(c.rejected).SetRefuseAll(true)
+	b.stateClient(c.rejected).SetRejectAll(true)
 	running := b.history.TasksOnMachines(s.ID)
 	if running == 0 {
 		b.t.Fatal("scenario not exercised: no task was on a machine")
@@ -80,7 +80,7 @@
 	b.state.SetOutage(true, false)
 	time.Sleep(workers.CancellationDeadline + 40*time.Second)
 	b.state.SetOutage(false, false)
-	b.stateClient(c.rejected).SetRefuseAll(false)
+	b.stateClient(c.rejected).SetRejectAll(false)
 	time.Sleep(40 * time.Second)
 	b.t.Logf("%d tasks were on machines before the cancellation; tasks stopped %v after the acknowledgement",
 		running, b.history.TimesToStopAfterCancel())
--- a/test/integration/slow_links_test.go
+++ b/test/integration/slow_links_test.go
@@ -28,7 +28,7 @@
 				runScenario(t, 13, func(b *testbed) {
 					b.startRunningJob("host-0", "a", job.Array) // so that machines are up
 					b.forEachMachine(func(m *emulator.SimulatedMachine) {
-						m.CommandDelay, m.AnswerDelay = delay, min(delay, 3*time.Second)
+						m.CommandDelay, m.ResponseDelay = delay, min(delay, 3*time.Second)
 					})
 					var ids []string
 					for k := range 6 {
@@ -43,7 +43,7 @@
 					change(b)
 					go b.cancel("", ids[0])
 					time.Sleep(25 * time.Second)
-					b.forEachMachine(func(m *emulator.SimulatedMachine) { m.CommandDelay, m.AnswerDelay = 0, 0 })
+					b.forEachMachine(func(m *emulator.SimulatedMachine) { m.CommandDelay, m.ResponseDelay = 0, 0 })
 					b.cancel("", "wk-000001")
 					time.Sleep(6 * time.Minute)
 					b.history.CheckFinalState()
@@ -61,9 +61,9 @@
 		b.setStateFaults(300*time.Millisecond, 0)
 		setSlow := func(on bool) {
 			b.forEachMachine(func(m *emulator.SimulatedMachine) {
-				m.CommandDelay, m.AnswerDelay = 0, 0
+				m.CommandDelay, m.ResponseDelay = 0, 0
 				if on {
-					m.CommandDelay, m.AnswerDelay = time.Second, 700*time.Millisecond
+					m.CommandDelay, m.ResponseDelay = time.Second, 700*time.Millisecond
 				}
 			})
 		}
--- a/test/integration/stale_heartbeats_test.go
+++ b/test/integration/stale_heartbeats_test.go
@@ -55,9 +55,9 @@
 						time.Sleep(4 * time.Second)
 					case endedEpoch:
 						// The workers receive the responses too late, so their leases expire.
-						b.forEachMachine(func(m *emulator.SimulatedMachine) { m.AnswerDelay = 4500 * time.Millisecond })
+						b.forEachMachine(func(m *emulator.SimulatedMachine) { m.ResponseDelay = 4500 * time.Millisecond })
 						time.Sleep(workers.LeaseDuration + 6*time.Second)
-						b.forEachMachine(func(m *emulator.SimulatedMachine) { m.AnswerDelay = 0 })
+						b.forEachMachine(func(m *emulator.SimulatedMachine) { m.ResponseDelay = 0 })
 						b.waitUntil("two tasks are running again", 3*time.Minute, func() bool {
 							return b.history.TasksOnMachines(short.ID)+b.history.TasksOnMachines(long.ID) > 1
 						})
--- a/test/integration/submission_rate_test.go
+++ b/test/integration/submission_rate_test.go
@@ -34,8 +34,8 @@
 			}
 		},
 		"the state service rejects a controller": func(b *testbed) func() {
-			b.stateClient("host-1").SetRefuseAll(true)
-			return func() { b.stateClient("host-1").SetRefuseAll(false) }
+			b.stateClient("host-1").SetRejectAll(true)
+			return func() { b.stateClient("host-1").SetRejectAll(false) }
 		},
 		"the state service is down": func(b *testbed) func() {
 			b.state.SetOutage(true, false)
--- a/test/integration/testbed_test.go
+++ b/test/integration/testbed_test.go
@@ -336,7 +336,7 @@
 // at all controllers.
 func (b *testbed) setStateFaults(latency time.Duration, delayedShare float64) {
 	for _, h := range b.hosts {
-		b.stateClient(h).SetFaults(latency, delayedShare)
+		b.stateClient(h).SetLatencyAndTxnDelays(latency, delayedShare)
 	}
 }
 
@@ -344,7 +344,7 @@
 // selects are applied at once, so that only their responses are lost, or are applied late.
 func (b *testbed) setLoseResponsesOnly(on bool) {
 	for _, h := range b.hosts {
-		b.stateClient(h).SetLoseAnswersOnly(on)
+		b.stateClient(h).SetLoseResponsesOnly(on)
 	}
 }
 
--- a/test/integration/unknown_tasks_test.go
+++ b/test/integration/unknown_tasks_test.go
@@ -15,9 +15,9 @@
 	runScenario(t, 31, func(b *testbed) {
 		b.startRunningJob("host-0", "a", job.Array)
 		b.forEachMachine(func(m *emulator.SimulatedMachine) {
-			m.PlantTask("wk-777777/0", 3)
-			m.PlantTask("nobody's", 1)
-			m.PlantTask("wk-000001/99999999999999999999", 1)
+			m.InjectTask("wk-777777/0", 3)
+			m.InjectTask("nobody's", 1)
+			m.InjectTask("wk-000001/99999999999999999999", 1)
 		})
 		left := func(task string) (n int) {
 			b.forEachMachine(func(m *emulator.SimulatedMachine) {
--- a/test/integration/unreachable_machines_test.go
+++ b/test/integration/unreachable_machines_test.go
@@ -92,8 +92,8 @@
 			"all controllers restart": func(b *testbed, id string) func() { return b.crashFor(b.hosts, time.Second) },
 			"the state service rejects the owner": func(b *testbed, id string) func() {
 				h := b.hostsOf(ownerRole, id)[0]
-				b.stateClient(h).SetRefuseAll(true)
-				return func() { b.stateClient(h).SetRefuseAll(false) }
+				b.stateClient(h).SetRejectAll(true)
+				return func() { b.stateClient(h).SetRejectAll(false) }
 			},
 		} {
 			t.Run(fmt.Sprint("for ", hang, ", ", name), func(t *testing.T) {
--- a/test/integration/users_test.go
+++ b/test/integration/users_test.go
@@ -63,7 +63,7 @@
 
 // submitOnce submits a job to a controller without retries.
 func (b *testbed) submitOnce(host, id string, submission any) (code int, status string) {
-	requestedAt := b.history.StampRequest()
+	requestedAt := b.history.NextRequestTime()
 	code, status = b.callAsUser(host, http.MethodPost, "/submissions", submission, submitTimeout)
 	b.history.RecordResponse("submit", id, requestedAt, code, status)
 	return code, status
@@ -71,7 +71,7 @@
 
 // queryOnce queries the status of a job at a controller.
 func (b *testbed) queryOnce(host, id string) (code int, status string) {
-	requestedAt := b.history.StampRequest()
+	requestedAt := b.history.NextRequestTime()
 	code, status = b.callAsUser(host, http.MethodGet, "/submissions/"+id, nil, queryTimeout)
 	b.history.RecordResponse("query", id, requestedAt, code, status)
 	return code, status
@@ -79,7 +79,7 @@
 
 // cancelOnce sends a cancellation without retries. The caller must have called RecordCancelRequest.
 func (b *testbed) cancelOnce(host, id string) (code int, status string) {
-	requestedAt := b.history.StampRequest()
+	requestedAt := b.history.NextRequestTime()
 	code, status = b.callAsUser(host, http.MethodPost, "/submissions/"+id+"/abort", nil, submitTimeout)
 	b.history.RecordResponse("cancel", id, requestedAt, code, status)
 	return code, status
--- a/test/wireformat/forms.go
+++ b/test/wireformat/forms.go
@@ -11,15 +11,15 @@
 	"testing"
 )
 
-// Service compares the methods of a service that net/rpc would register, with the form of each
-// argument and reply, with the golden file "rpc". It also checks that messages that an earlier
+// CheckRPCService compares the methods of a service that net/rpc would register, with the form of
+// each argument and reply, with the golden file "rpc". It also checks that messages that an earlier
 // build encoded still decode to the same values.
-func Service(t *testing.T, service any) {
+func CheckRPCService(t *testing.T, service any) {
 	t.Helper()
 	const file = "rpc"
 	var recorded map[string]message
-	if !Updating() {
-		recorded = parseMessages(t, Recorded(t, file))
+	if !UpdatingGolden() {
+		recorded = parseMessages(t, ReadGolden(t, file))
 	}
 	var all strings.Builder
 	typ := reflect.TypeOf(service)
@@ -34,10 +34,10 @@
 				messageType = messageType.Elem()
 			}
 			name := m.Name + " " + role
-			current := message{form: Describe(messageType), stream: encodeFilled(t, messageType)}
+			current := message{form: DescribeGobType(messageType), stream: encodeFilled(t, messageType)}
 			stream := base64.StdEncoding.EncodeToString(current.stream)
 			fmt.Fprintf(&all, "== %s\n%sgob %s\n", name, current.form, stream)
-			if Updating() {
+			if UpdatingGolden() {
 				continue
 			}
 			t.Run(name, func(t *testing.T) { current.check(t, messageType, recorded[name]) })
@@ -47,8 +47,8 @@
 	for name := range recorded {
 		t.Errorf("%s is recorded, but the service has no such method", name)
 	}
-	if Updating() {
-		Golden(t, file, all.String())
+	if UpdatingGolden() {
+		CheckGolden(t, file, all.String())
 	}
 }
 
@@ -116,27 +116,27 @@
 	return b.Bytes()
 }
 
-// JSON compares the JSON encodings of a filled and of a zero T with the golden file of that name,
-// and checks that the recorded filled value decodes without loss.
-func JSON[T any](t *testing.T, name string) {
+// CheckJSON compares the JSON encodings of a filled and of a zero T with the golden file of that
+// name, and checks that the recorded filled value decodes without loss.
+func CheckJSON[T any](t *testing.T, name string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		var value, zero T
 		Fill(&value)
-		Golden(t, name, "filled "+Indent(t, value)+"\nzero "+Indent(t, zero)+"\n")
-		recorded, _, _ := strings.Cut(strings.TrimPrefix(Recorded(t, name), "filled "), "\nzero ")
+		CheckGolden(t, name, "filled "+IndentJSON(t, value)+"\nzero "+IndentJSON(t, zero)+"\n")
+		recorded, _, _ := strings.Cut(strings.TrimPrefix(ReadGolden(t, name), "filled "), "\nzero ")
 		var got T
 		if err := json.Unmarshal([]byte(recorded), &got); err != nil {
 			t.Fatalf("decoding the recorded value: %v", err)
 		}
-		if wantJSON, gotJSON := Indent(t, value), Indent(t, got); wantJSON != gotJSON {
+		if wantJSON, gotJSON := IndentJSON(t, value), IndentJSON(t, got); wantJSON != gotJSON {
 			t.Errorf("decoding the recorded value: got %s, want %s", gotJSON, wantJSON)
 		}
 	})
 }
 
-// Indent returns v as indented JSON.
-func Indent(t testing.TB, v any) string {
+// IndentJSON returns v as indented JSON.
+func IndentJSON(t testing.TB, v any) string {
 	t.Helper()
 	raw, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
--- a/test/wireformat/names_test.go
+++ b/test/wireformat/names_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	collected := collect(m)
-	if Updating() {
+	if UpdatingGolden() {
 		if err := os.WriteFile(listFile, []byte(collected.format()), 0o644); err != nil {
 			t.Fatal(err)
 		}
--- a/test/wireformat/peer.go
+++ b/test/wireformat/peer.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// Peer is an HTTP server for tests of clients. It records each request and sends the given
-// responses in order.
-type Peer struct {
+// RecordingServer is an HTTP server for tests of clients. It records each request and sends the
+// given responses in order.
+type RecordingServer struct {
 	server *httptest.Server
 
 	mu        sync.Mutex
@@ -21,34 +21,34 @@
 	record    strings.Builder
 }
 
-// NewPeer starts a server that is closed when the test ends.
-func NewPeer(t testing.TB, responses ...string) *Peer {
-	p := &Peer{responses: responses}
-	p.server = httptest.NewServer(p)
-	t.Cleanup(p.server.Close)
-	return p
+// NewRecordingServer starts a server that is closed when the test ends.
+func NewRecordingServer(t testing.TB, responses ...string) *RecordingServer {
+	s := &RecordingServer{responses: responses}
+	s.server = httptest.NewServer(s)
+	t.Cleanup(s.server.Close)
+	return s
 }
 
 // Address returns the host:port at which the server listens.
-func (p *Peer) Address() string { return strings.TrimPrefix(p.server.URL, "http://") }
+func (s *RecordingServer) Address() string { return strings.TrimPrefix(s.server.URL, "http://") }
 
-// Notef appends a line to the record, for example the client's interpretation of a response.
-func (p *Peer) Notef(format string, args ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	fmt.Fprintf(&p.record, format+"\n", args...)
+// Recordf appends a line to the record, for example the client's interpretation of a response.
+func (s *RecordingServer) Recordf(format string, args ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	fmt.Fprintf(&s.record, format+"\n", args...)
 }
 
-// Notes returns the requests and lines recorded so far.
-func (p *Peer) Notes() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.record.String()
+// Record returns the requests and lines recorded so far.
+func (s *RecordingServer) Record() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.record.String()
 }
 
 // ServeHTTP records a request and sends the next response. Without a response left it sends status
 // 500.
-func (p *Peer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *RecordingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -64,16 +64,16 @@
 	if len(body) > 0 {
 		words = append(words, r.Header.Get("Content-Type"), string(body))
 	}
-	p.Notef("%s", strings.Join(words, " "))
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.responses) == 0 {
+	s.Recordf("%s", strings.Join(words, " "))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.responses) == 0 {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	var status int
-	code, response, _ := strings.Cut(p.responses[0], " ")
-	p.responses = p.responses[1:]
+	code, response, _ := strings.Cut(s.responses[0], " ")
+	s.responses = s.responses[1:]
 	if _, err := fmt.Sscan(code, &status); err != nil {
 		status = http.StatusInternalServerError
 	}
--- a/test/wireformat/wireformat.go
+++ b/test/wireformat/wireformat.go
@@ -22,13 +22,13 @@
 // updateVariable is the environment variable that makes tests rewrite their golden files.
 const updateVariable = "UPDATE_GOLDEN"
 
-// Updating reports whether tests rewrite golden files instead of comparing with them.
-func Updating() bool { return os.Getenv(updateVariable) == "1" }
+// UpdatingGolden reports whether tests rewrite golden files instead of comparing with them.
+func UpdatingGolden() bool { return os.Getenv(updateVariable) == "1" }
 
 func goldenPath(name string) string { return filepath.Join("testdata", "wire", name+".golden") }
 
-// Recorded returns the contents of the golden file of that name.
-func Recorded(t testing.TB, name string) string {
+// ReadGolden returns the contents of the golden file of that name.
+func ReadGolden(t testing.TB, name string) string {
 	t.Helper()
 	raw, err := os.ReadFile(goldenPath(name))
 	if err != nil {
@@ -37,10 +37,10 @@
 	return string(raw)
 }
 
-// Golden compares got with the golden file of that name.
-func Golden(t testing.TB, name, got string) {
+// CheckGolden compares got with the golden file of that name.
+func CheckGolden(t testing.TB, name, got string) {
 	t.Helper()
-	if Updating() {
+	if UpdatingGolden() {
 		if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 		}
 		return
 	}
-	if difference := firstDifference(Recorded(t, name), got); difference != "" {
+	if difference := firstDifference(ReadGolden(t, name), got); difference != "" {
 		t.Errorf("%q differs from its golden file: %s", name, difference)
 	}
 }
@@ -73,9 +73,9 @@
 	return ""
 }
 
-// Describe lists the fields of a type that gob encodes, in order and recursively, with their kinds.
-// gob encodes an embedded struct as a field with the name of its type.
-func Describe(t reflect.Type) string {
+// DescribeGobType lists the fields of a type that gob encodes, in order and recursively, with their
+// kinds. gob encodes an embedded struct as a field with the name of its type.
+func DescribeGobType(t reflect.Type) string {
 	var b strings.Builder
 	describe(&b, t, "")
 	return b.String()
--- a/tools/audit/events.go
+++ b/tools/audit/events.go
@@ -25,7 +25,8 @@
 		return l.recordTaskRun(at, fields)
 	case logline.JobAccepted:
 		return l.recordAcceptance(at, fields)
-	case logline.TaskCommitted, logline.JobCompleted, logline.JobCancelled, logline.JobReady, logline.JobWithdrawn:
+	case logline.TaskCommitted, logline.JobCompleted, logline.JobCancelled, logline.JobDependenciesSatisfied,
+		logline.JobCancelledByDependency:
 		l.recordJobEvent(at, message, fields)
 	}
 	return nil
--- a/tools/audit/jobs.go
+++ b/tools/audit/jobs.go
@@ -76,9 +76,9 @@
 		setEarliest(&j.startedAt, at)
 	case logline.JobCompleted:
 		setEarliest(&j.completedAt, at)
-	case logline.JobCancelled, logline.JobWithdrawn:
+	case logline.JobCancelled, logline.JobCancelledByDependency:
 		setEarliest(&j.cancelledAt, at)
-	case logline.JobReady:
+	case logline.JobDependenciesSatisfied:
 		setEarliest(&j.dependenciesSatisfiedAt, at)
 	}
 }
--- a/tools/audit/wire_test.go
+++ b/tools/audit/wire_test.go
@@ -25,7 +25,7 @@
 func TestWireLogLines(t *testing.T) {
 	var want []string
 	messages := map[string]bool{}
-	for _, line := range strings.Split(strings.TrimSpace(wireformat.Recorded(t, "log-lines")), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(wireformat.ReadGolden(t, "log-lines")), "\n") {
 		message, renamed := renameRecordedLine(t, line)
 		messages[message] = true
 		want = append(want, renamed)
--- a/tools/devcluster/childattributes_linux.go
+++ b/tools/devcluster/childattributes_linux.go
@@ -2,9 +2,9 @@
 
 import "syscall"
 
-// ChildAttributes puts a child process into its own process group, so that an interrupt from the
-// terminal does not reach it and the parent stops the processes in its own order. The kernel kills
-// the child when the parent ends, however that happens.
-func ChildAttributes() *syscall.SysProcAttr {
+// ChildProcessAttributes puts a child process into its own process group, so that an interrupt from
+// the terminal does not reach it and the parent stops the processes in its own order. The kernel
+// kills the child when the parent ends, however that happens.
+func ChildProcessAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
--- a/tools/devcluster/cluster.go
+++ b/tools/devcluster/cluster.go
@@ -124,12 +124,12 @@
 		leaseExpiryStop: make(chan struct{}),
 	}
 	c.Cloud = emulator.NewLocalCloud(ctx, emulator.LocalCloudConfig{
-		MachineTypes:      []cloud.MachineType{machineType(o.GPUs)},
-		MaxPerPool:        max(1, o.MaxMachines/poolCount),
-		Controllers:       addresses,
-		HeartbeatInterval: heartbeatInterval,
-		LeaseDuration:     leaseDuration,
-		LookUpSpec:        c.lookUpSpec,
+		MachineTypes:       []cloud.MachineType{machineType(o.GPUs)},
+		MaxMachinesPerPool: max(1, o.MaxMachines/poolCount),
+		Controllers:        addresses,
+		HeartbeatInterval:  heartbeatInterval,
+		LeaseDuration:      leaseDuration,
+		LookUpSpec:         c.lookUpSpec,
 	})
 	if err := c.start(ctx); err != nil {
 		c.Stop()
--- a/tools/devcluster/controllers.go
+++ b/tools/devcluster/controllers.go
@@ -156,7 +156,7 @@
 	if c.config.LogLevel != "" {
 		cmd.Env = append(os.Environ(), "LOG_LEVEL="+c.config.LogLevel)
 	}
-	cmd.SysProcAttr = ChildAttributes()
+	cmd.SysProcAttr = ChildProcessAttributes()
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("starting controller %s: %w", host, err)
 	}
--- a/tools/devcluster/rolloutreport.go
+++ b/tools/devcluster/rolloutreport.go
@@ -46,7 +46,7 @@
 	for _, j := range u.jobs {
 		byStatus[j.finalStatus]++
 	}
-	restarts, longestGap := localCloud.Restarts()
+	restarts, longestGap := localCloud.RestartStats()
 	sizeViolations := state.SizeViolations()
 	violations := slices.Concat(u.violations, localCloud.Violations())
 	console.Printf(out, "%d rolls forward and back; levels lowered from %v, former ones refused at %v\n",
@@ -69,7 +69,7 @@
 
 // drain queries unfinished jobs until all accepted jobs are finished or the time for that is over.
 func (r *rolloutRun) drain(ctx context.Context) {
-	limit := minDrainTime + time.Duration(drainMeanRunTimes*r.plan.MeanSeconds*float64(time.Second))
+	limit := minDrainTime + time.Duration(drainMeanRunTimes*r.plan.MeanTaskSeconds*float64(time.Second))
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(drainInterval) {
 		unfinished, _ := r.users.jobsByCompletion()
 		if len(unfinished) == 0 {
--- a/tools/devcluster/rollouts.go
+++ b/tools/devcluster/rollouts.go
@@ -17,13 +17,13 @@
 
 // RolloutPlan configures repeated rollouts, and the load of jobs during them.
 type RolloutPlan struct {
-	Rollouts      int
-	FormerProgram string        // program of the previous version
-	RunningTasks  int           // target for the number of tasks that run at the same time
-	MeanTasks     float64       // mean number of tasks per job
-	MeanSeconds   float64       // mean run time of a task
-	MaxPause      time.Duration // longest pause after a controller is launched, before the next one is killed
-	Warmup        time.Duration // time under load before the first rollout
+	Rollouts        int
+	PreviousProgram string        // program of the previous version
+	RunningTasks    int           // target for the number of tasks that run at the same time
+	MeanTasksPerJob float64       // mean number of tasks per job
+	MeanTaskSeconds float64       // mean run time of a task
+	MaxPause        time.Duration // longest pause after a controller is launched, before the next one is killed
+	Warmup          time.Duration // time under load before the first rollout
 }
 
 // Upper bounds of the random pauses during a rollout.
@@ -65,11 +65,11 @@
 // RunRollouts prints a report. It returns an error if jobs were lost, if an invariant was violated,
 // or if the rollouts could not continue.
 func (c *Cluster) RunRollouts(ctx context.Context, out io.Writer, plan RolloutPlan) error {
-	if plan.FormerProgram == "" || plan.RunningTasks < 1 || plan.MeanTasks < 1 || plan.MeanSeconds <= 0 {
+	if plan.PreviousProgram == "" || plan.RunningTasks < 1 || plan.MeanTasksPerJob < 1 || plan.MeanTaskSeconds <= 0 {
 		return errors.New("rollouts need --former, --running and --tasks of at least 1, and --seconds above 0")
 	}
 	users := newUserLoad(c, plan)
-	c.Cloud.CheckDependencies(users.dependencyTasks)
+	c.Cloud.SetDependencyLookup(users.dependencyTasks)
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var load sync.WaitGroup
@@ -115,7 +115,7 @@
 		}
 	}
 	c.State.SetSizeLimits(0, 0) // the previous version respects only the higher limits
-	if err := r.replaceAll(ctx, r.plan.FormerProgram); err != nil {
+	if err := r.replaceAll(ctx, r.plan.PreviousProgram); err != nil {
 		return err
 	}
 	pauseUpTo(ctx, maxDowngradedPause)
--- a/tools/devcluster/userload.go
+++ b/tools/devcluster/userload.go
@@ -93,7 +93,7 @@
 			}
 		})
 	}
-	jobsPerSecond := float64(u.plan.RunningTasks) / (u.plan.MeanTasks * u.plan.MeanSeconds)
+	jobsPerSecond := float64(u.plan.RunningTasks) / (u.plan.MeanTasksPerJob * u.plan.MeanTaskSeconds)
 	startRepeating(time.Duration(float64(time.Second)/jobsPerSecond), func() { u.submit(ctx) })
 	startRepeating(queryInterval, func() { u.queryRandomJobs(ctx) })
 	goroutines.Wait()
@@ -146,11 +146,11 @@
 	s := submission{id: fmt.Sprintf("wk-%08d", n), dependencies: u.chooseDependencies()}
 	u.mu.Unlock()
 	shape := job.Array
-	s.tasks = 1 + rand.IntN(int(2*u.plan.MeanTasks))
+	s.tasks = 1 + rand.IntN(int(2*u.plan.MeanTasksPerJob))
 	if n%jobsPerGang == 0 {
 		shape, s.tasks = job.Gang, 1+rand.IntN(maxGangTasks)
 	}
-	s.body = NewSubmission(s.id, shape, "", s.tasks, 1, u.plan.MeanSeconds*(0.25+1.5*rand.Float64()))
+	s.body = NewSubmission(s.id, shape, "", s.tasks, 1, u.plan.MeanTaskSeconds*(0.25+1.5*rand.Float64()))
 	if len(s.dependencies) > 0 {
 		s.body["waits_on"] = s.dependencies
 	}
--- a/tools/scaletest/hostcapacity.go
+++ b/tools/scaletest/hostcapacity.go
@@ -44,8 +44,8 @@
 	otherProcesses               = 2     // the load process and this process
 )
 
-// CheckCapacity returns an ErrDoesNotFit that names the missing resource and its amounts if a rough
-// estimate of the run's use exceeds the capacity of the host.
+// CheckCapacity returns an ErrInsufficientCapacity that names the missing resource and its amounts
+// if a rough estimate of the run's use exceeds the capacity of the host.
 func (p *Profile) CheckCapacity(host HostCapacity) error {
 	workers, controllers := float64(p.Machines()), float64(p.Controllers.Count)
 	memory := controllers*math.Min(
@@ -56,12 +56,13 @@
 	switch {
 	case memory > host.MemoryMB:
 		return fmt.Errorf("%w: about %.0f MB of memory are needed, %.0f MB are allowed (half of the host's memory)",
-			ErrDoesNotFit, memory, host.MemoryMB)
+			ErrInsufficientCapacity, memory, host.MemoryMB)
 	case processes > host.Processes:
-		return fmt.Errorf("%w: %d processes are needed, %d are allowed", ErrDoesNotFit, processes, host.Processes)
+		return fmt.Errorf("%w: %d processes are needed, %d are allowed",
+			ErrInsufficientCapacity, processes, host.Processes)
 	case openFiles > host.OpenFilesPerProcess:
 		return fmt.Errorf("%w: about %d open files are needed in one process, %d are allowed",
-			ErrDoesNotFit, openFiles, host.OpenFilesPerProcess)
+			ErrInsufficientCapacity, openFiles, host.OpenFilesPerProcess)
 	}
 	return nil
 }
--- a/tools/scaletest/load.go
+++ b/tools/scaletest/load.go
@@ -45,11 +45,11 @@
 	maxRunning     int // highest number of tasks running at once
 }
 
-// RunLoad is the main function of the load process. It serves the simulated cloud at once. When it
-// reads the first line from in, it starts the workers and users, and from then on writes one line
-// of JSON with its progress to out each second. When it reads a second line, or in ends, it stops
-// the users and writes the result as the last line.
-func RunLoad(ctx context.Context, plan *LoadPlan, in io.Reader, out io.Writer) error {
+// RunLoadProcess is the main function of the load process. It serves the simulated cloud at once.
+// When it reads the first line from in, it starts the workers and users, and from then on writes
+// one line of JSON with its progress to out each second. When it reads a second line, or in ends,
+// it stops the users and writes the result as the last line.
+func RunLoadProcess(ctx context.Context, plan *LoadPlan, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	settings, err := config.Load(plan.Settings)
--- a/tools/scaletest/loadprocess.go
+++ b/tools/scaletest/loadprocess.go
@@ -55,7 +55,7 @@
 	defer func() { _ = log.Close() }() // the child process holds its own descriptor
 	p := &loadProcess{result: make(chan *LoadResult, 1)}
 	p.cmd = exec.CommandContext(ctx, c.program, "scale", "--"+LoadProcessFlag, planFile)
-	p.cmd.Stderr, p.cmd.SysProcAttr = log, devcluster.ChildAttributes()
+	p.cmd.Stderr, p.cmd.SysProcAttr = log, devcluster.ChildProcessAttributes()
 	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
--- a/tools/scaletest/loadresult.go
+++ b/tools/scaletest/loadresult.go
@@ -63,7 +63,7 @@
 		MaxRunningTasks:          l.maxRunning,
 		MaxQuotaOvershoot:        l.history.MaxQuotaOvershoot(),
 		CloudRequests:            l.cloudServer.Requests(),
-		CloudRefused:             l.cloudServer.Refused(),
+		CloudRefused:             l.cloudServer.RateLimited(),
 		WorkerLateness:           l.stepLateness.latency(),
 		Violations:               l.history.Violations(),
 	}
--- a/tools/scaletest/machinefaults.go
+++ b/tools/scaletest/machinefaults.go
@@ -37,7 +37,7 @@
 		})
 	}
 	if f.Kind != WorkerHangs {
-		forEachSelected((*emulator.SimulatedMachine).Kill)
+		forEachSelected((*emulator.SimulatedMachine).Fail)
 		return
 	}
 	forEachSelected(func(m *emulator.SimulatedMachine) { m.Hung = true })
--- a/tools/scaletest/profile.go
+++ b/tools/scaletest/profile.go
@@ -21,10 +21,10 @@
 
 // Errors for runs that cannot be started or continued.
 var (
-	// ErrProfile marks errors in a profile.
-	ErrProfile = errors.New("the profile is not valid")
-	// ErrDoesNotFit marks a run that exceeds the capacity of the host.
-	ErrDoesNotFit = errors.New("the run does not fit this machine")
+	// ErrInvalidProfile marks errors in a profile.
+	ErrInvalidProfile = errors.New("the profile is not valid")
+	// ErrInsufficientCapacity marks a run that exceeds the capacity of the host.
+	ErrInsufficientCapacity = errors.New("the run does not fit this machine")
 )
 
 // Profile describes a run: its duration, the size of the cluster, the limits, the load and the
@@ -167,16 +167,16 @@
 	Warmup      int   `toml:"warmup_s"`
 }
 
-// Load reads and checks a profile. Errors name the file, and for invalid content also the line and
-// the field.
-func Load(path string) (*Profile, error) {
+// LoadProfile reads and checks a profile. Errors name the file, and for invalid content also the
+// line and the field.
+func LoadProfile(path string) (*Profile, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrProfile, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidProfile, err)
 	}
 	p, err := ParseProfile(raw)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %s:%w", ErrProfile, path, err)
+		return nil, fmt.Errorf("%w: %s:%w", ErrInvalidProfile, path, err)
 	}
 	return p, nil
 }
--- a/tools/scaletest/profile_test.go
+++ b/tools/scaletest/profile_test.go
@@ -20,7 +20,7 @@
 // for.
 func TestRepositoryProfilesAreValid(t *testing.T) {
 	for name, want := range map[string]int{"small": 40, "today": 1354, "planned": 3000} {
-		p, err := Load("../../deploy/scale/" + name + ".toml")
+		p, err := LoadProfile("../../deploy/scale/" + name + ".toml")
 		if err != nil {
 			t.Error(err)
 			continue
@@ -49,16 +49,16 @@
 		if err := os.WriteFile(path, []byte(strings.Replace(small, c.from, c.to, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := Load(path)
+		_, err := LoadProfile(path)
 		if c.to == "" {
 			if err != nil {
 				t.Errorf("without %q: got error %v, want none", c.from, err)
 			}
 			continue
 		}
-		if !errors.Is(err, ErrProfile) || !strings.Contains(err.Error(), path+":") ||
+		if !errors.Is(err, ErrInvalidProfile) || !strings.Contains(err.Error(), path+":") ||
 			!strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q in place of %q: got error %v, want an ErrProfile with %q", c.to, c.from, err, c.want)
+			t.Errorf("%q in place of %q: got error %v, want an ErrInvalidProfile with %q", c.to, c.from, err, c.want)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 // A run that exceeds the memory, the processes or the open files of the host must be rejected with
 // the amounts.
 func TestCheckCapacityRejectsOversizedRun(t *testing.T) {
-	p, err := Load("../../deploy/scale/planned.toml")
+	p, err := LoadProfile("../../deploy/scale/planned.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,8 +81,8 @@
 	} {
 		reduced := large
 		shrink(&reduced)
-		if err := p.CheckCapacity(reduced); !errors.Is(err, ErrDoesNotFit) || !strings.Contains(err.Error(), want) {
-			t.Errorf("got error %v, want an ErrDoesNotFit with %q", err, want)
+		if err := p.CheckCapacity(reduced); !errors.Is(err, ErrInsufficientCapacity) || !strings.Contains(err.Error(), want) {
+			t.Errorf("got error %v, want an ErrInsufficientCapacity with %q", err, want)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 // Scaling a profile must keep the job rate per machine and drop the faults. A profile must draw the
 // same arrivals each time, and about as many as its rates and bursts state.
 func TestScaledProfileAndArrivals(t *testing.T) {
-	p, err := Load("../../deploy/scale/planned.toml")
+	p, err := LoadProfile("../../deploy/scale/planned.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/tools/scaletest/result.go
+++ b/tools/scaletest/result.go
@@ -123,7 +123,7 @@
 		}
 		c.Calls, c.SentBytes, c.ReceivedBytes = s.PeerTraffic.Calls, s.PeerTraffic.Sent, s.PeerTraffic.Received
 		c.Samples, c.Requeues = s.SchedulerCounters.Samples, s.SchedulerCounters.Requeues
-		c.RefusedQueries = s.RefusedQueries
+		c.RefusedQueries = s.RejectedQueries
 		c.Commits, c.Conflicts = s.AgentCounters.Commits, s.AgentCounters.Conflicts
 	}
 }
--- a/tools/scaletest/run.go
+++ b/tools/scaletest/run.go
@@ -20,9 +20,9 @@
 
 // Options holds the options of a run.
 type Options struct {
-	Program string    // path of the robinstack executable, which runs the controllers and the load process
-	Logs    string    // directory for the processes' logs; if "", logs are deleted at the end of the run
-	Out     io.Writer // receives progress lines and the results of a sweep; may be nil
+	Program      string    // path of the robinstack executable, which runs the controllers and the load process
+	LogDirectory string    // directory for the processes' logs; if "", logs are deleted at the end of the run
+	Output       io.Writer // receives progress lines and the results of a sweep; may be nil
 }
 
 // Run is one run of a profile. It owns all processes that it starts. mu guards down; the other
@@ -121,7 +121,7 @@
 	if r.tempDirectory, err = os.MkdirTemp("", "robinstack-scale-"); err != nil {
 		return fmt.Errorf("creating the temporary directory of the run: %w", err)
 	}
-	logDirectory := r.options.Logs
+	logDirectory := r.options.LogDirectory
 	if logDirectory == "" {
 		logDirectory = r.tempDirectory
 	}
--- a/tools/scaletest/sampling.go
+++ b/tools/scaletest/sampling.go
@@ -38,7 +38,7 @@
 			warmupEnded = true
 			r.endWarmup(now)
 		}
-		if r.options.Out != nil && int(now.Sub(r.startTime).Seconds())%int(progressInterval.Seconds()) == 0 {
+		if r.options.Output != nil && int(now.Sub(r.startTime).Seconds())%int(progressInterval.Seconds()) == 0 {
 			r.printProgress()
 		}
 	}
@@ -53,7 +53,7 @@
 
 func (r *Run) printProgress() {
 	p := r.load.latestProgress()
-	console.Printf(r.options.Out,
+	console.Printf(r.options.Output,
 		"%4d s: %d machines up, %d registered, %d tasks running, %d starts in the last second, %d jobs open\n",
 		p.Second, p.MachinesUp, r.countMachineKeys(), p.TasksRunning, p.Starts, p.OpenJobs)
 }
@@ -78,7 +78,7 @@
 	r.maxTotalMemoryMB = max(r.maxTotalMemoryMB, memoryMB)
 	if memoryMB > r.host.MemoryMB {
 		return fmt.Errorf("%w: its processes use %.0f MB of memory, %.0f MB are allowed (half of the host's memory)",
-			ErrDoesNotFit, memoryMB, r.host.MemoryMB)
+			ErrInsufficientCapacity, memoryMB, r.host.MemoryMB)
 	}
 	keys, bytes := r.state.Size()
 	r.maxKeys, r.maxStoredBytes = max(r.maxKeys, keys), max(r.maxStoredBytes, bytes)
@@ -139,7 +139,7 @@
 		Renewals: r.rateLimits.Renewals.Load(),
 		Watches:  r.rateLimits.Watches.Load(),
 		Changes:  r.rateLimits.Changes.Load(),
-		Refused:  r.rateLimits.Refused.Load(),
+		Refused:  r.rateLimits.Rejected.Load(),
 		MaxKeys:  r.maxKeys,
 		MaxBytes: r.maxStoredBytes,
 	}
--- a/tools/scaletest/sweep.go
+++ b/tools/scaletest/sweep.go
@@ -65,7 +65,7 @@
 // report with the results so far.
 func RunSweep(ctx context.Context, p *Profile, o Options, report func(*SweepResult) error) error {
 	if len(p.Sweep.Workers) == 0 || len(p.Sweep.Controllers) == 0 {
-		return fmt.Errorf("%w: sweep: workers and controllers must each list at least one size", ErrProfile)
+		return fmt.Errorf("%w: sweep: workers and controllers must each list at least one size", ErrInvalidProfile)
 	}
 	sweep := &SweepResult{Profile: p.Name, Planned: Size{p.Machines(), p.Controllers.Count}, Limits: p.limits()}
 	for _, machines := range p.Sweep.Workers {
@@ -96,8 +96,8 @@
 // runPoint runs one size and prints its result.
 func runPoint(ctx context.Context, p *Profile, o Options) (Point, error) {
 	result, err := RunProfile(ctx, p, o)
-	if err == nil && o.Out != nil {
-		err = result.Print(o.Out)
+	if err == nil && o.Output != nil {
+		err = result.Print(o.Output)
 	}
 	if err != nil {
 		return Point{}, fmt.Errorf("%s: %w", p.Name, err)
--- a/tools/scaletest/users.go
+++ b/tools/scaletest/users.go
@@ -234,10 +234,10 @@
 // sendAndRecord sends a request about a job and records the response in the history, unless the run
 // has ended meanwhile. Code 0 means that there was no response.
 func (u *users) sendAndRecord(ctx context.Context, id string, r request) (code int, status string) {
-	stamp := u.history.StampRequest()
+	requestedAt := u.history.NextRequestTime()
 	code, status = u.send(ctx, r)
 	if ctx.Err() == nil {
-		u.history.RecordResponse(r.kind, id, stamp, code, status)
+		u.history.RecordResponse(r.kind, id, requestedAt, code, status)
 	}
 	return code, status
 }
--- a/tools/scaletest/wire_test.go
+++ b/tools/scaletest/wire_test.go
@@ -16,13 +16,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wireformat.Golden(t, "profile", string(raw))
-	err = toml.Unmarshal([]byte(wireformat.Recorded(t, "profile")), &got)
+	wireformat.CheckGolden(t, "profile", string(raw))
+	err = toml.Unmarshal([]byte(wireformat.ReadGolden(t, "profile")), &got)
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("the recorded profile reads as %+v, %v; want %+v", got, err, want)
 	}
-	wireformat.JSON[Result](t, "result")
-	wireformat.JSON[SweepResult](t, "sweep")
-	wireformat.JSON[Progress](t, "progress")
-	wireformat.JSON[LoadResult](t, "load")
+	wireformat.CheckJSON[Result](t, "result")
+	wireformat.CheckJSON[SweepResult](t, "sweep")
+	wireformat.CheckJSON[Progress](t, "progress")
+	wireformat.CheckJSON[LoadResult](t, "load")
 }
