--- a/internal/clusteragent/balance.go
+++ b/internal/clusteragent/balance.go
@@ -30,7 +30,7 @@
 func (a *Agent) shardsToRebalance(ctx context.Context, view *ownershipView) map[string]string {
 	a.mu.Lock()
 	unchangedSince := a.ownershipTimes.update(view.shards, view.now)
-	quiet := len(a.shards.intake) > 0 && view.now.Sub(unchangedSince) >= rebalanceQuietPeriod
+	quiet := len(a.shards.registration) > 0 && view.now.Sub(unchangedSince) >= rebalanceQuietPeriod
 	a.mu.Unlock()
 	if !quiet {
 		return nil
--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -135,9 +135,9 @@
 }
 
 // After a crash of all controllers, the write limit of the state service delays the creation of
-// intake shards by a second or two. The takeover of machines must not wait for it: when it did, all
-// job shards were reconciled 3 s later.
-func TestFailoverDoesNotWaitForIntakeShards(t *testing.T) {
+// registration shards by a second or two. The takeover of machines must not wait for it: when it
+// did, all job shards were reconciled 3 s later.
+func TestFailoverDoesNotWaitForRegistrationShards(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		a := bed.startNode("host-0")
 		addMachines(a, 1)
--- a/internal/clusteragent/claims.go
+++ b/internal/clusteragent/claims.go
@@ -54,12 +54,12 @@
 func (a *Agent) enqueueClaim(name string, key shard.MachineRecord, replacesRev uint64) <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.claims.pending[name] || len(a.shards.intake) == 0 {
+	if a.claims.pending[name] || len(a.shards.registration) == 0 {
 		return nil
 	}
-	index := a.zones.intakeIndex(name, key.Zone, len(a.shards.intake))
-	if key.Shard = a.shards.intake[index]; key.Shard == "" {
-		a.shards.missingIntake[index] = true // the claim is repeated by a later heartbeat or reconcileOwnership
+	index := a.zones.registrationIndex(name, key.Zone, len(a.shards.registration))
+	if key.Shard = a.shards.registration[index]; key.Shard == "" {
+		a.shards.missingRegistration[index] = true // the claim is repeated by a later heartbeat or reconcileOwnership
 		return nil
 	}
 	c := machineClaim{name: name, key: key, replacesRev: replacesRev, done: make(chan struct{})}
--- a/internal/clusteragent/shards.go
+++ b/internal/clusteragent/shards.go
@@ -28,16 +28,16 @@
 
 // shardOwnership is the set of machine shards that this session owns. Agent.mu guards it.
 type shardOwnership struct {
-	revs             map[string]uint64 // owned shards, with the revisions of their keys
-	intake           []string          // intake shards by intake index; "": none yet
-	missingIntake    map[int]bool      // intake indexes that had no shard when a machine was to be claimed
-	idGenerations    map[int]int       // generation number in the ids of new shards, by intake index
-	releasedMachines map[string]uint64 // released machines, with the revision of the ownership that ended
+	revs                map[string]uint64 // owned shards, with the revisions of their keys
+	registration        []string          // registration shards by registration index; "": none yet
+	missingRegistration map[int]bool      // registration indexes that had no shard when a machine was to be claimed
+	idGenerations       map[int]int       // generation number in the ids of new shards, by registration index
+	releasedMachines    map[string]uint64 // released machines, with the revision of the ownership that ended
 }
 
 func newShardOwnership() shardOwnership {
 	return shardOwnership{
-		missingIntake: map[int]bool{}, idGenerations: map[int]int{}, releasedMachines: map[string]uint64{},
+		missingRegistration: map[int]bool{}, idGenerations: map[int]int{}, releasedMachines: map[string]uint64{},
 	}
 }
 
@@ -77,8 +77,8 @@
 }
 
 // updateOwnership acquires shards whose owner's session has ended or whose workers cannot reach
-// their owner, creates intake shards where this controller has none, and begins ownership of the
-// machines in its shards.
+// their owner, creates registration shards where this controller has none, and begins ownership of
+// the machines in its shards.
 func (a *Agent) updateOwnership(ctx context.Context) {
 	hosts := a.session.AliveHosts()
 	if !a.session.HoldsLease() || !slices.Contains(hosts, a.session.Host) {
@@ -95,7 +95,7 @@
 	}
 	plan := planTakeover(&view, a.session.Successors(a.settings.Hosts()), wanted)
 	a.acquireShards(ctx, &plan, wanted)
-	intake, latestRev := a.chooseIntakeShards(ctx, plan.held)
+	registrationShards, latestRev := a.chooseRegistrationShards(ctx, plan.held)
 	// Once the mirror has reached this revision, it shows the last claims of the former owners.
 	waitCtx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
@@ -103,12 +103,12 @@
 		return
 	}
 	a.mu.Lock()
-	a.shards.intake, a.shards.revs = intake, map[string]uint64{}
+	a.shards.registration, a.shards.revs = registrationShards, map[string]uint64{}
 	for id, h := range plan.held {
 		a.shards.revs[id] = h.rev
 	}
 	a.mu.Unlock()
-	a.removeEmptyShards(ctx, &plan, intake, view.machinesPerShard)
+	a.removeEmptyShards(ctx, &plan, registrationShards, view.machinesPerShard)
 	// The machine keys are read before the shard keys. In the opposite order, a machine that is
 	// claimed into a shard created between the two reads would appear to have no owner.
 	machines := a.mirror.Dir(statekv.MachinePrefix)
@@ -185,11 +185,11 @@
 // into a removed shard and the mirror did not show it yet, the machine is claimed again, like any
 // machine whose shard does not exist.
 func (a *Agent) removeEmptyShards(
-	ctx context.Context, plan *takeoverPlan, intake []string, machinesPerShard map[string]int,
+	ctx context.Context, plan *takeoverPlan, registrationShards []string, machinesPerShard map[string]int,
 ) {
 	empty := plan.empty
 	for id, h := range plan.held {
-		if machinesPerShard[id] == 0 && !slices.Contains(intake, id) {
+		if machinesPerShard[id] == 0 && !slices.Contains(registrationShards, id) {
 			empty = append(empty, statekv.Role{Key: statekv.MachineShardPrefix + id, ExpectedRev: h.rev})
 		}
 	}
--- a/internal/clusteragent/zones.go
+++ b/internal/clusteragent/zones.go
@@ -15,8 +15,9 @@
 // long as their owner can answer them; machines whose owner is in another zone lose their leases.
 // Machines are therefore owned by controllers of their own zone, as far as these have the capacity.
 
-// shardsPerZone is the number of intake shards of an owner for each zone. A shard has machines of
-// one zone only, so that it can change owner when the workers of a zone cannot reach the owner.
+// shardsPerZone is the number of registration shards of an owner for each zone. A shard has
+// machines of one zone only, so that it can change owner when the workers of a zone cannot reach
+// the owner.
 const shardsPerZone = 2
 
 func hashName(name string) int {
@@ -50,13 +51,14 @@
 	return z.settings.Zones[index/shardsPerZone%len(z.settings.Zones)]
 }
 
-// intakeShardCount returns the number of intake shards of an owner.
-func (z zoneRules) intakeShardCount() int { return shardsPerZone * max(1, len(z.settings.Zones)) }
+// registrationShardCount returns the number of registration shards of an owner.
+func (z zoneRules) registrationShardCount() int { return shardsPerZone * max(1, len(z.settings.Zones)) }
 
-// intakeIndex returns the intake index of a machine, among intakeCount intake shards.
-func (z zoneRules) intakeIndex(name, zone string, intakeCount int) int {
+// registrationIndex returns the registration index of a machine, among shardCount registration
+// shards.
+func (z zoneRules) registrationIndex(name, zone string, shardCount int) int {
 	zoneIndex := max(0, slices.Index(z.settings.Zones, zone))
-	return (zoneIndex*shardsPerZone + hashName(name)%shardsPerZone) % intakeCount
+	return (zoneIndex*shardsPerZone + hashName(name)%shardsPerZone) % shardCount
 }
 
 // successor returns the host that takes over a shard whose owner's session has ended: the same host
