--- a/emulator/faultystateclient.go
+++ b/emulator/faultystateclient.go
@@ -146,9 +146,9 @@
 	return c.requestedChanges
 }
 
-// takeChangeTokens takes n tokens from the token bucket for changes. It reports whether there were
-// enough; if not, it takes none.
-func (c *FaultyStateClient) takeChangeTokens(n int) bool {
+// consumeChangeTokens removes n tokens from the token bucket for changes. It reports whether there
+// were enough; if not, it removes none.
+func (c *FaultyStateClient) consumeChangeTokens(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.changesPerSecond == 0 {
--- a/emulator/faultystateclient_store.go
+++ b/emulator/faultystateclient_store.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if faults.rejected || c.service.IsDown() || !c.takeChangeTokens(len(then)) {
+	if faults.rejected || c.service.IsDown() || !c.consumeChangeTokens(len(then)) {
 		return 0, statekv.ErrRejected
 	}
 	if len(then) == 0 || !c.takePendingDelay() && !faults.delayed {
--- a/internal/autoscaler/loss.go
+++ b/internal/autoscaler/loss.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func (c *cloudList) forget(machine string) { delete(c.firstSeen, machine) }
+func (c *cloudList) remove(machine string) { delete(c.firstSeen, machine) }
 
 // statusFailed is the status of a machine in the cloud's list that has failed for good.
 const statusFailed = "failed"
--- a/internal/autoscaler/stock.go
+++ b/internal/autoscaler/stock.go
@@ -125,7 +125,7 @@
 		if now.Sub(d.at) > deletionRetention {
 			delete(f.deletions, machine)
 			delete(f.unresponsiveSince, machine)
-			f.list.forget(machine)
+			f.list.remove(machine)
 		}
 	}
 }
--- a/internal/clusteragent/balance_test.go
+++ b/internal/clusteragent/balance_test.go
@@ -37,7 +37,7 @@
 func TestOwnerUnreachableByWorkersLosesShards(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		a := bed.startNode("host-0")
-		epoch := a.takeJobShard("s", 0)
+		epoch := a.acquireJobShard("s", 0)
 		workers := addMachines(a, 200)
 		if _, err := bed.state.Txn(bed.ctx, nil, []statekv.Op{{Set: job.RecordKey("wk-1"), Value: job.Record{Spec: job.Spec{ID: "wk-1", Tasks: 9}, JobShard: "s"}}}); err != nil {
 			t.Fatal(err)
--- a/internal/clusteragent/bench_test.go
+++ b/internal/clusteragent/bench_test.go
@@ -35,7 +35,7 @@
 			b.Fatalf("%s is not owned: got reply %+v", w.Heartbeat.Machine, reply)
 		}
 	}
-	return n, workers, n.takeJobShard("s", 0)
+	return n, workers, n.acquireJobShard("s", 0)
 }
 
 func benchRequest(epoch uint64) agentapi.Request {
--- a/internal/clusteragent/capacity_index_test.go
+++ b/internal/clusteragent/capacity_index_test.go
@@ -30,7 +30,7 @@
 			}
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
-				a.forgetMachine(m)
+				a.removeMachine(m)
 			case 1:
 				m.AddTask(machine.AttemptKey{TaskID: "unknown", Attempt: uint64(n)}, &machine.Task{})
 			case 2, 3, 4:
--- a/internal/clusteragent/commit_test.go
+++ b/internal/clusteragent/commit_test.go
@@ -41,11 +41,11 @@
 func TestCommitUnderStaleEpochIsRefused(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n := bed.startNode("host-0")
-		old := n.takeJobShard("s", 0)
+		old := n.acquireJobShard("s", 0)
 		w := bed.workers.Add("m1", "box", "a")
 		n.sendHeartbeat(w)
 		time.Sleep(time.Second)
-		latest := n.takeJobShard("s", old)
+		latest := n.acquireJobShard("s", old)
 		if got := n.commit("m1", "s", old, 0, 1); got != agentapi.Refused {
 			t.Fatalf("commit under the stale epoch: got %q, want refused", got)
 		}
--- a/internal/clusteragent/duplicates_test.go
+++ b/internal/clusteragent/duplicates_test.go
@@ -22,7 +22,7 @@
 		return bed.startNodeWith(s, host, bed.state)
 	}
 	a, b = startWithPeer("host-0", "host-1"), startWithPeer("host-1", "host-0")
-	epoch = a.takeJobShard("s", 0)
+	epoch = a.acquireJobShard("s", 0)
 	w = bed.workers.Add("m1", "box", "")
 	a.sendHeartbeat(w)
 	time.Sleep(time.Second)
@@ -251,7 +251,7 @@
 		store := &unreachableState{StateService: bed.state}
 		a := bed.startNodeWith(settings(), "host-0", store)
 		b := bed.startNode("host-1")
-		epoch := a.takeJobShard("s", 0)
+		epoch := a.acquireJobShard("s", 0)
 		w := bed.workers.Add("m1", "box", "")
 		a.sendHeartbeat(w)
 		time.Sleep(time.Second)
--- a/internal/clusteragent/failover_test.go
+++ b/internal/clusteragent/failover_test.go
@@ -18,7 +18,7 @@
 func TestSuccessorTakesOverAndFencesFormerOwner(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		a, b := bed.startNode("host-0"), bed.startNode("host-1")
-		epoch := a.takeJobShard("s", 0)
+		epoch := a.acquireJobShard("s", 0)
 		w := bed.workers.Add("m1", "box", "a")
 		a.sendHeartbeat(w)
 		time.Sleep(time.Second)
@@ -78,7 +78,7 @@
 func TestFailoverOfThousandMachinesNeedsFewWrites(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		a := bed.startNode("host-0")
-		epoch := a.takeJobShard("s", 0)
+		epoch := a.acquireJobShard("s", 0)
 		before := bed.state.Changes()
 		var workers []*emulator.Worker
 		for i := range 1000 {
--- a/internal/clusteragent/fair_share_test.go
+++ b/internal/clusteragent/fair_share_test.go
@@ -20,7 +20,7 @@
 		cfg := settings()
 		cfg.Objectives = []config.Objective{{Kind: "wait", Class: "gangs", Within: 30 * time.Second}, {Kind: "wait", Class: "gangs", Within: 200 * time.Second}}
 		n := bed.startNodeWith(cfg, "host-0", bed.state)
-		epoch := n.takeJobShard("s", 0)
+		epoch := n.acquireJobShard("s", 0)
 		request := func(class, shape, rank string, gpus float64, tasks int) agentapi.Request {
 			r := agentapi.Request{Slot: "s", Epoch: epoch, Tasks: tasks, Least: 9, Spare: 5, Parts: true}
 			r.Spec = job.Spec{ID: "wk-9", Class: class, Team: "t", Shape: shape, Rank: rank, Tasks: tasks, Need: job.Resources{CPUs: 1, GPUs: gpus, MemoryGB: 1}, CheckpointS: 10, SaveS: 6}
--- a/internal/clusteragent/inspect.go
+++ b/internal/clusteragent/inspect.go
@@ -45,7 +45,7 @@
 func (a *Agent) inspectMachine(m *ownedMachine, now time.Time) {
 	if m.Deregistered() {
 		if now.Sub(m.Liveness.LastContact) > deregisteredRetention {
-			a.forgetMachine(m)
+			a.removeMachine(m)
 		}
 		return
 	}
--- a/internal/clusteragent/liveness_test.go
+++ b/internal/clusteragent/liveness_test.go
@@ -49,7 +49,7 @@
 func TestNewWorkerEpochHasItsOwnLease(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n := bed.startNode("host-0")
-		epoch := n.takeJobShard("s", 0)
+		epoch := n.acquireJobShard("s", 0)
 		w := bed.workers.Add("m1", "box", "a")
 		for range 2 {
 			n.sendHeartbeat(w)
--- a/internal/clusteragent/owned_machine.go
+++ b/internal/clusteragent/owned_machine.go
@@ -108,11 +108,11 @@
 		// a late heartbeat of it has reached another controller.
 		close(m.stopped)
 	}
-	a.forgetMachine(m)
+	a.removeMachine(m)
 }
 
-// forgetMachine removes a machine from the agent's state. The caller must hold a.mu.
-func (a *Agent) forgetMachine(m *ownedMachine) {
+// removeMachine removes a machine from the agent's state. The caller must hold a.mu.
+func (a *Agent) removeMachine(m *ownedMachine) {
 	delete(a.machines, m.Name)
 	a.capacity.remove(m)
 }
--- a/internal/clusteragent/preempt_test.go
+++ b/internal/clusteragent/preempt_test.go
@@ -14,7 +14,7 @@
 func TestPreemptionPrefersJobsThatStayOnTime(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n := bed.startNode("host-0")
-		epoch := n.takeJobShard("s", 0)
+		epoch := n.acquireJobShard("s", 0)
 		deadline := 100.0
 		startTasks := func(machine, id string, tasks int, age time.Duration, indices ...int) {
 			w := bed.workers.Add(machine, "box", "a")
--- a/internal/clusteragent/registration_test.go
+++ b/internal/clusteragent/registration_test.go
@@ -19,7 +19,7 @@
 func TestNewMachineGetsTasksAfterFirstAnsweredHeartbeat(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n := bed.startNode("host-0")
-		epoch := n.takeJobShard("s", 0)
+		epoch := n.acquireJobShard("s", 0)
 		w := bed.workers.Add("m1", "box", "a")
 		bed.state.SetTxnLatency(3200 * time.Millisecond)
 		if reply := n.sendHeartbeat(w); reply.Accepted {
@@ -59,7 +59,7 @@
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		store := &maintenanceBudget{StateService: bed.state}
 		n := bed.startNodeWith(settings(), "host-0", store)
-		epoch := n.takeJobShard("s", 0)
+		epoch := n.acquireJobShard("s", 0)
 		w := bed.workers.Add("m1", "box", "a")
 		n.sendHeartbeat(w)
 		time.Sleep(time.Second)
--- a/internal/clusteragent/testbed_test.go
+++ b/internal/clusteragent/testbed_test.go
@@ -106,7 +106,7 @@
 func (bed *testbed) startOwner() (n *node, w *emulator.Worker, epoch uint64) {
 	bed.t.Helper()
 	n = bed.startNode("host-0")
-	epoch = n.takeJobShard("s", 0)
+	epoch = n.acquireJobShard("s", 0)
 	w = bed.workers.Add("m1", "box", "a")
 	n.sendHeartbeat(w)
 	time.Sleep(time.Second)
@@ -151,9 +151,9 @@
 	return reply.Verdicts[0]
 }
 
-// takeJobShard makes n the scheduler of a job shard whose key has the revision seen, and returns
+// acquireJobShard makes n the scheduler of a job shard whose key has the revision seen, and returns
 // the new epoch.
-func (n *node) takeJobShard(name string, seen uint64) uint64 {
+func (n *node) acquireJobShard(name string, seen uint64) uint64 {
 	n.bed.t.Helper()
 	rev, err := n.session.Acquire(context.Background(), statekv.Role{Key: statekv.JobShardPrefix + name, ExpectedRev: seen, Value: n.session.Holder})
 	if err != nil {
--- a/internal/leader/cloudreads.go
+++ b/internal/leader/cloudreads.go
@@ -74,15 +74,15 @@
 // logPrices logs the prices that have changed, because the audit tool computes costs from these
 // lines.
 func (l *Leader) logPrices(types []cloud.MachineType) {
-	for _, t := range l.takeChangedPrices(types) {
+	for _, t := range l.updateLoggedPrices(types) {
 		slog.Info(logline.MachineTypePrice, "type", t.Name, "hourly", t.OnDemandPrice, "spot", t.SpotPrice,
 			"cpus", t.CPUs, "gpus", t.GPUs, "mem_gb", t.MemoryGB)
 	}
 }
 
-// takeChangedPrices returns the types whose prices differ from the logged ones, and records them as
-// logged. It returns nil if this controller is not the leader.
-func (l *Leader) takeChangedPrices(types []cloud.MachineType) []cloud.MachineType {
+// updateLoggedPrices returns the types whose prices differ from the logged ones, and records them
+// as logged. It returns nil if this controller is not the leader.
+func (l *Leader) updateLoggedPrices(types []cloud.MachineType) []cloud.MachineType {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.epoch == 0 {
