--- a/test/docs/names_test.go
+++ b/test/docs/names_test.go
@@ -17,11 +17,12 @@
 // moduleRoot is the root directory of the module, relative to this package.
 const moduleRoot = "../.."
 
-// architecturePage is the page whose names are checked. Its last section, which starts with
-// formerNamesHeading, lists names that no longer exist and is not checked.
+// architecturePage is the page whose names are checked. formerNamesPage must contain a section that
+// starts with formerNamesHeading. It lists names that no longer exist, so its names are not checked.
 const (
 	architecturePage   = "docs/ARCHITECTURE.md"
-	formerNamesHeading = "\n## Former names"
+	formerNamesPage    = "docs/readability/names.md"
+	formerNamesHeading = "\n## Former names\n"
 )
 
 // codeSpan matches code in backticks, qualifiedName an identifier with its package, such as
@@ -35,10 +36,7 @@
 // The architecture page must not go out of date when code is renamed or moved: every qualified
 // identifier and every path in backticks on it must exist.
 func TestArchitecturePageNamesExistingCode(t *testing.T) {
-	text, _, found := strings.Cut(readPage(t, architecturePage), formerNamesHeading)
-	if !found {
-		t.Errorf("%s has no section %q", architecturePage, strings.TrimSpace(formerNamesHeading))
-	}
+	text := readPage(t, architecturePage)
 	declared := indexDeclarations(t)
 	checked := 0
 	for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
@@ -65,6 +63,18 @@
 	}
 }
 
+// Readers who meet a former name must find its current one: the page of former names must exist,
+// contain its section, and be linked from the architecture page.
+func TestFormerNamesAreListed(t *testing.T) {
+	if !strings.Contains(readPage(t, formerNamesPage), formerNamesHeading) {
+		t.Errorf("%s has no section %q", formerNamesPage, strings.TrimSpace(formerNamesHeading))
+	}
+	link := "(" + strings.TrimPrefix(formerNamesPage, "docs/") + ")"
+	if !strings.Contains(readPage(t, architecturePage), link) {
+		t.Errorf("%s has no link %s", architecturePage, link)
+	}
+}
+
 // readPage returns the text of a page; page is relative to the module root.
 func readPage(t *testing.T, page string) string {
 	t.Helper()
--- a/test/docs/paths_test.go
+++ b/test/docs/paths_test.go
@@ -20,13 +20,12 @@
 var goFilePath = regexp.MustCompile(`^[\w./-]+\.go$`)
 
 // The pages must not go out of date when files are moved or renamed: every Go file and directory in
-// backticks must exist. Historical pages and the list of former names are not checked.
+// backticks must exist. Historical pages and the page of former names are not checked.
 func TestPagesNameExistingPaths(t *testing.T) {
 	files := goFileNames(t)
 	checked := 0
 	for _, page := range currentPages(t) {
-		text, _, _ := strings.Cut(readPage(t, page), formerNamesHeading)
-		for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
+		for _, match := range codeSpan.FindAllStringSubmatch(readPage(t, page), -1) {
 			code := match[1]
 			switch {
 			case sourcePath.MatchString(code), goFilePath.MatchString(code) && strings.Contains(code, "/"):
@@ -56,13 +55,12 @@
 
 // The pages must not go out of date when code is renamed: every test function and every identifier
 // qualified by a package of the module, in backticks, must be declared. Historical pages and the
-// list of former names are not checked.
+// page of former names are not checked.
 func TestPagesNameDeclaredIdentifiers(t *testing.T) {
 	declared, tests := indexDeclarations(t), testFunctions(t)
 	checked := 0
 	for _, page := range currentPages(t) {
-		text, _, _ := strings.Cut(readPage(t, page), formerNamesHeading)
-		for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
+		for _, match := range codeSpan.FindAllStringSubmatch(readPage(t, page), -1) {
 			code := match[1]
 			name := qualifiedName.FindStringSubmatch(code)
 			switch {
@@ -110,7 +108,9 @@
 	return tests
 }
 
-// currentPages lists the pages that describe the present state, relative to the module root.
+// currentPages lists the pages that describe the present state, relative to the module root: the
+// README and the pages in docs itself. Pages in its subdirectories, such as formerNamesPage, are
+// records of earlier states.
 func currentPages(t *testing.T) []string {
 	t.Helper()
 	entries, err := os.ReadDir(filepath.Join(moduleRoot, "docs"))
