--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -175,7 +175,7 @@
 	return controller
 }
 
-// crash stops a controller and revokes its state lease, which is given by its ID, at once.
+// crash stops a controller and immediately revokes the state lease with the given ID.
 func (cluster *testCluster) crash(controller *testController, lease uint64) {
 	cluster.mu.Lock()
 	controller.up = false
--- a/internal/scheduler/completion_records.go
+++ b/internal/scheduler/completion_records.go
@@ -51,7 +51,8 @@
 	writeInFlight bool                // a write is in flight; a job has at most one
 }
 
-// markDirty sets the time since which results wait to be recorded, unless it is set.
+// markDirty records now as the time since which results wait to be recorded, unless results already
+// wait.
 func (c *pendingCompletion) markDirty(now time.Time) {
 	if c.dirtySince.IsZero() {
 		c.dirtySince = now
@@ -257,7 +258,7 @@
 	s.dropIfGone(id, j)
 }
 
-// restoreUnwritten marks what a failed write did not record as dirty again.
+// restoreUnwritten marks the chunks and the failure history of a failed write as unrecorded again.
 func (j *jobState) restoreUnwritten(write *completionWrite, now time.Time) {
 	for chunk := range write.chunks {
 		j.completion.dirtyChunks[chunk] = true
--- a/internal/scheduler/delay_scheduling.go
+++ b/internal/scheduler/delay_scheduling.go
@@ -22,17 +22,18 @@
 	// have the image.
 	maxDelayedGangTasks = 4
 
-	// slowestFetchFactor is the ratio of the slowest fetch of a gang to the estimated fetch time.
-	// gangStartMargin is the additional time until the gang runs.
+	// slowestFetchFactor is the ratio of the slowest image fetch among a gang's members to the
+	// estimated fetch time. gangStartMargin is the additional time until the gang runs.
 	slowestFetchFactor = 1.4
 	gangStartMargin    = 3 * time.Second
 
-	// lateFetchFactor is the ratio of the actual to the estimated fetch time that decides whether a
-	// gang preempts for its image. It is lower than slowestFetchFactor because a gang that starts
-	// late in spite of it is acceptable.
+	// lateFetchFactor times the estimated fetch time is the fetch time that a gang is assumed to
+	// need when it decides whether to preempt tasks on machines that have its image. It is lower
+	// than slowestFetchFactor because it is acceptable that a gang which did not preempt
+	// occasionally starts late.
 	lateFetchFactor = 1.15
 
-	// preemptionDuration estimates the time from a preemption until the machines are free.
+	// preemptionDuration estimates the time from a preemption until the capacity is free.
 	preemptionDuration = 8 * time.Second
 
 	// delayRetryInterval is the time between two placements of a job that waits for its image.
@@ -43,7 +44,7 @@
 // machine is first offered to the job.
 type imageDelay struct {
 	until    time.Time
-	maxUntil time.Time // applies while machines with the image are being preempted for the job
+	maxUntil time.Time // replaces until while tasks on machines with the image are being preempted for the job
 }
 
 // imageDelayBounds are the limits of a delay, counted from its start.
@@ -101,7 +102,7 @@
 }
 
 // fetchMissesStartTarget reports whether a gang would miss its tightest start target if it fetched
-// its image, but could meet it if machines with the image were preempted for it.
+// its image, but could meet it by preempting tasks on machines that have the image.
 func (j *jobState) fetchMissesStartTarget(fetch time.Duration, now time.Time) bool {
 	remaining := j.timeToStartTarget(now)
 	return remaining > preemptionDuration && remaining < scaleDuration(lateFetchFactor, fetch)
--- a/internal/scheduler/delay_scheduling_test.go
+++ b/internal/scheduler/delay_scheduling_test.go
@@ -9,8 +9,8 @@
 	"robinstack/internal/worker"
 )
 
-// startWithCachedImage starts a controller with two machines. m1 has the image "x" from a job that
-// has ended and is full with a job of image "y"; m2 is free and has neither image.
+// startWithCachedImage starts a controller with two machines. m1 has the image "x", which an ended
+// job left there, and is fully used by a job with image "y". m2 is free and has neither image.
 func startWithCachedImage(cluster *testCluster) *testController {
 	controller := cluster.start("host-0")
 	m2 := cluster.machines[1]
--- a/internal/scheduler/failure_attribution_test.go
+++ b/internal/scheduler/failure_attribution_test.go
@@ -27,8 +27,8 @@
 
 // Jobs submitted with a mistake fail on every machine, and two of them had every machine that they
 // used quarantined permanently. They must not get machines quarantined, must be retried one task at
-// a time, and must leave the capacity to other jobs. A machine on which only jobs fail that run
-// well elsewhere must still be quarantined.
+// a time, and must leave the capacity to other jobs. If jobs that run well elsewhere fail on a
+// machine, that machine must still be quarantined.
 func TestBrokenJobsDoNotQuarantineMachines(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// scheduleFailureRecord schedules a write of the job's failure history into its record. Without it,
-// the next scheduler of the job would need failures on as many machines again before it attributes
-// them to the job. The caller must hold s.mu.
+// scheduleFailureRecord schedules a write of the job's failure history into its record. Without
+// this history, the next scheduler of the job would need failures on several machines again before
+// it attributes them to the job. The caller must hold s.mu.
 func (s *Scheduler) scheduleFailureRecord(j *jobState) {
 	if j.failures.consecutive > maxRecordedFailures || !s.versions.Enabled(rollout.FeatureFailureHistory) {
 		return
--- a/internal/scheduler/job_shard.go
+++ b/internal/scheduler/job_shard.go
@@ -14,7 +14,7 @@
 	shardWriteTimeout = 3 * time.Second
 
 	// shardReleaseTimeout bounds the removal of empty job shards' keys, including the wait until
-	// the mirror has it.
+	// the mirror shows the removal.
 	shardReleaseTimeout = 2 * time.Second
 )
 
@@ -52,8 +52,8 @@
 	shard.unconfirmedCounts[properties]++
 }
 
-// confirm removes a machine from the unconfirmed ones: its entry lists every task that earlier
-// schedulers of the job shard may have started on it.
+// confirm removes a machine from the unconfirmed ones. It is called once the machine's entry lists
+// every task that earlier schedulers of the job shard may have started on the machine.
 func (shard *jobShard) confirm(machine string) {
 	properties, ok := shard.unconfirmed[machine]
 	if !ok {
@@ -66,16 +66,16 @@
 	}
 }
 
-// markReconciled marks the job shard as reconciled: every machine has been confirmed.
+// markReconciled marks the job shard as reconciled. It is called once every machine is confirmed.
 func (shard *jobShard) markReconciled() {
 	shard.reconciled, shard.unconfirmed, shard.unconfirmedCounts = true, nil, nil
 }
 
-// canPlace reports whether the job's pending tasks can be placed. After a takeover they cannot
-// until every machine on which an earlier scheduler may have started one of them has been
-// confirmed. A machine is ruled out if the job does not allow its type, zone or spot property, or
-// if one of the job's tasks exceeds its capacity: every owner checks this before it sends a start
-// command (package clusteragent). The caller must hold s.mu.
+// canPlace reports whether the job's pending tasks can be placed. After a takeover they can be
+// placed only once every machine on which an earlier scheduler may have started one of them has
+// been confirmed. No task can have been started on a machine whose type, zone or spot property the
+// job does not allow, or whose capacity is too small for the job's tasks: every owner checks this
+// before it sends a start command (package clusteragent). The caller must hold s.mu.
 func (s *Scheduler) canPlace(j *jobState) bool {
 	shard := s.shards[j.shardID]
 	switch {
--- a/internal/scheduler/outbox.go
+++ b/internal/scheduler/outbox.go
@@ -16,8 +16,9 @@
 	// present: the machine may have a new owner by then.
 	stopResendInterval = 2 * time.Second
 
-	// maxUndeliveredMessages is the number of queued messages of a kind at which undeliverable
-	// messages of that kind are dropped instead of being queued again.
+	// maxUndeliveredMessages bounds the queue of each kind of message: while a queue has this many
+	// messages, messages of its kind that could not be delivered are dropped instead of being
+	// queued again.
 	maxUndeliveredMessages = 10_000
 )
 
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// preemptionWait bounds how long a gang waits for machines on which tasks are being preempted;
+	// preemptionWait bounds how long a gang waits for the tasks that are being preempted for it;
 	// after that it may preempt tasks on other machines. It has to exceed the time that preempted
 	// tasks may need to write a checkpoint.
 	preemptionWait = 12 * time.Second
 
-	// preemptionRetryInterval is the time between two placements of a gang that waits for preempted
-	// machines.
+	// preemptionRetryInterval is the time between two placements of a gang that waits for tasks to
+	// be preempted.
 	preemptionRetryInterval = 300 * time.Millisecond
 )
 
@@ -33,7 +33,7 @@
 
 // preemption is the latest preemption in favour of a job. Only the job's placement uses it.
 type preemption struct {
-	until time.Time // the job waits for the preempted machines until then
+	until time.Time // until then the job waits for the preempted tasks to end
 	scope preemptionScope
 }
 
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -15,18 +15,18 @@
 	// the largest jobs. Operators count a day on which a job misses it as failed.
 	startDeadline = 4 * time.Minute
 
-	// overdueBatchTasks is the number of tasks that are placed at once of an overdue job that is
-	// not a gang. The job only has to start; after that it has no precedence over other jobs.
+	// overdueBatchTasks bounds the number of tasks in one placement of an overdue job, except for
+	// gangs. The job only has to start; after that it has no precedence over other jobs.
 	overdueBatchTasks = 8
 
 	// maxBatchTasks bounds the number of tasks in one placement, except for gangs.
 	maxBatchTasks = 64
 )
 
-// Queue orders of jobs whose start is overdue. At first such a job precedes all others of its rank;
-// after half of the time that then remains until startDeadline it precedes all other jobs. This
-// precedence preempts no tasks. Within a rank the policy's order stays below overdueRankOffset,
-// ranks are rankStep apart, and overdueGlobalOrder is above all ranks.
+// Queue orders of jobs whose start is overdue. At first such a job precedes all others of its rank.
+// Once half of the time between becoming overdue and startDeadline has passed, it precedes all
+// other jobs. This precedence preempts no tasks. Within a rank the policy's order stays below
+// overdueRankOffset, ranks are rankStep apart, and overdueGlobalOrder is above all ranks.
 const (
 	overdueRankOffset  = 5e8
 	rankStep           = 1e9
--- a/internal/scheduler/quota_grants.go
+++ b/internal/scheduler/quota_grants.go
@@ -60,7 +60,7 @@
 	return granted, reply.Epoch
 }
 
-// queueReleases queues the release of the grants of the bindings, which are not used.
+// queueReleases queues the release of the bindings' quota grants, which remain unused.
 func (s *Scheduler) queueReleases(bindings []*binding) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scheduler/random_faults_test.go
+++ b/internal/scheduler/random_faults_test.go
@@ -178,8 +178,8 @@
 	f.heartbeatCopies = append(f.heartbeatCopies, heartbeatCopy{heartbeat, deliverAt})
 }
 
-// deliverHeartbeatCopies delivers each copied heartbeat that is due to a random controller, at
-// every step again.
+// deliverHeartbeatCopies delivers to a random controller each copied heartbeat whose delivery time
+// has come, and delivers it again at every later step.
 func (f *faultInjector) deliverHeartbeatCopies() {
 	for _, copied := range f.heartbeatCopies {
 		controller := f.controller(f.randomHost())
--- a/internal/scheduler/record_schema.go
+++ b/internal/scheduler/record_schema.go
@@ -40,10 +40,10 @@
 }
 
 // recordOps returns the operations that write an unfinished job's record and its chunks of
-// completed tasks, as many as one transaction takes. Chunks that do not fit are removed from chunks
-// and marked as dirty again. A record that exceeds the value size limit, because an earlier version
-// with a higher limit wrote it, gets its spec split into fragments. If it cannot be split, for
-// example because the cluster version does not enable fragments yet, recordOps returns nil.
+// completed tasks, limited to the size of one transaction. Chunks that do not fit are removed from
+// chunks and marked as dirty again. A record that exceeds the value size limit, because an earlier
+// version with a higher limit wrote it, gets its spec split into fragments. If it cannot be split,
+// for example because the cluster version does not enable fragments yet, recordOps returns nil.
 func (s *Scheduler) recordOps(
 	j *jobState, record *job.Record, chunks map[int]bool, version rollout.ClusterVersion,
 ) []statekv.Op {
--- a/internal/scheduler/sampling.go
+++ b/internal/scheduler/sampling.go
@@ -20,11 +20,11 @@
 // sampleResult is the merged answer of the queried controllers.
 type sampleResult struct {
 	candidates     []agentapi.Candidate
-	exhausted      bool // every controller that answered drew all of its machines and found too few
+	exhausted      bool // every controller that answered drew all machines that may have capacity; too few passed the filters
 	fetchContended bool // capacity exists, but only on machines that fetch other images
 }
 
-// sample asks for machines that have capacity for tasks of the job. If all machines are exhausted,
+// sample asks for machines that have capacity for tasks of the job. If the result is exhausted,
 // capacity counts as scarce for the job's scheduling class.
 func (s *Scheduler) sample(ctx context.Context, p *placement) sampleResult {
 	result := s.queryControllers(ctx, methodSample, p.request)
@@ -43,7 +43,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, s.policy.SampleTimeout)
 	defer cancel()
 	var (
-		mu     sync.Mutex // mu guards all
+		mu     sync.Mutex // guards merged
 		merged = sampleResult{exhausted: true}
 		calls  sync.WaitGroup
 	)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -95,7 +95,7 @@
 	Requeues   uint64 // placements that lacked capacity
 	Unanswered uint64 // tasks whose commit was not answered
 	Lost       uint64 // attempts that ended without completing their task
-	Failed     uint64 // attempts of Lost that failed on their own
+	Failed     uint64 // attempts counted in Lost that ended because the task itself failed
 	Suspects   uint64 // jobs found at fault because they failed on every machine
 	Gathered   uint64 // placements that requested a backfill reservation
 }
--- a/internal/scheduler/scheduling_class.go
+++ b/internal/scheduler/scheduling_class.go
@@ -10,7 +10,7 @@
 const scarceDuration = 2 * time.Second
 
 // classKey identifies the jobs with the same requirements on machines. When one of them finds no
-// capacity, the others need not try until its class may be placed again.
+// capacity, the others need not try until the pause of their scheduling class ends.
 type classKey struct {
 	need    job.Resources
 	spot    bool
@@ -25,7 +25,7 @@
 // placements would give each job a part of the capacity that comes free; since a job finishes only
 // with its last task, few jobs would finish in time.
 type schedulingClass struct {
-	pausedUntil      time.Time // a job of the class found no capacity; its jobs pause until then
+	pausedUntil      time.Time // end of the pause of all jobs of the class after one of them found no capacity
 	scarceUntil      time.Time // capacity counts as scarce until then
 	activePlacements int       // placements in progress
 }
--- a/internal/scheduler/shard_acquisition.go
+++ b/internal/scheduler/shard_acquisition.go
@@ -109,8 +109,8 @@
 		shards[id] = &jobShard{epoch: epoch, acquiredAt: time.Now()}
 		latestEpoch = max(latestEpoch, epoch)
 	}
-	// At this revision the mirror has every record that earlier schedulers wrote and every machine
-	// to which they can have sent start commands.
+	// Once the mirror has reached the latest of the epochs, it has every record that earlier
+	// schedulers wrote and every machine to which they can have sent start commands.
 	if s.mirror.Wait(ctx, latestEpoch) != nil {
 		return
 	}
--- a/internal/scheduler/task_lifecycle_test.go
+++ b/internal/scheduler/task_lifecycle_test.go
@@ -12,8 +12,9 @@
 	"robinstack/internal/worker"
 )
 
-// Invariants not_done and ran_twice: of more tasks than fit at once each is started once. The job
-// is recorded as done when all tasks are done, and only then are the tasks forgotten.
+// Invariants not_done and ran_twice: an array has more tasks than fit at once, and each task is
+// started once. The job is recorded as done when all tasks are done, and only then are the tasks
+// forgotten.
 func TestArrayRunsToCompletion(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		controller := cluster.start("host-0")
@@ -123,8 +124,8 @@
 }
 
 // A machine's key is removed once all its tasks are proven gone. If its owner crashes before the
-// last entry is sent, the scheduler must learn it from the missing key; otherwise the job would
-// wait forever.
+// last entry is sent, the scheduler must learn from the missing key that the tasks are gone;
+// otherwise the job would wait forever.
 func TestTasksOfRemovedMachineAreRestarted(t *testing.T) {
 	runScenario(t, func(cluster *testCluster) {
 		owner := cluster.start("host-0")
--- a/internal/scheduler/task_results.go
+++ b/internal/scheduler/task_results.go
@@ -38,7 +38,8 @@
 	s.wake()
 }
 
-// markTaskDone marks a task as completed and its chunk as to be recorded.
+// markTaskDone marks a task as completed, and its chunk as dirty so that the completion is
+// recorded.
 func (j *jobState) markTaskDone(index int, now time.Time) {
 	if j.done.Has(index) {
 		return
--- a/internal/scheduler/task_state.go
+++ b/internal/scheduler/task_state.go
@@ -28,17 +28,17 @@
 	machine       string
 	zone          string
 
-	// An entry of the machine that does not list the attempt proves it gone if it is of this
-	// ownership revision and of this version or a later one (see provenGone).
+	// An entry of the machine that does not list the attempt proves the attempt gone if the entry
+	// has this ownership revision and this version or a later one (see provenGone).
 	ownerRev, entryVersion uint64
 
 	grace      time.Duration // grace period of the stop, in which the task may write a checkpoint
 	stopSentAt time.Time
 }
 
-// unresolved is the entryVersion of a task whose commit was not answered. What decides then is an
-// entry that lists the attempt, an entry of a later owner, or the owner's guarantee that the
-// attempt will never start.
+// unresolved is the entryVersion of a task whose commit was not answered. Such a commit is resolved
+// by an entry that lists the attempt, by an entry of a later owner, or by the owner's guarantee
+// that the attempt will never start.
 const unresolved = ^uint64(0)
 
 // transition is the only place where status changes: pending, committing, placed, stopping, and
@@ -61,8 +61,9 @@
 	t.transition(taskCommitting)
 }
 
-// markPlaced records the attempt's machine and the machine entry from which on its absence proves
-// it gone.
+// markPlaced records the attempt's machine. An entry of the machine with ownership revision
+// ownerRev and version entryVersion or a later one proves the attempt gone if it does not list the
+// attempt.
 func (t *taskState) markPlaced(machine, zone string, ownerRev, entryVersion uint64) {
 	t.transition(taskPlaced)
 	t.machine, t.zone = machine, zone
@@ -85,11 +86,11 @@
 }
 
 // provenGone reports whether a machine entry that does not list the attempt proves that the attempt
-// is not on the machine. Under the owner that the attempt was committed to, a reconciled entry of
-// the commit's version or later proves that, unless the commit is unresolved; so does any
-// reconciled entry of a later owner. An entry that is not reconciled proves nothing, because its
-// owner does not know yet what runs on the machine. An entry that says that the machine is
-// deregistered proves it under this owner and all later ones.
+// is not on the machine. Reconciled entries of a later owner prove it. So do reconciled entries of
+// the owner to which the attempt was committed, from the version of the commit on, unless the
+// commit is unresolved. An unreconciled entry proves nothing, because its owner does not know yet
+// what runs on the machine. An entry that says that the machine is deregistered proves it if it is
+// from the owner to which the attempt was committed or from a later owner.
 func (t *taskState) provenGone(entry *agentapi.MachineEntry) bool {
 	laterOwner := entry.Rev > t.ownerRev
 	sameOwnerLater := entry.Rev == t.ownerRev && t.entryVersion != unresolved && entry.Ver >= t.entryVersion
