--- a/internal/scheduler/completion_records.go
+++ b/internal/scheduler/completion_records.go
@@ -24,7 +24,7 @@
 	maxWritesPerRun = 8
 
 	// finalRecordOps is the number of operations that a job's final record takes from the write
-	// budget: the deleted record and a tombstone in both formats.
+	// budget: the deletion of the job's record, and a tombstone in each of the two formats.
 	finalRecordOps = 3
 
 	// completionWriteTimeout bounds one write, including the read after a conflict.
--- a/internal/scheduler/decision.go
+++ b/internal/scheduler/decision.go
@@ -15,7 +15,7 @@
 type placementPlan struct {
 	request         agentapi.Request // restricted to the chosen zone, if there is one
 	candidates      []agentapi.Candidate
-	taskCandidates  [][]agentapi.Candidate // one list for each of the first tasks, best first
+	taskCandidates  [][]agentapi.Candidate // one list per task, best first; fewer lists than tasks if not all fit
 	delayedForImage bool                   // candidates that would have to fetch the image are left out
 }
 
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// dependencyRecheckInterval is the interval at which blocked jobs are checked without a change
-	// of the dependency tracker, so that a tombstone whose read failed is requested again.
+	// dependencyRecheckInterval is the interval at which blocked jobs are checked even if the
+	// dependency tracker has not changed, so that a tombstone whose read failed is requested again.
 	dependencyRecheckInterval = time.Second
 
 	// maxDependenciesShown bounds the dependencies that the status names for one blocked job.
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -11,7 +11,8 @@
 	"robinstack/internal/worker"
 )
 
-// onTaskFailed handles a task of the job that failed on a machine. The caller must hold s.mu.
+// onTaskFailed handles the failure of one of the job's tasks on a machine. The caller must hold
+// s.mu.
 func (s *Scheduler) onTaskFailed(j *jobState, machine string) {
 	s.counters.Failed++
 	now := time.Now()
@@ -32,8 +33,9 @@
 	}
 }
 
-// onJobAtFault clears the machines on which the job failed of suspicion, and stops the job's tasks
-// that have not begun to run, because they would fail as well. The caller must hold s.mu.
+// onJobAtFault attributes the job's failures to the job, so that the machines concerned are no
+// longer suspected, and stops the job's tasks that have not begun to run, because they would fail
+// as well. The caller must hold s.mu.
 func (s *Scheduler) onJobAtFault(j *jobState) {
 	s.counters.Suspects++
 	slog.Info("job failing on all machines",
--- a/internal/scheduler/gang_commit.go
+++ b/internal/scheduler/gang_commit.go
@@ -39,8 +39,8 @@
 	return false
 }
 
-// reserveGang reserves capacity for each member and reports whether that succeeded for all. Members
-// also try the candidates of the first binding.
+// reserveGang reserves capacity for each member and reports whether that succeeded for all. Each
+// member tries its own candidates and then those of the first member.
 func (s *Scheduler) reserveGang(
 	ctx context.Context, j *jobState, commit agentapi.CommitRequest, bindings []*binding,
 ) (reserved []reservedTask, complete bool) {
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// deletionRetention is the minimum time for which the deletion of a record is kept: a slower
-	// read may still return the record.
+	// deletionRetention is the minimum time for which the deletion of a record is kept: a slow read
+	// that began before the deletion may still return the record.
 	deletionRetention = time.Minute
 
 	// maxDeletions is the number of kept deletions above which old ones are dropped.
@@ -110,8 +110,9 @@
 	}
 }
 
-// OnJobEvent applies a change of a job record from the watch. Any controller may record a
-// cancellation, and a submission of this controller whose response was lost may have been applied.
+// OnJobEvent applies a change of a job record from the watch. It may be one that this scheduler
+// does not know yet: a cancellation, which any controller may record, or a submission of this
+// controller that was applied although its response was lost.
 func (s *Scheduler) OnJobEvent(event statekv.Event) {
 	id, ok := strings.CutPrefix(event.Key(), job.RecordPrefix)
 	if !ok {
--- a/internal/scheduler/quota_grants.go
+++ b/internal/scheduler/quota_grants.go
@@ -110,8 +110,8 @@
 }
 
 // reserveQuota asks the leader to reserve free capacity within the team's quota, as it becomes
-// available, for a job whose start is overdue. Otherwise smaller jobs of the team would take that
-// capacity indefinitely. It reports whether all of the capacity is available.
+// available, for a job whose start is overdue. Without the reservation, smaller jobs of the team
+// would take that capacity indefinitely. It reports whether all of the capacity is available.
 func (s *Scheduler) reserveQuota(ctx context.Context, j *jobState, epoch uint64, tasks int) bool {
 	if !s.settings.HasQuota(j.spec.Team) {
 		return true
--- a/internal/scheduler/sampling.go
+++ b/internal/scheduler/sampling.go
@@ -20,7 +20,7 @@
 // sampleResult is the merged answer of the queried controllers.
 type sampleResult struct {
 	candidates     []agentapi.Candidate
-	exhausted      bool // every controller that answered drew all machines that may have capacity; too few passed the filters
+	exhausted      bool // every controller that answered found fewer machines than its sample target
 	fetchContended bool // capacity exists, but only on machines that fetch other images
 }
 
