--- a/internal/clusteragent/backfill.go
+++ b/internal/clusteragent/backfill.go
@@ -14,12 +14,12 @@
 // capacity is taken at once by any task that fits, so a gang of sixteen machines never finds
 // sixteen free machines, whatever its place in the queue. For a job that has waited half of its
 // start deadline, capacity is therefore reserved as it becomes free, on the machines that will have
-// it soonest. No task is stopped for it that preemption would not stop.
+// it soonest. A reservation itself stops no task; only preemption does.
 //
-// If two jobs want to reserve the same machine, the one that could have started earlier gets it on
-// every owner. The job that has waited longest thus gets all the machines that it asks for, and no
-// two jobs wait for each other. A reservation lapses backfillHold after the job's last request for
-// it.
+// If two jobs want to reserve the same machine, every owner gives it to the job that became ready
+// to start first. The job that has waited longest thus gets all the machines that it asks for, and
+// no two jobs wait for each other. A reservation lapses backfillHold after the job's last request
+// for it.
 
 // backfillHold is how long a backfill reservation lasts after the scheduler's last request for it;
 // schedulers repeat the request every second or two.
--- a/internal/clusteragent/cancellation.go
+++ b/internal/clusteragent/cancellation.go
@@ -127,17 +127,18 @@
 	a.cancellations.recordAcknowledgedRev(rev)
 }
 
-// coveredRev returns a revision such that no cancellation that this controller has acknowledged to
-// a user by now, and no machine that it has taken over, has a later one. The session's incarnation
-// covers earlier sessions: they had seen the cancellations that they acknowledged before this
-// session opened. The caller must hold a.mu.
+// coveredRev returns an upper bound on the revisions of the cancellations that this controller has
+// acknowledged to users so far and of the machines that it has taken over. The session's
+// incarnation covers earlier sessions: they had seen the cancellations that they acknowledged
+// before this session opened. The caller must hold a.mu.
 func (a *Agent) coveredRev() uint64 {
 	return max(a.session.Incarnation, a.cancellations.acknowledgedRev, a.mirror.TrackedRev())
 }
 
 // isFinished reports whether a job that its scheduler regards as open is finished: either its
 // cancellation was seen, or its record, which the scheduler last saw at revision rev, has been
-// removed at a later one. Schedulers of earlier versions send rev 0. The caller must hold a.mu.
+// removed at a later revision. Schedulers of earlier versions send rev 0. The caller must hold
+// a.mu.
 func (a *Agent) isFinished(jobID string, rev uint64) bool {
 	if a.cancellations.jobs.contains(jobID) {
 		return true
--- a/internal/clusteragent/commands.go
+++ b/internal/clusteragent/commands.go
@@ -15,11 +15,12 @@
 	// machine counts as unresponsive, so the loss of one message would cost all tasks on it.
 	unreconciledCommandTimeout = 700 * time.Millisecond
 	unreconciledRetryDelay     = 150 * time.Millisecond
-	// unresponsiveRetryDelay is the delay for unresponsive machines. With unreconciledRetryDelay,
-	// four in five machines of a zone that is cut off would have a command in flight, and so a
-	// connection open, at any time.
+	// unresponsiveRetryDelay is the delay before the next command to an unresponsive machine. With
+	// unreconciledRetryDelay, four in five machines of a zone that is cut off would have a command
+	// in flight, and so a connection open, at any time.
 	unresponsiveRetryDelay = 2 * time.Second
-	// commandRetryDelay is the delay before the next command after one that failed.
+	// commandRetryDelay is the delay before the next command to any other machine after a command
+	// failed.
 	commandRetryDelay = time.Second
 )
 
--- a/internal/clusteragent/commit.go
+++ b/internal/clusteragent/commit.go
@@ -145,9 +145,10 @@
 	}
 }
 
-// isLatestEpoch reports whether epoch is the latest revision of a role's key in the mirror. An
-// agent answers the watch of a new holder only after its mirror shows the new epoch; after that
-// answer, commits under the earlier epoch are refused here.
+// isLatestEpoch reports whether, as far as the mirror shows, epoch is the latest revision of a
+// role's key: the mirror shows neither a later revision nor the removal of the key. An agent
+// answers the watch of a new holder only after its mirror shows the new epoch; after that answer,
+// commits under the earlier epoch are refused here.
 func (a *Agent) isLatestEpoch(key string, epoch uint64) bool {
 	kv, ok := a.mirror.Get(key)
 	return ok && kv.Rev <= epoch || !ok && epoch > a.mirror.Rev()
--- a/internal/clusteragent/fair_share.go
+++ b/internal/clusteragent/fair_share.go
@@ -18,8 +18,8 @@
 // tasks. Its usage then shrinks only as its own tasks end, and capacity that other classes use
 // above their shares goes to the first job in the queue as their tasks end. Each owner enforces
 // this for its own machines with the data that it has anyway; jobs and machines are spread over the
-// owners, so the shares hold for the whole cluster as well. Teams without a guarantee, if other
-// teams have one, and jobs of the lowest priority only use spare capacity and have no share.
+// owners, so the shares hold for the whole cluster as well. Jobs of the lowest priority, and jobs
+// of teams without a guarantee if any team has one, only use spare capacity and have no share.
 
 // fairShare is the usage of an owner's machines by class. Agent.mu guards it.
 type fairShare struct {
--- a/internal/clusteragent/liveness_test.go
+++ b/internal/clusteragent/liveness_test.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// A worker that no controller can have answered for longer than its lease has ended its tasks.
-// Until then the tasks keep their capacity.
+// Once no controller can have answered a worker for longer than the worker's lease, the worker has
+// ended its tasks. Until then the tasks keep their capacity.
 func TestUnresponsiveMachineKeepsTasksUntilLeaseExpiry(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		n, w, epoch := bed.startOwner()
--- a/internal/clusteragent/planning_test.go
+++ b/internal/clusteragent/planning_test.go
@@ -63,8 +63,8 @@
 }
 
 // The plan keeps the shards that are held and acquires those that this controller has to take over.
-// It lists those of the latter that have no machines for removal instead, and includes shards of
-// live owners only if they are wanted.
+// A shard to take over that has no machines is listed for removal instead. Shards of live owners
+// are included only if they are wanted.
 func TestTakeoverPlanFollowsSuccession(t *testing.T) {
 	f := newPlanningFleet(t)
 	f.addShard("own", 0, 0, 2)
--- a/internal/clusteragent/preempt.go
+++ b/internal/clusteragent/preempt.go
@@ -72,8 +72,8 @@
 	return options, free
 }
 
-// selectVictims selects from options, in order, as many tasks as are needed for the spec to fit,
-// and returns the free capacity without them.
+// selectVictims selects from options, in order, as many tasks as have to be preempted for one task
+// of spec to fit, and returns the capacity that is free once the victims have ended.
 func selectVictims(
 	options []*machine.Task, spec *job.Spec, free job.Resources,
 ) (victims []*machine.Task, remaining job.Resources) {
--- a/internal/clusteragent/registration_shards.go
+++ b/internal/clusteragent/registration_shards.go
@@ -33,9 +33,9 @@
 	return shardIDs, latestRev
 }
 
-// assignRegistrationShards fills the empty registration indexes with held shards, and otherwise
-// with the ids of shards to create. It returns the indexes of the latter, at most as many as one
-// transaction may create.
+// assignRegistrationShards fills each empty registration index with a held shard or, if there is
+// none for the index, with the id of a shard to create. It returns the indexes whose shards have to
+// be created, at most as many as one transaction may create.
 func (a *Agent) assignRegistrationShards(shardIDs []string, held map[string]heldShard) (toCreate []int) {
 	shardCount := a.zones.registrationShardCount()
 	ids := slices.Sorted(maps.Keys(held))
@@ -92,8 +92,8 @@
 }
 
 // needsRegistrationShard reports whether this controller takes new machines of the zone of a
-// registration index: its own zone, a zone of which a machine was to be claimed here before, or any
-// zone if its own is not among the configured zones.
+// registration index: its own zone, a zone whose machine could not be claimed here because the
+// index had no shard, or any zone if its own is not among the configured zones.
 func (a *Agent) needsRegistrationShard(index int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/clusteragent/sample.go
+++ b/internal/clusteragent/sample.go
@@ -38,7 +38,7 @@
 	return ""
 }
 
-// Reasons that do not prevent a backfill reservation of the machine.
+// Results of ineligibleReason that may still allow a backfill reservation of the machine.
 const (
 	reasonHeldForGangs     = "machine is held for gangs"
 	reasonReservedForOther = "machine is reserved for another job"
--- a/internal/clusteragent/shards.go
+++ b/internal/clusteragent/shards.go
@@ -127,7 +127,7 @@
 // ended and of which it is the successor, and those in wanted, which have live owners. Shards
 // without machines are not acquired but listed for later removal: after a crash of all controllers
 // the write limit of the state service bounds the takeover, and writes for empty shards would delay
-// that of the other shards.
+// the takeover of the other shards.
 func planTakeover(view *ownershipView, successors []string, wanted map[string]string) takeoverPlan {
 	plan := takeoverPlan{held: map[string]heldShard{}, previousRecords: map[string]*shard.Record{}}
 	for _, kv := range view.shards {
--- a/internal/clusteragent/unreachable_owner.go
+++ b/internal/clusteragent/unreachable_owner.go
@@ -34,10 +34,10 @@
 	// nonSuccessorDelay is how long a controller that is not the successor for a shard must have
 	// received heartbeats of the shard's workers before it takes the shard.
 	nonSuccessorDelay = 4 * time.Second
-	// Limits on the number of misdirected heartbeats of one worker. From misdirectedRepeated on,
-	// the worker counts towards the takeover of its shard. It is considered unable to reach its
-	// owner after unreachableAfterBurst of them, or after unreachableAfterSustained of them if the
-	// first was received more than minOwnershipAge ago.
+	// Limits on the number of misdirected heartbeats of one worker. A worker with at least
+	// misdirectedRepeated of them counts towards the takeover of its shard. It is considered unable
+	// to reach its owner after unreachableAfterBurst of them, or after unreachableAfterSustained of
+	// them if the first was received more than minOwnershipAge ago.
 	misdirectedRepeated       = 2
 	unreachableAfterSustained = 3
 	unreachableAfterBurst     = 4
--- a/internal/clusteragent/zones.go
+++ b/internal/clusteragent/zones.go
@@ -54,8 +54,9 @@
 // registrationShardCount returns the number of registration shards of an owner.
 func (z zoneRules) registrationShardCount() int { return shardsPerZone * max(1, len(z.settings.Zones)) }
 
-// registrationIndex returns the registration index of a machine, among shardCount registration
-// shards.
+// registrationIndex returns the index of the registration shard into which a new machine is placed:
+// one of the machine's zone, chosen by a hash of the machine's name. shardCount is the number of
+// registration shards.
 func (z zoneRules) registrationIndex(name, zone string, shardCount int) int {
 	zoneIndex := max(0, slices.Index(z.settings.Zones, zone))
 	return (zoneIndex*shardsPerZone + hashName(name)%shardsPerZone) % shardCount
@@ -79,9 +80,9 @@
 }
 
 const (
-	// redirectInterval is how long a new machine is not redirected again after a redirect to its
-	// zone. If it reports to a controller of another zone within this time, the controller of its
-	// zone has not claimed it, and the other controller claims it.
+	// redirectInterval is the minimum time between two redirects of a new machine to its zone. If
+	// the machine reports to a controller of another zone within this time after a redirect, the
+	// controller of its zone has not claimed it, and the other controller claims it.
 	redirectInterval = 15 * time.Second
 	// maxRedirects bounds the number of machines whose redirects are remembered.
 	maxRedirects = 4096
--- a/internal/clusteragent/zones_test.go
+++ b/internal/clusteragent/zones_test.go
@@ -82,8 +82,8 @@
 }
 
 // When an owner crashes, its shards go to controllers of their zone. Shards with unresponsive or
-// unreconciled machines are not rebalanced: under a new owner the wait for their leases would begin
-// again, and job shards wait for it.
+// unreconciled machines are not rebalanced: under a new owner the wait for the machines' leases
+// would begin again, and the reconciliation of job shards would wait as long.
 func TestShardsStayInZoneAndUnreconciledShardsAreNotMoved(t *testing.T) {
 	runScenario(t, func(t *testing.T, bed *testbed) {
 		a := bed.startNodeInZone("host-0", "a")
