--- a/internal/leader/ledger.go
+++ b/internal/leader/ledger.go
@@ -30,7 +30,7 @@
 }
 
 // countUnconfirmedMachines updates confirmed and returns the number of machines that may run tasks
-// that an earlier leader granted and no entry has shown.
+// granted by an earlier leader and not yet shown by any entry.
 func (l *Leader) countUnconfirmedMachines(epoch uint64) int {
 	unconfirmed := 0
 	for _, kv := range l.mirror.Dir(statekv.MachinePrefix) {
--- a/internal/machine/heartbeat.go
+++ b/internal/machine/heartbeat.go
@@ -9,8 +9,9 @@
 )
 
 // Apply updates the machine from a heartbeat or from the response to a command, and reports whether
-// anything changed. executedToken is the token of the command that was executed, or 0 for a
-// heartbeat or a command that was not. Apply ignores a state that is not newer than the latest one.
+// anything changed. executedToken is the token of the command if the worker executed it, and 0 for
+// a heartbeat or for a command that was not executed. Apply ignores a state that is not newer than
+// the latest one.
 func (m *Machine) Apply(r *worker.Heartbeat, now time.Time, executedToken uint64) (changed bool) {
 	if !m.Liveness.latest.Before(MessageSequenceOf(r)) {
 		return false
@@ -113,8 +114,8 @@
 	return changed
 }
 
-// updateOccupancy records when the machine becomes idle. If a gang was on the machine, which is
-// then free, it holds the machine for other gangs. gangPriority is the priority of that gang, or
+// updateOccupancy records when the machine becomes idle. If a gang was on the machine and no task
+// is left there, the machine is held for other gangs. gangPriority is the priority of that gang, or
 // noGang.
 func (m *Machine) updateOccupancy(gangPriority int, now time.Time) (changed bool) {
 	if m.currentUsage().occupied {
--- a/internal/machine/ownership.go
+++ b/internal/machine/ownership.go
@@ -13,7 +13,7 @@
 	Rev    uint64 // ownership revision: the later of the revisions of the machine's key and its shard's key
 
 	reconciled          bool      // whether no command of an earlier owner can take effect any more
-	heartbeatAnswered   bool      // whether this or an earlier owner has answered one
+	heartbeatAnswered   bool      // whether this or an earlier owner has answered a heartbeat
 	raises              uint64    // number of raises of the token under this revision
 	seenToken           uint64    // highest token that the worker has shown
 	lastPossibleRenewal time.Time // latest time at which any owner may have renewed the worker lease
--- a/internal/machine/task.go
+++ b/internal/machine/task.go
@@ -68,7 +68,7 @@
 // startCommand tracks the delivery of a task's start command.
 type startCommand struct {
 	delivery startDelivery
-	token    uint64      // under which the command was sent
+	token    uint64      // fencing token with which the command was sent
 	fence    uint64      // once a heartbeat shows this token, the worker cannot execute the command any more
 	result   chan string // buffered, for the result of the commit; nil: no commit waits
 }
@@ -91,7 +91,7 @@
 // stopCommand tracks the request to stop a task and the times at which it was sent.
 type stopCommand struct {
 	requested bool
-	grace     time.Duration // to save a checkpoint
+	grace     time.Duration // time that the task has to save a checkpoint
 	firstSent time.Time
 	lastSent  time.Time
 }
@@ -240,8 +240,8 @@
 }
 
 // RecheckExit reports whether the job record must be read again: the task has been in state Exited
-// for longer than the duration after, and its exit is still not known to be recorded. If so, the
-// duration starts again.
+// for longer than after, and its exit is still not known to be recorded. If so, that period starts
+// again.
 func (t *Task) RecheckExit(now time.Time, after time.Duration) bool {
 	if t.state != Exited || t.forgetAllowed || now.Sub(t.exitedAt) <= after {
 		return false
