--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// listLagFactor defines when a listed machine that is missing from the latest list counts as gone:
-// when a list first showed it more than listLagFactor times the cloud's list lag ago.
+// A machine that is missing from the latest list counts as gone once listLagFactor times the
+// cloud's list lag has passed since a list first showed it.
 const listLagFactor = 3
 
 // OnList updates the fleet with a list of the cloud's machines.
@@ -115,7 +115,7 @@
 
 	Types          map[string]cloud.MachineType
 	Entries        []agentapi.MachineEntry   // of all machines that have owners
-	HasOwner       func(machine string) bool // by the machine's key, which exists before its entry arrives
+	HasOwner       func(machine string) bool // whether the machine's key exists, which precedes the machine's entry
 	LedgerMachines int                       // number of machines in the quota ledger
 
 	Demand    *DemandReports
--- a/internal/autoscaler/offers.go
+++ b/internal/autoscaler/offers.go
@@ -44,8 +44,8 @@
 // Limits on the cost per task on a machine, as a multiple of the lowest cost per task on any
 // machine that suits the job.
 const (
-	// maxCostRatio applies to jobs above the lowest priority. Machines that only some of a job's
-	// needs fit well cost so much per task that running the job some minutes later is better.
+	// maxCostRatio applies to jobs above the lowest priority. A machine that matches only some of a
+	// job's needs costs so much per task that it is better to run the job some minutes later.
 	maxCostRatio = 4.0
 	// maxCostRatioLowestPriority applies to jobs of the lowest priority, which only use surplus
 	// capacity. Warm capacity is excepted.
--- a/internal/autoscaler/pool.go
+++ b/internal/autoscaler/pool.go
@@ -41,7 +41,7 @@
 // machines to request from those pools afterwards.
 type poolLimits struct {
 	pausedUntil map[Pool]time.Time
-	probeSizes  map[Pool]int // largest request to make, of pools that refused a request or stalled
+	probeSizes  map[Pool]int // largest request to send to each pool that refused a request or stalled
 }
 
 func newPoolLimits() poolLimits {
--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -24,7 +24,8 @@
 const (
 	// historyLength is the number of provisioning times kept per pool.
 	historyLength = 20
-	// minHistoryLength is the number of provisioning times from which on they are used.
+	// minHistoryLength is the number of recorded provisioning times that a pool needs before they
+	// are used.
 	minHistoryLength = 5
 	// arrivalSpan is how long a machine that came up counts as a recent arrival of its pool.
 	arrivalSpan = time.Minute
--- a/internal/autoscaler/surplus.go
+++ b/internal/autoscaler/surplus.go
@@ -18,10 +18,11 @@
 	earlyReturnShare = 0.25
 )
 
-// reuseTracker tracks how many idle machines of a pool recently got work. As many may be needed
-// again before a machine that is requested now would be ready. Idle machines beyond that number are
-// returned early. Without this rule, when the daily load ended, each of the cluster's last 1000
-// machines was idle for the full scale-in idle time, which made up a twelfth of the machine cost.
+// reuseTracker tracks how many idle machines of a pool recently got work. The same number may be
+// needed again before a machine that is requested now would be ready. The number of idle machines
+// to keep follows from it; idle machines beyond that are returned early. Without this rule, when
+// the daily load ended, each of the cluster's last 1000 machines was idle for the full scale-in
+// idle time, which made up a twelfth of the machine cost.
 type reuseTracker struct {
 	window[int] // numbers of idle machines that got work
 	idle        map[string]bool
@@ -85,8 +86,9 @@
 }
 
 // countSurplus returns how many of a pool's idle machines, ordered by descending idle time, are
-// surplus: as many as were idle throughout the scale-in idle time, and those beyond the number to
-// keep that have been idle for at least earlyReturnShare of it.
+// surplus. That is the least number that were idle at the same time within the scale-in idle time.
+// Further machines beyond the number to keep are surplus if they have been idle for at least
+// earlyReturnShare of the scale-in idle time.
 func (f *Fleet) countSurplus(
 	pool *poolIdleness, names []string, idleFor map[string]time.Duration, present map[string]bool, now time.Time,
 ) int {
@@ -100,8 +102,8 @@
 	return n
 }
 
-// idleByPool returns the idle machines without tasks from the packing, by pool, with an entry for
-// every pool that has machines, and the names of all machines.
+// idleByPool returns, by pool, the idle machines on which the packing placed no tasks; every pool
+// that has machines gets an entry. present holds the names of all machines.
 func idleByPool(bins []*bin, idleFor map[string]time.Duration) (idle map[Pool][]string, present map[string]bool) {
 	idle, present = map[Pool][]string{}, map[string]bool{}
 	for _, b := range bins {
--- a/internal/autoscaler/surplus_test.go
+++ b/internal/autoscaler/surplus_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// While idle machines regularly get work, as many are kept. When the load has ended, all but
-// minIdleKept may be returned early.
+// While idle machines regularly get work, the number of idle machines kept follows the number that
+// got work. When the load has ended, all but minIdleKept may be returned early.
 func TestIdleMachinesAreKeptWhileReused(t *testing.T) {
 	var r reuseTracker
 	now := time.Time{}.Add(time.Hour)
@@ -39,8 +39,9 @@
 	}
 }
 
-// In a large cluster no machine is idle for long, but many are idle at any moment. As many machines
-// are returned as were idle all the time, and no more.
+// In a large cluster no machine is idle for long, but many are idle at any moment. The number of
+// machines returned is the least number that were idle at the same time within the scale-in idle
+// time, and no more.
 func TestContinuouslyIdleMachinesAreReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -18,7 +18,7 @@
 type grant struct {
 	allocation
 	jobShard string
-	epoch    uint64 // of the job shard's owner that got the grant
+	epoch    uint64 // epoch in which the scheduler that got the grant owns the job shard
 }
 
 // Ledger counts the resources that teams hold on machines and those that they are granted. Its sums
