--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -45,7 +45,7 @@
 type DemandReport struct {
 	Host     string
 	Need     float64       // changes per second that the controller would make
-	Promises bool          // whether it uses at most half of its share for PromiseDuration from the sending
+	Promises bool          // whether it uses at most half of its share for PromiseDuration after sending this report
 	Epoch    uint64        // epoch of the allocator whose clock Echo refers to
 	Echo     time.Duration // Grant.Now of the latest answer; the report was sent later
 }
@@ -54,7 +54,7 @@
 type Grant struct {
 	Epoch uint64
 	Now   time.Duration // time on the allocator's clock
-	Loan  float64       // changes per second beyond its share or promise, for LoanDuration from the report's sending
+	Loan  float64       // changes per second beyond its share or promise, for LoanDuration after sending the report
 
 	// Whole reports whether nothing of the controller's own share is lent except what it has
 	// promised itself. Its session then need not wait for JoinDelay.
--- a/internal/statekv/client.go
+++ b/internal/statekv/client.go
@@ -66,7 +66,8 @@
 	return kv, err
 }
 
-// List reads one page of the keys under prefix that follow the key after, in order.
+// List reads one page of the keys under prefix, in order. If after is not empty, the page begins
+// with the next key behind it.
 func (c *Client) List(ctx context.Context, prefix, after string) (Page, error) {
 	var page Page
 	if err := c.paceRequest(ctx); err != nil {
@@ -100,7 +101,7 @@
 	return c.call(ctx, request{method: http.MethodDelete, path: fmt.Sprintf("/grants/%d", lease)}, nil)
 }
 
-// Watch waits until a key under prefix changes after the revision since, but for at most block.
+// Watch waits, for at most block, until a key under prefix changes at a revision later than since.
 func (c *Client) Watch(
 	ctx context.Context, prefix string, since uint64, block time.Duration,
 ) (WatchResponse, error) {
--- a/internal/statekv/schema.go
+++ b/internal/statekv/schema.go
@@ -22,8 +22,8 @@
 	Schema, MaxSchema int    // version of the object, and latest version that this build reads
 }
 
-// Error uses the name of the version in the stored objects: form. The text is part of the status
-// and of the output of the compatibility check.
+// Error calls the schema version by its name in stored objects, "form". The text is part of the
+// status and of the output of the compatibility check.
 func (e *SchemaError) Error() string {
 	return fmt.Sprintf("%s has form %d; this build reads forms up to %d", e.Kind, e.Schema, e.MaxSchema)
 }
--- a/internal/statekv/session.go
+++ b/internal/statekv/session.go
@@ -14,8 +14,8 @@
 const (
 	// renewalsPerTTL is the number of renewals sent within one TTL, so that several may fail.
 	renewalsPerTTL = 4
-	// leaseMarginDivisor is the divisor of the TTL that gives the part at its end during which the
-	// session does not rely on the lease, because of clock drift and the duration of writes.
+	// The last 1/leaseMarginDivisor of the TTL is the margin in which the session does not rely on
+	// the lease, because of clock drift and the duration of writes.
 	leaseMarginDivisor = 8
 )
 
@@ -139,7 +139,7 @@
 // Fence returns the compare that every write of this session carries.
 func (s *Session) Fence() Compare { return Compare{Key: SessionPrefix + s.Host, Rev: s.Incarnation} }
 
-// Write applies then if the session's fence and all given compares hold.
+// Write applies the changes listed in then if the session's fence and all compares in when hold.
 func (s *Session) Write(ctx context.Context, when []Compare, then []Op) (uint64, error) {
 	return s.store.Txn(ctx, append([]Compare{s.Fence()}, when...), then)
 }
--- a/internal/statekv/store.go
+++ b/internal/statekv/store.go
@@ -110,10 +110,11 @@
 type Store interface {
 	// Get reads one key.
 	Get(ctx context.Context, key string) (KV, error)
-	// List reads one page of the keys under prefix that follow the key after, in order.
+	// List reads one page of the keys under prefix, in order. If after is not empty, the page
+	// begins with the next key behind it.
 	List(ctx context.Context, prefix, after string) (Page, error)
-	// Txn applies then if every compare holds, and returns the new revision. It returns a
-	// *ConflictError if a compare does not hold.
+	// Txn applies the changes listed in then if every compare in when holds, and returns the new
+	// revision. It returns a *ConflictError if a compare does not hold.
 	Txn(ctx context.Context, when []Compare, then []Op) (uint64, error)
 	// Grant obtains a lease.
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
@@ -121,7 +122,8 @@
 	Renew(ctx context.Context, lease uint64) error
 	// Revoke ends a lease immediately.
 	Revoke(ctx context.Context, lease uint64) error
-	// Watch waits until a key under prefix changes after the revision since, but for at most block.
+	// Watch waits, for at most block, until a key under prefix changes at a revision later than
+	// since.
 	Watch(ctx context.Context, prefix string, since uint64, block time.Duration) (WatchResponse, error)
 
 	// Allow reports whether n requests of a class that can wait may be sent now, and counts them if
--- a/internal/statekv/txn.go
+++ b/internal/statekv/txn.go
@@ -16,8 +16,8 @@
 	Then []Op      `json:"then,omitempty"`
 }
 
-// Txn applies then if every compare holds, and returns the new revision. It returns a
-// *ConflictError if a compare does not hold.
+// Txn applies the changes listed in then if every compare in when holds, and returns the new
+// revision. It returns a *ConflictError if a compare does not hold.
 func (c *Client) Txn(ctx context.Context, when []Compare, then []Op) (uint64, error) {
 	if err := c.paceRequest(ctx); err != nil {
 		return 0, err
--- a/internal/statekv/writebudget.go
+++ b/internal/statekv/writebudget.go
@@ -34,8 +34,9 @@
 // changes.
 const minBurst = 4
 
-// minBatchOps is the smallest limit on the changes of a transaction, however few can be sent soon.
-// The completion of a job and a change of the cluster version need that many.
+// minBatchOps is the number of changes that a transaction may always contain, even if the write
+// budget allows fewer soon. The completion of a job and a change of the cluster version need that
+// many.
 const minBatchOps = 6
 
 // burstSeconds sets the burst of a controller, in seconds of its share. The shares add up to nine
@@ -108,7 +109,8 @@
 	return w.refresh(now)
 }
 
-// opsSoon returns how many changes in one transaction would wait for at most about half a second.
+// opsSoon returns the largest number of changes to put into one transaction: those that the current
+// rate allows in half a second, but at least minBatchOps and at least one second of the own share.
 func (w *WriteBudget) opsSoon(now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/statekv/writebudget_test.go
+++ b/internal/statekv/writebudget_test.go
@@ -55,7 +55,7 @@
 }
 
 // The reported need includes the changes that wait for capacity and those requested within the last
-// second. Once both are over, the report promises low use.
+// second. Once there are none of either, the report promises low use.
 func TestReportedNeedIncludesWaitingChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWriteBudget(40, 4)
