--- a/internal/changefeed/feed_test.go
+++ b/internal/changefeed/feed_test.go
@@ -51,7 +51,8 @@
 }
 
 // The time is unknown while an agent has not reported a covered revision, or has reported one later
-// than asked for. Otherwise it is that of the earliest watch.
+// than the given revision. Otherwise it is when the earliest of the agents' latest watches was
+// sent.
 func TestAcknowledgedUntilNeedsEveryAgent(t *testing.T) {
 	f := New(nil, nil, []string{"a", "b"}, nil, nil)
 	first := time.Unix(1000, 0)
