--- a/internal/clusteragent/bench_test.go
+++ b/internal/clusteragent/bench_test.go
@@ -11,8 +11,8 @@
 	"robinstack/internal/job"
 )
 
-// benchMachines is the number of machines of the owner in benchmarks, about that of one of three
-// controllers in a cluster of 600 machines.
+// benchMachines is the number of machines of the owner in benchmarks: about as many as each of
+// three controllers owns in a cluster of 600 machines.
 const benchMachines = 200
 
 // benchNode starts an owner of benchMachines machines. It returns the owner, the workers of the
--- a/internal/clusteragent/claims.go
+++ b/internal/clusteragent/claims.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// completeClaims removes claims from the pending ones after the attempt to write them, and wakes
-// the heartbeats that wait for them.
+// completeClaims marks claims as no longer pending after the attempt to write them, and wakes the
+// heartbeats that wait for them.
 func (a *Agent) completeClaims(batch []machineClaim) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -154,8 +154,8 @@
 }
 
 // allocationFor returns the allocation of a task according to its entry. While the machine's owner
-// has not read the job record, it returns that of the task's grant or, without a grant, that of the
-// machine's previous entry.
+// has not read the job record, it returns the allocation in the task's grant or, without a grant,
+// the one known from the machine's previous entry.
 func (l *Ledger) allocationFor(
 	task *agentapi.TaskEntry, previous map[agentapi.TaskRef]allocation,
 ) allocation {
--- a/internal/scheduler/completion_records.go
+++ b/internal/scheduler/completion_records.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// completionWrite is one transaction that records results of a job, with what has to be restored if
-// it fails.
+// completionWrite is one transaction that records results of a job, with the information that is
+// needed to mark these results as unrecorded again if the transaction fails.
 type completionWrite struct {
 	final                 bool // replaces the job's record by its tombstone
 	compares              []statekv.Compare
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -77,7 +77,7 @@
 	return ready
 }
 
-// setUrgency sets the effective rank and deadline of a job: its own ones, or those inherited from
+// setUrgency sets the effective rank and deadline of a job: the job's own, or those inherited from
 // its dependents where these are more urgent. The effective deadline counts from the time when the
 // job became ready, as its age does. The caller must hold s.mu.
 func (s *Scheduler) setUrgency(j *jobState, urgency dag.Urgency) {
--- a/internal/scheduler/start_deadline_test.go
+++ b/internal/scheduler/start_deadline_test.go
@@ -123,7 +123,7 @@
 }
 
 // Capacity reserved for a gang that does not start is released, whether the gang is cancelled or
-// its scheduler crashes. In the latter case the next scheduler reserves capacity anew.
+// its scheduler crashes. After a crash, the next scheduler reserves capacity anew.
 func TestUnusedReservationIsReleased(t *testing.T) {
 	for _, reason := range []string{"cancelled", "scheduler crashes"} {
 		runScenario(t, func(cluster *testCluster) {
