--- a/internal/scheduler/completion_records.go
+++ b/internal/scheduler/completion_records.go
@@ -24,7 +24,7 @@
 	maxWritesPerRun = 8
 
 	// finalRecordOps is the number of operations that a job's final record takes from the write
-	// budget: the deleted record and a tombstone in both formats.
+	// budget: the deletion of the job's record, and a tombstone in each of the two formats.
 	finalRecordOps = 3
 
 	// completionWriteTimeout bounds one write, including the read after a conflict.
@@ -51,15 +51,16 @@
 	writeInFlight bool                // a write is in flight; a job has at most one
 }
 
-// markDirty sets the time since which results wait to be recorded, unless it is set.
+// markDirty records now as the time since which results wait to be recorded, unless results already
+// wait.
 func (c *pendingCompletion) markDirty(now time.Time) {
 	if c.dirtySince.IsZero() {
 		c.dirtySince = now
 	}
 }
 
-// completionWrite is one transaction that records results of a job, with what has to be restored if
-// it fails.
+// completionWrite is one transaction that records results of a job, with the information that is
+// needed to mark these results as unrecorded again if the transaction fails.
 type completionWrite struct {
 	final                 bool // replaces the job's record by its tombstone
 	compares              []statekv.Compare
@@ -257,7 +258,7 @@
 	s.dropIfGone(id, j)
 }
 
-// restoreUnwritten marks what a failed write did not record as dirty again.
+// restoreUnwritten marks the chunks and the failure history of a failed write as unrecorded again.
 func (j *jobState) restoreUnwritten(write *completionWrite, now time.Time) {
 	for chunk := range write.chunks {
 		j.completion.dirtyChunks[chunk] = true
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// dependencyRecheckInterval is the interval at which blocked jobs are checked without a change
-	// of the dependency tracker, so that a tombstone whose read failed is requested again.
+	// dependencyRecheckInterval is the interval at which blocked jobs are checked even if the
+	// dependency tracker has not changed, so that a tombstone whose read failed is requested again.
 	dependencyRecheckInterval = time.Second
 
 	// maxDependenciesShown bounds the dependencies that the status names for one blocked job.
@@ -77,7 +77,7 @@
 	return ready
 }
 
-// setUrgency sets the effective rank and deadline of a job: its own ones, or those inherited from
+// setUrgency sets the effective rank and deadline of a job: the job's own, or those inherited from
 // its dependents where these are more urgent. The effective deadline counts from the time when the
 // job became ready, as its age does. The caller must hold s.mu.
 func (s *Scheduler) setUrgency(j *jobState, urgency dag.Urgency) {
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -11,7 +11,8 @@
 	"robinstack/internal/worker"
 )
 
-// onTaskFailed handles a task of the job that failed on a machine. The caller must hold s.mu.
+// onTaskFailed handles the failure of one of the job's tasks on a machine. The caller must hold
+// s.mu.
 func (s *Scheduler) onTaskFailed(j *jobState, machine string) {
 	s.counters.Failed++
 	now := time.Now()
@@ -32,8 +33,9 @@
 	}
 }
 
-// onJobAtFault clears the machines on which the job failed of suspicion, and stops the job's tasks
-// that have not begun to run, because they would fail as well. The caller must hold s.mu.
+// onJobAtFault attributes the job's failures to the job, so that the machines concerned are no
+// longer suspected, and stops the job's tasks that have not begun to run, because they would fail
+// as well. The caller must hold s.mu.
 func (s *Scheduler) onJobAtFault(j *jobState) {
 	s.counters.Suspects++
 	slog.Info("job failing on all machines",
@@ -48,9 +50,9 @@
 	}
 }
 
-// scheduleFailureRecord schedules a write of the job's failure history into its record. Without it,
-// the next scheduler of the job would need failures on as many machines again before it attributes
-// them to the job. The caller must hold s.mu.
+// scheduleFailureRecord schedules a write of the job's failure history into its record. Without
+// this history, the next scheduler of the job would need failures on several machines again before
+// it attributes them to the job. The caller must hold s.mu.
 func (s *Scheduler) scheduleFailureRecord(j *jobState) {
 	if j.failures.consecutive > maxRecordedFailures || !s.versions.Enabled(rollout.FeatureFailureHistory) {
 		return
