--- a/internal/job/parse.go
+++ b/internal/job/parse.go
@@ -14,7 +14,7 @@
 
 // Limits on the values of a submission.
 const (
-	maxAmount           = 1e9 // of resources, gigabytes or seconds; larger values are mistakes
+	maxAmount           = 1e9 // amount of a resource, gigabytes or seconds; a larger value is taken for a mistake
 	maxNameBytes        = 200 // name of a class, team or image
 	maxMachineTypes     = 50
 	maxMachineTypeBytes = 100 // name of a machine type
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -59,8 +59,8 @@
 }
 
 // FailureHistory is what a job's scheduler has learned from the failures of the job. It is stored
-// so that the scheduler that takes over the job does not need to let it fail on as many machines
-// again.
+// so that a scheduler that takes over the job does not have to learn it again, by letting the job
+// fail on as many machines.
 type FailureHistory struct {
 	Machines    []string `json:"on"`      // machines on which the job failed, at most MaxFailedMachines
 	Consecutive int      `json:"row"`     // number of consecutive failures
@@ -102,7 +102,7 @@
 		return
 	}
 	r.UnknownFields = statekv.UnknownFieldsOf(raw, r)
-	if r.SpecFragments == 0 { // otherwise JoinSpec has stored them
+	if r.SpecFragments == 0 { // JoinSpec has already stored those of a split spec
 		r.UnknownSpecFields = statekv.UnknownFieldsOf(fields.Spec, &r.Spec)
 	}
 }
--- a/internal/tombstone/batched_lookup.go
+++ b/internal/tombstone/batched_lookup.go
@@ -15,8 +15,8 @@
 	// a second for 15 jobs each, the last lookup of a full queue is answered after 30 s.
 	maxQueuedLookups = 3000
 
-	// maxWait limits how long a caller waits. A lookup that takes longer is rejected but stays in
-	// the queue, so that its result is cached for the next lookup of a finished job.
+	// maxWait limits how long a caller waits for a lookup. The caller then gets ErrBusy, but the
+	// lookup stays in the queue, so that a tombstone that it finds is cached for the next caller.
 	maxWait = 500 * time.Millisecond
 
 	// allowRetryDelay is the pause before the worker asks again whether it may send a request.
--- a/internal/tombstone/batched_lookup_test.go
+++ b/internal/tombstone/batched_lookup_test.go
@@ -64,7 +64,7 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(4 * time.Millisecond): // 250 a second
+				case <-time.After(4 * time.Millisecond): // 250 lookups a second
 				}
 				go func() { _, _ = lookup.Lookup(ctx, fence, fmt.Sprintf("wk-9%d", k), onFound) }()
 			}
--- a/internal/tombstone/garbage_collector.go
+++ b/internal/tombstone/garbage_collector.go
@@ -11,10 +11,9 @@
 	"robinstack/internal/statekv"
 )
 
-// GarbageCollector deletes the auxiliary keys that are left after a job has finished. There are
-// such keys because the transaction that writes the tombstone may have no room to delete them all,
-// and because its controller may fail before it has deleted the others. The collector is active
-// only while its controller is leader.
+// GarbageCollector deletes the auxiliary keys that are left after a job has finished, because the
+// transaction that writes the tombstone deletes only as many of them as it has room for. The
+// collector is active only while its controller is leader.
 type GarbageCollector struct {
 	Store interface {
 		Store
--- a/internal/tombstone/read.go
+++ b/internal/tombstone/read.go
@@ -69,10 +69,10 @@
 	return "", errSessionEnded
 }
 
-// PartitionByPresence divides jobs into those for which a compare of absentCompares fails and those
-// for which all of them hold. A job is reported missing only if fence held at the same moment since
-// the call. The jobs are checked by few transactions without operations, since a failed transaction
-// reports every compare that failed.
+// PartitionByPresence divides jobs into those for which a compare of absentCompares fails (present)
+// and those for which all of them hold (missing). A job is reported missing only if at some moment
+// since the call its compares and fence held together. One transaction without operations checks
+// many jobs, because a failed transaction reports every compare that failed.
 func PartitionByPresence(
 	ctx context.Context, store Store, fence statekv.Compare, ids []string,
 	absentCompares func(id string) []statekv.Compare,
--- a/internal/tombstone/tombstone.go
+++ b/internal/tombstone/tombstone.go
@@ -4,9 +4,10 @@
 //
 // There are two formats. A legacy tombstone is a JSON object under robin/final/. A compact
 // tombstone is a JSON list under robin/ended/ that begins with its schema version; it takes two
-// fifths of the size. The cluster version (package rollout) determines which formats are written.
-// Both are always read. A job has at most one tombstone, in one or both formats: the transaction
-// that writes it compares the revision of the job's record and deletes that record.
+// fifths of the size of a legacy one. The cluster version (package rollout) determines which
+// formats are written. Both are always read. A job has at most one tombstone, in one or both
+// formats: the transaction that writes it compares the revision of the job's record and deletes
+// that record.
 //
 // A BatchedLookup keeps a queue of pending lookups. Its mutex guards the queue and is not held
 // during I/O. A GarbageCollector keeps no state.
@@ -49,9 +50,9 @@
 	Tasks  int
 
 	// CompletedAtMS is when the job was found to be done, as a Unix time in milliseconds by the
-	// clock of the controller that recorded it. The age and the deadline of dependent jobs count
-	// from then. It is 0 if the time is unknown, because an earlier build wrote the tombstone, and
-	// for cancelled jobs.
+	// clock of the controller that recorded it. The ages and deadlines of jobs that depend on this
+	// one count from then. It is 0 for cancelled jobs, and if the time is unknown because an
+	// earlier build wrote the tombstone.
 	CompletedAtMS int64
 }
 
--- a/internal/tombstone/tombstone_test.go
+++ b/internal/tombstone/tombstone_test.go
@@ -17,8 +17,8 @@
 	"robinstack/internal/tombstone"
 )
 
-// Every tombstone is decoded unchanged from both formats, and its compact format takes at most half
-// of the size.
+// Every tombstone is decoded unchanged from both formats. The compact format takes at most half the
+// size of the legacy one.
 func TestFormatsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := tombstone.Tombstone{Status: rapid.SampledFrom([]string{job.Done, job.Cancelled}).Draw(t, "status"), Tasks: rapid.IntRange(1, job.MaxTasks).Draw(t, "tasks"),
@@ -115,8 +115,9 @@
 	}
 }
 
-// The build in production can decode a tombstone with a completion time: it reads the first three
-// entries of the list, and the fields that it knows.
+// The build in production can decode a tombstone with a completion time: of a compact tombstone it
+// reads only the first three entries of the list, and of a legacy one only the fields that it
+// knows.
 func TestPreviousBuildReadsCompletionTime(t *testing.T) {
 	ops := tombstone.WriteOps("wk-7", tombstone.Tombstone{Status: job.Done, Tasks: 5, CompletedAtMS: 1764633600000}, tombstone.LegacyAndCompact)
 	var legacy struct {
@@ -134,8 +135,8 @@
 	}
 }
 
-// The leader deletes the keys that a transaction had no room to delete, or whose controller failed
-// before it deleted them, within the transaction limits. The keys of unfinished jobs are kept.
+// While its controller is leader, the collector deletes the keys that final transactions had no
+// room to delete, within the transaction limits. The keys of unfinished jobs are kept.
 func TestGarbageCollection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
