--- a/internal/dag/evaluate.go
+++ b/internal/dag/evaluate.go
@@ -46,7 +46,7 @@
 	State             State
 	WaitingOn         []string  // open direct dependencies
 	MissingTombstones []string  // direct and transitive dependencies whose tombstones must be read
-	DamagedTombstones []string  // those with damaged tombstones instead; set by Tracker.Evaluate
+	DamagedTombstones []string  // set only by Tracker.Evaluate, which moves them from MissingTombstones
 	CancelledBy       string    // the cancelled dependency; set if State is Cancelled
 	ReadySince        time.Time // when the last dependency was done; zero if unknown
 }
--- a/internal/dag/tracker.go
+++ b/internal/dag/tracker.go
@@ -48,7 +48,7 @@
 	pendingReads        map[string]bool      // dependencies whose tombstones are to be read
 	damagedReadAt       map[string]time.Time // when a damaged tombstone was last read
 	generation          uint64
-	urgencies           map[string]Urgency // at generation urgenciesGeneration; nil: not computed yet
+	urgencies           map[string]Urgency // inherited, as of urgenciesGeneration; nil: not computed yet
 	urgenciesGeneration uint64
 	readRequested       chan struct{}
 }
--- a/internal/dag/tracker_test.go
+++ b/internal/dag/tracker_test.go
@@ -194,8 +194,9 @@
 		if undecodable[tombstone.Key("wk-2")] == "" {
 			t.Errorf("got undecodable keys %v, want the tombstone of wk-2 among them", undecodable)
 		}
-		// Users are told that these jobs wait, as otherwise the jobs would count as lost. The
-		// tombstone is read again only after damagedRetryDelay, until an operator has restored it.
+		// Users are told that these jobs wait, as otherwise the jobs would count as lost. A damaged
+		// tombstone is read again every damagedRetryDelay at most, until an operator has restored
+		// it.
 		if result := b.requireState("wk-7", dag.Waiting); len(result.MissingTombstones) > 0 || len(result.DamagedTombstones) != 1 {
 			t.Errorf("got %+v, want one damaged and no missing tombstone", result)
 		}
--- a/internal/rollout/dependencies_test.go
+++ b/internal/rollout/dependencies_test.go
@@ -228,8 +228,8 @@
 
 // A command to disable dependencies that is repeated while transactions are slow is written once.
 // Each write of the version makes pending writes that compare it fail: the leader's step that
-// disables the feature, and the completion of every job. Written on every repetition, the command
-// stalled real processes on an idle machine for minutes.
+// disables the feature, and the completion of every job. When each repetition was written, real
+// processes on an idle machine made no progress for minutes.
 func TestRepeatedLowerCommandIsWrittenOnce(t *testing.T) {
 	runScenario(t, func(f *testCluster) {
 		f.startWithDependencies()
--- a/internal/rollout/feature.go
+++ b/internal/rollout/feature.go
@@ -55,7 +55,8 @@
 
 // FeatureGates are the feature gates of this build. The features up to the irreversible one require
 // each other in order, since earlier builds enabled them one by one. FeatureDependencies is outside
-// that order: as the last feature in it, it would be enabled much too late, or never.
+// that order: if it came after the irreversible feature, it would be enabled much too late, or
+// never.
 var FeatureGates = []FeatureGate{
 	{
 		Feature: FeatureVersionGate, Immediate: true,
--- a/internal/rollout/migrator.go
+++ b/internal/rollout/migrator.go
@@ -125,8 +125,8 @@
 	return prefix + r.Cursor
 }
 
-// migratePage migrates the values of one page of the listing. more reports whether there is more to
-// do now, as after an error.
+// migratePage migrates the values of one page of the listing. more reports whether the caller must
+// call it again now: there are further pages, or an error occurred.
 func (m *Migrator) migratePage(ctx context.Context) (more bool, err error) {
 	run, ok := m.currentRun()
 	if !ok {
@@ -221,9 +221,9 @@
 	case MigrationDropLegacy:
 		target = statekv.Compare{Key: tombstone.Key(id), Rev: compactRevs[id]}
 		if target.Rev == 0 {
-			// The compact tombstone is missing if, after the copy migration, all controllers were
-			// replaced at once by a build that writes only legacy tombstones: no controller was
-			// left to reject that build.
+			// The compact tombstone is missing if, after MigrationWriteCompact, all controllers
+			// were replaced at once by a build that writes only legacy tombstones: no controller
+			// was left to reject that build.
 			ops = tombstone.WriteOps(id, parsed, tombstone.CompactOnly)
 		}
 		ops = append(ops, statekv.Op{Delete: kv.Key})
--- a/internal/rollout/model_search_test.go
+++ b/internal/rollout/model_search_test.go
@@ -125,7 +125,7 @@
 	return len(queue), nil, nil
 }
 
-// maxStates is more than any search explores in which no compare is omitted.
+// maxStates exceeds the number of states of every search in which no compare is omitted.
 const maxStates = 100_000
 
 // No sequence of events within the budgets violates an invariant.
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -123,7 +123,7 @@
 	events  []string
 }
 
-// add adds a following state, which change makes from a copy of the present one.
+// add adds a state that may follow: a copy of the present state, modified by change.
 func (next *transitions) add(event string, change func(state *modelState, session *modelSession)) {
 	state := *next.from
 	change(&state, &state.sessions[next.host])
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -16,10 +16,10 @@
 	Ops      []statekv.Op
 }
 
-// featureChange returns the write of a version with other features. Each of its compares excludes
-// one kind of change since the snapshot: of the version, such as an operator's hold; of the leader;
-// of the sessions, of which one may have begun or ended, also one of a build that does not know
-// cluster versions; of the migration, which may have been completed.
+// featureChange returns the write of a version with other features. Each compare makes the write
+// fail if one of the following has changed since the snapshot: the version, for example by an
+// operator's hold; the leader; the sessions, if one has begun or ended, including one of a build
+// that does not know cluster versions; the migration, which may have been completed.
 func (s *Snapshot) featureChange(to ClusterVersion, migration Migration) *VersionChange {
 	to.WrittenBy = s.Self
 	compares := []statekv.Compare{
@@ -58,10 +58,10 @@
 	}
 }
 
-// migrationAfter returns the migration to store when a feature is enabled or disabled, where own is
-// the migration that this change starts, or "". Without one, a feature outside the order in which
-// features require each other leaves the present migration in progress, and any other feature
-// removes it.
+// migrationAfter returns the migration to store when the gate's feature is enabled or disabled. own
+// is the migration that this change itself starts, or "". If it is "", the change of a feature
+// outside the order in which features require each other leaves the present migration in progress,
+// and the change of any other feature removes it.
 func (s *Snapshot) migrationAfter(gate *FeatureGate, own string) Migration {
 	isOrdered := isRequired(gate.Feature) || gate.Irreversible
 	if own == "" && !isOrdered {
@@ -183,9 +183,9 @@
 }
 
 // planFinishDisabling completes an operator's request to disable a feature, or cancels the request
-// if an unfinished job needs the feature. This snapshot contains everything that was accepted
-// before the request, because that was written under a compare on the version before the request,
-// and the snapshot shows the version with the request.
+// if an unfinished job needs the feature. This snapshot contains all jobs that were accepted before
+// the request: they were written under a compare on the version before the request, and the
+// snapshot shows the version with the request.
 func (s *Snapshot) planFinishDisabling() (*VersionChange, string) {
 	feature := s.Version.Disabling
 	if s.LeaderEpoch == 0 {
--- a/internal/rollout/raise_test.go
+++ b/internal/rollout/raise_test.go
@@ -201,7 +201,7 @@
 			if err := execute("host-1", rollout.CommandLower); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(time.Second) // the leader disables a feature that stored values may need a moment later
+			time.Sleep(time.Second) // a feature that stored values may need is disabled by the leader, in a second step
 			f.requireVersion(n-1, "lowered")
 		}
 		if err := execute("host-1", rollout.CommandLower); err == nil || !strings.Contains(err.Error(), "at level 0") {
--- a/internal/rollout/version_gate.go
+++ b/internal/rollout/version_gate.go
@@ -53,7 +53,7 @@
 
 	mu            sync.Mutex             // guards controllers, version, lastBlockedBy and rejected
 	controllers   map[string]observation // by host
-	version       observation            // rev is the version's number
+	version       observation            // its rev is the number of the version, not a revision
 	lastBlockedBy string                 // why a raise was last blocked, up to the first digit of the reason
 	rejected      map[uint64]bool        // by the revision of the rejected session key
 }
--- a/internal/rollout/version_reader.go
+++ b/internal/rollout/version_reader.go
@@ -19,8 +19,8 @@
 	problem  string // why the stored version cannot be used, or ""
 }
 
-// NewVersionReader returns a reader for this build. It reads the version at once. Since a session
-// begins only under a version that can be read, the reader has one to keep if a later value of the
+// NewVersionReader returns a reader for this build. It reads the version at once. A session begins
+// only under a version that can be read, so this version can stay in force if a later value of the
 // key cannot be decoded.
 func NewVersionReader(keys KeyReader) *VersionReader {
 	r := &VersionReader{keys: keys, capabilities: LocalCapabilities()}
