--- a/internal/policy/parse.go
+++ b/internal/policy/parse.go
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// evaluateConstant evaluates an expression without variables. resultType has expr check that its
-// value is a T.
+// evaluateConstant evaluates an expression without variables. resultType is the option with which
+// expr checks that the value is a T.
 func evaluateConstant[T any](source string, resultType expr.Option) (T, error) {
 	var zero T
 	program, err := expr.Compile(source, expr.Env(struct{}{}), resultType)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -20,8 +20,8 @@
 	// SampleMachineShare is the share of its machines that each of these controllers samples (N_p
 	// in the paper).
 	SampleMachineShare float64
-	// SampleMinMachines is the minimum number of machines that each controller samples, if it owns
-	// as many.
+	// SampleMinMachines is the minimum number of machines that each controller samples. A
+	// controller that owns fewer machines samples all of them.
 	SampleMinMachines int
 	// SampleTimeout bounds the time that sampling may take.
 	SampleTimeout time.Duration
@@ -36,8 +36,8 @@
 	WarmTasksPerGangClass int
 	// Preemption allows tasks of lower priority to be stopped in favour of gangs.
 	Preemption bool
-	// ClassFairShare protects the tasks of a class that waits with less than its fair share from
-	// Preemption.
+	// ClassFairShare protects tasks from Preemption while jobs of their class wait and the class
+	// has less than its fair share.
 	ClassFairShare bool
 
 	// RolloutSoak is how long all controllers have to be unchanged before the cluster version is
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// A job that was late for all its completion targets was passed by every later job that was not,
-// until no other job waited: 4% of such jobs had tasks that did not start within the users'
-// objective.
+// Guards against late jobs that are not started in time. Every later job that could still meet a
+// completion target went ahead of a job that was too late for all of its targets, until no other
+// job waited: 4% of such jobs had tasks that did not start within the users' objective.
 func TestStartTargetComesBeforeCompletionTargets(t *testing.T) {
 	deadlineS := 100.0
 	spec := &job.Spec{Rank: "normal", EstimateS: 50, DeadlineS: &deadlineS}
--- a/internal/rollout/registration.go
+++ b/internal/rollout/registration.go
@@ -38,9 +38,9 @@
 	}
 	return statekv.Registration{
 		Value: capabilities,
-		// The compare detects a raise since the version was read, which may require what this build
-		// lacks. The write of the membership key makes a raise fail that was planned without this
-		// session.
+		// The compare makes the registration fail if the version was raised after it was read,
+		// because the raised version may require a feature that this build lacks. The write of the
+		// membership key makes a raise fail that was planned before this session was registered.
 		Compares: []statekv.Compare{{Key: statekv.ClusterVersionKey, Rev: kv.Rev}},
 		Ops:      []statekv.Op{{Set: statekv.MembershipKey, Value: struct{}{}}},
 	}, nil
