--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxQueriesInFlight bounds the queries that are handled at the same time. Many are cheap,
-	// because all that wait for the state service share one request.
+	// maxQueriesInFlight bounds the queries that are handled at the same time. It is large because
+	// queries are cheap: all that wait for the state service share one request.
 	maxQueriesInFlight = 400
 	// overdueAfter is the time after its first unanswered query at which a job may use reserved
 	// capacity.
--- a/internal/gateway/cancellations.go
+++ b/internal/gateway/cancellations.go
@@ -77,7 +77,8 @@
 	return final, nil
 }
 
-// acknowledgeFinished returns the tombstone of a job that has no open record.
+// acknowledgeFinished returns the tombstone of a job that has no open record. If the job was
+// cancelled, it notifies the machine owners first.
 func (g *Gateway) acknowledgeFinished(
 	ctx context.Context, components *Components, id string,
 ) (tombstone.Tombstone, error) {
@@ -89,8 +90,8 @@
 		return final, errOutcomeUnknown
 	}
 	if final.Status == job.Cancelled {
-		// An earlier copy of this gateway's own transaction may have written the tombstone, at an
-		// unknown revision.
+		// A copy of this gateway's own transaction that was sent earlier may have written the
+		// tombstone, at an unknown revision.
 		components.notifyMachineOwners(ctx, id, 0)
 	}
 	return final, nil
--- a/internal/gateway/dependencies.go
+++ b/internal/gateway/dependencies.go
@@ -58,10 +58,10 @@
 	return stored.Spec.Shape
 }
 
-// findNeverAccepted returns one of the jobs that was never accepted, or "" if all were accepted. A
-// job may have been accepted by another controller a moment ago, may have finished long ago, and
-// its tombstone may be under migration. Only a transaction that finds all its keys absent at one
-// moment during this session proves that the job was never accepted.
+// findNeverAccepted returns one of the jobs that was never accepted, or "" if all were accepted.
+// Another controller may have accepted a job a moment ago, the job may have finished long ago, or
+// its tombstone may be under migration. Only a transaction that finds all keys of the job absent at
+// one moment during this session proves that the job was never accepted.
 func (g *Gateway) findNeverAccepted(ctx context.Context, components *Components, ids []string) (string, error) {
 	fence := components.Session.Fence()
 	batchSize := (g.settings.StateLimits.MaxCompares() - 1) / comparesPerDependency // one compare is the fence
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -28,7 +28,8 @@
 	// number of connections. Otherwise, users that connected while few controllers were ready would
 	// stay with those.
 	retryElsewhere
-	// notReady is the response to a readiness probe, which the load balancer repeats by itself.
+	// notReady is a readiness probe that fails. The response has no Retry-After, because the load
+	// balancer repeats the probe by itself.
 	notReady
 )
 
--- a/internal/gateway/job_status.go
+++ b/internal/gateway/job_status.go
@@ -111,9 +111,9 @@
 	return record, nil
 }
 
-// dependencyState reports whether an open job waits for its dependencies. If the job is cancelled
-// because a dependency was cancelled, it returns the final status; that status applies at once,
-// before a tombstone is written for the job.
+// dependencyState reports whether an open job waits for its dependencies. If a dependency was
+// cancelled, it returns the final status of the job, which applies at once, before a tombstone is
+// written for the job.
 func (g *Gateway) dependencyState(
 	id string, record statekv.KV,
 ) (final tombstone.Tombstone, waiting bool, err error) {
--- a/internal/gateway/submissions.go
+++ b/internal/gateway/submissions.go
@@ -118,11 +118,11 @@
 	return a, nil
 }
 
-// addFeatureGatedParts handles jobs that require the dependencies feature: those with dependencies,
-// and those whose record exceeds the value limit, so that the spec is split into fragments. A
-// controller without the feature would start the former at once and could not read the latter. The
-// transaction therefore also requires that the cluster version is unchanged, because that version
-// keeps such controllers out.
+// addFeatureGatedParts handles jobs that require the dependencies feature: jobs with dependencies,
+// and jobs whose record exceeds the value limit, so that the spec is split into fragments. A
+// controller without the feature would start a job with dependencies at once, and could not read a
+// split spec. The transaction therefore also requires that the cluster version is unchanged,
+// because that version keeps such controllers out.
 func (g *Gateway) addFeatureGatedParts(components *Components, a *acceptance) error {
 	limits := g.settings.StateLimits
 	exceedsLimit := a.record.ExceedsLimit(limits.MaxValueBytes)
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -23,7 +23,7 @@
 	mu          sync.Mutex  // guards the fields below
 	client      *rpc.Client // nil: not connected
 	handshake   Handshake   // of the connected peer
-	lastFailure time.Time   // of an attempt to dial
+	lastFailure time.Time   // of the last attempt to dial that failed
 }
 
 // connect returns the client of the connection and the peer's handshake; it dials if there is no
