--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -17,8 +17,8 @@
 }
 
 // Guards against taking any other error for a lack of capacity. If an outage were taken for it, the
-// autoscaler would stop using the pool for a while, and would not repeat, under its ID, a request
-// that the cloud may have carried out.
+// autoscaler would stop using the pool for a while, and would not repeat the request under the same
+// ID although the cloud may have carried it out.
 func TestOnlyExplicitAnswerIsErrNoCapacity(t *testing.T) {
 	for name, c := range map[string]struct {
 		status     int
--- a/internal/config/state_limits.go
+++ b/internal/config/state_limits.go
@@ -62,9 +62,9 @@
 
 // MinWatchInterval returns the minimum time between two watches of one controller. In a large
 // cluster keys change all the time, and every watch counts as a request. The interval keeps the
-// watches of all controllers together at an eighth of the request rate. It is shorter, and the
-// watches take more, if a controller would otherwise see the writes of others only after
-// maxWatchInterval, or if the lease grace period requires it.
+// watches of all controllers together at an eighth of the request rate. It is shorter, so that the
+// watches take a larger part of the request rate, if a controller would otherwise see the writes of
+// others only after maxWatchInterval, or if the lease grace period requires it.
 func (s *Settings) MinWatchInterval() time.Duration {
 	controllers := float64(max(1, s.Controllers))
 	rateLimitedInterval := Seconds(watchRequestDivisor * controllers / s.StateLimits.RequestsPerSecond)
--- a/internal/config/worker_timing.go
+++ b/internal/config/worker_timing.go
@@ -28,10 +28,10 @@
 // deadline, after the worker's own lease has expired as well.
 //
 // The period counts from the sending of the last request whose answer proved the owner's mirror to
-// be complete. A cancellation that the owner does not know was written, and acknowledged to its
-// user, after that. A worker's lease counts from the sending of a heartbeat, which comes before its
-// answer, so the delivery time adds nothing. What remains is the drift of both clocks, 0.05% each,
-// and the kill itself: together well under leaseGraceMargin. See "The lease grace period" in
+// be complete. Any cancellation that is missing from the mirror was written, and acknowledged to
+// its user, after that. A worker's lease counts from the sending of a heartbeat, which comes before
+// its answer, so the delivery time adds nothing. What remains is the drift of both clocks, 0.05%
+// each, and the kill itself: together well under leaseGraceMargin. See "The lease grace period" in
 // docs/design.md.
 //
 // The period is never shorter than lease renewals and watches take in normal operation. Parse
