--- a/internal/logline/renames.go
+++ b/internal/logline/renames.go
@@ -7,8 +7,7 @@
 	Keys map[string]string // former attribute key -> current key; keys that are not listed are unchanged
 }
 
-// Renames lists every message of the module, grouped by the package that logged it in the former
-// version.
+// Renames lists every message of the module, grouped by the packages that log it.
 var Renames = []Rename{
 	// gateway
 	{Old: "submission undecided", New: "submission outcome unknown"},
@@ -24,7 +23,7 @@
 	{Old: "telling an owner of a cancellation", New: "cancellation delivery to machine owner failed"},
 	{Old: "asking for late boots", New: "overdue provisioning query failed"},
 
-	// placer
+	// scheduler
 	{Old: "job fails on every machine", New: "job failing on all machines"},
 	{Old: "job is well after all", New: "job failure cleared"},
 	{Old: "judging machines", New: "machine health report to owner failed"},
@@ -64,7 +63,7 @@
 		"slots": "job_shards",
 	}},
 
-	// agent
+	// clusteragent, machine, changefeed
 	{Old: "taking shards", New: "machine shard acquisition failed"},
 	{Old: "shard taken", New: "machine shard acquired", Keys: map[string]string{
 		"shard": "machine_shard",
@@ -157,12 +156,12 @@
 		"bad":    "undecodable",
 	}},
 
-	// pipeline, ended
+	// dag, tombstone
 	{Old: "a job that others wait for has no record yet", New: "dependency record missing"},
 	{Old: "reading the record of a job that others wait for", New: "dependency record read failed"},
 	{Old: "sweeping what jobs left", New: "garbage collection of job state failed"},
 
-	// steward
+	// leader
 	{Old: "steward", New: "leader elected"},
 	{Old: "steward's ledger settled", New: "quota ledger reconciled"},
 	{Old: "boot is too late", New: "provisioning overdue"},
@@ -188,7 +187,7 @@
 	{Old: "returned", New: ScaledIn},
 	{Old: "telling an owner of deleted machines", New: "machine deletion report to owner failed"},
 
-	// statekv
+	// statekv, gateway, rollout
 	{Old: "a value cannot be read; it is left as it is", New: "stored value undecodable, kept unchanged"},
 	{
 		Old: "the state service takes no transaction as large",
@@ -201,7 +200,7 @@
 	{Old: "watch failed", New: "state watch failed"},
 	{Old: "renewing the state lease", New: "state lease renewal failed"},
 
-	// controller, peer, serving
+	// controller, peer, recovery
 	{Old: "life begun", New: "controller session started"},
 	{Old: "life ended", New: "controller session ended"},
 	{Old: "asking for a part of the changes", New: "write budget request failed"},
