--- a/cmd/robinstack/main.go
+++ b/cmd/robinstack/main.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// CPU time is scarcer than memory. The garbage collector therefore runs rarely while memory is
-// available, and as often as needed near the memory limit. The limit is six tenths of the memory
+// CPU time is scarcer than memory. The garbage collector of Go therefore runs rarely while memory
+// is available, and as often as needed near the memory limit. The limit is six tenths of the memory
 // that the settings allot to the controller.
 const (
 	memoryLimitTenths = 6
--- a/cmd/robinstack/scale.go
+++ b/cmd/robinstack/scale.go
@@ -51,8 +51,8 @@
 	return cmd
 }
 
-// markUsage marks errors that the operator can fix: in the profile, or a run that does not fit this
-// machine.
+// markUsage marks the errors that the operator can fix as errUsage: an invalid profile, and a run
+// that does not fit this machine.
 func markUsage(err error) error {
 	if errors.Is(err, scaletest.ErrInvalidProfile) || errors.Is(err, scaletest.ErrInsufficientCapacity) {
 		return fmt.Errorf("%w: %w", errUsage, err)
--- a/emulator/faultystateclient.go
+++ b/emulator/faultystateclient.go
@@ -35,7 +35,7 @@
 
 	requestedChanges      int // changes in all transactions sent, whatever their outcome
 	unansweredTxns        int // transactions selected for a delay
-	appliedUnansweredTxns int // those of them that have been applied
+	appliedUnansweredTxns int // unanswered transactions that have been applied
 }
 
 // NewFaultyStateClient returns a client without faults. seed determines which transactions are
--- a/emulator/history_responses.go
+++ b/emulator/history_responses.go
@@ -103,7 +103,7 @@
 	case j.doneAcknowledged:
 		h.recordViolation("went_back", "%s is reported as cancelled after it was reported as done", id)
 	case j.isCancelled():
-		// The user has been told before.
+		// The user has been told of the cancellation before.
 	case !h.cancellationExpected(j):
 		h.recordViolation("went_back", "%s is reported as cancelled, but nobody requested its cancellation", id)
 	default:
--- a/emulator/history_tasks.go
+++ b/emulator/history_tasks.go
@@ -17,9 +17,10 @@
 	Spot        bool
 }
 
-// RecordTaskStart records the start of a task and checks it against the rules: the task must not be
-// on another machine or have completed, its job must not have been cancelled for too long, the
-// placement constraints, dependencies and the team's quota must be respected.
+// RecordTaskStart records the start of a task and checks it against the rules. The task must not be
+// on another machine and must not have completed. If its job was acknowledged as cancelled, the
+// cancellation deadline must not have passed. The placement constraints, the dependencies and the
+// team's quota must be respected.
 func (h *History) RecordTaskStart(s TaskStart) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/emulator/simulatedmachine.go
+++ b/emulator/simulatedmachine.go
@@ -90,7 +90,8 @@
 // Zone returns the zone of the machine.
 func (m *SimulatedMachine) Zone() string { return m.zone }
 
-// WorkerEpoch returns the worker epoch: 1, incremented each time the lease expires.
+// WorkerEpoch returns the worker epoch, which starts at 1 and is incremented each time the lease
+// expires.
 func (m *SimulatedMachine) WorkerEpoch() uint64 { return m.epoch }
 
 // IsUp reports whether the machine has booted and not failed.
--- a/emulator/workerlease.go
+++ b/emulator/workerlease.go
@@ -39,7 +39,7 @@
 // heartbeatTarget tells a worker which controller to send its next heartbeat to.
 type heartbeatTarget struct {
 	same bool   // the controller of the last heartbeat
-	host string // otherwise: controller to switch to; "": the next one in the rotation
+	host string // if not same: controller to switch to; "": the next one in the rotation
 }
 
 // handleResponse handles the response to a heartbeat that was sent at sentAt in the given worker
