--- a/test/integration/cancellation_test.go
+++ b/test/integration/cancellation_test.go
@@ -19,8 +19,8 @@
 }
 
 // startFillerJobs starts a long job on five machines in each zone. With so many machines, those
-// that do not answer a new owner are not an isolated failure, which the autoscaler would delete at
-// once.
+// that do not answer a new owner do not count as an isolated failure. The autoscaler would delete
+// the machines of an isolated failure at once.
 func (b *testbed) startFillerJobs() (fillers []job.Spec) {
 	b.t.Helper()
 	for _, zone := range zones {
--- a/test/integration/failover_test.go
+++ b/test/integration/failover_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// Guards against completions that are lost in a failover. The tasks of a job complete far apart,
-// and its scheduler crashes shortly after each completion, before it is recorded, or so that the
-// last task completes while the job has no scheduler.
+// Guards against completions that are lost in a failover. The tasks of a job complete far apart.
+// Its scheduler crashes shortly after each completion: either before the completion is recorded, or
+// so that the last task completes while the job has no scheduler.
 func TestStaggeredCompletionsAcrossSchedulerFailover(t *testing.T) {
 	for _, after := range []time.Duration{
 		0, 100 * time.Millisecond, 700 * time.Millisecond, 1300 * time.Millisecond, 3 * time.Second,
--- a/test/integration/partition_test.go
+++ b/test/integration/partition_test.go
@@ -66,8 +66,8 @@
 			// autoscaler.
 			runScenarioWithBootTime(t, 101, 40, func(b *testbed) {
 				running, cancelled := inZone("b", arrayJob(b.nextJobID(), 2)), inZone("b", arrayJob(b.nextJobID(), 2))
-				// Six machines in the zone: more than an isolated failure, which the autoscaler
-				// would delete at once.
+				// Six machines in the zone are too many for an isolated failure. The autoscaler
+				// would delete the machines of an isolated failure at once.
 				for _, s := range []job.Spec{
 					running,
 					cancelled,
--- a/test/integration/rejected_controller_test.go
+++ b/test/integration/rejected_controller_test.go
@@ -145,7 +145,8 @@
 					t.Parallel()
 					runScenario(t, 4, func(b *testbed) {
 						before, after := inject(b, c)
-						// The length of the name spreads the delays over the cases.
+						// The length of the fault's name is added so that the faults use different
+						// delays.
 						delay := outageDelays[(k+len(fault))%len(outageDelays)]
 						b.rejectThenOutage(c, shape, delay, before, after)
 					})
--- a/test/integration/stale_heartbeats_test.go
+++ b/test/integration/stale_heartbeats_test.go
@@ -117,10 +117,10 @@
 	}
 }
 
-// capturePolicy keeps idle machines when the worker epoch ends during the scenario: tasks that were
-// killed with the epoch start again on any machine, and the machines that are idle then could all
-// be deleted, including every machine whose captured heartbeat lists a task that the scenario is
-// about.
+// capturePolicy returns the policy of a scenario. It keeps idle machines if the captured worker
+// epoch ends during the scenario. The tasks that are killed at the end of the epoch start again on
+// any machine, so otherwise all machines that are idle then could be deleted, including every
+// machine whose captured heartbeat lists a task that the scenario is about.
 func capturePolicy(capture string) *policy.Policy {
 	p := policy.Default()
 	if capture == endedEpoch {
@@ -130,8 +130,8 @@
 }
 
 // staleCapturedHeartbeats counts the tasks of a job that a captured heartbeat lists although they
-// are over. If earlier is set, tasks are over whose machine has a new worker epoch; otherwise, tasks
-// that their machine no longer lists.
+// are over. If earlier is set, a task is over if its machine has a new worker epoch; otherwise, it
+// is over if its machine no longer lists it.
 func (b *testbed) staleCapturedHeartbeats(id string, earlier bool) (n int) {
 	b.forEachMachine(func(m *emulator.SimulatedMachine) {
 		for _, task := range []string{job.TaskID(id, 0), job.TaskID(id, 1)} {
@@ -216,7 +216,7 @@
 			runScenario(t, 106, func(b *testbed) {
 				long, short := inZone("a", arrayJob(b.nextJobID(), 2)), inZone("a", arrayJob(b.nextJobID(), 2))
 				b.submit("host-0", long, 3*time.Minute)
-				for range 4 { // more machines than an isolated failure, which the autoscaler would delete at once
+				for range 4 { // so many machines are no isolated failure; the autoscaler would delete those at once
 					b.submit("host-0", inZone("a", arrayJob(b.nextJobID(), 2)), 3*time.Minute)
 				}
 				b.submit("host-0", short, 20*time.Second)
--- a/test/integration/submission_rate_test.go
+++ b/test/integration/submission_rate_test.go
@@ -8,10 +8,10 @@
 	"robinstack/emulator"
 )
 
-// Four single-task jobs per second are submitted for three minutes and a quarter of them cancelled,
-// with each kind of fault and without one. The state service accepts 60 changes per second, 20 of
-// each controller, as in the smaller deployment. No submission may be rejected for long, and no job
-// forgotten.
+// Four single-task jobs per second are submitted for three minutes and a quarter of them is
+// cancelled, with each kind of fault and without one. The state service accepts 60 changes per
+// second, 20 from each controller, as in the smaller deployment. No submission may be rejected for
+// long, and no job forgotten.
 func TestFourSingleTaskJobsPerSecond(t *testing.T) {
 	for name, inject := range map[string]func(b *testbed) func(){
 		"no fault": func(*testbed) func() { return func() {} },
--- a/test/integration/unreachable_machines_test.go
+++ b/test/integration/unreachable_machines_test.go
@@ -51,7 +51,8 @@
 						}
 					}
 				}
-				// Eight tasks, and the two of the long job, which may start once or twice more.
+				// The eight tasks start once each. The two tasks of the long job may start again,
+				// once or twice each.
 				if n := b.history.TaskStarts() - starts; n > 12 {
 					b.t.Errorf("%d starts for eight tasks, want at most 12: tasks start where they are killed",
 						n)
--- a/test/integration/users_test.go
+++ b/test/integration/users_test.go
@@ -248,7 +248,7 @@
 }
 
 // queryFrequently queries all controllers about a job every few milliseconds for 0.3 s, and repeats
-// its submission, without waiting for the others' answers.
+// its submission at each of them. No request waits for the answers of other controllers.
 func (b *testbed) queryFrequently(spec job.Spec, counts *queryCounts) {
 	const duration = 300 * time.Millisecond
 	var users sync.WaitGroup
--- a/tools/audit/deadlines.go
+++ b/tools/audit/deadlines.go
@@ -16,7 +16,7 @@
 // queue order could have met with the same GPU time.
 type DeadlineOutcome struct {
 	Class      string `json:"class"`
-	Jobs       int    `json:"jobs_completed"` // completed jobs with a deadline; the work of other jobs is unknown
+	Jobs       int    `json:"jobs_completed"` // completed jobs with a deadline; the work of uncompleted jobs is unknown
 	Met        int    `json:"deadlines_kept"`
 	Achievable int    `json:"deadlines_another_order_keeps"`
 }
--- a/tools/audit/servicelevels.go
+++ b/tools/audit/servicelevels.go
@@ -18,7 +18,7 @@
 // ServiceLevel summarizes the jobs of a class or a team.
 type ServiceLevel struct {
 	Name         string   `json:"name"`
-	Jobs         int      `json:"jobs"`      // accepted, without Cancelled and Waiting
+	Jobs         int      `json:"jobs"`      // accepted jobs that are neither in Cancelled nor in Waiting
 	Cancelled    int      `json:"cancelled"` // by their users or by a dependency
 	Waiting      int      `json:"waiting"`   // for dependencies at the end of the log
 	Started      int      `json:"started"`   // jobs of which at least one task has started
@@ -28,10 +28,10 @@
 	DoneBy       [3]Ratio `json:"done_by"`        // within each of SLOMultiples
 	LongestWaitS float64  `json:"longest_wait_s"` // until the first start or the end of the log
 
-	// The largest jobs are the tenth of Jobs with the most tasks, at least one job, and all others
-	// with as many tasks as the smallest of these. A job started in time if its first task started
-	// within LargestJobsStartLimit after the job became eligible. Jobs that have waited for less
-	// time without a start are not in LargestJobsStartedInTime.
+	// The largest jobs are the tenth of Jobs with the most tasks, but at least one job, and all
+	// other jobs with as many tasks as the smallest of these. A job started in time if its first
+	// task started within LargestJobsStartLimit after the job became eligible. A job that has not
+	// started and has not waited for longer than that is left out of LargestJobsStartedInTime.
 	LargestJobsStarted       Ratio   `json:"largest_started"`
 	LargestJobsStartedInTime Ratio   `json:"largest_begun_in_time"`
 	LargestJobsMinTasks      int     `json:"largest_from_tasks"`
--- a/tools/scaletest/profile.go
+++ b/tools/scaletest/profile.go
@@ -147,9 +147,9 @@
 }
 
 // Kinds of faults. A worker fault makes single machines fail with all their tasks, or hang. A rack
-// fault makes machines fail that were created one after the other, a zone fault all machines of a
-// zone. A controller fault kills the process of a controller and restarts it after the fault's
-// duration.
+// fault makes machines fail that were created consecutively, and a zone fault makes all machines of
+// a zone fail. A controller fault kills the process of a controller and restarts it after the
+// fault's duration.
 const (
 	WorkerFails     = "worker_fails"
 	WorkerHangs     = "worker_hangs"
--- a/tools/scaletest/result.go
+++ b/tools/scaletest/result.go
@@ -67,8 +67,8 @@
 	All        float64
 }
 
-// record takes the number of keys of registered machines at a time, and stores the time for each
-// share that is reached for the first time.
+// record takes the number of machines that are registered (keys) at the time at, in seconds from the
+// start, and stores this time for each share that is reached for the first time.
 func (t *registrationTimes) record(keys, machines int, at float64) {
 	for _, milestone := range []struct {
 		reached *float64
