--- a/internal/dag/tracker.go
+++ b/internal/dag/tracker.go
@@ -34,8 +34,8 @@
 
 // Tracker maintains, for one session of a controller, the snapshot from which dependent jobs are
 // evaluated: the open jobs with dependencies, of all job shards, and the tombstones of these
-// dependencies. The mirror passes each change to the tracker before the revision of that change
-// counts as seen. It is safe for concurrent use.
+// dependencies. The mirror passes each change to the tracker before it reports the revision of that
+// change as seen. It is safe for concurrent use.
 type Tracker struct {
 	mirror          Mirror
 	estimate        func(*job.Spec) time.Duration
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -101,8 +101,8 @@
 
 var modelHosts = []string{"host-0", "host-1", "host-2"}
 
-// omittedCompare names a compare that is left out of transactions, as a bug in the code would leave
-// it out: an action and the prefix of a key.
+// omittedCompare identifies a compare by an action and the prefix of a key. The model leaves this
+// compare out of the transactions of the action, as a bug in the code would.
 type omittedCompare string
 
 func (o omittedCompare) apply(txn *pendingTxn) {
--- a/internal/tombstone/batched_lookup.go
+++ b/internal/tombstone/batched_lookup.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// enqueue returns the pending lookup of a job, which it adds to the queue if there is none, and the
-// length of the queue. The lookup is nil if the queue is full. enqueue starts a worker if none is
-// running; the worker ends when the queue is empty.
+// enqueue returns the pending lookup of a job and the length of the queue. If the job has no
+// pending lookup, enqueue adds one; if the queue is full, the returned lookup is nil. enqueue
+// starts a worker if none is running; the worker ends when the queue is empty.
 func (l *BatchedLookup) enqueue(
 	id string, fence func() (statekv.Compare, bool), onFound func(string, Tombstone),
 ) (lookup *pendingLookup, queued int) {
