--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -52,7 +52,7 @@
 const (
 	sessionRetryDelay = 300 * time.Millisecond
 	// rejectedRetryDelay applies while the cluster version does not admit this build. Only an
-	// operator or a roll-out changes the cluster version, so retrying sooner has no effect.
+	// operator or a rollout changes the cluster version, so retrying sooner has no effect.
 	rejectedRetryDelay = 2 * time.Second
 )
 
--- a/internal/gateway/idempotent_write.go
+++ b/internal/gateway/idempotent_write.go
@@ -9,8 +9,8 @@
 )
 
 // A transaction without an answer is sent again, as a copy. Answers usually take a few milliseconds
-// and occasionally a few hundred. Without one, the transaction may be carried out only many seconds
-// later, when its user has been waiting for more than a second.
+// and occasionally a few hundred. A transaction whose answer takes longer may be carried out only
+// many seconds later, and its user would wait for far more than a second.
 //
 // A transaction that still waits for this controller's own share of the state service's limits is
 // not sent again. Copies would take the share of other transactions that wait, and in a burst none
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -10,10 +10,10 @@
 	"robinstack/internal/rollout"
 )
 
-// rolloutCommandTimeout bounds the transactions of one roll-out command.
+// rolloutCommandTimeout bounds the transactions of one rollout command.
 const rolloutCommandTimeout = 4 * time.Second
 
-// rolloutStatus returns the status of the roll-out to operators.
+// rolloutStatus returns the status of the rollout to operators.
 func (g *Gateway) rolloutStatus(c *fiber.Ctx) error {
 	components, err := g.sessionComponents()
 	if err != nil {
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -17,7 +17,7 @@
 	"robinstack/internal/statekv"
 )
 
-// Roll-out commands are answered at once: with the status if they are executed, with the reason if
+// Rollout commands are answered at once: with the status if they are executed, with the reason if
 // they are blocked, and with the reason if this controller has no session, for instance because its
 // build must not join the cluster.
 func TestRolloutCommands(t *testing.T) {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -1,5 +1,5 @@
 // Package gateway serves users, workers and operators over HTTP: job submissions, queries and
-// cancellations, worker heartbeats, readiness probes, the status page and roll-out commands.
+// cancellations, worker heartbeats, readiness probes, the status page and rollout commands.
 //
 // A Gateway lives as long as its process. Everything that belongs to one session at the state
 // service is in Components, which the controller sets when a session begins and clears when it
