--- a/cmd/robinstack/rollout.go
+++ b/cmd/robinstack/rollout.go
@@ -55,7 +55,7 @@
 	return status
 }
 
-// rolloutVerbCommand returns the command that sends a roll-out command to a controller.
+// rolloutVerbCommand returns the command that sends a rollout command to a controller.
 func rolloutVerbCommand(verb, short string) *cobra.Command {
 	var reason, feature string
 	c := &cobra.Command{
@@ -83,7 +83,7 @@
 	maxRolloutBytes = 1 << 20
 )
 
-// callRollout sends a request to a controller and returns the roll-out status in its response. If
+// callRollout sends a request to a controller and returns the rollout status in its response. If
 // the controller rejects the request, the error gives its reason.
 func callRollout(cmd *cobra.Command, method, address string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(cmd.Context(), method, address, nil)
@@ -115,7 +115,7 @@
 	return nil, errors.New(rejection.Error)
 }
 
-// printRollout prints the roll-out status in a controller's response as a table.
+// printRollout prints the rollout status in a controller's response as a table.
 func printRollout(out io.Writer, body []byte) error {
 	var s rollout.Status
 	if err := json.Unmarshal(body, &s); err != nil {
--- a/emulator/faultystateclient_store.go
+++ b/emulator/faultystateclient_store.go
@@ -52,7 +52,8 @@
 	return c.service.Get(ctx, key)
 }
 
-// List implements statekv.Store. It returns a page of the keys under prefix that follow after.
+// List implements statekv.Store. It returns a page of the keys under prefix that sort after the key
+// given by after.
 func (c *FaultyStateClient) List(ctx context.Context, prefix, after string) (statekv.Page, error) {
 	if err := c.admitOrReject(ctx); err != nil {
 		return statekv.Page{}, err
--- a/emulator/simulatedcloud.go
+++ b/emulator/simulatedcloud.go
@@ -61,7 +61,7 @@
 
 // Timing sets durations that the machine types do not determine.
 type Timing struct {
-	ImageFetch   time.Duration            // if the machine lacks the image; 0: every fetch takes 1 s, also of a cached image
+	ImageFetch   time.Duration            // of an image that is not cached; 0: every fetch takes 1 s, cached or not
 	RandomBoot   bool                     // boot times are 0.6 to 1.5 times the provisioning time
 	OnWorkerStep func(late time.Duration) // called with the lateness of each worker step
 }
--- a/emulator/stateservice.go
+++ b/emulator/stateservice.go
@@ -190,7 +190,8 @@
 	pagesPerList = 5
 )
 
-// List implements statekv.Store. It returns a page of the keys under prefix that follow after.
+// List implements statekv.Store. It returns a page of the keys under prefix that sort after the key
+// given by after.
 func (s *StateService) List(_ context.Context, prefix, after string) (statekv.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/emulator/stateservice_http.go
+++ b/emulator/stateservice_http.go
@@ -81,8 +81,8 @@
 	return s.revision
 }
 
-// listPage returns at most limit of the keys under prefix that follow after. Unlike List, it works
-// during an outage too.
+// listPage returns the first keys under prefix that sort after the key given by after, at most
+// limit of them. Unlike List, it works during an outage too.
 func (s *StateService) listPage(prefix, after string, limit int) statekv.Page {
 	s.mu.Lock()
 	defer s.mu.Unlock()
