--- a/tools/devcluster/rollouts.go
+++ b/tools/devcluster/rollouts.go
@@ -18,7 +18,7 @@
 // RolloutPlan configures repeated rollouts, and the load of jobs during them.
 type RolloutPlan struct {
 	Rollouts        int
-	PreviousProgram string        // program of the previous version
+	PreviousProgram string        // program of the previous build
 	RunningTasks    int           // target for the number of tasks that run at the same time
 	MeanTasksPerJob float64       // mean number of tasks per job
 	MeanTaskSeconds float64       // mean run time of a task
@@ -29,13 +29,13 @@
 // Upper bounds of the random pauses during a rollout.
 const (
 	maxRestartPause    = 500 * time.Millisecond // after a controller is killed, before it is launched again
-	maxUpgradedPause   = 12 * time.Second       // while all controllers run this version
-	maxDowngradedPause = 2 * time.Second        // while all controllers run the previous version
+	maxUpgradedPause   = 12 * time.Second       // while all controllers run this build
+	maxDowngradedPause = 2 * time.Second        // while all controllers run the previous build
 )
 
 const (
 	// rolloutsPerSkippedLowering: in one of this many rollouts, the cluster version is not lowered
-	// before the roll back.
+	// before the rollback.
 	rolloutsPerSkippedLowering = 3
 	// rolloutsPerProgressReport is the number of rollouts after which progress is printed.
 	rolloutsPerProgressReport = 5
@@ -50,17 +50,17 @@
 	users     *userLoad
 	startTime time.Time
 
-	// Cluster versions at the time of each roll back. For unloweredVersions the version was not
-	// lowered first, so controllers of the previous version had to be rejected; for loweredVersions
-	// it was.
+	// Cluster versions at the time of each rollback. A version in unloweredVersions was not lowered
+	// first, so controllers of the previous build had to be rejected. A version in loweredVersions
+	// was.
 	unloweredVersions, loweredVersions []int
 }
 
 // RunRollouts repeatedly replaces the controllers one by one with this program and then with the
-// previous version, while users submit jobs. Controllers are killed without a graceful shutdown,
-// some of them twice per replacement. Before a roll back the cluster version is lowered. Every
-// third rollout skips this unless the version is 0 or irreversible: the cluster must then reject
-// the controllers of the previous version without harm, until they are replaced again.
+// previous build, while users submit jobs. Controllers are killed without a graceful shutdown, some
+// of them twice per replacement. Before a rollback the cluster version is lowered. Every third
+// rollout skips this unless the cluster version is 0 or irreversible: the cluster must then reject
+// the controllers of the previous build without harm, until they are replaced again.
 //
 // RunRollouts prints a report. It returns an error if jobs were lost, if an invariant was violated,
 // or if the rollouts could not continue.
@@ -92,14 +92,14 @@
 	return r.drainAndReport(ctx, out)
 }
 
-// rollForwardAndBack performs rollout number n: to this program and back to the previous version.
+// rollForwardAndBack performs rollout number n: to this program and back to the previous build.
 func (r *rolloutRun) rollForwardAndBack(ctx context.Context, n int) error {
 	c := r.cluster
 	if err := r.replaceAll(ctx, c.options.Program); err != nil {
 		return err
 	}
 	c.sendCommand(ctx, rollout.CommandRaise)
-	// Once all controllers run this version, users submit jobs with dependencies, and the state
+	// Once all controllers run this build, users submit jobs with dependencies, and the state
 	// service enforces the announced lower limits.
 	r.users.allowDependencies()
 	c.State.SetSizeLimits(nextLimits.ValueKB*bytesPerKB, nextLimits.TxnOps)
@@ -114,7 +114,7 @@
 			return err
 		}
 	}
-	c.State.SetSizeLimits(0, 0) // the previous version respects only the higher limits
+	c.State.SetSizeLimits(0, 0) // the previous build respects only the higher limits
 	if err := r.replaceAll(ctx, r.plan.PreviousProgram); err != nil {
 		return err
 	}
@@ -144,8 +144,8 @@
 	sleep(ctx, time.Duration(rand.Float64()*float64(limit)))
 }
 
-// isIrreversible reports whether a cluster version includes an irreversible feature. From such a
-// version a roll back is only allowed after lowering it.
+// isIrreversible reports whether a cluster version includes an irreversible feature. Such a version
+// must be lowered before a rollback.
 func isIrreversible(version int) bool {
 	for _, gate := range rollout.FeatureGates[:version] {
 		if gate.Irreversible {
--- a/tools/devcluster/userload.go
+++ b/tools/devcluster/userload.go
@@ -25,7 +25,7 @@
 	dependentSubmissions sync.WaitGroup
 
 	mu                   sync.Mutex
-	dependenciesAllowed  bool // all controllers run a version that supports dependencies
+	dependenciesAllowed  bool // all controllers run a build that supports dependencies
 	jobs                 map[string]*observedJob
 	recent               []string // IDs of the jobs accepted last, from which new jobs choose dependencies
 	submissions          int
