--- a/internal/dag/tracker.go
+++ b/internal/dag/tracker.go
@@ -69,8 +69,8 @@
 	return t
 }
 
-// reset discards all state except the tombstones, which never change. The caller must hold t.mu,
-// unless no other goroutine has t yet.
+// reset discards all state except the tombstones, which never change. The caller must hold t.mu or
+// be the only goroutine that can access t.
 func (t *Tracker) reset() {
 	t.nodes = map[string]*Node{}
 	t.dependents = map[string]int{}
--- a/internal/gateway/cancellations.go
+++ b/internal/gateway/cancellations.go
@@ -17,7 +17,7 @@
 	// cancellationTimeout bounds the handling of a cancellation. It leaves time to respond before
 	// the user's time-out of 5 s.
 	cancellationTimeout = 3500 * time.Millisecond
-	// maxCancellationAttempts bounds the attempts of a cancellation whose job changes meanwhile.
+	// maxCancellationAttempts bounds the attempts of one cancellation; see errRetryCancellation.
 	maxCancellationAttempts = 4
 )
 
--- a/internal/gateway/job_status.go
+++ b/internal/gateway/job_status.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxLookupAttempts bounds the attempts of a lookup whose job finishes meanwhile.
+	// maxLookupAttempts bounds the attempts of one lookup; see errFinishedDuringLookup.
 	maxLookupAttempts = 3
 	// taskCountsTimeout bounds the call for the task counts, which are for display only.
 	taskCountsTimeout = 300 * time.Millisecond
--- a/internal/gateway/latencies.go
+++ b/internal/gateway/latencies.go
@@ -20,8 +20,8 @@
 var requestKinds = []string{requestSubmission, requestQuery, requestCancellation, requestHeartbeat}
 
 const (
-	// maxLatencyMicros is the longest latency, in microseconds, that is told apart. Longer
-	// latencies are recorded with this value.
+	// maxLatencyMicros is the highest recorded latency, in microseconds. Longer latencies are
+	// recorded as this one.
 	maxLatencyMicros = 10_000_000
 	// latencyDigits is the number of significant digits kept of a latency.
 	latencyDigits = 2
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -124,8 +124,8 @@
 	return &r, nil
 }
 
-// AuxiliaryKeys returns the keys that a job with so many tasks and spec fragments may have beside
-// its record.
+// AuxiliaryKeys returns the keys that a job with the given numbers of tasks and spec fragments may
+// have beside its record.
 func AuxiliaryKeys(id string, tasks, fragments int) []string {
 	var keys []string
 	for chunk := 1; chunk < ChunkCount(tasks); chunk++ {
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -57,8 +57,8 @@
 	return s.Types == nil || slices.Contains(s.Types, name)
 }
 
-// AllowsMachine reports whether the job may run on a machine of the given type and zone that is or
-// is not a spot machine.
+// AllowsMachine reports whether the job may run on a machine of the given type in the given zone.
+// spot tells whether it is a spot machine.
 func (s *Spec) AllowsMachine(typeName, zone string, spot bool) bool {
 	return s.AllowsType(typeName) && (s.Zone == nil || *s.Zone == zone) && (s.Spot || !spot)
 }
--- a/internal/job/task_bitmap.go
+++ b/internal/job/task_bitmap.go
@@ -18,7 +18,7 @@
 	wordsPerChunk = TasksPerChunk / wordBits
 )
 
-// ChunkCount returns the number of chunks of a job with so many tasks.
+// ChunkCount returns the number of chunks of a job with the given number of tasks.
 func ChunkCount(tasks int) int { return (tasks + TasksPerChunk - 1) / TasksPerChunk }
 
 // TaskBitmap is a set of task indices. Copies share their contents.
--- a/internal/rollout/cluster_test.go
+++ b/internal/rollout/cluster_test.go
@@ -20,7 +20,8 @@
 
 var hosts = []string{"host-0", "host-1", "host-2"}
 
-// testCluster is a set of controllers of which only the parts that take part in upgrades run.
+// testCluster is a set of controllers. Of each controller, only the parts that take part in
+// upgrades run.
 type testCluster struct {
 	t             *testing.T
 	ctx           context.Context
--- a/internal/rollout/command_plan.go
+++ b/internal/rollout/command_plan.go
@@ -32,8 +32,8 @@
 		return nil, reason
 	}
 	// Controllers at the lower version must find every value in a format that is written at that
-	// version. Values that a higher version stored in another format only are therefore restored
-	// first, while the present version, which reads both formats, is in force.
+	// version. Values that the present version stores only in another format are therefore restored
+	// first. Meanwhile the present version, at which both formats are read, stays in force.
 	gate := gateOf(feature)
 	if reverse := gate.ReverseMigration; reverse != "" && s.Migration.Name == reverse && !s.Migration.Done {
 		return nil, "stored values are being brought back: " + s.Migration.String()
--- a/internal/rollout/registration.go
+++ b/internal/rollout/registration.go
@@ -18,9 +18,9 @@
 	return errors.As(err, &rejected)
 }
 
-// NewRegistration returns the registration of a session of a build with these capabilities. A
-// *JoinRejectedError means that the controller has to wait, unready, until the cluster version
-// changes or the controller is replaced.
+// NewRegistration returns the registration with which a build with these capabilities begins a
+// session. A *JoinRejectedError means that the controller has to wait, unready, until the cluster
+// version changes or the controller is replaced.
 func NewRegistration(keys KeyReader, capabilities Capabilities) (statekv.Registration, error) {
 	version := ClusterVersion{}
 	kv, ok := keys.Get(statekv.ClusterVersionKey)
