--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -9,8 +9,9 @@
 // rules of the protocol.
 //
 // Each stand-in guards its state with its own mutex. Lock order: first the mutex of a machine or a
-// cloud, then that of the History or the localHistory. The package takes no other lock while it
-// holds one of the latter, and holds no lock during a call to a controller or to another process.
+// cloud, then that of the History or the localHistory. While the package holds the mutex of a
+// History or a localHistory, it takes no other lock. It holds no lock during a call to a controller
+// or to another process.
 //
 // The package may import the packages that define the protocols (cloud, config, job, netcount,
 // statekv, worker), but none that makes scheduling decisions.
--- a/emulator/faultystateclient.go
+++ b/emulator/faultystateclient.go
@@ -164,8 +164,8 @@
 	return true
 }
 
-// takePendingDelay reports whether DelayNextTxns selected the current transaction for a delay, and
-// counts it off if so.
+// takePendingDelay reports whether DelayNextTxns selected the current transaction for a delay. If
+// so, it decrements the number of transactions to delay.
 func (c *FaultyStateClient) takePendingDelay() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,8 +182,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unansweredTxns++
-	// Drawn even if unused, so that the other settings do not change which transactions a seed
-	// delays.
+	// The random delay is drawn even if it is not used, so that the other settings do not change
+	// which transactions a seed delays.
 	drawn := minTxnDelay + time.Duration(c.rng.Int64N(int64(txnDelaySpread)))
 	switch {
 	case c.loseResponsesOnly:
--- a/emulator/history_rules_test.go
+++ b/emulator/history_rules_test.go
@@ -171,7 +171,7 @@
 		recordResponse(h, "query", "wk-1", 200, job.Cancelled)
 	}},
 	{name: "permitted: a request that overlaps another", run: func(h *History) {
-		// The query is sent before the other response is received, so neither is older.
+		// The query is sent before the other response is received, so neither status is older.
 		h.RecordSubmission(oneTaskJob)
 		early := h.NextRequestTime()
 		recordResponse(h, "submit", "wk-1", 201, job.Queued)
--- a/emulator/simulatedcloud.go
+++ b/emulator/simulatedcloud.go
@@ -182,8 +182,8 @@
 var errUnknownMachineType = errors.New("malformed")
 
 // ScaleOut creates as many of the requested machines as the maximum number of machines permits, or
-// returns cloud.ErrNoCapacity if that is none. A repeated request returns the machines of the first
-// one.
+// returns cloud.ErrNoCapacity if it permits none. A repeated request returns the machines of the
+// first one.
 func (c *SimulatedCloud) ScaleOut(_ context.Context, r cloud.ScaleOutRequest) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/test/integration/partition_test.go
+++ b/test/integration/partition_test.go
@@ -56,8 +56,8 @@
 }
 
 // A zone with its workers and one controller is partitioned from everything else, for less or more
-// than a worker lease. Tasks in the zone may continue and must not be started elsewhere, and jobs
-// that are cancelled outside meanwhile must stop in time.
+// than a worker lease. Tasks in the zone may continue and must not be started elsewhere. Jobs that
+// are cancelled outside the zone during the partition must stop in time.
 func TestZonePartitionedWithItsController(t *testing.T) {
 	for _, duration := range []time.Duration{20 * time.Second, 45 * time.Second, 2 * time.Minute} {
 		t.Run(duration.String(), func(t *testing.T) {
