--- a/emulator/simulatedcloud.go
+++ b/emulator/simulatedcloud.go
@@ -61,7 +61,7 @@
 
 // Timing sets durations that the machine types do not determine.
 type Timing struct {
-	ImageFetch   time.Duration            // of an image that is not on the machine; 0: 1 s, also for one that is
+	ImageFetch   time.Duration            // of an image that is not cached; 0: every fetch takes 1 s, cached or not
 	RandomBoot   bool                     // boot times are 0.6 to 1.5 times the provisioning time
 	OnWorkerStep func(late time.Duration) // called with the lateness of each worker step
 }
@@ -182,8 +182,8 @@
 var errUnknownMachineType = errors.New("malformed")
 
 // ScaleOut creates as many of the requested machines as the maximum number of machines permits, or
-// returns cloud.ErrNoCapacity if that is none. A repeated request returns the machines of the first
-// one.
+// returns cloud.ErrNoCapacity if it permits none. A repeated request returns the machines of the
+// first one.
 func (c *SimulatedCloud) ScaleOut(_ context.Context, r cloud.ScaleOutRequest) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dag/tracker.go
+++ b/internal/dag/tracker.go
@@ -34,8 +34,8 @@
 
 // Tracker maintains, for one session of a controller, the snapshot from which dependent jobs are
 // evaluated: the open jobs with dependencies, of all job shards, and the tombstones of these
-// dependencies. The mirror passes each change to the tracker before the revision of that change
-// counts as seen. It is safe for concurrent use.
+// dependencies. The mirror passes each change to the tracker before it reports the revision of that
+// change as seen. It is safe for concurrent use.
 type Tracker struct {
 	mirror          Mirror
 	estimate        func(*job.Spec) time.Duration
@@ -48,7 +48,7 @@
 	pendingReads        map[string]bool      // dependencies whose tombstones are to be read
 	damagedReadAt       map[string]time.Time // when a damaged tombstone was last read
 	generation          uint64
-	urgencies           map[string]Urgency // at generation urgenciesGeneration; nil: not computed yet
+	urgencies           map[string]Urgency // inherited, as of urgenciesGeneration; nil: not computed yet
 	urgenciesGeneration uint64
 	readRequested       chan struct{}
 }
@@ -69,8 +69,8 @@
 	return t
 }
 
-// reset discards all state except the tombstones, which never change. The caller must hold t.mu,
-// unless no other goroutine has t yet.
+// reset discards all state except the tombstones, which never change. The caller must hold t.mu or
+// be the only goroutine that can access t.
 func (t *Tracker) reset() {
 	t.nodes = map[string]*Node{}
 	t.dependents = map[string]int{}
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -101,8 +101,8 @@
 
 var modelHosts = []string{"host-0", "host-1", "host-2"}
 
-// omittedCompare names a compare that is left out of transactions, as a bug in the code would leave
-// it out: an action and the prefix of a key.
+// omittedCompare identifies a compare by an action and the prefix of a key. The model leaves this
+// compare out of the transactions of the action, as a bug in the code would.
 type omittedCompare string
 
 func (o omittedCompare) apply(txn *pendingTxn) {
@@ -123,7 +123,7 @@
 	events  []string
 }
 
-// add adds a following state, which change makes from a copy of the present one.
+// add adds a state that may follow: a copy of the present state, modified by change.
 func (next *transitions) add(event string, change func(state *modelState, session *modelSession)) {
 	state := *next.from
 	change(&state, &state.sessions[next.host])
--- a/internal/tombstone/batched_lookup.go
+++ b/internal/tombstone/batched_lookup.go
@@ -15,8 +15,8 @@
 	// a second for 15 jobs each, the last lookup of a full queue is answered after 30 s.
 	maxQueuedLookups = 3000
 
-	// maxWait limits how long a caller waits. A lookup that takes longer is rejected but stays in
-	// the queue, so that its result is cached for the next lookup of a finished job.
+	// maxWait limits how long a caller waits for a lookup. The caller then gets ErrBusy, but the
+	// lookup stays in the queue, so that a tombstone that it finds is cached for the next caller.
 	maxWait = 500 * time.Millisecond
 
 	// allowRetryDelay is the pause before the worker asks again whether it may send a request.
@@ -97,9 +97,9 @@
 	}
 }
 
-// enqueue returns the pending lookup of a job, which it adds to the queue if there is none, and the
-// length of the queue. The lookup is nil if the queue is full. enqueue starts a worker if none is
-// running; the worker ends when the queue is empty.
+// enqueue returns the pending lookup of a job and the length of the queue. If the job has no
+// pending lookup, enqueue adds one; if the queue is full, the returned lookup is nil. enqueue
+// starts a worker if none is running; the worker ends when the queue is empty.
 func (l *BatchedLookup) enqueue(
 	id string, fence func() (statekv.Compare, bool), onFound func(string, Tombstone),
 ) (lookup *pendingLookup, queued int) {
--- a/test/integration/partition_test.go
+++ b/test/integration/partition_test.go
@@ -56,8 +56,8 @@
 }
 
 // A zone with its workers and one controller is partitioned from everything else, for less or more
-// than a worker lease. Tasks in the zone may continue and must not be started elsewhere, and jobs
-// that are cancelled outside meanwhile must stop in time.
+// than a worker lease. Tasks in the zone may continue and must not be started elsewhere. Jobs that
+// are cancelled outside the zone during the partition must stop in time.
 func TestZonePartitionedWithItsController(t *testing.T) {
 	for _, duration := range []time.Duration{20 * time.Second, 45 * time.Second, 2 * time.Minute} {
 		t.Run(duration.String(), func(t *testing.T) {
@@ -66,8 +66,8 @@
 			// autoscaler.
 			runScenarioWithBootTime(t, 101, 40, func(b *testbed) {
 				running, cancelled := inZone("b", arrayJob(b.nextJobID(), 2)), inZone("b", arrayJob(b.nextJobID(), 2))
-				// Six machines in the zone: more than an isolated failure, which the autoscaler
-				// would delete at once.
+				// Six machines in the zone are too many for an isolated failure. The autoscaler
+				// would delete the machines of an isolated failure at once.
 				for _, s := range []job.Spec{
 					running,
 					cancelled,
