--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -4,7 +4,6 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"io/fs"
 	"maps"
 	"os"
 	"path/filepath"
@@ -13,6 +12,8 @@
 	"strconv"
 	"strings"
 	"testing"
+
+	"robinstack/test/sourcetree"
 )
 
 // moduleRoot is the root directory of the module, relative to this package.
@@ -100,21 +101,18 @@
 	t.Helper()
 	constants := stringConstants(t)
 	var calls []logCall
-	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		name := entry.Name()
-		if entry.IsDir() && path != moduleRoot && (strings.HasPrefix(name, ".") || name == "testdata") {
-			return filepath.SkipDir
-		}
-		if entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
-			return nil
+	paths, err := sourcetree.Files(moduleRoot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range paths {
+		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			continue
 		}
 		files := token.NewFileSet()
 		file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
 		if err != nil {
-			return err
+			t.Fatal(err)
 		}
 		ast.Inspect(file, func(node ast.Node) bool {
 			call, ok := node.(*ast.CallExpr)
@@ -126,10 +124,6 @@
 			}
 			return true
 		})
-		return nil
-	})
-	if err != nil {
-		t.Fatal(err)
 	}
 	if len(calls) == 0 {
 		t.Fatalf("found no call of slog below %s", moduleRoot)
--- a/test/docs/names_test.go
+++ b/test/docs/names_test.go
@@ -6,12 +6,13 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
+
+	"robinstack/test/sourcetree"
 )
 
 // moduleRoot is the root directory of the module, relative to this package.
@@ -92,28 +93,28 @@
 	names    map[string]bool
 }
 
+// moduleFiles returns the paths of the module's files.
+func moduleFiles(t *testing.T) []string {
+	t.Helper()
+	files, err := sourcetree.Files(moduleRoot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return files
+}
+
 func indexDeclarations(t *testing.T) declarationIndex {
 	t.Helper()
 	d := declarationIndex{packages: map[string]bool{}, names: map[string]bool{}}
-	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		if entry.IsDir() && path != moduleRoot && strings.HasPrefix(entry.Name(), ".") {
-			return filepath.SkipDir
-		}
-		if entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
-			return nil
+	for _, path := range moduleFiles(t) {
+		if filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+			continue
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 		if err != nil {
-			return err
+			t.Fatal(err)
 		}
 		d.addFile(file)
-		return nil
-	})
-	if err != nil {
-		t.Fatal(err)
 	}
 	return d
 }
--- a/test/docs/paths_test.go
+++ b/test/docs/paths_test.go
@@ -4,7 +4,6 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -87,23 +86,19 @@
 func testFunctions(t *testing.T) map[string]bool {
 	t.Helper()
 	tests := map[string]bool{}
-	err := filepath.WalkDir(moduleRoot, func(file string, _ fs.DirEntry, err error) error {
-		if err != nil || !strings.HasSuffix(file, "_test.go") {
-			return err
+	for _, file := range moduleFiles(t) {
+		if !strings.HasSuffix(file, "_test.go") {
+			continue
 		}
 		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 		if err != nil {
-			return err
+			t.Fatal(err)
 		}
 		for _, decl := range parsed.Decls {
 			if function, ok := decl.(*ast.FuncDecl); ok && function.Recv == nil {
 				tests[function.Name.Name] = true
 			}
 		}
-		return nil
-	})
-	if err != nil {
-		t.Fatal(err)
 	}
 	return tests
 }
@@ -130,14 +125,10 @@
 func goFileNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
-	err := filepath.WalkDir(moduleRoot, func(_ string, entry fs.DirEntry, err error) error {
-		if err == nil && !entry.IsDir() && filepath.Ext(entry.Name()) == ".go" {
-			names[entry.Name()] = true
+	for _, file := range moduleFiles(t) {
+		if filepath.Ext(file) == ".go" {
+			names[filepath.Base(file)] = true
 		}
-		return err
-	})
-	if err != nil {
-		t.Fatal(err)
 	}
 	return names
 }
--- a/test/wireformat/names_module_test.go
+++ b/test/wireformat/names_module_test.go
@@ -4,7 +4,6 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"io/fs"
 	"maps"
 	"os"
 	"path"
@@ -13,6 +12,8 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"robinstack/test/sourcetree"
 )
 
 // modulePath is the prefix of the import paths of the module's packages.
@@ -25,34 +26,30 @@
 // deploymentDir is the directory whose TOML files are settings that are deployed with the program.
 const deploymentDir = "deploy/"
 
-// readSources reads the TOML files of the deployment and all Go files below root except tests and
-// files in testdata directories.
+// readSources reads the TOML files of the deployment and all Go files of the module at root except
+// tests.
 func readSources(root string) (sources, error) {
+	paths, err := sourcetree.Files(root)
+	if err != nil {
+		return nil, err
+	}
 	files := sources{}
-	err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		name := entry.Name()
-		if entry.IsDir() {
-			if file != root && (strings.HasPrefix(name, ".") || name == "testdata") {
-				return filepath.SkipDir
-			}
-			return nil
-		}
+	for _, file := range paths {
 		relative, err := filepath.Rel(root, file)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		relative = filepath.ToSlash(relative)
 		if !isSource(relative) {
-			return nil
+			continue
 		}
 		text, err := os.ReadFile(file)
+		if err != nil {
+			return nil, err
+		}
 		files[relative] = string(text)
-		return err
-	})
-	return files, err
+	}
+	return files, nil
 }
 
 // isSource reports whether external names are collected from a file.
--- a/tools/audit/wire_test.go
+++ b/tools/audit/wire_test.go
@@ -5,7 +5,6 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"io/fs"
 	"path/filepath"
 	"slices"
 	"strconv"
@@ -13,6 +12,7 @@
 	"testing"
 
 	"robinstack/internal/logline"
+	"robinstack/test/sourcetree"
 	"robinstack/test/wireformat"
 )
 
@@ -65,13 +65,17 @@
 	t.Helper()
 	names := messageConstants(t)
 	var lines []string
-	err := filepath.WalkDir(moduleRoot, func(path string, d fs.DirEntry, err error) error {
-		if err != nil || d.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
-			return err
+	paths, err := sourcetree.Files(moduleRoot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range paths {
+		if filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+			continue
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 		if err != nil {
-			return err
+			t.Fatal(err)
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
 			if message, line := describeLogCall(n, names); messages[message] {
@@ -79,10 +83,6 @@
 			}
 			return true
 		})
-		return nil
-	})
-	if err != nil {
-		t.Fatal(err)
 	}
 	slices.Sort(lines)
 	return lines
